--- a/brackenladder/fleet/duties/part.py
+++ b/brackenladder/fleet/duties/part.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from brackenladder.fleet.config import FleetConfig
-from brackenladder.fleet.duties import store
 from brackenladder.fleet.duties.asker import Asker, Stage
 from brackenladder.fleet.duties.messages import DutyMessage, DutyWire
 from brackenladder.fleet.duties.settings import DutySettings, Electorate
+from brackenladder.fleet.duties.store import VoteStore
 from brackenladder.fleet.duties.voter import Out, Voter
 from brackenladder.net.log import Log
 
@@ -47,12 +47,8 @@
         c = self.config
         floor, raised = 0, None
         if c.votes is not None:
-            path = c.votes / f"{c.name}.votes"
-            raised = store.keeper(path, c.name)
-            try:
-                floor = store.load(path, c.name)
-            except store.StoreFault as e:
-                self.log.line(f"duty votes not trusted: {e}")
+            votes = VoteStore(c.votes / f"{c.name}.votes", c.name, self.log.line)
+            floor, raised = votes.open(), votes.raised
         self.voter = Voter(c.name, life, self.lists, self.settings, now, floor, raised)
         self.asker = Asker(c.name, life, self.lists, self.settings, rng, wall, self.told)
 
--- a/brackenladder/fleet/duties/settings.py
+++ b/brackenladder/fleet/duties/settings.py
@@ -23,6 +23,7 @@
     recall_every: int = 500_000
     duties_most: int = 512  # that a voter keeps apart
     spacing: int = 1_000  # between askers that are told when to come again
+    store_retry: int = 500_000  # after a disk that failed
     waiters_most: int = 8  # told when a duty is free
 
 
--- a/brackenladder/fleet/duties/voter.py
+++ b/brackenladder/fleet/duties/voter.py
@@ -22,6 +22,18 @@
 Holder = tuple[str, int]  # name and life
 
 
+class CeilingUnavailable(Exception):
+    """The ceiling cannot be raised for now: the disk fails."""
+
+
+@dataclass(frozen=True)
+class VoteRange:
+    """Numbers that a voter may grant without a further word of its disk: above `floor`, up to `ceiling`."""
+
+    floor: int
+    ceiling: int
+
+
 @dataclass
 class Slot:
     """One duty as this voter knows it."""
@@ -37,8 +49,8 @@
 
 class Voter:
     """`lists`: the electorates that this process votes in. `floor`: a number that all it grants are above.
-    `raised` is called before a number beyond the ceiling is granted, and gives the next ceiling, for a
-    deployment with a disk."""
+    `raised` is called before a number beyond the ceiling is granted, for a deployment with a disk, and gives
+    the next range, or a CeilingUnavailable."""
 
     def __init__(
         self,
@@ -48,7 +60,7 @@
         settings: DutySettings,
         now: int,
         floor: int = 0,
-        raised: Callable[[int], int] | None = None,
+        raised: Callable[[int], VoteRange] | None = None,
     ) -> None:
         self.name = name
         self.life = life
@@ -57,6 +69,7 @@
         self.floor = floor
         self.raised = raised
         self.ceiling = floor  # as it was raised last
+        self.next_raise = now  # after a disk that failed
         self.abstain_until = now + promised(settings.longest)
         self.slots: dict[str, Slot] = {}
         self.recalled: dict[str, int] = {}  # what the others remember
@@ -129,14 +142,35 @@
             return self.deny(m, Reason.HELD, slot.number, turn)
         if self.too_low(slot, m.number, holder):
             return self.deny(m, Reason.OLD, max(slot.number, slot.released))
-        if self.raised is not None and m.number > self.ceiling:
-            self.ceiling = self.raised(m.number)
+        if not self.covers(now, m.number):
+            return self.deny(m, Reason.ABSTAINS, wait=self.next_raise - now)
+        if self.too_low(slot, m.number, holder):  # by a floor that the disk did not give before
+            return self.deny(m, Reason.OLD, max(slot.number, slot.released))
         slot.number, slot.holder, slot.until = m.number, holder, now + promised(m.wait)
         slot.denied = 0
         slot.ahead = {h: n for h, n in slot.ahead.items() if n > m.number}  # the others are too low by now
         self.counts["granted"] += 1
         return [(m.sender, DutyMessage(DutyKind.GRANT, self.name, self.life, m.duty, m.seq, m.number))]
 
+    def covers(self, now: int, number: int) -> bool:
+        """Whether the ceiling is at least a number, raised if it has to be and the disk lets it.
+
+        Failure prevented: the disk fails, and a grant that is not on it is forgotten by the next life.
+        """
+        if self.raised is None or number <= self.ceiling:
+            return True
+        if now < self.next_raise:
+            return False
+        try:
+            bounds = self.raised(number)
+        except CeilingUnavailable:
+            self.next_raise = now + self.settings.store_retry
+            self.counts["store_failed"] += 1
+            return False
+        self.floor = max(self.floor, bounds.floor)
+        self.ceiling = bounds.ceiling
+        return True
+
     def too_low(self, slot: Slot, number: int, holder: Holder) -> bool:
         """A number is granted to one holder alone, and none is granted after a higher one or its own end."""
         if number == slot.number and holder == slot.holder and number > slot.released:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -388,7 +388,7 @@
 
     def raised(number):
         saved.append(number)
-        return store.keeper(path, "a")(number)
+        return store.VoteStore(path, "a", print).raised(number)
 
     v = voter(floor=store.load(path, "a"), raised=raised)
     for i in range(100):
--- /dev/null
+++ b/tests/test_vote_store.py
@@ -0,0 +1,211 @@
+"""Votes on a disk that fails: each system call and error, kills at every byte, grants meanwhile and after."""
+
+import errno
+import os
+from pathlib import Path
+
+import pytest
+
+from brackenladder.fleet.duties import store
+from brackenladder.fleet.duties.messages import DutyKind, DutyMessage, Reason
+from brackenladder.fleet.duties.settings import DutySettings, Electorate, promised
+from brackenladder.fleet.duties.voter import Voter
+
+SEC = 1_000_000
+SETTINGS = DutySettings(lease=3 * SEC, longest=10 * SEC)
+VOTERS = Electorate(("a", "b", "c"))
+START = 100 * SEC
+ABLE = START + promised(SETTINGS.longest)
+FIRST = 500  # a number that is granted while the disk works
+CEILING = FIRST + store.AHEAD
+BEYOND = CEILING + 1
+LATER = ABLE + SEC
+
+# Each system call of a save, by its turn among the calls of that name: (call, turn).
+CALLS = [
+    ("open", 1),  # the file
+    ("write", 1),
+    ("write", 2),  # after a short one
+    ("fsync", 1),
+    ("close", 1),
+    ("rename", 1),
+    ("open", 2),  # the folder
+    ("fsync", 2),
+    ("close", 2),
+]
+ERRORS = [errno.ENOSPC, errno.EIO, errno.EDQUOT, errno.EROFS, errno.EACCES, errno.EMFILE, errno.ENOENT]
+
+
+class FailingDisk:
+    """Stands before the system calls of the store: one call fails from its turn on, writes are short."""
+
+    def __init__(self, monkeypatch):
+        self.fails = {}  # by call: its turn, and the error
+        self.turns = dict.fromkeys(("open", "write", "fsync", "close", "rename"), 0)
+        self.opened, self.closed = 0, 0
+        for call in self.turns:
+            monkeypatch.setattr(store.os, call, self.wrapped(call, getattr(os, call)))
+
+    def wrapped(self, call, real):
+        def system_call(*arguments, **named):
+            self.turns[call] += 1
+            turn, error = self.fails.get(call, (0, 0))
+            if call == "write":
+                arguments = (arguments[0], arguments[1][:20])
+            if call == "close":  # Linux releases the descriptor whatever it says
+                real(*arguments)
+                self.closed += 1
+            if turn and self.turns[call] >= turn:
+                raise OSError(error, os.strerror(error))
+            if call == "close":
+                return None
+            self.opened += call == "open"
+            return real(*arguments, **named)
+
+        return system_call
+
+    def fail(self, call, turn, error):
+        self.turns = dict.fromkeys(self.turns, 0)
+        self.fails = {call: (turn, error)}
+
+    def heal(self):
+        self.fails = {}
+
+
+class VoterWithDisk:
+    """One life of a voter over a folder, and its log."""
+
+    def __init__(self, folder):
+        self.path = Path(folder) / "a.votes"
+        self.log = []
+        self.votes = store.VoteStore(self.path, "a", self.log.append)
+        self.voter = Voter("a", 1, [VOTERS], SETTINGS, START, self.votes.open(), self.votes.raised)
+
+    def ask(self, now, number, sender="x", duty="d"):
+        """The kind, reason and number of the answer."""
+        question = DutyMessage(DutyKind.ASK, sender, 1, duty, 1, number, VOTERS.digest, SETTINGS.lease)
+        ((_, answer),) = self.voter.received(now, question)
+        return answer.kind, answer.reason, answer.number
+
+
+GRANTED, ABSTAINS = (DutyKind.GRANT, Reason.NONE), (DutyKind.DENY, Reason.ABSTAINS)
+
+
+@pytest.mark.parametrize("error", ERRORS, ids=errno.errorcode.get)
+@pytest.mark.parametrize(("call", "turn"), CALLS)
+def test_a_voter_whose_disk_fails_grants_up_to_its_ceiling_and_says_so_once(
+    tmp_path, monkeypatch, call, turn, error
+):
+    node = VoterWithDisk(tmp_path)
+    assert node.ask(ABLE, FIRST)[:2] == GRANTED
+    disk = FailingDisk(monkeypatch)
+    disk.fail(call, turn, error)
+    for i in range(3):
+        assert node.ask(ABLE + i * SETTINGS.store_retry, BEYOND + i, duty="e")[:2] == ABSTAINS
+    assert node.ask(LATER, FIRST)[:2] == GRANTED  # renewed
+    assert node.ask(LATER, CEILING, duty="f")[:2] == GRANTED
+    assert len(node.log) == 1 and os.strerror(error) in node.log[0]
+    assert disk.opened == disk.closed
+    assert store.load(node.path, "a") >= CEILING
+    disk.heal()
+    assert node.ask(2 * LATER, BEYOND + 3, duty="e")[:2] == GRANTED
+    assert node.ask(2 * LATER, 2 * BEYOND + store.AHEAD, duty="g")[:2] == GRANTED
+    assert len(node.log) == 2 and "again" in node.log[1]
+    assert store.load(node.path, "a") >= 2 * BEYOND + store.AHEAD
+
+
+def test_a_failing_disk_is_not_tried_at_each_question(tmp_path, monkeypatch):
+    node = VoterWithDisk(tmp_path)
+    disk = FailingDisk(monkeypatch)
+    disk.fail("open", 1, errno.EIO)
+    for i in range(100):
+        assert node.ask(ABLE + i, BEYOND, duty=f"d{i}")[:2] == ABSTAINS
+    assert disk.turns["open"] == 1
+
+
+@pytest.mark.parametrize("error", ERRORS[:2], ids=errno.errorcode.get)
+@pytest.mark.parametrize(("call", "turn"), CALLS)
+def test_a_life_after_a_failed_write_grants_nothing_that_was_granted_before(
+    tmp_path, monkeypatch, call, turn, error
+):
+    node = VoterWithDisk(tmp_path)
+    node.ask(ABLE, FIRST)
+    disk = FailingDisk(monkeypatch)
+    disk.fail(call, turn, error)
+    node.ask(ABLE, BEYOND, duty="e")
+    node.ask(ABLE, CEILING, duty="f")
+    disk.heal()
+    again = VoterWithDisk(tmp_path)
+    assert again.ask(ABLE, CEILING, "y")[:2] == (DutyKind.DENY, Reason.OLD)
+    assert again.ask(ABLE, CEILING, "y", duty="f")[:2] == (DutyKind.DENY, Reason.OLD)
+    assert again.log == []
+
+
+def contents(folder, number):
+    store.save(folder / "b.votes", "a", number)
+    return (folder / "b.votes").read_bytes()
+
+
+def test_a_kill_at_every_byte_of_a_write_leaves_the_file_before(tmp_path):
+    node = VoterWithDisk(tmp_path)
+    node.ask(ABLE, FIRST)
+    data = contents(tmp_path, 10 * BEYOND)
+    for length in range(len(data) + 1):
+        node.path.with_suffix(".part").write_bytes(data[:length])
+        again = VoterWithDisk(tmp_path)
+        assert again.voter.floor == CEILING and again.log == []
+    assert again.ask(ABLE, BEYOND)[:2] == GRANTED  # what was left half done is no hindrance
+
+
+def test_no_beginning_of_a_file_is_read_as_whole(tmp_path):
+    """A file system that loses the end of a file that was renamed."""
+    path = tmp_path / "a.votes"
+    data = contents(tmp_path, BEYOND)
+    for length in range(len(data) - 1):  # without its last line break it is whole
+        path.write_bytes(data[:length])
+        with pytest.raises(store.StoreFault, match="torn or changed"):
+            store.load(path, "a")
+        node = VoterWithDisk(tmp_path)
+        assert node.voter.floor == 0 and "not trusted" in node.log[0]
+        assert node.voter.abstains(ABLE - 1)
+
+
+@pytest.mark.parametrize(
+    "error", [errno.EIO, errno.EACCES, errno.ESTALE, errno.ENFILE], ids=errno.errorcode.get
+)
+def test_a_file_that_cannot_be_read_at_the_start_is_read_before_it_is_replaced(tmp_path, monkeypatch, error):
+    VoterWithDisk(tmp_path).ask(ABLE, FIRST)
+    real = Path.read_bytes
+
+    def failing(path):
+        raise OSError(error, os.strerror(error))
+
+    monkeypatch.setattr(Path, "read_bytes", failing)
+    node = VoterWithDisk(tmp_path)
+    assert node.ask(ABLE, 1)[:2] == ABSTAINS and len(node.log) == 1
+    monkeypatch.setattr(Path, "read_bytes", real)
+    assert node.ask(LATER, FIRST) == (DutyKind.DENY, Reason.OLD, CEILING)
+    assert node.ask(LATER, BEYOND)[:2] == GRANTED
+    assert len(node.log) == 2
+
+
+def test_a_folder_that_is_mounted_late_is_read_before_it_is_written(tmp_path):
+    folder, away = tmp_path / "votes", tmp_path / "away"
+    folder.mkdir()
+    VoterWithDisk(folder).ask(ABLE, FIRST)
+    folder.rename(away)
+    node = VoterWithDisk(folder)
+    assert node.ask(ABLE, BEYOND)[:2] == ABSTAINS and len(node.log) == 1
+    away.rename(folder)
+    assert node.ask(LATER, FIRST)[:2] == (DutyKind.DENY, Reason.OLD)
+    assert node.ask(LATER, BEYOND)[:2] == GRANTED
+
+
+def test_a_file_written_before_is_read_byte_for_byte(tmp_path):
+    path = tmp_path / "a.votes"
+    path.write_bytes(b"brackenladder votes 1\na\n60500\n" + OLD_CHECKSUM + b"\n")
+    assert store.load(path, "a") == CEILING
+    assert contents(tmp_path, CEILING) == path.read_bytes()
+
+
+OLD_CHECKSUM = b"1c45cdeda7d1c6326e53fdffe478e5fe"
