--- a/brackenladder/fleet/duties/asker.py
+++ b/brackenladder/fleet/duties/asker.py
@@ -5,8 +5,9 @@
 question and not from the answer, since a promise is at least as young as its question is old. Sources as in
 `voter.py`.
 
-Times are microseconds of this process's monotonic clock; `wall` gives milliseconds of Unix time, for numbers
-that rise even where all voters have forgotten.
+Times are microseconds of this process's monotonic clock; `wall` gives milliseconds of Unix time, carried
+on from the process's start by the monotonic clock, for numbers that rise even where all voters have
+forgotten.
 """
 
 from __future__ import annotations
--- a/brackenladder/fleet/duties/component.py
+++ b/brackenladder/fleet/duties/component.py
@@ -18,6 +18,7 @@
     def __init__(self, runtime: Runtime) -> None:
         self.runtime = runtime
         self.duties = Duties(runtime.config, runtime.log, FREQUENT_PREFIXES)
+        self.unix_offset = 0  # from the monotonic clock to Unix time, as it stood when this life began
 
     @property
     def wires(self) -> Sequence[Part]:
@@ -38,12 +39,18 @@
 
     def open(self) -> None:
         runtime = self.runtime
-        self.duties.open(
-            runtime.membership.me.incarnation, runtime.now(), self.wall_milliseconds, runtime.rng
-        )
-
-    def wall_milliseconds(self) -> int:
-        return self.runtime.wall() // 1000
+        now = runtime.now()
+        self.unix_offset = runtime.wall() - now
+        life = runtime.membership.me.incarnation
+        self.duties.open(life, now, self.unix_milliseconds, runtime.rng)
+
+    def unix_milliseconds(self) -> int:
+        """Unix time as of this life's beginning, carried on by the monotonic clock.
+
+        Failure prevented: the wall clock is stepped an hour forward for a moment, and a token of that moment
+        is above all that others make in the hour after.
+        """
+        return (self.runtime.now() + self.unix_offset) // 1000
 
     def leave(self, now: int) -> list[Outgoing]:
         return addressed(self.duties.leave(now))
--- a/brackenladder/fleet/duties/voter.py
+++ b/brackenladder/fleet/duties/voter.py
@@ -127,6 +127,7 @@
         if m.electorate not in self.lists:
             return self.deny(m, Reason.ELECTORATE)
         if self.abstains(now):
+            self.remember(m)
             return self.deny(m, Reason.ABSTAINS, wait=self.abstain_until - now)
         if m.wait > self.settings.longest:
             return self.deny(m, Reason.LENGTH)
@@ -152,6 +153,19 @@
         self.counts["granted"] += 1
         return [(m.sender, DutyMessage(DutyKind.GRANT, self.name, self.life, m.duty, m.seq, m.number))]
 
+    def remember(self, m: DutyMessage) -> None:
+        """Grants nothing below the number of a question that came while it abstained: whoever asks is above
+        all that it has heard of, so one asker that lives on is enough where all voters forget.
+
+        Failure prevented: all voters start anew, and an asker whose wall clock is slow comes to hold a duty
+        under a token that every receiver refuses.
+        """
+        slot = self.slots.get(m.duty)
+        if slot is None and len(self.slots) < self.settings.duties_most:
+            slot = self.slots[m.duty] = Slot(self.floor)
+        if slot is not None:
+            slot.released = max(slot.released, m.number - 1)
+
     def covers(self, now: int, number: int) -> bool:
         """Whether the ceiling is at least a number, raised if it has to be and the disk lets it.
 
--- /dev/null
+++ b/tests/test_lease_tokens.py
@@ -0,0 +1,169 @@
+"""Tokens of leases while wall clocks step, on running and restarting processes, and where voters forget."""
+
+from random import Random
+from types import SimpleNamespace
+
+import pytest
+
+from brackenladder.fleet.duties.asker import Asker
+from brackenladder.fleet.duties.component import DutiesComponent
+from brackenladder.fleet.duties.messages import DutyKind, DutyMessage, Reason
+from brackenladder.fleet.duties.settings import DutySettings, Electorate, promised
+from brackenladder.fleet.duties.voter import Voter
+from laurelspindle.explore.duty_net import Net
+from laurelspindle.explore.faults import Fault
+
+SEC = 1_000_000
+SETTINGS = DutySettings(lease=3 * SEC, longest=10 * SEC)
+VOTERS = Electorate(("a", "b", "c"))
+ABLE = promised(SETTINGS.longest)  # when a voter that started at 0 votes
+STEPS = [-3600, -5, 5, 3600]  # seconds
+UNIX = 1_700_000_000_000  # milliseconds
+
+
+def question(number, sender="x", duty="d", seq=1):
+    return DutyMessage(DutyKind.ASK, sender, 1, duty, seq, number, VOTERS.digest, SETTINGS.lease)
+
+
+def answer_of(voter, now, message):
+    ((_, answer),) = voter.received(now, message)
+    return answer.kind, answer.reason, answer.number
+
+
+# ---- a wall clock that steps under a running process ------------------------------------------------------
+
+
+class SteppedRuntime(SimpleNamespace):
+    """What the component uses of the runtime, with clocks fed by hand."""
+
+    def __init__(self):
+        super().__init__(
+            config=SimpleNamespace(
+                name="x", lease=3 * SEC, longest=10 * SEC, voters=VOTERS.voters, old_voters=(), votes=None
+            ),
+            log=SimpleNamespace(line=lambda text: None),
+            membership=SimpleNamespace(me=SimpleNamespace(incarnation=1)),
+            rng=Random(1),
+            time=50 * SEC,
+            step=0,
+        )
+
+    def now(self):
+        return self.time
+
+    def wall(self):
+        return UNIX * 1000 + self.time + self.step
+
+
+@pytest.mark.parametrize("step", STEPS)
+def test_a_step_under_a_running_process_does_not_move_its_numbers(step):
+    runtime = SteppedRuntime()
+    component = DutiesComponent(runtime)
+    component.open()
+    runtime.step = step * SEC
+    runtime.time += 7 * SEC
+    _, (sent,) = component.script_request(runtime.time, "d", "script", release=False)
+    assert sent.message.number == UNIX + 57_000
+
+
+@pytest.mark.parametrize("step", STEPS)
+def test_a_life_begins_with_the_wall_clock_as_it_stands_then(step):
+    runtime = SteppedRuntime()
+    component = DutiesComponent(runtime)
+    component.open()
+    runtime.step = step * SEC
+    component.open()
+    _, (sent,) = component.script_request(runtime.time, "d", "script", release=False)
+    assert sent.message.number == UNIX + 50_000 + step * 1000
+
+
+def test_a_wall_clock_before_1970_gives_numbers_that_can_be_sent():
+    runtime = SteppedRuntime()
+    runtime.step = -2 * UNIX * 1000
+    component = DutiesComponent(runtime)
+    component.open()
+    _, (sent,) = component.script_request(runtime.time, "d", "script", release=False)
+    assert sent.message.number == 1
+
+
+# ---- voters that remember ---------------------------------------------------------------------------------
+
+
+class Group:
+    """Voters that live on, and askers that come one after the other, each with a wall clock of its own."""
+
+    def __init__(self):
+        self.now = ABLE
+        self.voters = {name: Voter(name, 1, [VOTERS], SETTINGS, 0) for name in VOTERS.voters}
+
+    def holder(self, name, wall):
+        """The token under which a new process comes to hold the duty, within two seconds."""
+        asker = Asker(name, 1, [VOTERS], SETTINGS, Random(name), lambda: wall)
+        asker.want(self.now, "d")
+        end = self.now + 2 * SEC
+        while asker.holding(self.now, "d") is None:
+            due = asker.deadline()
+            assert due <= end
+            self.now = max(self.now, due)
+            self.carry(asker, asker.tick(self.now))
+        token = asker.holding(self.now, "d")
+        self.carry(asker, asker.drop(self.now, "d"))
+        return token
+
+    def carry(self, asker, out):
+        while out:
+            to, message = out.pop(0)
+            for name, answer in self.voters[to].received(self.now, message):
+                if name == asker.name:
+                    out += asker.received(self.now, answer)
+
+
+@pytest.mark.parametrize("step", STEPS)
+def test_whoever_comes_next_soon_has_a_higher_token_whatever_its_wall_clock(step):
+    """Right, stepped, right again: a step forward is beaten by the next, a step back is soon not refused."""
+    group = Group()
+    tokens = [group.holder(f"x{i}", UNIX + i + 1000 * s) for i, s in enumerate((0, step, 0, step, 0))]
+    assert tokens == sorted(set(tokens))
+    assert tokens[-1] <= UNIX + max(0, 1000 * step) + 5
+
+
+# ---- voters that all forget -------------------------------------------------------------------------------
+
+
+def test_a_voter_that_abstains_remembers_the_numbers_of_those_that_ask():
+    voter = Voter("a", 1, [VOTERS], SETTINGS, 0)
+    assert answer_of(voter, 1, question(5000))[1] == Reason.ABSTAINS
+    assert answer_of(voter, ABLE, question(1000, "y")) == (DutyKind.DENY, Reason.OLD, 4999)
+    assert answer_of(voter, ABLE, question(5000))[0] == DutyKind.GRANT  # what was held is renewed
+    assert answer_of(voter, ABLE, question(1000, "y", duty="e"))[0] == DutyKind.GRANT
+
+
+def test_a_voter_that_abstains_tells_what_it_remembers_once_it_votes():
+    voter = Voter("a", 1, [VOTERS], SETTINGS, 0)
+    voter.received(1, question(5000))
+    ((_, memory),) = voter.received(ABLE, DutyMessage(DutyKind.RECALL, "b", 2))
+    assert memory.number == 4999
+
+
+def test_names_made_up_while_a_voter_abstains_fill_no_memory_and_raise_no_floor():
+    few = DutySettings(lease=3 * SEC, longest=10 * SEC, duties_most=3)
+    voter = Voter("a", 1, [VOTERS], few, 0)
+    for i in range(10):
+        voter.received(1, question(5000 + i, duty=f"made-up-{i}"))
+    assert len(voter.slots) == 3 and voter.floor == 0
+
+
+@pytest.mark.parametrize("restarts", [(), ("a0",), ("a1",)], ids=["voters", "and-a0", "and-a1"])
+@pytest.mark.parametrize("stepped", [("a0",), ("a1",), ("v0", "v1", "v2")], ids=["a0", "a1", "all-voters"])
+@pytest.mark.parametrize("step", STEPS)
+def test_when_all_voters_forget_one_asker_that_remembers_is_enough(step, stepped, restarts):
+    """No act is refused, at any wall clock of the one that comes back or of the one that stayed."""
+    voters = ("v0", "v1", "v2")
+    faults = [
+        Fault("step", 9 * SEC, SEC, stepped, amount=step),
+        Fault("kill", 10 * SEC, SEC // 10, (*voters, *restarts)),
+    ]
+    for seed in range(6):
+        story = Net(seed, faults=faults, voters=3, askers=2).play()
+        assert not story.broken and story.holders >= 2
+        assert story.late_acts == 0, f"seed {seed}"
