--- a/brackenladder/fleet/zones/messages.py
+++ b/brackenladder/fleet/zones/messages.py
@@ -20,19 +20,18 @@
 
 @dataclass(frozen=True)
 class Word:
-    """`version` and `until`: Unix time in microseconds. `until` is in the past where the zone may return."""
+    """A directive on the wire. `version`: the higher, the newer. `until`: its end by the sender's wall clock,
+    in microseconds of Unix time; 0 where the zone may return."""
 
     zone: str
     version: int
     until: int
 
-    def newer(self, other: Word | None) -> bool:
-        return other is None or (self.version, self.until) > (other.version, other.until)
-
 
 @dataclass(frozen=True)
 class ZoneMessage:
-    """All that a member has to say of zones."""
+    """All that a member has to say of zones. `seq`: the wall clock by which the ends are meant, as it stood
+    when this was sent; 0 where it is not known. Processes of earlier versions say 0, and do not read it."""
 
     kind: ZoneKind
     sender: str
--- a/brackenladder/fleet/zones/traffic.py
+++ b/brackenladder/fleet/zones/traffic.py
@@ -72,7 +72,7 @@
             self.rank,
             self.log_line,
         )
-        self.orders = Orders(config.name, alive, self.wall, rng, now)
+        self.orders = Orders(config.name, alive, self.wall, rng, self.now)
         self.update_zones()
 
     def close(self) -> None:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -266,7 +266,9 @@
         for i in range(count):
             name = f"n{i}"
             others = [f"n{j}" for j in range(count) if j != i]
-            self.parts[name] = Orders(name, lambda o=others: o, lambda: self.wall, Random(i), 0)
+            self.parts[name] = Orders(
+                name, lambda o=others: o, lambda: self.wall, Random(i), lambda: self.now
+            )
 
     def run(self, seconds):
         for _ in range(seconds):
@@ -294,7 +296,7 @@
     assert g.parts["n2"].left() == {}
     for i in range(2 * MOST):
         g.parts["n0"].say(f"z{i}", SEC)
-    assert len(g.parts["n0"].words) == MOST
+    assert len(g.parts["n0"].directives) == MOST
 
 
 def test_an_operator_goes_before_evidence():
