--- a/brackenladder/fleet/zones/traffic.py
+++ b/brackenladder/fleet/zones/traffic.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping, Sequence
+from dataclasses import dataclass
 from random import Random
 from typing import Any
 
@@ -23,6 +24,26 @@
 Publish = Callable[[dict[int, float], dict[int, int]], None]
 
 
+@dataclass(frozen=True)
+class Start:
+    """A server's last start, as discovery has it and as this node learned of it."""
+
+    ready_at: int  # by discovery's clock
+    learned_at: int
+    witnessed: bool  # the server was known with another start before
+
+    def cold_until(self, cold_time: int, list_clock_offset: int) -> int:
+        """When the slow start is over; 0 where the server started long ago.
+
+        Failure prevented: the node's wall clock is off, so that a server counts as warm at once, or as cold
+        for an hour.
+        """
+        if self.ready_at <= 0:
+            return 0
+        longest = self.learned_at + cold_time
+        return longest if self.witnessed else min(longest, self.ready_at + cold_time - list_clock_offset)
+
+
 class ZoneTraffic:
     """Open from `open` to `close`, each time anew; discovery's list and what was published stay."""
 
@@ -54,6 +75,7 @@
         self.orders: Orders | None = None
         self.alive: Callable[[], Sequence[str]] = tuple
         self.ready_servers: dict[int, ServerEntry] = {}
+        self.starts: dict[int, Start] = {}  # of the servers that discovery lists, ready or not
         self.list_clock_offset = 0  # of discovery's clock against `now`
         self.zone_numbers: Mapping[str, int] = {}
         self.published_shares: dict[str, float] = {}
@@ -94,7 +116,10 @@
             return
         if kind != ListKind.CHANGES:
             self.ready_servers.clear()
+            listed = {entry.server for entry in entries}
+            self.starts = {server: start for server, start in self.starts.items() if server in listed}
         for entry in entries:
+            self.note_start(entry)
             if entry.state == State.READY:
                 self.ready_servers[entry.server] = entry
             else:
@@ -103,15 +128,21 @@
         self.zone_numbers = zone_numbers
         self.update_zones()
 
+    def note_start(self, entry: ServerEntry) -> None:
+        """Keeps when this node learned of a server's start."""
+        known = self.starts.get(entry.server)
+        if known is None or known.ready_at != entry.ready_at:
+            self.starts[entry.server] = Start(entry.ready_at, self.now(), witnessed=known is not None)
+
     def update_zones(self) -> None:
         """Hands the list to the decisions."""
         if self.zones is None or not self.ready_servers:
             return
         names = {number: name for name, number in self.zone_numbers.items()}
-        cold_time = self.settings.cold_time - self.list_clock_offset
+        cold_time, offset = self.settings.cold_time, self.list_clock_offset
         self.zones.listed(
             {
-                number: Listed(names[entry.zone], entry.ready_at + cold_time if entry.ready_at > 0 else 0)
+                number: Listed(names[entry.zone], self.starts[number].cold_until(cold_time, offset))
                 for number, entry in self.ready_servers.items()
             }
         )
