--- a/tests/test_lease_tokens.py
+++ b/tests/test_lease_tokens.py
@@ -9,6 +9,7 @@
 from brackenladder.fleet.duties.component import DutiesComponent
 from brackenladder.fleet.duties.messages import DutyKind, DutyMessage, Reason
 from brackenladder.fleet.duties.settings import DutySettings, Electorate, promised
+from brackenladder.fleet.duties.store import AHEAD, VoteStore
 from brackenladder.fleet.duties.voter import Voter
 from laurelspindle.explore.duty_net import Net
 from laurelspindle.explore.faults import Fault
@@ -92,9 +93,23 @@
 class Group:
     """Voters that live on, and askers that come one after the other, each with a wall clock of its own."""
 
-    def __init__(self):
-        self.now = ABLE
-        self.voters = {name: Voter(name, 1, [VOTERS], SETTINGS, 0) for name in VOTERS.voters}
+    def __init__(self, folder=None):
+        """`folder`: where voters keep their numbers, if anywhere."""
+        self.now = 0
+        self.folder = folder
+        self.log = []
+        self.restart()
+
+    def restart(self):
+        """All voters start from what their disks have, and abstain for as long as they have to."""
+        self.voters = {name: self.voter(name) for name in VOTERS.voters}
+        self.now += ABLE
+
+    def voter(self, name):
+        if self.folder is None:
+            return Voter(name, 1, [VOTERS], SETTINGS, self.now)
+        votes = VoteStore(self.folder / f"{name}.votes", name, self.log.append)
+        return Voter(name, 1, [VOTERS], SETTINGS, self.now, votes.open(), votes.raised)
 
     def holder(self, name, wall):
         """The token under which a new process comes to hold the duty, within two seconds."""
@@ -127,6 +142,26 @@
     assert tokens[-1] <= UNIX + max(0, 1000 * step) + 5
 
 
+@pytest.mark.parametrize("step", STEPS)
+def test_with_disks_tokens_rise_though_all_processes_start_anew_and_all_clocks_are_stepped(tmp_path, step):
+    group = Group(tmp_path)
+    tokens = []
+    for i, wall in enumerate((UNIX, UNIX + 1000 * step, UNIX, UNIX + 1000 * step)):
+        tokens.append(group.holder(f"x{i}", wall))
+        group.restart()
+    assert tokens == sorted(set(tokens)) and group.log == []
+    assert tokens[-1] <= UNIX + 1000 * max(0, step) + 4 * AHEAD
+
+
+def test_without_disks_it_stays_impossible_where_all_start_anew_with_clocks_set_back():
+    """What docs/duties.md states: nothing is left that knows the last token. Time mends it."""
+    group = Group()
+    last = group.holder("x", UNIX)
+    group.restart()
+    assert group.holder("y", UNIX - 3_600_000) < last
+    assert group.holder("z", UNIX + 60_000) > last
+
+
 # ---- voters that all forget -------------------------------------------------------------------------------
 
 
--- a/tests/test_vote_store.py
+++ b/tests/test_vote_store.py
@@ -2,12 +2,17 @@
 
 import errno
 import os
+from dataclasses import replace
 from pathlib import Path
+from random import Random
+from types import SimpleNamespace
 
 import pytest
 
 from brackenladder.fleet.duties import store
+from brackenladder.fleet.duties.asker import Asker
 from brackenladder.fleet.duties.messages import DutyKind, DutyMessage, Reason
+from brackenladder.fleet.duties.part import Duties
 from brackenladder.fleet.duties.settings import DutySettings, Electorate, promised
 from brackenladder.fleet.duties.voter import Voter
 
@@ -75,11 +80,11 @@
 class VoterWithDisk:
     """One life of a voter over a folder, and its log."""
 
-    def __init__(self, folder):
-        self.path = Path(folder) / "a.votes"
+    def __init__(self, folder, name="a"):
+        self.path = Path(folder) / f"{name}.votes"
         self.log = []
-        self.votes = store.VoteStore(self.path, "a", self.log.append)
-        self.voter = Voter("a", 1, [VOTERS], SETTINGS, START, self.votes.open(), self.votes.raised)
+        self.votes = store.VoteStore(self.path, name, self.log.append)
+        self.voter = Voter(name, 1, [VOTERS], SETTINGS, START, self.votes.open(), self.votes.raised)
 
     def ask(self, now, number, sender="x", duty="d"):
         """The kind, reason and number of the answer."""
@@ -114,6 +119,71 @@
     assert store.load(node.path, "a") >= 2 * BEYOND + store.AHEAD
 
 
+class Group:
+    """Three voters with disks and an asker of the version before, which knows no word for this."""
+
+    def __init__(self, folder):
+        self.now = ABLE
+        self.nodes = {}
+        for name in VOTERS.voters:
+            (folder / name).mkdir()
+            self.nodes[name] = VoterWithDisk(folder / name, name)
+        self.wall = FIRST
+        self.asker = Asker("x", 1, [VOTERS], SETTINGS, Random(1), lambda: self.wall)
+
+    def run(self, seconds):
+        end = self.now + seconds * SEC
+        while (due := self.asker.deadline()) is not None and due <= end:
+            self.now = max(self.now, due)
+            self.carry(self.asker.tick(self.now))
+        self.now = end
+        return self
+
+    def carry(self, out):
+        while out:
+            to, message = out.pop(0)
+            for _, answer in self.nodes[to].voter.received(self.now, message):
+                out += self.asker.received(self.now, answer)
+
+    def token(self, duty):
+        return self.asker.holding(self.now, duty)
+
+
+@pytest.mark.parametrize(("failing", "held"), [("a", True), ("b", True), ("ab", False), ("abc", False)])
+def test_askers_go_on_with_the_others_and_wait_where_a_majority_s_disks_fail(tmp_path, failing, held):
+    group = Group(tmp_path)
+    group.asker.want(group.now, "d")
+    assert group.run(1).token("d") == FIRST
+    for name in failing:
+        (tmp_path / name).rename(tmp_path / f"{name} away")
+    group.wall = BEYOND
+    group.asker.want(group.now, "e")
+    assert (group.run(20).token("e") is not None) is held
+    assert group.token("d") == FIRST  # renewed all the while
+    for name in failing:
+        (tmp_path / f"{name} away").rename(tmp_path / name)
+    assert group.run(3).token("e") >= BEYOND
+    assert group.token("d") == FIRST
+    for name, node in group.nodes.items():
+        assert len(node.log) == (2 if name in failing else 0)
+
+
+def test_the_part_reads_and_keeps_its_votes_in_the_configured_folder(tmp_path):
+    config = SimpleNamespace(
+        name="a", lease=3 * SEC, longest=10 * SEC, voters=VOTERS.voters, old_voters=(), votes=tmp_path
+    )
+    lines = []
+    duties = Duties(config, SimpleNamespace(line=lines.append))
+    store.save(tmp_path / "a.votes", "a", CEILING)
+    duties.open(1, START, lambda: BEYOND, Random(1))
+    question = DutyMessage(DutyKind.ASK, "x", 1, "d", 1, CEILING, VOTERS.digest, SETTINGS.lease)
+    ((_, answer),) = duties.received(ABLE, question)
+    assert (answer.reason, answer.number) == (Reason.OLD, CEILING)
+    ((_, answer),) = duties.received(ABLE, replace(question, number=BEYOND))
+    assert answer.kind == DutyKind.GRANT and lines == []
+    assert store.load(tmp_path / "a.votes", "a") == BEYOND + store.AHEAD
+
+
 def test_a_failing_disk_is_not_tried_at_each_question(tmp_path, monkeypatch):
     node = VoterWithDisk(tmp_path)
     disk = FailingDisk(monkeypatch)
