--- a/brackenladder/net/handover.py
+++ b/brackenladder/net/handover.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import errno
 import fcntl
 import os
 import secrets
@@ -18,7 +19,11 @@
 LOOK = 0.1  # seconds between two looks for another process
 PATIENCE = 1.0  # seconds that a new process gives the old one to make room
 STEP = 0.02
+MOST_FAILED_LOOKS = 3  # in a row, after which what was known before is too old; well under PATIENCE
 FITS = b"fits\n"  # an elder has made room
+NOT_A_PROCESS = frozenset(  # errors of opening a file that no process of this node has made
+    {errno.ENOENT, errno.ENOTDIR, errno.EISDIR, errno.ELOOP, errno.ENXIO, errno.EACCES, errno.EPERM}
+)
 
 
 def adopted(number: str) -> socket.socket | None:
@@ -40,7 +45,8 @@
     """Tells whether another process of this node runs, by locked files in a folder that both can write.
 
     `share` is called with True once another runs, and with False once it is alone again; `fits` says
-    whether this process keeps within its half.
+    whether this process keeps within its half. While the folder's file system fails nobody can tell who
+    runs: the process keeps to half of the limits and tries again at every look.
     """
 
     def __init__(
@@ -55,39 +61,59 @@
         self.shared = False
         self.elder = False  # a younger process runs: it is this one that leaves
         self.told = False
+        self.written = False  # the file may hold FITS, or a part of it
+        self.known = False  # a look has succeeded
+        self.failed_looks = 0  # in a row
+        self.failing = False
         self.timer: asyncio.TimerHandle | None = None
 
     async def start(self, fits: Callable[[], bool]) -> None:
         """Joins; where another process runs, waits until that one has made room, or has had its time."""
         self.fits = fits
-        try:
-            self.join()
-        except OSError as e:
-            # Failure prevented: two processes that cannot agree take twice what one node may have.
-            self.log.line(f"handover: {e.strerror}: this process keeps to half of the limits")
-            self.share(True)
-            return
         self.look()
+        if self.file < 0:
+            return  # nobody can know of this process, and so nobody makes room for it
         end = self.loop.time() + PATIENCE
-        while any(self.word(name) != FITS for name in self.others()) and self.loop.time() < end:
+        while not self.has_room() and self.loop.time() < end:
             await asyncio.sleep(STEP)
 
+    def has_room(self) -> bool:
+        """Whether every other process has made room. False while that cannot be told."""
+        try:
+            return all(self.word(name) == FITS for name in self.others())
+        except OSError:
+            return False
+
     def join(self) -> None:
-        """Makes this process's file, which is never seen under its name without its lock."""
-        path = os.path.join(self.folder, self.name)
-        self.file = os.open(path + ".new", os.O_RDWR | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
-        fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        os.rename(path + ".new", path)
+        """Makes this process's file, which is never seen under its name without its lock. OSError.
 
-    def others(self) -> list[str]:
-        """The files of other processes that run. What a dead one left is removed."""
+        A file that an earlier try could not remove is taken again: the name is this process's alone.
+        """
+        path = os.path.join(self.folder, self.name)
+        flags = os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC
+        file = os.open(path + ".new", flags, 0o600)
         try:
-            names = sorted(os.listdir(self.folder))
+            fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            os.rename(path + ".new", path)
         except OSError:
-            return []
+            self.remove(path + ".new")
+            self.remove(path)  # a rename may report a failure and have been made
+            with suppress(OSError):
+                os.close(file)
+            raise
+        self.file = file
+
+    @staticmethod
+    def remove(path: str) -> None:
+        """Removes a file if that can be done; without its lock it counts for nothing anyway."""
+        with suppress(OSError):
+            os.unlink(path)
+
+    def others(self) -> list[str]:
+        """The files of other processes that run. What a dead one left is removed. OSError."""
         return [
             name
-            for name in names
+            for name in sorted(os.listdir(self.folder))
             if name.startswith(PREFIX)
             and not name.endswith(".new")
             and name != self.name
@@ -95,23 +121,22 @@
         ]
 
     def runs(self, path: str) -> bool:
-        """Whether a process holds the lock of this file."""
+        """Whether a process holds the lock of this file. An OSError if that cannot be told."""
         try:
             file = os.open(path, os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC)
-        except OSError:
-            return False
+        except OSError as e:
+            if e.errno in NOT_A_PROCESS:
+                return False
+            raise
         try:
             if not stat.S_ISREG(os.fstat(file).st_mode):
                 return False
             fcntl.flock(file, fcntl.LOCK_SH | fcntl.LOCK_NB)
         except BlockingIOError:
             return True
-        except OSError:
-            return False
         finally:
             os.close(file)
-        with suppress(OSError):
-            os.unlink(path)
+        self.remove(path)
         return False
 
     def word(self, name: str) -> bytes:
@@ -123,27 +148,76 @@
             return b""
 
     def look(self) -> None:
-        """Looks who runs, now and every so often."""
-        others = self.others()
-        self.elder = any(name > self.name for name in others)
-        if bool(others) != self.shared:
-            self.shared = bool(others)
+        """Joins unless that has been done, and looks who runs: now and every so often."""
+        fault: OSError | None = None
+        others: list[str] = []
+        try:
+            if self.file < 0:
+                self.join()
+        except OSError as e:
+            fault = e
+        try:
+            others = self.others()
+            self.elder = any(name > self.name for name in others)
+        except OSError as e:
+            fault = fault or e
+        if fault is None:
+            self.agree(others)
+        else:
+            self.doubt(fault)
+        with suppress(OSError):  # tried again at the next look; the younger waits for its patience
+            self.say_whether_it_fits()
+        self.timer = self.loop.call_later(LOOK, self.look)
+
+    def agree(self, others: list[str]) -> None:
+        """Takes over what a look has found."""
+        if self.failing or bool(others) != self.shared:
             self.log.line("handover: another process runs" if others else "handover: alone")
-            self.share(self.shared)
-        with suppress(OSError):  # the folder is full: the younger waits for its patience, and no longer
-            if self.elder and not self.told and self.fits():
+        self.known, self.failing, self.failed_looks = True, False, 0
+        self.set_shared(bool(others))
+
+    def doubt(self, fault: OSError) -> None:
+        """A look has failed; what was known before holds for a few looks more.
+
+        Failure prevented: two processes that cannot agree take twice what one node may have.
+        """
+        self.failed_looks += 1
+        if self.known and self.failed_looks < MOST_FAILED_LOOKS:
+            return
+        if not self.failing:
+            self.failing = True
+            self.log.line(f"handover: {fault.strerror}: this process keeps to half of the limits")
+        self.set_shared(True)
+
+    def set_shared(self, shared: bool) -> None:
+        """Calls `share` on a change."""
+        if shared != self.shared:
+            self.shared = shared
+            self.share(shared)
+
+    def say_whether_it_fits(self) -> None:
+        """An elder that has made room writes so into its file, and takes it back once it is alone. OSError.
+
+        Failure prevented: what a failed write or truncation has left lets the next process in too early.
+        """
+        if self.file < 0:
+            return
+        if self.elder and (self.told or self.fits()):
+            if not self.told:
+                self.written = True
                 self.told = os.pwrite(self.file, FITS, 0) == len(FITS)
-            elif self.told and not self.elder:
-                self.told = False
-                os.ftruncate(self.file, 0)
-        self.timer = self.loop.call_later(LOOK, self.look)
+            return
+        self.told = False
+        if self.written:
+            os.ftruncate(self.file, 0)
+            self.written = False
 
     def close(self) -> None:
         """This process is about to end."""
         if self.timer is not None:
             self.timer.cancel()
         if self.file >= 0:
+            self.remove(os.path.join(self.folder, self.name))
             with suppress(OSError):
-                os.unlink(os.path.join(self.folder, self.name))
-            os.close(self.file)
+                os.close(self.file)
             self.file = -1
