--- a/laurelspindle/cli/experiment.py
+++ b/laurelspindle/cli/experiment.py
@@ -5,6 +5,8 @@
 import json
 import os
 import re
+from collections.abc import Iterator
+from contextlib import contextmanager
 from pathlib import Path
 from typing import Any
 
@@ -53,9 +55,11 @@
     return Path(folder) / f"{Path(file).stem}.sqlite"
 
 
-def open_store(path: Path, write: bool = True) -> Store:
+@contextmanager
+def usable_store() -> Iterator[None]:
+    """What is wrong with a store ends the command with its one line. Bad."""
     try:
-        return Store(path, write)
+        yield
     except StoreError as e:
         raise Bad(str(e)) from None
 
@@ -83,17 +87,16 @@
     """
     plan = plan_at(file, baseline)
     path = store_of(file, folder)
-    store = open_store(path)
-    try:
-        out = with_progress(plan, store, jobs, until, seconds(budget))
-    except StoreError as e:
-        raise Bad(str(e)) from None
+    limit = seconds(budget)
+    with usable_store():
+        store = Store(path)
+        out = with_progress(plan, store, jobs, until, limit)
+        rows = store.rows(tasks(plan))
     share = out.busy / max(1e-9, out.seconds * jobs)
     click.echo(
         f"{path}: {out.made} runs made, {out.failed} failed, {out.kept} kept from before, "
         f"{out.seconds:.0f} s, {100 * share:.0f} % of {jobs} cores' time in runs"
     )
-    rows = store.rows(tasks(plan))
     broken = sum(r.broken for r in rows if r.variant == plan.variant[-1].name)
     if not baseline:
         return 1 if out.failed else 0
@@ -119,7 +122,8 @@
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def compare(store: str, a: str, b: str, as_json: bool) -> int:
     """Variant B of STORE against A. Exits 0 better, 1 worse, 3 not told apart."""
-    rows = open_store(Path(store), write=False).rows()
+    with usable_store():
+        rows = Store(Path(store), write=False).rows()
     names = sorted({r.variant for r in rows})
     for name in (a, b):
         if name not in names:
@@ -143,14 +147,16 @@
     from laurelspindle.report.page import report as draw  # drawing costs a second to load
     from laurelspindle.report.page import write
 
-    opened = open_store(Path(store), write=False)
-    variants = {r.variant for r in opened.rows()}
+    with usable_store():
+        opened = Store(Path(store), write=False)
+        variants = {r.variant for r in opened.rows()}
     if not variants:
         raise Bad(f"{store}: no run in it")
     if against and against not in variants:
         raise Bad(f"{store}: no variant {against!r}: there are {', '.join(sorted(variants))}")
     command = f"laurelspindle experiment report {store} -o {folder}"
-    files = draw(opened, command + (f" --against {against}" if against else ""), against)
+    with usable_store():
+        files = draw(opened, command + (f" --against {against}" if against else ""), against)
     try:
         write(files, Path(folder))
     except OSError as e:
--- a/laurelspindle/experiment/store.py
+++ b/laurelspindle/experiment/store.py
@@ -4,7 +4,8 @@
 
 import sqlite3
 import zlib
-from collections.abc import Iterable
+from collections.abc import Iterable, Iterator
+from contextlib import contextmanager
 from pathlib import Path
 from time import monotonic, sleep
 from typing import Any
@@ -14,6 +15,7 @@
 from laurelspindle.experiment.plan import Task
 
 WAIT = 60.0  # seconds for another writer's transaction
+OTHER_WRITER = frozenset({sqlite3.SQLITE_BUSY, sqlite3.SQLITE_BUSY_RECOVERY, sqlite3.SQLITE_LOCKED})
 MIGRATIONS = [
     """
     CREATE TABLE runs (
@@ -51,13 +53,24 @@
         self.path = path
         if not write and not path.exists():
             raise StoreError(f"{path}: no such store")
-        try:
+        with self.errors():
             if write:
                 path.parent.mkdir(parents=True, exist_ok=True)
             self.db = sqlite3.connect(path, timeout=WAIT, isolation_level=None)
-            self.open(write)
-        except (sqlite3.Error, OSError) as e:
-            raise StoreError(f"{path}: {e}") from None
+        try:
+            with self.errors():
+                self.open(write)
+        except BaseException:
+            self.db.close()
+            raise
+
+    @contextmanager
+    def errors(self) -> Iterator[None]:
+        """Says in one line what the file, its disk or its contents have done. StoreError."""
+        try:
+            yield
+        except (sqlite3.Error, OSError, zlib.error, msgspec.MsgspecError) as e:
+            raise StoreError(f"{self.path}: {e}") from None
 
     def open(self, write: bool) -> None:
         if self.db.execute("PRAGMA quick_check(1)").fetchone()[0] != "ok":
@@ -67,8 +80,9 @@
             raise StoreError(f"{self.path}: written by a newer version of the product")
         if write:
             self.set_wal()
-            self.db.execute("PRAGMA synchronous = NORMAL")
+            self.db.execute("PRAGMA synchronous = FULL")  # a run counts as made once it is on the disk
             self.migrate()
+            self.empty_log()
         elif version < len(MIGRATIONS):
             self.migrate()
 
@@ -78,11 +92,19 @@
         while self.db.execute("PRAGMA journal_mode").fetchone()[0] != "wal":
             try:
                 self.db.execute("PRAGMA journal_mode = WAL")
-            except sqlite3.OperationalError:
-                if monotonic() > ends:
+            except sqlite3.OperationalError as e:
+                if e.sqlite_errorcode not in OTHER_WRITER or monotonic() > ends:
                     raise
                 sleep(0.01)
 
+    def empty_log(self) -> None:
+        """Moves what the write-ahead log holds into the file itself, as far as no reader stands in the way.
+
+        Failure prevented: a sync of the log has failed, its pages have never reached the disk though they
+        are still read from memory, and the runs that are appended behind them are lost with them.
+        """
+        self.db.execute("PRAGMA wal_checkpoint(PASSIVE)").fetchone()
+
     def migrate(self) -> None:
         self.db.execute("BEGIN IMMEDIATE")  # another process may be about the same
         version = self.db.execute("PRAGMA user_version").fetchone()[0]
@@ -102,7 +124,7 @@
             made = msgspec.json.encode(result["made"]).decode()
         blob = zlib.compress(msgspec.json.encode(result), 3) if result is not None else None
         row = (*task.key, goal, broken, lost, error, msgspec.json.encode(task), blob, made)
-        try:
+        with self.errors():
             self.db.execute(
                 "INSERT INTO runs"
                 " (scenario, variant, seed, digest, goal, broken, lost, error, task, result, made)"
@@ -112,15 +134,19 @@
                 " WHERE runs.error IS NOT NULL",
                 row,
             )
-        except sqlite3.Error as e:
-            raise StoreError(f"{self.path}: {e}") from None
 
     def done(self) -> set[tuple[str, str, int, str]]:
-        """The keys of the runs that came to an end; failed ones are tried again."""
-        return set(self.db.execute("SELECT scenario, variant, seed, digest FROM runs WHERE error IS NULL"))
+        """The keys of the runs that came to an end; failed ones are tried again. StoreError."""
+        columns = "scenario, variant, seed, digest"
+        with self.errors():
+            return set(self.db.execute(f"SELECT {columns} FROM runs WHERE error IS NULL"))
 
     def rows(self, tasks: Iterable[Task] | None = None) -> list[Row]:
-        """All runs, or those of a plan's tasks, without their whole results."""
+        """All runs, or those of a plan's tasks, without their whole results. StoreError."""
+        with self.errors():
+            return self.read_rows(tasks)
+
+    def read_rows(self, tasks: Iterable[Task] | None) -> list[Row]:
         wanted = None if tasks is None else {t.key for t in tasks}
         out = []
         columns = "scenario, variant, seed, digest, goal, broken, lost, error, task"
@@ -133,11 +159,11 @@
         return out
 
     def result(self, task: Task) -> dict[str, Any]:
-        """The whole result of one run."""
-        (blob,) = self.db.execute(
-            "SELECT result FROM runs WHERE scenario=? AND variant=? AND seed=? AND digest=?", task.key
-        ).fetchone()
-        decoded: dict[str, Any] = msgspec.json.decode(zlib.decompress(blob))
+        """The whole result of one run. StoreError."""
+        query = "SELECT result FROM runs WHERE scenario=? AND variant=? AND seed=? AND digest=?"
+        with self.errors():
+            (blob,) = self.db.execute(query, task.key).fetchone()
+            decoded: dict[str, Any] = msgspec.json.decode(zlib.decompress(blob))
         return decoded
 
     def close(self) -> None:
