--- a/laurelspindle/cli/errors.py
+++ b/laurelspindle/cli/errors.py
@@ -5,8 +5,11 @@
 import os
 import tempfile
 from collections.abc import Callable
+from contextlib import suppress
 from pathlib import Path
 
+from laurelspindle.files import sync
+
 
 class Bad(Exception):
     """A user's input that cannot be used: a line for each fault; the command ends with status 2."""
@@ -27,14 +30,18 @@
 
 def write_whole(target: Path, write: Callable[[Path], None]) -> None:
     """The file appears whole or not at all, whatever stops the writing. Bad."""
-    handle, name = tempfile.mkstemp(dir=target.parent, prefix=".", suffix=target.suffix)
-    os.close(handle)
-    part = Path(name)
+    part: Path | None = None
     try:
+        handle, name = tempfile.mkstemp(dir=target.parent, prefix=".", suffix=target.suffix)
+        part = Path(name)
+        os.close(handle)
         write(part)
         part.chmod(0o644)
+        sync(part)
         part.replace(target)
     except OSError as e:
         raise Bad(f"{target}: cannot be written: {e.strerror}") from None
     finally:
-        part.unlink(missing_ok=True)
+        if part is not None:
+            with suppress(OSError):
+                part.unlink(missing_ok=True)
--- a/laurelspindle/lab/measure.py
+++ b/laurelspindle/lab/measure.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+import os
 import subprocess
 import sys
 import tempfile
@@ -168,9 +169,21 @@
 
 
 def load(path: Path) -> list[Row]:
+    """The rows of a file; a last line that is not whole is none."""
     if not path.exists():
         return []
-    return [msgspec.json.decode(line) for line in path.read_bytes().splitlines()]
+    whole, _, _ = path.read_bytes().rpartition(b"\n")
+    return [msgspec.json.decode(line) for line in whole.splitlines()]
+
+
+def append(path: Path, row: Row) -> None:
+    """One more row, on the disk, in place of what a write that was stopped has left. OSError."""
+    with path.open("a+b") as file:
+        file.seek(0)
+        file.truncate(file.read().rfind(b"\n") + 1)
+        file.write(msgspec.json.encode(row) + b"\n")
+        file.flush()
+        os.fsync(file.fileno())
 
 
 @click.command()
@@ -198,13 +211,17 @@
         for alone in ((False, True) if plan == "calm" else (False,))
     ]
     ends = monotonic() + minutes * 60
-    with ThreadPoolExecutor(jobs) as pool, out.open("ab", buffering=0) as file:
+    with ThreadPoolExecutor(jobs) as pool:
         todo = [w for w in wanted if w not in done]
         futures = [pool.submit(measure_until, ends, *w) for w in todo]
         for i, future in enumerate(as_completed(futures), 1):
             row = future.result()
             if row is not None:
-                file.write(msgspec.json.encode(row) + b"\n")
+                try:
+                    append(out, row)
+                except OSError as e:
+                    pool.shutdown(wait=False, cancel_futures=True)
+                    raise click.ClickException(f"{out}: cannot be written: {e.strerror}") from None
                 click.echo(
                     f"{i}/{len(todo)} {row['plan']} {row['nodes']} seed {row['seed']}: {row['status']}",
                     err=True,
--- a/laurelspindle/report/page.py
+++ b/laurelspindle/report/page.py
@@ -15,6 +15,7 @@
 
 from laurelspindle.experiment.compare import compare
 from laurelspindle.experiment.store import Row, Store
+from laurelspindle.files import replace_files
 from laurelspindle.report import figures, series
 
 MOST_DAYS = 40  # whole results of a scenario and variant that go into its curves
@@ -129,9 +130,6 @@
 
 
 def write(files: dict[str, bytes], folder: Path) -> None:
-    """All files, each whole or not at all."""
+    """All files, each whole or not at all. OSError."""
     folder.mkdir(parents=True, exist_ok=True)
-    for name, data in files.items():
-        part = folder / f".{name}.part"
-        part.write_bytes(data)
-        part.replace(folder / name)
+    replace_files({folder / name: data for name, data in files.items()})
--- a/laurelspindle/scale/page.py
+++ b/laurelspindle/scale/page.py
@@ -8,6 +8,7 @@
 
 import click
 
+from laurelspindle.files import replace_files
 from laurelspindle.scale.capacity import capacity
 from laurelspindle.scale.slopes import read_slopes
 from laurelspindle.scale.table import sections
@@ -38,7 +39,7 @@
 @click.argument("page", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 def main(page: Path) -> None:
     """Write the generated parts of PAGE anew."""
-    page.write_text(rendered(page.read_text(), current_parts()))
+    replace_files({page: rendered(page.read_text(), current_parts()).encode()})
 
 
 if __name__ == "__main__":
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -6,6 +6,7 @@
 import sqlite3
 import subprocess
 import sys
+import tempfile
 from pathlib import Path
 from types import SimpleNamespace
 
@@ -14,9 +15,11 @@
 
 from brackenladder.net.handover import FITS, MOST_FAILED_LOOKS, PREFIX, Handover
 from laurelspindle.cli import cli
-from laurelspindle.cli.errors import Bad
+from laurelspindle.cli.errors import Bad, write_whole
 from laurelspindle.experiment.plan import Task, plan_of, tasks
 from laurelspindle.experiment.store import Store, StoreError
+from laurelspindle.lab import measure
+from laurelspindle.report.page import write
 
 DISK_ERRORS = (errno.ENOSPC, errno.EIO, errno.EDQUOT, errno.EROFS, errno.ENFILE)
 
@@ -475,3 +478,68 @@
         out, err = process.communicate(timeout=60)
         assert process.returncode == 0, err
         assert f"{4 - kept} runs made, 0 failed, {kept} kept from before" in out
+
+
+# ---- reports and figures --------------------------------------------------------------------------
+
+REPORT = {"index.html": b"new page", "runs.csv": b"new runs", "report.json": b"new numbers"}
+
+
+def fail_at(patch, owner, name: str, error: int, place: int) -> None:
+    """The call fails from its so-manyth on."""
+    real, calls = getattr(owner, name), []
+
+    def failing(*args, **kwargs):
+        calls.append(args)
+        if len(calls) > place:
+            raise OSError(error, os.strerror(error))
+        return real(*args, **kwargs)
+
+    patch.setattr(owner, name, failing)
+
+
+@pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
+@pytest.mark.parametrize("place", range(len(REPORT)))
+@pytest.mark.parametrize(("owner", "name"), [(Path, "write_bytes"), (os, "fsync"), (Path, "replace")])
+def test_a_report_is_replaced_by_files_that_are_whole(tmp_path, monkeypatch, owner, name, place, error):
+    old = dict.fromkeys(REPORT, b"old")
+    write(old, tmp_path)
+    with monkeypatch.context() as patch:
+        fail_at(patch, owner, name, error, place)
+        with pytest.raises(OSError, match=os.strerror(error)):
+            write(REPORT, tmp_path)
+    found = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
+    replaced = list(REPORT)[: place if name == "replace" else 0]
+    assert found == old | {name: REPORT[name] for name in replaced}
+    write(REPORT, tmp_path)
+    assert {path.name: path.read_bytes() for path in tmp_path.iterdir()} == REPORT
+
+
+@pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
+@pytest.mark.parametrize(
+    ("owner", "name"),
+    [(tempfile, "mkstemp"), (Path, "write_bytes"), (Path, "chmod"), (os, "fsync"), (Path, "replace")],
+)
+def test_a_command_that_cannot_write_its_file_ends_with_one_line(tmp_path, monkeypatch, owner, name, error):
+    (target := tmp_path / "figures.json").write_bytes(b"old")
+    with monkeypatch.context() as patch:
+        fail_at(patch, owner, name, error, 0)
+        with pytest.raises(Bad) as e:
+            write_whole(target, lambda path: path.write_bytes(b"new"))
+    assert str(e.value) == f"{target}: cannot be written: {os.strerror(error)}"
+    assert [path.read_bytes() for path in tmp_path.iterdir()] == [b"old"]
+
+
+def test_rows_of_a_measurement_that_was_stopped_as_it_wrote_go_on(tmp_path):
+    """Failure prevented: a torn last line ends the next start, or is glued to the row after it."""
+    path = tmp_path / "rows.jsonl"
+    rows = [{"plan": "calm", "seed": seed} for seed in (1, 2)]
+    for row in rows:
+        measure.append(path, row)
+    whole = path.read_bytes()
+    for cut in range(len(whole) + 1):
+        path.write_bytes(whole[:cut])
+        kept = whole[:cut].count(b"\n")
+        assert measure.load(path) == rows[:kept]
+        measure.append(path, rows[1])
+        assert measure.load(path) == [*rows[:kept], rows[1]]
