--- a/laurelspindle/cli/lab.py
+++ b/laurelspindle/cli/lab.py
@@ -57,7 +57,7 @@
         out = with_progress(drawn, lambda tell: play(drawn, folder, tell))
     except PlanError as e:
         raise Bad(str(e)) from None
-    except NoPlace as e:
+    except (NoPlace, HistoryError) as e:
         raise Bad(str(e)) from None
     broken = tell(out.events)
     if out.stopped:
--- a/laurelspindle/lab/history.py
+++ b/laurelspindle/lab/history.py
@@ -6,6 +6,9 @@
 
 from __future__ import annotations
 
+import os
+from collections.abc import Iterator
+from contextlib import contextmanager
 from pathlib import Path
 from typing import Any, cast
 
@@ -24,6 +27,7 @@
         self.path = path
         self.file = path.open("wb")
         self.lines = 0
+        self.fault = ""  # why it takes no more lines, if its disk has failed
         self.logger = structlog.wrap_logger(
             structlog.BytesLogger(self.file),
             processors=[structlog.processors.JSONRenderer(serializer=encode)],
@@ -31,13 +35,28 @@
         )
 
     def write(self, t: float, event: str, **fields: Any) -> None:
-        """One line. A closed history takes no more."""
-        if not self.file.closed:
+        """One line. A closed history takes no more, nor one whose disk has failed."""
+        if self.file.closed or self.fault:
+            return
+        with self.noting_faults():
             self.logger.info(event, t=round(t, 6), **fields)
             self.lines += 1
 
     def close(self) -> None:
-        self.file.close()
+        """Returns once the history is on the disk, or has noted why it is not."""
+        with self.noting_faults():
+            self.file.flush()
+            if self.path.is_file():
+                os.fsync(self.file.fileno())
+        with self.noting_faults():
+            self.file.close()
+
+    @contextmanager
+    def noting_faults(self) -> Iterator[None]:
+        try:
+            yield
+        except OSError as e:
+            self.fault = self.fault or f"{self.path}: cannot be written: {e.strerror}"
 
 
 def encode(event: Any, **_: Any) -> bytes:
--- a/laurelspindle/lab/run.py
+++ b/laurelspindle/lab/run.py
@@ -19,7 +19,7 @@
 from laurelspindle.lab.earlier import unpack
 from laurelspindle.lab.faults import Faults
 from laurelspindle.lab.fleet import Fleet, Member
-from laurelspindle.lab.history import Event, History, read
+from laurelspindle.lab.history import Event, History, HistoryError, read
 from laurelspindle.lab.network import End, Links, Relay
 from laurelspindle.lab.plan import Plan, chosen, number, scenario
 from laurelspindle.live.clock import LiveClock
@@ -84,6 +84,8 @@
     def tell(self, event: str, **fields: Any) -> None:
         """One line of the history, now."""
         self.history.write((self.clock.real() - BEGIN) / 1e6, event, **fields)
+        if self.history.fault:
+            self.stop.set()
 
     def link(self, a: str, zone: int, b: str, other: int) -> Link:
         return self.links.between(End(a, zone, a in self.node_names()), End(b, other, b in self.node_names()))
@@ -115,7 +117,8 @@
         )
         trouble = ""
         try:
-            trouble = await self.play()
+            if not self.history.fault:
+                trouble = await self.play()
         finally:
             await self.finish(trouble)
         return trouble
@@ -236,7 +239,8 @@
 def run(plan: Plan, keep: Path | None = None, progress: Progress = lambda what, share: None) -> Outcome:
     """Plays a drawn plan and reads its history. `keep`: a folder for the history and the configurations.
 
-    NoPlace; PlanError where an earlier revision cannot be had; an OSError where `keep` cannot be written.
+    NoPlace; HistoryError where the history could not be written; PlanError where an earlier revision cannot
+    be had; an OSError where `keep` cannot be written.
     """
     folder = Path(tempfile.mkdtemp(prefix="lab-"))
     history = (keep or folder) / "history.jsonl"
@@ -251,6 +255,8 @@
         out.trouble = await lab.run()
         out.stopped = lab.stop.is_set()
         out.late_ms = lab.late_ms
+        if lab.history.fault:
+            raise HistoryError(lab.history.fault)
 
     try:
         uvloop.run(played())
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -19,6 +19,8 @@
 from laurelspindle.experiment.plan import Task, plan_of, tasks
 from laurelspindle.experiment.store import Store, StoreError
 from laurelspindle.lab import measure
+from laurelspindle.lab import run as lab_run
+from laurelspindle.lab.history import History
 from laurelspindle.report.page import write
 
 DISK_ERRORS = (errno.ENOSPC, errno.EIO, errno.EDQUOT, errno.EROFS, errno.ENFILE)
@@ -543,3 +545,39 @@
         assert measure.load(path) == rows[:kept]
         measure.append(path, rows[1])
         assert measure.load(path) == [*rows[:kept], rows[1]]
+
+
+# ---- the lab's histories --------------------------------------------------------------------------
+
+
+def test_a_history_on_a_full_disk_says_so_once_and_takes_no_more():
+    """Failure prevented: lines are left out of a history that goes on, or the writer raises."""
+    history = History(Path("/dev/full"))
+    for second in range(3):
+        history.write(second, "run")
+    assert history.lines == 0 and history.fault == "/dev/full: cannot be written: No space left on device"
+    history.close()
+    assert history.file.closed
+
+
+@pytest.mark.parametrize("name", ["fsync", "flush"])
+def test_a_history_that_was_not_synced_is_not_said_to_be_kept(tmp_path, monkeypatch, name):
+    history = History(tmp_path / "history.jsonl")
+    history.write(0.0, "run")
+    with monkeypatch.context() as patch:
+        if name == "fsync":
+            fail(patch, os, "fsync", errno.EIO)
+        else:
+            os.dup2(full := os.open("/dev/full", os.O_WRONLY), history.file.fileno())
+            os.close(full)
+            history.file.write(b"{")
+        history.close()
+    assert history.fault.startswith(f"{history.path}: cannot be written: ")
+
+
+def test_a_lab_whose_history_cannot_be_written_ends_with_one_line(tmp_path, monkeypatch):
+    keep = tmp_path / "kept"
+    monkeypatch.setattr(lab_run, "History", lambda path: History(Path("/dev/full")))
+    words = ["lab", "run", "calm", "--nodes", "1", "--keep", str(keep)]
+    with pytest.raises(Bad, match="^/dev/full: cannot be written: No space left on device$"):
+        cli.main(words, standalone_mode=False)
