--- a/brackenladder/fleet/clocks.py
+++ b/brackenladder/fleet/clocks.py
@@ -14,6 +14,8 @@
     def __init__(self, offset_file: str | None) -> None:
         self.offset_file = offset_file
         self.offset = 0  # microseconds
+        self.started = self.now()
+        self.started_wall = self.wall()
 
     def now(self) -> int:
         """A clock that goes on while the process or the machine is paused, read at the call: the event loop's
@@ -26,3 +28,8 @@
             with suppress(OSError, ValueError):
                 self.offset = int(Path(self.offset_file).read_text()) * 1000
         return time_ns() // 1000 + self.offset
+
+    def stamp(self) -> int:
+        """Unix time at the start and the real time since then: what datagrams are stamped with and lives are
+        numbered by. It does not step; two processes' may differ by any amount."""
+        return self.started_wall + self.now() - self.started
--- a/brackenladder/fleet/endpoint.py
+++ b/brackenladder/fleet/endpoint.py
@@ -3,19 +3,26 @@
 from __future__ import annotations
 
 import asyncio
+import secrets
 from collections import Counter
+from collections.abc import Sequence
 from typing import Any, cast
 
 from brackenladder.fleet.clocks import Clocks
 from brackenladder.fleet.component import WireMessage
 from brackenladder.fleet.membership.codec import Codec
+from brackenladder.fleet.membership.messages import Kind
+from brackenladder.fleet.membership.replay_guard import Received, ReplayGuard
 from brackenladder.fleet.membership.swim import Address
 
+SEQ_BITS = 60  # of a number that nobody foresees; the wire form has 62
+
 
 class DatagramEndpoint(asyncio.DatagramProtocol):
-    """Encodes and sends, receives and decodes."""
+    """Encodes and sends, receives, decodes and refuses replays."""
 
-    codec: Codec  # set by the owner, once all message kinds are known
+    codec: Codec  # set by `use_codec`
+    guard: ReplayGuard
 
     def __init__(self, clocks: Clocks) -> None:
         self.clocks = clocks
@@ -26,14 +33,23 @@
         self.bytes_out = 0
         self.bytes_in = 0
 
+    def use_codec(self, codec: Codec, name: str) -> None:
+        """Called by the owner once all message kinds are known. `name`: this process's, in its messages."""
+        self.codec = codec
+        self.guard = ReplayGuard(name, unpredictable_seq(), codec.dropped)
+
     def now(self) -> int:
         """Microseconds of the monotonic clock."""
         return self.clocks.now()
 
     def wall(self) -> int:
-        """Microseconds of Unix time: what datagrams are stamped with."""
+        """Microseconds of Unix time, which may step."""
         return self.clocks.wall()
 
+    def stamp(self) -> int:
+        """What datagrams are stamped with: it does not step within a life."""
+        return self.clocks.stamp()
+
     @property
     def is_open(self) -> bool:
         """Whether there is a socket."""
@@ -48,7 +64,9 @@
         """Sends one datagram, if there is a socket."""
         if self.transport is None:
             return
-        data = self.codec.encode(message, self.wall())
+        data = self.codec.encode(message, self.stamp())
+        if message.kind == Kind.PING:
+            self.guard.ping_sent(self.now(), message.seq)
         try:
             self.transport.sendto(data, to)
         except (OSError, ValueError):  # an address that cannot be sent to is its member's fault alone
@@ -57,13 +75,20 @@
         self.sent[message.kind.name.lower()] += 1
         self.bytes_out += len(data)
 
-    def decoded(self, data: bytes) -> Any | None:
-        """The message in a datagram; None if it was refused, which the codec counts."""
+    def admitted(self, data: bytes, source: Address) -> Sequence[Received]:
+        """The datagrams that may be acted upon now that this one has come: itself, or those that were held
+        until their sender had proven that it is live. What is refused is counted by the codec."""
         self.bytes_in += len(data)
-        message = self.codec.decode(data, self.wall())
-        if message is not None:
-            self.received[message.kind.name.lower()] += 1
-        return message
+        found = self.codec.read(data)
+        if found is None:
+            return ()
+        stamp, message = found
+        admission = self.guard.admit(self.now(), Received(source, stamp, message, len(data)))
+        if admission.answer is not None:
+            self.transmit(admission.answer, source)
+        for received in admission.accepted:
+            self.received[received.message.kind.name.lower()] += 1
+        return admission.accepted
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
@@ -82,3 +107,8 @@
             "bytes_out": self.bytes_out,
             "bytes_in": self.bytes_in,
         }
+
+
+def unpredictable_seq() -> int:
+    """Where a count of numbers begins that no earlier life has come near and nobody foresees."""
+    return secrets.randbits(SEQ_BITS)
--- a/brackenladder/fleet/membership/codec.py
+++ b/brackenladder/fleet/membership/codec.py
@@ -1,10 +1,11 @@
 """Datagrams: a versioned form under 1,200 bytes, authenticated by a shared key, safe against replays.
 
-    version (1 byte) | key's mark (4) | sender's clock in microseconds (8) | message (MessagePack) | tag (16)
+    version (1 byte) | key's mark (4) | sender's stamp in microseconds (8) | message (MessagePack) | tag (16)
 
 A message is kind, sender, seq and a body that the part which has this kind reads. The tag is a keyed BLAKE2b
 over all before it. Two keys are valid at once, so that keys can be changed one instance after the other. What
-fails a check is counted by its reason and dropped; no input raises.
+fails a check is counted by its reason and dropped; no input raises. Whether an authentic datagram is a replay
+is decided by `replay_guard.py`.
 """
 
 from __future__ import annotations
@@ -23,6 +24,7 @@
 
 from brackenladder.fleet.membership.claims import MAX_NAME_CHARACTERS
 from brackenladder.fleet.membership.messages import MAX_DATAGRAM_BYTES
+from brackenladder.fleet.membership.replay_guard import MAX_SKEW, SenderStamps, Verdict
 from brackenladder.fleet.membership.wire import MembershipWire
 
 __all__ = ["NAME_MOST", "Codec", "KeyFault", "MembershipWire", "Part", "mark", "read_key", "tag"]
@@ -32,10 +34,6 @@
 TAG_BYTES = 16
 MIN_KEY_BYTES = 16
 NAME_MOST = MAX_NAME_CHARACTERS  # the name that other packages import
-CLOCK_SLACK = 30_000_000  # clocks of two machines differ by so much at most
-WINDOW = 64  # datagrams of one sender that may overtake one another
-
-MAX_SENDERS = 4096  # whose stamps are kept: over that, those of the one heard of first go
 
 Head = tuple[int, str, int, msgspec.Raw]
 
@@ -55,26 +53,16 @@
         """The message; a ValueError, or one of msgspec's, where it is impossible."""
 
 
-class KeyFault(Exception):
-    """A key file that cannot be used: one line."""
-
-
-class Replays:
-    """Which of a sender's datagrams have been seen: its newest stamps, in order."""
+class Refused(Exception):
+    """A datagram fails a check; `reason` is what it is counted under."""
 
-    __slots__ = ("seen",)
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
 
-    def __init__(self) -> None:
-        self.seen: list[int] = []
 
-    def fresh(self, stamp: int) -> bool:
-        """Whether a stamp is new; it is not new any more after this."""
-        if stamp in self.seen or (len(self.seen) >= WINDOW and stamp < self.seen[0]):
-            return False
-        self.seen.append(stamp)
-        self.seen.sort()
-        del self.seen[:-WINDOW]
-        return True
+class KeyFault(Exception):
+    """A key file that cannot be used: one line."""
 
 
 class Codec:
@@ -89,13 +77,14 @@
         self.encoder = msgspec.msgpack.Encoder()
         self.decoder = msgspec.msgpack.Decoder(Head)
         self.parts: dict[int, Part] = {k: p for p in (MembershipWire(), *parts) for k in p.kinds}
-        self.replays: dict[str, Replays] = {}
+        self.replays = SenderStamps()
         self.stamp = 0
         self.dropped: Counter[str] = Counter()
 
     def encode(self, message: Any, clock: int) -> bytes:
-        """A datagram of a message. What does not fit is left out, as the message's part has it. `clock`:
-        microseconds of a clock that all machines share roughly."""
+        """A datagram of a message. What does not fit is left out, as the message's part has it. `clock`: the
+        stamp, microseconds of a clock that does not step within a life. Versions before `replay_guard.py`
+        take none that is over 30 s off their Unix time."""
         self.stamp = max(self.stamp + 1, clock)
         head = HEAD.pack(VERSION, mark(self.signing), self.stamp)
         part = self.parts[int(message.kind)]
@@ -107,49 +96,56 @@
                 return body + tag(self.signing, body)
             message = less
 
-    def decode(self, data: bytes, clock: int) -> Any | None:
-        """The message of a datagram, or None; `dropped` counts why. Costs no more than its length."""
-        reason, message = self.checked(data, clock)
-        if message is None:
-            self.dropped[reason] += 1
+    def decode(self, data: bytes, now: int) -> Any | None:
+        """The message of a datagram, or None; `dropped` counts why. A sender not heard of before is believed
+        to be live, as on a network without an adversary; a process takes `read` and a `ReplayGuard`. `now`:
+        the receiver's monotonic clock."""
+        found = self.read(data)
+        if found is None:
+            return None
+        stamp, message = found
+        sender = message.sender
+        if sender not in self.replays.windows:
+            self.replays.begin(sender, stamp, now, max_age=MAX_SKEW)
+            return message
+        verdict = self.replays.judge(sender, stamp, now)
+        if verdict != Verdict.FRESH:
+            self.dropped["replay" if verdict == Verdict.REPLAY else "clock"] += 1
+            return None
+        self.replays.record(sender, stamp, now)
         return message
 
-    def checked(self, data: bytes, clock: int) -> tuple[str, Any | None]:
+    def read(self, data: bytes) -> tuple[int, Any] | None:
+        """Stamp and message of an authentic datagram, new or not; None for another, and `dropped` counts why.
+        Costs no more than its length."""
+        try:
+            return self.checked(data)
+        except Refused as refused:
+            self.dropped[refused.reason] += 1
+            return None
+
+    def checked(self, data: bytes) -> tuple[int, Any]:
+        """Raises Refused."""
         if not HEAD.size + TAG_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
-            return "length", None
+            raise Refused("length")
         version, key_mark, stamp = HEAD.unpack_from(data)
         if version != VERSION:
-            return "version", None
+            raise Refused("version")
         key = self.keys.get(key_mark)
         if key is None:
-            return "key", None
+            raise Refused("key")
         body = data[:-TAG_BYTES]
         if not hmac.compare_digest(tag(key, body), data[-TAG_BYTES:]):
-            return "tag", None
-        if abs(stamp - clock) > CLOCK_SLACK:
-            return "clock", None
+            raise Refused("tag")
         try:
             kind, sender, seq, rest = self.decoder.decode(body[HEAD.size :])
             if not 0 < len(sender) <= MAX_NAME_CHARACTERS or not 0 <= seq < 1 << 62:
-                raise ValueError("head")
+                raise Refused("form")
             if kind not in self.parts:
-                return "kind", None
-            message = self.parts[kind].unpack(kind, sender, seq, rest)
+                raise Refused("kind")
+            return stamp, self.parts[kind].unpack(kind, sender, seq, rest)
         except (msgspec.MsgspecError, ValueError, RecursionError):
-            return "form", None
-        seen = self.replays.get(sender)
-        if seen is None:
-            # Failure prevented: whoever has the key makes names up until the memory is full.
-            while len(self.replays) >= MAX_SENDERS:
-                del self.replays[next(iter(self.replays))]
-            seen = self.replays[sender] = Replays()
-        if not seen.fresh(stamp):
-            return "replay", None
-        return "", message
-
-    def forget(self, sender: str) -> None:
-        """A member is gone for good: its stamps need no keeping."""
-        self.replays.pop(sender, None)
+            raise Refused("form") from None
 
 
 def mark(key: bytes) -> bytes:
--- a/brackenladder/fleet/membership/swim.py
+++ b/brackenladder/fleet/membership/swim.py
@@ -74,7 +74,8 @@
     `incarnation` must be higher than that of the instance's last life: its start in Unix seconds serves.
     `seeds` are the configured peers, asked for the whole state at the start and again as long as they are
     not known alive. `publish` is called at each change of what is held true: what it is ("join", "alive",
-    "suspect", "dead", "left", "refuted", "forgotten") and the claim.
+    "suspect", "dead", "left", "refuted", "forgotten") and the claim. `first_seq`: where the `seq` of pings
+    begins; acks that come back are proof of liveness if nobody foresees it.
     """
 
     def __init__(
@@ -87,6 +88,7 @@
         now: int,
         timing: Timing | None = None,
         publish: Callable[[str, Claim], None] = unpublished,
+        first_seq: int | None = None,
     ) -> None:
         self.publish = publish
         self.rng = rng
@@ -96,7 +98,7 @@
         self.round: list[str] = []
         self.probe: Probe | None = None
         self.next_period = now + int(self.timing.period * rng.random())
-        self.seq = rng.getrandbits(24)
+        self.seq = rng.getrandbits(24) if first_seq is None else first_seq
         self.relays: dict[int, Relay] = {}  # by the seq of our ping
         self.updates = Dissemination()
         self.accusations = Dissemination()
@@ -235,6 +237,10 @@
         if self.me.status != Status.ALIVE or message.sender == self.me.name:
             return []
         self.counts.received += 1
+        if isinstance(message, Accusations) and message.sender not in self.members:
+            # Failure prevented: a process of another zone answers a challenge, and its zone's members are
+            # taken for this one's.
+            return []
         for claim in message.claims:
             known = claim.name in self.members
             self.accept(now, claim)
@@ -242,6 +248,10 @@
                 # Failure prevented: after a storm of joins each member passes all of them on for minutes,
                 # though the others have them from pages too.
                 self.updates.remove(claim.name)
+        return self.answer(now, source, message)
+
+    def answer(self, now: int, source: Address, message: AnyMessage) -> list[Send]:
+        """What a message asks for, after its claims have been taken in."""
         if isinstance(message, Accusations):
             for accusation in message.accusations:
                 self.accuse(now, accusation.claim, accusation.accusers)
--- a/brackenladder/fleet/runtime.py
+++ b/brackenladder/fleet/runtime.py
@@ -17,9 +17,10 @@
 from brackenladder.fleet.clocks import Clocks
 from brackenladder.fleet.component import Outgoing, WireMessage
 from brackenladder.fleet.config import FleetConfig
-from brackenladder.fleet.endpoint import DatagramEndpoint
+from brackenladder.fleet.endpoint import DatagramEndpoint, unpredictable_seq
 from brackenladder.fleet.member_table import member_table, spelled
 from brackenladder.fleet.membership.codec import Codec
+from brackenladder.fleet.membership.replay_guard import Received
 from brackenladder.fleet.membership.swim import Address, Claim, Send, Swim, Timing
 from brackenladder.fleet.operator_pages import OperatorPages
 from brackenladder.fleet.registry import MEMBERSHIP_KINDS, Registry
@@ -66,7 +67,7 @@
         made = components_for(config, self)
         self.policy_adapter = made.adapter
         self.components = Registry(made.ordered, self.report)
-        self.codec = Codec(list(config.keys), self.components.wires)
+        self.use_codec(Codec(list(config.keys), self.components.wires), config.name)
         pages = OperatorPages(self, made.adapter, made.duties, made.replacement)
         self.page, self.hold, self.give = pages.page, pages.hold, pages.give
         self.replace, self.zone = pages.replace, pages.zone
@@ -78,12 +79,13 @@
         self.swim = Swim(
             c.name,
             c.advertise,
-            self.wall(),
+            self.stamp(),
             [s for s in c.seeds if s != c.advertise],
             self.rng,
             self.now(),
             Timing(period=c.period, ack_within=c.period * 3 // 10, sync_every=SYNC_PERIODS * c.period),
             self.member_changed,
+            unpredictable_seq(),
         )
         self.log.line(
             f"fleet joins name={c.name} zone={c.zone} region={c.region or '-'} listen={spelled(c.listen)}"
@@ -175,18 +177,22 @@
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
         if self.swim is None:
             return
-        message = self.decoded(data)
-        if message is None:
+        admitted = self.admitted(data, (addr[0], addr[1]))
+        if not admitted:
             return
         before = self.deadline()
-        sender = (addr[0], addr[1])
-        if message.kind in MEMBERSHIP_KINDS:
-            self.send_membership(self.swim.receive(self.now(), sender, message))
-        else:
-            self.dispatch(message, sender)
+        for received in admitted:
+            self.handle(self.swim, received)
         if self.deadline() < before:
             self.schedule()
 
+    def handle(self, swim: Swim, received: Received) -> None:
+        """Acts upon a message, membership's or a component's."""
+        if received.message.kind in MEMBERSHIP_KINDS:
+            self.send_membership(swim.receive(self.now(), received.source, received.message))
+        else:
+            self.dispatch(received.message, received.source)
+
     def dispatch(self, message: WireMessage, sender: Address) -> None:
         """Hands a message to the component that has its kind."""
         component = self.components.owner(message.kind)
@@ -200,7 +206,7 @@
         """Membership's view has changed."""
         self.events[change] += 1
         if change == "forgotten":
-            self.codec.forget(claim.name)
+            self.guard.forget(claim.name)
             self.components.each("member_forgotten", lambda c: c.member_forgotten(claim.name))
         if change in LOGGED_CHANGES:
             at = spelled(claim.address)
--- a/tests/test_fleet_components.py
+++ b/tests/test_fleet_components.py
@@ -154,6 +154,11 @@
     return Bench(config={"name": name, "fleet": given, "management": "127.0.0.1:0"}, peers=False)
 
 
+def introduce(fleet, sender):
+    """A sender proves to a process that it is live, as by answering a challenge."""
+    fleet.guard.senders.begin(sender, fleet.stamp(), fleet.now(), max_age=0)
+
+
 def test_one_line_gives_a_component_messages_ticks_and_its_part_of_the_page(tmp_path, monkeypatch):
     made = with_components(monkeypatch, Toy)
 
@@ -193,7 +198,8 @@
         fleet, toy = bench.node.fleet, made[1]
         await until(lambda: toy.ticks >= 3)
         assert str(reported[0]["exception"]) == ON_PURPOSE and fleet.events["fault"] >= 3
-        fleet.datagram_received(fleet.codec.encode(odd(OddKind.OWNED), fleet.wall()), ("127.0.0.1", 9))
+        introduce(fleet, "two")
+        fleet.datagram_received(fleet.codec.encode(odd(OddKind.OWNED), fleet.stamp()), ("127.0.0.1", 9))
         assert "toy" in fleet.view()
         claim = Claim("b", ("127.0.0.1", 9), Status.DEAD, 1)
         fleet.member_changed("forgotten", claim)
@@ -252,10 +258,11 @@
         fleet = (await node(tmp_path, "one", free_udp()).start()).node.fleet
         unknown = odd(OddKind.UNKNOWN)
         other = Codec(list(fleet.config.keys), [OddWire(OddKind.UNKNOWN)])
-        fleet.datagram_received(other.encode(unknown, fleet.wall()), ("127.0.0.1", 9))
+        introduce(fleet, "two")
+        fleet.datagram_received(other.encode(unknown, fleet.stamp()), ("127.0.0.1", 9))
         assert fleet.view()["refused"] == {"kind": 1} and "unknown" not in fleet.view()["received"]
         fleet.codec.parts[int(OddKind.UNKNOWN)] = OddWire(OddKind.UNKNOWN)
-        fleet.datagram_received(other.encode(unknown, fleet.wall()), ("127.0.0.1", 9))
+        fleet.datagram_received(other.encode(unknown, fleet.stamp()), ("127.0.0.1", 9))
         assert fleet.view()["received"]["unknown"] == 1 and fleet.events["unhandled"] == 1
         fleet.close()
 
