--- a/brackenladder/fleet/membership/swim.py
+++ b/brackenladder/fleet/membership/swim.py
@@ -15,7 +15,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from math import ceil
 from random import Random
 
@@ -71,7 +71,8 @@
     """One instance's part in the group. Every call may return datagrams to send; `due` says when to `tick`
     next.
 
-    `incarnation` must be higher than that of the instance's last life: its start in Unix seconds serves.
+    `incarnation` should be higher than that of the instance's last life: its start in Unix time serves. If
+    it is not, the instance goes above it as soon as anyone tells it of that life.
     `seeds` are the configured peers, asked for the whole state at the start and again as long as they are
     not known alive. `publish` is called at each change of what is held true: what it is ("join", "alive",
     "suspect", "dead", "left", "refuted", "forgotten") and the claim. `first_seq`: where the `seq` of pings
@@ -248,7 +249,7 @@
                 # Failure prevented: after a storm of joins each member passes all of them on for minutes,
                 # though the others have them from pages too.
                 self.updates.remove(claim.name)
-        return self.answer(now, source, message)
+        return [*self.tell_of_earlier_life(source, message), *self.answer(now, source, message)]
 
     def answer(self, now: int, source: Address, message: AnyMessage) -> list[Send]:
         """What a message asks for, after its claims have been taken in."""
@@ -333,13 +334,37 @@
             self.round.insert(int(self.rng.random() * (len(self.round) + 1)), claim.name)
 
     def refute(self, claim: Claim) -> None:
-        """Overrides a claim that this instance is not alive."""
-        if claim.status != Status.ALIVE and claim.incarnation >= self.me.incarnation:
-            # Failure prevented: an earlier life's death is told of this one.
+        """Overrides a claim that this instance is not alive, or that is of an earlier life.
+
+        An earlier life's claim, be it that it is alive, may have a higher incarnation than this life began
+        with: the wall clock was stepped back in between. This life goes just above it, so that the next one
+        can go above this.
+        """
+        earlier_life = claim.incarnation > self.me.incarnation
+        if earlier_life or (claim.status != Status.ALIVE and claim.incarnation == self.me.incarnation):
             self.counts.refuted += 1
             self.me = Claim(self.me.name, self.me.address, Status.ALIVE, claim.incarnation + 1)
             self.publish("refuted", claim)
 
+    def tell_of_earlier_life(self, source: Address, message: AnyMessage) -> list[Send]:
+        """What is held of the sender, if that is newer than its message says: it may take a higher
+        incarnation at once.
+
+        To a SYNC, which a life begins with, the claim is at least a suspicion: versions before this refute
+        only that.
+        """
+        own = message.claims[0] if message.claims else None
+        held = self.members.get(message.sender)
+        if own is None or held is None or own.name != message.sender:
+            return []
+        if own.incarnation >= held.claim.incarnation:
+            return []
+        self.counts.sent += 1
+        told = held.claim
+        if message.kind == Kind.SYNC and told.status == Status.ALIVE:
+            told = replace(told, status=Status.SUSPECT)
+        return [Send(source, Message(Kind.ACK, self.me.name, 0, "", (self.me, told)))]
+
     def schedule(self, now: int, claim: Claim) -> None:
         """Sets the deadline that goes with a member's new status."""
         self.suspicions.pop(claim.name, None)
--- a/tests/test_fleet_clocks.py
+++ b/tests/test_fleet_clocks.py
@@ -1,8 +1,18 @@
 """Wall clocks are stepped, datagrams are recorded and replayed, versions mix: membership goes on."""
 
+import json
+import os
+import socket
+import subprocess
+import sys
+import time
+import urllib.request
+from contextlib import contextmanager
 from random import Random
 
 import pytest
+from loopback import PATIENCE, settings
+from test_fleet import free_udp, section
 from virtual_fleet import HOUR, SEC, EarlierProcess, Process, VirtualFleet, view
 
 from brackenladder.fleet.clocks import Clocks
@@ -49,6 +59,49 @@
     assert all(p.codec.dropped["clock"] == 0 for p in fleet.processes.values())
 
 
+@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.parametrize("away", [3, 200])  # seconds: not missed yet; forgotten
+def test_a_process_that_restarts_with_a_step_is_believed_at_once(step, away):
+    fleet = settled(NEW, NEW, NEW, NEW)
+    fleet.kill(4)
+    fleet.run(away)
+    again = fleet.start(4, offset=step)
+    before = changes_so_far(fleet)
+    assert fleet.until(lambda: fleet.believed(again), 4)
+    fleet.run(30)
+    assert fleet.complete() and not {"suspect", "dead"} & {c for c, _ in changes_since(fleet, before)}
+
+
+@pytest.mark.parametrize("step", [-20 * SEC, -5 * SEC, 5 * SEC, 20 * SEC])
+def test_a_restart_among_earlier_versions_works_as_far_as_their_slack_goes(step):
+    for kind in (NEW, EARLIER):
+        fleet = settled(NEW, EARLIER, NEW, EARLIER)
+        fleet.kill(4)
+        fleet.run(3)
+        again = fleet.start(4, kind, step)
+        assert fleet.until(lambda f=fleet, a=again: f.believed(a), 15)
+
+
+def test_a_seed_too_comes_back_with_its_clock_in_the_past():
+    fleet = settled(NEW, NEW, NEW, NEW)
+    fleet.kill(1)
+    fleet.run(3)
+    again = fleet.start(1, offset=-HOUR)
+    assert fleet.until(lambda: fleet.believed(again), 4)
+
+
+def test_a_fast_life_is_followed_by_a_right_one_again_and_again():
+    """Failure prevented: each life goes above the last by more, and one day none can."""
+    fleet = settled(NEW, NEW, NEW)
+    highest = fleet.processes[HERE].wall() + HOUR + 120 * SEC
+    for life in range(6):
+        fleet.kill(3)
+        fleet.run(3)
+        again = fleet.start(3, offset=HOUR if life % 2 == 0 else 0)
+        assert fleet.until(lambda again=again: fleet.believed(again), 4), life
+        assert again.swim.me.incarnation < highest
+
+
 def test_all_clocks_differ_and_all_members_meet():
     fleet = VirtualFleet()
     for number, offset in enumerate((0, HOUR, -HOUR, 24 * HOUR), start=1):
@@ -130,6 +183,23 @@
     assert set(view(target)) == {"n2"}
 
 
+@pytest.mark.parametrize("step", STEPS)
+def test_an_earlier_life_s_datagrams_move_nothing_once_the_next_has_proven_itself(step):
+    fleet = settled(NEW, NEW, NEW)
+    fleet.kill(3)
+    recorded = [r for r in fleet.recorded if r[1] == ("10.0.0.1", 3)]
+    fleet.run(40)
+    again = fleet.start(3, offset=step)
+    assert fleet.until(lambda: fleet.believed(again), 10)
+    for source in (None, ATTACKER):
+        fleet.replay(HERE, recorded, source)
+        fleet.run(1)
+    before = changes_so_far(fleet)
+    fleet.run(30)
+    assert fleet.complete() and changes_since(fleet, before) == []
+    assert fleet.processes[HERE].swim.members["n3"].claim == again.swim.me
+
+
 def proven(now=100 * SEC, stamp=5 * SEC, **more):
     """A guard that knows `a`, by a challenge that took no time."""
     guard = ReplayGuard("me", 1000, replay_guard.Counter())
@@ -259,13 +329,128 @@
     assert window.judge(1, 0) == Verdict.REPLAY and len(window.seen) == replay_guard.WINDOW
 
 
+# ---- incarnations ---------------------------------------------------------------------------------------
+
+
 def member(name, number, incarnation):
     return Swim(name, ("10.0.0.1", number), incarnation, [], Random(number), SEC)
 
 
+@pytest.mark.parametrize("status", list(Status))
+@pytest.mark.parametrize(("told", "becomes"), [(9, 5), (10, 6), (3, None)])
+def test_a_life_goes_just_above_what_is_told_of_an_earlier_one(status, told, becomes):
+    swim = member("a", 1, 5)
+    swim.accept(SEC, Claim("a", ("10.0.0.1", 1), status, told))
+    assert swim.me.incarnation == (told + 1 if becomes else 5) and swim.me.status == Status.ALIVE
+
+
+@pytest.mark.parametrize("kind", [Kind.PING, Kind.SYNC, Kind.ACK])
+@pytest.mark.parametrize("status", [Status.ALIVE, Status.DEAD, Status.LEFT])
+def test_whoever_says_less_of_itself_than_is_held_is_told_so(kind, status):
+    swim, again = member("a", 1, 1), member("b", 2, 5)
+    swim.accept(SEC, Claim("b", ("10.0.0.1", 2), Status.ALIVE, 9))
+    swim.accept(SEC, Claim("b", ("10.0.0.1", 2), status, 9))
+    sends = swim.receive(SEC, ("10.0.0.1", 2), Message(kind, "b", 0, "", (again.me,)))
+    for send in sends:
+        again.receive(SEC, ("10.0.0.1", 1), send.message)
+    assert again.me.incarnation == 10
+    swim.receive(SEC, ("10.0.0.1", 2), Message(Kind.PING, "b", 0, "", (again.me,)))
+    assert swim.status("b") == Status.ALIVE and swim.members["b"].claim == again.me
+
+
+def test_whoever_says_as_much_of_itself_as_is_held_is_told_nothing():
+    swim = member("a", 1, 1)
+    swim.accept(SEC, Claim("b", ("10.0.0.1", 2), Status.ALIVE, 9))
+    for incarnation in (9, 10):
+        claim = Claim("b", ("10.0.0.1", 2), Status.ALIVE, incarnation)
+        assert swim.receive(SEC, ("10.0.0.1", 2), Message(Kind.ACK, "b", 0, "", (claim,))) == []
+
+
 def test_suspicions_of_a_stranger_are_no_news():
     """Failure prevented: a process of another zone answers a challenge with its zone's suspicions."""
     swim = member("a", 1, 1)
     suspect = Claim("z", ("10.0.0.9", 9), Status.SUSPECT, 3)
     swim.receive(SEC, ("10.0.0.8", 8), Accusations("other", (Accusation(suspect, ("other",)),)))
     assert swim.members == {}
+
+
+# ---- real processes -------------------------------------------------------------------------------------
+
+
+@contextmanager
+def running(folder, name, port, page_port, seeds, offset_ms):
+    """A process of the node on loopback whose wall clock is off; gives a reader of its page."""
+    folder = folder / name
+    folder.mkdir(exist_ok=True)
+    clock = folder / "clock"
+    clock.write_text(str(offset_ms))
+    fleet = section(
+        folder,
+        listen=f"127.0.0.1:{port}",
+        seeds=[f"127.0.0.1:{s}" for s in seeds],
+        period_ms=200,
+        lab={"clock_file": str(clock)},
+    )
+    table = {"name": name, "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f", "fleet": fleet}
+    table |= {"management": f"127.0.0.1:{page_port}", "settings": settings()}
+    (folder / "config.json").write_text(json.dumps(table))
+    env = os.environ | {"LB_CONFIG": str(folder / "config.json")}
+    process = subprocess.Popen([sys.executable, "-m", "brackenladder"], env=env, stderr=subprocess.DEVNULL)
+    try:
+        yield clock
+    finally:
+        process.kill()
+        process.wait()
+
+
+def page(port):
+    try:
+        with urllib.request.urlopen(f"http://127.0.0.1:{port}/fleet", timeout=PATIENCE) as answer:
+            return json.load(answer)
+    except OSError:
+        return {"members": [], "incarnation": 0, "received": {}, "refused": {}}
+
+
+def wait_until(holds):
+    ends = time.monotonic() + PATIENCE
+    while not holds():
+        assert time.monotonic() < ends, holds
+        time.sleep(0.02)
+
+
+def holds_alive(port, other, at_least=0):
+    """Whether a process holds another alive, in that one's present life."""
+    said = page(other)["incarnation"]
+    held = [(m["state"], m["incarnation"]) for m in page(port)["members"]]
+    return ("alive", said) in held and said > at_least
+
+
+def pings_heard(port):
+    return page(port)["received"].get("ping", 0)
+
+
+def test_processes_on_loopback_whose_clocks_are_stepped_know_one_another(tmp_path):
+    ports, pages = [free_udp(), free_udp()], [free_tcp(), free_tcp()]
+
+    def second(offset_ms):
+        return running(tmp_path, "n1", ports[1], pages[1], ports[:1], offset_ms)
+
+    with running(tmp_path, "n0", ports[0], pages[0], [], 0) as clock:
+        last = 0
+        for offset_ms in (3_600_000, -3_600_000, 5_000, -5_000):
+            with second(offset_ms):
+                wait_until(lambda last=last: holds_alive(pages[0], pages[1], last))
+                wait_until(lambda: holds_alive(pages[1], pages[0]))
+                last = page(pages[1])["incarnation"]
+                clock.write_text(str(-offset_ms))  # a running process, too
+                heard = pings_heard(pages[0])
+                wait_until(lambda heard=heard: pings_heard(pages[0]) > heard + 3)
+                assert holds_alive(pages[0], pages[1]) and holds_alive(pages[1], pages[0])
+        assert "clock" not in page(pages[0])["refused"]
+
+
+def free_tcp():
+    """A port for connections that was free a moment ago."""
+    with socket.socket() as s:
+        s.bind(("127.0.0.1", 0))
+        return s.getsockname()[1]
