--- a/brackenladder/fleet/replace/component.py
+++ b/brackenladder/fleet/replace/component.py
@@ -100,7 +100,7 @@
         if it is none of these."""
         assert self.replacement is not None
         if verb == "begin" and 0 < max_out <= MOST:
-            self.replacement.begin(self.runtime.wall(), max_out)
+            self.replacement.begin(self.runtime.wall(), max_out, self.runtime.now())
         elif verb in COMMANDS:
             self.replacement.change(COMMANDS[verb])
         else:
--- a/brackenladder/fleet/replace/messages.py
+++ b/brackenladder/fleet/replace/messages.py
@@ -48,7 +48,8 @@
 @dataclass(frozen=True)
 class ReplaceMessage:
     """`token`: of the duty, 0 where an operator's word is passed on; `life`, `serving` and `zone` are the
-    sender's."""
+    sender's; `life` is above the plan's number if it began after the plan. `seq`: see `plan_age`; versions
+    before it send 0 and don't read it."""
 
     kind: ReplaceKind
     sender: str
@@ -59,6 +60,16 @@
     zone: str = ""
     seq: int = 0
 
+    @property
+    def plan_age(self) -> int | None:
+        """Microseconds since the plan was begun, as far as the sender knows."""
+        return self.seq - 1 if self.seq > 0 else None
+
+
+def seq_of_age(age: int | None) -> int:
+    """The `seq` that carries a plan's age; 0 for one that isn't known."""
+    return 0 if age is None else age + 1
+
 
 Body = tuple[int, int, int, int, int, int, bool, str]
 
--- a/tests/test_fleet_clocks.py
+++ b/tests/test_fleet_clocks.py
@@ -12,6 +12,7 @@
 
 import pytest
 from loopback import PATIENCE, settings
+from test_duties import Members
 from test_fleet import free_udp, section
 from virtual_fleet import HOUR, SEC, EarlierProcess, Process, VirtualFleet, view
 
@@ -20,6 +21,8 @@
 from brackenladder.fleet.membership.messages import Accusation, Accusations
 from brackenladder.fleet.membership.replay_guard import Received, ReplayGuard, StampWindow, Verdict
 from brackenladder.fleet.membership.swim import Claim, Kind, Message, Status, Swim
+from brackenladder.fleet.replace.decisions import Replacement
+from brackenladder.fleet.replace.messages import Plan, ReplaceKind, ReplaceMessage, State
 
 STEPS = (-HOUR, -5 * SEC, 5 * SEC, HOUR)
 NEW, EARLIER = Process, EarlierProcess
@@ -374,6 +377,58 @@
     assert swim.members == {}
 
 
+# ---- replacements ---------------------------------------------------------------------------------------
+
+
+def replacement(name, life, started):
+    return Replacement(name, "here", life, Members(), started)
+
+
+@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.parametrize(("started", "old"), [(50, True), (100, True), (101, False), (150, False)])
+def test_old_and_new_are_told_by_real_time(step, started, old):
+    """A plan begun at second 100; a process started at another, its clock stepped; both of their monotonic
+    clocks begin somewhere."""
+    leader = replacement("z", 1, 10 * SEC)
+    leader.begin(wall=100 * SEC, most=1, now=100 * SEC)
+    other = replacement("a", started * SEC + step, started * SEC - 7 * SEC)
+    asked = leader.message(160 * SEC, ReplaceKind.PLAN, leader.plan, 3)
+    [(_, report)] = other.received(153 * SEC, asked)
+    leader.received(160 * SEC, report)
+    assert (leader.reports["a"].life <= leader.plan.number) is old
+    other.received(153 * SEC, leader.message(160 * SEC, ReplaceKind.GO, leader.plan, 3))
+    assert other.leaving is old
+
+
+def test_the_plan_s_age_goes_from_holder_to_holder():
+    first, second, third = (replacement(n, 1, s * SEC) for n, s in (("a", 1), ("b", 200), ("c", 90)))
+    first.begin(wall=5, most=1, now=100 * SEC)
+    second.received(300 * SEC, first.message(300 * SEC, ReplaceKind.PLAN, first.plan, 3))
+    third.received(400 * SEC, second.message(400 * SEC, ReplaceKind.PLAN, second.plan, 4))
+    assert (first.is_old(first.plan), second.is_old(first.plan), third.is_old(first.plan)) == (1, 0, 1)
+    # A datagram that was 20 s on its way says less than what is known.
+    third.received(420 * SEC, second.message(400 * SEC, ReplaceKind.PLAN, second.plan, 4))
+    assert third.plan_begun == 100 * SEC
+
+
+@pytest.mark.parametrize(("life", "goes"), [(500, True), (2000, False)])
+def test_a_plan_of_an_earlier_version_is_judged_by_numbers(life, goes):
+    process = replacement("a", life, SEC)
+    plan = Plan(1000, 1, 1, State.RUNS)
+    [(_, report)] = process.received(SEC, ReplaceMessage(ReplaceKind.PLAN, "z", plan, 1, 7))
+    assert report.life == life and report.plan_age is None
+    process.received(SEC, ReplaceMessage(ReplaceKind.GO, "z", plan, 1, 7))
+    assert process.leaving is goes
+
+
+def test_a_plan_after_a_step_back_takes_the_place_of_the_last():
+    process = replacement("a", 1, SEC)
+    process.begin(wall=HOUR, most=1, now=2 * SEC)
+    process.change(State.STOPPED)
+    last = process.plan
+    assert process.begin(wall=5, most=1, now=3 * SEC).newer(last)
+
+
 # ---- real processes -------------------------------------------------------------------------------------
 
 
