--- a/laurelspindle/lab/faults.py
+++ b/laurelspindle/lab/faults.py
@@ -14,6 +14,7 @@
     from laurelspindle.lab.fleet import Member
     from laurelspindle.lab.run import Lab
 
+RESTART_SIGNALS = {"kill": signal.SIGKILL, "term": signal.SIGTERM}
 END_MOST = 10.0  # seconds that a process has to end after SIGTERM
 
 
@@ -119,7 +120,8 @@
         """An operator takes the fleet's calls out of the zone of those chosen, through another's page."""
         site, members = self.lab.site, self.lab.fleet.members
         chosen = {m.node.zone for m in self.members(names)}
-        asked = next((m for m in members if m.node.zone not in chosen and m.running), members[0])
+        others = [m for m in members if m.node.zone not in chosen and m.running]
+        asked = next((m for m in members if m.name == fault.through), (others or members)[0])
         for zone in sorted(chosen):
             path = b"/fleet/zone?do=leave&zone=%b&for_s=%d" % (
                 site.zone_name(zone).encode(),
@@ -132,17 +134,21 @@
 
     async def back(self, member: Member) -> None:
         """The process ends, and another comes up in its place."""
-        try:
-            await asyncio.wait_for(member.gone.wait(), END_MOST)
-        except TimeoutError:
-            member.signal(signal.SIGKILL)
-            await member.gone.wait()
+        await self.ended(member)
         member.start()
         try:
             await asyncio.wait_for(member.ready.wait(), number(self.lab.plan.ready_s))
         except TimeoutError:
             self.lab.tell("process", node=member.name, what="not ready", life=member.life)
 
+    async def ended(self, member: Member) -> None:
+        """The process has ended; SIGKILL is given to one that takes too long."""
+        try:
+            await asyncio.wait_for(member.gone.wait(), END_MOST)
+        except TimeoutError:
+            member.signal(signal.SIGKILL)
+            await member.gone.wait()
+
     # ---- the network and clocks -----------------------------------------------------------------------
 
     async def play_cut(self, fault: Fault, names: list[str]) -> None:
@@ -160,9 +166,24 @@
         self.lab.links.lay(rule, False)
 
     async def play_clock(self, fault: Fault, names: list[str]) -> None:
-        for member in self.members(names):
-            member.clock_file.write_text(str(int(number(fault.offset_ms))))
-        await asyncio.sleep(number(fault.for_s))
+        """The wall clocks step, under running processes or between two lives; with `back`, they step back."""
+        set_right_at = self.lab.loop.time() + number(fault.for_s)
+        step = int(number(fault.offset_ms))
+        members = self.members(names)
+        if fault.restart != "none":
+            await asyncio.gather(*(self.restart_stepped(fault, m, step) for m in members))
+        else:
+            for member in members:
+                member.step_clock(step)
+        await asyncio.sleep(max(0.0, set_right_at - self.lab.loop.time()))
         if fault.back:
-            for member in self.members(names):
-                member.clock_file.write_text("0")
+            for member in members:
+                member.step_clock(-step)
+
+    async def restart_stepped(self, fault: Fault, member: Member, step: int) -> None:
+        """A process ends; the next one starts with the stepped clock."""
+        member.signal(RESTART_SIGNALS[fault.restart])
+        await self.ended(member)
+        member.step_clock(step)
+        await asyncio.sleep(number(fault.down_s))
+        await self.back(member)
--- a/laurelspindle/lab/fleet.py
+++ b/laurelspindle/lab/fleet.py
@@ -45,6 +45,7 @@
         self.folder = fleet.folder / self.name
         self.folder.mkdir()
         self.clock_file = self.folder / "clock"
+        self.clock_offset = 0  # milliseconds that its wall clock is off
         self.clock_file.write_text("0")
         self.process: Process | None = None
         self.life = 0
@@ -85,16 +86,34 @@
         self.process = Process(
             fleet.loop,
             self.name,
-            command("" if self.mischief in UNCHANGED else self.mischief),
+            command("" if self.mischief in UNCHANGED else self.mischief, self.stepped_clock()),
             self.folder / "config.json",
             self.table(),
             self.logged,
             self.exited,
             fleet.earlier if self.mischief == "earlier" else None,
         )
-        fleet.tell("process", node=self.name, what="start", life=self.life, pid=self.process.pid)
+        fleet.tell(
+            "process",
+            node=self.name,
+            what="start",
+            life=self.life,
+            pid=self.process.pid,
+            clock_ms=self.clock_offset,
+        )
         fleet.loop.create_task(self.wait_ready(self.life))
 
+    def step_clock(self, milliseconds: int) -> None:
+        """Steps its wall clock: of the process that runs, and of those that come after it."""
+        self.clock_offset += milliseconds
+        self.clock_file.write_text(str(self.clock_offset))
+        self.fleet.tell("clock", node=self.name, life=self.life, offset_ms=self.clock_offset)
+
+    def stepped_clock(self) -> Path | None:
+        """The file of the offset, for a process that is to start with a stepped clock."""
+        stepped = self.clock_offset != 0 and self.mischief != "earlier"
+        return self.clock_file if stepped else None
+
     def table(self) -> dict[str, Any]:
         """Its configuration now: the list as its agent has it, and its fleet."""
         fleet, places = self.fleet, self.fleet.site.places
--- a/laurelspindle/lab/plan.py
+++ b/laurelspindle/lab/plan.py
@@ -55,7 +55,10 @@
     delay_ms: From0 = 0.0
     jitter_ms: From0 = 0.0
     kbytes_s: From0 = 0.0  # 0: as many as come
-    offset_ms: Number = 0.0  # of a clock
+    offset_ms: Number = 0.0  # of `clock`: the step of the wall clock, forward or back
+    restart: Literal["none", "kill", "term"] = "none"  # of `clock`: ended, stepped, started again
+    down_s: From0 = 1.0  # of `clock` with a restart: between the end of a process and the next one's start
+    through: str = ""  # of `zone_leave`: the node whose page takes the directive; "": one of another zone
     most: Some = 1  # of `fleet_replace`: out at a time
     voters: list[str] = field(default_factory=list)  # of `voters`: the list to come
 
@@ -121,6 +124,8 @@
 
 GROUP_WIDE = ("fleet_replace", "voters", "zone_leave")  # faults that one group over all must hear of
 
+LONGEST_STEP_MS = 86_400_000.0  # of a wall clock, either way
+
 SHIPPED = files("laurelspindle") / "lab" / "plans"
 
 
@@ -170,6 +175,7 @@
             out.append(
                 f"fault[{i}].voters: {f.get('voters', [])}: must be 3 or 5 names, in a plan with voters"
             )
+        out += clock_relations(f"fault[{i}]", f) if f["type"] == "clock" else ()
         if f["type"] not in ("replace", "links", "fleet_replace", "voters") and not any(
             f.get(k) not in (None, [], 0, 0.0, -1) or (k in ("zone", "region") and f.get(k) == 0)
             for k in ("nodes", "zone", "region", "count", "part")
@@ -178,6 +184,22 @@
     return out
 
 
+def clock_relations(key: str, fault: dict[str, Any]) -> list[str]:
+    """What does not fit in a fault of the type `clock`, with the key path and what is allowed."""
+    out = []
+    step, down, length = fault.get("offset_ms", 0.0), fault.get("down_s", 1.0), fault.get("for_s", 5.0)
+    if low(step) <= 0 <= top(step):
+        out.append(f"{key}.offset_ms: {step}: must be a step other than 0 where type is 'clock'")
+    if max(abs(low(step)), abs(top(step))) > LONGEST_STEP_MS:
+        out.append(f"{key}.offset_ms: {step}: must be at most {LONGEST_STEP_MS:g} either way")
+    restarts = fault.get("restart", "none") != "none"
+    if "down_s" in fault and not restarts:
+        out.append(f"{key}.down_s: {down}: must not be without restart, which is 'kill' or 'term'")
+    if restarts and fault.get("back", True) and top(down) >= low(length):
+        out.append(f"{key}.down_s: {down}: must be under for_s, {length}, after which the clock is set right")
+    return out
+
+
 def draw(source: str, seed: int | None = None, changes: dict[str, Any] | None = None) -> Plan:
     """One run: every range of the plan fixed by the seed. `changes` replace keys of the file. PlanError."""
     table = read_toml(source, SHIPPED, PlanError) | (changes or {})
--- a/laurelspindle/lab/process.py
+++ b/laurelspindle/lab/process.py
@@ -123,8 +123,12 @@
         return (int(stat[11]) + int(stat[12])) / TICK, pages * os.sysconf("SC_PAGE_SIZE") / (1 << 20)
 
 
-def command(mischief: str) -> list[str]:
-    """The start line of a node, or of one that misbehaves on purpose."""
+def command(mischief: str, clock_file: Path | None = None) -> list[str]:
+    """The start line of a node, or of one that misbehaves on purpose. `clock_file`: the offset of a wall
+    clock that is stepped before the node starts."""
+    if clock_file is not None:
+        words = [mischief] if mischief else []
+        return [sys.executable, "-m", "laurelspindle.lab.stepped", str(clock_file), *words]
     if mischief:
         return [sys.executable, "-m", "laurelspindle.lab.mischief", mischief]
     return [sys.executable, "-m", "brackenladder"]
--- /dev/null
+++ b/laurelspindle/lab/stepped.py
@@ -0,0 +1,40 @@
+"""A node that starts while its wall clock is stepped.
+
+`python -m laurelspindle.lab.stepped FILE [MISCHIEF]`, where FILE holds the offset in milliseconds. The fleet
+reads its wall clock through the lab's `clock_file`. The rest of the node reads Unix time once, as it starts
+(`net/turns.py`), and dates the starts of servers by it; that reading gets the same offset here. The product
+has no such switch. A step while the process runs does not reach that reading, as on a machine.
+"""
+
+from __future__ import annotations
+
+import sys
+from pathlib import Path
+from typing import Any
+
+import brackenladder.__main__ as program
+from brackenladder.net.turns import Turns
+from laurelspindle.lab import mischief
+
+NANOSECONDS = 1_000_000  # in a millisecond
+
+
+def step_start_clock(clock_file: Path) -> None:
+    """Shifts the Unix time that the node's own clock starts from by the file's milliseconds."""
+    offset = int(clock_file.read_text()) * NANOSECONDS
+
+    def begin(original: Any, turns: Any, *args: Any) -> None:
+        original(turns, *args)
+        turns.origin += offset
+
+    mischief.wrap(Turns, "__init__", begin)
+
+
+def main() -> int:
+    """Steps the clock, and starts the node, or one that misbehaves."""
+    step_start_clock(Path(sys.argv.pop(1)))
+    return mischief.main() if len(sys.argv) > 1 else program.main()
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -53,8 +53,44 @@
     assert len(told) == len(lines) and all(any(part in t for t in told) for part in lines)
 
 
-def test_twenty_three_plans_ship_and_a_seed_fixes_what_they_draw():
-    assert len(shipped()) == 23
+CLOCK = "[[fault]]\ntype = 'clock'\nnodes = ['n1']\n"
+
+
+@pytest.mark.parametrize(
+    ("keys", "line"),
+    [
+        ("", "fault[0].offset_ms: 0.0: must be a step other than 0 where type is 'clock'"),
+        ("offset_ms = [-5.0, 5.0]", "fault[0].offset_ms: [-5.0, 5.0]: must be a step other than 0"),
+        ("offset_ms = 9e7", "fault[0].offset_ms: 90000000.0: must be at most 8.64e+07 either way"),
+        ("offset_ms = 'hour'", "fault[0].offset_ms: 'hour': must be a number"),
+        ("offset_ms = 5.0\nrestart = 'stop'", "fault[0].restart: 'stop': must be one of kill, none, term"),
+        (
+            "offset_ms = 5.0\ndown_s = 2.0",
+            "fault[0].down_s: 2.0: must not be without restart, which is 'kill' or 'term'",
+        ),
+        (
+            "offset_ms = 5.0\nrestart = 'kill'\ndown_s = 5.0",
+            "fault[0].down_s: 5.0: must be under for_s, 5.0, after which the clock is set right",
+        ),
+    ],
+)
+def test_a_clock_fault_that_cannot_be_is_refused_with_its_key_and_what_is_allowed(tmp_path, keys, line):
+    file = tmp_path / "plan.toml"
+    file.write_text(CLOCK + keys)
+    with pytest.raises(PlanError) as fault:
+        draw(str(file))
+    assert len(str(fault.value).splitlines()) == 1 and str(fault.value).startswith(f"{file}: {line}")
+
+
+def test_the_clock_plans_step_running_and_restarting_processes_by_all_four_steps():
+    steps = {3_600_000.0, -3_600_000.0, 5_000.0, -5_000.0}
+    for name, restarts in (("clock", {"none"}), ("clock-restart", {"kill", "term"})):
+        clocks = [f for f in draw(name).fault if f.type == "clock"]
+        assert {f.offset_ms for f in clocks} == steps and {f.restart for f in clocks} == restarts
+
+
+def test_twenty_five_plans_ship_and_a_seed_fixes_what_they_draw():
+    assert len(shipped()) == 25
     for name in shipped():
         one, again, other = draw(name, 3), draw(name, 3, {"nodes": 7}), draw(name, 4)
         assert one.fault == again.fault and scenario(one).nodes.count == one.nodes
