--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -269,6 +269,64 @@
     assert {n: [b.who for b in bs] for n, bs in found.items() if bs} == broken
 
 
+def born(t, life, clock_ms=0):
+    return [process(t, "n2", "start", life, clock_ms=clock_ms), process(t + 0.2, "n2", "ready", life)]
+
+
+def sees(t, node, state, incarnation):
+    other = "n1" if node == "n0" else "n0"
+    return view(t, node, **{other: ("alive", 1), "n2": (state, incarnation)})
+
+
+BACK_IN_TIME = [*ALL, *KILL, *SEE, *born(6.0, 2, -3_600_000)]
+OF_ITS_OWN = {"n0": ("alive", 1), "n1": ("alive", 1)}
+
+
+@pytest.mark.parametrize(
+    ("events", "broken"),
+    [
+        # It starts below its last life, learns that from the others, and all hold the new life.
+        (
+            [view(6.3, "n2", own=0, life=2, **OF_ITS_OWN), view(6.9, "n2", own=2, life=2, **OF_ITS_OWN)]
+            + [sees(7.0, n, "alive", 2) for n in ("n0", "n1")],
+            {},
+        ),
+        (
+            [view(6.3, "n2", own=0, life=2, **OF_ITS_OWN)] + [sees(7, n, "dead", 1) for n in ("n0", "n1")],
+            {"rejoins": ["n2", "n0", "n1"], "views": ["n0", "n1"]},
+        ),
+        (
+            [view(6.9, "n2", own=2, life=2, **OF_ITS_OWN), sees(7.0, "n0", "alive", 2)]
+            + [sees(7.0, "n1", "alive", 1)],
+            {"rejoins": ["n1"]},
+        ),
+        (
+            [view(12.3, "n2", own=0, life=2, **OF_ITS_OWN)]
+            + [sees(7.0, n, "alive", 2) for n in ("n0", "n1")],
+            {"incarnations": ["n2"], "rejoins": ["n2"]},
+        ),
+    ],
+)
+def test_a_process_that_comes_back_an_hour_in_the_past_is_to_be_believed_in_time(events, broken):
+    found = check([RUN, *START, *BACK_IN_TIME, *events, *END])
+    assert {n: [b.who for b in bs] for n, bs in found.items() if bs} == broken
+
+
+def test_a_new_life_whose_clock_was_not_set_back_never_has_a_lower_incarnation():
+    events = [*ALL, *KILL, *SEE, *born(6.0, 2), view(6.3, "n2", own=0, life=2, **OF_ITS_OWN)]
+    events += [view(6.9, "n2", own=2, life=2, **OF_ITS_OWN)]
+    found = check([RUN, *START, *events, *(sees(7.0, n, "alive", 2) for n in ("n0", "n1")), *END])
+    assert [b.who for b in found["incarnations"]] == ["n2"]
+
+
+def test_a_stepped_clock_excuses_no_death():
+    """Failure prevented: a clock that steps makes a running process dead to all, and no checker objects."""
+    step = {"event": "fault", "number": 0, "type": "clock", "on": ["n1"], "way": "both", "most": 1}
+    events = [*ALL, step | {"t": 2.0, "what": "begin"}, SEE[0] | {"t": 8.0, "members": {"n1": ["dead", 1]}}]
+    found = check([RUN, *START, *events, step | {"t": 9.0, "what": "end"}, *END])
+    assert [b.who for b in found["deaths"]] == ["n0"]
+
+
 BY_ZONE = RUN | {"plan": RUN["plan"] | {"by_zone": True}, "nodes": [["n0", 0], ["n1", 0], ["n2", 1]]}
 OWN_ZONE = [view(0.4, "n0", n1=("alive", 1)), view(0.4, "n1", n0=("alive", 1)), view(0.4, "n2")]
 
@@ -436,6 +494,30 @@
     assert {n: len(found[n]) for n in ("home", "left", "turns") if found[n]} == broken
 
 
+def directive(t, what, number):
+    return {"t": t, "event": "fault", "what": what, "number": number, "type": "zone_leave", "on": ["n1"]}
+
+
+def obeys(t, node, until):
+    return [log(t, node, "fleet zone z1 is left by order, 3 s still"), returns(until, node)]
+
+
+@pytest.mark.parametrize(
+    ("events", "broken"),
+    [
+        ([*obeys(2.5, "n0", 5.5), *obeys(2.5, "n1", 5.5), *obeys(2.5, "n2", 6)], []),
+        ([*obeys(2.5, "n0", 5.5), *obeys(2.5, "n1", 5.5)], ["n2"]),  # never heard of it
+        ([*obeys(2.5, "n0", 5.5), *obeys(2.5, "n1", 5.5), *obeys(2.5, "n2", 12)], ["n2"]),  # too long
+        ([*obeys(2.5, "n0", 5.5), *obeys(7.0, "n1", 8.5), *obeys(2.5, "n2", 5.5)], ["n1"]),  # too late
+    ],
+)
+def test_a_directive_holds_everywhere_for_its_time(events, broken):
+    plan = RUN["plan"] | NEAR | {"fault": [{"for_s": 3.0}], "trouble": [{}]}
+    words = [directive(2.0, "begin", 0), directive(5.0, "end", 0)]
+    found = check([RUN | {"plan": plan}, *START, *ALL, *words, *events, *END])
+    assert [b.who for b in found["directives"]] == broken
+
+
 def test_how_long_the_views_took():
     truth = Truth([RUN, *START, *ALL, *KILL, *SEE, *END])
     assert [(at, what, round(took, 2)) for at, what, took in truth.agreements()] == [(3.0, "n2 kill", 2.0)]
