--- /dev/null
+++ b/laurelspindle/explore/clock_faults.py
@@ -0,0 +1,47 @@
+"""Steps of wall clocks, drawn by a seed from a stream of their own."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from random import Random
+from typing import Literal
+
+SECOND = 1_000_000
+STEPS_S = (-3600, -5, 5, 3600)
+FIRST_AT = 8 * SECOND
+APART = 12 * SECOND  # between two steps: each is judged before the next one
+LATER_MOST = 2 * SECOND
+DOWN_LEAST, DOWN_MOST = SECOND // 5, 4 * SECOND
+
+
+@dataclass(frozen=True)
+class ClockStep:
+    """One step of one machine's wall clock; its process runs on, or is ended and started again."""
+
+    at: int
+    machine: str
+    step_s: int
+    restart: Literal["none", "kill", "term"] = "none"
+    down: int = 0  # microseconds between the end of a process and the next one's start
+
+    def __str__(self) -> str:
+        how = "" if self.restart == "none" else f" over a {self.restart}, {self.down / SECOND:.1f} s down"
+        return f"{self.at / SECOND:.2f} s: {self.machine} {self.step_s:+} s{how}"
+
+
+def draw_clock_steps(seed: int, machines: list[str]) -> list[ClockStep]:
+    """One to three steps, one after the other, on running and on restarting processes."""
+    rng = Random(f"clock steps {seed}")
+    steps = []
+    for number in range(rng.randint(1, 3)):
+        restart: Literal["none", "kill", "term"] = rng.choice(("none", "kill", "term"))
+        steps.append(
+            ClockStep(
+                at=FIRST_AT + number * APART + rng.randrange(LATER_MOST),
+                machine=rng.choice(machines),
+                step_s=rng.choice(STEPS_S),
+                restart=restart,
+                down=rng.randrange(DOWN_LEAST, DOWN_MOST) if restart != "none" else 0,
+            )
+        )
+    return steps
