--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -48,10 +48,18 @@
 jitter_ms = 5.0
 [[fault]]
 type = "clock"
-nodes = ["n4"]
+nodes = ["n0"]
 at_s = 1.0
 for_s = 2.0
-offset_ms = -20000.0
+offset_ms = 3600000.0
+[[fault]]
+type = "clock"
+nodes = ["n4"]
+at_s = 1.0
+for_s = 3.0
+offset_ms = -3600000.0
+restart = "term"
+down_s = 0.2
 """
 BAD = {
     "a": {"n0": "mute", "n1": "twice", "n2": "raises", "n3": "rewind", "n4": "spoil"},
@@ -178,8 +186,9 @@
     found = check(events)
     assert not any(found.values()), printed
     truth = Truth(events)
+    assert [life.clock for life in truth.lives["n4"]] == [0, -3_600_000]
     assert len(truth.lives["n1"]) == 2 and len(truth.of("request")) > 100
-    assert sorted(p.type for p in truth.periods) == ["clock", "cut", "kill", "links"]
+    assert sorted(p.type for p in truth.periods) == ["clock", "clock", "cut", "kill", "links"]
     assert truth.agreements()[-1][2] is not None
     for word in ("kill begins: n1", "n1 is back", "all views showed it after", "attempts each"):
         assert word in printed
