--- a/brackenladder/net/caller.py
+++ b/brackenladder/net/caller.py
@@ -465,6 +465,19 @@
         begun = self.open is not None or self.partial is not None or self.waiting or self.deaf or self.rest
         return not begun and not self.unsent() and not self.unread()
 
+    def turn_away(self) -> None:
+        """Ends a connection that carries no whole request; half of one gets an error.
+
+        What waits in the socket is read first, and what has been read whole gets its answer.
+        """
+        if self.transport is None or self.lost or (self.unread() and not self.paused):
+            return
+        if self.partial is not None:
+            self.reject(503)
+            self.next()
+        elif self.idle():
+            self.transport.abort()
+
     def unsent(self) -> bool:
         """Whether bytes of an answer wait in the process: closing now would cut it short."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
--- a/brackenladder/net/callers.py
+++ b/brackenladder/net/callers.py
@@ -47,7 +47,8 @@
         self.relief: Callable[[], bool] = lambda: False  # ends a connection to a server that is not needed
         self.listener = Listener(loop, self.take, self.has_room, ACCEPTS)
         budget.freed = self.listener.look
-        self.stop_at = 0.0  # when an ending node stops listening
+        self.stop_at = 0.0  # when an ending node stops listening...
+        self.close_at = 0.0  # ...and when it closes the connections that carry no request, new ones too
 
     def most(self) -> int:
         """So many connections are served; a few more are open only to be refused."""
@@ -157,16 +158,24 @@
         ending = self.life.stage == Stage.ENDING and self.listener.socket is not None
         if ending and now >= self.stop_at:
             self.listener.stop()
+        last = self.life.stage == Stage.ENDING and now >= self.close_at
         for caller in list(self.callers):
-            if caller.kept and now - caller.active > SETTLE and caller.idle():
+            if last:
+                caller.turn_away()
+            elif caller.kept and now - caller.active > SETTLE and caller.idle():
                 caller.transport.abort()
         self.loop.call_later(LOOK, self.empty)
 
-    async def drain(self) -> None:
-        """Ends the service: all that was taken is answered, and no connection outlives its answer."""
+    async def drain(self, grace: float) -> None:
+        """Ends the service: all that was taken is answered, and no connection outlives its answer.
+
+        After `grace` seconds nothing more is taken on any connection.
+        Failure prevented: a request comes on a connection that is still open as the process is killed.
+        """
         if self.shared:
             self.listener.release()
-        self.stop_at = self.loop.time() + TAKING
+        now = self.loop.time()
+        self.stop_at, self.close_at = now + TAKING, now + grace
         self.leave()
         while self.listener.socket is not None or self.callers:
             await asyncio.sleep(LOOK)
--- a/brackenladder/net/node.py
+++ b/brackenladder/net/node.py
@@ -236,11 +236,12 @@
         """Answers what has been taken, and ends."""
         self.life.end()
         longest = max(c.deadline for c in self.config.settings.classes)
-        self.requests.last_answer = self.turns.now() + min(longest, LONGEST) + LAST
+        grace = min(longest, LONGEST) + LAST
+        self.requests.answer_by(self.turns.now() + grace)
         self.peers.close()
         if self.fleet is not None:
             self.fleet.leave()
-        await self.callers.drain()
+        await self.callers.drain(grace / 1e6)
         if self.reloading is not None:
             self.reloading.cancel()
         self.discovery.close()
--- a/brackenladder/net/requests.py
+++ b/brackenladder/net/requests.py
@@ -238,10 +238,28 @@
         if request.out is not None and (request.flow is not None or request.coming() is not None):
             request.out.stop(Outcome.CANCELLED)
 
+    def answer_by(self, last_answer: int) -> None:
+        """Every request, open or still to come, has its answer by this time: the node ends.
+
+        Failure prevented: a request whose time lasts longer is open as the process is killed.
+        """
+        self.last_answer = last_answer
+        for request in self.open.values():
+            waits = request.caller is not None and request.flow is None
+            if waits and request.guard is not None and request.deadline > last_answer:
+                request.deadline = last_answer
+                request.guard.cancel()
+                delay = (last_answer - self.turns.now()) / 1e6
+                request.guard = self.loop.call_later(delay, self.time_out, request)
+
     def expire(self, request: Open) -> None:
         """The guard: a request still open after its deadline. The module should have answered it."""
         self.guarded += 1
         self.log.line(f"guard: request {request.id} was still open at its deadline")
+        self.time_out(request)
+
+    def time_out(self, request: Open) -> None:
+        """The request's time is over: its client is told, and nothing more is done for it."""
         self.conclude(request.id, 504)
         self.turns.post(self.module.client_left, request.id)
 
