--- a/brackenladder/net/requests.py
+++ b/brackenladder/net/requests.py
@@ -73,6 +73,11 @@
         upload = self.message.upload
         return upload if upload is not None and not upload.whole else None
 
+    def partly_written(self) -> bool:
+        """Whether its attempt has begun, and its last byte has not left this process: it never ran."""
+        connection = self.out.connection if self.out is not None else None
+        return self.coming() is not None or (connection is not None and connection.unsent())
+
 
 Heard = Callable[[int, Outcome, int, float], None]  # server, how it ended, microseconds, seconds to connect
 
@@ -233,9 +238,12 @@
             self.give_up(request)
 
     def give_up(self, request: Open) -> None:
-        """Nobody waits for this request any more."""
+        """Nobody waits for this request any more.
+
+        Failure prevented: a server that takes a request slowly gets its last byte after its client has gone.
+        """
         self.turns.post(self.module.client_left, request.id)
-        if request.out is not None and (request.flow is not None or request.coming() is not None):
+        if request.out is not None and (request.flow is not None or request.partly_written()):
             request.out.stop(Outcome.CANCELLED)
 
     def answer_by(self, last_answer: int) -> None:
