--- a/brackenladder/net/caller.py
+++ b/brackenladder/net/caller.py
@@ -14,6 +14,7 @@
 from brackenladder.net.passing import LARGEST, WHOLE, Source, Upload
 from brackenladder.net.roles import Crowd
 from brackenladder.net.sockets import CAME, ENDED, shows
+from brackenladder.net.unparsed import Unparsed
 
 LARGEST_HEAD = 32768
 SLICE = 8192  # bytes parsed in one go
@@ -35,7 +36,8 @@
         self.refusing = refusing
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
         self.parser = httptools.HttpRequestParser(self)
-        self.rest = b""  # has come and is not parsed yet
+        self.rest = Unparsed()  # has come and is not parsed yet
+        self.read_at = 0.0  # when what is being parsed was read
         self.parsing = False
         self.partial: Message | None = None
         self.heading = False  # its head is still coming
@@ -68,13 +70,12 @@
         self.active = self.owner.loop.time()
         if self.deaf:
             return
-        data = bytes(memoryview(self.owner.room.buffer)[:nbytes])
-        self.rest = self.rest + data if self.rest else data
+        self.rest.append(bytes(memoryview(self.owner.room.buffer)[:nbytes]), self.active)
         self.parse()
         if len(self.rest) > AHEAD and not self.stopped():
             # Failure prevented: the client's end stands behind bytes that nobody reads, and what it has left
             # goes to servers one request after the other.
-            self.rest = b""
+            self.rest.clear()
             self.reject(503)
 
     def parse(self) -> None:
@@ -84,7 +85,7 @@
         self.parsing = True
         while True:
             while self.rest and not self.deaf and not self.blocked():
-                data, self.rest = self.rest[:SLICE], self.rest[SLICE:]
+                data, self.read_at = self.rest.take(SLICE)
                 self.feed(data)
             self.next()
             if not self.rest or self.deaf or self.blocked():
@@ -227,7 +228,7 @@
             message.upload, message.body, message.size = None, b"", 0
             self.deaf = True
         self.owner.room.take(message.size)
-        message.came = self.owner.loop.time()
+        message.came = self.read_at
         self.waiting.append(message)
 
     def reject(self, status: int) -> None:
@@ -351,7 +352,7 @@
         lost on its way. Our end is closed first, and the rest is read and thrown away.
         """
         self.deaf = True
-        self.rest = b""
+        self.rest.clear()
         self.forget()
         if self.transport.is_closing():
             return
@@ -418,7 +419,7 @@
     def leave(self) -> None:
         """The client has gone: nothing of what it sent is handed on from now, or waited for."""
         self.lost = self.deaf = True
-        self.rest = b""
+        self.rest.clear()
         self.partial = None
         self.forget()
         if self.open is not None:
--- a/brackenladder/net/message.py
+++ b/brackenladder/net/message.py
@@ -49,5 +49,5 @@
         self.upload: Upload | None = None  # the body, if it is long and passes through
         self.expects = False  # the client waits for a word before it sends the body
         self.keep = error == 0
-        self.came = 0.0  # when it came whole, or its head where the body passes through
+        self.came = 0.0  # when its last byte was read, or its head's where the body passes through
         self.size = 0  # bytes that count as held while it waits or is open
--- a/brackenladder/net/requests.py
+++ b/brackenladder/net/requests.py
@@ -9,6 +9,7 @@
 import asyncio
 from collections import Counter
 from collections.abc import Callable
+from time import monotonic
 
 from brackenladder.interface import NEVER_RAN, Effect, Outcome
 from brackenladder.net.caller import Caller
@@ -24,6 +25,7 @@
 from brackenladder.policy import Balancer
 
 GUARD = 10_000  # after the deadline: a request that the module has left open is failed
+READ_DELAY = 10_000  # a request may lie in its socket so long before the process comes to read it
 FULL_ADVICE = 500_000  # after so long there may be room again for a client that found none
 # Headers that end at this hop or are written anew for the next.
 HOP = frozenset(
@@ -59,7 +61,7 @@
         self.caller: Caller | None = caller  # None once answered, or once the client has left
         self.message = message
         self.klass = klass
-        self.left = left  # of its time, when it came
+        self.left = left  # of its time, when it came, or when a server began to take its long body
         self.deadline = now + left
         self.attempts = 0
         self.out: Exchange | None = None
@@ -184,11 +186,10 @@
         if len(self.open) >= self.settings.max_open:
             self.beyond(caller, message)
             return
-        left = int(budget) * 1000
-        if message.upload is None:
-            # Failure prevented: one that waited behind others on its connection is answered after its time.
-            left = max(0, left - int((self.loop.time() - message.came) * 1e6))
-        left = self.before_the_end(now, left)
+        # Failure prevented: one that waited behind others on its connection, or in a process that was held up
+        # after it had read, is answered after its time. The loop's own clock stands still within a turn.
+        waited = max(0, int((monotonic() - message.came) * 1e6))
+        left = self.before_the_end(now, max(0, int(budget) * 1000 - waited))
         self.last_id += 1
         request = Open(self.last_id, caller, message, klass, now, left)
         self.open[request.id] = self.by_caller[caller] = request
@@ -319,14 +320,17 @@
             return
         now = self.turns.now()
         coming = r.coming() is not None
-        expires = now + min(timeout, r.left) if coming else min(now + timeout, r.deadline)
+        expires = min(now + timeout, r.deadline)
 
         def compose() -> bytes | None:
             r.written_at = self.turns.now()
             left = expires - r.written_at
             if r.caller is None or not r.caller.stays() or left <= 0 or not self.may_go(r, r.written_at):
                 return None
-            return head_of(r.message, left // 1000)
+            if coming:
+                # Until here its client may have waited for the node; from now on it sets the pace itself.
+                r.left = r.deadline - r.written_at
+            return head_of(r.message, told_time(left))
 
         def sent() -> None:
             self.counters.sent()
@@ -388,6 +392,8 @@
         r.out = None
         if outcome not in NEVER_RAN and r.ran_at is None:
             r.ran_at = r.written_at
+        if r.written_at is not None and r.coming() is not None:
+            r.deadline = self.turns.now() + r.left
         self.counts[f"attempts_{outcome.name.lower()}"] += 1
         report: tuple[float, ...] = ()
         if answer is not None:
@@ -449,6 +455,14 @@
     return HOP | {name.strip().lower() for name in b",".join(named).split(b",")} - KEPT
 
 
+def told_time(left: int) -> int:
+    """What a server is told of the time that is left, in whole milliseconds.
+
+    Failure prevented: it is told more than its client has, by what a request lay unread in its socket.
+    """
+    return (left - min(READ_DELAY, left // 2)) // 1000
+
+
 def head_of(message: Message, budget: int) -> bytes:
     """The request as it goes on to a server."""
     lines = [b"%b %b HTTP/1.1" % (message.method, message.target)]
--- a/tests/test_operator_terms.py
+++ b/tests/test_operator_terms.py
@@ -99,7 +99,7 @@
         assert (status, headers["connection"], len(server.requests)) == (200, "close", 1)
         early.writer.close()
         monkeypatch.setattr(node_callers.Caller, "turn_away", lambda self: None, raising=False)
-        clock.now += 0.05
+        clock.now += 0.06
         status, headers, _ = await late.ask(call("invite"))
         assert (status, headers["connection"], len(server.requests)) == (503, "close", 1)
         late.writer.close()
