--- a/brackenladder/net/caller.py
+++ b/brackenladder/net/caller.py
@@ -22,6 +22,8 @@
 PIPELINED = 8  # whole requests that wait on one connection while an earlier one is open
 AHEAD = 32768  # bytes that wait behind these; who sends more is refused, and no longer heard but for its end
 SLOW = 2.2  # seconds in which the head of a new connection's request, or of one that has begun, must come...
+LEAST_MOVED = 8192  # bytes of a body that must come in that time, or the rest of it
+BODY_PAUSE = 0.3  # seconds in which some of a body must have come when that time is over
 WRITES = 2.0  # seconds that a client may take to write a head: until then it gives way to no new one
 UNREAD = 30.0  # seconds in which a client must take something of its last answer
 LINGER = 1.0  # seconds in which the client may read a last answer, or send some more of what it is sending...
@@ -53,6 +55,7 @@
         self.kept = False  # it has had an answer
         self.active = owner.loop.time()
         self.due: float | None = self.active + SLOW  # when it must have got further, if it must
+        self.body_due = 0.0  # when a body that still comes must be whole, or much of it have come
         self.moved = 0  # bytes of a body that have come since `due` was set
         self.lost = False
         self.ended = 0.0  # when it had its last answer
@@ -166,8 +169,7 @@
         message.keep = self.parser.should_keep_alive()
         message.expects = b"expect" in message.headers and message.version == "1.1"
         message.size = len(message.target) + sum(len(n) + len(v) for _, n, v in message.lines)
-        self.due = self.owner.loop.time() + SLOW
-        self.moved = 0
+        self.begin_body()
         length = message.headers.get(b"content-length", b"")
         if length.isdigit() and int(length) > LARGEST:
             self.reject(413)
@@ -466,6 +468,29 @@
         begun = self.open is not None or self.partial is not None or self.waiting or self.deaf or self.rest
         return not begun and not self.unsent() and not self.unread()
 
+    def begin_body(self) -> None:
+        """A head is whole, and the body's time begins.
+
+        Failure prevented: a client that stops in its body has its head's time again and stays over 3 s.
+        """
+        now = self.owner.loop.time()
+        self.due = max(self.due or 0.0, now + BODY_PAUSE)
+        self.body_due = now + SLOW
+        self.moved = 0
+
+    def body_comes(self, now: float) -> bool:
+        """Whether the body that is due comes fast enough to be waited for; then it is due anew."""
+        partial = self.partial
+        if partial is None or self.heading:
+            return False
+        comes = partial.upload is not None or now - self.active < BODY_PAUSE
+        if comes and self.moved >= LEAST_MOVED:
+            self.body_due, self.moved = now + SLOW, 0
+        if not comes or now >= self.body_due:
+            return False
+        self.due = self.body_due if partial.upload is not None else now + BODY_PAUSE
+        return True
+
     def turn_away(self) -> None:
         """Ends a connection that carries no whole request; half of one gets an error.
 
--- a/brackenladder/net/callers.py
+++ b/brackenladder/net/callers.py
@@ -17,7 +17,6 @@
 REFUSING = (
     16  # connections at most, a sixteenth of the budget, that are open only to be told that it is spent
 )
-LEAST_MOVED = 8192  # ...and in which so much of its body must come each time, or the rest of it
 ACCEPTS = 64  # connections taken in one go
 TAKING = 0.5  # seconds after SIGTERM in which new connections are still taken
 SETTLE = 0.2  # seconds in which a kept connection that was just used may bring its next request
@@ -129,8 +128,7 @@
             if caller.open is not None and caller.open is not caller.partial:
                 continue  # what is ahead may wait
             if caller.partial is not None:
-                if not caller.heading and caller.moved >= LEAST_MOVED:
-                    caller.due, caller.moved = now + SLOW, 0
+                if caller.body_comes(now):
                     continue
                 self.counts["late"] += 1
                 caller.reject(408)
