--- a/brackenladder/net/caller.py
+++ b/brackenladder/net/caller.py
@@ -454,7 +454,7 @@
         if self.open is not None or self.waiting or self.transport is None:
             return None
         if self.ended:
-            return 0, self.ended
+            return None if self.unsent() else (0, self.ended)
         if self.deaf:
             return None
         if self.partial is None and self.kept:
--- a/brackenladder/net/requests.py
+++ b/brackenladder/net/requests.py
@@ -228,6 +228,9 @@
         """A client's request will never come whole: it gets an error, and its attempt is given up."""
         request = self.by_caller.get(caller)
         if request is not None:
+            if request.flow is not None:
+                # Failure prevented: its answer, given up here, has no end, and its client waits for one.
+                request.flow.cut()
             self.conclude(request.id, status)
             self.give_up(request)
 
--- /dev/null
+++ b/tests/test_operator_terms_answers.py
@@ -0,0 +1,78 @@
+"""The operators' terms on answers: whatever was read gets one, and one that has begun its end or a cut."""
+
+import asyncio
+import socket
+
+import pytest
+from loopback import Bench, Server, always, call, play, until
+
+from brackenladder.net.passing import WHOLE
+
+ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (WHOLE, bytes(WHOLE))
+
+
+def test_a_crowd_cuts_short_no_last_answer_that_its_client_still_reads():
+    """Failure prevented: room is made by ending connections in their order, and this one seems to be over."""
+
+    async def scene():
+        bench = await Bench(Server(always(ANSWER))).start()
+        callers = bench.node.callers
+        client = socket.socket()
+        client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        client.connect(("127.0.0.1", bench.port))
+        client.setblocking(False)
+        await until(lambda: any(c.transport for c in callers.callers))
+        (caller,) = callers.callers
+        held = caller.transport.get_extra_info("socket")
+        held.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        client.send(call(extra=b"Connection: close\r\n"))
+        await until(lambda: bool(caller.ended))
+        assert caller.unsent()
+        assert not callers.make_room()
+        data = b""
+        while more := await asyncio.get_running_loop().sock_recv(client, 1 << 20):
+            data += more
+        assert data.partition(b"\r\n\r\n")[2] == bytes(WHOLE)
+        client.close()
+
+    play(scene)
+
+
+@pytest.mark.parametrize(
+    "framing", [b"Content-Length: 400000\r\n\r\n", b"Transfer-Encoding: chunked\r\n\r\n"]
+)
+def test_a_body_that_stops_while_its_answer_flows_ends_the_connection(framing):
+    """Failure prevented: the attempt is given up, and the answer that has begun is neither ended nor cut."""
+
+    async def scene():
+        piece = bytes(2 * WHOLE)
+        if b"chunked" in framing:
+            piece = b"%x\r\n%b\r\n" % (len(piece), piece)
+
+        async def early(reader, writer):
+            await reader.readuntil(b"\r\n\r\n")
+            writer.write(b"HTTP/1.1 200 OK\r\n" + framing + piece)
+            while await reader.read(65536):
+                pass
+
+        server = await asyncio.start_server(early, "127.0.0.1", 0)
+        bench = await Bench(other := Server(), config={"known": None}).start()
+        address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+        bench.discovery.say(42, True, other.entry("early", addr=address))
+        await until(lambda: bench.node.life.serving)
+        client = await bench.client()
+        client.send(call("offer", body=bytes(4 * WHOLE))[: -2 * WHOLE])
+        requests = bench.node.requests
+        await until(lambda: any(r.flow is not None for r in requests.open.values()))
+        (caller,) = bench.node.callers.callers
+        caller.due = 0.0
+        caller.body_due = 0.0
+        caller.moved = 0
+        bench.node.callers.sweep()
+        with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
+            await client.receive()
+            await client.reader.readexactly(4 * WHOLE)
+        await until(lambda: not requests.open and not bench.node.callers.callers)
+        client.writer.close()
+
+    play(scene)
