--- a/brackenladder/net/requests.py
+++ b/brackenladder/net/requests.py
@@ -16,6 +16,7 @@
 from brackenladder.net.config import Config
 from brackenladder.net.connection import Answer
 from brackenladder.net.counters import Counters
+from brackenladder.net.forwarding import head_of, told_time
 from brackenladder.net.lifecycle import Lifecycle
 from brackenladder.net.log import Log
 from brackenladder.net.message import Message
@@ -25,14 +26,9 @@
 from brackenladder.policy import Balancer
 
 GUARD = 10_000  # after the deadline: a request that the module has left open is failed
-READ_DELAY = 10_000  # a request may lie in its socket so long before the process comes to read it
+FLOW_PAUSE = 0.2  # seconds that a server may pause in an answer that flows, once the request's time is over
+FLOW_LOOK = 0.1  # seconds between two looks at such an answer
 FULL_ADVICE = 500_000  # after so long there may be room again for a client that found none
-# Headers that end at this hop or are written anew for the next.
-HOP = frozenset(
-    b"connection keep-alive proxy-connection proxy-authorization te trailer transfer-encoding upgrade expect"
-    b" content-length x-budget-ms".split()
-)
-KEPT = frozenset((b"host", b"x-call-id", b"idempotency-key"))  # go on, whatever `Connection` names
 METHODS = {Effect.SAFE: b"GET", Effect.KEYED: b"POST", Effect.UNSAFE: b"POST"}
 
 
@@ -92,10 +88,16 @@
         self.request = request
         self.caller = caller
         self.began = began  # when its first byte came
+        self.moved = owner.loop.time()  # when its last piece came
 
     def piece(self, data: bytes) -> None:
+        self.moved = self.owner.loop.time()
         self.caller.piece(data)
 
+    def stalled(self) -> bool:
+        """Whether its server has paused; a client that takes no more makes it wait."""
+        return not self.caller.full and self.owner.loop.time() - self.moved >= FLOW_PAUSE
+
     def end(self) -> None:
         if self.request.caller is not None:
             self.owner.close_request(self.request, 200)
@@ -369,24 +371,40 @@
             now = self.turns.now()
             r.left = self.before_the_end(now, r.left)
             r.deadline = now + r.left
-            self.watch_over(r)
+            if r.flow is None:
+                self.watch_over(r)
         self.turns.post(self.module.upload, r.id, number, False)
 
     def begin_flow(
         self, r: Open, number: int, server: int, sent: int, answer: Answer, source: Source
     ) -> Passage | None:
-        """A long answer begins: its client gets it as it comes, and no guard cuts it from now on."""
+        """A long answer begins: its client gets it as it comes, past its time while the server goes on."""
         if r.caller is None or r.out is None:
             return None
         now = self.turns.now()
         r.flow = Passage(self, r, r.caller, now)
         if r.guard is not None:
             r.guard.cancel()
+            delay = max(0, r.deadline - now) / 1e6 + FLOW_PAUSE
+            r.guard = self.loop.call_later(delay, self.watch_flow, r, r.flow)
         kind = answer.content_type
         r.caller.begin(source, answer.length, b"Content-Type: %b\r\n" % kind if kind else b"")
         self.turns.post(self.module.response_started, r.id, number, server, now - sent)
         return r.flow
 
+    def watch_flow(self, r: Open, flow: Passage) -> None:
+        """Cuts an answer in which nothing comes any more, once the request's time is over.
+
+        Failure prevented: a server that hangs in the middle of a long answer keeps its client for 10 s.
+        """
+        if r.caller is None or r.out is None:
+            return
+        if flow.stalled():
+            flow.cut()
+            r.out.stop(Outcome.RESET)
+        else:
+            r.guard = self.loop.call_later(FLOW_LOOK, self.watch_flow, r, flow)
+
     def ended(
         self, r: Open, number: int, server: int, began: int, outcome: Outcome, answer: Answer | None
     ) -> None:
@@ -448,34 +466,3 @@
 def advice(wait: int) -> bytes:
     """The header that tells a client when to come back, if there is anything to tell."""
     return b"Retry-After: %.3f\r\n" % (wait / 1e6) if wait > 0 else b""
-
-
-def hop_headers(message: Message) -> frozenset[bytes]:
-    """The headers that end here: the usual ones and those that the client's `Connection` names."""
-    if b"connection" not in message.headers:
-        return HOP
-    named = [value for key, _, value in message.lines if key == b"connection"]
-    return HOP | {name.strip().lower() for name in b",".join(named).split(b",")} - KEPT
-
-
-def told_time(left: int) -> int:
-    """What a server is told of the time that is left, in whole milliseconds.
-
-    Failure prevented: it is told more than its client has, by what a request lay unread in its socket.
-    """
-    return (left - min(READ_DELAY, left // 2)) // 1000
-
-
-def head_of(message: Message, budget: int) -> bytes:
-    """The request as it goes on to a server."""
-    lines = [b"%b %b HTTP/1.1" % (message.method, message.target)]
-    hop = hop_headers(message)
-    lines += [b"%b: %b" % (name, value) for key, name, value in message.lines if key not in hop]
-    lines.append(b"X-Budget-Ms: %d" % budget)
-    upload = message.upload
-    if upload is not None:
-        length = upload.length
-        lines.append(b"Transfer-Encoding: chunked" if length is None else b"Content-Length: %d" % length)
-    elif message.body or message.method != b"GET":
-        lines.append(b"Content-Length: %d" % len(message.body))
-    return b"\r\n".join(lines) + b"\r\n\r\n" + message.body
--- a/laurelspindle/lab/mischief.py
+++ b/laurelspindle/lab/mischief.py
@@ -25,8 +25,9 @@
 from brackenladder.fleet.runtime import FleetRuntime
 from brackenladder.fleet.zones.decisions import Zones
 from brackenladder.interface import State
+from brackenladder.net.forwarding import head_of
 from brackenladder.net.lifecycle import Lifecycle
-from brackenladder.net.requests import Requests, head_of
+from brackenladder.net.requests import Requests
 from brackenladder.net.roster import Roster
 from brackenladder.net.servers import Exchange
 from brackenladder.policy import ejection, gradient
--- a/tests/test_operator_terms_answers.py
+++ b/tests/test_operator_terms_answers.py
@@ -4,9 +4,10 @@
 import socket
 
 import pytest
-from loopback import Bench, Server, always, call, play, until
+from loopback import MOMENT, Bench, Server, always, call, play, until
 
 from brackenladder.net.passing import WHOLE
+from brackenladder.net.requests import FLOW_LOOK, FLOW_PAUSE
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (WHOLE, bytes(WHOLE))
 
@@ -76,3 +77,35 @@
         client.writer.close()
 
     play(scene)
+
+
+@pytest.mark.parametrize("klass", ["view", "invite", "offer"])
+def test_a_server_that_hangs_in_a_long_answer_frees_no_request_of_its_end(klass):
+    """The answer is cut soon after the request's time, but not while its server goes on."""
+
+    async def scene():
+        async def hang(request, writer):
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + bytes(2 * WHOLE))
+            return None
+
+        bench = await Bench(Server(hang)).start()
+        client = await bench.client()
+        client.send(call(klass))
+        requests = bench.node.requests
+        await until(lambda: any(r.flow is not None for r in requests.open.values()))
+        (request,) = requests.open.values()
+        guard, flow = request.guard, request.flow
+        assert guard is not None and flow is not None
+        over = bench.node.loop.time() + (request.deadline - bench.node.turns.now()) / MOMENT
+        assert abs(guard.when() - over) < 0.5 - FLOW_LOOK  # what is later than half a second is lost
+        flow.moved += FLOW_PAUSE  # as if a piece had just come
+        requests.watch_flow(request, flow)
+        assert request.caller is not None and request.guard is not guard
+        flow.moved -= 2 * FLOW_PAUSE
+        requests.watch_flow(request, flow)
+        with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
+            await client.receive()
+        await until(lambda: not requests.open and not bench.node.callers.callers)
+        client.writer.close()
+
+    play(scene)
