--- a/tests/test_operator_terms_answers.py
+++ b/tests/test_operator_terms_answers.py
@@ -109,3 +109,22 @@
         client.writer.close()
 
     play(scene)
+
+
+@pytest.mark.parametrize("klass", ["view", "invite", "offer"])
+@pytest.mark.parametrize("budget", [0, 1, 5, 20])
+def test_a_request_with_very_little_time_gets_its_answer_where_servers_say_nothing(budget, klass):
+    """Servers may drop it without a word; what it is told is never more than its time."""
+
+    async def scene():
+        bench = await Bench(*(servers := [Server(always(None)), Server(always(None))])).start()
+        client = await bench.client()
+        status, _, _ = await client.ask(call(klass, budget=budget))
+        assert status in (502, 503, 504)
+        told = [int(r.headers["x-budget-ms"]) for server in servers for r in server.requests]
+        assert all(t <= budget for t in told) and (budget > 0 or not told)
+        assert bench.node.requests.guarded == 0
+        client.writer.close()
+        await until(lambda: not bench.node.callers.callers)
+
+    play(scene)
