--- a/brackenladder/net/listener.py
+++ b/brackenladder/net/listener.py
@@ -6,6 +6,8 @@
 import socket
 from collections.abc import Callable
 
+from brackenladder.net.system_faults import RETRY_INTERVAL, is_shortage
+
 Address = tuple[str, int]
 
 BACKLOG = 512
@@ -41,6 +43,7 @@
         self.at_once = at_once
         self.socket: socket.socket | None = None
         self.reading = False
+        self.resting: asyncio.TimerHandle | None = None  # accepts have failed: none for a moment
 
     def start(self, listener: socket.socket) -> None:
         """Takes connections from this socket from now on."""
@@ -50,7 +53,7 @@
 
     def look(self) -> None:
         """Listens while there is room, and only then."""
-        room = self.socket is not None and self.room()
+        room = self.socket is not None and self.resting is None and self.room()
         if room and not self.reading:
             assert self.socket is not None
             self.reading = True
@@ -66,15 +69,39 @@
             self.loop.remove_reader(self.socket.fileno())
 
     def accept(self) -> None:
-        """Takes what waits in the queue."""
+        """Takes what waits in the queue.
+
+        Failure prevented: a shortage of descriptors or buffers lasts, the queue stays readable, and the loop
+        does nothing but fail to accept.
+        """
+        taken = 0
+        fault: OSError | None = None
         for _ in range(self.at_once):
             if self.socket is None or not self.room():
                 break
             try:
                 connection, _ = self.socket.accept()
-            except OSError:  # none waits, or the one that waited has gone
+            except BlockingIOError:  # none waits
                 break
+            except OSError as e:
+                fault = e
+                if is_shortage(e):
+                    break
+                continue  # the one that waited has gone; the next may be well
+            taken += 1
             self.take(connection)
+        if fault is not None and not taken:
+            self.rest()
+        self.look()
+
+    def rest(self) -> None:
+        """Accepts nothing for a moment; what comes waits in the queue."""
+        if self.resting is None:
+            self.resting = self.loop.call_later(RETRY_INTERVAL, self.rested)
+
+    def rested(self) -> None:
+        """The moment is over."""
+        self.resting = None
         self.look()
 
     def release(self) -> None:
@@ -83,6 +110,9 @@
         Closed and never shut down, which would end it for the others as well.
         """
         self.pause()
+        if self.resting is not None:
+            self.resting.cancel()
+            self.resting = None
         if self.socket is not None:
             self.socket.close()
             self.socket = None
@@ -99,5 +129,5 @@
                 self.take(self.socket.accept()[0])
         except BlockingIOError:  # none waits any more
             self.release()
-        except OSError:  # the one that waited has gone
+        except OSError:  # the one that waited has gone, or there is a shortage: the rest is for the next call
             pass
