--- a/brackenladder/net/servers.py
+++ b/brackenladder/net/servers.py
@@ -13,6 +13,7 @@
 from brackenladder.net.descriptors import Descriptors
 from brackenladder.net.passing import Flow, Source, Upload
 from brackenladder.net.room import Room
+from brackenladder.net.system_faults import RETRY_INTERVAL, never_left_machine
 
 IDLE_MARGIN = 0.3  # seconds before the server would close an idle connection
 REST = 0.02  # seconds that a connection better rests after an answer: a second one may be on its way
@@ -56,6 +57,7 @@
         self.connection: Connection | None = None
         self.connecting: asyncio.Task[None] | None = None
         self.dial = 0.0  # seconds that a new connection took to come up
+        self.held_back = False  # this machine lacks what it takes to open one
         self.timer: asyncio.TimerHandle | None = None
         endpoint.busy += 1
 
@@ -96,7 +98,7 @@
         began = pool.loop.time()
         try:
             async with asyncio.timeout(pool.connect_timeout):
-                await pool.loop.create_connection(lambda: connection, self.endpoint.host, self.endpoint.port)
+                await self.dial_until_sent(connection)
         except (OSError, TimeoutError, asyncio.CancelledError) as e:
             # It may have come up in the very turn in which its time ran out.
             pool.lost(connection)
@@ -104,12 +106,35 @@
                 connection.close()
             if isinstance(e, asyncio.CancelledError):
                 raise
-            self.end(Outcome.CONNECT_FAILED, None)
+            self.end(self.unreached(), None)
             return
         self.connecting = None
         self.dial = pool.loop.time() - began
         self.use(connection)
 
+    async def dial_until_sent(self, connection: Connection) -> None:
+        """Opens the connection, again and again while this machine lacks descriptors, buffers or ports.
+
+        Failure prevented: a shortage of a moment uses up all attempts of each request within a millisecond,
+        and servers that were never asked are ejected.
+        """
+        while True:
+            self.held_back = False
+            try:
+                await self.pool.loop.create_connection(
+                    lambda: connection, self.endpoint.host, self.endpoint.port
+                )
+                return
+            except OSError as fault:
+                if not never_left_machine(fault):
+                    raise
+            self.held_back = True
+            await asyncio.sleep(RETRY_INTERVAL)
+
+    def unreached(self) -> Outcome:
+        """How an exchange ends that has no connection: a shortage here is no failure of the server."""
+        return Outcome.NOT_SENT if self.held_back else Outcome.CONNECT_FAILED
+
     def use(self, connection: Connection) -> None:
         """Writes the request, if it may still be written: the connection may have taken its time."""
         data = None if self.over or not self.endpoint.ready else self.compose()
@@ -156,8 +181,10 @@
 
     def expire(self) -> None:
         """The time is up. A server that has not got the whole request has not run it."""
-        unsent = self.connection is None or self.connection.unsent()
-        self.stop(Outcome.CONNECT_FAILED if unsent else Outcome.TIMEOUT)
+        if self.connection is None:
+            self.stop(self.unreached())
+        else:
+            self.stop(Outcome.CONNECT_FAILED if self.connection.unsent() else Outcome.TIMEOUT)
 
     def stop(self, outcome: Outcome) -> None:
         """Gives the exchange up; its connection is closed, so that no late answer meets another request."""
