--- a/brackenladder/net/management.py
+++ b/brackenladder/net/management.py
@@ -9,7 +9,7 @@
 
 import httptools
 
-from brackenladder.net.listener import Address, Listener, listening
+from brackenladder.net.listener import Listener
 
 MOST = 8  # connections at once
 ACCEPTS = 4  # taken in one go: so many more may be open until those that gave way have closed
@@ -134,9 +134,9 @@
         self.open = 0  # with those that are just being closed
         self.listener = Listener(loop, self.take, lambda: self.open < MOST + ACCEPTS, ACCEPTS)
 
-    def start(self, address: Address) -> None:
-        """Binds and listens. An OSError if the address cannot be had."""
-        self.listener.start(listening(address))
+    def start(self, listener: socket.socket) -> None:
+        """Takes calls from this socket."""
+        self.listener.start(listener)
 
     def take(self, connection: socket.socket) -> None:
         connection.setblocking(False)
--- a/brackenladder/net/node.py
+++ b/brackenladder/net/node.py
@@ -9,7 +9,8 @@
 import asyncio
 import os
 import signal
-from collections.abc import Mapping
+import socket
+from collections.abc import Callable, Coroutine, Mapping
 from typing import TYPE_CHECKING, Any
 
 from brackenladder.interface import Outcome, State
@@ -20,7 +21,7 @@
 from brackenladder.net.descriptors import Descriptors
 from brackenladder.net.handover import Handover, adopted
 from brackenladder.net.lifecycle import Lifecycle, Stage
-from brackenladder.net.listener import listening
+from brackenladder.net.listener import Address, listening
 from brackenladder.net.log import LINES_A_SECOND, STRAYS_A_SECOND, Log
 from brackenladder.net.management import JSON, Management, Page, Paths
 from brackenladder.net.peers import Peers
@@ -28,6 +29,7 @@
 from brackenladder.net.room import Room
 from brackenladder.net.roster import Roster
 from brackenladder.net.servers import Exchange, Pool
+from brackenladder.net.system_faults import is_shortage, retry_shortage
 from brackenladder.net.turns import Event, Turns
 from brackenladder.policy import Balancer
 
@@ -37,6 +39,7 @@
 LONGEST = 3_000_000  # after SIGTERM the platform waits for the longest deadline, for so long at most...
 LAST = 500_000  # ...and 0.7 s more; so long into that, a request that came late must have its answer
 PEERS_RETRY = 0.05  # seconds
+LISTEN_PATIENCE = 5.0  # seconds in which a start waits for descriptors or buffers to listen with
 RELOAD_AGAIN = 0.1  # seconds after which a configuration that cannot be read is read again...
 RELOADS = 100  # ...so many times at most
 STATS_EVERY = 1.0  # seconds between two lines of statistics
@@ -69,6 +72,7 @@
         self.roster = Roster(config, loop, self.pool, self.life, self.log_lines, strays, self.turns)
         self.discovery = self.roster.discovery
         self.peers = Peers(config.peers, config.peers_all, self.heard, strays)
+        self.started = False
         self.reloading: asyncio.TimerHandle | None = None  # a configuration that could not be read yet
         self.handover = Handover(loop, config.folder, self.share, self.log_lines)
         # What the module does to requests, and what it asks of discovery, their parts do themselves.
@@ -95,8 +99,10 @@
         await self.open_peers()
         await self.open_fleet()
         if c.management is not None:
-            self.management.start(c.management)
-        self.callers.start(inherited or listening(c.listen), shared=inherited is not None)
+            self.management.start(await self.listening(c.management))
+        listener = inherited or await self.listening(c.listen)
+        self.callers.start(listener, shared=inherited is not None)
+        self.started = True
         self.log_lines.line(
             f"start tier={c.settings.tier} instances={c.settings.instances} connections={c.connections()}"
             f" idle={c.idle_time} connect_timeout={c.connect_timeout}"
@@ -109,6 +115,10 @@
             self.discovery.watch(True)
         self.loop.call_later(STATS_EVERY, self.write_stats)
 
+    async def listening(self, address: Address) -> socket.socket:
+        """A listening socket, for which a shortage of this machine is waited out."""
+        return await retry_shortage(lambda: listening(address), LISTEN_PATIENCE)
+
     async def open_peers(self) -> None:
         """Takes the port for peers' messages; one that the process before still has is tried for again."""
         c = self.config
@@ -118,10 +128,18 @@
             return
         try:
             await self.loop.create_datagram_endpoint(lambda: self.peers, local_addr=c.peer_listen)
-        except OSError:
-            if not self.handover.shared:
-                raise
-            self.loop.call_later(PEERS_RETRY, lambda: self.loop.create_task(self.open_peers()))
+        except OSError as fault:
+            self.open_again(fault, self.open_peers)
+
+    def open_again(self, fault: OSError, open_port: Callable[[], Coroutine[Any, Any, None]]) -> None:
+        """Tries for a port again soon; only a start fails at once for one that cannot be had.
+
+        Failure prevented: a shortage comes as the process before lets the port go, and the node that runs
+        on never has it.
+        """
+        if not (self.started or self.handover.shared or is_shortage(fault)):
+            raise fault
+        self.loop.call_later(PEERS_RETRY, lambda: self.loop.create_task(open_port()))
 
     def fleet_part(self) -> FleetRuntime | None:
         """This process's part in the fleet, if it has one."""
@@ -145,10 +163,8 @@
             return
         try:
             await fleet.open()
-        except OSError:
-            if not self.handover.shared:
-                raise
-            self.loop.call_later(PEERS_RETRY, lambda: self.loop.create_task(self.open_fleet()))
+        except OSError as fault:
+            self.open_again(fault, self.open_fleet)
 
     def share(self, shared: bool) -> None:
         """Another process of this node has come, and both get half; or it has gone."""
