--- a/brackenladder/policy/slow_start.py
+++ b/brackenladder/policy/slow_start.py
@@ -2,12 +2,15 @@
 
 from __future__ import annotations
 
+from math import exp
+
 from brackenladder.interface import Settings
 from brackenladder.policy.gradient import WINDOW, WINDOW_STRETCH
 from brackenladder.policy.server import Server
 from brackenladder.policy.subset import Subset
 
 MAX_EVEN_SHARES = 2.5  # with no warm member, a cold one takes its share of so many even parts
+PEAK_FADE = 30.0  # seconds in which the most that a warm member answered fades to a third
 MAX_MULTIPLE_SHARE = 0.8  # a cold one takes its share of so much of the rules' multiple of warm ones' answers
 
 
@@ -20,6 +23,7 @@
         self.warm_rate = 0.0  # sends a second to a warm member, smoothed
         self.warm_sent = 0
         self.served_rate = 0.0  # answers a second from a warm member, smoothed
+        self.peak_served_rate = 0.0  # the most of that; it fades
         self.warm_served = 0
         self.requests = 0  # requests, without clients' repeats, since `counted_since`
         self.counted_since = 0
@@ -44,6 +48,8 @@
             weight = min(1.0, span / 2e6)
             self.warm_rate += weight * (self.warm_sent * 1e6 / span / warm - self.warm_rate)
             self.served_rate += weight * (self.warm_served * 1e6 / span / warm - self.served_rate)
+            faded = self.peak_served_rate * exp(-span / 1e6 / PEAK_FADE)
+            self.peak_served_rate = max(self.served_rate, faded)
         self.warm_sent = self.warm_served = 0
 
     def fair_rate(self, now: int) -> float:
@@ -54,12 +60,15 @@
         Failure prevented: the last warm members take all calls; what they got then pushes cold ones over.
         Failure prevented: in a crowd they are sent several times what they can do, and what they turn away
         sets the pace of cold ones. A multiple of what they answer bounds it, or an even part where they hang.
+        Failure prevented: the even part of a crowd is more than a warm member can do. The most that one
+        answered bounds it in turn.
         """
         even = self.request_rate / max(1, len(self.subset.members))
+        multiple = max(1.0, MAX_MULTIPLE_SHARE * self.settings.fall_multiple)
+        peak = self.peak_served_rate or MAX_EVEN_SHARES * even
         if any(m.cold_until <= now and not m.ejected for m in self.subset.members):
-            bound = max(1.0, MAX_MULTIPLE_SHARE * self.settings.fall_multiple) * self.served_rate
-            return min(self.warm_rate, max(bound, even))
-        return min(max(self.warm_rate, even), MAX_EVEN_SHARES * even)
+            return min(self.warm_rate, max(multiple * self.served_rate, min(even, peak)))
+        return min(max(self.warm_rate, even), MAX_EVEN_SHARES * even, multiple * peak)
 
     def may_send(self, now: int, srv: Server) -> bool:
         """Slow start: a cold server takes its present share of what a warm member gets from this copy.
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -28,7 +28,7 @@
     spawn,
     until,
 )
-from slow_start import Fleet, Workload
+from slow_start import SEC, Fleet, Workload
 from support import balancer
 from virtual_time import FAULTS, REQUEST_FAULTS, FakeDiscovery, VirtualTimeLoop, list_response
 
@@ -422,6 +422,44 @@
         assert not fleet.idle_copies
 
 
+@pytest.mark.parametrize("copies", [1, 2, 3, 5, 10, 20])
+@pytest.mark.parametrize(
+    ("servers", "restarted", "rate", "load", "burst_factor"),
+    [
+        pytest.param(6, 3, 30, 0.9, 4.0, id="burst"),
+        pytest.param(6, 3, 30, 2.0, 3.0, id="overload"),
+        pytest.param(6, 5, 30, 2.0, 3.0, id="one warm server in an overload"),
+        pytest.param(6, 6, 30, 2.0, 3.0, id="no warm server in an overload"),
+        pytest.param(12, 6, 5, 0.5, 8.0, id="thin traffic before a large burst"),
+        pytest.param(4, 2, 10, 0.6, 1.5, id="few servers"),
+    ],
+)
+def test_cold_servers_stay_within_their_budget_in_a_fleet_of_any_size(
+    copies, servers, restarted, rate, load, burst_factor
+):
+    """Failure prevented: an even part of a crowd, several times what a warm server can do, sets the pace."""
+    fleet = Fleet(Workload(copies, servers, restarted, 0, rate, load, burst_factor), 1)
+    fleet.run()
+    assert fleet.largest_excess() <= 0
+    assert all(fleet.arrivals.values())
+
+
+@pytest.mark.parametrize("copies", [1, 2, 3, 5, 10])
+@pytest.mark.parametrize(
+    "rules",
+    [
+        pytest.param({"cold_share": 0.05, "cold_time": 10 * SEC}, id="colder"),
+        pytest.param({"fall_multiple": 1.5, "fall_time": SEC}, id="closer"),
+        pytest.param({"warm_servers_hang": True}, id="warm servers hang"),
+    ],
+)
+def test_cold_servers_of_a_small_fleet_stay_within_other_budgets(copies, rules):
+    fleet = Fleet(Workload(copies, 6, 3, 0, 30, 1.2, 1.6, **rules), 1)
+    fleet.run()
+    assert fleet.largest_excess() <= 0
+    assert all(fleet.arrivals.values())
+
+
 @pytest.mark.parametrize(
     ("sent", "answered", "multiple", "rate"),
     [(10, 10, 2.5, 10), (15, 10, 2.5, 15), (60, 10, 2.5, 20), (60, 10, 1.25, 10), (60, 10, 0, 10)],
