--- a/brackenladder/policy/balancer.py
+++ b/brackenladder/policy/balancer.py
@@ -36,6 +36,7 @@
 from brackenladder.policy.server import PRIOR, SMOOTH, SMOOTH_ALL, Average, Server
 from brackenladder.policy.slow_start import SlowStart
 from brackenladder.policy.spillover import ZoneSpillover
+from brackenladder.policy.start_times import StartTimes
 from brackenladder.policy.subset import Subset
 
 MAX_RTT_RATIO = 8.0  # a round-trip counts as so many times the mean at most
@@ -75,6 +76,8 @@
         self.window_start = 0
         self.retry_budget = RetryBudget()
         self.load_shedder = LoadShedder(s, self.rng, self.mean_rtt)
+        self.start_times = StartTimes(s.cold_time)
+        self.has_first_lists = False  # beyond the list of before this process
         self.list_failures = 0
         self.blocked = 0  # rq_blocked
 
@@ -98,6 +101,9 @@
         if kind != ListKind.CACHED:
             self.list_failures = 0
         latest = {e.server: e for e in entries}  # an entry twice: the last holds
+        if self.start_times.observe(now, latest.values(), len(self.servers.keys() | latest.keys())):
+            for server in self.servers.values():
+                self.correct_slow_start(server)
         if kind != ListKind.CHANGES:
             for server in self.servers.values():
                 if server.in_list and server.id not in latest:
@@ -111,17 +117,15 @@
             if known is None:
                 average = self.kinds.setdefault(entry.kind, Average(1.0, PRIOR, SMOOTH_ALL))
                 known = self.servers[entry.server] = Server(entry, average)
+                self.begin_slow_start(now, known, entry)
             elif known.ready_at != entry.ready_at:
                 if known.ejected:
                     self.ejection.readmit(known)
                 known.renew(entry)
+                self.begin_slow_start(now, known, entry)
             known.in_list = True
             known.cell, known.zone = entry.cell, entry.zone
-            if entry.ready_at > 0 and now < entry.ready_at + self.settings.cold_time:
-                # Failure prevented: a restarted server looks idle and draws a flood that pushes it over.
-                if known.cold_until == 0:
-                    known.tokens_at = now
-                known.cold_until = entry.ready_at + self.settings.cold_time
+        self.has_first_lists |= kind != ListKind.CACHED
         self.forget_gone()
         self.refill()
 
@@ -417,6 +421,15 @@
             self.slow_start.warm_served += srv.cold_until <= now
         self.ejection.record(now, srv, outcome)
 
+    def begin_slow_start(self, now: int, srv: Server, entry: ServerEntry) -> None:
+        """Failure prevented: a restarted server looks idle and draws a flood that pushes it over."""
+        srv.start = self.start_times.hear(now, entry, self.has_first_lists)
+        srv.tokens_at = now
+        self.correct_slow_start(srv)
+
+    def correct_slow_start(self, srv: Server) -> None:
+        srv.cold_until = self.start_times.cold_until(srv.start)
+
     def drop(self, srv: Server) -> None:
         """The server drains or is gone: nothing new goes to it from now on."""
         srv.in_list = False
@@ -427,6 +440,7 @@
     def forget_gone(self) -> None:
         for key, srv in list(self.servers.items()):
             if not srv.in_list and srv.in_flight == 0 and srv.uploads == 0:
+                self.start_times.remember(key, srv.start)
                 del self.servers[key]
 
     def refill(self) -> None:
--- a/brackenladder/policy/server.py
+++ b/brackenladder/policy/server.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from brackenladder.interface import ServerEntry
+from brackenladder.policy.start_times import Start
 
 SMOOTH = 0.1  # weight of the newest sample in a server's averages
 PRIOR = 3.0  # an average starts as if it had seen so many samples of its first value
@@ -48,6 +49,7 @@
     def renew(self, entry: ServerEntry) -> None:
         """A new process: nothing learned of the old one holds."""
         self.ready_at = entry.ready_at
+        self.start = Start(entry.ready_at, 0, running=False, clock_believed=False)
         self.deviation = Average(1.0, PRIOR, SMOOTH)  # this server's round-trips, relative to its kind's
         self.fail_rate = 0.0
         self.turned_away: dict[int, float] = {}  # by class, the share of calls rejected unseen, smoothed
