--- a/brackenladder/net/handover.py
+++ b/brackenladder/net/handover.py
@@ -14,6 +14,7 @@
 from time import monotonic_ns
 
 from brackenladder.net.log import Log
+from brackenladder.net.system_faults import retry_shortage
 
 PREFIX = "brackenladder-"
 LOOK = 0.1  # seconds between two looks for another process
@@ -70,6 +71,8 @@
     async def start(self, fits: Callable[[], bool]) -> None:
         """Joins; where another process runs, waits until that one has made room, or has had its time."""
         self.fits = fits
+        with suppress(OSError):  # the look tries once more, and says what is wrong
+            await retry_shortage(self.join, PATIENCE)
         self.look()
         if self.file < 0:
             return  # nobody can know of this process, and so nobody makes room for it
