--- a/brackenladder/__main__.py
+++ b/balancer/__main__.py
@@ -1,4 +1,4 @@
-"""One real node: `python -m brackenladder`."""
+"""One real node: `python -m balancer`."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 import uvloop
 
-from brackenladder.net.config import Config, ConfigError, load
-from brackenladder.net.node import Node
+from balancer.net.config import Config, ConfigError, load
+from balancer.net.node import Node
 
 
 async def serve(config: Config) -> None:
@@ -35,19 +35,19 @@
     await node.drain()
 
 
-HELP = """usage: LB_CONFIG=FILE.json python -m brackenladder
+HELP = """usage: LB_CONFIG=FILE.json python -m balancer
 
 One load-balancer node, in the foreground until SIGTERM. FILE is its configuration: name, listen, discovery,
 seed, limits and settings; LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_MANAGEMENT override it. README.md has the
 first steps, docs/running.md what operators do with a node. To see one at work without servers: make demo."""
-NEXT = "name the node's configuration in LB_CONFIG, or see python -m brackenladder --help"
+NEXT = "name the node's configuration in LB_CONFIG, or see python -m balancer --help"
 
 
 def main() -> int:
     """Starts a node; 2 if it was told what it cannot start with."""
     if len(sys.argv) > 1:
         wanted = sys.argv[1] in ("-h", "--help")
-        print(HELP if wanted else f"brackenladder: {sys.argv[1]}: takes no arguments: {NEXT}",
+        print(HELP if wanted else f"balancer: {sys.argv[1]}: takes no arguments: {NEXT}",
               file=sys.stdout if wanted else sys.stderr)  # fmt: skip
         return 0 if wanted else 2
     try:
@@ -55,12 +55,12 @@
     except ConfigError as e:
         hint = f": {NEXT}" if str(e).startswith("LB_CONFIG") else ""
         for line in str(e).splitlines():
-            print(f"brackenladder: {line}{hint}", file=sys.stderr)
+            print(f"balancer: {line}{hint}", file=sys.stderr)
         return 2
     try:
         uvloop.run(serve(config))
     except OSError as e:
-        print(f"brackenladder: cannot listen: {e.strerror}", file=sys.stderr)
+        print(f"balancer: cannot listen: {e.strerror}", file=sys.stderr)
         return 1
     return 0
 
--- a/brackenladder/adapter.py
+++ b/balancer/adapter.py
@@ -11,9 +11,9 @@
 from struct import error as StructError
 from typing import Any, BinaryIO
 
-from brackenladder.interface import ListKind, Outcome, ServerEntry, Settings, State
-from brackenladder.policy import Balancer
-from brackenladder.settings import settings_of
+from balancer.interface import ListKind, Outcome, ServerEntry, Settings, State
+from balancer.policy import Balancer
+from balancer.settings import settings_of
 
 HEADER = Struct("<IIQ")
 LENGTH = Struct("<I")
@@ -305,7 +305,7 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, ValueError) as e:
-        print(f"brackenladder: {e}", file=sys.stderr)
+        print(f"balancer: {e}", file=sys.stderr)
         return 2
     except BrokenPipeError:
         return 1
--- a/brackenladder/fleet/assembly.py
+++ b/balancer/fleet/assembly.py
@@ -8,14 +8,14 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from brackenladder.fleet.component import Component, Runtime
-from brackenladder.fleet.config import FleetConfig
-from brackenladder.fleet.policy_adapter import PolicyAdapter
-from brackenladder.fleet.policy_component import PolicyComponent
+from balancer.fleet.component import Component, Runtime
+from balancer.fleet.config import FleetConfig
+from balancer.fleet.policy_adapter import PolicyAdapter
+from balancer.fleet.policy_component import PolicyComponent
 
 if TYPE_CHECKING:
-    from brackenladder.fleet.duties.component import DutiesComponent
-    from brackenladder.fleet.replace.component import ReplacementComponent
+    from balancer.fleet.duties.component import DutiesComponent
+    from balancer.fleet.replace.component import ReplacementComponent
 
 
 @dataclass
@@ -36,14 +36,14 @@
     )
     made = FleetComponents(adapter)
     if config.voters:
-        from brackenladder.fleet.duties.component import DutiesComponent
-        from brackenladder.fleet.replace.component import ReplacementComponent
+        from balancer.fleet.duties.component import DutiesComponent
+        from balancer.fleet.replace.component import ReplacementComponent
 
         made.duties = DutiesComponent(runtime)
         made.replacement = ReplacementComponent(runtime, made.duties)
         made.ordered += [made.duties, made.replacement]
     if config.membership is not None:
-        from brackenladder.fleet.federation.component import FederationComponent
+        from balancer.fleet.federation.component import FederationComponent
 
         made.ordered.append(FederationComponent(runtime, config.membership))
     made.ordered.append(PolicyComponent(runtime, adapter, made.duties))
--- a/brackenladder/fleet/component.py
+++ b/balancer/fleet/component.py
@@ -16,12 +16,12 @@
 from random import Random
 from typing import Any, Protocol
 
-from brackenladder.fleet.config import FleetConfig
-from brackenladder.fleet.membership.codec import Part
-from brackenladder.fleet.membership.swim import Address, Swim
-from brackenladder.interface import Settings
-from brackenladder.net.lifecycle import Lifecycle
-from brackenladder.net.log import Log
+from balancer.fleet.config import FleetConfig
+from balancer.fleet.membership.codec import Part
+from balancer.fleet.membership.swim import Address, Swim
+from balancer.interface import Settings
+from balancer.net.lifecycle import Lifecycle
+from balancer.net.log import Log
 
 
 class WireMessage(Protocol):
--- a/brackenladder/fleet/duties/component.py
+++ b/balancer/fleet/duties/component.py
@@ -5,11 +5,11 @@
 from collections.abc import Sequence
 from typing import Any
 
-from brackenladder.fleet.component import Component, Outgoing, Runtime, addressed
-from brackenladder.fleet.duties.names import FREQUENT_PREFIXES
-from brackenladder.fleet.duties.part import Duties
-from brackenladder.fleet.membership.codec import Part
-from brackenladder.fleet.membership.swim import Address
+from balancer.fleet.component import Component, Outgoing, Runtime, addressed
+from balancer.fleet.duties.names import FREQUENT_PREFIXES
+from balancer.fleet.duties.part import Duties
+from balancer.fleet.membership.codec import Part
+from balancer.fleet.membership.swim import Address
 
 
 class DutiesComponent(Component):
--- a/brackenladder/fleet/duties/part.py
+++ b/balancer/fleet/duties/part.py
@@ -7,13 +7,13 @@
 from random import Random
 from typing import Any
 
-from brackenladder.fleet.config import FleetConfig
-from brackenladder.fleet.duties.asker import Asker, Stage
-from brackenladder.fleet.duties.messages import DutyMessage, DutyWire
-from brackenladder.fleet.duties.settings import DutySettings, Electorate
-from brackenladder.fleet.duties.store import VoteStore
-from brackenladder.fleet.duties.voter import Out, Voter
-from brackenladder.net.log import Log
+from balancer.fleet.config import FleetConfig
+from balancer.fleet.duties.asker import Asker, Stage
+from balancer.fleet.duties.messages import DutyMessage, DutyWire
+from balancer.fleet.duties.settings import DutySettings, Electorate
+from balancer.fleet.duties.store import VoteStore
+from balancer.fleet.duties.voter import Out, Voter
+from balancer.net.log import Log
 
 SCRIPTS_MOST = 64  # duties held for scripts at once
 
--- a/brackenladder/fleet/endpoint.py
+++ b/balancer/fleet/endpoint.py
@@ -8,12 +8,12 @@
 from collections.abc import Sequence
 from typing import Any, cast
 
-from brackenladder.fleet.clocks import Clocks
-from brackenladder.fleet.component import WireMessage
-from brackenladder.fleet.membership.codec import Codec
-from brackenladder.fleet.membership.messages import Kind
-from brackenladder.fleet.membership.replay_guard import Received, ReplayGuard
-from brackenladder.fleet.membership.swim import Address
+from balancer.fleet.clocks import Clocks
+from balancer.fleet.component import WireMessage
+from balancer.fleet.membership.codec import Codec
+from balancer.fleet.membership.messages import Kind
+from balancer.fleet.membership.replay_guard import Received, ReplayGuard
+from balancer.fleet.membership.swim import Address
 
 SEQ_BITS = 60  # of a number that nobody foresees; the wire form has 62
 
--- a/brackenladder/fleet/federation/component.py
+++ b/balancer/fleet/federation/component.py
@@ -5,13 +5,13 @@
 from collections.abc import Sequence
 from typing import Any
 
-from brackenladder.fleet.component import Component, Outgoing, Runtime, addressed
-from brackenladder.fleet.federation.decisions import Federation
-from brackenladder.fleet.federation.messages import FederationWire
-from brackenladder.fleet.federation.records import Event
-from brackenladder.fleet.federation.settings import FederationTiming, ZoneMembershipSettings
-from brackenladder.fleet.membership.codec import Part
-from brackenladder.fleet.membership.swim import Address
+from balancer.fleet.component import Component, Outgoing, Runtime, addressed
+from balancer.fleet.federation.decisions import Federation
+from balancer.fleet.federation.messages import FederationWire
+from balancer.fleet.federation.records import Event
+from balancer.fleet.federation.settings import FederationTiming, ZoneMembershipSettings
+from balancer.fleet.membership.codec import Part
+from balancer.fleet.membership.swim import Address
 
 
 class FederationComponent(Component):
--- a/brackenladder/fleet/federation/decisions.py
+++ b/balancer/fleet/federation/decisions.py
@@ -13,8 +13,8 @@
 from random import Random
 from typing import Any, Protocol
 
-from brackenladder.fleet.federation.gateways import Rendezvous
-from brackenladder.fleet.federation.messages import (
+from balancer.fleet.federation.gateways import Rendezvous
+from balancer.fleet.federation.messages import (
     MAX_GATEWAYS,
     FederationKind,
     FederationMessage,
@@ -26,10 +26,10 @@
     batches,
     check_facts,
 )
-from brackenladder.fleet.federation.records import Event, Freshness, Records
-from brackenladder.fleet.federation.settings import MAX_GROUP, FederationTiming, ZoneMembershipSettings
-from brackenladder.fleet.membership.rate_limit import RateLimit
-from brackenladder.fleet.membership.swim import Address, Claim
+from balancer.fleet.federation.records import Event, Freshness, Records
+from balancer.fleet.federation.settings import MAX_GROUP, FederationTiming, ZoneMembershipSettings
+from balancer.fleet.membership.rate_limit import RateLimit
+from balancer.fleet.membership.swim import Address, Claim
 
 Out = list[tuple[Address, FederationMessage]]
 
--- a/brackenladder/fleet/federation/messages.py
+++ b/balancer/fleet/federation/messages.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from brackenladder.fleet.membership.swim import Address
+from balancer.fleet.membership.swim import Address
 
 MAX_NAME = 64
 MAX_HOST = 45  # the longest spelling of an IPv6 address
--- a/brackenladder/fleet/member_table.py
+++ b/balancer/fleet/member_table.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from brackenladder.fleet.membership.swim import Address, Swim
+from balancer.fleet.membership.swim import Address, Swim
 
 
 def member_table(swim: Swim, now: int) -> list[dict[str, Any]]:
--- a/brackenladder/fleet/membership/anti_entropy.py
+++ b/balancer/fleet/membership/anti_entropy.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass
 from random import Random
 
-from brackenladder.fleet.membership.claims import Address, Claim
-from brackenladder.fleet.membership.counts import Counts
-from brackenladder.fleet.membership.messages import (
+from balancer.fleet.membership.claims import Address, Claim
+from balancer.fleet.membership.counts import Counts
+from balancer.fleet.membership.messages import (
     AnyMessage,
     DigestMessage,
     Kind,
@@ -26,9 +26,9 @@
     Send,
     room_for_claims,
 )
-from brackenladder.fleet.membership.rate_limit import RateLimit
-from brackenladder.fleet.membership.timing import Timing
-from brackenladder.fleet.membership.view import ALL_BUCKETS, View, place_of
+from balancer.fleet.membership.rate_limit import RateLimit
+from balancer.fleet.membership.timing import Timing
+from balancer.fleet.membership.view import ALL_BUCKETS, View, place_of
 
 
 @dataclass
--- a/brackenladder/fleet/membership/codec.py
+++ b/balancer/fleet/membership/codec.py
@@ -22,10 +22,10 @@
 
 import msgspec
 
-from brackenladder.fleet.membership.claims import MAX_NAME_CHARACTERS
-from brackenladder.fleet.membership.messages import MAX_DATAGRAM_BYTES
-from brackenladder.fleet.membership.replay_guard import MAX_SKEW, SenderStamps, Verdict
-from brackenladder.fleet.membership.wire import MembershipWire
+from balancer.fleet.membership.claims import MAX_NAME_CHARACTERS
+from balancer.fleet.membership.messages import MAX_DATAGRAM_BYTES
+from balancer.fleet.membership.replay_guard import MAX_SKEW, SenderStamps, Verdict
+from balancer.fleet.membership.wire import MembershipWire
 
 __all__ = ["NAME_MOST", "Codec", "KeyFault", "MembershipWire", "Part", "mark", "read_key", "tag"]
 
--- a/brackenladder/fleet/membership/messages.py
+++ b/balancer/fleet/membership/messages.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from brackenladder.fleet.membership.claims import Address, Claim
+from balancer.fleet.membership.claims import Address, Claim
 
 MAX_DATAGRAM_BYTES = 1200
 ENVELOPE_BYTES = 80  # at most, of a datagram beside its names and claims: header, tag, numbers, lengths
--- a/brackenladder/fleet/membership/replay_guard.py
+++ b/balancer/fleet/membership/replay_guard.py
@@ -16,8 +16,8 @@
 from enum import Enum, auto
 from typing import Any
 
-from brackenladder.fleet.membership.claims import Address
-from brackenladder.fleet.membership.messages import Kind, Message
+from balancer.fleet.membership.claims import Address
+from balancer.fleet.membership.messages import Kind, Message
 
 WINDOW = 64  # datagrams of one sender that may overtake one another
 MAX_SKEW = 30_000_000  # between a stamp and what its sender's earlier stamps lead one to expect
--- a/brackenladder/fleet/membership/swim.py
+++ b/balancer/fleet/membership/swim.py
@@ -19,11 +19,11 @@
 from math import ceil
 from random import Random
 
-from brackenladder.fleet.membership.anti_entropy import AntiEntropy
-from brackenladder.fleet.membership.claims import Address, Claim, Status, overrides
-from brackenladder.fleet.membership.counts import Counts
-from brackenladder.fleet.membership.dissemination import Dissemination
-from brackenladder.fleet.membership.messages import (
+from balancer.fleet.membership.anti_entropy import AntiEntropy
+from balancer.fleet.membership.claims import Address, Claim, Status, overrides
+from balancer.fleet.membership.counts import Counts
+from balancer.fleet.membership.dissemination import Dissemination
+from balancer.fleet.membership.messages import (
     Accusation,
     Accusations,
     AnyMessage,
@@ -32,10 +32,10 @@
     Send,
     room_for_claims,
 )
-from brackenladder.fleet.membership.suspicion import Suspicion
-from brackenladder.fleet.membership.timers import Deadlines
-from brackenladder.fleet.membership.timing import Timing
-from brackenladder.fleet.membership.view import Member, View, claim_size
+from balancer.fleet.membership.suspicion import Suspicion
+from balancer.fleet.membership.timers import Deadlines
+from balancer.fleet.membership.timing import Timing
+from balancer.fleet.membership.view import Member, View, claim_size
 
 __all__ = ["Address", "Claim", "Counts", "Kind", "Member", "Message", "Send", "Status", "Swim", "Timing"]
 
--- a/brackenladder/fleet/membership/view.py
+++ b/balancer/fleet/membership/view.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from brackenladder.fleet.membership.claims import Address, Claim, Status
+from balancer.fleet.membership.claims import Address, Claim, Status
 
 BUCKETS = 32  # a view's digest has a number for each
 ALL_BUCKETS = (1 << BUCKETS) - 1
--- a/brackenladder/fleet/membership/wire.py
+++ b/balancer/fleet/membership/wire.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from brackenladder.fleet.membership.claims import MAX_NAME_CHARACTERS, Claim, Status
-from brackenladder.fleet.membership.messages import (
+from balancer.fleet.membership.claims import MAX_NAME_CHARACTERS, Claim, Status
+from balancer.fleet.membership.messages import (
     Accusation,
     Accusations,
     AnyMessage,
@@ -22,7 +22,7 @@
     Page,
     Pull,
 )
-from brackenladder.fleet.membership.view import ALL_BUCKETS, BUCKETS
+from balancer.fleet.membership.view import ALL_BUCKETS, BUCKETS
 
 WireClaim = tuple[str, str, int, int, int]
 
--- a/brackenladder/fleet/operator_pages.py
+++ b/balancer/fleet/operator_pages.py
@@ -11,14 +11,14 @@
 from typing import TYPE_CHECKING, Any, Protocol
 from urllib.parse import parse_qs
 
-from brackenladder.fleet.component import Outgoing, Runtime
-from brackenladder.fleet.duties.names import is_reserved
-from brackenladder.fleet.membership.codec import NAME_MOST
-from brackenladder.fleet.policy_adapter import PolicyAdapter
+from balancer.fleet.component import Outgoing, Runtime
+from balancer.fleet.duties.names import is_reserved
+from balancer.fleet.membership.codec import NAME_MOST
+from balancer.fleet.policy_adapter import PolicyAdapter
 
 if TYPE_CHECKING:
-    from brackenladder.fleet.duties.component import DutiesComponent
-    from brackenladder.fleet.replace.component import ReplacementComponent
+    from balancer.fleet.duties.component import DutiesComponent
+    from balancer.fleet.replace.component import ReplacementComponent
 
 Response = tuple[int, bytes]
 MAX_DIRECTIVE_SECONDS = 86_400
--- a/brackenladder/fleet/policy_adapter.py
+++ b/balancer/fleet/policy_adapter.py
@@ -10,15 +10,15 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from brackenladder.fleet.config import FleetConfig
-from brackenladder.fleet.membership.codec import Part
-from brackenladder.interface import ListKind, Outcome, ServerEntry, Settings
+from balancer.fleet.config import FleetConfig
+from balancer.fleet.membership.codec import Part
+from balancer.interface import ListKind, Outcome, ServerEntry, Settings
 
 if TYPE_CHECKING:
-    from brackenladder.fleet.duties.asker import Asker
-    from brackenladder.fleet.probe.decisions import Probe
-    from brackenladder.fleet.remeasure.decisions import Remeasure
-    from brackenladder.fleet.zones.traffic import ZoneTraffic
+    from balancer.fleet.duties.asker import Asker
+    from balancer.fleet.probe.decisions import Probe
+    from balancer.fleet.remeasure.decisions import Remeasure
+    from balancer.fleet.zones.traffic import ZoneTraffic
 
 Out = list[tuple[str, Any]]  # a member's name, and a message to it
 Handler = Callable[[int, Any], Out]
@@ -53,7 +53,7 @@
         self.alive: Callable[[], Sequence[str]] = tuple
         self.handlers: dict[int, Handler] = {}  # by message kind, of the parts that are open
         if config.zones is not None:
-            from brackenladder.fleet.zones.traffic import ZoneTraffic
+            from balancer.fleet.zones.traffic import ZoneTraffic
 
             self.zone_traffic = ZoneTraffic(
                 config, config.zones, settings, now, wall, schedule, log_line, self.publish_shares
@@ -63,11 +63,11 @@
         """Probes' messages are read by all that have voters, whether they probe themselves or not."""
         wires: list[Part] = []
         if self.config.voters:
-            from brackenladder.fleet.probe.messages import ProbeWire
+            from balancer.fleet.probe.messages import ProbeWire
 
             wires.append(ProbeWire())
         if self.config.zones is not None:
-            from brackenladder.fleet.zones.messages import ZoneWire
+            from balancer.fleet.zones.messages import ZoneWire
 
             wires.append(ZoneWire())
         return wires
@@ -87,9 +87,9 @@
             self.open_remeasure(asker, rng)
 
     def open_probe(self, asker: Asker, rng: Random) -> None:
-        from brackenladder.fleet.probe.decisions import Probe
-        from brackenladder.fleet.probe.messages import ProbeKind
-        from brackenladder.fleet.probe.settings import settings_for
+        from balancer.fleet.probe.decisions import Probe
+        from balancer.fleet.probe.messages import ProbeKind
+        from balancer.fleet.probe.settings import settings_for
 
         config = self.config
         settings = settings_for(config.longest)
@@ -97,7 +97,7 @@
         self.handlers |= dict.fromkeys(ProbeKind, self.probe.received)
 
     def open_remeasure(self, asker: Asker, rng: Random) -> None:
-        from brackenladder.fleet.remeasure.decisions import Remeasure, RemeasureSettings
+        from balancer.fleet.remeasure.decisions import Remeasure, RemeasureSettings
 
         bounds = RemeasureSettings(self.config.remeasure)
         self.remeasure = Remeasure(self.settings.tier, self.settings.instances, bounds, asker, rng)
--- a/brackenladder/fleet/policy_component.py
+++ b/balancer/fleet/policy_component.py
@@ -5,13 +5,13 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any
 
-from brackenladder.fleet.component import Component, Outgoing, Runtime, addressed
-from brackenladder.fleet.membership.codec import Part
-from brackenladder.fleet.membership.swim import Address
-from brackenladder.fleet.policy_adapter import PolicyAdapter
+from balancer.fleet.component import Component, Outgoing, Runtime, addressed
+from balancer.fleet.membership.codec import Part
+from balancer.fleet.membership.swim import Address
+from balancer.fleet.policy_adapter import PolicyAdapter
 
 if TYPE_CHECKING:
-    from brackenladder.fleet.duties.component import DutiesComponent
+    from balancer.fleet.duties.component import DutiesComponent
 
 
 class PolicyComponent(Component):
--- a/brackenladder/fleet/probe/decisions.py
+++ b/balancer/fleet/probe/decisions.py
@@ -17,10 +17,10 @@
 from random import Random
 from typing import Any
 
-from brackenladder.fleet.duties.asker import Asker
-from brackenladder.fleet.duties.names import PROBE_PREFIX
-from brackenladder.fleet.probe.messages import MOST, ProbeKind, ProbeMessage, Trial
-from brackenladder.fleet.probe.settings import ProbeSettings
+from balancer.fleet.duties.asker import Asker
+from balancer.fleet.duties.names import PROBE_PREFIX
+from balancer.fleet.probe.messages import MOST, ProbeKind, ProbeMessage, Trial
+from balancer.fleet.probe.settings import ProbeSettings
 
 Out = list[tuple[str, Any]]  # duties' messages and this part's
 
--- a/brackenladder/fleet/registry.py
+++ b/balancer/fleet/registry.py
@@ -9,9 +9,9 @@
 from functools import partial
 from typing import Any, TypeVar
 
-from brackenladder.fleet.component import Component
-from brackenladder.fleet.membership.codec import Part
-from brackenladder.fleet.membership.swim import Kind
+from balancer.fleet.component import Component
+from balancer.fleet.membership.codec import Part
+from balancer.fleet.membership.swim import Kind
 
 MEMBERSHIP_KINDS = frozenset(int(kind) for kind in Kind)
 FAULTY_DEADLINE_WAIT = 1_000_000  # microseconds until a component whose `deadline` failed is ticked
--- a/brackenladder/fleet/replace/component.py
+++ b/balancer/fleet/replace/component.py
@@ -5,14 +5,14 @@
 from collections.abc import Sequence
 from typing import Any
 
-from brackenladder.fleet.component import Component, Outgoing, Runtime, addressed
-from brackenladder.fleet.duties.component import DutiesComponent
-from brackenladder.fleet.duties.names import REPLACEMENT
-from brackenladder.fleet.membership.codec import Part
-from brackenladder.fleet.membership.swim import Address
-from brackenladder.fleet.replace.decisions import MOST, Replacement
-from brackenladder.fleet.replace.messages import ReplaceWire, State
-from brackenladder.net.lifecycle import Stage
+from balancer.fleet.component import Component, Outgoing, Runtime, addressed
+from balancer.fleet.duties.component import DutiesComponent
+from balancer.fleet.duties.names import REPLACEMENT
+from balancer.fleet.membership.codec import Part
+from balancer.fleet.membership.swim import Address
+from balancer.fleet.replace.decisions import MOST, Replacement
+from balancer.fleet.replace.messages import ReplaceWire, State
+from balancer.net.lifecycle import Stage
 
 COMMANDS = {"pause": State.PAUSED, "resume": State.RUNS, "stop": State.STOPPED}
 
--- a/brackenladder/fleet/runtime.py
+++ b/balancer/fleet/runtime.py
@@ -13,20 +13,20 @@
 from random import Random
 from typing import Any
 
-from brackenladder.fleet.assembly import components_for
-from brackenladder.fleet.clocks import Clocks
-from brackenladder.fleet.component import Outgoing, WireMessage
-from brackenladder.fleet.config import FleetConfig
-from brackenladder.fleet.endpoint import DatagramEndpoint, unpredictable_seq
-from brackenladder.fleet.member_table import member_table, spelled
-from brackenladder.fleet.membership.codec import Codec
-from brackenladder.fleet.membership.replay_guard import Received
-from brackenladder.fleet.membership.swim import Address, Claim, Send, Swim, Timing
-from brackenladder.fleet.operator_pages import OperatorPages
-from brackenladder.fleet.registry import MEMBERSHIP_KINDS, Registry
-from brackenladder.interface import Settings
-from brackenladder.net.lifecycle import Lifecycle
-from brackenladder.net.log import Log
+from balancer.fleet.assembly import components_for
+from balancer.fleet.clocks import Clocks
+from balancer.fleet.component import Outgoing, WireMessage
+from balancer.fleet.config import FleetConfig
+from balancer.fleet.endpoint import DatagramEndpoint, unpredictable_seq
+from balancer.fleet.member_table import member_table, spelled
+from balancer.fleet.membership.codec import Codec
+from balancer.fleet.membership.replay_guard import Received
+from balancer.fleet.membership.swim import Address, Claim, Send, Swim, Timing
+from balancer.fleet.operator_pages import OperatorPages
+from balancer.fleet.registry import MEMBERSHIP_KINDS, Registry
+from balancer.interface import Settings
+from balancer.net.lifecycle import Lifecycle
+from balancer.net.log import Log
 
 LOGGED_CHANGES = ("join", "suspect", "dead", "left", "alive", "refuted")
 LATE_TICK = 50_000  # microseconds: a tick so late is counted, since the process itself was slow
--- a/brackenladder/fleet/zones/traffic.py
+++ b/balancer/fleet/zones/traffic.py
@@ -11,12 +11,12 @@
 from random import Random
 from typing import Any
 
-from brackenladder.fleet.config import FleetConfig
-from brackenladder.fleet.zones.decisions import Listed, Zones
-from brackenladder.fleet.zones.messages import ZoneKind, ZoneMessage
-from brackenladder.fleet.zones.orders import Orders, Out
-from brackenladder.fleet.zones.settings import ZoneSettings
-from brackenladder.interface import ListKind, Outcome, ServerEntry, Settings, State
+from balancer.fleet.config import FleetConfig
+from balancer.fleet.zones.decisions import Listed, Zones
+from balancer.fleet.zones.messages import ZoneKind, ZoneMessage
+from balancer.fleet.zones.orders import Orders, Out
+from balancer.fleet.zones.settings import ZoneSettings
+from balancer.interface import ListKind, Outcome, ServerEntry, Settings, State
 
 NO_EVIDENCE = (Outcome.CANCELLED, Outcome.NOT_SENT)  # outcomes that tell nothing about a server
 MIN_SHARE_CHANGE = 0.005  # a smaller change isn't worth publishing...
--- a/brackenladder/interface.py
+++ b/balancer/interface.py
@@ -1,7 +1,7 @@
 """The decision module's interface: settings, servers, outcomes, actions and events.
 
 Times are integer microseconds of one monotonic clock that the host passes in as `now`.
-Everything a host must know to embed `brackenladder.policy.Balancer` stands in this file.
+Everything a host must know to embed `balancer.policy.Balancer` stands in this file.
 """
 
 from __future__ import annotations
--- a/brackenladder/net/caller.py
+++ b/balancer/net/caller.py
@@ -10,11 +10,11 @@
 
 import httptools
 
-from brackenladder.net.message import REASONS, Message
-from brackenladder.net.passing import LARGEST, WHOLE, Source, Upload
-from brackenladder.net.roles import Crowd
-from brackenladder.net.sockets import CAME, ENDED, shows
-from brackenladder.net.unparsed import Unparsed
+from balancer.net.message import REASONS, Message
+from balancer.net.passing import LARGEST, WHOLE, Source, Upload
+from balancer.net.roles import Crowd
+from balancer.net.sockets import CAME, ENDED, shows
+from balancer.net.unparsed import Unparsed
 
 LARGEST_HEAD = 32768
 SLICE = 8192  # bytes parsed in one go
--- a/brackenladder/net/callers.py
+++ b/balancer/net/callers.py
@@ -7,12 +7,12 @@
 from collections import Counter
 from collections.abc import Callable
 
-from brackenladder.net.caller import SLOW, Caller
-from brackenladder.net.descriptors import Descriptors
-from brackenladder.net.lifecycle import Lifecycle, Stage
-from brackenladder.net.listener import Listener
-from brackenladder.net.roles import Handler
-from brackenladder.net.room import Room
+from balancer.net.caller import SLOW, Caller
+from balancer.net.descriptors import Descriptors
+from balancer.net.lifecycle import Lifecycle, Stage
+from balancer.net.listener import Listener
+from balancer.net.roles import Handler
+from balancer.net.room import Room
 
 REFUSING = (
     16  # connections at most, a sixteenth of the budget, that are open only to be told that it is spent
--- a/brackenladder/net/config.py
+++ b/balancer/net/config.py
@@ -7,14 +7,14 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING, Any
 
-from brackenladder.interface import ListKind, Settings
-from brackenladder.net import management
-from brackenladder.net.listener import Address
-from brackenladder.net.listing import Listing, read_listing
-from brackenladder.settings import COLUMNS, Fields, settings_of
+from balancer.interface import ListKind, Settings
+from balancer.net import management
+from balancer.net.listener import Address
+from balancer.net.listing import Listing, read_listing
+from balancer.settings import COLUMNS, Fields, settings_of
 
 if TYPE_CHECKING:
-    from brackenladder.fleet.config import FleetConfig
+    from balancer.fleet.config import FleetConfig
 
 # The event loop's own (10), the listener, UDP, discovery, the standard streams, and some to spare.
 RESERVED_SOCKETS = 26
@@ -115,7 +115,7 @@
     if table.get("fleet") is None:
         return None
     try:
-        from brackenladder.fleet.config import read_fleet
+        from balancer.fleet.config import read_fleet
     except ImportError as e:
         raise ConfigError(f"fleet: needs the extra fleet: {e.name} is not installed") from None
     return read_fleet(table["fleet"], name)
--- a/brackenladder/net/connection.py
+++ b/balancer/net/connection.py
@@ -11,10 +11,10 @@
 
 import httptools
 
-from brackenladder.interface import Outcome
-from brackenladder.net.passing import LARGEST, WHOLE, Flow, Upload
-from brackenladder.net.room import Room
-from brackenladder.net.sockets import CAME, shows
+from balancer.interface import Outcome
+from balancer.net.passing import LARGEST, WHOLE, Flow, Upload
+from balancer.net.room import Room
+from balancer.net.sockets import CAME, shows
 
 LARGEST_BARE = 128 << 10  # bytes of an answer without any of its body, above all its head
 
--- a/brackenladder/net/lifecycle.py
+++ b/balancer/net/lifecycle.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-from brackenladder.net.log import Log
+from balancer.net.log import Log
 
 
 class Stage(Enum):
--- a/brackenladder/net/listing.py
+++ b/balancer/net/listing.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from brackenladder.interface import ListKind, State
-from brackenladder.settings import Fields
+from balancer.interface import ListKind, State
+from balancer.settings import Fields
 
 STATES = {"ready": State.READY, "draining": State.DRAINING, "gone": State.GONE}
 
--- a/brackenladder/net/message.py
+++ b/balancer/net/message.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from brackenladder.net.passing import Upload
+from balancer.net.passing import Upload
 
 REASONS = {
     200: b"OK",
--- a/brackenladder/net/node.py
+++ b/balancer/net/node.py
@@ -13,28 +13,28 @@
 from collections.abc import Callable, Coroutine, Mapping
 from typing import TYPE_CHECKING, Any
 
-from brackenladder.interface import Outcome, State
-from brackenladder.net.callers import Callers
-from brackenladder.net.config import Config, ConfigError, load_discovery
-from brackenladder.net.connection import Answer
-from brackenladder.net.counters import Counters
-from brackenladder.net.descriptors import Descriptors
-from brackenladder.net.handover import Handover, adopted
-from brackenladder.net.lifecycle import Lifecycle, Stage
-from brackenladder.net.listener import Address, listening
-from brackenladder.net.log import LINES_A_SECOND, STRAYS_A_SECOND, Log
-from brackenladder.net.management import JSON, Management, Page, Paths
-from brackenladder.net.peers import Peers
-from brackenladder.net.requests import Requests
-from brackenladder.net.room import Room
-from brackenladder.net.roster import Roster
-from brackenladder.net.servers import Exchange, Pool
-from brackenladder.net.system_faults import is_shortage, retry_shortage
-from brackenladder.net.turns import Event, Turns
-from brackenladder.policy import Balancer
+from balancer.interface import Outcome, State
+from balancer.net.callers import Callers
+from balancer.net.config import Config, ConfigError, load_discovery
+from balancer.net.connection import Answer
+from balancer.net.counters import Counters
+from balancer.net.descriptors import Descriptors
+from balancer.net.handover import Handover, adopted
+from balancer.net.lifecycle import Lifecycle, Stage
+from balancer.net.listener import Address, listening
+from balancer.net.log import LINES_A_SECOND, STRAYS_A_SECOND, Log
+from balancer.net.management import JSON, Management, Page, Paths
+from balancer.net.peers import Peers
+from balancer.net.requests import Requests
+from balancer.net.room import Room
+from balancer.net.roster import Roster
+from balancer.net.servers import Exchange, Pool
+from balancer.net.system_faults import is_shortage, retry_shortage
+from balancer.net.turns import Event, Turns
+from balancer.policy import Balancer
 
 if TYPE_CHECKING:
-    from brackenladder.fleet.runtime import FleetRuntime
+    from balancer.fleet.runtime import FleetRuntime
 
 LONGEST = 3_000_000  # after SIGTERM the platform waits for the longest deadline, for so long at most...
 LAST = 500_000  # ...and 0.7 s more; so long into that, a request that came late must have its answer
@@ -146,7 +146,7 @@
         if self.config.fleet is None:
             return None
         # A node alone does without it, and without its packages.
-        from brackenladder.fleet.runtime import FleetRuntime
+        from balancer.fleet.runtime import FleetRuntime
 
         def end() -> None:
             os.kill(os.getpid(), signal.SIGTERM)
--- a/brackenladder/net/requests.py
+++ b/balancer/net/requests.py
@@ -11,19 +11,19 @@
 from collections.abc import Callable
 from time import monotonic
 
-from brackenladder.interface import NEVER_RAN, Effect, Outcome
-from brackenladder.net.caller import Caller
-from brackenladder.net.config import Config
-from brackenladder.net.connection import Answer
-from brackenladder.net.counters import Counters
-from brackenladder.net.forwarding import head_of, told_time
-from brackenladder.net.lifecycle import Lifecycle
-from brackenladder.net.log import Log
-from brackenladder.net.message import Message
-from brackenladder.net.passing import Source, Upload
-from brackenladder.net.servers import Exchange, Pool
-from brackenladder.net.turns import Turns
-from brackenladder.policy import Balancer
+from balancer.interface import NEVER_RAN, Effect, Outcome
+from balancer.net.caller import Caller
+from balancer.net.config import Config
+from balancer.net.connection import Answer
+from balancer.net.counters import Counters
+from balancer.net.forwarding import head_of, told_time
+from balancer.net.lifecycle import Lifecycle
+from balancer.net.log import Log
+from balancer.net.message import Message
+from balancer.net.passing import Source, Upload
+from balancer.net.servers import Exchange, Pool
+from balancer.net.turns import Turns
+from balancer.policy import Balancer
 
 GUARD = 10_000  # after the deadline: a request that the module has left open is failed
 FLOW_PAUSE = 0.2  # seconds that a server may pause in an answer that flows, once the request's time is over
--- a/brackenladder/net/roles.py
+++ b/balancer/net/roles.py
@@ -5,13 +5,13 @@
 import asyncio
 from typing import TYPE_CHECKING, Protocol
 
-from brackenladder.net.descriptors import Descriptors
-from brackenladder.net.lifecycle import Lifecycle
-from brackenladder.net.message import Message
-from brackenladder.net.room import Room
+from balancer.net.descriptors import Descriptors
+from balancer.net.lifecycle import Lifecycle
+from balancer.net.message import Message
+from balancer.net.room import Room
 
 if TYPE_CHECKING:
-    from brackenladder.net.caller import Caller
+    from balancer.net.caller import Caller
 
 
 class Handler(Protocol):
--- a/brackenladder/net/roster.py
+++ b/balancer/net/roster.py
@@ -8,16 +8,16 @@
 from hashlib import blake2b
 from random import Random
 
-from brackenladder.interface import ListKind, ServerEntry, State
-from brackenladder.net.config import Config
-from brackenladder.net.connection import Endpoint
-from brackenladder.net.discovery import Discovery
-from brackenladder.net.lifecycle import Lifecycle
-from brackenladder.net.listing import Line, Listing
-from brackenladder.net.log import Log
-from brackenladder.net.servers import Pool
-from brackenladder.net.turns import Turns
-from brackenladder.policy import Balancer
+from balancer.interface import ListKind, ServerEntry, State
+from balancer.net.config import Config
+from balancer.net.connection import Endpoint
+from balancer.net.discovery import Discovery
+from balancer.net.lifecycle import Lifecycle
+from balancer.net.listing import Line, Listing
+from balancer.net.log import Log
+from balancer.net.servers import Pool
+from balancer.net.turns import Turns
+from balancer.policy import Balancer
 
 Heard = Callable[[int, ListKind, Sequence[ServerEntry], Mapping[str, int]], None]
 
--- /dev/null
+++ b/balancer/policy/__init__.py
@@ -0,0 +1,5 @@
+"""Every decision of balancer, a part a module. The types are in balancer/interface.py."""
+
+from balancer.policy.balancer import Balancer
+
+__all__ = ["Balancer"]
--- a/brackenladder/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -1,4 +1,4 @@
-"""Every decision of brackenladder. The interface (types, events, actions) is in brackenladder/interface.py.
+"""Every decision of balancer. The interface (types, events, actions) is in balancer/interface.py.
 
 How a server is picked. All copies of a tier share a shuffle of the servers; this copy's slice of it is
 its small subset, wider the more calls it has in flight. A call first passes the gradient controller: at
@@ -15,7 +15,7 @@
 from collections.abc import Mapping, Sequence
 from random import Random
 
-from brackenladder.interface import (
+from balancer.interface import (
     NEVER_RAN,
     Actions,
     Alone,
@@ -27,17 +27,17 @@
     Settings,
     State,
 )
-from brackenladder.policy.ejection import SILENT_FACTOR, OutlierEjection
-from brackenladder.policy.gradient import AIM_SHARE, WINDOW, GradientController
-from brackenladder.policy.load_shedding import LoadShedder
-from brackenladder.policy.request import Request
-from brackenladder.policy.retry_budget import RetryBudget
-from brackenladder.policy.selection import Selection
-from brackenladder.policy.server import PRIOR, SMOOTH, SMOOTH_ALL, Average, Server
-from brackenladder.policy.slow_start import SlowStart
-from brackenladder.policy.spillover import ZoneSpillover
-from brackenladder.policy.start_times import StartTimes
-from brackenladder.policy.subset import Subset
+from balancer.policy.ejection import SILENT_FACTOR, OutlierEjection
+from balancer.policy.gradient import AIM_SHARE, WINDOW, GradientController
+from balancer.policy.load_shedding import LoadShedder
+from balancer.policy.request import Request
+from balancer.policy.retry_budget import RetryBudget
+from balancer.policy.selection import Selection
+from balancer.policy.server import PRIOR, SMOOTH, SMOOTH_ALL, Average, Server
+from balancer.policy.slow_start import SlowStart
+from balancer.policy.spillover import ZoneSpillover
+from balancer.policy.start_times import StartTimes
+from balancer.policy.subset import Subset
 
 MAX_RTT_RATIO = 8.0  # a round-trip counts as so many times the mean at most
 ATTEMPT_TIMEOUT_FACTOR = 8  # an attempt may take so many mean round-trips while another can follow
--- a/brackenladder/policy/ejection.py
+++ b/balancer/policy/ejection.py
@@ -4,10 +4,10 @@
 
 from random import Random
 
-from brackenladder.interface import Actions, Fleet, Outcome
-from brackenladder.policy.server import SMOOTH, SMOOTH_ALL, Server
-from brackenladder.policy.slow_start import SlowStart
-from brackenladder.policy.subset import Subset
+from balancer.interface import Actions, Fleet, Outcome
+from balancer.policy.server import SMOOTH, SMOOTH_ALL, Server
+from balancer.policy.slow_start import SlowStart
+from balancer.policy.subset import Subset
 
 SILENT_FACTOR = 4  # a member is silent after this many mean round-trips without any outcome
 EJECT_SHARE = 0.34  # of the members, at most
--- a/brackenladder/policy/request.py
+++ b/balancer/policy/request.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from brackenladder.interface import Effect
-from brackenladder.policy.server import Server
+from balancer.interface import Effect
+from balancer.policy.server import Server
 
 
 class Request:
--- a/brackenladder/policy/retry_budget.py
+++ b/balancer/policy/retry_budget.py
@@ -4,7 +4,7 @@
 
 from math import sqrt
 
-from brackenladder.policy.gradient import MIN_LIMIT
+from balancer.policy.gradient import MIN_LIMIT
 
 RETRY_RATIO = 0.1  # further attempts allowed for each first attempt
 
--- a/brackenladder/policy/selection.py
+++ b/balancer/policy/selection.py
@@ -4,13 +4,13 @@
 
 from random import Random
 
-from brackenladder.interface import Effect, Group, Settings
-from brackenladder.policy.ejection import OutlierEjection
-from brackenladder.policy.request import Request
-from brackenladder.policy.server import Server
-from brackenladder.policy.slow_start import SlowStart
-from brackenladder.policy.spillover import ZoneSpillover
-from brackenladder.policy.subset import Subset
+from balancer.interface import Effect, Group, Settings
+from balancer.policy.ejection import OutlierEjection
+from balancer.policy.request import Request
+from balancer.policy.server import Server
+from balancer.policy.slow_start import SlowStart
+from balancer.policy.spillover import ZoneSpillover
+from balancer.policy.subset import Subset
 
 PICK_TRIES = 10  # so many members may be skipped for being slow
 
--- a/brackenladder/policy/server.py
+++ b/balancer/policy/server.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from brackenladder.interface import ServerEntry
-from brackenladder.policy.start_times import Start
+from balancer.interface import ServerEntry
+from balancer.policy.start_times import Start
 
 SMOOTH = 0.1  # weight of the newest sample in a server's averages
 PRIOR = 3.0  # an average starts as if it had seen so many samples of its first value
--- a/brackenladder/policy/slow_start.py
+++ b/balancer/policy/slow_start.py
@@ -4,10 +4,10 @@
 
 from math import exp
 
-from brackenladder.interface import Settings
-from brackenladder.policy.gradient import WINDOW, WINDOW_STRETCH
-from brackenladder.policy.server import Server
-from brackenladder.policy.subset import Subset
+from balancer.interface import Settings
+from balancer.policy.gradient import WINDOW, WINDOW_STRETCH
+from balancer.policy.server import Server
+from balancer.policy.subset import Subset
 
 MAX_EVEN_SHARES = 2.5  # with no warm member, a cold one takes its share of so many even parts
 PEAK_FADE = 30.0  # seconds in which the most that a warm member answered fades to a third
--- a/brackenladder/policy/spillover.py
+++ b/balancer/policy/spillover.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Sequence
 
-from brackenladder.interface import Settings
-from brackenladder.policy.server import SMOOTH, SMOOTH_ALL, Server
+from balancer.interface import Settings
+from balancer.policy.server import SMOOTH, SMOOTH_ALL, Server
 
 SPILL_GAIN = 0.1  # a window moves the share of calls that may leave the zone by this part of the imbalance
 SPILL_STEP = 0.04  # and by so much at most
--- a/brackenladder/policy/subset.py
+++ b/balancer/policy/subset.py
@@ -5,9 +5,9 @@
 from collections.abc import Mapping
 from math import ceil
 
-from brackenladder.interface import Settings
-from brackenladder.policy.gradient import GradientController
-from brackenladder.policy.server import Server
+from balancer.interface import Settings
+from balancer.policy.gradient import GradientController
+from balancer.policy.server import Server
 
 MIN_SUBSET_SIZE = 4  # members of a copy that has hardly any call in flight
 MAX_SUBSET_SIZE = 24  # and of any other
--- a/laurelspindle/cli/__init__.py
+++ b/laurelspindle/cli/__init__.py
@@ -21,7 +21,7 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(laurelspindle.__version__, prog_name="laurelspindle")
 def cli() -> None:
-    """The workbench around the brackenladder load-balancer node."""
+    """The workbench around the balancer load-balancer node."""
 
 
 cli.add_command(simulate)
--- a/laurelspindle/explore/clocks.py
+++ b/laurelspindle/explore/clocks.py
@@ -18,8 +18,8 @@
 
 import click
 
-from brackenladder.fleet.membership.swim import Status
-from brackenladder.fleet.runtime import FleetRuntime
+from balancer.fleet.membership.swim import Status
+from balancer.fleet.runtime import FleetRuntime
 from laurelspindle.explore.clock_faults import APART, FIRST_AT, ClockStep, draw_clock_steps
 from laurelspindle.explore.runtime_net import SECOND, Machine, RuntimeNetwork
 
--- a/laurelspindle/explore/duties.py
+++ b/laurelspindle/explore/duties.py
@@ -15,8 +15,8 @@
 
 import click
 
-from brackenladder.fleet.duties.asker import Asker, Wanted
-from brackenladder.fleet.duties.voter import Holder, Slot, Voter
+from balancer.fleet.duties.asker import Asker, Wanted
+from balancer.fleet.duties.voter import Holder, Slot, Voter
 from laurelspindle.explore.duty_net import Kinds, Net, Story
 from laurelspindle.explore.faults import Fault
 
--- a/laurelspindle/explore/duty_model.py
+++ b/laurelspindle/explore/duty_model.py
@@ -23,10 +23,10 @@
 
 import click
 
-from brackenladder.fleet.duties.asker import Asker, Stage, Wanted
-from brackenladder.fleet.duties.messages import DutyMessage
-from brackenladder.fleet.duties.settings import DutySettings, Electorate
-from brackenladder.fleet.duties.voter import Slot, Voter
+from balancer.fleet.duties.asker import Asker, Stage, Wanted
+from balancer.fleet.duties.messages import DutyMessage
+from balancer.fleet.duties.settings import DutySettings, Electorate
+from balancer.fleet.duties.voter import Slot, Voter
 from laurelspindle.explore.duties import MUTANTS
 
 STEP = 1_000_000
--- a/laurelspindle/explore/duty_net.py
+++ b/laurelspindle/explore/duty_net.py
@@ -13,10 +13,10 @@
 from functools import partial
 from random import Random
 
-from brackenladder.fleet.duties.asker import Asker
-from brackenladder.fleet.duties.messages import DutyMessage
-from brackenladder.fleet.duties.settings import DutySettings, Electorate
-from brackenladder.fleet.duties.voter import Out, Voter
+from balancer.fleet.duties.asker import Asker
+from balancer.fleet.duties.messages import DutyMessage
+from balancer.fleet.duties.settings import DutySettings, Electorate
+from balancer.fleet.duties.voter import Out, Voter
 from laurelspindle.explore.faults import SEC, Fault, draw_faults
 from laurelspindle.virtual.heap import HeapClock
 
--- a/laurelspindle/explore/heartbeats.py
+++ b/laurelspindle/explore/heartbeats.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from brackenladder.fleet.membership.swim import Address
+from balancer.fleet.membership.swim import Address
 from laurelspindle.explore.regional import RegionalNetwork
 
 MACHINES = 6
--- a/laurelspindle/explore/members.py
+++ b/laurelspindle/explore/members.py
@@ -10,8 +10,8 @@
 from time import process_time
 from typing import Any
 
-from brackenladder.fleet.membership.codec import Codec
-from brackenladder.fleet.membership.swim import Address, Send, Status, Swim
+from balancer.fleet.membership.codec import Codec
+from balancer.fleet.membership.swim import Address, Send, Status, Swim
 from laurelspindle.virtual.heap import HeapClock
 
 DELAY = 2_000  # mean of a datagram's way, microseconds
--- a/laurelspindle/explore/regional.py
+++ b/laurelspindle/explore/regional.py
@@ -9,8 +9,8 @@
 from time import process_time_ns
 from typing import Any
 
-from brackenladder.fleet.membership.codec import Codec, Part
-from brackenladder.fleet.membership.swim import Address
+from balancer.fleet.membership.codec import Codec, Part
+from balancer.fleet.membership.swim import Address
 from laurelspindle.virtual.heap import HeapClock
 
 KEY = b"a key for the virtual network"
--- a/laurelspindle/explore/runtime_net.py
+++ b/laurelspindle/explore/runtime_net.py
@@ -12,14 +12,14 @@
 from random import Random
 from typing import Any, cast
 
-from brackenladder.fleet.clocks import Clocks
-from brackenladder.fleet.config import FleetConfig
-from brackenladder.fleet.membership.swim import Address
-from brackenladder.fleet.runtime import FleetRuntime
-from brackenladder.fleet.zones.settings import ZoneSettings
-from brackenladder.interface import ClassSettings, Effect, Settings
-from brackenladder.net.lifecycle import Lifecycle, Stage
-from brackenladder.net.log import Log
+from balancer.fleet.clocks import Clocks
+from balancer.fleet.config import FleetConfig
+from balancer.fleet.membership.swim import Address
+from balancer.fleet.runtime import FleetRuntime
+from balancer.fleet.zones.settings import ZoneSettings
+from balancer.interface import ClassSettings, Effect, Settings
+from balancer.net.lifecycle import Lifecycle, Stage
+from balancer.net.log import Log
 from laurelspindle.virtual.heap import HeapClock
 
 SECOND = 1_000_000
--- a/laurelspindle/explore/uses.py
+++ b/laurelspindle/explore/uses.py
@@ -16,7 +16,7 @@
 import click
 import numpy as np
 
-from brackenladder.fleet.zones.settings import ZoneSettings
+from balancer.fleet.zones.settings import ZoneSettings
 from laurelspindle.experiment.compare import t_interval
 from laurelspindle.scenario.load import draw, load, plain, scenario_of
 from laurelspindle.scenario.model import Scenario
--- a/laurelspindle/lab/checkers.py
+++ b/laurelspindle/lab/checkers.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from itertools import pairwise
 
-from brackenladder.fleet.probe.settings import settings_for
-from brackenladder.fleet.remeasure.decisions import RemeasureSettings
+from balancer.fleet.probe.settings import settings_for
+from balancer.fleet.remeasure.decisions import RemeasureSettings
 from laurelspindle.lab.history import Event
 from laurelspindle.lab.truth import FOREVER, HELD, OUTSIDE, Truth, seconds
 from laurelspindle.world.site import BEGIN
--- a/laurelspindle/lab/earlier.py
+++ b/laurelspindle/lab/earlier.py
@@ -10,8 +10,8 @@
 from laurelspindle.lab.plan import PlanError
 from laurelspindle.policies.revisions import ROOT, RevisionError, full_revision
 
-PART = "brackenladder"
-NEEDED = "brackenladder/fleet/host.py"  # a revision without it has no fleet to be part of
+PART = "balancer"
+NEEDED = "balancer/fleet/host.py"  # a revision without it has no fleet to be part of
 
 
 def unpack(revision: str, folder: Path) -> str:
--- a/laurelspindle/lab/mischief.py
+++ b/laurelspindle/lab/mischief.py
@@ -1,6 +1,6 @@
 """A node that misbehaves on purpose, for the checkers to catch, or that is of another version, to be borne.
 
-`python -m laurelspindle.lab.mischief KIND` starts the node as `python -m brackenladder` does, with one part
+`python -m laurelspindle.lab.mischief KIND` starts the node as `python -m balancer` does, with one part
 of it changed. The product has no such switch.
 """
 
@@ -15,22 +15,22 @@
 from random import Random
 from typing import Any
 
-import brackenladder.__main__ as program
-from brackenladder.fleet.duties.asker import Asker
-from brackenladder.fleet.membership.codec import MembershipWire
-from brackenladder.fleet.membership.swim import Claim, Kind, Message, Status, Swim
-from brackenladder.fleet.probe.decisions import Probe
-from brackenladder.fleet.remeasure.decisions import Remeasure
-from brackenladder.fleet.replace.decisions import Replacement
-from brackenladder.fleet.runtime import FleetRuntime
-from brackenladder.fleet.zones.decisions import Zones
-from brackenladder.interface import State
-from brackenladder.net.forwarding import head_of
-from brackenladder.net.lifecycle import Lifecycle
-from brackenladder.net.requests import Requests
-from brackenladder.net.roster import Roster
-from brackenladder.net.servers import Exchange
-from brackenladder.policy import ejection, gradient
+import balancer.__main__ as program
+from balancer.fleet.duties.asker import Asker
+from balancer.fleet.membership.codec import MembershipWire
+from balancer.fleet.membership.swim import Claim, Kind, Message, Status, Swim
+from balancer.fleet.probe.decisions import Probe
+from balancer.fleet.remeasure.decisions import Remeasure
+from balancer.fleet.replace.decisions import Replacement
+from balancer.fleet.runtime import FleetRuntime
+from balancer.fleet.zones.decisions import Zones
+from balancer.interface import State
+from balancer.net.forwarding import head_of
+from balancer.net.lifecycle import Lifecycle
+from balancer.net.requests import Requests
+from balancer.net.roster import Roster
+from balancer.net.servers import Exchange
+from balancer.policy import ejection, gradient
 
 EVERY = 15  # requests between two that are treated badly
 SOON = 3.0  # seconds until what happens once
--- a/laurelspindle/lab/process.py
+++ b/laurelspindle/lab/process.py
@@ -131,4 +131,4 @@
         return [sys.executable, "-m", "laurelspindle.lab.stepped", str(clock_file), *words]
     if mischief:
         return [sys.executable, "-m", "laurelspindle.lab.mischief", mischief]
-    return [sys.executable, "-m", "brackenladder"]
+    return [sys.executable, "-m", "balancer"]
--- a/laurelspindle/lab/stepped.py
+++ b/laurelspindle/lab/stepped.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import Any
 
-import brackenladder.__main__ as program
-from brackenladder.net.turns import Turns
+import balancer.__main__ as program
+from balancer.net.turns import Turns
 from laurelspindle.lab import mischief
 
 NANOSECONDS = 1_000_000  # in a millisecond
--- a/laurelspindle/live/agent.py
+++ b/laurelspindle/live/agent.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from brackenladder.interface import ListKind, ServerEntry, State
-from brackenladder.net.listener import Listener, listening
+from balancer.interface import ListKind, ServerEntry, State
+from balancer.net.listener import Listener, listening
 from laurelspindle.live.http import ServerSide, answer_bytes
 
 STATES = {State.READY: "ready", State.DRAINING: "draining", State.GONE: "gone"}
--- a/laurelspindle/live/config.py
+++ b/laurelspindle/live/config.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from brackenladder.interface import Settings
-from brackenladder.settings import EFFECTS, GROUPS
+from balancer.interface import Settings
+from balancer.settings import EFFECTS, GROUPS
 from laurelspindle.live.nodes import LiveNode, Site
 from laurelspindle.live.places import CALLS, PAGES
 from laurelspindle.world.network import num
--- a/laurelspindle/live/emulate.py
+++ b/laurelspindle/live/emulate.py
@@ -78,7 +78,7 @@
         for node in site.nodes:
             path = folder / f"{node.name}.json"
             path.write_text(json.dumps(node_table(site, node, day.seed * 1000 + node.index), indent=1))
-            say(f"LB_CONFIG={path} python -m brackenladder")
+            say(f"LB_CONFIG={path} python -m balancer")
         servers = sum(len(t) for t in world.tiers)
         say(f"{servers} servers answer on {places.servers} until Ctrl-C, {seconds:g} s at the most")
         world.clients.times.clear()  # whoever calls, calls from elsewhere
--- a/laurelspindle/live/nodes.py
+++ b/laurelspindle/live/nodes.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from brackenladder.interface import ListKind, Outcome, ServerEntry, Settings, State
+from balancer.interface import ListKind, Outcome, ServerEntry, Settings, State
 from laurelspindle.live.agent import Agent, Line
 from laurelspindle.live.clock import LiveClock
 from laurelspindle.live.http import ClientSide, Lines, Reply, answer_bytes, request_bytes
--- a/laurelspindle/live/servers.py
+++ b/laurelspindle/live/servers.py
@@ -11,8 +11,8 @@
 from contextlib import suppress
 from typing import Protocol
 
-from brackenladder.interface import Outcome
-from brackenladder.net.listener import Listener, listening
+from balancer.interface import Outcome
+from balancer.net.listener import Listener, listening
 from laurelspindle.live.clock import LiveClock
 from laurelspindle.live.http import ServerSide, answer_bytes
 from laurelspindle.live.links import Link, Stream
--- a/laurelspindle/policies/__init__.py
+++ b/laurelspindle/policies/__init__.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from brackenladder.interface import Actions, Events, Settings
-from brackenladder.policy import Balancer
+from balancer.interface import Actions, Events, Settings
+from balancer.policy import Balancer
 from laurelspindle.policies.gradient import PublishedGradient
 from laurelspindle.policies.plain import RandomChoice, RoundRobin, TwoDraws
 from laurelspindle.policies.seeing import Late, Sight, TrueState
@@ -21,7 +21,7 @@
 
 
 POLICIES: dict[str, tuple[Policy, str]] = {
-    "module": (blind(Balancer), "the module in service, brackenladder/policy/"),
+    "module": (blind(Balancer), "the module in service, balancer/policy/"),
     "random": (blind(RandomChoice), "any listed server"),
     "round-robin": (blind(RoundRobin), "the listed servers in turn"),
     "two-draws": (blind(TwoDraws), "the one of two random servers with fewer of this node's calls in flight"),
--- a/laurelspindle/policies/base.py
+++ b/laurelspindle/policies/base.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping, Sequence
 from random import Random
 
-from brackenladder.interface import (
+from balancer.interface import (
     NEVER_RAN,
     Actions,
     ClassSettings,
--- a/laurelspindle/policies/gradient.py
+++ b/laurelspindle/policies/gradient.py
@@ -11,7 +11,7 @@
 from math import ceil, sqrt
 from random import Random
 
-from brackenladder.interface import Actions, Outcome, Settings
+from balancer.interface import Actions, Outcome, Settings
 from laurelspindle.policies.plain import TwoDraws
 
 
--- a/laurelspindle/policies/revisions.py
+++ b/laurelspindle/policies/revisions.py
@@ -1,8 +1,8 @@
 """The policy as another revision of this repository has it, or with other constants, beside today's.
 
-A revision's `brackenladder/policy/` is loaded as a package of a name of its own, with that revision's
+A revision's `balancer/policy/` is loaded as a package of a name of its own, with that revision's
 `interface.py`; the work tree is not touched. Revisions from before the package have one module,
-`brackenladder/balance.py`, in its place. Enumerations are whole numbers, so an older module's compare equal
+`balancer/balance.py`, in its place. Enumerations are whole numbers, so an older module's compare equal
 to today's.
 """
 
@@ -19,14 +19,14 @@
 from pathlib import Path
 from types import ModuleType
 
-import brackenladder.policy
-from brackenladder.interface import Actions, Events, Settings
+import balancer.policy
+from balancer.interface import Actions, Events, Settings
 from laurelspindle.policies import Policy
 from laurelspindle.world.site import World
 
-ROOT = Path(brackenladder.policy.__file__).parent.parent.parent
-PACKAGE, INTERFACE = "brackenladder/policy/", "brackenladder/interface.py"
-SINGLE_MODULE = "brackenladder/balance.py"  # in place of the package, in revisions from before it
+ROOT = Path(balancer.policy.__file__).parent.parent.parent
+PACKAGE, INTERFACE = "balancer/policy/", "balancer/interface.py"
+SINGLE_MODULE = "balancer/balance.py"  # in place of the package, in revisions from before it
 Constants = tuple[tuple[str, float], ...]
 
 
@@ -114,15 +114,15 @@
 
     RevisionError names what is wrong.
     """
-    package = f"brackenladder_at_{revision or 'work'}_{abs(hash(constants)):x}"
+    package = f"balancer_at_{revision or 'work'}_{abs(hash(constants)):x}"
     interface = f"{package}_interface"
     sources = {}
     if revision:
         sources[interface] = git("show", f"{revision}:{INTERFACE}")
     for path, text in policy_sources(revision).items():
-        text = text.replace("brackenladder.policy", package)
+        text = text.replace("balancer.policy", package)
         if revision:
-            text = text.replace("from brackenladder.interface import", f"from {interface} import")
+            text = text.replace("from balancer.interface import", f"from {interface} import")
         sources[module_name(package, path)] = text
     modules = import_sources(sources)
     for name, value in constants:
--- a/laurelspindle/policies/seeing.py
+++ b/laurelspindle/policies/seeing.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from math import inf
 
-from brackenladder.interface import Actions, Settings
+from balancer.interface import Actions, Settings
 from laurelspindle.policies.base import Baseline
 from laurelspindle.world.site import World
 
--- a/laurelspindle/scale/group.py
+++ b/laurelspindle/scale/group.py
@@ -13,7 +13,7 @@
 
 from msgspec import Struct
 
-from brackenladder.fleet.membership.swim import Address
+from balancer.fleet.membership.swim import Address
 from laurelspindle.live.places import PORT
 
 Membership = Literal["flat", "zone"]
--- a/laurelspindle/scale/hollow.py
+++ b/laurelspindle/scale/hollow.py
@@ -13,12 +13,12 @@
 from random import Random
 from typing import Any, cast
 
-from brackenladder.fleet.config import read_fleet
-from brackenladder.fleet.membership.codec import Codec
-from brackenladder.fleet.membership.swim import Address, Claim, Kind, Message, Status, Swim
-from brackenladder.interface import ClassSettings, Effect, Settings
-from brackenladder.net.lifecycle import Lifecycle, Stage
-from brackenladder.net.log import Log
+from balancer.fleet.config import read_fleet
+from balancer.fleet.membership.codec import Codec
+from balancer.fleet.membership.swim import Address, Claim, Kind, Message, Status, Swim
+from balancer.interface import ClassSettings, Effect, Settings
+from balancer.net.lifecycle import Lifecycle, Stage
+from balancer.net.log import Log
 from laurelspindle.scale.group import Group, Place
 from laurelspindle.scale.messages import Traffic
 from laurelspindle.scale.meter import RUNTIME, SOCKET, Meter
--- a/laurelspindle/scale/leader.py
+++ b/laurelspindle/scale/leader.py
@@ -9,9 +9,9 @@
 import click
 import msgspec
 
-from brackenladder.fleet.membership.codec import Codec
-from brackenladder.fleet.replace.decisions import EVERY, Replacement
-from brackenladder.fleet.replace.messages import ReplaceKind, ReplaceMessage, ReplaceWire
+from balancer.fleet.membership.codec import Codec
+from balancer.fleet.replace.decisions import EVERY, Replacement
+from balancer.fleet.replace.messages import ReplaceKind, ReplaceMessage, ReplaceWire
 from laurelspindle.explore.members import KEY
 from laurelspindle.scale.member import Stopwatch
 from laurelspindle.scale.membership import Row
--- a/laurelspindle/scale/loopback.py
+++ b/laurelspindle/scale/loopback.py
@@ -215,7 +215,7 @@
         env |= {"LB_CONFIG": str(config), "TMPDIR": name}
         python = [sys.executable, "-m"]
         profiler = ["cProfile", "-o", str(profile)] if profile else []
-        runner = [*python, *profiler, *(["-m"] if profile else []), "brackenladder"]
+        runner = [*python, *profiler, *(["-m"] if profile else []), "balancer"]
         serving = [*python, "laurelspindle.scale.latency", "--serve", f"{places.servers}:{SERVER_PORT}"]
         agent = ListAgent(loop, server_entry((places.servers, SERVER_PORT)))
         agent.start(places.agent(0))
--- a/laurelspindle/scale/member.py
+++ b/laurelspindle/scale/member.py
@@ -18,8 +18,8 @@
 import click
 import msgspec
 
-from brackenladder.fleet.membership.codec import Codec
-from brackenladder.fleet.membership.swim import Claim, Kind, Message, Send, Status, Swim
+from balancer.fleet.membership.codec import Codec
+from balancer.fleet.membership.swim import Claim, Kind, Message, Send, Status, Swim
 from laurelspindle.explore.members import KEY
 from laurelspindle.scale.membership import Row, stop_spreading
 
--- a/laurelspindle/scale/membership.py
+++ b/laurelspindle/scale/membership.py
@@ -30,8 +30,8 @@
 import click
 import msgspec
 
-from brackenladder.fleet.membership.codec import Codec
-from brackenladder.fleet.membership.swim import Address, Claim, Send, Status, Swim
+from balancer.fleet.membership.codec import Codec
+from balancer.fleet.membership.swim import Address, Claim, Send, Status, Swim
 from laurelspindle.explore.members import DELAY, KEY
 from laurelspindle.virtual.heap import HeapClock
 
--- a/laurelspindle/scale/meter.py
+++ b/laurelspindle/scale/meter.py
@@ -13,8 +13,8 @@
 from time import thread_time_ns
 from typing import Any
 
-from brackenladder.fleet.membership.codec import Codec
-from brackenladder.fleet.membership.swim import Swim
+from balancer.fleet.membership.codec import Codec
+from balancer.fleet.membership.swim import Swim
 from laurelspindle.scale.program import further_components
 
 LOOP = "loop"
--- a/laurelspindle/scale/observer.py
+++ b/laurelspindle/scale/observer.py
@@ -9,7 +9,7 @@
 from collections import defaultdict
 from time import monotonic
 
-from brackenladder.fleet.membership.swim import Claim
+from balancer.fleet.membership.swim import Claim
 from laurelspindle.scale.group import Group, Place
 from laurelspindle.scale.messages import FalseDeath, ViewFault
 
--- a/laurelspindle/scale/profile.py
+++ b/laurelspindle/scale/profile.py
@@ -20,7 +20,7 @@
 from laurelspindle.live.load import Load, class_of
 from laurelspindle.scale.loopback import bench, usage
 
-PACKAGES = ("brackenladder", "asyncio")
+PACKAGES = ("balancer", "asyncio")
 LOOP = (
     "asyncio/runners.py"  # the event loop's C code, the kernel, and waiting, which cProfile cannot tell apart
 )
--- a/laurelspindle/scale/program.py
+++ b/laurelspindle/scale/program.py
@@ -12,19 +12,19 @@
 from importlib.util import find_spec
 from typing import Any, Protocol
 
-from brackenladder.fleet.config import FleetConfig
-from brackenladder.fleet.membership.codec import Codec
-from brackenladder.fleet.membership.swim import Swim
-from brackenladder.interface import Settings
-from brackenladder.net.lifecycle import Lifecycle
-from brackenladder.net.log import Log
-
-RUNTIMES = (("brackenladder.fleet.runtime", "FleetRuntime"), ("brackenladder.fleet.host", "Host"))
+from balancer.fleet.config import FleetConfig
+from balancer.fleet.membership.codec import Codec
+from balancer.fleet.membership.swim import Swim
+from balancer.interface import Settings
+from balancer.net.lifecycle import Lifecycle
+from balancer.net.log import Log
+
+RUNTIMES = (("balancer.fleet.runtime", "FleetRuntime"), ("balancer.fleet.host", "Host"))
 SUBSCRIBERS = ("publish", "tell")  # a `Swim`'s callback for changes of what it holds true
 UPDATES = ("updates", "news")  # a `Swim`'s updates that still ride on messages
 
 # Components beside membership and codec that some revisions have: name, module, class, calls that are timed.
-FEDERATION = "brackenladder.fleet.federation.decisions"
+FEDERATION = "balancer.fleet.federation.decisions"
 FURTHER_COMPONENTS = (("federation", FEDERATION, "Federation", ("tick", "received", "deadline")),)
 
 Changed = Callable[[str, Any], None]
--- a/laurelspindle/scale/run.py
+++ b/laurelspindle/scale/run.py
@@ -14,8 +14,8 @@
 
 import uvloop
 
-from brackenladder.fleet.config import FleetFault, read_fleet
-from brackenladder.fleet.membership.codec import Codec, read_key
+from balancer.fleet.config import FleetFault, read_fleet
+from balancer.fleet.membership.codec import Codec, read_key
 from laurelspindle.live.places import Places
 from laurelspindle.scale.group import Group, Place
 from laurelspindle.scale.hollow import list_datagrams
--- a/laurelspindle/scale/simulated.py
+++ b/laurelspindle/scale/simulated.py
@@ -10,7 +10,7 @@
 from random import Random
 from statistics import median
 
-from brackenladder.fleet.membership.swim import Address, Claim, Status, Swim
+from balancer.fleet.membership.swim import Address, Claim, Status, Swim
 from laurelspindle.explore.members import Net
 from laurelspindle.scale.group import SEEDS, Group
 from laurelspindle.scale.measurements import CPU_UNIT, SIMULATED, Figure
--- a/laurelspindle/scale/worker.py
+++ b/laurelspindle/scale/worker.py
@@ -19,7 +19,7 @@
 
 import uvloop
 
-from brackenladder.fleet.membership.codec import Codec, read_key
+from balancer.fleet.membership.codec import Codec, read_key
 from laurelspindle.scale.group import Group, Place
 from laurelspindle.scale.hollow import HollowMember, Network, list_datagrams
 from laurelspindle.scale.machine import resident
--- a/laurelspindle/virtual/fleet.py
+++ b/laurelspindle/virtual/fleet.py
@@ -12,18 +12,18 @@
 from random import Random
 from typing import Any
 
-from brackenladder.fleet.config import FleetConfig
-from brackenladder.fleet.duties.asker import Asker
-from brackenladder.fleet.duties.messages import DutyMessage
-from brackenladder.fleet.duties.settings import DutySettings, Electorate
-from brackenladder.fleet.duties.voter import Voter
-from brackenladder.fleet.policy_adapter import PolicyAdapter
-from brackenladder.fleet.zones.settings import ZoneSettings
-from brackenladder.interface import Actions, Events, ListKind, Outcome, ServerEntry, Settings
-from brackenladder.interface import Fleet as Hook
-from brackenladder.policy import Balancer
-from brackenladder.policy.request import Request
-from brackenladder.policy.server import Server
+from balancer.fleet.config import FleetConfig
+from balancer.fleet.duties.asker import Asker
+from balancer.fleet.duties.messages import DutyMessage
+from balancer.fleet.duties.settings import DutySettings, Electorate
+from balancer.fleet.duties.voter import Voter
+from balancer.fleet.policy_adapter import PolicyAdapter
+from balancer.fleet.zones.settings import ZoneSettings
+from balancer.interface import Actions, Events, ListKind, Outcome, ServerEntry, Settings
+from balancer.interface import Fleet as Hook
+from balancer.policy import Balancer
+from balancer.policy.request import Request
+from balancer.policy.server import Server
 from laurelspindle.policies.local import StrictlyLocal
 from laurelspindle.world.network import whole
 from laurelspindle.world.site import World
--- a/laurelspindle/virtual/host.py
+++ b/laurelspindle/virtual/host.py
@@ -10,7 +10,7 @@
 from time import perf_counter_ns
 from typing import Any
 
-from brackenladder.interface import Events, ListKind, Outcome, ServerEntry, Settings, State
+from balancer.interface import Events, ListKind, Outcome, ServerEntry, Settings, State
 from laurelspindle.policies import Policy
 from laurelspindle.virtual.heap import HeapClock
 from laurelspindle.virtual.recorder import Recorder
--- a/laurelspindle/world/accounts.py
+++ b/laurelspindle/world/accounts.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from brackenladder.interface import ClassSettings
+from balancer.interface import ClassSettings
 from laurelspindle.scenario.model import Scenario
 from laurelspindle.world.call import Request
 from laurelspindle.world.network import num
--- a/laurelspindle/world/clients.py
+++ b/laurelspindle/world/clients.py
@@ -6,7 +6,7 @@
 
 import numpy as np
 
-from brackenladder.interface import Effect, Group
+from balancer.interface import Effect, Group
 from laurelspindle.scenario.model import Scenario
 from laurelspindle.world.call import UNKNOWN, Answer, Call, Request, is_answered, is_left
 from laurelspindle.world.network import num, whole
--- a/laurelspindle/world/discovery.py
+++ b/laurelspindle/world/discovery.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from brackenladder.interface import ListKind, ServerEntry, State
+from balancer.interface import ListKind, ServerEntry, State
 from laurelspindle.scenario.model import Scenario
 from laurelspindle.world.call import Port
 from laurelspindle.world.network import num
--- a/laurelspindle/world/server.py
+++ b/laurelspindle/world/server.py
@@ -12,7 +12,7 @@
 from heapq import heappop, heappush
 from typing import TYPE_CHECKING, Any
 
-from brackenladder.interface import Outcome
+from balancer.interface import Outcome
 from laurelspindle.world.call import Answer, Attempt, Call, Port
 from laurelspindle.world.streams import scramble
 
--- a/laurelspindle/world/site.py
+++ b/laurelspindle/world/site.py
@@ -10,7 +10,7 @@
 from math import floor
 from typing import Protocol
 
-from brackenladder.interface import ClassSettings, Effect, Group, Settings
+from balancer.interface import ClassSettings, Effect, Group, Settings
 from laurelspindle.scenario.model import Kind, Scenario
 from laurelspindle.world.accounts import Accounts
 from laurelspindle.world.call import Attempt, Call, Caller, Port, Request
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,8 +3,8 @@
 import pytest
 from known_red import pytest_collection_modifyitems, pytest_terminal_summary
 
-from brackenladder.net import discovery
-from brackenladder.policy import subset
+from balancer.net import discovery
+from balancer.policy import subset
 
 __all__ = ["pytest_collection_modifyitems", "pytest_terminal_summary"]
 
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from brackenladder.policy.gradient import (
+from balancer.policy.gradient import (
     CALLS_PER_MEMBER,
     MIN_LIMIT,
     MIN_RTT_CALLS,
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -3,8 +3,8 @@
 import pytest
 from loopback import OK, Bench, Client, Clock, Server, always, call, play, until
 
-from brackenladder.net.caller import WRITES
-from brackenladder.net.descriptors import Descriptors
+from balancer.net.caller import WRITES
+from balancer.net.descriptors import Descriptors
 
 HALF = b"GET /view HTTP/1.1\r\nX-Call-Id: 1\r\n"
 SMALL = {"limits": {"sockets": 48}}
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -13,7 +13,7 @@
 import pytest
 from failing_calls import fail_calls, in_child
 
-from brackenladder.net.handover import FITS, MOST_FAILED_LOOKS, PREFIX, Handover
+from balancer.net.handover import FITS, MOST_FAILED_LOOKS, PREFIX, Handover
 from laurelspindle.cli import cli
 from laurelspindle.cli.errors import Bad, write_whole
 from laurelspindle.experiment.plan import Task, plan_of, tasks
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from brackenladder.fleet.duties import store
-from brackenladder.fleet.duties.asker import Asker, Stage
-from brackenladder.fleet.duties.messages import DutyKind, DutyMessage, DutyWire, Reason
-from brackenladder.fleet.duties.settings import DRIFT, DutySettings, Electorate, counted, promised
-from brackenladder.fleet.duties.voter import Voter
-from brackenladder.fleet.membership.codec import Codec
-from brackenladder.fleet.replace.decisions import Replacement
-from brackenladder.fleet.replace.messages import Plan, ReplaceKind, ReplaceMessage, ReplaceWire, State
+from balancer.fleet.duties import store
+from balancer.fleet.duties.asker import Asker, Stage
+from balancer.fleet.duties.messages import DutyKind, DutyMessage, DutyWire, Reason
+from balancer.fleet.duties.settings import DRIFT, DutySettings, Electorate, counted, promised
+from balancer.fleet.duties.voter import Voter
+from balancer.fleet.membership.codec import Codec
+from balancer.fleet.replace.decisions import Replacement
+from balancer.fleet.replace.messages import Plan, ReplaceKind, ReplaceMessage, ReplaceWire, State
 from laurelspindle.explore.duties import MUTANTS, explore, play, shrink
 from laurelspindle.explore.duty_model import Bounds, Model
 from laurelspindle.explore.duty_net import DUTY, Net
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -25,8 +25,8 @@
     until,
 )
 
-from brackenladder.net import handover
-from brackenladder.net.handover import FITS, PREFIX, Handover, adopted
+from balancer.net import handover
+from balancer.net.handover import FITS, PREFIX, Handover, adopted
 
 READY = b"GET /control/ready HTTP/1.1\r\n\r\n"
 
--- a/tests/test_lab_clock_explorer.py
+++ b/tests/test_lab_clock_explorer.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from brackenladder.fleet.duties.asker import Asker
-from brackenladder.fleet.duties.voter import Voter
-from brackenladder.fleet.membership.swim import Status, Swim
-from brackenladder.fleet.replace.decisions import Replacement
-from brackenladder.fleet.zones.orders import Orders
+from balancer.fleet.duties.asker import Asker
+from balancer.fleet.duties.voter import Voter
+from balancer.fleet.membership.swim import Status, Swim
+from balancer.fleet.replace.decisions import Replacement
+from balancer.fleet.zones.orders import Orders
 from laurelspindle.explore.clock_faults import FIRST_AT, STEPS_S, ClockStep, draw_clock_steps
 from laurelspindle.explore.clocks import PROPERTIES, ClockFleet, play
 from laurelspindle.explore.faults import draw_faults
--- a/tests/test_lease_tokens.py
+++ b/tests/test_lease_tokens.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from brackenladder.fleet.duties.asker import Asker
-from brackenladder.fleet.duties.component import DutiesComponent
-from brackenladder.fleet.duties.messages import DutyKind, DutyMessage, Reason
-from brackenladder.fleet.duties.settings import DutySettings, Electorate, promised
-from brackenladder.fleet.duties.store import AHEAD, VoteStore
-from brackenladder.fleet.duties.voter import Voter
+from balancer.fleet.duties.asker import Asker
+from balancer.fleet.duties.component import DutiesComponent
+from balancer.fleet.duties.messages import DutyKind, DutyMessage, Reason
+from balancer.fleet.duties.settings import DutySettings, Electorate, promised
+from balancer.fleet.duties.store import AHEAD, VoteStore
+from balancer.fleet.duties.voter import Voter
 from laurelspindle.explore.duty_net import Net
 from laurelspindle.explore.faults import Fault
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from brackenladder.fleet.membership.advice import Advice
-from brackenladder.fleet.membership.claims import overrides
-from brackenladder.fleet.membership.codec import Codec, KeyFault, read_key
-from brackenladder.fleet.membership.swim import Claim, Kind, Message, Status, Swim
+from balancer.fleet.membership.advice import Advice
+from balancer.fleet.membership.claims import overrides
+from balancer.fleet.membership.codec import Codec, KeyFault, read_key
+from balancer.fleet.membership.swim import Claim, Kind, Message, Status, Swim
 from laurelspindle.explore.members import KEY, Net
 
 SEC = 1_000_000
@@ -186,7 +186,7 @@
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.binary(max_size=1300), st.binary(max_size=300))
 def test_no_input_upsets_the_decoder(noise, body):
-    from brackenladder.fleet.membership.codec import HEAD, mark, tag
+    from balancer.fleet.membership.codec import HEAD, mark, tag
 
     codec = Codec([KEY])
     assert codec.decode(noise, SEC) is None
--- a/tests/test_membership_scale.py
+++ b/tests/test_membership_scale.py
@@ -9,10 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brackenladder.fleet.membership.claims import Claim, Status
-from brackenladder.fleet.membership.codec import HEAD, Codec, mark, tag
-from brackenladder.fleet.membership.dissemination import Dissemination
-from brackenladder.fleet.membership.messages import (
+from balancer.fleet.membership.claims import Claim, Status
+from balancer.fleet.membership.codec import HEAD, Codec, mark, tag
+from balancer.fleet.membership.dissemination import Dissemination
+from balancer.fleet.membership.messages import (
     Accusation,
     Accusations,
     DigestMessage,
@@ -22,12 +22,12 @@
     Pull,
     Send,
 )
-from brackenladder.fleet.membership.rate_limit import RateLimit
-from brackenladder.fleet.membership.suspicion import Suspicion
-from brackenladder.fleet.membership.swim import Swim
-from brackenladder.fleet.membership.timers import Deadlines
-from brackenladder.fleet.membership.timing import Timing
-from brackenladder.fleet.membership.view import ALL_BUCKETS, BUCKETS
+from balancer.fleet.membership.rate_limit import RateLimit
+from balancer.fleet.membership.suspicion import Suspicion
+from balancer.fleet.membership.swim import Swim
+from balancer.fleet.membership.timers import Deadlines
+from balancer.fleet.membership.timing import Timing
+from balancer.fleet.membership.view import ALL_BUCKETS, BUCKETS
 from laurelspindle.explore.members import KEY, Net, storm
 
 SEC = 1_000_000
--- a/tests/test_operator_terms_answers.py
+++ b/tests/test_operator_terms_answers.py
@@ -6,8 +6,8 @@
 import pytest
 from loopback import MOMENT, Bench, Server, always, call, play, until
 
-from brackenladder.net.passing import WHOLE
-from brackenladder.net.requests import FLOW_LOOK, FLOW_PAUSE
+from balancer.net.passing import WHOLE
+from balancer.net.requests import FLOW_LOOK, FLOW_PAUSE
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (WHOLE, bytes(WHOLE))
 
--- a/tests/test_policy_adapter.py
+++ b/tests/test_policy_adapter.py
@@ -6,18 +6,18 @@
 import pytest
 from support import BASE, Recorder
 
-from brackenladder.fleet.config import read_fleet
-from brackenladder.fleet.duties.asker import Asker
-from brackenladder.fleet.duties.settings import DutySettings, Electorate
-from brackenladder.fleet.duties.voter import Voter
-from brackenladder.fleet.membership.codec import Codec
-from brackenladder.fleet.policy_adapter import PolicyAdapter
-from brackenladder.fleet.probe.decisions import Probe
-from brackenladder.fleet.probe.messages import ProbeKind, ProbeMessage, ProbeWire, Trial
-from brackenladder.fleet.probe.settings import ProbeSettings
-from brackenladder.fleet.remeasure.decisions import Remeasure, RemeasureSettings
-from brackenladder.interface import Alone, ListKind, Outcome, ServerEntry
-from brackenladder.policy import Balancer
+from balancer.fleet.config import read_fleet
+from balancer.fleet.duties.asker import Asker
+from balancer.fleet.duties.settings import DutySettings, Electorate
+from balancer.fleet.duties.voter import Voter
+from balancer.fleet.membership.codec import Codec
+from balancer.fleet.policy_adapter import PolicyAdapter
+from balancer.fleet.probe.decisions import Probe
+from balancer.fleet.probe.messages import ProbeKind, ProbeMessage, ProbeWire, Trial
+from balancer.fleet.probe.settings import ProbeSettings
+from balancer.fleet.remeasure.decisions import Remeasure, RemeasureSettings
+from balancer.interface import Alone, ListKind, Outcome, ServerEntry
+from balancer.policy import Balancer
 
 SEC = 1_000_000
 LIST = Electorate(("v0", "v1", "v2"))
--- a/tests/test_policy_balancer.py
+++ b/tests/test_policy_balancer.py
@@ -3,7 +3,7 @@
 import pytest
 from support import BASE, KEYED, SAFE, SEC, UNSAFE, ask, balancer, end
 
-from brackenladder.interface import (
+from balancer.interface import (
     NEVER_RAN,
     ClassSettings,
     Effect,
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -12,9 +12,9 @@
 import msgspec
 import pytest
 
-from brackenladder.fleet.config import FleetFault
-from brackenladder.fleet.membership.codec import Codec
-from brackenladder.fleet.membership.swim import Claim, Status
+from balancer.fleet.config import FleetFault
+from balancer.fleet.membership.codec import Codec
+from balancer.fleet.membership.swim import Claim, Status
 from laurelspindle.cli import main
 from laurelspindle.scale import machine, verdict
 from laurelspindle.scale import run as scale_run
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -47,15 +47,15 @@
 )
 from test_fleet import free_udp, section
 
-from brackenladder.fleet.membership.messages import Kind, Message
-from brackenladder.interface import Outcome
-from brackenladder.net import callers, handover, listener, node, roster, servers, system_faults
-from brackenladder.net.caller import Caller
-from brackenladder.net.connection import Connection
-from brackenladder.net.discovery import Call
-from brackenladder.net.handover import Handover
-from brackenladder.net.listener import Listener
-from brackenladder.net.management import Operator
+from balancer.fleet.membership.messages import Kind, Message
+from balancer.interface import Outcome
+from balancer.net import callers, handover, listener, node, roster, servers, system_faults
+from balancer.net.caller import Caller
+from balancer.net.connection import Connection
+from balancer.net.discovery import Call
+from balancer.net.handover import Handover
+from balancer.net.listener import Listener
+from balancer.net.management import Operator
 
 OPERATED = {"management": "127.0.0.1:0"}
 OPERATOR_CALL = b"GET /control/ready HTTP/1.1\r\nHost: m\r\n\r\n"
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from brackenladder.interface import ClassSettings, Effect, Group, Outcome
+from balancer.interface import ClassSettings, Effect, Group, Outcome
 from laurelspindle.policies import POLICIES
 from laurelspindle.scenario import load as scenarios
 from laurelspindle.scenario.load import draw, load, scenario_of
--- a/tests/test_zone_slow_start.py
+++ b/tests/test_zone_slow_start.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from brackenladder.fleet.zones.settings import ZoneSettings
-from brackenladder.fleet.zones.traffic import ZoneTraffic
-from brackenladder.interface import ListKind, ServerEntry, State
+from balancer.fleet.zones.settings import ZoneSettings
+from balancer.fleet.zones.traffic import ZoneTraffic
+from balancer.interface import ListKind, ServerEntry, State
 
 SEC = 1_000_000
 COLD = 10 * SEC
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -6,12 +6,12 @@
 import pytest
 from support import KEYED, SAFE, SEC, balancer, end
 
-from brackenladder.fleet.membership.codec import Codec
-from brackenladder.fleet.zones.decisions import Listed, Stand, Zones
-from brackenladder.fleet.zones.messages import MOST, Word, ZoneKind, ZoneMessage, ZoneWire
-from brackenladder.fleet.zones.orders import Orders
-from brackenladder.fleet.zones.settings import ZoneSettings
-from brackenladder.interface import Group, ListKind, Outcome, ServerEntry
+from balancer.fleet.membership.codec import Codec
+from balancer.fleet.zones.decisions import Listed, Stand, Zones
+from balancer.fleet.zones.messages import MOST, Word, ZoneKind, ZoneMessage, ZoneWire
+from balancer.fleet.zones.orders import Orders
+from balancer.fleet.zones.settings import ZoneSettings
+from balancer.interface import Group, ListKind, Outcome, ServerEntry
 
 SET = ZoneSettings()
 
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -4,9 +4,9 @@
 from dataclasses import replace
 from random import Random
 
-from brackenladder.fleet.membership.codec import Codec
-from brackenladder.fleet.membership.replay_guard import Received, ReplayGuard
-from brackenladder.fleet.membership.swim import Claim, Kind, Status, Swim
+from balancer.fleet.membership.codec import Codec
+from balancer.fleet.membership.replay_guard import Received, ReplayGuard
+from balancer.fleet.membership.swim import Claim, Kind, Status, Swim
 from laurelspindle.virtual.heap import HeapClock
 
 SEC = 1_000_000
