--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 .PHONY: demo test
-WORKBENCH = .venv/bin/laurelspindle
+WORKBENCH = .venv/bin/workbench
 TOOLS = .venv-ci/bin/pytest
 # Labs start a dozen processes each and judge their own lateness, so they have the machine to themselves.
 LAB_TESTS = tests/test_lab_runs.py
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -12,20 +12,20 @@
 import pytest
 from click.testing import CliRunner
 
-from laurelspindle.cli import cli
-from laurelspindle.cli.errors import Bad
-from laurelspindle.scale import mechanisms as m
-from laurelspindle.scale.capacity import capacity
-from laurelspindle.scale.collect import ScaleRow, collected, rows_of, scale_slopes
-from laurelspindle.scale.latency import chain
-from laurelspindle.scale.member import measure
-from laurelspindle.scale.membership import SCENARIOS
-from laurelspindle.scale.page import PageError, current_parts, rendered
-from laurelspindle.scale.quiet import QuietWatch, Stretch
-from laurelspindle.scale.rows import Event, Role, Row
-from laurelspindle.scale.slopes import Point, Slope, Slopes, SlopesError, read_slopes, value_at
-from laurelspindle.scale.table import value_cell
-from laurelspindle.scale.target import Target, TargetError, target_of
+from workbench.cli import cli
+from workbench.cli.errors import Bad
+from workbench.scale import mechanisms as m
+from workbench.scale.capacity import capacity
+from workbench.scale.collect import ScaleRow, collected, rows_of, scale_slopes
+from workbench.scale.latency import chain
+from workbench.scale.member import measure
+from workbench.scale.membership import SCENARIOS
+from workbench.scale.page import PageError, current_parts, rendered
+from workbench.scale.quiet import QuietWatch, Stretch
+from workbench.scale.rows import Event, Role, Row
+from workbench.scale.slopes import Point, Slope, Slopes, SlopesError, read_slopes, value_at
+from workbench.scale.table import value_cell
+from workbench.scale.target import Target, TargetError, target_of
 
 PAGE = Path(__file__).parent.parent / "docs" / "CAPACITY.md"
 SIZES = (50, 100, 200, 400, 800)
@@ -189,7 +189,7 @@
 
 def test_rows_of_a_scale_run_are_taken_in():
     origin = {
-        "command": "laurelspindle scale run --hollow 50 --out a/b.json",
+        "command": "workbench scale run --hollow 50 --out a/b.json",
         "seed": 1,
         "commit": "abc",
         "cores": 8,
@@ -237,6 +237,6 @@
 
 def test_the_page_is_what_the_model_says():
     text = PAGE.read_text()
-    assert rendered(text, current_parts()) == text, "run: python -m laurelspindle.scale.page docs/CAPACITY.md"
+    assert rendered(text, current_parts()) == text, "run: python -m workbench.scale.page docs/CAPACITY.md"
     with pytest.raises(PageError, match="markers: none"):
         rendered("no markers", current_parts())
--- a/tests/test_clock_faults.py
+++ b/tests/test_clock_faults.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from laurelspindle.explore.clock_faults import APART, FIRST_AT, STEPS_S, ClockStep
-from laurelspindle.explore.clocks import play
-from laurelspindle.explore.runtime_net import SECOND
+from workbench.explore.clock_faults import APART, FIRST_AT, STEPS_S, ClockStep
+from workbench.explore.clocks import play
+from workbench.explore.runtime_net import SECOND
 
 
 def found(story):
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -14,14 +14,14 @@
 from failing_calls import fail_calls, in_child
 
 from balancer.net.handover import FITS, MOST_FAILED_LOOKS, PREFIX, Handover
-from laurelspindle.cli import cli
-from laurelspindle.cli.errors import Bad, write_whole
-from laurelspindle.experiment.plan import Task, plan_of, tasks
-from laurelspindle.experiment.store import Store, StoreError
-from laurelspindle.lab import measure
-from laurelspindle.lab import run as lab_run
-from laurelspindle.lab.history import History
-from laurelspindle.report.page import write
+from workbench.cli import cli
+from workbench.cli.errors import Bad, write_whole
+from workbench.experiment.plan import Task, plan_of, tasks
+from workbench.experiment.store import Store, StoreError
+from workbench.lab import measure
+from workbench.lab import run as lab_run
+from workbench.lab.history import History
+from workbench.report.page import write
 
 DISK_ERRORS = (errno.ENOSPC, errno.EIO, errno.EDQUOT, errno.EROFS, errno.ENFILE)
 
@@ -431,8 +431,8 @@
 FAILING_RUN = f"""
 import sys
 from failing_calls import fail_calls
-from laurelspindle.cli import main
-from laurelspindle.experiment.store import Store
+from workbench.cli import main
+from workbench.experiment.store import Store
 
 whole_put, puts = Store.put, []
 
@@ -477,7 +477,7 @@
         with sqlite3.connect(path) as db:
             (kept,) = db.execute("SELECT count(*) FROM runs").fetchone()
         assert kept in ((WHOLE_RUNS, WHOLE_RUNS + 1) if name == "sync" else (WHOLE_RUNS,))
-        again[name] = kept, run_experiment(tmp_path / name, "-m", "laurelspindle")
+        again[name] = kept, run_experiment(tmp_path / name, "-m", "workbench")
     for kept, process in again.values():
         out, err = process.communicate(timeout=60)
         assert process.returncode == 0, err
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -13,10 +13,10 @@
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.replace.decisions import Replacement
 from balancer.fleet.replace.messages import Plan, ReplaceKind, ReplaceMessage, ReplaceWire, State
-from laurelspindle.explore.duties import MUTANTS, explore, play, shrink
-from laurelspindle.explore.duty_model import Bounds, Model
-from laurelspindle.explore.duty_net import DUTY, Net
-from laurelspindle.explore.faults import Fault
+from workbench.explore.duties import MUTANTS, explore, play, shrink
+from workbench.explore.duty_model import Bounds, Model
+from workbench.explore.duty_net import DUTY, Net
+from workbench.explore.faults import Fault
 
 SEC = 1_000_000
 SET = DutySettings(lease=3 * SEC, longest=10 * SEC)
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -11,12 +11,12 @@
 import numpy as np
 import pytest
 
-from laurelspindle.experiment import runner
-from laurelspindle.experiment.compare import compare, holm, interval, sign_p
-from laurelspindle.experiment.plan import PlanError, plan_of, tasks
-from laurelspindle.experiment.runner import PARENT_GONE, run_plan, run_task
-from laurelspindle.experiment.store import MIGRATIONS, Row, Store, StoreError
-from laurelspindle.policies.revisions import RevisionError, policy_of
+from workbench.experiment import runner
+from workbench.experiment.compare import compare, holm, interval, sign_p
+from workbench.experiment.plan import PlanError, plan_of, tasks
+from workbench.experiment.runner import PARENT_GONE, run_plan, run_task
+from workbench.experiment.store import MIGRATIONS, Row, Store, StoreError
+from workbench.policies.revisions import RevisionError, policy_of
 
 TINY = {"length_s": 2, "servers": 2}
 TABLE = {
@@ -130,7 +130,7 @@
 
 def start(tmp_path):
     (tmp_path / "p.toml").write_text(PLAN_TEXT)
-    args = [sys.executable, "-m", "laurelspindle", "experiment", "run", str(tmp_path / "p.toml")]
+    args = [sys.executable, "-m", "workbench", "experiment", "run", str(tmp_path / "p.toml")]
     args += ["--store", str(tmp_path), "--jobs", "2"]
     return subprocess.Popen(args, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
 
@@ -153,9 +153,7 @@
 def test_a_worker_whose_parent_died_before_it_began_ends_at_once():
     """Failure prevented: a signal asked for at the parent's death never comes where that is over already."""
     no_parent = "0"  # the id of none of this machine's processes
-    begin = (
-        "import sys; from laurelspindle.experiment.runner import begin_worker; begin_worker(int(sys.argv[1]))"
-    )
+    begin = "import sys; from workbench.experiment.runner import begin_worker; begin_worker(int(sys.argv[1]))"
     wait_for_ever = "; import threading; threading.Event().wait()"
     worker = subprocess.run([sys.executable, "-c", begin + wait_for_ever, no_parent], timeout=60)
     assert worker.returncode == PARENT_GONE
@@ -252,13 +250,13 @@
 
 
 def test_a_report_is_one_page_with_its_numbers_beside_it(tmp_path):
-    from laurelspindle.report.page import report, write
+    from workbench.report.page import report, write
 
     store = Store(tmp_path / "s.sqlite")
     plan = plan_of({**TABLE, "seeds": 2, "grid": {"nodes.count": [1, 2, 3]}})
     for task in tasks(plan):
         store.put(task, *run_task(task))
-    write(report(store, "laurelspindle experiment report <s>"), tmp_path / "out")
+    write(report(store, "workbench experiment report <s>"), tmp_path / "out")
     page = (tmp_path / "out" / "index.html").read_text()
     assert page.count("data:image/png;base64,") >= 6 and "http" not in page and "&lt;s&gt;" in page
     assert page.count("<figcaption>") == page.count("<img") and "Goal over nodes.count" in page
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from laurelspindle.lab.checkers import check
-from laurelspindle.lab.earlier import unpack
-from laurelspindle.lab.history import HistoryError, read
-from laurelspindle.lab.plan import PlanError, chosen, draw, plan_of, scenario, shipped
-from laurelspindle.lab.truth import Truth
-from laurelspindle.live.links import Link, Stream
-from laurelspindle.live.places import Places
-from laurelspindle.virtual.heap import HeapClock
-from laurelspindle.world.streams import Streams
+from workbench.lab.checkers import check
+from workbench.lab.earlier import unpack
+from workbench.lab.history import HistoryError, read
+from workbench.lab.plan import PlanError, chosen, draw, plan_of, scenario, shipped
+from workbench.lab.truth import Truth
+from workbench.live.links import Link, Stream
+from workbench.live.places import Places
+from workbench.virtual.heap import HeapClock
+from workbench.world.streams import Streams
 
 # ---- plans ------------------------------------------------------------------------------------------------
 
--- a/tests/test_lab_clock.py
+++ b/tests/test_lab_clock.py
@@ -8,11 +8,11 @@
 
 from balancer.fleet.clocks import Clocks
 from balancer.net.turns import Turns
-from laurelspindle.lab import stepped
-from laurelspindle.lab.faults import Faults
-from laurelspindle.lab.fleet import Member
-from laurelspindle.lab.plan import plan_of
-from laurelspindle.lab.process import command
+from workbench.lab import stepped
+from workbench.lab.faults import Faults
+from workbench.lab.fleet import Member
+from workbench.lab.plan import plan_of
+from workbench.lab.process import command
 
 HOUR_MS = 3_600_000
 STEPS = (-HOUR_MS, -5_000, 5_000, HOUR_MS)
@@ -99,7 +99,7 @@
     stepped_member, other = fleet.members[0], fleet.members[2]
     assert stepped_member.stepped_clock() == stepped_member.clock_file and other.stepped_clock() is None
     words = command("mute", stepped_member.stepped_clock())[1:]
-    assert words == ["-m", "laurelspindle.lab.stepped", str(stepped_member.clock_file), "mute"]
+    assert words == ["-m", "workbench.lab.stepped", str(stepped_member.clock_file), "mute"]
     assert command("")[1:] == ["-m", "balancer"]
 
 
--- a/tests/test_lab_clock_explorer.py
+++ b/tests/test_lab_clock_explorer.py
@@ -9,10 +9,10 @@
 from balancer.fleet.membership.swim import Status, Swim
 from balancer.fleet.replace.decisions import Replacement
 from balancer.fleet.zones.orders import Orders
-from laurelspindle.explore.clock_faults import FIRST_AT, STEPS_S, ClockStep, draw_clock_steps
-from laurelspindle.explore.clocks import PROPERTIES, ClockFleet, play
-from laurelspindle.explore.faults import draw_faults
-from laurelspindle.explore.runtime_net import SECOND
+from workbench.explore.clock_faults import FIRST_AT, STEPS_S, ClockStep, draw_clock_steps
+from workbench.explore.clocks import PROPERTIES, ClockFleet, play
+from workbench.explore.faults import draw_faults
+from workbench.explore.runtime_net import SECOND
 
 NAMES = [f"n{i}" for i in range(5)]
 
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -11,11 +11,11 @@
 
 import pytest
 
-from laurelspindle.lab.checkers import CHECKERS, check
-from laurelspindle.lab.history import read
-from laurelspindle.lab.truth import Truth
-from laurelspindle.live.http import Reply
-from laurelspindle.live.load import Class, Load
+from workbench.lab.checkers import CHECKERS, check
+from workbench.lab.history import read
+from workbench.lab.truth import Truth
+from workbench.live.http import Reply
+from workbench.live.load import Class, Load
 
 PATIENCE = 90.0  # seconds; only a failure waits so long
 
@@ -132,7 +132,7 @@
     file.write_text(text)
     words = ["lab", "run", str(file), "--keep", str(tmp_path / name), *args]
     return subprocess.Popen(
-        [sys.executable, "-m", "laurelspindle", *words],
+        [sys.executable, "-m", "workbench", *words],
         stdout=subprocess.PIPE,
         stderr=subprocess.STDOUT,
         text=True,
@@ -147,7 +147,7 @@
 def runs(tmp_path_factory):
     """Labs side by side: two clean ones, five in which nodes misbehave. Status, output, events of each."""
     folder = tmp_path_factory.mktemp("runs")
-    days = Path(__file__).parent.parent / "laurelspindle" / "scenarios" / "lab.toml"
+    days = Path(__file__).parent.parent / "workbench" / "scenarios" / "lab.toml"
     day = folder / "drains.toml"
     day.write_text(days.read_text() + '\n[[fault]]\ntype = "replace"\nat_s = 1.0\nfor_s = 2.0\npart = 0.5\n')
     texts = {"clean": QUICK + "voters = 3\n" + CLEAN}
@@ -296,7 +296,7 @@
     picture = tmp_path / "p.png"
     for words, status in ((["check", str(file)], 1), (["show", str(file), "--plot", str(picture)], 0)):
         done = subprocess.run(
-            [sys.executable, "-m", "laurelspindle", "lab", *words],
+            [sys.executable, "-m", "workbench", "lab", *words],
             capture_output=True,
             text=True,
             timeout=120,
@@ -311,7 +311,7 @@
 
 def test_a_node_started_by_hand_between_emulate_and_load(tmp_path):
     """What a newcomer does: servers and discovery from one command, a node, requests from another."""
-    command = [sys.executable, "-u", "-m", "laurelspindle"]
+    command = [sys.executable, "-u", "-m", "workbench"]
     words = ["emulate", "lab", "--seconds", "80", "--set", "nodes.count=1"]
     with subprocess.Popen([*command, *words], stdout=subprocess.PIPE, text=True) as servers:
         line = servers.stdout.readline()
@@ -358,7 +358,7 @@
 )
 def test_bad_input_gets_one_line(words, line):
     done = subprocess.run(
-        [sys.executable, "-m", "laurelspindle", *words], capture_output=True, text=True, timeout=60
+        [sys.executable, "-m", "workbench", *words], capture_output=True, text=True, timeout=60
     )
     assert done.returncode == 2 and line in done.stderr and done.stderr.count("\n") == 1
 
--- a/tests/test_lease_tokens.py
+++ b/tests/test_lease_tokens.py
@@ -11,8 +11,8 @@
 from balancer.fleet.duties.settings import DutySettings, Electorate, promised
 from balancer.fleet.duties.store import AHEAD, VoteStore
 from balancer.fleet.duties.voter import Voter
-from laurelspindle.explore.duty_net import Net
-from laurelspindle.explore.faults import Fault
+from workbench.explore.duty_net import Net
+from workbench.explore.faults import Fault
 
 SEC = 1_000_000
 SETTINGS = DutySettings(lease=3 * SEC, longest=10 * SEC)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -11,7 +11,7 @@
 from balancer.fleet.membership.claims import overrides
 from balancer.fleet.membership.codec import Codec, KeyFault, read_key
 from balancer.fleet.membership.swim import Claim, Kind, Message, Status, Swim
-from laurelspindle.explore.members import KEY, Net
+from workbench.explore.members import KEY, Net
 
 SEC = 1_000_000
 A, S, D, L = Status.ALIVE, Status.SUSPECT, Status.DEAD, Status.LEFT
--- a/tests/test_membership_scale.py
+++ b/tests/test_membership_scale.py
@@ -28,7 +28,7 @@
 from balancer.fleet.membership.timers import Deadlines
 from balancer.fleet.membership.timing import Timing
 from balancer.fleet.membership.view import ALL_BUCKETS, BUCKETS
-from laurelspindle.explore.members import KEY, Net, storm
+from workbench.explore.members import KEY, Net, storm
 
 SEC = 1_000_000
 A, S, D = Status.ALIVE, Status.SUSPECT, Status.DEAD
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -8,11 +8,11 @@
 
 from balancer.interface import ListKind, Outcome, ServerEntry, State
 from balancer.policy import gradient as today
-from laurelspindle.policies import revisions
-from laurelspindle.policies.gradient import GradientController, GradientSettings, PublishedGradient
-from laurelspindle.policies.plain import RandomChoice, RoundRobin, TwoDraws
-from laurelspindle.scenario.load import draw, load
-from laurelspindle.virtual.play import play
+from workbench.policies import revisions
+from workbench.policies.gradient import GradientController, GradientSettings, PublishedGradient
+from workbench.policies.plain import RandomChoice, RoundRobin, TwoDraws
+from workbench.scenario.load import draw, load
+from workbench.virtual.play import play
 
 MS = 1000
 
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -15,12 +15,12 @@
 from balancer.fleet.config import FleetFault
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Claim, Status
-from laurelspindle.cli import main
-from laurelspindle.scale import machine, verdict
-from laurelspindle.scale import run as scale_run
-from laurelspindle.scale.hollow import Network, list_datagrams
-from laurelspindle.scale.machine import check_memory_need
-from laurelspindle.scale.measurements import (
+from workbench.cli import main
+from workbench.scale import machine, verdict
+from workbench.scale import run as scale_run
+from workbench.scale.hollow import Network, list_datagrams
+from workbench.scale.machine import check_memory_need
+from workbench.scale.measurements import (
     Phase,
     Row,
     RunInfo,
@@ -30,12 +30,12 @@
     table,
     time_figures,
 )
-from laurelspindle.scale.messages import FalseDeath, Traffic, ViewFault, Window
-from laurelspindle.scale.meter import LOOP, Meter
-from laurelspindle.scale.observer import Truth, view_fault
-from laurelspindle.scale.plan import PlanError, defects_of, group_of, plan_of, read_plan, shipped, victims
-from laurelspindle.scale.run import actions, check_membership
-from laurelspindle.scale.verdict import Death, Findings, checks, machine_limits
+from workbench.scale.messages import FalseDeath, Traffic, ViewFault, Window
+from workbench.scale.meter import LOOP, Meter
+from workbench.scale.observer import Truth, view_fault
+from workbench.scale.plan import PlanError, defects_of, group_of, plan_of, read_plan, shipped, victims
+from workbench.scale.run import actions, check_membership
+from workbench.scale.verdict import Death, Findings, checks, machine_limits
 
 PATIENCE = 90.0  # seconds; only a failure waits so long
 TRIES = 4  # of a run on which the machine was the limit
@@ -45,7 +45,7 @@
 
 
 def command(*words):
-    return [sys.executable, "-m", "laurelspindle", "scale", "run", *map(str, words)]
+    return [sys.executable, "-m", "workbench", "scale", "run", *map(str, words)]
 
 
 def ended(*words):
@@ -90,9 +90,7 @@
     assert found["real.cpu"]["value"] > 0
     row = found["bytes_out"]
     assert row["size"] == 21 and row["counted"] and row["unit"] == "B/member/s"
-    assert (
-        row["run"]["command"].startswith("laurelspindle scale run --hollow 20") and row["run"]["cores"] >= 1
-    )
+    assert row["run"]["command"].startswith("workbench scale run --hollow 20") and row["run"]["cores"] >= 1
 
 
 def codec_calls(size, defects):
@@ -130,7 +128,7 @@
     out = tmp_path / "figures.json"
     words = ["--hollow", "4", "--workers", "1", "--period-ms", "100", "--start", "known", "--seconds", "0.2"]
     monkeypatch.setattr(verdict, "MAX_LATENESS_P99_MS", -1.0)  # no loop is that early
-    monkeypatch.setattr(sys, "argv", ["laurelspindle", "scale", "run", *words, "--out", str(out)])
+    monkeypatch.setattr(sys, "argv", ["workbench", "scale", "run", *words, "--out", str(out)])
     with pytest.raises(SystemExit) as end:
         main()
     told = capsys.readouterr().out
@@ -264,7 +262,7 @@
     ],
 )
 def test_bad_input_ends_with_status_2(words, line, monkeypatch, capsys):
-    monkeypatch.setattr(sys, "argv", ["laurelspindle", "scale", "run", *words])
+    monkeypatch.setattr(sys, "argv", ["workbench", "scale", "run", *words])
     with pytest.raises(SystemExit) as end:
         main()
     told = capsys.readouterr()
@@ -441,7 +439,7 @@
         100_000
     )
     assert found["worker.cpu"].value == pytest.approx(0.11)
-    made = rows(list(found.values()), 20, RunInfo("laurelspindle scale run", 1, "unknown", 8), True)
+    made = rows(list(found.values()), 20, RunInfo("workbench scale run", 1, "unknown", 8), True)
     assert msgspec.json.decode(msgspec.json.encode(made[0]), type=Row) == made[0]
     assert table(made).row_count == len(made)
 
--- a/tests/test_scenario.py
+++ b/tests/test_scenario.py
@@ -5,10 +5,10 @@
 import msgspec
 import pytest
 
-from laurelspindle.scenario import load as scenarios
-from laurelspindle.scenario.check import faults
-from laurelspindle.scenario.load import ScenarioError, draw, scenario_of
-from laurelspindle.scenario.model import Scenario
+from workbench.scenario import load as scenarios
+from workbench.scenario.check import faults
+from workbench.scenario.load import ScenarioError, draw, scenario_of
+from workbench.scenario.model import Scenario
 
 WRONG = [
     (
--- a/tests/test_workbench.py
+++ b/tests/test_workbench.py
@@ -7,7 +7,7 @@
 import pytest
 from click.testing import CliRunner
 
-from laurelspindle.cli import cli, main
+from workbench.cli import cli, main
 
 SMALL = ["--set", "length_s=3", "--servers", "3"]
 
@@ -15,7 +15,7 @@
 def run(*args, cwd=None):
     """The command in a process of its own: its status, and what it printed."""
     done = subprocess.run(
-        [sys.executable, "-m", "laurelspindle", *args], capture_output=True, text=True, cwd=cwd, timeout=120
+        [sys.executable, "-m", "workbench", *args], capture_output=True, text=True, cwd=cwd, timeout=120
     )
     return done.returncode, done.stdout, done.stderr
 
@@ -24,7 +24,7 @@
     code = (
         "import sys, balancer, balancer.net.node, balancer.__main__;"
         "print([m for m in sys.modules if m.split('.')[0] in"
-        " ('laurelspindle','numpy','click','rich','msgspec','matplotlib','tomli_w')])"
+        " ('workbench','numpy','click','rich','msgspec','matplotlib','tomli_w')])"
     )
     out = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert out.stdout.strip() == "[]"
@@ -60,7 +60,7 @@
 )
 def test_bad_input_is_one_line_and_status_2(args, line, capsys, monkeypatch, tmp_path):
     monkeypatch.chdir(tmp_path)
-    monkeypatch.setattr(sys, "argv", ["laurelspindle", *args])
+    monkeypatch.setattr(sys, "argv", ["workbench", *args])
     with pytest.raises(SystemExit) as e:
         main()
     out = capsys.readouterr()
--- a/tests/test_zone_membership.py
+++ b/tests/test_zone_membership.py
@@ -34,9 +34,9 @@
 )
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Claim, Status
-from laurelspindle.explore import zone_cases
-from laurelspindle.explore.regional import KEY
-from laurelspindle.explore.zone_members import (
+from workbench.explore import zone_cases
+from workbench.explore.regional import KEY
+from workbench.explore.zone_members import (
     Fleet,
     SharedGroup,
     SharedMember,
--- /dev/null
+++ b/workbench/__main__.py
@@ -0,0 +1,6 @@
+"""`python -m workbench`."""
+
+from workbench.cli import main
+
+if __name__ == "__main__":
+    main()
--- a/laurelspindle/cli/__init__.py
+++ b/workbench/cli/__init__.py
@@ -6,20 +6,20 @@
 
 import click
 
-import laurelspindle
-from laurelspindle.cli.emulate import emulate
-from laurelspindle.cli.errors import Bad
-from laurelspindle.cli.experiment import experiment
-from laurelspindle.cli.fleet import fleet
-from laurelspindle.cli.lab import lab
-from laurelspindle.cli.load import load
-from laurelspindle.cli.scale import scale
-from laurelspindle.cli.scenario import scenario
-from laurelspindle.cli.simulate import simulate
+import workbench
+from workbench.cli.emulate import emulate
+from workbench.cli.errors import Bad
+from workbench.cli.experiment import experiment
+from workbench.cli.fleet import fleet
+from workbench.cli.lab import lab
+from workbench.cli.load import load
+from workbench.cli.scale import scale
+from workbench.cli.scenario import scenario
+from workbench.cli.simulate import simulate
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
-@click.version_option(laurelspindle.__version__, prog_name="laurelspindle")
+@click.version_option(workbench.__version__, prog_name="workbench")
 def cli() -> None:
     """The workbench around the balancer load-balancer node."""
 
--- a/laurelspindle/cli/emulate.py
+++ b/workbench/cli/emulate.py
@@ -1,4 +1,4 @@
-"""`laurelspindle emulate`: a day's servers and discovery on loopback, for a node started by hand."""
+"""`workbench emulate`: a day's servers and discovery on loopback, for a node started by hand."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 import click
 import uvloop
 
-from laurelspindle.cli.errors import Bad
-from laurelspindle.live.emulate import emulate as serve
-from laurelspindle.live.places import NoPlace
-from laurelspindle.scenario.load import ScenarioError, draw, load
+from workbench.cli.errors import Bad
+from workbench.live.emulate import emulate as serve
+from workbench.live.places import NoPlace
+from workbench.scenario.load import ScenarioError, draw, load
 
 
 @click.command()
@@ -23,7 +23,7 @@
     """Serve SCENARIO's servers and discovery on sockets, and print how to start its nodes.
 
     SCENARIO is a file or the name of one that ships; it must have one tier, as `lab` has. Its faults come as
-    planned. Nothing is sent: `laurelspindle load` does that.
+    planned. Nothing is sent: `workbench load` does that.
     """
     try:
         day = draw(load(scenario, list(overrides)), seed)
--- a/laurelspindle/cli/errors.py
+++ b/workbench/cli/errors.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from laurelspindle.files import sync
+from workbench.files import sync
 
 
 class Bad(Exception):
--- a/laurelspindle/cli/experiment.py
+++ b/workbench/cli/experiment.py
@@ -1,4 +1,4 @@
-"""`laurelspindle experiment`: two variants told apart."""
+"""`workbench experiment`: two variants told apart."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 from rich.table import Table
 
-from laurelspindle.cli.errors import Bad
-from laurelspindle.experiment.plan import Plan, PlanError, read_plan, tasks
-from laurelspindle.experiment.runner import Outcome, run_plan
-from laurelspindle.experiment.store import Row, Store, StoreError
+from workbench.cli.errors import Bad
+from workbench.experiment.plan import Plan, PlanError, read_plan, tasks
+from workbench.experiment.runner import Outcome, run_plan
+from workbench.experiment.store import Row, Store, StoreError
 
 STATUS = {"better": 0, "worse": 1, "not told apart": 3}
 UNTIL = "Add seeds until the paired 95% interval of the goal is so narrow."
@@ -46,7 +46,7 @@
 
 
 def compare_rows(rows: list[Row], a: str, b: str) -> dict[str, Any]:
-    from laurelspindle.experiment.compare import compare  # scipy costs a second to load
+    from workbench.experiment.compare import compare  # scipy costs a second to load
 
     return compare(rows, a, b)
 
@@ -144,8 +144,8 @@
 )
 def report(store: str, folder: str, against: str) -> int:
     """Draw STORE as one HTML page, with its numbers as CSV and JSON."""
-    from laurelspindle.report.page import report as draw  # drawing costs a second to load
-    from laurelspindle.report.page import write
+    from workbench.report.page import report as draw  # drawing costs a second to load
+    from workbench.report.page import write
 
     with usable_store():
         opened = Store(Path(store), write=False)
@@ -154,7 +154,7 @@
         raise Bad(f"{store}: no run in it")
     if against and against not in variants:
         raise Bad(f"{store}: no variant {against!r}: there are {', '.join(sorted(variants))}")
-    command = f"laurelspindle experiment report {store} -o {folder}"
+    command = f"workbench experiment report {store} -o {folder}"
     with usable_store():
         files = draw(opened, command + (f" --against {against}" if against else ""), against)
     try:
--- a/laurelspindle/cli/lab.py
+++ b/workbench/cli/lab.py
@@ -1,4 +1,4 @@
-"""`laurelspindle lab`: several real processes of the node, faults between them, and what came of it."""
+"""`workbench lab`: several real processes of the node, faults between them, and what came of it."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from rich.console import Console
 from rich.progress import BarColumn, Progress, TextColumn
 
-from laurelspindle.cli.errors import Bad, writable, write_whole
-from laurelspindle.lab.checkers import check
-from laurelspindle.lab.history import HistoryError, read
-from laurelspindle.lab.plan import Plan, PlanError, draw, scenario, shipped
-from laurelspindle.lab.timeline import report
-from laurelspindle.lab.truth import Truth
+from workbench.cli.errors import Bad, writable, write_whole
+from workbench.lab.checkers import check
+from workbench.lab.history import HistoryError, read
+from workbench.lab.plan import Plan, PlanError, draw, scenario, shipped
+from workbench.lab.timeline import report
+from workbench.lab.truth import Truth
 
 
 @click.group()
@@ -40,13 +40,13 @@
 def run(
     plan: str, seed: int | None, nodes: int | None, keep: str | None, earlier: str | None, alone: bool
 ) -> int:
-    """Play PLAN, a file or the name of one that ships (`laurelspindle lab list`).
+    """Play PLAN, a file or the name of one that ships (`workbench lab list`).
 
     Exits 1 where a checker fails or the run was broken off, 2 on bad input, 3 where the machine was too late
     for the run to count, whatever the checkers say.
     """
-    from laurelspindle.lab.run import run as play  # the workbench's other commands do without its weight
-    from laurelspindle.live.places import NoPlace
+    from workbench.lab.run import run as play  # the workbench's other commands do without its weight
+    from workbench.live.places import NoPlace
 
     changes: dict[str, Any] = ({"nodes": nodes} if nodes else {}) | ({"fleet": False} if alone else {})
     changes |= {"earlier": earlier} if earlier else {}
@@ -76,7 +76,7 @@
     events = events_of(history)
     tell(events)
     if target is not None:
-        from laurelspindle.lab.timeline import plot
+        from workbench.lab.timeline import plot
 
         write_whole(target, lambda path: plot(Truth(events), path))
     return 0
@@ -86,7 +86,7 @@
 @click.argument("history")
 def check_again(history: str) -> int:
     """Repeat the checkers over HISTORY. Exits 1 where one fails."""
-    from laurelspindle.lab.timeline import verdicts
+    from workbench.lab.timeline import verdicts
 
     found = check(events_of(history))
     console().print(verdicts(found))
--- a/laurelspindle/cli/load.py
+++ b/workbench/cli/load.py
@@ -1,4 +1,4 @@
-"""`laurelspindle load`: open-loop requests to a node, and what became of them."""
+"""`workbench load`: open-loop requests to a node, and what became of them."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from laurelspindle.cli.errors import Bad
-from laurelspindle.live.load import PERCENTILES, Load, LoadError, Result, class_of
+from workbench.cli.errors import Bad
+from workbench.live.load import PERCENTILES, Load, LoadError, Result, class_of
 
 LATE = 50_000  # microseconds that the sender may be late in the median of ten thousand
 
--- a/laurelspindle/cli/scale.py
+++ b/workbench/cli/scale.py
@@ -1,11 +1,11 @@
-"""`laurelspindle scale`: what the fleet costs at sizes larger than one machine holds."""
+"""`workbench scale`: what the fleet costs at sizes larger than one machine holds."""
 
 from __future__ import annotations
 
 import click
 
-from laurelspindle.cli.scale_capacity import capacity
-from laurelspindle.cli.scale_run import run
+from workbench.cli.scale_capacity import capacity
+from workbench.cli.scale_run import run
 
 
 @click.group()
--- a/laurelspindle/cli/scale_capacity.py
+++ b/workbench/cli/scale_capacity.py
@@ -1,10 +1,10 @@
-"""`laurelspindle scale capacity`: state, messages, processor time and memory at a target size."""
+"""`workbench scale capacity`: state, messages, processor time and memory at a target size."""
 
 from __future__ import annotations
 
 import click
 
-from laurelspindle.cli.errors import Bad
+from workbench.cli.errors import Bad
 
 
 @click.command()
@@ -18,10 +18,10 @@
     what nothing carries is called missing.
     """
     # Imported here: the other commands do without scipy's weight.
-    from laurelspindle.scale.capacity import capacity as computed
-    from laurelspindle.scale.slopes import SlopesError, read_slopes
-    from laurelspindle.scale.table import report
-    from laurelspindle.scale.target import TargetError, target_of
+    from workbench.scale.capacity import capacity as computed
+    from workbench.scale.slopes import SlopesError, read_slopes
+    from workbench.scale.table import report
+    from workbench.scale.target import TargetError, target_of
 
     try:
         table = computed(target_of(changes), read_slopes(*extra))
--- a/laurelspindle/cli/scale_run.py
+++ b/workbench/cli/scale_run.py
@@ -1,4 +1,4 @@
-"""`laurelspindle scale run`: many hollow members and some real nodes in one group, and what each costs."""
+"""`workbench scale run`: many hollow members and some real nodes in one group, and what each costs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import click
 from rich.console import Console
 
-from laurelspindle.cli.errors import Bad, writable, write_whole
+from workbench.cli.errors import Bad, writable, write_whole
 
 NO_COMMIT = "unknown"
 
@@ -41,10 +41,10 @@
     Exits 1 where a check fails or the run was broken off, 2 on bad input, 3 where the machine was the limit:
     such a run is not counted, whatever the checks say.
     """
-    from laurelspindle.live.places import NoPlace  # the workbench's other commands do without its weight
-    from laurelspindle.scale.measurements import encoded, rows, table
-    from laurelspindle.scale.plan import PlanError, group_of, read_plan, shipped
-    from laurelspindle.scale.run import run as play
+    from workbench.live.places import NoPlace  # the workbench's other commands do without its weight
+    from workbench.scale.measurements import encoded, rows, table
+    from workbench.scale.plan import PlanError, group_of, read_plan, shipped
+    from workbench.scale.run import run as play
 
     if list_plans:
         for name, title in shipped().items():
@@ -65,7 +65,7 @@
         raise click.Abort
     figures = outcome.figures
     if simulate and not outcome.trouble:
-        from laurelspindle.scale.simulated import simulate as in_simulation
+        from workbench.scale.simulated import simulate as in_simulation
 
         with screen.status("simulating"):
             figures += in_simulation(plan, group_of(plan, "127.100.100"))
@@ -99,12 +99,12 @@
 
 def run_info(seed: int) -> Any:
     """Where the figures come from."""
-    from laurelspindle.policies.revisions import RevisionError, full_revision
-    from laurelspindle.scale.measurements import RunInfo
+    from workbench.policies.revisions import RevisionError, full_revision
+    from workbench.scale.measurements import RunInfo
 
     try:
         commit = full_revision("HEAD")
     except RevisionError:
         commit = NO_COMMIT
-    command = shlex.join(["laurelspindle", *sys.argv[1:]])
+    command = shlex.join(["workbench", *sys.argv[1:]])
     return RunInfo(command, seed, commit, len(os.sched_getaffinity(0)))
--- a/laurelspindle/cli/scenario.py
+++ b/workbench/cli/scenario.py
@@ -1,4 +1,4 @@
-"""`laurelspindle scenario`: the days that can be played, drawn, checked, described."""
+"""`workbench scenario`: the days that can be played, drawn, checked, described."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 import click
 import msgspec
 
-from laurelspindle.cli.errors import Bad
-from laurelspindle.scenario.load import ScenarioError, draw, load, read, scenario_of, shipped, toml
-from laurelspindle.scenario.model import Scenario
+from workbench.cli.errors import Bad
+from workbench.scenario.load import ScenarioError, draw, load, read, scenario_of, shipped, toml
+from workbench.scenario.model import Scenario
 
 
 @click.group()
--- a/laurelspindle/cli/simulate.py
+++ b/workbench/cli/simulate.py
@@ -1,4 +1,4 @@
-"""`laurelspindle simulate`: plays one day on the virtual clock."""
+"""`workbench simulate`: plays one day on the virtual clock."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from rich.console import Console
 from rich.progress import BarColumn, Progress, TextColumn, TimeRemainingColumn
 
-from laurelspindle.cli.errors import Bad, writable, write_whole
-from laurelspindle.policies import POLICIES, Policy
-from laurelspindle.policies.revisions import RevisionError, full_revision, policy_of
-from laurelspindle.report.tables import run_report
-from laurelspindle.scenario.load import ScenarioError, draw, load
-from laurelspindle.scenario.model import Scenario
-from laurelspindle.virtual.play import Run, play
+from workbench.cli.errors import Bad, writable, write_whole
+from workbench.policies import POLICIES, Policy
+from workbench.policies.revisions import RevisionError, full_revision, policy_of
+from workbench.report.tables import run_report
+from workbench.scenario.load import ScenarioError, draw, load
+from workbench.scenario.model import Scenario
+from workbench.virtual.play import Run, play
 
 POLICY_HELP = "Who decides: " + "; ".join(f"{name}, {what}" for name, (_, what) in POLICIES.items()) + "."
 
@@ -60,7 +60,7 @@
     profile: bool,
     log_file: str | None,
 ) -> int:
-    """Play one day of SCENARIO, a file or the name of one that ships (`laurelspindle scenario list`).
+    """Play one day of SCENARIO, a file or the name of one that ships (`workbench scenario list`).
 
     Exits 1 where a rule was broken, 2 on bad input.
     """
@@ -86,7 +86,7 @@
     if log_file:
         write_whole(targets[log_file], lambda path: put_lines(path, run.journal))
     if plot_file:
-        from laurelspindle.report.plots import plot_run  # drawing costs a second to load
+        from workbench.report.plots import plot_run  # drawing costs a second to load
 
         write_whole(targets[plot_file], lambda path: plot_run(run.result, run.stats, path))
     return 1 if any(run.result["rules"].values()) else 0
--- a/laurelspindle/experiment/compare.py
+++ b/workbench/experiment/compare.py
@@ -16,8 +16,8 @@
 import numpy as np
 from scipy import stats
 
-from laurelspindle.experiment.plan import LEAST_PAIRS
-from laurelspindle.experiment.store import Row
+from workbench.experiment.plan import LEAST_PAIRS
+from workbench.experiment.store import Row
 
 ALPHA = 0.05
 RESAMPLES = 4000
--- a/laurelspindle/experiment/plan.py
+++ b/workbench/experiment/plan.py
@@ -13,11 +13,11 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-from laurelspindle.policies import POLICIES, Policy
-from laurelspindle.policies.revisions import RevisionError, full_revision, policy_of, policy_sources
-from laurelspindle.scenario.check import type_faults
-from laurelspindle.scenario.load import ScenarioError, digest, draw, load
-from laurelspindle.scenario.model import Scenario
+from workbench.policies import POLICIES, Policy
+from workbench.policies.revisions import RevisionError, full_revision, policy_of, policy_sources
+from workbench.scenario.check import type_faults
+from workbench.scenario.load import ScenarioError, digest, draw, load
+from workbench.scenario.model import Scenario
 
 LEAST_PAIRS = 5  # under which nothing is told apart
 Value = int | float | str | bool
@@ -77,7 +77,7 @@
 
     def command(self) -> str:
         """The command that plays the run again; a revision's or constant's module only through its plan."""
-        words = ["laurelspindle simulate", self.source, f"--seed {self.seed}"]
+        words = ["workbench simulate", self.source, f"--seed {self.seed}"]
         words += [f"--policy {self.policy}"] if self.policy != "module" else []
         words += [f"--revision {self.revision[:12]}"] if self.revision else []
         words += [f"--constant {name}={value:g}" for name, value in self.constants]
--- a/laurelspindle/experiment/runner.py
+++ b/workbench/experiment/runner.py
@@ -16,9 +16,9 @@
 import msgspec
 import numpy as np
 
-from laurelspindle.experiment.plan import LEAST_PAIRS, Plan, Task, tasks
-from laurelspindle.experiment.store import Store
-from laurelspindle.virtual.play import play
+from workbench.experiment.plan import LEAST_PAIRS, Plan, Task, tasks
+from workbench.experiment.store import Store
+from workbench.virtual.play import play
 
 AHEAD = 2  # tasks handed out for each worker: none waits for the next, few are lost
 MOST_ROUNDS = 50
--- a/laurelspindle/experiment/store.py
+++ b/workbench/experiment/store.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from laurelspindle.experiment.plan import Task
+from workbench.experiment.plan import Task
 
 WAIT = 60.0  # seconds for another writer's transaction
 OTHER_WRITER = frozenset({sqlite3.SQLITE_BUSY, sqlite3.SQLITE_BUSY_RECOVERY, sqlite3.SQLITE_LOCKED})
--- a/laurelspindle/explore/clocks.py
+++ b/workbench/explore/clocks.py
@@ -1,6 +1,6 @@
 """Explores stepped wall clocks on whole fleet runtimes: seeds by the thousand, each a run that repeats.
 
-python -m laurelspindle.explore.clocks --seeds 1-1000 --jobs 4
+python -m workbench.explore.clocks --seeds 1-1000 --jobs 4
 
 Five processes, three of them voters, with one lease that all want, directives for a zone and a rolling
 replacement. What is checked is seen from outside, on true time; the properties are `PROPERTIES`.
@@ -20,8 +20,8 @@
 
 from balancer.fleet.membership.swim import Status
 from balancer.fleet.runtime import FleetRuntime
-from laurelspindle.explore.clock_faults import APART, FIRST_AT, ClockStep, draw_clock_steps
-from laurelspindle.explore.runtime_net import SECOND, Machine, RuntimeNetwork
+from workbench.explore.clock_faults import APART, FIRST_AT, ClockStep, draw_clock_steps
+from workbench.explore.runtime_net import SECOND, Machine, RuntimeNetwork
 
 PROPERTIES = {
     "dead": "a process that runs on is never held dead",
--- a/laurelspindle/explore/duties.py
+++ b/workbench/explore/duties.py
@@ -1,9 +1,9 @@
 """Explores duties on the virtual network: seeds by the thousand, each a run that repeats; one that fails is
 shrunk.
 
-python -m laurelspindle.explore.duties --seeds 1-10000 --jobs 8
-python -m laurelspindle.explore.duties --mutant no-abstaining --seeds 1-1000
-python -m laurelspindle.explore.duties --shrink 17 --mutant no-abstaining
+python -m workbench.explore.duties --seeds 1-10000 --jobs 8
+python -m workbench.explore.duties --mutant no-abstaining --seeds 1-1000
+python -m workbench.explore.duties --shrink 17 --mutant no-abstaining
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 
 from balancer.fleet.duties.asker import Asker, Wanted
 from balancer.fleet.duties.voter import Holder, Slot, Voter
-from laurelspindle.explore.duty_net import Kinds, Net, Story
-from laurelspindle.explore.faults import Fault
+from workbench.explore.duty_net import Kinds, Net, Story
+from workbench.explore.faults import Fault
 
 # Programs broken on purpose.
 
--- a/laurelspindle/explore/duty_model.py
+++ b/workbench/explore/duty_model.py
@@ -1,4 +1,4 @@
-"""Duties as a small model, explored to its end: `python -m laurelspindle.explore.duty_model --help`.
+"""Duties as a small model, explored to its end: `python -m workbench.explore.duty_model --help`.
 
 Three voters, two askers, one restart of any of them, on a clock that goes in steps of half a lease. The
 program's own asker and voter take messages in waves: all that have been sent come before any answer to them,
@@ -27,7 +27,7 @@
 from balancer.fleet.duties.messages import DutyMessage
 from balancer.fleet.duties.settings import DutySettings, Electorate
 from balancer.fleet.duties.voter import Slot, Voter
-from laurelspindle.explore.duties import MUTANTS
+from workbench.explore.duties import MUTANTS
 
 STEP = 1_000_000
 LEASE = 2 * STEP
--- a/laurelspindle/explore/duty_net.py
+++ b/workbench/explore/duty_net.py
@@ -17,8 +17,8 @@
 from balancer.fleet.duties.messages import DutyMessage
 from balancer.fleet.duties.settings import DutySettings, Electorate
 from balancer.fleet.duties.voter import Out, Voter
-from laurelspindle.explore.faults import SEC, Fault, draw_faults
-from laurelspindle.virtual.heap import HeapClock
+from workbench.explore.faults import SEC, Fault, draw_faults
+from workbench.virtual.heap import HeapClock
 
 SETTINGS = DutySettings(lease=3 * SEC, longest=3 * SEC)
 LENGTH = 45 * SEC
--- a/laurelspindle/explore/heartbeats.py
+++ b/workbench/explore/heartbeats.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from balancer.fleet.membership.swim import Address
-from laurelspindle.explore.regional import RegionalNetwork
+from workbench.explore.regional import RegionalNetwork
 
 MACHINES = 6
 REGIONS = 5
@@ -355,7 +355,7 @@
 
 
 def main() -> None:
-    """A line a size, as `python -m laurelspindle.explore.heartbeats 100 200 400`."""
+    """A line a size, as `python -m workbench.explore.heartbeats 100 200 400`."""
     for size in map(int, sys.argv[1:] or ["100", "200"]):
         f = measure(size)
         print(
--- a/laurelspindle/explore/members.py
+++ b/workbench/explore/members.py
@@ -12,7 +12,7 @@
 
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Address, Send, Status, Swim
-from laurelspindle.virtual.heap import HeapClock
+from workbench.virtual.heap import HeapClock
 
 DELAY = 2_000  # mean of a datagram's way, microseconds
 KEY = b"a key for the virtual network"
@@ -155,7 +155,7 @@
 
 
 def main() -> None:
-    """A line for each size, loss and seed, as `python -m laurelspindle.explore.members 50 --seeds 1 2`."""
+    """A line for each size, loss and seed, as `python -m workbench.explore.members 50 --seeds 1 2`."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("members", type=int, nargs="*", default=[10, 50])
     parser.add_argument("--loss", type=float, nargs="+", default=[0.0, 0.1, 0.3])
--- a/laurelspindle/explore/uses.py
+++ b/workbench/explore/uses.py
@@ -1,7 +1,7 @@
 """What the fleet's uses of duties are worth: the same day with and without them, seed by seed.
 
-python -m laurelspindle.explore.uses probe --seeds 10 --jobs 8
-python -m laurelspindle.explore.uses remeasure --seeds 10 --jobs 8
+python -m workbench.explore.uses probe --seeds 10 --jobs 8
+python -m workbench.explore.uses remeasure --seeds 10 --jobs 8
 
 On the virtual clock: 50 front nodes, their duties between them, and the world's servers and clients.
 """
@@ -17,11 +17,11 @@
 import numpy as np
 
 from balancer.fleet.zones.settings import ZoneSettings
-from laurelspindle.experiment.compare import t_interval
-from laurelspindle.scenario.load import draw, load, plain, scenario_of
-from laurelspindle.scenario.model import Scenario
-from laurelspindle.virtual.fleet import Uses, VirtualFleet
-from laurelspindle.virtual.play import Run, play
+from workbench.experiment.compare import t_interval
+from workbench.scenario.load import draw, load, plain, scenario_of
+from workbench.scenario.model import Scenario
+from workbench.virtual.fleet import Uses, VirtualFleet
+from workbench.virtual.play import Run, play
 
 NODES = 50
 COMMON = [f"nodes.count={NODES}", "nodes.start_spread_ms=200"]
--- a/laurelspindle/explore/zone_cases.py
+++ b/workbench/explore/zone_cases.py
@@ -8,7 +8,7 @@
 from math import inf
 
 from balancer.fleet.federation.records import Freshness
-from laurelspindle.explore.zone_members import HOUR, SECOND, ZONE_SIZE, ZONES, Fleet, SharedGroup
+from workbench.explore.zone_members import HOUR, SECOND, ZONE_SIZE, ZONES, Fleet, SharedGroup
 
 JOIN_LIMIT = 300.0  # seconds
 KNOW_LIMIT = 200.0
@@ -189,7 +189,7 @@
 
 def main() -> None:
     """Cases by name, or all, at a number of zones and nodes a zone:
-    `python -m laurelspindle.explore.zone_cases 13 20 death zone seed=2 loss=0.1`."""
+    `python -m workbench.explore.zone_cases 13 20 death zone seed=2 loss=0.1`."""
     zones, size = (int(sys.argv[1]), int(sys.argv[2])) if len(sys.argv) > 2 else (ZONES, ZONE_SIZE)
     options = dict(word.split("=") for word in sys.argv[3:] if "=" in word)
     seed, loss = int(options.get("seed", 1)), float(options.get("loss", 0))
--- a/laurelspindle/explore/zone_costs.py
+++ b/workbench/explore/zone_costs.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from laurelspindle.explore.regional import Traffic
-from laurelspindle.explore.zone_members import ZONES, Fleet, Node
+from workbench.explore.regional import Traffic
+from workbench.explore.zone_members import ZONES, Fleet, Node
 
 CALM = 20.0  # seconds over which costs are taken
 SETTLED = 40.0  # seconds after which gateways know one another
@@ -151,7 +151,7 @@
 
 
 def main() -> None:
-    """What is measured, and sizes: `python -m laurelspindle.explore.zone_costs zones 100 200 400`."""
+    """What is measured, and sizes: `python -m workbench.explore.zone_costs zones 100 200 400`."""
     mode = sys.argv[1]
     for size in map(int, sys.argv[2:]):
         print(f"{mode} {size}:", *MODES[mode](size), sep="\n  ", flush=True)
--- a/laurelspindle/explore/zone_members.py
+++ b/workbench/explore/zone_members.py
@@ -13,7 +13,7 @@
 from balancer.fleet.federation.records import Event, Freshness
 from balancer.fleet.federation.settings import FederationTiming, ZoneMembershipSettings
 from balancer.fleet.membership.swim import Address, Claim, Send, Status, Swim
-from laurelspindle.explore.regional import RegionalNetwork
+from workbench.explore.regional import RegionalNetwork
 
 ZONES = 13
 REGIONS = 5
--- a/laurelspindle/lab/checkers.py
+++ b/workbench/lab/checkers.py
@@ -15,9 +15,9 @@
 
 from balancer.fleet.probe.settings import settings_for
 from balancer.fleet.remeasure.decisions import RemeasureSettings
-from laurelspindle.lab.history import Event
-from laurelspindle.lab.truth import FOREVER, HELD, OUTSIDE, Truth, seconds
-from laurelspindle.world.site import BEGIN
+from workbench.lab.history import Event
+from workbench.lab.truth import FOREVER, HELD, OUTSIDE, Truth, seconds
+from workbench.world.site import BEGIN
 
 MAY_HAVE_RAN = ("error", "reset", "timeout", "cancelled")
 FAILURE = re.compile(r"Traceback|\b[A-Z]\w*(Error|Exception)\b|floods its log")
--- a/laurelspindle/lab/faults.py
+++ b/workbench/lab/faults.py
@@ -6,13 +6,13 @@
 import signal
 from typing import TYPE_CHECKING
 
-from laurelspindle.lab.fleet import ask
-from laurelspindle.lab.network import Rule
-from laurelspindle.lab.plan import Fault, number
+from workbench.lab.fleet import ask
+from workbench.lab.network import Rule
+from workbench.lab.plan import Fault, number
 
 if TYPE_CHECKING:
-    from laurelspindle.lab.fleet import Member
-    from laurelspindle.lab.run import Lab
+    from workbench.lab.fleet import Member
+    from workbench.lab.run import Lab
 
 RESTART_SIGNALS = {"kill": signal.SIGKILL, "term": signal.SIGTERM}
 END_MOST = 10.0  # seconds that a process has to end after SIGTERM
--- a/laurelspindle/lab/fleet.py
+++ b/workbench/lab/fleet.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-from laurelspindle.lab.plan import Plan, number
-from laurelspindle.lab.process import Process, command
-from laurelspindle.live.config import node_table
-from laurelspindle.live.http import Lines, Reply
-from laurelspindle.live.nodes import LiveNode, Site
-from laurelspindle.live.places import CALLS, PAGES, PORT
+from workbench.lab.plan import Plan, number
+from workbench.lab.process import Process, command
+from workbench.live.config import node_table
+from workbench.live.http import Lines, Reply
+from workbench.live.nodes import LiveNode, Site
+from workbench.live.places import CALLS, PAGES, PORT
 
 READY_LOOK = 0.02  # seconds
 KEY = "the key of this lab's fleet only\n"
--- a/laurelspindle/lab/measure.py
+++ b/workbench/lab/measure.py
@@ -1,6 +1,6 @@
-"""Many runs of the lab's plans, and a table of them: `python -m laurelspindle.lab.measure --help`.
+"""Many runs of the lab's plans, and a table of them: `python -m workbench.lab.measure --help`.
 
-Each run is a process of its own, `laurelspindle lab run`; what it gave is a line of a file, so a measurement
+Each run is a process of its own, `workbench lab run`; what it gave is a line of a file, so a measurement
 that was ended goes on where it stopped. A run for which the machine was late is made again, three times at
 most.
 """
@@ -22,12 +22,12 @@
 import msgspec
 import numpy as np
 
-from laurelspindle.experiment.compare import t_interval
-from laurelspindle.lab.checkers import check
-from laurelspindle.lab.history import HistoryError, read
-from laurelspindle.lab.plan import shipped
-from laurelspindle.lab.timeline import costs
-from laurelspindle.lab.truth import Truth
+from workbench.experiment.compare import t_interval
+from workbench.lab.checkers import check
+from workbench.lab.history import HistoryError, read
+from workbench.lab.plan import shipped
+from workbench.lab.timeline import costs
+from workbench.lab.truth import Truth
 
 TRIES = 3
 LONGEST = 300  # seconds of one run
@@ -52,7 +52,7 @@
                 "--keep",
                 f"{folder}/run",
             ]
-            command = [sys.executable, "-m", "laurelspindle", *words, *(["--alone"] if alone else [])]
+            command = [sys.executable, "-m", "workbench", *words, *(["--alone"] if alone else [])]
             done = subprocess.run(command, capture_output=True, text=True, timeout=LONGEST)
             try:
                 row |= found(f"{folder}/run/history.jsonl")
--- a/laurelspindle/lab/mischief.py
+++ b/workbench/lab/mischief.py
@@ -1,6 +1,6 @@
 """A node that misbehaves on purpose, for the checkers to catch, or that is of another version, to be borne.
 
-`python -m laurelspindle.lab.mischief KIND` starts the node as `python -m balancer` does, with one part
+`python -m workbench.lab.mischief KIND` starts the node as `python -m balancer` does, with one part
 of it changed. The product has no such switch.
 """
 
--- a/laurelspindle/lab/network.py
+++ b/workbench/lab/network.py
@@ -13,10 +13,10 @@
 from functools import partial
 from typing import Any
 
-from laurelspindle.lab.plan import Fault, number
-from laurelspindle.live.links import Link, Timer
-from laurelspindle.live.places import PORT, Places
-from laurelspindle.world.streams import Streams
+from workbench.lab.plan import Fault, number
+from workbench.live.links import Link, Timer
+from workbench.live.places import PORT, Places
+from workbench.world.streams import Streams
 
 
 @dataclass(frozen=True)
--- a/laurelspindle/lab/plan.py
+++ b/workbench/lab/plan.py
@@ -10,12 +10,12 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-from laurelspindle.live.places import MOST
-from laurelspindle.scenario import model
-from laurelspindle.scenario.check import low, top, type_faults
-from laurelspindle.scenario.load import ScenarioError, fix, load, read_toml, titles
-from laurelspindle.scenario.model import Any0, Count, From0, Number, Over0, Scenario, Share, Some
-from laurelspindle.world.streams import Streams
+from workbench.live.places import MOST
+from workbench.scenario import model
+from workbench.scenario.check import low, top, type_faults
+from workbench.scenario.load import ScenarioError, fix, load, read_toml, titles
+from workbench.scenario.model import Any0, Count, From0, Number, Over0, Scenario, Share, Some
+from workbench.world.streams import Streams
 
 Value = int | float | str | bool | list[float]
 
@@ -126,7 +126,7 @@
 
 LONGEST_STEP_MS = 86_400_000.0  # of a wall clock, either way
 
-SHIPPED = files("laurelspindle") / "lab" / "plans"
+SHIPPED = files("workbench") / "lab" / "plans"
 
 
 def shipped() -> dict[str, str]:
--- a/laurelspindle/lab/process.py
+++ b/workbench/lab/process.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from laurelspindle.live.starter import tied
+from workbench.live.starter import tied
 
 READ = 65536
 FLOOD = 2 << 20  # bytes of log in all: a node writes some 300 a second
@@ -128,7 +128,7 @@
     clock that is stepped before the node starts."""
     if clock_file is not None:
         words = [mischief] if mischief else []
-        return [sys.executable, "-m", "laurelspindle.lab.stepped", str(clock_file), *words]
+        return [sys.executable, "-m", "workbench.lab.stepped", str(clock_file), *words]
     if mischief:
-        return [sys.executable, "-m", "laurelspindle.lab.mischief", mischief]
+        return [sys.executable, "-m", "workbench.lab.mischief", mischief]
     return [sys.executable, "-m", "balancer"]
--- a/laurelspindle/lab/run.py
+++ b/workbench/lab/run.py
@@ -16,21 +16,21 @@
 import msgspec
 import uvloop
 
-from laurelspindle.lab.earlier import unpack
-from laurelspindle.lab.faults import Faults
-from laurelspindle.lab.fleet import Fleet, Member
-from laurelspindle.lab.history import Event, History, HistoryError, read
-from laurelspindle.lab.network import End, Links, Relay
-from laurelspindle.lab.plan import Plan, chosen, number, scenario
-from laurelspindle.live.clock import LiveClock
-from laurelspindle.live.links import Link
-from laurelspindle.live.nodes import NoControl, Site
-from laurelspindle.live.places import Places
-from laurelspindle.scenario.load import draw as draw_day
-from laurelspindle.virtual.play import made
-from laurelspindle.world.network import num, one_way
-from laurelspindle.world.site import BEGIN, World
-from laurelspindle.world.streams import Streams
+from workbench.lab.earlier import unpack
+from workbench.lab.faults import Faults
+from workbench.lab.fleet import Fleet, Member
+from workbench.lab.history import Event, History, HistoryError, read
+from workbench.lab.network import End, Links, Relay
+from workbench.lab.plan import Plan, chosen, number, scenario
+from workbench.live.clock import LiveClock
+from workbench.live.links import Link
+from workbench.live.nodes import NoControl, Site
+from workbench.live.places import Places
+from workbench.scenario.load import draw as draw_day
+from workbench.virtual.play import made
+from workbench.world.network import num, one_way
+from workbench.world.site import BEGIN, World
+from workbench.world.streams import Streams
 
 LOOK = 0.25  # seconds between two looks at the nodes' views
 SAMPLE = 1.0
--- a/laurelspindle/lab/stepped.py
+++ b/workbench/lab/stepped.py
@@ -1,6 +1,6 @@
 """A node that starts while its wall clock is stepped.
 
-`python -m laurelspindle.lab.stepped FILE [MISCHIEF]`, where FILE holds the offset in milliseconds. The fleet
+`python -m workbench.lab.stepped FILE [MISCHIEF]`, where FILE holds the offset in milliseconds. The fleet
 reads its wall clock through the lab's `clock_file`. The rest of the node reads Unix time once, as it starts
 (`net/turns.py`), and dates the starts of servers by it; that reading gets the same offset here. The product
 has no such switch. A step while the process runs does not reach that reading, as on a machine.
@@ -14,7 +14,7 @@
 
 import balancer.__main__ as program
 from balancer.net.turns import Turns
-from laurelspindle.lab import mischief
+from workbench.lab import mischief
 
 NANOSECONDS = 1_000_000  # in a millisecond
 
--- a/laurelspindle/lab/timeline.py
+++ b/workbench/lab/timeline.py
@@ -10,9 +10,9 @@
 from rich.table import Table
 from rich.text import Text
 
-from laurelspindle.lab.checkers import REPEATED, Broken
-from laurelspindle.lab.history import Event
-from laurelspindle.lab.truth import FOREVER, HELD, Truth, seconds
+from workbench.lab.checkers import REPEATED, Broken
+from workbench.lab.history import Event
+from workbench.lab.truth import FOREVER, HELD, Truth, seconds
 
 LEGEND = (
     "seconds from the first client; green: ready, blue: starting, orange: told to end, black: paused, "
@@ -167,7 +167,7 @@
     """Lanes of the processes, faults shaded, worth and views over time."""
     from matplotlib import pyplot
 
-    from laurelspindle.report.plots import COLOURS, SHADE
+    from workbench.report.plots import COLOURS, SHADE
 
     names = truth.names
     figure, (worth, lanes) = pyplot.subplots(
--- a/laurelspindle/live/emulate.py
+++ b/workbench/live/emulate.py
@@ -11,16 +11,16 @@
 from time import time_ns
 from typing import Any
 
-from laurelspindle.live.clock import LiveClock
-from laurelspindle.live.config import node_table
-from laurelspindle.live.links import Link
-from laurelspindle.live.nodes import NoControl, Site
-from laurelspindle.live.places import Places
-from laurelspindle.scenario.model import Scenario
-from laurelspindle.world.call import Call, Request
-from laurelspindle.world.network import one_way
-from laurelspindle.world.site import BEGIN, World
-from laurelspindle.world.streams import Streams
+from workbench.live.clock import LiveClock
+from workbench.live.config import node_table
+from workbench.live.links import Link
+from workbench.live.nodes import NoControl, Site
+from workbench.live.places import Places
+from workbench.scenario.model import Scenario
+from workbench.world.call import Call, Request
+from workbench.world.network import one_way
+from workbench.world.site import BEGIN, World
+from workbench.world.streams import Streams
 
 
 class Strangers(Site):
--- a/laurelspindle/live/nodes.py
+++ b/workbench/live/nodes.py
@@ -7,16 +7,16 @@
 from typing import Any, Protocol
 
 from balancer.interface import ListKind, Outcome, ServerEntry, Settings, State
-from laurelspindle.live.agent import Agent, Line
-from laurelspindle.live.clock import LiveClock
-from laurelspindle.live.http import ClientSide, Lines, Reply, answer_bytes, request_bytes
-from laurelspindle.live.links import Link
-from laurelspindle.live.places import CALLS, Places
-from laurelspindle.live.servers import Connection, Door, look_after
-from laurelspindle.world.call import Answer, Attempt, Call
-from laurelspindle.world.network import num
-from laurelspindle.world.server import Server
-from laurelspindle.world.site import World
+from workbench.live.agent import Agent, Line
+from workbench.live.clock import LiveClock
+from workbench.live.http import ClientSide, Lines, Reply, answer_bytes, request_bytes
+from workbench.live.links import Link
+from workbench.live.places import CALLS, Places
+from workbench.live.servers import Connection, Door, look_after
+from workbench.world.call import Answer, Attempt, Call
+from workbench.world.network import num
+from workbench.world.server import Server
+from workbench.world.site import World
 
 LOOK = 10_000  # microseconds between two looks at what has become of the servers
 STRIDE = 0x9E3779B1
--- a/laurelspindle/live/servers.py
+++ b/workbench/live/servers.py
@@ -13,11 +13,11 @@
 
 from balancer.interface import Outcome
 from balancer.net.listener import Listener, listening
-from laurelspindle.live.clock import LiveClock
-from laurelspindle.live.http import ServerSide, answer_bytes
-from laurelspindle.live.links import Link, Stream
-from laurelspindle.world.call import Attempt
-from laurelspindle.world.server import Server
+from workbench.live.clock import LiveClock
+from workbench.live.http import ServerSide, answer_bytes
+from workbench.live.links import Link, Stream
+from workbench.world.call import Attempt
+from workbench.world.server import Server
 
 ACCEPTS = 64
 RESET = struct.pack("ii", 1, 0)
--- a/laurelspindle/policies/gradient.py
+++ b/workbench/policies/gradient.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from balancer.interface import Actions, Outcome, Settings
-from laurelspindle.policies.plain import TwoDraws
+from workbench.policies.plain import TwoDraws
 
 
 @dataclass(frozen=True)
--- a/laurelspindle/policies/revisions.py
+++ b/workbench/policies/revisions.py
@@ -21,8 +21,8 @@
 
 import balancer.policy
 from balancer.interface import Actions, Events, Settings
-from laurelspindle.policies import Policy
-from laurelspindle.world.site import World
+from workbench.policies import Policy
+from workbench.world.site import World
 
 ROOT = Path(balancer.policy.__file__).parent.parent.parent
 PACKAGE, INTERFACE = "balancer/policy/", "balancer/interface.py"
--- a/laurelspindle/report/figures.py
+++ b/workbench/report/figures.py
@@ -12,8 +12,8 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from laurelspindle.report.plots import COLOURS, limit_panel, shade
-from laurelspindle.report.series import Array, Days
+from workbench.report.plots import COLOURS, limit_panel, shade
+from workbench.report.series import Array, Days
 
 WIDE = 9.5
 ROW = 0.42
--- a/laurelspindle/report/page.py
+++ b/workbench/report/page.py
@@ -13,10 +13,10 @@
 
 import numpy as np
 
-from laurelspindle.experiment.compare import compare
-from laurelspindle.experiment.store import Row, Store
-from laurelspindle.files import replace_files
-from laurelspindle.report import figures, series
+from workbench.experiment.compare import compare
+from workbench.experiment.store import Row, Store
+from workbench.files import replace_files
+from workbench.report import figures, series
 
 MOST_DAYS = 40  # whole results of a scenario and variant that go into its curves
 STYLE = """
--- a/laurelspindle/report/series.py
+++ b/workbench/report/series.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 
-from laurelspindle.experiment.store import Row, Store
+from workbench.experiment.store import Row, Store
 
 Array = np.ndarray[Any, Any]
 CAUSES = 6  # shown one by one
--- a/laurelspindle/scale/capacity.py
+++ b/workbench/scale/capacity.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from laurelspindle.scale.events import events
-from laurelspindle.scale.roles import roles
-from laurelspindle.scale.rows import Capacity, Event
-from laurelspindle.scale.slopes import Slopes
-from laurelspindle.scale.target import Target
+from workbench.scale.events import events
+from workbench.scale.roles import roles
+from workbench.scale.rows import Capacity, Event
+from workbench.scale.slopes import Slopes
+from workbench.scale.target import Target
 
 
 def capacity(target: Target, slopes: Slopes) -> Capacity:
--- a/laurelspindle/scale/collect.py
+++ b/workbench/scale/collect.py
@@ -1,4 +1,4 @@
-"""Rows of the slopes file from measured values: `python -m laurelspindle.scale.collect FILES... > rows.toml`.
+"""Rows of the slopes file from measured values: `python -m workbench.scale.collect FILES... > rows.toml`.
 
 FILES hold the JSON lines that the measuring programs print, or the list of rows that a scale run writes.
 Values of one name and size become a point, with the spread between their runs.
@@ -18,16 +18,16 @@
 import tomli_w
 from msgspec import Struct
 
-from laurelspindle.scale.membership import Row
-from laurelspindle.scale.slopes import FitKind
+from workbench.scale.membership import Row
+from workbench.scale.slopes import FitKind
 
 MEMBERS = "members of a group"
 CALLS = "calls a second"
 NODE_SECOND = "us/s a member"
-GROUP = "python -m laurelspindle.scale.membership"
-ONE = "python -m laurelspindle.scale.member"
-LEADER = "python -m laurelspindle.scale.leader"
-LATENCY = "python -m laurelspindle.scale.latency"
+GROUP = "python -m workbench.scale.membership"
+ONE = "python -m workbench.scale.member"
+LEADER = "python -m workbench.scale.leader"
+LATENCY = "python -m workbench.scale.latency"
 
 
 @dataclass(frozen=True)
--- a/laurelspindle/scale/events.py
+++ b/workbench/scale/events.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from laurelspindle.scale import mechanisms as m
-from laurelspindle.scale.rows import Event, Row
-from laurelspindle.scale.slopes import Slopes, arithmetic
-from laurelspindle.scale.target import Target
+from workbench.scale import mechanisms as m
+from workbench.scale.rows import Event, Row
+from workbench.scale.slopes import Slopes, arithmetic
+from workbench.scale.target import Target
 
 
 @dataclass(frozen=True)
--- a/laurelspindle/scale/hollow.py
+++ b/workbench/scale/hollow.py
@@ -19,11 +19,11 @@
 from balancer.interface import ClassSettings, Effect, Settings
 from balancer.net.lifecycle import Lifecycle, Stage
 from balancer.net.log import Log
-from laurelspindle.scale.group import Group, Place
-from laurelspindle.scale.messages import Traffic
-from laurelspindle.scale.meter import RUNTIME, SOCKET, Meter
-from laurelspindle.scale.plan import Defect
-from laurelspindle.scale.program import Changed, Runtime, drop_updates, listen_to_changes, make_runtime
+from workbench.scale.group import Group, Place
+from workbench.scale.messages import Traffic
+from workbench.scale.meter import RUNTIME, SOCKET, Meter
+from workbench.scale.plan import Defect
+from workbench.scale.program import Changed, Runtime, drop_updates, listen_to_changes, make_runtime
 
 HELD_S = 86_400.0  # a timer of a member that is held: never, in a run that is bounded in time
 LIST_SENDER = "scale-run"  # no member
--- a/laurelspindle/scale/latency.py
+++ b/workbench/scale/latency.py
@@ -1,4 +1,4 @@
-"""Time that a real node adds to a call, on loopback: `python -m laurelspindle.scale.latency`.
+"""Time that a real node adds to a call, on loopback: `python -m workbench.scale.latency`.
 
 Requests go through the node at a rate, and others straight to the stand-in server between them, so that both
 meet the same machine. They go out when they are due (gaps drawn from an exponential distribution), whatever
@@ -29,10 +29,10 @@
 import uvloop
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from laurelspindle.live.http import Lines, Reply, request_bytes
-from laurelspindle.scale.loopback import Bench, Usage, bench, serve, usage
-from laurelspindle.scale.quiet import QuietWatch
-from laurelspindle.scale.target import DEEPEST_CALL
+from workbench.live.http import Lines, Reply, request_bytes
+from workbench.scale.loopback import Bench, Usage, bench, serve, usage
+from workbench.scale.quiet import QuietWatch
+from workbench.scale.target import DEEPEST_CALL
 
 MIN_US, MAX_US, DIGITS = 1, 10_000_000, 3
 BUDGET_MS = 2000
--- a/laurelspindle/scale/leader.py
+++ b/workbench/scale/leader.py
@@ -1,4 +1,4 @@
-"""What leading a replacement of the fleet costs its leader: `python -m laurelspindle.scale.leader SIZES...`.
+"""What leading a replacement of the fleet costs its leader: `python -m workbench.scale.leader SIZES...`.
 
 The leader asks all members how they stand each half second, and each answers. Measured are the decisions and
 the codec, for datagrams out and in; the event loop and the kernel are left out.
@@ -12,9 +12,9 @@
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.replace.decisions import EVERY, Replacement
 from balancer.fleet.replace.messages import ReplaceKind, ReplaceMessage, ReplaceWire
-from laurelspindle.explore.members import KEY
-from laurelspindle.scale.member import Stopwatch
-from laurelspindle.scale.membership import Row
+from workbench.explore.members import KEY
+from workbench.scale.member import Stopwatch
+from workbench.scale.membership import Row
 
 ROUNDS = 8
 SECOND_US = 1_000_000
--- a/laurelspindle/scale/loopback.py
+++ b/workbench/scale/loopback.py
@@ -15,10 +15,10 @@
 from time import monotonic_ns
 from typing import Any
 
-from laurelspindle.live.agent import Agent
-from laurelspindle.live.http import ServerSide, answer_bytes
-from laurelspindle.live.places import CALLS, PAGES, Places
-from laurelspindle.live.starter import tied
+from workbench.live.agent import Agent
+from workbench.live.http import ServerSide, answer_bytes
+from workbench.live.places import CALLS, PAGES, Places
+from workbench.live.starter import tied
 
 START_S = 10.0  # that a process may take until it answers
 SERVER_PORT = 7000
@@ -216,7 +216,7 @@
         python = [sys.executable, "-m"]
         profiler = ["cProfile", "-o", str(profile)] if profile else []
         runner = [*python, *profiler, *(["-m"] if profile else []), "balancer"]
-        serving = [*python, "laurelspindle.scale.latency", "--serve", f"{places.servers}:{SERVER_PORT}"]
+        serving = [*python, "workbench.scale.latency", "--serve", f"{places.servers}:{SERVER_PORT}"]
         agent = ListAgent(loop, server_entry((places.servers, SERVER_PORT)))
         agent.start(places.agent(0))
         quiet: dict[str, Any] = {"stdin": subprocess.DEVNULL, "stdout": subprocess.DEVNULL}
--- a/laurelspindle/scale/machine.py
+++ b/workbench/scale/machine.py
@@ -5,7 +5,7 @@
 import os
 from pathlib import Path
 
-from laurelspindle.scale.plan import Plan, PlanError
+from workbench.scale.plan import Plan, PlanError
 
 MEMBERS_PER_WORKER = 10  # fewer are not worth a process
 SPARE_CORES = 2  # for the parent, the real nodes and the machine itself
--- a/laurelspindle/scale/measurements.py
+++ b/workbench/scale/measurements.py
@@ -10,9 +10,9 @@
 from msgspec import Struct
 from rich.table import Table
 
-from laurelspindle.scale.messages import Window
-from laurelspindle.scale.meter import COMPONENTS, LOOP, RUNTIME, SOCKET
-from laurelspindle.scale.verdict import Findings
+from workbench.scale.messages import Window
+from workbench.scale.meter import COMPONENTS, LOOP, RUNTIME, SOCKET
+from workbench.scale.verdict import Findings
 
 CALM = ""  # the calm's quantities have no prefix
 JOIN = "join."
--- a/laurelspindle/scale/member.py
+++ b/workbench/scale/member.py
@@ -1,6 +1,6 @@
 """What one member of a group costs its own process, at sizes too large to play whole.
 
-    python -m laurelspindle.scale.member SIZES... [--seed N]...
+    python -m workbench.scale.member SIZES... [--seed N]...
 
 A single member knows all others; they answer its pings at once and ping it once a period. No news is under
 way. The state machine's own calls are measured one by one: `tick`, `receive`, `due` (which a host asks again
@@ -20,8 +20,8 @@
 
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Claim, Kind, Message, Send, Status, Swim
-from laurelspindle.explore.members import KEY
-from laurelspindle.scale.membership import Row, stop_spreading
+from workbench.explore.members import KEY
+from workbench.scale.membership import Row, stop_spreading
 
 PERIOD_US = 1_000_000
 PERIODS = 30
--- a/laurelspindle/scale/membership.py
+++ b/workbench/scale/membership.py
@@ -1,6 +1,6 @@
 """Cost of one flat membership group by its size, on the virtual network.
 
-    python -m laurelspindle.scale.membership SCENARIO SIZES... [--seed N]...
+    python -m workbench.scale.membership SCENARIO SIZES... [--seed N]...
 
 Single process, simulated time, fixed seeds. Every datagram is encoded and decoded by the fleet's own codec.
 The processor time is that of the state machine and of the codec, measured around each call; the simulator's
@@ -32,8 +32,8 @@
 
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Address, Claim, Send, Status, Swim
-from laurelspindle.explore.members import DELAY, KEY
-from laurelspindle.virtual.heap import HeapClock
+from workbench.explore.members import DELAY, KEY
+from workbench.virtual.heap import HeapClock
 
 WARM_UP_S = 5.0
 CALM_S = 20.0  # window in which rates are measured
--- a/laurelspindle/scale/messages.py
+++ b/workbench/scale/messages.py
@@ -7,8 +7,8 @@
 import msgspec
 from msgspec import Struct, field
 
-from laurelspindle.scale.group import Group
-from laurelspindle.scale.plan import Defect, Start
+from workbench.scale.group import Group
+from workbench.scale.plan import Defect, Start
 
 LENGTH = Packing("<I")
 
--- a/laurelspindle/scale/meter.py
+++ b/workbench/scale/meter.py
@@ -15,7 +15,7 @@
 
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Swim
-from laurelspindle.scale.program import further_components
+from workbench.scale.program import further_components
 
 LOOP = "loop"
 RUNTIME = "runtime"  # what the fleet runtime does around its components
--- a/laurelspindle/scale/observer.py
+++ b/workbench/scale/observer.py
@@ -10,8 +10,8 @@
 from time import monotonic
 
 from balancer.fleet.membership.swim import Claim
-from laurelspindle.scale.group import Group, Place
-from laurelspindle.scale.messages import FalseDeath, ViewFault
+from workbench.scale.group import Group, Place
+from workbench.scale.messages import FalseDeath, ViewFault
 
 HELD = ("join", "alive", "suspect")  # changes after which a member is held alive...
 GONE = ("dead", "left")  # ...and after which it is not
--- a/laurelspindle/scale/page.py
+++ b/workbench/scale/page.py
@@ -1,4 +1,4 @@
-"""The generated parts of docs/CAPACITY.md: `python -m laurelspindle.scale.page docs/CAPACITY.md`."""
+"""The generated parts of docs/CAPACITY.md: `python -m workbench.scale.page docs/CAPACITY.md`."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 import click
 
-from laurelspindle.files import replace_files
-from laurelspindle.scale.capacity import capacity
-from laurelspindle.scale.slopes import read_slopes
-from laurelspindle.scale.table import sections
-from laurelspindle.scale.target import target_of
+from workbench.files import replace_files
+from workbench.scale.capacity import capacity
+from workbench.scale.slopes import read_slopes
+from workbench.scale.table import sections
+from workbench.scale.target import target_of
 
 PART = re.compile(r"(<!-- generated: (\w+) -->\n).*?(<!-- end -->\n)", re.DOTALL)
 
--- a/laurelspindle/scale/plan.py
+++ b/workbench/scale/plan.py
@@ -10,9 +10,9 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-from laurelspindle.scale.group import PORTS_PER_HOST, REAL_ZONE, Group, Membership, Place
-from laurelspindle.scenario.check import type_faults
-from laurelspindle.scenario.load import read_toml, titles
+from workbench.scale.group import PORTS_PER_HOST, REAL_ZONE, Group, Membership, Place
+from workbench.scenario.check import type_faults
+from workbench.scenario.load import read_toml, titles
 
 Whole0 = Annotated[int, Meta(extra_json_schema={"minimum": 0})]
 Whole1 = Annotated[int, Meta(extra_json_schema={"minimum": 1})]
@@ -78,7 +78,7 @@
     defect: list[DefectOf] = field(default_factory=list)
 
 
-SHIPPED = files("laurelspindle") / "scale" / "plans"
+SHIPPED = files("workbench") / "scale" / "plans"
 
 
 def shipped() -> dict[str, str]:
--- a/laurelspindle/scale/profile.py
+++ b/workbench/scale/profile.py
@@ -1,4 +1,4 @@
-"""Where a node's processor time goes, by module: `python -m laurelspindle.scale.profile`.
+"""Where a node's processor time goes, by module: `python -m workbench.scale.profile`.
 
 The node runs under cProfile while requests come at a rate. cProfile sees Python functions alone: what the
 event loop, the parser and the kernel take is the process's own processor time less theirs. The profiler makes
@@ -17,8 +17,8 @@
 import click
 import uvloop
 
-from laurelspindle.live.load import Load, class_of
-from laurelspindle.scale.loopback import bench, usage
+from workbench.live.load import Load, class_of
+from workbench.scale.loopback import bench, usage
 
 PACKAGES = ("balancer", "asyncio")
 LOOP = (
--- a/laurelspindle/scale/quiet.py
+++ b/workbench/scale/quiet.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from laurelspindle.scale.loopback import usage
+from workbench.scale.loopback import usage
 
 
 @dataclass(frozen=True)
--- a/laurelspindle/scale/real.py
+++ b/workbench/scale/real.py
@@ -12,19 +12,19 @@
 
 import msgspec
 
-from laurelspindle.lab.fleet import READY_LOOK, ask
-from laurelspindle.lab.process import Process, command
-from laurelspindle.live.clock import LiveClock
-from laurelspindle.live.config import node_table
-from laurelspindle.live.http import Lines
-from laurelspindle.live.links import Link
-from laurelspindle.live.nodes import LiveNode, NoControl, Site
-from laurelspindle.live.places import CALLS, PAGES, Places
-from laurelspindle.scale.group import Group, Place
-from laurelspindle.scenario.load import draw, load
-from laurelspindle.world.network import one_way
-from laurelspindle.world.site import BEGIN, World
-from laurelspindle.world.streams import Streams
+from workbench.lab.fleet import READY_LOOK, ask
+from workbench.lab.process import Process, command
+from workbench.live.clock import LiveClock
+from workbench.live.config import node_table
+from workbench.live.http import Lines
+from workbench.live.links import Link
+from workbench.live.nodes import LiveNode, NoControl, Site
+from workbench.live.places import CALLS, PAGES, Places
+from workbench.scale.group import Group, Place
+from workbench.scenario.load import draw, load
+from workbench.world.network import one_way
+from workbench.world.site import BEGIN, World
+from workbench.world.streams import Streams
 
 READY_S = 20.0
 PAGE_S = 5.0  # that a node has to answer for its page
--- a/laurelspindle/scale/roles.py
+++ b/workbench/scale/roles.py
@@ -6,11 +6,11 @@
 from dataclasses import replace
 from math import nan
 
-from laurelspindle.scale import mechanisms as m
-from laurelspindle.scale.mechanisms import Mechanism
-from laurelspindle.scale.rows import Role, Row
-from laurelspindle.scale.slopes import UNMEASURED, Quantity, Slopes, arithmetic
-from laurelspindle.scale.target import DEEPEST_CALL, Target
+from workbench.scale import mechanisms as m
+from workbench.scale.mechanisms import Mechanism
+from workbench.scale.rows import Role, Row
+from workbench.scale.slopes import UNMEASURED, Quantity, Slopes, arithmetic
+from workbench.scale.target import DEEPEST_CALL, Target
 
 US_A_SECOND_AS_PERCENT = 1e-4  # of a core
 BOTH_WAYS = 2.0  # what one member sends another receives
--- a/laurelspindle/scale/rows.py
+++ b/workbench/scale/rows.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from laurelspindle.scale.mechanisms import Mechanism
-from laurelspindle.scale.slopes import Quantity
-from laurelspindle.scale.target import Target
+from workbench.scale.mechanisms import Mechanism
+from workbench.scale.slopes import Quantity
+from workbench.scale.target import Target
 
 
 class Role(Enum):
--- a/laurelspindle/scale/run.py
+++ b/workbench/scale/run.py
@@ -16,12 +16,12 @@
 
 from balancer.fleet.config import FleetFault, read_fleet
 from balancer.fleet.membership.codec import Codec, read_key
-from laurelspindle.live.places import Places
-from laurelspindle.scale.group import Group, Place
-from laurelspindle.scale.hollow import list_datagrams
-from laurelspindle.scale.machine import check_memory_need, default_workers, memory_limit, resident
-from laurelspindle.scale.measurements import CALM, FAULT, JOIN, Figure, Phase, phase_figures, time_figures
-from laurelspindle.scale.messages import (
+from workbench.live.places import Places
+from workbench.scale.group import Group, Place
+from workbench.scale.hollow import list_datagrams
+from workbench.scale.machine import check_memory_need, default_workers, memory_limit, resident
+from workbench.scale.measurements import CALM, FAULT, JOIN, Figure, Phase, phase_figures, time_figures
+from workbench.scale.messages import (
     Assign,
     Cut,
     Done,
@@ -38,11 +38,11 @@
     Stop,
     ViewFault,
 )
-from laurelspindle.scale.observer import view_fault
-from laurelspindle.scale.plan import SETTLE_PERIODS, Fault, Plan, PlanError, defects_of, group_of, victims
-from laurelspindle.scale.real import RealNodeError, RealNodes
-from laurelspindle.scale.verdict import Check, Death, Findings, checks, machine_limits
-from laurelspindle.scale.workers import WorkerError, Workers
+from workbench.scale.observer import view_fault
+from workbench.scale.plan import SETTLE_PERIODS, Fault, Plan, PlanError, defects_of, group_of, victims
+from workbench.scale.real import RealNodeError, RealNodes
+from workbench.scale.verdict import Check, Death, Findings, checks, machine_limits
+from workbench.scale.workers import WorkerError, Workers
 
 LOOK_S = 0.5  # between two looks at how far the members are
 KEY = "the key of this scale run's group only\n"
--- a/laurelspindle/scale/simulated.py
+++ b/workbench/scale/simulated.py
@@ -11,12 +11,12 @@
 from statistics import median
 
 from balancer.fleet.membership.swim import Address, Claim, Status, Swim
-from laurelspindle.explore.members import Net
-from laurelspindle.scale.group import SEEDS, Group
-from laurelspindle.scale.measurements import CPU_UNIT, SIMULATED, Figure
-from laurelspindle.scale.meter import Meter
-from laurelspindle.scale.plan import SETTLE_PERIODS, Fault, Plan, victims
-from laurelspindle.scale.program import drop_updates
+from workbench.explore.members import Net
+from workbench.scale.group import SEEDS, Group
+from workbench.scale.measurements import CPU_UNIT, SIMULATED, Figure
+from workbench.scale.meter import Meter
+from workbench.scale.plan import SETTLE_PERIODS, Fault, Plan, victims
+from workbench.scale.program import drop_updates
 
 HOST = "127.100.100.100"
 FIRST_PORT = 10_000  # a member's name has its port: as long as the names of hollow members
--- a/laurelspindle/scale/slopes.py
+++ b/workbench/scale/slopes.py
@@ -20,9 +20,9 @@
 from msgspec import Meta, Struct, field
 from scipy import stats
 
-from laurelspindle.scenario.check import type_faults
+from workbench.scenario.check import type_faults
 
-SHIPPED = files("laurelspindle.scale") / "slopes.toml"
+SHIPPED = files("workbench.scale") / "slopes.toml"
 MIN_POINTS = 5  # of a fit that is not an estimate
 MAX_REACH = 10.0  # times beyond the last point, of a fit that is not an estimate
 CONFIDENCE = 0.95
--- a/laurelspindle/scale/table.py
+++ b/workbench/scale/table.py
@@ -5,8 +5,8 @@
 from collections.abc import Sequence
 from math import isnan
 
-from laurelspindle.scale.rows import Capacity, Row
-from laurelspindle.scale.slopes import MIN_POINTS, Point, Quantity, Slope, Slopes
+from workbench.scale.rows import Capacity, Row
+from workbench.scale.slopes import MIN_POINTS, Point, Quantity, Slope, Slopes
 
 MILLION = 1e6
 HEAD = ("who or what", "cost", "value", "95% interval", "unit", "budget", "of it", "carried by", "from")
--- a/laurelspindle/scale/target.py
+++ b/workbench/scale/target.py
@@ -7,7 +7,7 @@
 
 from msgspec import Meta, Struct, convert
 
-from laurelspindle.scenario.check import type_faults
+from workbench.scenario.check import type_faults
 
 SECONDS_A_DAY = 86_400
 DEEPEST_CALL = 9  # hops
--- a/laurelspindle/scale/verdict.py
+++ b/workbench/scale/verdict.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct, field
 
-from laurelspindle.scale.messages import FalseDeath, ViewFault, Window
+from workbench.scale.messages import FalseDeath, ViewFault, Window
 
 MAX_LATENESS_P99_MS = 50.0  # of a worker's loop: over that its members answer as no node of their own would
 MAX_WORKER_CPU = 0.8  # of a core
--- a/laurelspindle/scale/worker.py
+++ b/workbench/scale/worker.py
@@ -1,6 +1,6 @@
 """A process that runs hollow members: one event loop, told what to do by the parent over its standard input.
 
-    python -m laurelspindle.scale.worker
+    python -m workbench.scale.worker
 
 The parent starts it tied to itself, so the kernel ends it with the parent; the end of its input ends it too.
 """
@@ -20,10 +20,10 @@
 import uvloop
 
 from balancer.fleet.membership.codec import Codec, read_key
-from laurelspindle.scale.group import Group, Place
-from laurelspindle.scale.hollow import HollowMember, Network, list_datagrams
-from laurelspindle.scale.machine import resident
-from laurelspindle.scale.messages import (
+from workbench.scale.group import Group, Place
+from workbench.scale.hollow import HollowMember, Network, list_datagrams
+from workbench.scale.machine import resident
+from workbench.scale.messages import (
     LENGTH,
     Assign,
     Cut,
@@ -45,8 +45,8 @@
     frame,
     request_decoder,
 )
-from laurelspindle.scale.meter import Meter
-from laurelspindle.scale.observer import MAX_NAMES, Truth, view_fault
+from workbench.scale.meter import Meter
+from workbench.scale.observer import MAX_NAMES, Truth, view_fault
 
 SAMPLE_S = 0.02  # between two looks at how late the loop is
 
--- a/laurelspindle/scale/workers.py
+++ b/workbench/scale/workers.py
@@ -7,10 +7,10 @@
 from contextlib import suppress
 from typing import TypeVar
 
-from laurelspindle.live.starter import tied
-from laurelspindle.scale.messages import LENGTH, Failed, Reply, Request, frame, reply_decoder
+from workbench.live.starter import tied
+from workbench.scale.messages import LENGTH, Failed, Reply, Request, frame, reply_decoder
 
-COMMAND = [sys.executable, "-m", "laurelspindle.scale.worker"]
+COMMAND = [sys.executable, "-m", "workbench.scale.worker"]
 REPLY_S = 120.0  # the longest that a worker may take for one reply
 END_S = 5.0  # that a worker has to end once its input is closed
 
--- a/laurelspindle/scenario/check.py
+++ b/workbench/scenario/check.py
@@ -9,7 +9,7 @@
 
 import msgspec.inspect as mi
 
-from laurelspindle.scenario.model import Scenario
+from workbench.scenario.model import Scenario
 
 WORDS: dict[str, tuple[str, Callable[[float, float], bool]]] = {
     "exclusiveMinimum": ("over", gt),
--- a/laurelspindle/scenario/load.py
+++ b/workbench/scenario/load.py
@@ -13,9 +13,9 @@
 import msgspec
 import tomli_w
 
-from laurelspindle.scenario.check import faults
-from laurelspindle.scenario.model import Scenario
-from laurelspindle.world.streams import Streams
+from workbench.scenario.check import faults
+from workbench.scenario.model import Scenario
+from workbench.world.streams import Streams
 
 STEP = re.compile(r"([^.\[\]]+)((?:\[\d+\])*)(?:\.|$)")
 
@@ -49,7 +49,7 @@
         raise fault(f"{source}: not TOML: {e}") from None
 
 
-SHIPPED = files("laurelspindle") / "scenarios"
+SHIPPED = files("workbench") / "scenarios"
 
 
 def shipped() -> dict[str, str]:
--- a/laurelspindle/virtual/play.py
+++ b/workbench/virtual/play.py
@@ -12,15 +12,15 @@
 from time import process_time
 from typing import Any
 
-import laurelspindle
-from laurelspindle.policies import POLICIES, Policy
-from laurelspindle.scenario.load import digest, plain
-from laurelspindle.scenario.model import Scenario
-from laurelspindle.virtual.heap import HeapClock
-from laurelspindle.virtual.host import Host
-from laurelspindle.world.call import Request
-from laurelspindle.world.network import num
-from laurelspindle.world.site import BEGIN, World
+import workbench
+from workbench.policies import POLICIES, Policy
+from workbench.scenario.load import digest, plain
+from workbench.scenario.model import Scenario
+from workbench.virtual.heap import HeapClock
+from workbench.virtual.host import Host
+from workbench.world.call import Request
+from workbench.world.network import num
+from workbench.world.site import BEGIN, World
 
 STEP = 1_000_000  # progress is told each second of the day
 TAIL = 30_000_000  # after the last arrival, a day runs on for so long at most
@@ -130,7 +130,7 @@
 def made(day: Scenario, policy: str, overrides: list[str]) -> dict[str, Any]:
     """What made a result: enough to repeat it."""
     return {
-        "product": laurelspindle.__version__,
+        "product": workbench.__version__,
         "python": platform.python_version(),
         "revision": revision(),
         "digest": digest(day),
--- a/laurelspindle/world/discovery.py
+++ b/workbench/world/discovery.py
@@ -5,13 +5,13 @@
 from typing import TYPE_CHECKING
 
 from balancer.interface import ListKind, ServerEntry, State
-from laurelspindle.scenario.model import Scenario
-from laurelspindle.world.call import Port
-from laurelspindle.world.network import num
+from workbench.scenario.model import Scenario
+from workbench.world.call import Port
+from workbench.world.network import num
 
 if TYPE_CHECKING:
-    from laurelspindle.world.server import Server
-    from laurelspindle.world.site import World
+    from workbench.world.server import Server
+    from workbench.world.site import World
 
 Changes = list[ServerEntry]
 
--- a/laurelspindle/world/faults.py
+++ b/workbench/world/faults.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING, Any
 
-from laurelspindle.scenario.model import Fault
-from laurelspindle.world.call import Port
-from laurelspindle.world.network import num, whole
-from laurelspindle.world.server import Server
+from workbench.scenario.model import Fault
+from workbench.world.call import Port
+from workbench.world.network import num, whole
+from workbench.world.server import Server
 
 if TYPE_CHECKING:
-    from laurelspindle.world.site import World
+    from workbench.world.site import World
 
 DRAIN = 3_000_000  # a server that is replaced drains for so long before it ends
 
--- a/laurelspindle/world/front.py
+++ b/workbench/world/front.py
@@ -5,13 +5,13 @@
 
 from typing import TYPE_CHECKING
 
-from laurelspindle.scenario.model import Scenario
-from laurelspindle.world.call import Port
-from laurelspindle.world.clock import Clock
-from laurelspindle.world.network import num
+from workbench.scenario.model import Scenario
+from workbench.world.call import Port
+from workbench.world.clock import Clock
+from workbench.world.network import num
 
 if TYPE_CHECKING:
-    from laurelspindle.world.streams import Streams
+    from workbench.world.streams import Streams
 
 
 class Front:
--- a/laurelspindle/world/site.py
+++ b/workbench/world/site.py
@@ -11,18 +11,18 @@
 from typing import Protocol
 
 from balancer.interface import ClassSettings, Effect, Group, Settings
-from laurelspindle.scenario.model import Kind, Scenario
-from laurelspindle.world.accounts import Accounts
-from laurelspindle.world.call import Attempt, Call, Caller, Port, Request
-from laurelspindle.world.clients import Clients
-from laurelspindle.world.clock import Clock
-from laurelspindle.world.discovery import Discovery
-from laurelspindle.world.faults import Trouble
-from laurelspindle.world.front import Front
-from laurelspindle.world.network import Network, num, whole
-from laurelspindle.world.referee import Referee
-from laurelspindle.world.server import Server
-from laurelspindle.world.streams import Streams
+from workbench.scenario.model import Kind, Scenario
+from workbench.world.accounts import Accounts
+from workbench.world.call import Attempt, Call, Caller, Port, Request
+from workbench.world.clients import Clients
+from workbench.world.clock import Clock
+from workbench.world.discovery import Discovery
+from workbench.world.faults import Trouble
+from workbench.world.front import Front
+from workbench.world.network import Network, num, whole
+from workbench.world.referee import Referee
+from workbench.world.server import Server
+from workbench.world.streams import Streams
 
 LEAST_SPEED = 0.3  # of its kind's mean, however wide the spread
 BEGIN = 10_000_000  # the clock begins at no particular value
