--- a/balancer/fleet/assembly.py
+++ b/balancer/fleet/assembly.py
@@ -14,8 +14,8 @@
 from balancer.fleet.policy_component import PolicyComponent
 
 if TYPE_CHECKING:
-    from balancer.fleet.duties.component import DutiesComponent
-    from balancer.fleet.replace.component import ReplacementComponent
+    from balancer.fleet.leases.component import DutiesComponent
+    from balancer.fleet.rolling_update.component import ReplacementComponent
 
 
 @dataclass
@@ -36,14 +36,14 @@
     )
     made = FleetComponents(adapter)
     if config.voters:
-        from balancer.fleet.duties.component import DutiesComponent
-        from balancer.fleet.replace.component import ReplacementComponent
+        from balancer.fleet.leases.component import DutiesComponent
+        from balancer.fleet.rolling_update.component import ReplacementComponent
 
         made.duties = DutiesComponent(runtime)
         made.replacement = ReplacementComponent(runtime, made.duties)
         made.ordered += [made.duties, made.replacement]
     if config.membership is not None:
-        from balancer.fleet.federation.component import FederationComponent
+        from balancer.fleet.zone_membership.component import FederationComponent
 
         made.ordered.append(FederationComponent(runtime, config.membership))
     made.ordered.append(PolicyComponent(runtime, adapter, made.duties))
--- a/balancer/fleet/config.py
+++ b/balancer/fleet/config.py
@@ -11,10 +11,10 @@
 
 from balancer.fleet.membership.codec import NAME_MOST, KeyFault, read_key
 from balancer.fleet.membership.swim import Address
-from balancer.fleet.zones.settings import ZoneSettings
+from balancer.fleet.zone_routing.settings import ZoneSettings
 
 if TYPE_CHECKING:
-    from balancer.fleet.federation.settings import ZoneMembershipSettings
+    from balancer.fleet.zone_membership.settings import ZoneMembershipSettings
 
 VOTERS = (0, 3, 5)
 SEEDS_MOST = 64
@@ -213,7 +213,7 @@
     """The table `membership`, if there is one. Without it nothing of its package is imported."""
     if "membership" not in s.table:
         return None
-    from balancer.fleet.federation.settings import read_membership
+    from balancer.fleet.zone_membership.settings import read_membership
 
     return read_membership(s, s.table["membership"])
 
--- a/balancer/fleet/probe/decisions.py
+++ b/balancer/fleet/health_checks/decisions.py
@@ -17,10 +17,10 @@
 from random import Random
 from typing import Any
 
-from balancer.fleet.duties.asker import Asker
-from balancer.fleet.duties.names import PROBE_PREFIX
-from balancer.fleet.probe.messages import MOST, ProbeKind, ProbeMessage, Trial
-from balancer.fleet.probe.settings import ProbeSettings
+from balancer.fleet.health_checks.messages import MOST, ProbeKind, ProbeMessage, Trial
+from balancer.fleet.health_checks.settings import ProbeSettings
+from balancer.fleet.leases.asker import Asker
+from balancer.fleet.leases.names import PROBE_PREFIX
 
 Out = list[tuple[str, Any]]  # duties' messages and this part's
 
--- a/balancer/fleet/duties/asker.py
+++ b/balancer/fleet/leases/asker.py
@@ -19,9 +19,9 @@
 from enum import Enum
 from random import Random
 
-from balancer.fleet.duties.messages import DutyKind, DutyMessage, Reason
-from balancer.fleet.duties.settings import DutySettings, Electorate, counted
-from balancer.fleet.duties.voter import Out
+from balancer.fleet.leases.messages import DutyKind, DutyMessage, Reason
+from balancer.fleet.leases.settings import DutySettings, Electorate, counted
+from balancer.fleet.leases.voter import Out
 
 Tell = Callable[[str, str, int], None]
 
--- a/balancer/fleet/duties/part.py
+++ b/balancer/fleet/leases/part.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 from balancer.fleet.config import FleetConfig
-from balancer.fleet.duties.asker import Asker, Stage
-from balancer.fleet.duties.messages import DutyMessage, DutyWire
-from balancer.fleet.duties.settings import DutySettings, Electorate
-from balancer.fleet.duties.store import VoteStore
-from balancer.fleet.duties.voter import Out, Voter
+from balancer.fleet.leases.asker import Asker, Stage
+from balancer.fleet.leases.messages import DutyMessage, DutyWire
+from balancer.fleet.leases.settings import DutySettings, Electorate
+from balancer.fleet.leases.store import VoteStore
+from balancer.fleet.leases.voter import Out, Voter
 from balancer.net.log import Log
 
 SCRIPTS_MOST = 64  # duties held for scripts at once
--- a/balancer/fleet/duties/store.py
+++ b/balancer/fleet/leases/store.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from balancer.fleet.duties.voter import CeilingUnavailable, VoteRange
+from balancer.fleet.leases.voter import CeilingUnavailable, VoteRange
 
 AHEAD = 60_000  # numbers follow milliseconds of Unix time: a write a minute
 MAGIC = b"brackenladder votes 1"
--- a/balancer/fleet/duties/voter.py
+++ b/balancer/fleet/leases/voter.py
@@ -15,8 +15,8 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from balancer.fleet.duties.messages import DutyKind, DutyMessage, Reason
-from balancer.fleet.duties.settings import DutySettings, Electorate, promised
+from balancer.fleet.leases.messages import DutyKind, DutyMessage, Reason
+from balancer.fleet.leases.settings import DutySettings, Electorate, promised
 
 Out = list[tuple[str, DutyMessage]]
 Holder = tuple[str, int]  # name and life
--- a/balancer/fleet/remeasure/decisions.py
+++ b/balancer/fleet/min_rtt/decisions.py
@@ -15,9 +15,9 @@
 from random import Random
 from typing import Any
 
-from balancer.fleet.duties.asker import Asker
-from balancer.fleet.duties.names import REMEASURE_PREFIX
-from balancer.fleet.duties.voter import Out
+from balancer.fleet.leases.asker import Asker
+from balancer.fleet.leases.names import REMEASURE_PREFIX
+from balancer.fleet.leases.voter import Out
 
 
 @dataclass(frozen=True)
--- a/balancer/fleet/operator_pages.py
+++ b/balancer/fleet/operator_pages.py
@@ -12,13 +12,13 @@
 from urllib.parse import parse_qs
 
 from balancer.fleet.component import Outgoing, Runtime
-from balancer.fleet.duties.names import is_reserved
+from balancer.fleet.leases.names import is_reserved
 from balancer.fleet.membership.codec import NAME_MOST
 from balancer.fleet.policy_adapter import PolicyAdapter
 
 if TYPE_CHECKING:
-    from balancer.fleet.duties.component import DutiesComponent
-    from balancer.fleet.replace.component import ReplacementComponent
+    from balancer.fleet.leases.component import DutiesComponent
+    from balancer.fleet.rolling_update.component import ReplacementComponent
 
 Response = tuple[int, bytes]
 MAX_DIRECTIVE_SECONDS = 86_400
--- a/balancer/fleet/policy_adapter.py
+++ b/balancer/fleet/policy_adapter.py
@@ -15,10 +15,10 @@
 from balancer.interface import ListKind, Outcome, ServerEntry, Settings
 
 if TYPE_CHECKING:
-    from balancer.fleet.duties.asker import Asker
-    from balancer.fleet.probe.decisions import Probe
-    from balancer.fleet.remeasure.decisions import Remeasure
-    from balancer.fleet.zones.traffic import ZoneTraffic
+    from balancer.fleet.health_checks.decisions import Probe
+    from balancer.fleet.leases.asker import Asker
+    from balancer.fleet.min_rtt.decisions import Remeasure
+    from balancer.fleet.zone_routing.traffic import ZoneTraffic
 
 Out = list[tuple[str, Any]]  # a member's name, and a message to it
 Handler = Callable[[int, Any], Out]
@@ -53,7 +53,7 @@
         self.alive: Callable[[], Sequence[str]] = tuple
         self.handlers: dict[int, Handler] = {}  # by message kind, of the parts that are open
         if config.zones is not None:
-            from balancer.fleet.zones.traffic import ZoneTraffic
+            from balancer.fleet.zone_routing.traffic import ZoneTraffic
 
             self.zone_traffic = ZoneTraffic(
                 config, config.zones, settings, now, wall, schedule, log_line, self.publish_shares
@@ -63,11 +63,11 @@
         """Probes' messages are read by all that have voters, whether they probe themselves or not."""
         wires: list[Part] = []
         if self.config.voters:
-            from balancer.fleet.probe.messages import ProbeWire
+            from balancer.fleet.health_checks.messages import ProbeWire
 
             wires.append(ProbeWire())
         if self.config.zones is not None:
-            from balancer.fleet.zones.messages import ZoneWire
+            from balancer.fleet.zone_routing.messages import ZoneWire
 
             wires.append(ZoneWire())
         return wires
@@ -87,9 +87,9 @@
             self.open_remeasure(asker, rng)
 
     def open_probe(self, asker: Asker, rng: Random) -> None:
-        from balancer.fleet.probe.decisions import Probe
-        from balancer.fleet.probe.messages import ProbeKind
-        from balancer.fleet.probe.settings import settings_for
+        from balancer.fleet.health_checks.decisions import Probe
+        from balancer.fleet.health_checks.messages import ProbeKind
+        from balancer.fleet.health_checks.settings import settings_for
 
         config = self.config
         settings = settings_for(config.longest)
@@ -97,7 +97,7 @@
         self.handlers |= dict.fromkeys(ProbeKind, self.probe.received)
 
     def open_remeasure(self, asker: Asker, rng: Random) -> None:
-        from balancer.fleet.remeasure.decisions import Remeasure, RemeasureSettings
+        from balancer.fleet.min_rtt.decisions import Remeasure, RemeasureSettings
 
         bounds = RemeasureSettings(self.config.remeasure)
         self.remeasure = Remeasure(self.settings.tier, self.settings.instances, bounds, asker, rng)
--- a/balancer/fleet/policy_component.py
+++ b/balancer/fleet/policy_component.py
@@ -11,7 +11,7 @@
 from balancer.fleet.policy_adapter import PolicyAdapter
 
 if TYPE_CHECKING:
-    from balancer.fleet.duties.component import DutiesComponent
+    from balancer.fleet.leases.component import DutiesComponent
 
 
 class PolicyComponent(Component):
--- a/balancer/fleet/replace/component.py
+++ b/balancer/fleet/rolling_update/component.py
@@ -6,12 +6,12 @@
 from typing import Any
 
 from balancer.fleet.component import Component, Outgoing, Runtime, addressed
-from balancer.fleet.duties.component import DutiesComponent
-from balancer.fleet.duties.names import REPLACEMENT
+from balancer.fleet.leases.component import DutiesComponent
+from balancer.fleet.leases.names import REPLACEMENT
 from balancer.fleet.membership.codec import Part
 from balancer.fleet.membership.swim import Address
-from balancer.fleet.replace.decisions import MOST, Replacement
-from balancer.fleet.replace.messages import ReplaceWire, State
+from balancer.fleet.rolling_update.decisions import MOST, Replacement
+from balancer.fleet.rolling_update.messages import ReplaceWire, State
 from balancer.net.lifecycle import Stage
 
 COMMANDS = {"pause": State.PAUSED, "resume": State.RUNS, "stop": State.STOPPED}
--- a/balancer/fleet/replace/decisions.py
+++ b/balancer/fleet/rolling_update/decisions.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from balancer.fleet.replace.messages import Plan, ReplaceKind, ReplaceMessage, State, seq_of_age
+from balancer.fleet.rolling_update.messages import Plan, ReplaceKind, ReplaceMessage, State, seq_of_age
 
 EVERY = 500_000  # the holder asks all members how they stand
 FRESH = 2_000_000  # a report older than this counts as none
--- a/balancer/fleet/federation/component.py
+++ b/balancer/fleet/zone_membership/component.py
@@ -6,12 +6,12 @@
 from typing import Any
 
 from balancer.fleet.component import Component, Outgoing, Runtime, addressed
-from balancer.fleet.federation.decisions import Federation
-from balancer.fleet.federation.messages import FederationWire
-from balancer.fleet.federation.records import Event
-from balancer.fleet.federation.settings import FederationTiming, ZoneMembershipSettings
 from balancer.fleet.membership.codec import Part
 from balancer.fleet.membership.swim import Address
+from balancer.fleet.zone_membership.decisions import Federation
+from balancer.fleet.zone_membership.messages import FederationWire
+from balancer.fleet.zone_membership.records import Event
+from balancer.fleet.zone_membership.settings import FederationTiming, ZoneMembershipSettings
 
 
 class FederationComponent(Component):
--- a/balancer/fleet/federation/decisions.py
+++ b/balancer/fleet/zone_membership/decisions.py
@@ -13,8 +13,10 @@
 from random import Random
 from typing import Any, Protocol
 
-from balancer.fleet.federation.gateways import Rendezvous
-from balancer.fleet.federation.messages import (
+from balancer.fleet.membership.rate_limit import RateLimit
+from balancer.fleet.membership.swim import Address, Claim
+from balancer.fleet.zone_membership.gateways import Rendezvous
+from balancer.fleet.zone_membership.messages import (
     MAX_GATEWAYS,
     FederationKind,
     FederationMessage,
@@ -26,10 +28,8 @@
     batches,
     check_facts,
 )
-from balancer.fleet.federation.records import Event, Freshness, Records
-from balancer.fleet.federation.settings import MAX_GROUP, FederationTiming, ZoneMembershipSettings
-from balancer.fleet.membership.rate_limit import RateLimit
-from balancer.fleet.membership.swim import Address, Claim
+from balancer.fleet.zone_membership.records import Event, Freshness, Records
+from balancer.fleet.zone_membership.settings import MAX_GROUP, FederationTiming, ZoneMembershipSettings
 
 Out = list[tuple[Address, FederationMessage]]
 
--- a/balancer/fleet/federation/records.py
+++ b/balancer/fleet/zone_membership/records.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from balancer.fleet.federation.messages import Known, Refresh, Summary, Version, ZoneState
+from balancer.fleet.zone_membership.messages import Known, Refresh, Summary, Version, ZoneState
 
 MAX_RECORDS = 64  # zones
 MAX_ORIGINS = 8  # of a zone, whose newest versions are remembered
--- a/balancer/fleet/federation/settings.py
+++ b/balancer/fleet/zone_membership/settings.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from balancer.fleet.config import Section
-from balancer.fleet.federation.messages import MAX_NAME, MAX_ZONES
 from balancer.fleet.membership.swim import Address
+from balancer.fleet.zone_membership.messages import MAX_NAME, MAX_ZONES
 
 MAX_SEEDS_A_ZONE = 16
 MAX_GROUP = 400  # members of a zone's group; a larger zone is to be split
--- a/balancer/fleet/zones/decisions.py
+++ b/balancer/fleet/zone_routing/decisions.py
@@ -12,8 +12,8 @@
 from enum import Enum
 from typing import Any
 
-from balancer.fleet.zones.evidence import Evidence, Verdict
-from balancer.fleet.zones.settings import ZoneSettings
+from balancer.fleet.zone_routing.evidence import Evidence, Verdict
+from balancer.fleet.zone_routing.settings import ZoneSettings
 
 LEFT = 0.05  # a zone that has been halved below this part is left
 ONE_OF = 3  # so many zones at most one is left by evidence, or one where there are fewer
--- a/balancer/fleet/zones/evidence.py
+++ b/balancer/fleet/zone_routing/evidence.py
@@ -8,7 +8,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from balancer.fleet.zones.settings import ZoneSettings
+from balancer.fleet.zone_routing.settings import ZoneSettings
 
 TRIPS = 16  # last times to connect that are kept of a zone
 
--- a/balancer/fleet/zones/orders.py
+++ b/balancer/fleet/zone_routing/orders.py
@@ -18,7 +18,7 @@
 from random import Random
 from typing import Any
 
-from balancer.fleet.zones.messages import MOST, Word, ZoneKind, ZoneMessage
+from balancer.fleet.zone_routing.messages import MOST, Word, ZoneKind, ZoneMessage
 
 EVERY = 1_000_000  # microseconds between two tellings
 TELLS = 3  # times that a new directive goes to all
--- a/balancer/fleet/zones/traffic.py
+++ b/balancer/fleet/zone_routing/traffic.py
@@ -12,10 +12,10 @@
 from typing import Any
 
 from balancer.fleet.config import FleetConfig
-from balancer.fleet.zones.decisions import Listed, Zones
-from balancer.fleet.zones.messages import ZoneKind, ZoneMessage
-from balancer.fleet.zones.orders import Orders, Out
-from balancer.fleet.zones.settings import ZoneSettings
+from balancer.fleet.zone_routing.decisions import Listed, Zones
+from balancer.fleet.zone_routing.messages import ZoneKind, ZoneMessage
+from balancer.fleet.zone_routing.orders import Orders, Out
+from balancer.fleet.zone_routing.settings import ZoneSettings
 from balancer.interface import ListKind, Outcome, ServerEntry, Settings, State
 
 NO_EVIDENCE = (Outcome.CANCELLED, Outcome.NOT_SENT)  # outcomes that tell nothing about a server
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from balancer.fleet.duties import store
-from balancer.fleet.duties.asker import Asker, Stage
-from balancer.fleet.duties.messages import DutyKind, DutyMessage, DutyWire, Reason
-from balancer.fleet.duties.settings import DRIFT, DutySettings, Electorate, counted, promised
-from balancer.fleet.duties.voter import Voter
+from balancer.fleet.leases import store
+from balancer.fleet.leases.asker import Asker, Stage
+from balancer.fleet.leases.messages import DutyKind, DutyMessage, DutyWire, Reason
+from balancer.fleet.leases.settings import DRIFT, DutySettings, Electorate, counted, promised
+from balancer.fleet.leases.voter import Voter
 from balancer.fleet.membership.codec import Codec
-from balancer.fleet.replace.decisions import Replacement
-from balancer.fleet.replace.messages import Plan, ReplaceKind, ReplaceMessage, ReplaceWire, State
+from balancer.fleet.rolling_update.decisions import Replacement
+from balancer.fleet.rolling_update.messages import Plan, ReplaceKind, ReplaceMessage, ReplaceWire, State
 from workbench.explore.duties import MUTANTS, explore, play, shrink
 from workbench.explore.duty_model import Bounds, Model
 from workbench.explore.duty_net import DUTY, Net
--- a/tests/test_fleet_clocks.py
+++ b/tests/test_fleet_clocks.py
@@ -21,8 +21,8 @@
 from balancer.fleet.membership.messages import Accusation, Accusations
 from balancer.fleet.membership.replay_guard import Received, ReplayGuard, StampWindow, Verdict
 from balancer.fleet.membership.swim import Claim, Kind, Message, Status, Swim
-from balancer.fleet.replace.decisions import Replacement
-from balancer.fleet.replace.messages import Plan, ReplaceKind, ReplaceMessage, State
+from balancer.fleet.rolling_update.decisions import Replacement
+from balancer.fleet.rolling_update.messages import Plan, ReplaceKind, ReplaceMessage, State
 
 STEPS = (-HOUR, -5 * SEC, 5 * SEC, HOUR)
 NEW, EARLIER = Process, EarlierProcess
--- a/tests/test_lab_clock_explorer.py
+++ b/tests/test_lab_clock_explorer.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from balancer.fleet.duties.asker import Asker
-from balancer.fleet.duties.voter import Voter
+from balancer.fleet.leases.asker import Asker
+from balancer.fleet.leases.voter import Voter
 from balancer.fleet.membership.swim import Status, Swim
-from balancer.fleet.replace.decisions import Replacement
-from balancer.fleet.zones.orders import Orders
+from balancer.fleet.rolling_update.decisions import Replacement
+from balancer.fleet.zone_routing.orders import Orders
 from workbench.explore.clock_faults import FIRST_AT, STEPS_S, ClockStep, draw_clock_steps
 from workbench.explore.clocks import PROPERTIES, ClockFleet, play
 from workbench.explore.faults import draw_faults
--- a/tests/test_lease_tokens.py
+++ b/tests/test_lease_tokens.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from balancer.fleet.duties.asker import Asker
-from balancer.fleet.duties.component import DutiesComponent
-from balancer.fleet.duties.messages import DutyKind, DutyMessage, Reason
-from balancer.fleet.duties.settings import DutySettings, Electorate, promised
-from balancer.fleet.duties.store import AHEAD, VoteStore
-from balancer.fleet.duties.voter import Voter
+from balancer.fleet.leases.asker import Asker
+from balancer.fleet.leases.component import DutiesComponent
+from balancer.fleet.leases.messages import DutyKind, DutyMessage, Reason
+from balancer.fleet.leases.settings import DutySettings, Electorate, promised
+from balancer.fleet.leases.store import AHEAD, VoteStore
+from balancer.fleet.leases.voter import Voter
 from workbench.explore.duty_net import Net
 from workbench.explore.faults import Fault
 
--- a/tests/test_policy_adapter.py
+++ b/tests/test_policy_adapter.py
@@ -7,15 +7,15 @@
 from support import BASE, Recorder
 
 from balancer.fleet.config import read_fleet
-from balancer.fleet.duties.asker import Asker
-from balancer.fleet.duties.settings import DutySettings, Electorate
-from balancer.fleet.duties.voter import Voter
+from balancer.fleet.health_checks.decisions import Probe
+from balancer.fleet.health_checks.messages import ProbeKind, ProbeMessage, ProbeWire, Trial
+from balancer.fleet.health_checks.settings import ProbeSettings
+from balancer.fleet.leases.asker import Asker
+from balancer.fleet.leases.settings import DutySettings, Electorate
+from balancer.fleet.leases.voter import Voter
 from balancer.fleet.membership.codec import Codec
+from balancer.fleet.min_rtt.decisions import Remeasure, RemeasureSettings
 from balancer.fleet.policy_adapter import PolicyAdapter
-from balancer.fleet.probe.decisions import Probe
-from balancer.fleet.probe.messages import ProbeKind, ProbeMessage, ProbeWire, Trial
-from balancer.fleet.probe.settings import ProbeSettings
-from balancer.fleet.remeasure.decisions import Remeasure, RemeasureSettings
 from balancer.interface import Alone, ListKind, Outcome, ServerEntry
 from balancer.policy import Balancer
 
--- a/tests/test_vote_store.py
+++ b/tests/test_vote_store.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from balancer.fleet.duties import store
-from balancer.fleet.duties.asker import Asker
-from balancer.fleet.duties.messages import DutyKind, DutyMessage, Reason
-from balancer.fleet.duties.part import Duties
-from balancer.fleet.duties.settings import DutySettings, Electorate, promised
-from balancer.fleet.duties.voter import Voter
+from balancer.fleet.leases import store
+from balancer.fleet.leases.asker import Asker
+from balancer.fleet.leases.messages import DutyKind, DutyMessage, Reason
+from balancer.fleet.leases.part import Duties
+from balancer.fleet.leases.settings import DutySettings, Electorate, promised
+from balancer.fleet.leases.voter import Voter
 
 SEC = 1_000_000
 SETTINGS = DutySettings(lease=3 * SEC, longest=10 * SEC)
--- a/tests/test_zone_membership.py
+++ b/tests/test_zone_membership.py
@@ -12,9 +12,11 @@
 from test_fleet import free_udp, section
 
 from balancer.fleet.config import Section
-from balancer.fleet.federation.decisions import Federation
-from balancer.fleet.federation.gateways import Rendezvous
-from balancer.fleet.federation.messages import (
+from balancer.fleet.membership.codec import Codec
+from balancer.fleet.membership.swim import Claim, Status
+from balancer.fleet.zone_membership.decisions import Federation
+from balancer.fleet.zone_membership.gateways import Rendezvous
+from balancer.fleet.zone_membership.messages import (
     FederationKind,
     FederationMessage,
     FederationWire,
@@ -26,14 +28,12 @@
     ZoneState,
     batches,
 )
-from balancer.fleet.federation.records import MAX_ORIGINS, MAX_RECORDS, Freshness, Records
-from balancer.fleet.federation.settings import (
+from balancer.fleet.zone_membership.records import MAX_ORIGINS, MAX_RECORDS, Freshness, Records
+from balancer.fleet.zone_membership.settings import (
     FederationTiming,
     ZoneMembershipSettings,
     read_membership,
 )
-from balancer.fleet.membership.codec import Codec
-from balancer.fleet.membership.swim import Claim, Status
 from workbench.explore import zone_cases
 from workbench.explore.regional import KEY
 from workbench.explore.zone_members import (
@@ -581,7 +581,7 @@
 def test_without_the_table_nothing_of_the_package_is_imported():
     code = (
         "import sys; import balancer.fleet.runtime; "
-        "sys.exit(any(m.startswith('balancer.fleet.federation') for m in sys.modules))"
+        "sys.exit(any(m.startswith('balancer.fleet.zone_membership') for m in sys.modules))"
     )
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
 
--- a/tests/test_zone_slow_start.py
+++ b/tests/test_zone_slow_start.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from balancer.fleet.zones.settings import ZoneSettings
-from balancer.fleet.zones.traffic import ZoneTraffic
+from balancer.fleet.zone_routing.settings import ZoneSettings
+from balancer.fleet.zone_routing.traffic import ZoneTraffic
 from balancer.interface import ListKind, ServerEntry, State
 
 SEC = 1_000_000
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -7,10 +7,10 @@
 from support import KEYED, SAFE, SEC, balancer, end
 
 from balancer.fleet.membership.codec import Codec
-from balancer.fleet.zones.decisions import Listed, Stand, Zones
-from balancer.fleet.zones.messages import MOST, Word, ZoneKind, ZoneMessage, ZoneWire
-from balancer.fleet.zones.orders import Orders
-from balancer.fleet.zones.settings import ZoneSettings
+from balancer.fleet.zone_routing.decisions import Listed, Stand, Zones
+from balancer.fleet.zone_routing.messages import MOST, Word, ZoneKind, ZoneMessage, ZoneWire
+from balancer.fleet.zone_routing.orders import Orders
+from balancer.fleet.zone_routing.settings import ZoneSettings
 from balancer.interface import Group, ListKind, Outcome, ServerEntry
 
 SET = ZoneSettings()
--- a/workbench/explore/duties.py
+++ b/workbench/explore/duties.py
@@ -15,8 +15,8 @@
 
 import click
 
-from balancer.fleet.duties.asker import Asker, Wanted
-from balancer.fleet.duties.voter import Holder, Slot, Voter
+from balancer.fleet.leases.asker import Asker, Wanted
+from balancer.fleet.leases.voter import Holder, Slot, Voter
 from workbench.explore.duty_net import Kinds, Net, Story
 from workbench.explore.faults import Fault
 
--- a/workbench/explore/duty_model.py
+++ b/workbench/explore/duty_model.py
@@ -23,10 +23,10 @@
 
 import click
 
-from balancer.fleet.duties.asker import Asker, Stage, Wanted
-from balancer.fleet.duties.messages import DutyMessage
-from balancer.fleet.duties.settings import DutySettings, Electorate
-from balancer.fleet.duties.voter import Slot, Voter
+from balancer.fleet.leases.asker import Asker, Stage, Wanted
+from balancer.fleet.leases.messages import DutyMessage
+from balancer.fleet.leases.settings import DutySettings, Electorate
+from balancer.fleet.leases.voter import Slot, Voter
 from workbench.explore.duties import MUTANTS
 
 STEP = 1_000_000
--- a/workbench/explore/duty_net.py
+++ b/workbench/explore/duty_net.py
@@ -13,10 +13,10 @@
 from functools import partial
 from random import Random
 
-from balancer.fleet.duties.asker import Asker
-from balancer.fleet.duties.messages import DutyMessage
-from balancer.fleet.duties.settings import DutySettings, Electorate
-from balancer.fleet.duties.voter import Out, Voter
+from balancer.fleet.leases.asker import Asker
+from balancer.fleet.leases.messages import DutyMessage
+from balancer.fleet.leases.settings import DutySettings, Electorate
+from balancer.fleet.leases.voter import Out, Voter
 from workbench.explore.faults import SEC, Fault, draw_faults
 from workbench.virtual.heap import HeapClock
 
--- a/workbench/explore/runtime_net.py
+++ b/workbench/explore/runtime_net.py
@@ -16,7 +16,7 @@
 from balancer.fleet.config import FleetConfig
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.runtime import FleetRuntime
-from balancer.fleet.zones.settings import ZoneSettings
+from balancer.fleet.zone_routing.settings import ZoneSettings
 from balancer.interface import ClassSettings, Effect, Settings
 from balancer.net.lifecycle import Lifecycle, Stage
 from balancer.net.log import Log
--- a/workbench/explore/uses.py
+++ b/workbench/explore/uses.py
@@ -16,7 +16,7 @@
 import click
 import numpy as np
 
-from balancer.fleet.zones.settings import ZoneSettings
+from balancer.fleet.zone_routing.settings import ZoneSettings
 from workbench.experiment.compare import t_interval
 from workbench.scenario.load import draw, load, plain, scenario_of
 from workbench.scenario.model import Scenario
--- a/workbench/explore/zone_cases.py
+++ b/workbench/explore/zone_cases.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from math import inf
 
-from balancer.fleet.federation.records import Freshness
+from balancer.fleet.zone_membership.records import Freshness
 from workbench.explore.zone_members import HOUR, SECOND, ZONE_SIZE, ZONES, Fleet, SharedGroup
 
 JOIN_LIMIT = 300.0  # seconds
--- a/workbench/explore/zone_members.py
+++ b/workbench/explore/zone_members.py
@@ -8,11 +8,11 @@
 from time import process_time_ns
 from typing import Any
 
-from balancer.fleet.federation.decisions import Federation, Group
-from balancer.fleet.federation.messages import FederationMessage, FederationWire
-from balancer.fleet.federation.records import Event, Freshness
-from balancer.fleet.federation.settings import FederationTiming, ZoneMembershipSettings
 from balancer.fleet.membership.swim import Address, Claim, Send, Status, Swim
+from balancer.fleet.zone_membership.decisions import Federation, Group
+from balancer.fleet.zone_membership.messages import FederationMessage, FederationWire
+from balancer.fleet.zone_membership.records import Event, Freshness
+from balancer.fleet.zone_membership.settings import FederationTiming, ZoneMembershipSettings
 from workbench.explore.regional import RegionalNetwork
 
 ZONES = 13
--- a/workbench/lab/checkers.py
+++ b/workbench/lab/checkers.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from itertools import pairwise
 
-from balancer.fleet.probe.settings import settings_for
-from balancer.fleet.remeasure.decisions import RemeasureSettings
+from balancer.fleet.health_checks.settings import settings_for
+from balancer.fleet.min_rtt.decisions import RemeasureSettings
 from workbench.lab.history import Event
 from workbench.lab.truth import FOREVER, HELD, OUTSIDE, Truth, seconds
 from workbench.world.site import BEGIN
--- a/workbench/lab/mischief.py
+++ b/workbench/lab/mischief.py
@@ -16,14 +16,14 @@
 from typing import Any
 
 import balancer.__main__ as program
-from balancer.fleet.duties.asker import Asker
+from balancer.fleet.health_checks.decisions import Probe
+from balancer.fleet.leases.asker import Asker
 from balancer.fleet.membership.codec import MembershipWire
 from balancer.fleet.membership.swim import Claim, Kind, Message, Status, Swim
-from balancer.fleet.probe.decisions import Probe
-from balancer.fleet.remeasure.decisions import Remeasure
-from balancer.fleet.replace.decisions import Replacement
+from balancer.fleet.min_rtt.decisions import Remeasure
+from balancer.fleet.rolling_update.decisions import Replacement
 from balancer.fleet.runtime import FleetRuntime
-from balancer.fleet.zones.decisions import Zones
+from balancer.fleet.zone_routing.decisions import Zones
 from balancer.interface import State
 from balancer.net.forwarding import head_of
 from balancer.net.lifecycle import Lifecycle
--- a/workbench/scale/leader.py
+++ b/workbench/scale/leader.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from balancer.fleet.membership.codec import Codec
-from balancer.fleet.replace.decisions import EVERY, Replacement
-from balancer.fleet.replace.messages import ReplaceKind, ReplaceMessage, ReplaceWire
+from balancer.fleet.rolling_update.decisions import EVERY, Replacement
+from balancer.fleet.rolling_update.messages import ReplaceKind, ReplaceMessage, ReplaceWire
 from workbench.explore.members import KEY
 from workbench.scale.member import Stopwatch
 from workbench.scale.membership import Row
--- a/workbench/scale/program.py
+++ b/workbench/scale/program.py
@@ -24,7 +24,7 @@
 UPDATES = ("updates", "news")  # a `Swim`'s updates that still ride on messages
 
 # Components beside membership and codec that some revisions have: name, module, class, calls that are timed.
-FEDERATION = "balancer.fleet.federation.decisions"
+FEDERATION = "balancer.fleet.zone_membership.decisions"
 FURTHER_COMPONENTS = (("federation", FEDERATION, "Federation", ("tick", "received", "deadline")),)
 
 Changed = Callable[[str, Any], None]
--- a/workbench/virtual/fleet.py
+++ b/workbench/virtual/fleet.py
@@ -13,12 +13,12 @@
 from typing import Any
 
 from balancer.fleet.config import FleetConfig
-from balancer.fleet.duties.asker import Asker
-from balancer.fleet.duties.messages import DutyMessage
-from balancer.fleet.duties.settings import DutySettings, Electorate
-from balancer.fleet.duties.voter import Voter
+from balancer.fleet.leases.asker import Asker
+from balancer.fleet.leases.messages import DutyMessage
+from balancer.fleet.leases.settings import DutySettings, Electorate
+from balancer.fleet.leases.voter import Voter
 from balancer.fleet.policy_adapter import PolicyAdapter
-from balancer.fleet.zones.settings import ZoneSettings
+from balancer.fleet.zone_routing.settings import ZoneSettings
 from balancer.interface import Actions, Events, ListKind, Outcome, ServerEntry, Settings
 from balancer.interface import Fleet as Hook
 from balancer.policy import Balancer
