--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -11,12 +11,12 @@
 import numpy as np
 import pytest
 
+from workbench.baselines.revisions import RevisionError, policy_of
 from workbench.experiment import runner
 from workbench.experiment.compare import compare, holm, interval, sign_p
 from workbench.experiment.plan import PlanError, plan_of, tasks
 from workbench.experiment.runner import PARENT_GONE, run_plan, run_task
 from workbench.experiment.store import MIGRATIONS, Row, Store, StoreError
-from workbench.policies.revisions import RevisionError, policy_of
 
 TINY = {"length_s": 2, "servers": 2}
 TABLE = {
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -4,15 +4,15 @@
 
 import pytest
 
+from workbench.emulator.links import Link, Stream
+from workbench.emulator.places import Places
 from workbench.lab.checkers import check
 from workbench.lab.earlier import unpack
 from workbench.lab.history import HistoryError, read
 from workbench.lab.plan import PlanError, chosen, draw, plan_of, scenario, shipped
 from workbench.lab.truth import Truth
-from workbench.live.links import Link, Stream
-from workbench.live.places import Places
-from workbench.virtual.heap import HeapClock
-from workbench.world.streams import Streams
+from workbench.model.streams import Streams
+from workbench.simulator.heap import HeapClock
 
 # ---- plans ------------------------------------------------------------------------------------------------
 
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -11,11 +11,11 @@
 
 import pytest
 
+from workbench.emulator.http import Reply
+from workbench.emulator.load import Class, Load
 from workbench.lab.checkers import CHECKERS, check
 from workbench.lab.history import read
 from workbench.lab.truth import Truth
-from workbench.live.http import Reply
-from workbench.live.load import Class, Load
 
 PATIENCE = 90.0  # seconds; only a failure waits so long
 
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -8,11 +8,11 @@
 
 from balancer.interface import ListKind, Outcome, ServerEntry, State
 from balancer.policy import gradient as today
-from workbench.policies import revisions
-from workbench.policies.gradient import GradientController, GradientSettings, PublishedGradient
-from workbench.policies.plain import RandomChoice, RoundRobin, TwoDraws
+from workbench.baselines import revisions
+from workbench.baselines.gradient import GradientController, GradientSettings, PublishedGradient
+from workbench.baselines.plain import RandomChoice, RoundRobin, TwoDraws
 from workbench.scenario.load import draw, load
-from workbench.virtual.play import play
+from workbench.simulator.play import play
 
 MS = 1000
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -9,15 +9,15 @@
 import pytest
 
 from balancer.interface import ClassSettings, Effect, Group, Outcome
-from workbench.policies import POLICIES
+from workbench.baselines import POLICIES
+from workbench.model.call import Call
+from workbench.model.referee import Referee
+from workbench.model.site import BEGIN, World
 from workbench.scenario import load as scenarios
 from workbench.scenario.load import draw, load, scenario_of
-from workbench.virtual.heap import HeapClock
-from workbench.virtual.host import Host
-from workbench.virtual.play import play
-from workbench.world.call import Call
-from workbench.world.referee import Referee
-from workbench.world.site import BEGIN, World
+from workbench.simulator.heap import HeapClock
+from workbench.simulator.host import Host
+from workbench.simulator.play import play
 
 SHORT = ["length_s=6", "servers=4"]
 # One class, one tier of one exact server: a call's time can be worked out by hand.
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -7,7 +7,7 @@
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.replay_guard import Received, ReplayGuard
 from balancer.fleet.membership.swim import Claim, Kind, Status, Swim
-from workbench.virtual.heap import HeapClock
+from workbench.simulator.heap import HeapClock
 
 SEC = 1_000_000
 HOUR = 3600 * SEC
--- a/workbench/policies/__init__.py
+++ b/workbench/baselines/__init__.py
@@ -6,10 +6,10 @@
 
 from balancer.interface import Actions, Events, Settings
 from balancer.policy import Balancer
-from workbench.policies.gradient import PublishedGradient
-from workbench.policies.plain import RandomChoice, RoundRobin, TwoDraws
-from workbench.policies.seeing import Late, Sight, TrueState
-from workbench.world.site import World
+from workbench.baselines.gradient import PublishedGradient
+from workbench.baselines.plain import RandomChoice, RoundRobin, TwoDraws
+from workbench.baselines.seeing import Late, Sight, TrueState
+from workbench.model.site import World
 
 # `world` is for baselines that see the true state; others leave it alone.
 Policy = Callable[[Settings, int, Actions, World], Events]
--- a/workbench/policies/base.py
+++ b/workbench/baselines/base.py
@@ -21,7 +21,7 @@
     Settings,
     State,
 )
-from workbench.world.referee import in_group, repeats_anywhere
+from workbench.model.referee import in_group, repeats_anywhere
 
 LIST_AGAIN = 1  # the token of the timer that asks for the list anew
 LIST_WAIT = 500_000
--- a/workbench/policies/gradient.py
+++ b/workbench/baselines/gradient.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from balancer.interface import Actions, Outcome, Settings
-from workbench.policies.plain import TwoDraws
+from workbench.baselines.plain import TwoDraws
 
 
 @dataclass(frozen=True)
--- a/workbench/policies/plain.py
+++ b/workbench/baselines/plain.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from workbench.policies.base import Baseline
+from workbench.baselines.base import Baseline
 
 
 class RandomChoice(Baseline):
--- a/workbench/policies/revisions.py
+++ b/workbench/baselines/revisions.py
@@ -21,8 +21,8 @@
 
 import balancer.policy
 from balancer.interface import Actions, Events, Settings
-from workbench.policies import Policy
-from workbench.world.site import World
+from workbench.baselines import Policy
+from workbench.model.site import World
 
 ROOT = Path(balancer.policy.__file__).parent.parent.parent
 PACKAGE, INTERFACE = "balancer/policy/", "balancer/interface.py"
--- a/workbench/policies/seeing.py
+++ b/workbench/baselines/seeing.py
@@ -7,8 +7,8 @@
 from math import inf
 
 from balancer.interface import Actions, Settings
-from workbench.policies.base import Baseline
-from workbench.world.site import World
+from workbench.baselines.base import Baseline
+from workbench.model.site import World
 
 LOOK = 64  # servers looked at for one choice, drawn at random where there are more
 LAG = 500_000  # the late view is renewed so often
--- a/workbench/cli/emulate.py
+++ b/workbench/cli/emulate.py
@@ -9,8 +9,8 @@
 import uvloop
 
 from workbench.cli.errors import Bad
-from workbench.live.emulate import emulate as serve
-from workbench.live.places import NoPlace
+from workbench.emulator.emulate import emulate as serve
+from workbench.emulator.places import NoPlace
 from workbench.scenario.load import ScenarioError, draw, load
 
 
--- a/workbench/cli/fleet.py
+++ b/workbench/cli/fleet.py
@@ -7,7 +7,7 @@
 import click
 
 from workbench.cli.errors import Bad
-from workbench.live.pages import PageError, address_of, follow, get, put
+from workbench.emulator.pages import PageError, address_of, follow, get, put
 
 
 @click.group()
@@ -28,7 +28,7 @@
     over it gets SIGTERM, and SIGKILL if it stays. Exits with the command's status, 75 where the duty was not
     to be had in time, 76 where it was lost and the command was ended.
     """
-    from workbench.live.holding import Hold
+    from workbench.emulator.holding import Hold
 
     if not 0 < len(name) <= 64:
         raise Bad(f"{name}: a duty's name has 1 to 64 characters")
--- a/workbench/cli/lab.py
+++ b/workbench/cli/lab.py
@@ -45,8 +45,8 @@
     Exits 1 where a checker fails or the run was broken off, 2 on bad input, 3 where the machine was too late
     for the run to count, whatever the checkers say.
     """
+    from workbench.emulator.places import NoPlace
     from workbench.lab.run import run as play  # the workbench's other commands do without its weight
-    from workbench.live.places import NoPlace
 
     changes: dict[str, Any] = ({"nodes": nodes} if nodes else {}) | ({"fleet": False} if alone else {})
     changes |= {"earlier": earlier} if earlier else {}
--- a/workbench/cli/load.py
+++ b/workbench/cli/load.py
@@ -11,7 +11,7 @@
 from rich.table import Table
 
 from workbench.cli.errors import Bad
-from workbench.live.load import PERCENTILES, Load, LoadError, Result, class_of
+from workbench.emulator.load import PERCENTILES, Load, LoadError, Result, class_of
 
 LATE = 50_000  # microseconds that the sender may be late in the median of ten thousand
 
--- a/workbench/cli/scale_run.py
+++ b/workbench/cli/scale_run.py
@@ -41,7 +41,7 @@
     Exits 1 where a check fails or the run was broken off, 2 on bad input, 3 where the machine was the limit:
     such a run is not counted, whatever the checks say.
     """
-    from workbench.live.places import NoPlace  # the workbench's other commands do without its weight
+    from workbench.emulator.places import NoPlace  # the workbench's other commands do without its weight
     from workbench.scale.measurements import encoded, rows, table
     from workbench.scale.plan import PlanError, group_of, read_plan, shipped
     from workbench.scale.run import run as play
@@ -99,7 +99,7 @@
 
 def run_info(seed: int) -> Any:
     """Where the figures come from."""
-    from workbench.policies.revisions import RevisionError, full_revision
+    from workbench.baselines.revisions import RevisionError, full_revision
     from workbench.scale.measurements import RunInfo
 
     try:
--- a/workbench/cli/simulate.py
+++ b/workbench/cli/simulate.py
@@ -10,13 +10,13 @@
 from rich.console import Console
 from rich.progress import BarColumn, Progress, TextColumn, TimeRemainingColumn
 
+from workbench.baselines import POLICIES, Policy
+from workbench.baselines.revisions import RevisionError, full_revision, policy_of
 from workbench.cli.errors import Bad, writable, write_whole
-from workbench.policies import POLICIES, Policy
-from workbench.policies.revisions import RevisionError, full_revision, policy_of
 from workbench.report.tables import run_report
 from workbench.scenario.load import ScenarioError, draw, load
 from workbench.scenario.model import Scenario
-from workbench.virtual.play import Run, play
+from workbench.simulator.play import Run, play
 
 POLICY_HELP = "Who decides: " + "; ".join(f"{name}, {what}" for name, (_, what) in POLICIES.items()) + "."
 
--- a/workbench/live/agent.py
+++ b/workbench/emulator/agent.py
@@ -11,7 +11,7 @@
 
 from balancer.interface import ListKind, ServerEntry, State
 from balancer.net.listener import Listener, listening
-from workbench.live.http import ServerSide, answer_bytes
+from workbench.emulator.http import ServerSide, answer_bytes
 
 STATES = {State.READY: "ready", State.DRAINING: "draining", State.GONE: "gone"}
 WAIT_MOST = 60.0
--- a/workbench/live/clock.py
+++ b/workbench/emulator/clock.py
@@ -10,8 +10,8 @@
 from time import monotonic
 from typing import Any
 
-from workbench.virtual.heap import Call, HeapClock
-from workbench.world.clock import Handle
+from workbench.model.clock import Handle
+from workbench.simulator.heap import Call, HeapClock
 
 LOOK = 0.005  # seconds between two looks at the machine's own lateness
 
--- a/workbench/live/config.py
+++ b/workbench/emulator/config.py
@@ -6,9 +6,9 @@
 
 from balancer.interface import Settings
 from balancer.settings import EFFECTS, GROUPS
-from workbench.live.nodes import LiveNode, Site
-from workbench.live.places import CALLS, PAGES
-from workbench.world.network import num
+from workbench.emulator.nodes import LiveNode, Site
+from workbench.emulator.places import CALLS, PAGES
+from workbench.model.network import num
 
 EFFECT_WORDS = {effect: word for word, effect in EFFECTS.items()}
 GROUP_WORDS = {group: word for word, group in GROUPS.items()}
--- a/workbench/live/emulate.py
+++ b/workbench/emulator/emulate.py
@@ -11,16 +11,16 @@
 from time import time_ns
 from typing import Any
 
-from workbench.live.clock import LiveClock
-from workbench.live.config import node_table
-from workbench.live.links import Link
-from workbench.live.nodes import NoControl, Site
-from workbench.live.places import Places
+from workbench.emulator.clock import LiveClock
+from workbench.emulator.config import node_table
+from workbench.emulator.links import Link
+from workbench.emulator.nodes import NoControl, Site
+from workbench.emulator.places import Places
+from workbench.model.call import Call, Request
+from workbench.model.network import one_way
+from workbench.model.site import BEGIN, World
+from workbench.model.streams import Streams
 from workbench.scenario.model import Scenario
-from workbench.world.call import Call, Request
-from workbench.world.network import one_way
-from workbench.world.site import BEGIN, World
-from workbench.world.streams import Streams
 
 
 class Strangers(Site):
--- a/workbench/live/holding.py
+++ b/workbench/emulator/holding.py
@@ -15,8 +15,8 @@
 from typing import Any
 from urllib.parse import quote
 
-from workbench.live.pages import PageError, put
-from workbench.live.starter import tied
+from workbench.emulator.pages import PageError, put
+from workbench.emulator.starter import tied
 
 ASK_EVERY = 0.2  # seconds, or a quarter of what is left if that is more
 DRIFT = 0.01  # that this machine's clock may be slow by
--- a/workbench/live/load.py
+++ b/workbench/emulator/load.py
@@ -16,7 +16,7 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from workbench.live.http import Lines, Reply, request_bytes
+from workbench.emulator.http import Lines, Reply, request_bytes
 
 LEAST, MOST, DIGITS = 1, 120_000_000, 3  # microseconds, and significant figures
 GRACE = 0.5  # seconds beyond a request's budget in which its answer is still waited for
--- a/workbench/live/nodes.py
+++ b/workbench/emulator/nodes.py
@@ -7,16 +7,16 @@
 from typing import Any, Protocol
 
 from balancer.interface import ListKind, Outcome, ServerEntry, Settings, State
-from workbench.live.agent import Agent, Line
-from workbench.live.clock import LiveClock
-from workbench.live.http import ClientSide, Lines, Reply, answer_bytes, request_bytes
-from workbench.live.links import Link
-from workbench.live.places import CALLS, Places
-from workbench.live.servers import Connection, Door, look_after
-from workbench.world.call import Answer, Attempt, Call
-from workbench.world.network import num
-from workbench.world.server import Server
-from workbench.world.site import World
+from workbench.emulator.agent import Agent, Line
+from workbench.emulator.clock import LiveClock
+from workbench.emulator.http import ClientSide, Lines, Reply, answer_bytes, request_bytes
+from workbench.emulator.links import Link
+from workbench.emulator.places import CALLS, Places
+from workbench.emulator.servers import Connection, Door, look_after
+from workbench.model.call import Answer, Attempt, Call
+from workbench.model.network import num
+from workbench.model.server import Server
+from workbench.model.site import World
 
 LOOK = 10_000  # microseconds between two looks at what has become of the servers
 STRIDE = 0x9E3779B1
--- a/workbench/live/servers.py
+++ b/workbench/emulator/servers.py
@@ -1,6 +1,6 @@
 """The world's servers on sockets: a door for each node that may call, a connection for each that does.
 
-What a server does with a request is the world's own (`world/server.py`); here bytes become attempts and
+What a server does with a request is the world's own (`model/server.py`); here bytes become attempts and
 answers become bytes. Whatever passes between a node and a server goes over the two links between them.
 """
 
@@ -13,11 +13,11 @@
 
 from balancer.interface import Outcome
 from balancer.net.listener import Listener, listening
-from workbench.live.clock import LiveClock
-from workbench.live.http import ServerSide, answer_bytes
-from workbench.live.links import Link, Stream
-from workbench.world.call import Attempt
-from workbench.world.server import Server
+from workbench.emulator.clock import LiveClock
+from workbench.emulator.http import ServerSide, answer_bytes
+from workbench.emulator.links import Link, Stream
+from workbench.model.call import Attempt
+from workbench.model.server import Server
 
 ACCEPTS = 64
 RESET = struct.pack("ii", 1, 0)
--- a/workbench/experiment/plan.py
+++ b/workbench/experiment/plan.py
@@ -13,8 +13,8 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-from workbench.policies import POLICIES, Policy
-from workbench.policies.revisions import RevisionError, full_revision, policy_of, policy_sources
+from workbench.baselines import POLICIES, Policy
+from workbench.baselines.revisions import RevisionError, full_revision, policy_of, policy_sources
 from workbench.scenario.check import type_faults
 from workbench.scenario.load import ScenarioError, digest, draw, load
 from workbench.scenario.model import Scenario
--- a/workbench/experiment/runner.py
+++ b/workbench/experiment/runner.py
@@ -18,7 +18,7 @@
 
 from workbench.experiment.plan import LEAST_PAIRS, Plan, Task, tasks
 from workbench.experiment.store import Store
-from workbench.virtual.play import play
+from workbench.simulator.play import play
 
 AHEAD = 2  # tasks handed out for each worker: none waits for the next, few are lost
 MOST_ROUNDS = 50
--- a/workbench/explore/duty_net.py
+++ b/workbench/explore/duty_net.py
@@ -18,7 +18,7 @@
 from balancer.fleet.leases.settings import DutySettings, Electorate
 from balancer.fleet.leases.voter import Out, Voter
 from workbench.explore.faults import SEC, Fault, draw_faults
-from workbench.virtual.heap import HeapClock
+from workbench.simulator.heap import HeapClock
 
 SETTINGS = DutySettings(lease=3 * SEC, longest=3 * SEC)
 LENGTH = 45 * SEC
--- a/workbench/explore/members.py
+++ b/workbench/explore/members.py
@@ -12,7 +12,7 @@
 
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Address, Send, Status, Swim
-from workbench.virtual.heap import HeapClock
+from workbench.simulator.heap import HeapClock
 
 DELAY = 2_000  # mean of a datagram's way, microseconds
 KEY = b"a key for the virtual network"
--- a/workbench/explore/regional.py
+++ b/workbench/explore/regional.py
@@ -11,7 +11,7 @@
 
 from balancer.fleet.membership.codec import Codec, Part
 from balancer.fleet.membership.swim import Address
-from workbench.virtual.heap import HeapClock
+from workbench.simulator.heap import HeapClock
 
 KEY = b"a key for the virtual network"
 START = 1_000_000  # microseconds
--- a/workbench/explore/runtime_net.py
+++ b/workbench/explore/runtime_net.py
@@ -20,7 +20,7 @@
 from balancer.interface import ClassSettings, Effect, Settings
 from balancer.net.lifecycle import Lifecycle, Stage
 from balancer.net.log import Log
-from workbench.virtual.heap import HeapClock
+from workbench.simulator.heap import HeapClock
 
 SECOND = 1_000_000
 EPOCH = 1_700_000_000 * SECOND  # Unix time at the network's 0
--- a/workbench/explore/uses.py
+++ b/workbench/explore/uses.py
@@ -20,8 +20,8 @@
 from workbench.experiment.compare import t_interval
 from workbench.scenario.load import draw, load, plain, scenario_of
 from workbench.scenario.model import Scenario
-from workbench.virtual.fleet import Uses, VirtualFleet
-from workbench.virtual.play import Run, play
+from workbench.simulator.fleet import Uses, VirtualFleet
+from workbench.simulator.play import Run, play
 
 NODES = 50
 COMMON = [f"nodes.count={NODES}", "nodes.start_spread_ms=200"]
--- a/workbench/lab/checkers.py
+++ b/workbench/lab/checkers.py
@@ -17,7 +17,7 @@
 from balancer.fleet.min_rtt.decisions import RemeasureSettings
 from workbench.lab.history import Event
 from workbench.lab.truth import FOREVER, HELD, OUTSIDE, Truth, seconds
-from workbench.world.site import BEGIN
+from workbench.model.site import BEGIN
 
 MAY_HAVE_RAN = ("error", "reset", "timeout", "cancelled")
 FAILURE = re.compile(r"Traceback|\b[A-Z]\w*(Error|Exception)\b|floods its log")
--- a/workbench/lab/earlier.py
+++ b/workbench/lab/earlier.py
@@ -7,8 +7,8 @@
 import tarfile
 from pathlib import Path
 
+from workbench.baselines.revisions import ROOT, RevisionError, full_revision
 from workbench.lab.plan import PlanError
-from workbench.policies.revisions import ROOT, RevisionError, full_revision
 
 PART = "balancer"
 NEEDED = "balancer/fleet/host.py"  # a revision without it has no fleet to be part of
--- a/workbench/lab/fleet.py
+++ b/workbench/lab/fleet.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
+from workbench.emulator.config import node_table
+from workbench.emulator.http import Lines, Reply
+from workbench.emulator.nodes import LiveNode, Site
+from workbench.emulator.places import CALLS, PAGES, PORT
 from workbench.lab.plan import Plan, number
 from workbench.lab.process import Process, command
-from workbench.live.config import node_table
-from workbench.live.http import Lines, Reply
-from workbench.live.nodes import LiveNode, Site
-from workbench.live.places import CALLS, PAGES, PORT
 
 READY_LOOK = 0.02  # seconds
 KEY = "the key of this lab's fleet only\n"
--- a/workbench/lab/network.py
+++ b/workbench/lab/network.py
@@ -13,10 +13,10 @@
 from functools import partial
 from typing import Any
 
+from workbench.emulator.links import Link, Timer
+from workbench.emulator.places import PORT, Places
 from workbench.lab.plan import Fault, number
-from workbench.live.links import Link, Timer
-from workbench.live.places import PORT, Places
-from workbench.world.streams import Streams
+from workbench.model.streams import Streams
 
 
 @dataclass(frozen=True)
--- a/workbench/lab/plan.py
+++ b/workbench/lab/plan.py
@@ -10,12 +10,12 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-from workbench.live.places import MOST
+from workbench.emulator.places import MOST
+from workbench.model.streams import Streams
 from workbench.scenario import model
 from workbench.scenario.check import low, top, type_faults
 from workbench.scenario.load import ScenarioError, fix, load, read_toml, titles
 from workbench.scenario.model import Any0, Count, From0, Number, Over0, Scenario, Share, Some
-from workbench.world.streams import Streams
 
 Value = int | float | str | bool | list[float]
 
--- a/workbench/lab/process.py
+++ b/workbench/lab/process.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from workbench.live.starter import tied
+from workbench.emulator.starter import tied
 
 READ = 65536
 FLOOD = 2 << 20  # bytes of log in all: a node writes some 300 a second
--- a/workbench/lab/run.py
+++ b/workbench/lab/run.py
@@ -16,21 +16,21 @@
 import msgspec
 import uvloop
 
+from workbench.emulator.clock import LiveClock
+from workbench.emulator.links import Link
+from workbench.emulator.nodes import NoControl, Site
+from workbench.emulator.places import Places
 from workbench.lab.earlier import unpack
 from workbench.lab.faults import Faults
 from workbench.lab.fleet import Fleet, Member
 from workbench.lab.history import Event, History, HistoryError, read
 from workbench.lab.network import End, Links, Relay
 from workbench.lab.plan import Plan, chosen, number, scenario
-from workbench.live.clock import LiveClock
-from workbench.live.links import Link
-from workbench.live.nodes import NoControl, Site
-from workbench.live.places import Places
+from workbench.model.network import num, one_way
+from workbench.model.site import BEGIN, World
+from workbench.model.streams import Streams
 from workbench.scenario.load import draw as draw_day
-from workbench.virtual.play import made
-from workbench.world.network import num, one_way
-from workbench.world.site import BEGIN, World
-from workbench.world.streams import Streams
+from workbench.simulator.play import made
 
 LOOK = 0.25  # seconds between two looks at the nodes' views
 SAMPLE = 1.0
--- a/workbench/lab/truth.py
+++ b/workbench/lab/truth.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from workbench.lab.history import Event
-from workbench.world.site import BEGIN
+from workbench.model.site import BEGIN
 
 View = dict[str, list[Any]]
 OUTSIDE = ("wrong_key",)  # mischief that keeps a node out of the group
--- a/workbench/world/accounts.py
+++ b/workbench/model/accounts.py
@@ -9,9 +9,9 @@
 import numpy as np
 
 from balancer.interface import ClassSettings
+from workbench.model.call import Request
+from workbench.model.network import num
 from workbench.scenario.model import Scenario
-from workbench.world.call import Request
-from workbench.world.network import num
 
 BIN = 5_000_000  # of the table by time
 FINE = 1_000_000  # of the plot, and of the worst window's search
--- a/workbench/world/clients.py
+++ b/workbench/model/clients.py
@@ -7,13 +7,13 @@
 import numpy as np
 
 from balancer.interface import Effect, Group
+from workbench.model.call import UNKNOWN, Answer, Call, Request, is_answered, is_left
+from workbench.model.network import num, whole
+from workbench.model.streams import scramble
 from workbench.scenario.model import Scenario
-from workbench.world.call import UNKNOWN, Answer, Call, Request, is_answered, is_left
-from workbench.world.network import num, whole
-from workbench.world.streams import scramble
 
 if TYPE_CHECKING:
-    from workbench.world.site import World
+    from workbench.model.site import World
 
 GRID = 50_000  # microseconds between two points of the load's curve
 TRY, WAIT, HONOUR, LEAVE, LEAVE_AT, FRONT = range(101, 107)  # what a request's draws are for
--- a/workbench/world/clock.py
+++ b/workbench/model/clock.py
@@ -1,4 +1,4 @@
-"""What the world asks of time. `virtual/` gives it a heap of events, real time an event loop."""
+"""What the world asks of time. `simulator/` gives it a heap of events, real time an event loop."""
 
 from __future__ import annotations
 
--- a/workbench/world/discovery.py
+++ b/workbench/model/discovery.py
@@ -5,13 +5,13 @@
 from typing import TYPE_CHECKING
 
 from balancer.interface import ListKind, ServerEntry, State
+from workbench.model.call import Port
+from workbench.model.network import num
 from workbench.scenario.model import Scenario
-from workbench.world.call import Port
-from workbench.world.network import num
 
 if TYPE_CHECKING:
-    from workbench.world.server import Server
-    from workbench.world.site import World
+    from workbench.model.server import Server
+    from workbench.model.site import World
 
 Changes = list[ServerEntry]
 
--- a/workbench/world/faults.py
+++ b/workbench/model/faults.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING, Any
 
+from workbench.model.call import Port
+from workbench.model.network import num, whole
+from workbench.model.server import Server
 from workbench.scenario.model import Fault
-from workbench.world.call import Port
-from workbench.world.network import num, whole
-from workbench.world.server import Server
 
 if TYPE_CHECKING:
-    from workbench.world.site import World
+    from workbench.model.site import World
 
 DRAIN = 3_000_000  # a server that is replaced drains for so long before it ends
 
--- a/workbench/world/front.py
+++ b/workbench/model/front.py
@@ -5,13 +5,13 @@
 
 from typing import TYPE_CHECKING
 
+from workbench.model.call import Port
+from workbench.model.clock import Clock
+from workbench.model.network import num
 from workbench.scenario.model import Scenario
-from workbench.world.call import Port
-from workbench.world.clock import Clock
-from workbench.world.network import num
 
 if TYPE_CHECKING:
-    from workbench.world.streams import Streams
+    from workbench.model.streams import Streams
 
 
 class Front:
--- a/workbench/world/network.py
+++ b/workbench/model/network.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from workbench.model.streams import Streams, scramble
 from workbench.scenario.model import Scenario
-from workbench.world.streams import Streams, scramble
 
 TABLE = 4096  # draws made ahead: a message takes the one that belongs to its call, whoever sent it
 
--- a/workbench/world/referee.py
+++ b/workbench/model/referee.py
@@ -5,10 +5,10 @@
 from typing import TYPE_CHECKING, Any
 
 from balancer.interface import NEVER_RAN, ClassSettings, Effect, Group, Outcome
-from workbench.world.call import Call
+from workbench.model.call import Call
 
 if TYPE_CHECKING:
-    from workbench.world.server import Server
+    from workbench.model.server import Server
 
 RULES = ("final_answer", "duplicate_effects", "drain_grace", "cold_server", "well_formed")
 KEPT = 20  # broken rules told one by one
--- a/workbench/world/server.py
+++ b/workbench/model/server.py
@@ -13,11 +13,11 @@
 from typing import TYPE_CHECKING, Any
 
 from balancer.interface import Outcome
-from workbench.world.call import Answer, Attempt, Call, Port
-from workbench.world.streams import scramble
+from workbench.model.call import Answer, Attempt, Call, Port
+from workbench.model.streams import scramble
 
 if TYPE_CHECKING:
-    from workbench.world.site import ServerSpec, World
+    from workbench.model.site import ServerSpec, World
 
 BEFORE = 0.5  # of a server's own work is done before it calls the next tier
 WARM_STEPS = 40  # a cold start gains capacity in so many steps
--- a/workbench/world/site.py
+++ b/workbench/model/site.py
@@ -11,18 +11,18 @@
 from typing import Protocol
 
 from balancer.interface import ClassSettings, Effect, Group, Settings
+from workbench.model.accounts import Accounts
+from workbench.model.call import Attempt, Call, Caller, Port, Request
+from workbench.model.clients import Clients
+from workbench.model.clock import Clock
+from workbench.model.discovery import Discovery
+from workbench.model.faults import Trouble
+from workbench.model.front import Front
+from workbench.model.network import Network, num, whole
+from workbench.model.referee import Referee
+from workbench.model.server import Server
+from workbench.model.streams import Streams
 from workbench.scenario.model import Kind, Scenario
-from workbench.world.accounts import Accounts
-from workbench.world.call import Attempt, Call, Caller, Port, Request
-from workbench.world.clients import Clients
-from workbench.world.clock import Clock
-from workbench.world.discovery import Discovery
-from workbench.world.faults import Trouble
-from workbench.world.front import Front
-from workbench.world.network import Network, num, whole
-from workbench.world.referee import Referee
-from workbench.world.server import Server
-from workbench.world.streams import Streams
 
 LEAST_SPEED = 0.3  # of its kind's mean, however wide the spread
 BEGIN = 10_000_000  # the clock begins at no particular value
--- a/workbench/scale/group.py
+++ b/workbench/scale/group.py
@@ -14,7 +14,7 @@
 from msgspec import Struct
 
 from balancer.fleet.membership.swim import Address
-from workbench.live.places import PORT
+from workbench.emulator.places import PORT
 
 Membership = Literal["flat", "zone"]
 
--- a/workbench/scale/latency.py
+++ b/workbench/scale/latency.py
@@ -29,7 +29,7 @@
 import uvloop
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from workbench.live.http import Lines, Reply, request_bytes
+from workbench.emulator.http import Lines, Reply, request_bytes
 from workbench.scale.loopback import Bench, Usage, bench, serve, usage
 from workbench.scale.quiet import QuietWatch
 from workbench.scale.target import DEEPEST_CALL
--- a/workbench/scale/loopback.py
+++ b/workbench/scale/loopback.py
@@ -15,10 +15,10 @@
 from time import monotonic_ns
 from typing import Any
 
-from workbench.live.agent import Agent
-from workbench.live.http import ServerSide, answer_bytes
-from workbench.live.places import CALLS, PAGES, Places
-from workbench.live.starter import tied
+from workbench.emulator.agent import Agent
+from workbench.emulator.http import ServerSide, answer_bytes
+from workbench.emulator.places import CALLS, PAGES, Places
+from workbench.emulator.starter import tied
 
 START_S = 10.0  # that a process may take until it answers
 SERVER_PORT = 7000
--- a/workbench/scale/membership.py
+++ b/workbench/scale/membership.py
@@ -33,7 +33,7 @@
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Address, Claim, Send, Status, Swim
 from workbench.explore.members import DELAY, KEY
-from workbench.virtual.heap import HeapClock
+from workbench.simulator.heap import HeapClock
 
 WARM_UP_S = 5.0
 CALM_S = 20.0  # window in which rates are measured
--- a/workbench/scale/profile.py
+++ b/workbench/scale/profile.py
@@ -17,7 +17,7 @@
 import click
 import uvloop
 
-from workbench.live.load import Load, class_of
+from workbench.emulator.load import Load, class_of
 from workbench.scale.loopback import bench, usage
 
 PACKAGES = ("balancer", "asyncio")
--- a/workbench/scale/real.py
+++ b/workbench/scale/real.py
@@ -12,19 +12,19 @@
 
 import msgspec
 
+from workbench.emulator.clock import LiveClock
+from workbench.emulator.config import node_table
+from workbench.emulator.http import Lines
+from workbench.emulator.links import Link
+from workbench.emulator.nodes import LiveNode, NoControl, Site
+from workbench.emulator.places import CALLS, PAGES, Places
 from workbench.lab.fleet import READY_LOOK, ask
 from workbench.lab.process import Process, command
-from workbench.live.clock import LiveClock
-from workbench.live.config import node_table
-from workbench.live.http import Lines
-from workbench.live.links import Link
-from workbench.live.nodes import LiveNode, NoControl, Site
-from workbench.live.places import CALLS, PAGES, Places
+from workbench.model.network import one_way
+from workbench.model.site import BEGIN, World
+from workbench.model.streams import Streams
 from workbench.scale.group import Group, Place
 from workbench.scenario.load import draw, load
-from workbench.world.network import one_way
-from workbench.world.site import BEGIN, World
-from workbench.world.streams import Streams
 
 READY_S = 20.0
 PAGE_S = 5.0  # that a node has to answer for its page
--- a/workbench/scale/run.py
+++ b/workbench/scale/run.py
@@ -16,7 +16,7 @@
 
 from balancer.fleet.config import FleetFault, read_fleet
 from balancer.fleet.membership.codec import Codec, read_key
-from workbench.live.places import Places
+from workbench.emulator.places import Places
 from workbench.scale.group import Group, Place
 from workbench.scale.hollow import list_datagrams
 from workbench.scale.machine import check_memory_need, default_workers, memory_limit, resident
--- a/workbench/scale/workers.py
+++ b/workbench/scale/workers.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 from typing import TypeVar
 
-from workbench.live.starter import tied
+from workbench.emulator.starter import tied
 from workbench.scale.messages import LENGTH, Failed, Reply, Request, frame, reply_decoder
 
 COMMAND = [sys.executable, "-m", "workbench.scale.worker"]
--- a/workbench/scenario/load.py
+++ b/workbench/scenario/load.py
@@ -13,9 +13,9 @@
 import msgspec
 import tomli_w
 
+from workbench.model.streams import Streams
 from workbench.scenario.check import faults
 from workbench.scenario.model import Scenario
-from workbench.world.streams import Streams
 
 STEP = re.compile(r"([^.\[\]]+)((?:\[\d+\])*)(?:\.|$)")
 
--- a/workbench/virtual/fleet.py
+++ b/workbench/simulator/fleet.py
@@ -24,9 +24,9 @@
 from balancer.policy import Balancer
 from balancer.policy.request import Request
 from balancer.policy.server import Server
-from workbench.policies.local import StrictlyLocal
-from workbench.world.network import whole
-from workbench.world.site import World
+from workbench.baselines.local import StrictlyLocal
+from workbench.model.network import whole
+from workbench.model.site import World
 
 EPOCH = 1_700_000_000_000  # milliseconds of Unix time at the clock's 0
 DIALS = 16  # calls to each new connection
--- a/workbench/virtual/heap.py
+++ b/workbench/simulator/heap.py
@@ -6,7 +6,7 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from workbench.world.clock import Handle
+from workbench.model.clock import Handle
 
 GRAIN_BITS = 16  # calls that may turn out needless are looked at once, by grains of 65 ms
 
--- a/workbench/virtual/host.py
+++ b/workbench/simulator/host.py
@@ -11,15 +11,15 @@
 from typing import Any
 
 from balancer.interface import Events, ListKind, Outcome, ServerEntry, Settings, State
-from workbench.policies import Policy
-from workbench.virtual.heap import HeapClock
-from workbench.virtual.recorder import Recorder
-from workbench.virtual.ticker import Ticker
-from workbench.world.call import Answer, Attempt, Call, is_answered, is_over
-from workbench.world.network import TABLE, num
-from workbench.world.server import Server
-from workbench.world.site import World
-from workbench.world.streams import scramble
+from workbench.baselines import Policy
+from workbench.model.call import Answer, Attempt, Call, is_answered, is_over
+from workbench.model.network import TABLE, num
+from workbench.model.server import Server
+from workbench.model.site import World
+from workbench.model.streams import scramble
+from workbench.simulator.heap import HeapClock
+from workbench.simulator.recorder import Recorder
+from workbench.simulator.ticker import Ticker
 
 Post = tuple[Callable[..., None], tuple[Any, ...]]
 REPLY = 50  # an answer's network draw, beside those of the tries
--- a/workbench/virtual/play.py
+++ b/workbench/simulator/play.py
@@ -13,14 +13,14 @@
 from typing import Any
 
 import workbench
-from workbench.policies import POLICIES, Policy
+from workbench.baselines import POLICIES, Policy
+from workbench.model.call import Request
+from workbench.model.network import num
+from workbench.model.site import BEGIN, World
 from workbench.scenario.load import digest, plain
 from workbench.scenario.model import Scenario
-from workbench.virtual.heap import HeapClock
-from workbench.virtual.host import Host
-from workbench.world.call import Request
-from workbench.world.network import num
-from workbench.world.site import BEGIN, World
+from workbench.simulator.heap import HeapClock
+from workbench.simulator.host import Host
 
 STEP = 1_000_000  # progress is told each second of the day
 TAIL = 30_000_000  # after the last arrival, a day runs on for so long at most
--- a/workbench/virtual/ticker.py
+++ b/workbench/simulator/ticker.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from workbench.virtual.heap import HeapClock
+from workbench.simulator.heap import HeapClock
 
 
 class Batched(Protocol):
