--- a/balancer/fleet/policy_adapter.py
+++ b/balancer/fleet/policy_adapter.py
@@ -12,7 +12,7 @@
 
 from balancer.fleet.config import FleetConfig
 from balancer.fleet.membership.codec import Part
-from balancer.interface import ListKind, Outcome, ServerEntry, Settings
+from balancer.policy.interface import ListKind, Outcome, ServerEntry, Settings
 
 if TYPE_CHECKING:
     from balancer.fleet.health_checks.decisions import Probe
--- a/balancer/fleet/zone_routing/traffic.py
+++ b/balancer/fleet/zone_routing/traffic.py
@@ -16,7 +16,7 @@
 from balancer.fleet.zone_routing.messages import ZoneKind, ZoneMessage
 from balancer.fleet.zone_routing.orders import Orders, Out
 from balancer.fleet.zone_routing.settings import ZoneSettings
-from balancer.interface import ListKind, Outcome, ServerEntry, Settings, State
+from balancer.policy.interface import ListKind, Outcome, ServerEntry, Settings, State
 
 NO_EVIDENCE = (Outcome.CANCELLED, Outcome.NOT_SENT)  # outcomes that tell nothing about a server
 MIN_SHARE_CHANGE = 0.005  # a smaller change isn't worth publishing...
--- a/balancer/net/discovery.py
+++ b/balancer/net/discovery.py
@@ -10,9 +10,9 @@
 
 import httptools
 
-from balancer.interface import ListKind
 from balancer.net.listing import Listing, read_listing
 from balancer.net.log import Log
+from balancer.policy.interface import ListKind
 
 WAIT_MS = 1_000  # a watch with no news lasts so long at most...
 WAIT_JITTER = 0.25  # ...and up to this part less, so that no two nodes' watches keep in step
--- a/balancer/net/listing.py
+++ b/balancer/net/listing.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from balancer.interface import ListKind, State
+from balancer.policy.interface import ListKind, State
 from balancer.settings import Fields
 
 STATES = {"ready": State.READY, "draining": State.DRAINING, "gone": State.GONE}
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -13,7 +13,6 @@
 from collections.abc import Callable, Coroutine, Mapping
 from typing import TYPE_CHECKING, Any
 
-from balancer.interface import Outcome, State
 from balancer.net.callers import Callers
 from balancer.net.config import Config, ConfigError, load_discovery
 from balancer.net.connection import Answer
@@ -32,6 +31,7 @@
 from balancer.net.system_faults import is_shortage, retry_shortage
 from balancer.net.turns import Event, Turns
 from balancer.policy import Balancer
+from balancer.policy.interface import Outcome, State
 
 if TYPE_CHECKING:
     from balancer.fleet.runtime import FleetRuntime
--- a/balancer/net/requests.py
+++ b/balancer/net/requests.py
@@ -11,7 +11,6 @@
 from collections.abc import Callable
 from time import monotonic
 
-from balancer.interface import NEVER_RAN, Effect, Outcome
 from balancer.net.caller import Caller
 from balancer.net.config import Config
 from balancer.net.connection import Answer
@@ -24,6 +23,7 @@
 from balancer.net.servers import Exchange, Pool
 from balancer.net.turns import Turns
 from balancer.policy import Balancer
+from balancer.policy.interface import NEVER_RAN, Effect, Outcome
 
 GUARD = 10_000  # after the deadline: a request that the module has left open is failed
 FLOW_PAUSE = 0.2  # seconds that a server may pause in an answer that flows, once the request's time is over
--- a/balancer/net/roster.py
+++ b/balancer/net/roster.py
@@ -8,7 +8,6 @@
 from hashlib import blake2b
 from random import Random
 
-from balancer.interface import ListKind, ServerEntry, State
 from balancer.net.config import Config
 from balancer.net.connection import Endpoint
 from balancer.net.discovery import Discovery
@@ -18,6 +17,7 @@
 from balancer.net.servers import Pool
 from balancer.net.turns import Turns
 from balancer.policy import Balancer
+from balancer.policy.interface import ListKind, ServerEntry, State
 
 Heard = Callable[[int, ListKind, Sequence[ServerEntry], Mapping[str, int]], None]
 
--- a/balancer/net/servers.py
+++ b/balancer/net/servers.py
@@ -8,12 +8,12 @@
 import asyncio
 from collections.abc import Callable
 
-from balancer.interface import Outcome
 from balancer.net.connection import Answer, Connection, Endpoint
 from balancer.net.descriptors import Descriptors
 from balancer.net.passing import Flow, Source, Upload
 from balancer.net.room import Room
 from balancer.net.system_faults import RETRY_INTERVAL, never_left_machine
+from balancer.policy.interface import Outcome
 
 IDLE_MARGIN = 0.3  # seconds before the server would close an idle connection
 REST = 0.02  # seconds that a connection better rests after an answer: a second one may be on its way
--- a/balancer/policy/__init__.py
+++ b/balancer/policy/__init__.py
@@ -1,4 +1,4 @@
-"""Every decision of balancer, a part a module. The types are in balancer/interface.py."""
+"""Every decision of balancer, a part a module. The types are in balancer/policy/interface.py."""
 
 from balancer.policy.balancer import Balancer
 
--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -1,4 +1,4 @@
-"""Every decision of balancer. The interface (types, events, actions) is in balancer/interface.py.
+"""Every decision of balancer. The interface (types, events, actions) is in balancer/policy/interface.py.
 
 How a server is picked. All copies of a tier share a shuffle of the servers; this copy's slice of it is
 its small subset, wider the more calls it has in flight. A call first passes the gradient controller: at
@@ -15,7 +15,9 @@
 from collections.abc import Mapping, Sequence
 from random import Random
 
-from balancer.interface import (
+from balancer.policy.ejection import SILENT_FACTOR, OutlierEjection
+from balancer.policy.gradient import AIM_SHARE, WINDOW, GradientController
+from balancer.policy.interface import (
     NEVER_RAN,
     Actions,
     Alone,
@@ -27,8 +29,6 @@
     Settings,
     State,
 )
-from balancer.policy.ejection import SILENT_FACTOR, OutlierEjection
-from balancer.policy.gradient import AIM_SHARE, WINDOW, GradientController
 from balancer.policy.load_shedding import LoadShedder
 from balancer.policy.request import Request
 from balancer.policy.retry_budget import RetryBudget
--- a/balancer/policy/ejection.py
+++ b/balancer/policy/ejection.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from balancer.interface import Actions, Fleet, Outcome
+from balancer.policy.interface import Actions, Fleet, Outcome
 from balancer.policy.server import SMOOTH, SMOOTH_ALL, Server
 from balancer.policy.slow_start import SlowStart
 from balancer.policy.subset import Subset
--- a/balancer/policy/gradient.py
+++ b/balancer/policy/gradient.py
@@ -6,7 +6,7 @@
 from math import ceil, sqrt
 from random import Random
 
-from balancer.interface import Alone, Fleet
+from balancer.policy.interface import Alone, Fleet
 
 # The source's figures, kept as they are.
 WINDOW = 100_000  # least length of a sampling window
--- a/balancer/policy/load_shedding.py
+++ b/balancer/policy/load_shedding.py
@@ -5,7 +5,7 @@
 from math import sqrt
 from random import Random
 
-from balancer.interface import Settings
+from balancer.policy.interface import Settings
 
 TENANT_TIME = 8_000_000  # a tenant's traffic is counted over so long
 EXCESS = 1.25  # it is clearly beyond its share at so many times its part...
--- a/balancer/policy/request.py
+++ b/balancer/policy/request.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from balancer.interface import Effect
+from balancer.policy.interface import Effect
 from balancer.policy.server import Server
 
 
--- a/balancer/policy/selection.py
+++ b/balancer/policy/selection.py
@@ -4,8 +4,8 @@
 
 from random import Random
 
-from balancer.interface import Effect, Group, Settings
 from balancer.policy.ejection import OutlierEjection
+from balancer.policy.interface import Effect, Group, Settings
 from balancer.policy.request import Request
 from balancer.policy.server import Server
 from balancer.policy.slow_start import SlowStart
--- a/balancer/policy/server.py
+++ b/balancer/policy/server.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from balancer.interface import ServerEntry
+from balancer.policy.interface import ServerEntry
 from balancer.policy.start_times import Start
 
 SMOOTH = 0.1  # weight of the newest sample in a server's averages
--- a/balancer/policy/slow_start.py
+++ b/balancer/policy/slow_start.py
@@ -4,8 +4,8 @@
 
 from math import exp
 
-from balancer.interface import Settings
 from balancer.policy.gradient import WINDOW, WINDOW_STRETCH
+from balancer.policy.interface import Settings
 from balancer.policy.server import Server
 from balancer.policy.subset import Subset
 
--- a/balancer/policy/spillover.py
+++ b/balancer/policy/spillover.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from balancer.interface import Settings
+from balancer.policy.interface import Settings
 from balancer.policy.server import SMOOTH, SMOOTH_ALL, Server
 
 SPILL_GAIN = 0.1  # a window moves the share of calls that may leave the zone by this part of the imbalance
--- a/balancer/policy/start_times.py
+++ b/balancer/policy/start_times.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from balancer.interface import ServerEntry
+from balancer.policy.interface import ServerEntry
 
 MAX_CLOCK_ERROR = 3_660_000_000  # a clock is wrong by an hour at most, or by some seconds more
 PROMPT = 1_000_000  # a start that is heard of with no more delay was heard of at once
--- a/balancer/policy/subset.py
+++ b/balancer/policy/subset.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 from math import ceil
 
-from balancer.interface import Settings
 from balancer.policy.gradient import GradientController
+from balancer.policy.interface import Settings
 from balancer.policy.server import Server
 
 MIN_SUBSET_SIZE = 4  # members of a copy that has hardly any call in flight
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from balancer.interface import ClassSettings, Effect, Group, Settings, TenantSettings
+from balancer.policy.interface import ClassSettings, Effect, Group, Settings, TenantSettings
 
 EFFECTS = {"free": Effect.SAFE, "guarded": Effect.KEYED, "single_shot": Effect.UNSAFE}
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
--- a/balancer/adapter.py
+++ b/balancer/simulator_adapter.py
@@ -11,8 +11,8 @@
 from struct import error as StructError
 from typing import Any, BinaryIO
 
-from balancer.interface import ListKind, Outcome, ServerEntry, Settings, State
 from balancer.policy import Balancer
+from balancer.policy.interface import ListKind, Outcome, ServerEntry, Settings, State
 from balancer.settings import settings_of
 
 HEADER = Struct("<IIQ")
--- a/tests/slow_start.py
+++ b/tests/slow_start.py
@@ -10,8 +10,8 @@
 
 from support import SAFE
 
-from balancer.interface import ListKind, Outcome, ServerEntry, Settings
 from balancer.policy import Balancer
+from balancer.policy.interface import ListKind, Outcome, ServerEntry, Settings
 
 SEC = 1_000_000
 START = 1_000 * SEC
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -10,7 +10,7 @@
 import pytest
 
 from balancer import adapter
-from balancer.adapter import Host, WireActions, WireError, read_settings, serve
+from balancer.simulator_adapter import Host, WireActions, WireError, read_settings, serve
 
 ROOT = Path(__file__).parent.parent
 ENV = {
@@ -192,7 +192,7 @@
 
 def test_the_process_exits_plainly():
     def start(data):
-        command = [sys.executable, "-m", "balancer.adapter"]
+        command = [sys.executable, "-m", "balancer.simulator_adapter"]
         return subprocess.run(command, input=data, capture_output=True, cwd=ROOT, timeout=60)
 
     bad = start(MALFORMED["unknown code"][0])
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,10 +21,10 @@
     until,
 )
 
-from balancer.interface import Outcome
 from balancer.net import node as node_module
 from balancer.net.caller import Caller
 from balancer.net.passing import WHOLE
+from balancer.policy.interface import Outcome
 
 LONG = bytes(4 * WHOLE)
 FLOWS = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(LONG), LONG)
--- a/tests/test_crossings_repeats.py
+++ b/tests/test_crossings_repeats.py
@@ -17,7 +17,7 @@
     until,
 )
 
-from balancer.interface import Outcome
+from balancer.policy.interface import Outcome
 
 FAILED = b"HTTP/1.1 500 Internal Server Error\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 WINDOW = MOMENT
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -23,8 +23,8 @@
     until,
 )
 
-from balancer.interface import Outcome
 from balancer.net.connection import Connection
+from balancer.policy.interface import Outcome
 
 FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 LOOPS = pytest.mark.parametrize("run", [uvloop.run, asyncio.run], ids=["uvloop", "asyncio"])
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -11,10 +11,10 @@
 import pytest
 from loopback import OK, Bench, Late, Server, always, call, gated, play, until
 
-from balancer.interface import Outcome
 from balancer.net import caller as node_caller
 from balancer.net.passing import WHOLE
 from balancer.policy.gradient import GradientController
+from balancer.policy.interface import Outcome
 
 HOW = pytest.mark.parametrize("how", ["fin", "rst"])
 FORBIDDEN = {"policy_limits": {"cancel": False}}
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -36,12 +36,12 @@
     until,
 )
 
-from balancer.interface import ListKind, Outcome
 from balancer.net import discovery as node_discovery
 from balancer.net.caller import SLOW
 from balancer.net.config import ConfigError, load, read
 from balancer.net.connection import Connection
 from balancer.net.servers import Exchange
+from balancer.policy.interface import ListKind, Outcome
 
 FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 BUSY = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -6,11 +6,11 @@
 import pytest
 from loopback import OK, Bench, Client, Clock, Server, always, call, gated, play, record_outcomes, until
 
-from balancer.interface import Outcome
 from balancer.net import servers as node_servers
 from balancer.net.caller import LINGER, SLOW
 from balancer.net.passing import WHOLE
 from balancer.net.room import LEAST, PIECE_LEAST, PIECE_MOST, Room
+from balancer.policy.interface import Outcome
 
 LONG = bytes(range(256)) * 4096  # 1 MiB
 FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -6,8 +6,8 @@
 import pytest
 from support import BASE, SEC, Recorder
 
-from balancer.interface import ListKind, Outcome, ServerEntry, State
 from balancer.policy import gradient as today
+from balancer.policy.interface import ListKind, Outcome, ServerEntry, State
 from workbench.baselines import revisions
 from workbench.baselines.gradient import GradientController, GradientSettings, PublishedGradient
 from workbench.baselines.plain import RandomChoice, RoundRobin, TwoDraws
@@ -141,7 +141,7 @@
 
 
 INTERFACE = "class Effect: name = 'of the revision'\n"
-USES = "from balancer.interface import Effect\nWAIT = 3\n"
+USES = "from balancer.policy.interface import Effect\nWAIT = 3\n"
 BALANCER = "class Balancer:\n    def __init__(self, *given): self.seen = WAIT, Effect.name\n"
 SINGLE_MODULE = {"balancer/balance.py": USES + BALANCER}
 PACKAGE = {
@@ -155,7 +155,7 @@
 @pytest.mark.parametrize("files", [SINGLE_MODULE, PACKAGE], ids=["single module", "package"])
 def test_a_revision_is_played_from_either_layout(files, tmp_path, monkeypatch):
     """Also with a constant that one module defines and another one imports."""
-    commit = committed(tmp_path, {**files, "balancer/interface.py": INTERFACE})
+    commit = committed(tmp_path, {**files, "balancer/policy/interface.py": INTERFACE})
     monkeypatch.setattr(revisions, "ROOT", tmp_path)
     made = revisions.policy_of(commit, ())(BASE, 1, Recorder(), None)
     changed = revisions.policy_of(commit, (("WAIT", 5.0),))(BASE, 1, Recorder(), None)
--- a/tests/test_policy_adapter.py
+++ b/tests/test_policy_adapter.py
@@ -16,8 +16,8 @@
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.min_rtt.decisions import Remeasure, RemeasureSettings
 from balancer.fleet.policy_adapter import PolicyAdapter
-from balancer.interface import Alone, ListKind, Outcome, ServerEntry
 from balancer.policy import Balancer
+from balancer.policy.interface import Alone, ListKind, Outcome, ServerEntry
 
 SEC = 1_000_000
 LIST = Electorate(("v0", "v1", "v2"))
--- a/tests/test_policy_balancer.py
+++ b/tests/test_policy_balancer.py
@@ -3,7 +3,7 @@
 import pytest
 from support import BASE, KEYED, SAFE, SEC, UNSAFE, ask, balancer, end
 
-from balancer.interface import (
+from balancer.policy.interface import (
     NEVER_RAN,
     ClassSettings,
     Effect,
--- a/tests/test_policy_ejection.py
+++ b/tests/test_policy_ejection.py
@@ -3,7 +3,7 @@
 import pytest
 from support import SEC, ask, balancer, end
 
-from balancer.interface import ListKind, Outcome, ServerEntry, State
+from balancer.policy.interface import ListKind, Outcome, ServerEntry, State
 
 
 def test_a_drained_server_that_fails_gets_no_trial():
--- a/tests/test_policy_load_shedding.py
+++ b/tests/test_policy_load_shedding.py
@@ -2,7 +2,7 @@
 
 from support import SAFE, SEC, ask, balancer, end
 
-from balancer.interface import ClassSettings, Effect, Outcome, TenantSettings
+from balancer.policy.interface import ClassSettings, Effect, Outcome, TenantSettings
 
 
 def tenants_served(shed: float, sent: tuple[int, ...]) -> list[float]:
--- a/tests/test_policy_selection.py
+++ b/tests/test_policy_selection.py
@@ -3,7 +3,7 @@
 import pytest
 from support import SEC, ask, balancer, end
 
-from balancer.interface import ClassSettings, Effect, Group, ListKind, Outcome, ServerEntry
+from balancer.policy.interface import ClassSettings, Effect, Group, ListKind, Outcome, ServerEntry
 
 
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.ERROR])
--- a/tests/test_policy_slow_start.py
+++ b/tests/test_policy_slow_start.py
@@ -3,7 +3,7 @@
 import pytest
 from support import SEC, ask, balancer, end
 
-from balancer.interface import ListKind, Outcome, ServerEntry
+from balancer.policy.interface import ListKind, Outcome, ServerEntry
 
 
 def test_a_cold_server_gets_no_more_than_its_share():
--- a/tests/test_policy_spillover.py
+++ b/tests/test_policy_spillover.py
@@ -3,7 +3,7 @@
 import pytest
 from support import ask, balancer, end
 
-from balancer.interface import Outcome, ServerEntry
+from balancer.policy.interface import Outcome, ServerEntry
 
 
 @pytest.mark.usefixtures("wide")
--- a/tests/test_policy_subset.py
+++ b/tests/test_policy_subset.py
@@ -4,8 +4,8 @@
 
 from support import ask, balancer
 
-from balancer.interface import ListKind, ServerEntry, State
 from balancer.policy import Balancer
+from balancer.policy.interface import ListKind, ServerEntry, State
 
 
 def test_the_subset_is_bounded_and_refilled():
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -14,7 +14,8 @@
 from hypothesis import strategies as st
 from support import BASE, SEC, Recorder
 
-from balancer.interface import (
+from balancer.policy import Balancer
+from balancer.policy.interface import (
     NEVER_RAN,
     ClassSettings,
     Effect,
@@ -25,7 +26,6 @@
     State,
     TenantSettings,
 )
-from balancer.policy import Balancer
 from balancer.policy.selection import Selection
 from balancer.policy.slow_start import SlowStart
 
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -32,10 +32,10 @@
 from support import balancer
 from virtual_time import FAULTS, REQUEST_FAULTS, FakeDiscovery, VirtualTimeLoop, list_response
 
-from balancer.interface import Outcome
 from balancer.net import discovery as node_discovery
 from balancer.net.config import read
 from balancer.net.node import Node
+from balancer.policy.interface import Outcome
 
 MAX_DELAY = 6.0  # seconds after discovery had a change and could be reached
 MAX_DELAY_AFTER_RELOAD = 4.0  # seconds after SIGHUP
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -48,7 +48,6 @@
 from test_fleet import free_udp, section
 
 from balancer.fleet.membership.messages import Kind, Message
-from balancer.interface import Outcome
 from balancer.net import callers, handover, listener, node, roster, servers, system_faults
 from balancer.net.caller import Caller
 from balancer.net.connection import Connection
@@ -56,6 +55,7 @@
 from balancer.net.handover import Handover
 from balancer.net.listener import Listener
 from balancer.net.management import Operator
+from balancer.policy.interface import Outcome
 
 OPERATED = {"management": "127.0.0.1:0"}
 OPERATOR_CALL = b"GET /control/ready HTTP/1.1\r\nHost: m\r\n\r\n"
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -7,8 +7,8 @@
 import pytest
 from support import BASE, SEC, Recorder, ask, balancer
 
-from balancer.interface import ListKind, ServerEntry
 from balancer.policy import Balancer
+from balancer.policy.interface import ListKind, ServerEntry
 
 HOUR = 3_600 * SEC
 NOW = 100_000 * SEC  # by clocks that are right
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from balancer.interface import ClassSettings, Effect, Group, Outcome
+from balancer.policy.interface import ClassSettings, Effect, Group, Outcome
 from workbench.baselines import POLICIES
 from workbench.model.call import Call
 from workbench.model.referee import Referee
--- a/tests/test_zone_slow_start.py
+++ b/tests/test_zone_slow_start.py
@@ -7,7 +7,7 @@
 
 from balancer.fleet.zone_routing.settings import ZoneSettings
 from balancer.fleet.zone_routing.traffic import ZoneTraffic
-from balancer.interface import ListKind, ServerEntry, State
+from balancer.policy.interface import ListKind, ServerEntry, State
 
 SEC = 1_000_000
 COLD = 10 * SEC
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -11,7 +11,7 @@
 from balancer.fleet.zone_routing.messages import MOST, Word, ZoneKind, ZoneMessage, ZoneWire
 from balancer.fleet.zone_routing.orders import Orders
 from balancer.fleet.zone_routing.settings import ZoneSettings
-from balancer.interface import Group, ListKind, Outcome, ServerEntry
+from balancer.policy.interface import Group, ListKind, Outcome, ServerEntry
 
 SET = ZoneSettings()
 
--- a/workbench/baselines/__init__.py
+++ b/workbench/baselines/__init__.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from balancer.interface import Actions, Events, Settings
 from balancer.policy import Balancer
+from balancer.policy.interface import Actions, Events, Settings
 from workbench.baselines.gradient import PublishedGradient
 from workbench.baselines.plain import RandomChoice, RoundRobin, TwoDraws
 from workbench.baselines.seeing import Late, Sight, TrueState
--- a/workbench/baselines/base.py
+++ b/workbench/baselines/base.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping, Sequence
 from random import Random
 
-from balancer.interface import (
+from balancer.policy.interface import (
     NEVER_RAN,
     Actions,
     ClassSettings,
--- a/workbench/baselines/gradient.py
+++ b/workbench/baselines/gradient.py
@@ -11,7 +11,7 @@
 from math import ceil, sqrt
 from random import Random
 
-from balancer.interface import Actions, Outcome, Settings
+from balancer.policy.interface import Actions, Outcome, Settings
 from workbench.baselines.plain import TwoDraws
 
 
--- a/workbench/baselines/revisions.py
+++ b/workbench/baselines/revisions.py
@@ -20,12 +20,12 @@
 from types import ModuleType
 
 import balancer.policy
-from balancer.interface import Actions, Events, Settings
+from balancer.policy.interface import Actions, Events, Settings
 from workbench.baselines import Policy
 from workbench.model.site import World
 
 ROOT = Path(balancer.policy.__file__).parent.parent.parent
-PACKAGE, INTERFACE = "balancer/policy/", "balancer/interface.py"
+PACKAGE, INTERFACE = "balancer/policy/", "balancer/policy/interface.py"
 SINGLE_MODULE = "balancer/balance.py"  # in place of the package, in revisions from before it
 Constants = tuple[tuple[str, float], ...]
 
@@ -122,7 +122,7 @@
     for path, text in policy_sources(revision).items():
         text = text.replace("balancer.policy", package)
         if revision:
-            text = text.replace("from balancer.interface import", f"from {interface} import")
+            text = text.replace("from balancer.policy.interface import", f"from {interface} import")
         sources[module_name(package, path)] = text
     modules = import_sources(sources)
     for name, value in constants:
--- a/workbench/baselines/seeing.py
+++ b/workbench/baselines/seeing.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from math import inf
 
-from balancer.interface import Actions, Settings
+from balancer.policy.interface import Actions, Settings
 from workbench.baselines.base import Baseline
 from workbench.model.site import World
 
--- a/workbench/emulator/agent.py
+++ b/workbench/emulator/agent.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from balancer.interface import ListKind, ServerEntry, State
 from balancer.net.listener import Listener, listening
+from balancer.policy.interface import ListKind, ServerEntry, State
 from workbench.emulator.http import ServerSide, answer_bytes
 
 STATES = {State.READY: "ready", State.DRAINING: "draining", State.GONE: "gone"}
--- a/workbench/emulator/config.py
+++ b/workbench/emulator/config.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from balancer.interface import Settings
+from balancer.policy.interface import Settings
 from balancer.settings import EFFECTS, GROUPS
 from workbench.emulator.nodes import LiveNode, Site
 from workbench.emulator.places import CALLS, PAGES
--- a/workbench/emulator/nodes.py
+++ b/workbench/emulator/nodes.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from balancer.interface import ListKind, Outcome, ServerEntry, Settings, State
+from balancer.policy.interface import ListKind, Outcome, ServerEntry, Settings, State
 from workbench.emulator.agent import Agent, Line
 from workbench.emulator.clock import LiveClock
 from workbench.emulator.http import ClientSide, Lines, Reply, answer_bytes, request_bytes
--- a/workbench/emulator/servers.py
+++ b/workbench/emulator/servers.py
@@ -11,8 +11,8 @@
 from contextlib import suppress
 from typing import Protocol
 
-from balancer.interface import Outcome
 from balancer.net.listener import Listener, listening
+from balancer.policy.interface import Outcome
 from workbench.emulator.clock import LiveClock
 from workbench.emulator.http import ServerSide, answer_bytes
 from workbench.emulator.links import Link, Stream
--- a/workbench/explore/runtime_net.py
+++ b/workbench/explore/runtime_net.py
@@ -17,9 +17,9 @@
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.runtime import FleetRuntime
 from balancer.fleet.zone_routing.settings import ZoneSettings
-from balancer.interface import ClassSettings, Effect, Settings
 from balancer.net.lifecycle import Lifecycle, Stage
 from balancer.net.log import Log
+from balancer.policy.interface import ClassSettings, Effect, Settings
 from workbench.simulator.heap import HeapClock
 
 SECOND = 1_000_000
--- a/workbench/lab/mischief.py
+++ b/workbench/lab/mischief.py
@@ -24,13 +24,13 @@
 from balancer.fleet.rolling_update.decisions import Replacement
 from balancer.fleet.runtime import FleetRuntime
 from balancer.fleet.zone_routing.decisions import Zones
-from balancer.interface import State
 from balancer.net.forwarding import head_of
 from balancer.net.lifecycle import Lifecycle
 from balancer.net.requests import Requests
 from balancer.net.roster import Roster
 from balancer.net.servers import Exchange
 from balancer.policy import ejection, gradient
+from balancer.policy.interface import State
 
 EVERY = 15  # requests between two that are treated badly
 SOON = 3.0  # seconds until what happens once
--- a/workbench/model/accounts.py
+++ b/workbench/model/accounts.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from balancer.interface import ClassSettings
+from balancer.policy.interface import ClassSettings
 from workbench.model.call import Request
 from workbench.model.network import num
 from workbench.scenario.model import Scenario
--- a/workbench/model/call.py
+++ b/workbench/model/call.py
@@ -5,7 +5,7 @@
 from enum import IntEnum
 from typing import Any, Protocol
 
-from balancer.interface import ListKind, Outcome, ServerEntry
+from balancer.policy.interface import ListKind, Outcome, ServerEntry
 
 Cause = tuple[str, int]  # why worth was lost, and at which tier
 UNKNOWN: Cause = ("never sent", 0)
--- a/workbench/model/clients.py
+++ b/workbench/model/clients.py
@@ -6,7 +6,7 @@
 
 import numpy as np
 
-from balancer.interface import Effect, Group
+from balancer.policy.interface import Effect, Group
 from workbench.model.call import UNKNOWN, Answer, Call, Request, is_answered, is_left
 from workbench.model.network import num, whole
 from workbench.model.streams import scramble
--- a/workbench/model/discovery.py
+++ b/workbench/model/discovery.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from balancer.interface import ListKind, ServerEntry, State
+from balancer.policy.interface import ListKind, ServerEntry, State
 from workbench.model.call import Port
 from workbench.model.network import num
 from workbench.scenario.model import Scenario
--- a/workbench/model/referee.py
+++ b/workbench/model/referee.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from balancer.interface import NEVER_RAN, ClassSettings, Effect, Group, Outcome
+from balancer.policy.interface import NEVER_RAN, ClassSettings, Effect, Group, Outcome
 from workbench.model.call import Call
 
 if TYPE_CHECKING:
--- a/workbench/model/server.py
+++ b/workbench/model/server.py
@@ -12,7 +12,7 @@
 from heapq import heappop, heappush
 from typing import TYPE_CHECKING, Any
 
-from balancer.interface import Outcome
+from balancer.policy.interface import Outcome
 from workbench.model.call import Answer, Attempt, Call, Port
 from workbench.model.streams import scramble
 
--- a/workbench/model/site.py
+++ b/workbench/model/site.py
@@ -10,7 +10,7 @@
 from math import floor
 from typing import Protocol
 
-from balancer.interface import ClassSettings, Effect, Group, Settings
+from balancer.policy.interface import ClassSettings, Effect, Group, Settings
 from workbench.model.accounts import Accounts
 from workbench.model.call import Attempt, Call, Caller, Port, Request
 from workbench.model.clients import Clients
--- a/workbench/scale/program.py
+++ b/workbench/scale/program.py
@@ -15,9 +15,9 @@
 from balancer.fleet.config import FleetConfig
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Swim
-from balancer.interface import Settings
 from balancer.net.lifecycle import Lifecycle
 from balancer.net.log import Log
+from balancer.policy.interface import Settings
 
 RUNTIMES = (("balancer.fleet.runtime", "FleetRuntime"), ("balancer.fleet.host", "Host"))
 SUBSCRIBERS = ("publish", "tell")  # a `Swim`'s callback for changes of what it holds true
--- a/workbench/simulator/fleet.py
+++ b/workbench/simulator/fleet.py
@@ -19,9 +19,9 @@
 from balancer.fleet.leases.voter import Voter
 from balancer.fleet.policy_adapter import PolicyAdapter
 from balancer.fleet.zone_routing.settings import ZoneSettings
-from balancer.interface import Actions, Events, ListKind, Outcome, ServerEntry, Settings
-from balancer.interface import Fleet as Hook
 from balancer.policy import Balancer
+from balancer.policy.interface import Actions, Events, ListKind, Outcome, ServerEntry, Settings
+from balancer.policy.interface import Fleet as Hook
 from balancer.policy.request import Request
 from balancer.policy.server import Server
 from workbench.baselines.local import StrictlyLocal
--- a/workbench/simulator/host.py
+++ b/workbench/simulator/host.py
@@ -10,7 +10,7 @@
 from time import perf_counter_ns
 from typing import Any
 
-from balancer.interface import Events, ListKind, Outcome, ServerEntry, Settings, State
+from balancer.policy.interface import Events, ListKind, Outcome, ServerEntry, Settings, State
 from workbench.baselines import Policy
 from workbench.model.call import Answer, Attempt, Call, is_answered, is_over
 from workbench.model.network import TABLE, num
