--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from balancer import adapter
+from balancer import simulator_adapter
 from balancer.simulator_adapter import Host, WireActions, WireError, read_settings, serve
 
 ROOT = Path(__file__).parent.parent
@@ -120,7 +120,7 @@
     def broken(*args):
         raise RuntimeError("boom")
 
-    monkeypatch.setattr(adapter.Balancer, "request", broken)
+    monkeypatch.setattr(simulator_adapter.Balancer, "request", broken)
     reply = run(frame(create(), members(), accept()))
     assert reply[4] == 74 and b"request: RuntimeError: boom" in reply
 
@@ -178,9 +178,9 @@
 @pytest.mark.parametrize("name", MALFORMED)
 def test_malformed_input_ends_with_status_2_and_one_line(name, monkeypatch, capsys):
     data, _ = MALFORMED[name]
-    monkeypatch.setattr(adapter.sys, "stdin", io.TextIOWrapper(io.BytesIO(data)))
-    monkeypatch.setattr(adapter.sys, "stdout", io.TextIOWrapper(io.BytesIO()))
-    assert adapter.main() == 2
+    monkeypatch.setattr(simulator_adapter.sys, "stdin", io.TextIOWrapper(io.BytesIO(data)))
+    monkeypatch.setattr(simulator_adapter.sys, "stdout", io.TextIOWrapper(io.BytesIO()))
+    assert simulator_adapter.main() == 2
     assert capsys.readouterr().err.count("\n") == 1
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -7,7 +7,7 @@
 from workbench.emulator.links import Link, Stream
 from workbench.emulator.places import Places
 from workbench.lab.checkers import check
-from workbench.lab.earlier import unpack
+from workbench.lab.earlier import package_in, unpack
 from workbench.lab.history import HistoryError, read
 from workbench.lab.plan import PlanError, chosen, draw, plan_of, scenario, shipped
 from workbench.lab.truth import Truth
@@ -98,10 +98,18 @@
         assert (one.fault != other.fault) is (ranged or name == "lossy")
 
 
-def test_a_revision_is_unpacked_beside_today_s_or_named(tmp_path):
-    assert len(unpack("HEAD", tmp_path)) == 40 and (tmp_path / "balancer" / "policy" / "balancer.py").exists()
+BEFORE_FLEET = "72cc847^"  # no node of this revision takes part in a fleet
+BEFORE_RENAMING = "6291dd7"  # the last revision whose node is the package `brackenladder`
+
+
+@pytest.mark.parametrize(("revision", "package"), [("HEAD", "balancer"), (BEFORE_RENAMING, "brackenladder")])
+def test_a_revision_is_unpacked_beside_today_s_or_named(tmp_path, revision, package):
+    assert len(unpack(revision, tmp_path)) == 40 and (tmp_path / package / "policy" / "balancer.py").exists()
+    assert package_in(tmp_path) == package
     with pytest.raises(PlanError, match="earlier: nowhere: no such revision"):
         unpack("nowhere", tmp_path)
+    with pytest.raises(PlanError, match="earlier: .*: it has no fleet"):
+        unpack(BEFORE_FLEET, tmp_path)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -141,21 +141,46 @@
 
 
 INTERFACE = "class Effect: name = 'of the revision'\n"
-USES = "from balancer.policy.interface import Effect\nWAIT = 3\n"
 BALANCER = "class Balancer:\n    def __init__(self, *given): self.seen = WAIT, Effect.name\n"
-SINGLE_MODULE = {"balancer/balance.py": USES + BALANCER}
-PACKAGE = {
-    "balancer/policy/__init__.py": "from balancer.policy.balancer import Balancer\n",
-    "balancer/policy/balancer.py": "from balancer.policy.times import WAIT, Effect\n" + BALANCER,
-    "balancer/policy/times.py": USES,
-    "balancer/policy/unused.txt": "not a module\n",
+
+
+def uses(interface):
+    return f"from {interface} import Effect\nWAIT = 3\n"
+
+
+def package(node, interface):
+    return {
+        f"{node}/policy/__init__.py": f"from {node}.policy.balancer import Balancer\n",
+        f"{node}/policy/balancer.py": f"from {node}.policy.times import WAIT, Effect\n" + BALANCER,
+        f"{node}/policy/times.py": uses(interface),
+        f"{node}/policy/unused.txt": "not a module\n",
+    }
+
+
+LAYOUTS = {
+    "single module": {
+        "brackenladder/balance.py": uses("brackenladder.interface") + BALANCER,
+        "brackenladder/interface.py": INTERFACE,
+    },
+    "package before the renaming": {
+        **package("brackenladder", "brackenladder.interface"),
+        "brackenladder/interface.py": INTERFACE,
+    },
+    "package, interface beside it": {
+        **package("balancer", "balancer.interface"),
+        "balancer/interface.py": INTERFACE,
+    },
+    "package": {
+        **package("balancer", "balancer.policy.interface"),
+        "balancer/policy/interface.py": INTERFACE,
+    },
 }
 
 
-@pytest.mark.parametrize("files", [SINGLE_MODULE, PACKAGE], ids=["single module", "package"])
-def test_a_revision_is_played_from_either_layout(files, tmp_path, monkeypatch):
+@pytest.mark.parametrize("files", LAYOUTS.values(), ids=LAYOUTS)
+def test_a_revision_is_played_from_every_layout(files, tmp_path, monkeypatch):
     """Also with a constant that one module defines and another one imports."""
-    commit = committed(tmp_path, {**files, "balancer/policy/interface.py": INTERFACE})
+    commit = committed(tmp_path, files)
     monkeypatch.setattr(revisions, "ROOT", tmp_path)
     made = revisions.policy_of(commit, ())(BASE, 1, Recorder(), None)
     changed = revisions.policy_of(commit, (("WAIT", 5.0),))(BASE, 1, Recorder(), None)
@@ -164,6 +189,13 @@
         revisions.policy_of(commit, (("WAIT_NONE", 5.0),))
 
 
+def test_a_revision_without_a_policy_is_refused(tmp_path, monkeypatch):
+    commit = committed(tmp_path, {"README.md": "nothing yet\n"})
+    monkeypatch.setattr(revisions, "ROOT", tmp_path)
+    with pytest.raises(revisions.RevisionError, match="it has no policy"):
+        revisions.policy_of(commit, ())
+
+
 def test_the_work_tree_s_policy_is_loaded_whole_beside_today_s():
     """Its modules import one another, not those in service, so that a constant changes in the copy alone."""
     module = revisions.load("", (("WINDOW", 50_000.0),))
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -314,7 +314,7 @@
     assert alone == again[::-1]
 
 
-@pytest.mark.parametrize("file", [*POLICY, ROOT / "balancer" / "interface.py"], ids=lambda f: f.stem)
+@pytest.mark.parametrize("file", POLICY, ids=lambda f: f.stem)
 def test_names_and_wire_words_stay_out_of_the_decisions(file):
     text = file.read_text()
     for word in ("guarded", "single_shot", "policy_limits", "RELAY", "BOUNCE", "import os", "hash("):
--- a/workbench/baselines/revisions.py
+++ b/workbench/baselines/revisions.py
@@ -1,16 +1,18 @@
 """The policy as another revision of this repository has it, or with other constants, beside today's.
 
-A revision's `balancer/policy/` is loaded as a package of a name of its own, with that revision's
-`interface.py`; the work tree is not touched. Revisions from before the package have one module,
-`balancer/balance.py`, in its place. Enumerations are whole numbers, so an older module's compare equal
-to today's.
+A revision's `policy/` is loaded as a package of a name of its own, with that revision's interface; the work
+tree is not touched. Older revisions keep these files elsewhere: the node's package was `brackenladder`, the
+interface stood beside the policy's package, and before that the policy was a single module. Enumerations are
+whole numbers, so an older module's compare equal to today's.
 """
 
 from __future__ import annotations
 
+import re
 import subprocess
 import sys
 from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
 from functools import lru_cache
 from importlib import import_module
 from importlib.abc import Loader, MetaPathFinder
@@ -25,8 +27,9 @@
 from workbench.model.site import World
 
 ROOT = Path(balancer.policy.__file__).parent.parent.parent
-PACKAGE, INTERFACE = "balancer/policy/", "balancer/policy/interface.py"
-SINGLE_MODULE = "balancer/balance.py"  # in place of the package, in revisions from before it
+NODE_PACKAGE, FORMER_NODE_PACKAGE = "balancer", "brackenladder"
+SINGLE_MODULE = "balance.py"  # in place of the policy's package, in the oldest revisions
+INTERFACES = ("policy/interface.py", "interface.py")  # within the node's package, the newest place first
 Constants = tuple[tuple[str, float], ...]
 
 
@@ -54,14 +57,48 @@
         raise RevisionError(f"git:{revision}: no such revision of this repository") from None
 
 
+@dataclass(frozen=True)
+class Layout:
+    """Where a revision keeps the policy: the node's package, and paths of files in the repository."""
+
+    node_package: str
+    interface: str
+    policy: tuple[str, ...]
+
+    def module(self, path: str) -> str:
+        """The name under which the revision's own code imports a file."""
+        return path.removesuffix(".py").removesuffix("/__init__").replace("/", ".")
+
+
+def layout_of(revision: str) -> Layout:
+    """The layout of a revision ("" is the work tree). RevisionError where it has no policy."""
+    for package in (NODE_PACKAGE, FORMER_NODE_PACKAGE):
+        files = list_files(revision, package)
+        interface = next((f"{package}/{i}" for i in INTERFACES if f"{package}/{i}" in files), None)
+        if interface is None:
+            continue
+        parts = [
+            f for f in files if f.startswith(f"{package}/policy/") and f.endswith(".py") and f != interface
+        ]
+        return Layout(package, interface, tuple(parts) or (f"{package}/{SINGLE_MODULE}",))
+    raise RevisionError(f"git:{revision}: it has no policy")
+
+
+def list_files(revision: str, folder: str) -> list[str]:
+    """Paths of the files below a folder at a revision ("" is the work tree)."""
+    if revision:
+        return git("ls-tree", "-r", "--name-only", revision, f"{folder}/").splitlines()
+    return sorted(file.relative_to(ROOT).as_posix() for file in (ROOT / folder).rglob("*.py"))
+
+
+def read_source(revision: str, path: str) -> str:
+    """The text of a file at a revision ("" is the work tree). RevisionError."""
+    return git("show", f"{revision}:{path}") if revision else (ROOT / path).read_text()
+
+
 def policy_sources(revision: str) -> dict[str, str]:
     """The policy's files at a revision ("" is the work tree): their text by path. RevisionError."""
-    if not revision:
-        files = sorted((ROOT / PACKAGE).glob("*.py"))
-        return {PACKAGE + file.name: file.read_text() for file in files}
-    listed = git("ls-tree", "--name-only", revision, PACKAGE).split()
-    paths = [path for path in listed if path.endswith(".py")] or [SINGLE_MODULE]
-    return {path: git("show", f"{revision}:{path}") for path in paths}
+    return {path: read_source(revision, path) for path in layout_of(revision).policy}
 
 
 class SourceLoader(MetaPathFinder, Loader):
@@ -92,10 +129,18 @@
         sys.meta_path.remove(loader)
 
 
-def module_name(package: str, path: str) -> str:
+def private_name(layout: Layout, package: str, path: str) -> str:
     """The name under which a file of the policy is loaded; its package or single module is `package`."""
     stem = Path(path).stem
-    return package if path == SINGLE_MODULE or stem == "__init__" else f"{package}.{stem}"
+    is_package = path.endswith(f"/{SINGLE_MODULE}") and len(layout.policy) == 1 or stem == "__init__"
+    return package if is_package else f"{package}.{stem}"
+
+
+def with_private_imports(text: str, layout: Layout, package: str, interface: str) -> str:
+    """The text of a file of the policy, with its imports of the policy and the interface renamed."""
+    own_interface = re.escape(layout.module(layout.interface))
+    text = re.sub(rf"from {own_interface} import", f"from {interface} import", text)
+    return re.sub(rf"from {layout.node_package}\.policy(?!\.interface\b)", f"from {package}", text)
 
 
 def set_constant(modules: Sequence[ModuleType], name: str, value: float) -> None:
@@ -114,16 +159,14 @@
 
     RevisionError names what is wrong.
     """
-    package = f"balancer_at_{revision or 'work'}_{abs(hash(constants)):x}"
-    interface = f"{package}_interface"
+    layout = layout_of(revision)
+    package = f"policy_at_{revision or 'work'}_{abs(hash(constants)):x}"
+    interface = f"{package}_interface" if revision else layout.module(layout.interface)
     sources = {}
     if revision:
-        sources[interface] = git("show", f"{revision}:{INTERFACE}")
+        sources[interface] = read_source(revision, layout.interface)
     for path, text in policy_sources(revision).items():
-        text = text.replace("balancer.policy", package)
-        if revision:
-            text = text.replace("from balancer.policy.interface import", f"from {interface} import")
-        sources[module_name(package, path)] = text
+        sources[private_name(layout, package, path)] = with_private_imports(text, layout, package, interface)
     modules = import_sources(sources)
     for name, value in constants:
         set_constant(modules, name, value)
--- a/workbench/lab/fleet.py
+++ b/workbench/lab/fleet.py
@@ -10,10 +10,12 @@
 
 import msgspec
 
+from workbench.baselines.revisions import NODE_PACKAGE
 from workbench.emulator.config import node_table
 from workbench.emulator.http import Lines, Reply
 from workbench.emulator.nodes import LiveNode, Site
 from workbench.emulator.places import CALLS, PAGES, PORT
+from workbench.lab.earlier import package_in
 from workbench.lab.plan import Plan, number
 from workbench.lab.process import Process, command
 
@@ -83,15 +85,17 @@
         self.summaries = {}
         self.ready.clear()
         self.gone.clear()
+        revision_folder = fleet.earlier if self.mischief == "earlier" else None
+        package = package_in(revision_folder) if revision_folder else NODE_PACKAGE
         self.process = Process(
             fleet.loop,
             self.name,
-            command("" if self.mischief in UNCHANGED else self.mischief, self.stepped_clock()),
+            command("" if self.mischief in UNCHANGED else self.mischief, self.stepped_clock(), package),
             self.folder / "config.json",
             self.table(),
             self.logged,
             self.exited,
-            fleet.earlier if self.mischief == "earlier" else None,
+            revision_folder,
         )
         fleet.tell(
             "process",
--- a/workbench/lab/process.py
+++ b/workbench/lab/process.py
@@ -14,6 +14,7 @@
 from pathlib import Path
 from typing import Any
 
+from workbench.baselines.revisions import NODE_PACKAGE
 from workbench.emulator.starter import tied
 
 READ = 65536
@@ -123,12 +124,12 @@
         return (int(stat[11]) + int(stat[12])) / TICK, pages * os.sysconf("SC_PAGE_SIZE") / (1 << 20)
 
 
-def command(mischief: str, clock_file: Path | None = None) -> list[str]:
-    """The start line of a node, or of one that misbehaves on purpose. `clock_file`: the offset of a wall
-    clock that is stepped before the node starts."""
+def command(mischief: str, clock_file: Path | None = None, package: str = NODE_PACKAGE) -> list[str]:
+    """The start line of a node of a package, or of one that misbehaves on purpose. `clock_file`: the offset of
+    a wall clock that is stepped before the node starts."""
     if clock_file is not None:
         words = [mischief] if mischief else []
         return [sys.executable, "-m", "workbench.lab.stepped", str(clock_file), *words]
     if mischief:
         return [sys.executable, "-m", "workbench.lab.mischief", mischief]
-    return [sys.executable, "-m", "balancer"]
+    return [sys.executable, "-m", package]
