--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -8,6 +8,8 @@
 import socket
 import sys
 from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
+from pathlib import Path
 from typing import Any
 
 import uvloop
@@ -365,14 +367,28 @@
             await asyncio.sleep(0.01)
 
 
-async def spawn(tmp_path, table: dict, fds: tuple[int, ...] = (), **env: str) -> asyncio.subprocess.Process:
+@dataclass(frozen=True)
+class Program:
+    """A version of the node: its package, and the folder in which it lies if it is not today's."""
+
+    package: str = "balancer"
+    folder: Path | None = None
+
+
+TODAY = Program()
+
+
+async def spawn(
+    tmp_path, table: dict, fds: tuple[int, ...] = (), program: Program = TODAY, **env: str
+) -> asyncio.subprocess.Process:
     """The program as it is run, with these descriptors inherited."""
     file = tmp_path / "config.json"
     file.write_text(json.dumps(table))
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "balancer",
+        program.package,
+        cwd=program.folder,
         env=os.environ | {"LB_CONFIG": str(file)} | env,
         stderr=asyncio.subprocess.PIPE,
         pass_fds=fds,
--- a/tests/support.py
+++ b/tests/support.py
@@ -25,6 +25,8 @@
     fall_time=SEC,
 )
 
+BEFORE_RENAMING = "6291dd7"  # the last revision whose node is the package `brackenladder`
+
 
 class Recorder:
     def __init__(self) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,6 +14,7 @@
     Bench,
     Client,
     Discovery,
+    Program,
     Server,
     always,
     call,
@@ -24,9 +25,11 @@
     spawn,
     until,
 )
+from support import BEFORE_RENAMING
 
 from balancer.net import handover
 from balancer.net.handover import FITS, PREFIX, Handover, adopted
+from workbench.lab.earlier import unpack
 
 READY = b"GET /control/ready HTTP/1.1\r\n\r\n"
 
@@ -66,8 +69,16 @@
         await asyncio.sleep(0.01)
 
 
-def test_a_second_process_takes_over_and_no_connection_is_lost(tmp_path, folder):
-    """Failure prevented: what waits in the shared queue is reset or never read when the old process ends."""
+@pytest.mark.parametrize("earlier", ["neither", "old", "new"])
+def test_a_second_process_takes_over_and_no_connection_is_lost(tmp_path, folder, earlier):
+    """Failure prevented: what waits in the shared queue is reset or never read when the old process ends.
+
+    Also where one of the two is of the last revision before the packages were renamed.
+    """
+    programs = {"old": Program(), "new": Program()}
+    if earlier in programs:
+        unpack(BEFORE_RENAMING, tmp_path / "earlier")
+        programs[earlier] = Program("brackenladder", tmp_path / "earlier")
 
     async def scene():
         release = asyncio.Event()
@@ -85,12 +96,12 @@
             table = node_table(discovery.port, settings(), f"127.0.0.1:{port}", server.entry("s0"))
             ports = free_port(), free_port()
             first = f"127.0.0.1:{ports[0]}"
-            old = await spawn(tmp_path, table, (number,), **env, LB_MANAGEMENT=first)
+            old = await spawn(tmp_path, table, (number,), programs["old"], **env, LB_MANAGEMENT=first)
             await answers_ready(ports[0])
             (kept := await Client(port).open()).send(call(extra=b"X-Held: 1\r\n"))
             await until(lambda: len(server.requests) == 1)
             second = f"127.0.0.1:{ports[1]}"
-            new = await spawn(tmp_path, table, (number,), **env, LB_MANAGEMENT=second)
+            new = await spawn(tmp_path, table, (number,), programs["new"], **env, LB_MANAGEMENT=second)
             await answers_ready(ports[1])
             assert len(list(folder.iterdir())) == 2
             old.send_signal(signal.SIGTERM)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -3,6 +3,7 @@
 from random import Random
 
 import pytest
+from support import BEFORE_RENAMING
 
 from workbench.emulator.links import Link, Stream
 from workbench.emulator.places import Places
@@ -99,7 +100,6 @@
 
 
 BEFORE_FLEET = "72cc847^"  # no node of this revision takes part in a fleet
-BEFORE_RENAMING = "6291dd7"  # the last revision whose node is the package `brackenladder`
 
 
 @pytest.mark.parametrize(("revision", "package"), [("HEAD", "balancer"), (BEFORE_RENAMING, "brackenladder")])
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -10,6 +10,7 @@
 from pathlib import Path
 
 import pytest
+from support import BEFORE_RENAMING
 
 from workbench.emulator.http import Reply
 from workbench.emulator.load import Class, Load
@@ -170,6 +171,8 @@
     texts["aside"] = silent + all_.format("brisk")
     killed = '[[fault]]\ntype = "kill"\ncount = 1\nat_s = 3.0\nfor_s = 0.1\n'
     texts["replace"] = QUICK + REPLACE + killed
+    earlier = mischief({"n1": "earlier", "n3": "earlier"})
+    texts["earlier"] = f'{QUICK}voters = 3\nearlier = "{BEFORE_RENAMING}"\n{killed}{earlier}'
     labs = {name: start(folder, name, text) for name, text in texts.items()}
     out = {}
     for name, lab in labs.items():
@@ -197,6 +200,15 @@
     assert set(found) == set(CHECKERS)
 
 
+def test_nodes_of_before_the_renaming_are_one_fleet_with_todays(runs):
+    """The package has another name; datagrams, votes and pages are the same."""
+    status, printed, events = runs["earlier"]
+    assert status in (0, 3), printed
+    assert not any(check(events).values()), printed
+    truth = Truth(events)
+    assert truth.agreements()[-1][2] is not None and len(truth.of("request")) > 100
+
+
 def test_a_fleet_replaces_itself_though_a_process_is_killed_half_way(runs):
     status, printed, events = runs["replace"]
     assert status in (0, 3), printed
@@ -352,7 +364,7 @@
         (["lab", "run", "calm", "--keep", "/dev/null/x"], "/dev/null/x: cannot be made: Not a directory"),
         (["fleet", "replace", "begin", "nowhere"], "nowhere: not an address of the form host:port"),
         (["fleet", "replace", "pause", "127.0.0.1:1"], "127.0.0.1:1: [Errno 111] Connection refused"),
-        (["fleet", "hold", "x" * 65, "--node", "127.0.0.1:1", "true"], "a duty's name has 1 to 64"),
+        (["fleet", "hold", "x" * 65, "--node", "127.0.0.1:1", "true"], "a lease's name has 1 to 64"),
         (["lab", "check", "/nowhere/h"], "/nowhere/h: cannot be read: No such file or directory"),
     ],
 )
--- a/workbench/cli/__init__.py
+++ b/workbench/cli/__init__.py
@@ -2,15 +2,13 @@
 
 from __future__ import annotations
 
-import sys
-
 import click
 
 import workbench
+from workbench.cli.balancerctl import balancerctl
 from workbench.cli.emulate import emulate
-from workbench.cli.errors import Bad
+from workbench.cli.entry import run
 from workbench.cli.experiment import experiment
-from workbench.cli.fleet import fleet
 from workbench.cli.lab import lab
 from workbench.cli.load import load
 from workbench.cli.scale import scale
@@ -28,28 +26,20 @@
 cli.add_command(scenario)
 cli.add_command(experiment)
 cli.add_command(lab)
-cli.add_command(fleet)
+cli.add_command(click.Group("fleet", commands=balancerctl.commands, hidden=True))  # the name it had
 cli.add_command(load)
 cli.add_command(emulate)
 cli.add_command(scale)
 
 
 def main() -> None:
-    """0 done, 1 a rule was broken, 2 bad input, 130 stopped by Ctrl-C."""
-    try:
-        status = cli.main(standalone_mode=False)
-    except Bad as e:
-        click.echo(str(e), err=True)
-        sys.exit(2)
-    except click.UsageError as e:
-        e.show()
-        sys.exit(2)
-    except click.exceptions.Exit as e:
-        sys.exit(e.exit_code)
-    except (click.Abort, KeyboardInterrupt):
-        click.echo("stopped", err=True)
-        sys.exit(130)
-    except BrokenPipeError:
-        sys.stderr.close()
-        sys.exit(141)
-    sys.exit(status if isinstance(status, int) else 0)
+    """The program `workbench`."""
+    run(cli)
+
+
+def former_main() -> None:
+    """The program under the name that it had, `laurelspindle`: the same commands, and one line of warning."""
+    click.echo(
+        "laurelspindle: this command is now `workbench`, and `laurelspindle fleet` is `balancerctl`", err=True
+    )
+    run(cli)
--- /dev/null
+++ b/workbench/cli/balancerctl/lease.py
@@ -0,0 +1,42 @@
+"""`balancerctl lease`: a command that runs while this machine holds a lease."""
+
+from __future__ import annotations
+
+import click
+
+from workbench.cli.errors import Bad
+from workbench.emulator.pages import PageError, address_of
+
+MAX_LEASE_NAME = 64  # characters
+DEFAULT_WAIT_S = 60.0
+
+
+@click.group()
+def lease() -> None:
+    """Hold a lease of the fleet."""
+
+
+@lease.command(context_settings={"ignore_unknown_options": True})
+@click.argument("name")
+@click.option("--node", "nodes", multiple=True, required=True, metavar="HOST:PORT",
+              help="Of management; the next is tried where one does not answer.")  # fmt: skip
+@click.option("--wait", type=click.FloatRange(0), default=DEFAULT_WAIT_S, show_default=True,
+              help="Seconds to wait for the lease.")  # fmt: skip
+@click.argument("command", nargs=-1, required=True, type=click.UNPROCESSED)
+def hold(name: str, nodes: tuple[str, ...], wait: float, command: tuple[str, ...]) -> int:
+    """Run COMMAND while the lease NAME is held.
+
+    For example: `balancerctl lease hold nightly --node 127.0.0.1:8001 -- ./nightly.sh`. The command finds its
+    fencing token in FLEET_TOKEN, for whoever receives its acts to check. Before the lease expires it gets
+    SIGTERM, and SIGKILL if it stays. Exits with the command's status, 75 where the lease was not acquired in
+    time, 76 where it was lost and the command was ended.
+    """
+    from workbench.emulator.holding import Hold
+
+    if not 0 < len(name) <= MAX_LEASE_NAME:
+        raise Bad(f"{name}: a lease's name has 1 to {MAX_LEASE_NAME} characters")
+    try:
+        addresses = [address_of(node) for node in nodes]
+    except PageError as e:
+        raise Bad(str(e)) from None
+    return Hold(name, addresses, wait, list(command), lambda text: click.echo(text, err=True)).run()
--- /dev/null
+++ b/workbench/cli/balancerctl/members.py
@@ -0,0 +1,35 @@
+"""`balancerctl members`: the members of a fleet, as one node sees them."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import click
+
+from workbench.cli.errors import Bad
+from workbench.emulator.pages import PageError, address_of, get
+
+
+@click.command()
+@click.argument("node")
+def members(node: str) -> int:
+    """List the fleet's members as NODE sees them, a line each.
+
+    NODE is a management address, HOST:PORT. A line has the member's name, address, state, incarnation and the
+    age of that state. Exits 1 where a member is not alive.
+    """
+    try:
+        table = get(address_of(node), "/fleet")
+    except PageError as e:
+        raise Bad(str(e)) from None
+    for member in table["members"]:
+        click.echo(member_line(member))
+    return 0 if all(member["state"] == "alive" for member in table["members"]) else 1
+
+
+def member_line(member: dict[str, Any]) -> str:
+    """One line on a member."""
+    age = f"for {member['age_s']:g} s"
+    return (
+        f"{member['name']} {member['address']} {member['state']} {age}, incarnation {member['incarnation']}"
+    )
--- a/workbench/lab/process.py
+++ b/workbench/lab/process.py
@@ -125,8 +125,10 @@
 
 
 def command(mischief: str, clock_file: Path | None = None, package: str = NODE_PACKAGE) -> list[str]:
-    """The start line of a node of a package, or of one that misbehaves on purpose. `clock_file`: the offset of
-    a wall clock that is stepped before the node starts."""
+    """The start line of a node of a package, or of one that misbehaves on purpose.
+
+    `clock_file` holds the offset of a wall clock that is stepped before the node starts.
+    """
     if clock_file is not None:
         words = [mischief] if mischief else []
         return [sys.executable, "-m", "workbench.lab.stepped", str(clock_file), *words]
