--- a/balancer/fleet/config.py
+++ b/balancer/fleet/config.py
@@ -3,24 +3,27 @@
 from __future__ import annotations
 
 import os
-from contextlib import suppress
 from dataclasses import dataclass
-from ipaddress import ip_address
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
-from balancer.fleet.membership.codec import NAME_MOST, KeyFault, read_key
+from balancer.fleet.config_section import ConfigSection
+from balancer.fleet.membership.claims import MAX_NAME_CHARACTERS
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.zone_routing.settings import ZoneSettings
 
 if TYPE_CHECKING:
     from balancer.fleet.zone_membership.settings import ZoneMembershipSettings
 
-VOTERS = (0, 3, 5)
-SEEDS_MOST = 64
+SECTION = "fleet"
+VOTER_COUNTS = (0, 3, 5)
+MAX_SEEDS = 64
 PERIOD_MS = (100, 60_000)
-ROOM_MOST = 10
 LEASE_MS = (200, 600_000)
+DEFAULT_ROOM = 1.4
+MAX_ROOM = 10
+MAX_ZONE_COST = 1e9
+UNSPECIFIED_HOSTS = ("0.0.0.0", "::")  # a socket listens there; nobody can send there
 KEYS = (
     *("name", "zone", "region", "listen", "advertise", "seeds", "key", "old_key"),
     *("voters", "old_voters", "lease_ms", "longest_lease_ms", "votes", "period_ms", "lab"),
@@ -28,200 +31,190 @@
 )
 
 
-class FleetFault(ValueError):
+class FleetConfigError(ValueError):
     """What is wrong with the section: a line for each fault."""
 
 
 @dataclass(frozen=True)
 class FleetConfig:
-    """One process's place in its fleet. Times in microseconds."""
+    """One process's place in its fleet. Times in microseconds.
+
+    Attributes:
+        name: The process's name in its group.
+        zone: Its zone, as discovery spells it.
+        region: The region of its zone; may be empty.
+        listen: Where datagrams come in.
+        advertise: Where others send them, which differs from `listen` behind an address translation.
+        seeds: Addresses of a few members, through which the process joins.
+        keys: The key that signs datagrams, then one that is still accepted.
+        voters: Names of the processes that vote on leases.
+        old_voters: The list of voters before, while it is being changed.
+        lease: Duration of a lease.
+        longest: Longest lease that any process of the fleet requests, and how long a voter abstains after
+            its start.
+        votes: A directory that outlives the process, if there is one, for a voter's highest number.
+        period: Interval of membership's health checks.
+        probe: Whether one node a zone health-checks an ejected server for the others.
+        remeasure: Share of the tier's nodes that may recalculate their minRTT at once; 0: no bound.
+        zones: Settings of zone routing; None: the policy alone chooses between zones.
+        clock_file: In labs, a file with the wall clock's offset in milliseconds.
+        membership: Settings of membership by zone; None: one group spans the fleet.
+    """
 
     name: str
     zone: str
     region: str
-    listen: Address  # where datagrams come in...
-    advertise: Address  # ...and where others send them, which an address translation may set apart
+    listen: Address
+    advertise: Address
     seeds: tuple[Address, ...]
-    keys: tuple[bytes, ...]  # the one that signs, then one that is still taken
+    keys: tuple[bytes, ...]
     voters: tuple[str, ...]
-    old_voters: tuple[str, ...]  # while the list is being changed: the one before
-    lease: int  # of a duty
-    longest: int  # that any process of the fleet asks for, and that a voter abstains after its start
-    votes: Path | None  # a folder that outlives the process, where there is one
-    period: int  # of membership's probes
-    probe: bool  # servers that are set aside are tried by one node a zone
-    remeasure: float  # the share of the tier's nodes in a minRTT pass at once; 0: as each sees fit
-    zones: ZoneSettings | None  # None: the module's calls go where it sees fit
-    clock_file: str | None  # lab: an offset of the wall clock in milliseconds, read again each period
-    membership: ZoneMembershipSettings | None = None  # None: one group spans the fleet
-
-
-class Section:
-    """Reads a table's keys and collects what is wrong with them."""
-
-    def __init__(self, table: dict[str, Any], where: str) -> None:
-        self.table = table
-        self.where = where
-        self.faults: list[str] = []
-
-    def fault(self, key: str, found: Any, allowed: str) -> None:
-        shown = "missing" if found is None else repr(found)[:60]
-        self.faults.append(f"{self.where}.{key}: {shown}: {allowed}")
-
-    def only(self, *known: str) -> None:
-        for key in self.table:
-            if key not in known:
-                self.faults.append(f"{self.where}.{key}: unknown key: known are {', '.join(known)}")
-
-    def text(self, key: str, default: str | None = None, most: int = NAME_MOST) -> str:
-        value = self.table.get(key, default)
-        if isinstance(value, str) and (0 < len(value) <= most or value == default):
-            return value
-        self.fault(key, value, f"must be text of 1 to {most} characters")
-        return default or ""
-
-    def whole(self, key: str, default: int, low: int, high: int) -> int:
-        value = self.table.get(key, default)
-        if isinstance(value, int) and not isinstance(value, bool) and low <= value <= high:
-            return value
-        self.fault(key, value, f"must be a whole number from {low} to {high}")
-        return default
-
-    def flag(self, key: str) -> bool:
-        value = self.table.get(key, False)
-        if not isinstance(value, bool):
-            self.fault(key, value, "must be true or false")
-        return value is True
-
-    def share(self, key: str) -> float:
-        value = self.table.get(key, 0)
-        if isinstance(value, (int, float)) and not isinstance(value, bool) and 0 <= value <= 1:
-            return float(value)
-        self.fault(key, value, "must be a number from 0 to 1")
-        return 0.0
-
-    def address(self, key: str, value: Any) -> Address:
-        """Numbers and no name: nothing of the fleet waits for a resolver."""
-        if isinstance(value, str):
-            host, _, port = value.rpartition(":")
-            with suppress(ValueError):
-                if port.isascii() and port.isdigit() and 0 < int(port) < 65536:
-                    return str(ip_address(host)), int(port)
-        self.fault(key, value, "must be an address of the form host:port, the host in numbers")
-        return "", 0
-
-    def listed(self, key: str, most: int) -> list[Any]:
-        value = self.table.get(key, [])
-        if isinstance(value, list) and len(value) <= most:
-            return value
-        self.fault(key, value, f"must be a list of at most {most}")
-        return []
-
-    def key_of(self, key: str) -> bytes:
-        path = self.text(key, most=4096)
-        if not path:
-            return b""
-        try:
-            return read_key(Path(path))
-        except KeyFault as e:
-            self.faults.append(f"{self.where}.{key}: {e}")
-            return b""
+    old_voters: tuple[str, ...]
+    lease: int
+    longest: int
+    votes: Path | None
+    period: int
+    probe: bool
+    remeasure: float
+    zones: ZoneSettings | None
+    clock_file: str | None
+    membership: ZoneMembershipSettings | None = None
 
 
 def read_fleet(table: object, node: str) -> FleetConfig:
-    """The section, for a node of this name. FleetFault."""
+    """Checks the section and returns it.
+
+    Args:
+        table: The decoded section.
+        node: The node's name, which is the process's name unless the section has another.
+
+    Raises:
+        FleetConfigError: With a line for each fault.
+    """
     if not isinstance(table, dict):
-        raise FleetFault("fleet: not an object")
-    s = Section(table, "fleet")
-    s.only(*KEYS)
-    listen = s.address("listen", table.get("listen"))
-    advertise = s.address("advertise", table["advertise"]) if "advertise" in table else listen
-    if advertise[0] in ("0.0.0.0", "::"):
-        s.fault("advertise", table.get("advertise"), "must be given where listen names no one address")
-    keys = [s.key_of("key")] + ([s.key_of("old_key")] if "old_key" in table else [])
-    lab = table.get("lab", {})
-    extra = Section(lab if isinstance(lab, dict) else {}, "fleet.lab")
-    extra.only("clock_file")
+        raise FleetConfigError(f"{SECTION}: not an object")
+    section = ConfigSection(table, SECTION)
+    section.only(*KEYS)
+    listen, advertise = read_addresses(section)
+    lab = read_lab(section)
     found = FleetConfig(
-        name=s.text("name", node),
-        zone=s.text("zone"),
-        region=s.text("region", ""),
         listen=listen,
         advertise=advertise,
-        seeds=tuple(s.address(f"seeds[{i}]", v) for i, v in enumerate(s.listed("seeds", SEEDS_MOST))),
-        keys=tuple(keys),
-        voters=voters(s, "voters"),
-        old_voters=voters(s, "old_voters"),
-        lease=s.whole("lease_ms", 3_000, *LEASE_MS) * 1000,
-        longest=s.whole("longest_lease_ms", 10_000, *LEASE_MS) * 1000,
-        votes=folder(s, "votes"),
-        period=s.whole("period_ms", 1000, *PERIOD_MS) * 1000,
-        probe=s.flag("probe"),
-        remeasure=s.share("remeasure"),
-        zones=zones(s),
-        membership=membership(s),
-        clock_file=extra.text("clock_file", most=4096) if "clock_file" in extra.table else None,
+        keys=read_secret_keys(section),
+        name=section.text("name", node),
+        zone=section.text("zone"),
+        region=section.text("region", ""),
+        seeds=read_seeds(section),
+        voters=read_voters(section, "voters"),
+        old_voters=read_voters(section, "old_voters"),
+        lease=section.whole("lease_ms", 3_000, *LEASE_MS) * 1000,
+        longest=section.whole("longest_lease_ms", 10_000, *LEASE_MS) * 1000,
+        votes=read_votes_directory(section),
+        period=section.whole("period_ms", 1000, *PERIOD_MS) * 1000,
+        probe=section.flag("probe"),
+        remeasure=section.number("remeasure", 0, 0, 1),
+        zones=read_zones(section),
+        membership=read_membership_table(section),
+        clock_file=lab.file_path("clock_file") if "clock_file" in lab.table else None,
     )
+    check_combinations(section, found)
+    if section.faults or lab.faults:
+        raise FleetConfigError("\n".join(section.faults + lab.faults))
+    return found
+
+
+def check_combinations(section: ConfigSection, found: FleetConfig) -> None:
+    """Adds a fault for each key that is impossible beside another."""
     if found.lease > found.longest:
-        s.fault("lease_ms", found.lease // 1000, f"must be at most longest_lease_ms, {found.longest // 1000}")
-    for use, on in (("probe", found.probe), ("remeasure", found.remeasure)):
-        if on and not found.voters:
-            s.fault("voters", None, f"must be given where {use} is")
+        allowed = f"must be at most longest_lease_ms, {found.longest // 1000}"
+        section.fault("lease_ms", found.lease // 1000, allowed)
+    for key, is_on in (("probe", found.probe), ("remeasure", found.remeasure)):
+        if is_on and not found.voters:
+            section.fault("voters", None, f"must be given where {key} is")
     if found.old_voters and not found.voters:
-        s.fault("voters", None, "must be given where old_voters is")
-    if s.faults or extra.faults:
-        raise FleetFault("\n".join(s.faults + extra.faults))
-    return found
+        section.fault("voters", None, "must be given where old_voters is")
+
+
+def read_addresses(section: ConfigSection) -> tuple[Address, Address]:
+    """The addresses `listen` and `advertise`."""
+    table = section.table
+    listen = section.address("listen", table.get("listen"))
+    advertise = section.address("advertise", table["advertise"]) if "advertise" in table else listen
+    if advertise[0] in UNSPECIFIED_HOSTS:
+        section.fault("advertise", table.get("advertise"), "must be given where listen names no one address")
+    return listen, advertise
+
+
+def read_secret_keys(section: ConfigSection) -> tuple[bytes, ...]:
+    """The group's key and, while keys are being changed, a second one that is still accepted."""
+    names = ("key", "old_key") if "old_key" in section.table else ("key",)
+    return tuple(section.secret_key(name) for name in names)
+
+
+def read_seeds(section: ConfigSection) -> tuple[Address, ...]:
+    """The addresses through which the process joins."""
+    values = section.items("seeds", MAX_SEEDS)
+    return tuple(section.address(f"seeds[{i}]", value) for i, value in enumerate(values))
+
+
+def read_lab(section: ConfigSection) -> ConfigSection:
+    """The table `lab`, which only labs have. It has its own list of faults."""
+    table = section.table.get("lab", {})
+    lab = ConfigSection(table if isinstance(table, dict) else {}, f"{section.path}.lab")
+    lab.only("clock_file")
+    return lab
 
 
-def voters(s: Section, key: str) -> tuple[str, ...]:
-    names = s.listed(key, max(VOTERS))
-    named = all(isinstance(n, str) and 0 < len(n) <= NAME_MOST for n in names)
-    if not named or len(set(names)) != len(names):
-        s.fault(key, names, "must be names, none of them twice")
-    elif len(names) not in VOTERS:
-        why = ": a majority of two is both, so either one's end stops all duties" if len(names) == 2 else ""
-        s.fault(key, names, f"must be 3 or 5, or none where no duties are held{why}")
-    return tuple(str(n) for n in names)
+def read_voters(section: ConfigSection, key: str) -> tuple[str, ...]:
+    """A list of voters' names, of a length that has a useful majority."""
+    names = section.items(key, max(VOTER_COUNTS))
+    are_names = all(isinstance(name, str) and 0 < len(name) <= MAX_NAME_CHARACTERS for name in names)
+    if not are_names or len(set(names)) != len(names):
+        section.fault(key, names, "must be names, none of them twice")
+    elif len(names) not in VOTER_COUNTS:
+        reason = (
+            ": a majority of two is both, so either one's end stops all duties" if len(names) == 2 else ""
+        )
+        section.fault(key, names, f"must be 3 or 5, or none where no duties are held{reason}")
+    return tuple(str(name) for name in names)
 
 
-def zones(s: Section) -> ZoneSettings | None:
+def read_zones(section: ConfigSection) -> ZoneSettings | None:
     """The table `zones`, if there is one."""
-    table = s.table.get("zones")
+    table = section.table.get("zones")
     if table is None:
         return None
     if not isinstance(table, dict):
-        s.fault("zones", table, "must be a table")
+        section.fault("zones", table, "must be a table")
         return None
-    inner = Section(table, "fleet.zones")
+    inner = ConfigSection(table, f"{section.path}.zones")
     inner.only("room", "costs")
-    room, costs = table.get("room", 1.4), table.get("costs", {})
-    if isinstance(room, bool) or not isinstance(room, (int, float)) or not 1 <= room <= ROOM_MOST:
-        inner.fault("room", room, f"must be a number from 1 to {ROOM_MOST}")
-        room = 1.4
+    room = inner.number("room", DEFAULT_ROOM, 1, MAX_ROOM)
+    costs = table.get("costs", {})
     if not isinstance(costs, dict):
         inner.fault("costs", costs, "must be a table of zones")
         costs = {}
     for zone, cost in costs.items():
-        if isinstance(cost, bool) or not isinstance(cost, (int, float)) or not 0 <= cost < 1e9:
+        if isinstance(cost, bool) or not isinstance(cost, (int, float)) or not 0 <= cost < MAX_ZONE_COST:
             inner.fault(f"costs.{zone}", cost, "must be a number from 0 on")
-    s.faults += inner.faults
-    return ZoneSettings(room=float(room), costs=costs)
+    section.faults += inner.faults
+    return ZoneSettings(room=room, costs=costs)
 
 
-def membership(s: Section) -> ZoneMembershipSettings | None:
+def read_membership_table(section: ConfigSection) -> ZoneMembershipSettings | None:
     """The table `membership`, if there is one. Without it nothing of its package is imported."""
-    if "membership" not in s.table:
+    if "membership" not in section.table:
         return None
     from balancer.fleet.zone_membership.settings import read_membership
 
-    return read_membership(s, s.table["membership"])
+    return read_membership(section, section.table["membership"])
 
 
-def folder(s: Section, key: str) -> Path | None:
-    if key not in s.table:
+def read_votes_directory(section: ConfigSection) -> Path | None:
+    """The directory `votes`, if one is given."""
+    if "votes" not in section.table:
         return None
-    path = Path(s.text(key, most=4096))
+    path = Path(section.file_path("votes"))
     if not path.is_dir() or not os.access(path, os.W_OK):
-        s.fault(key, str(path), "must be a folder that this process may write to")
+        section.fault("votes", str(path), "must be a folder that this process may write to")
     return path
--- a/balancer/fleet/zone_membership/settings.py
+++ b/balancer/fleet/zone_membership/settings.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from balancer.fleet.config import Section
+from balancer.fleet.config_section import ConfigSection
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.zone_membership.messages import MAX_NAME, MAX_ZONES
 
@@ -49,13 +49,13 @@
         return replace(self, **intervals)
 
 
-def read_membership(section: Section, table: object) -> ZoneMembershipSettings | None:
+def read_membership(section: ConfigSection, table: object) -> ZoneMembershipSettings | None:
     """The table `membership` of the fleet's section; None where one group spans the fleet. Faults go into the
     section."""
     if not isinstance(table, dict):
         section.fault("membership", table, "must be a table")
         return None
-    inner = Section(table, f"{section.where}.membership")
+    inner = ConfigSection(table, f"{section.path}.membership")
     inner.only("scope", "zone_seeds")
     scope = table.get("scope")
     if scope not in SCOPES:
@@ -67,7 +67,7 @@
     return ZoneMembershipSettings(seeds) if scope == "zone" else None
 
 
-def read_zone_seeds(inner: Section, table: Any, own_zone: object) -> dict[str, tuple[Address, ...]]:
+def read_zone_seeds(inner: ConfigSection, table: Any, own_zone: object) -> dict[str, tuple[Address, ...]]:
     """Addresses by zone."""
     if not isinstance(table, dict) or len(table) > MAX_ZONES:
         inner.fault("zone_seeds", table, f"must be a table of at most {MAX_ZONES} zones")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,7 +10,7 @@
 import pytest
 from loopback import Bench, play, settings, until
 
-from balancer.fleet.config import FleetFault, read_fleet
+from balancer.fleet.config import FleetConfigError, read_fleet
 from balancer.fleet.membership.swim import Kind, Message
 from balancer.net.config import ConfigError, load
 
@@ -72,7 +72,7 @@
         found = read_fleet(table, "n0")
         assert found.name == changes.get("name", "n0") and found.advertise[1] in (7400, 9)
         return
-    with pytest.raises(FleetFault) as fault:
+    with pytest.raises(FleetConfigError) as fault:
         read_fleet(table, "n0")
     told = str(fault.value).splitlines()
     assert len(told) == len(lines) and all(part in line for part, line in zip(lines, told, strict=True))
@@ -83,7 +83,7 @@
 )
 def test_a_key_that_others_may_read_or_guess_is_refused(tmp_path, mode, text, part):
     key = key_file(tmp_path, text, mode)
-    with pytest.raises(FleetFault, match=part):
+    with pytest.raises(FleetConfigError, match=part):
         read_fleet(section(tmp_path, key=key), "n0")
 
 
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 
-from balancer.fleet.config import FleetFault
+from balancer.fleet.config import FleetConfigError
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Claim, Status
 from workbench.cli import main
@@ -287,7 +287,7 @@
     assert table["membership"] == {"scope": "zone", "zone_seeds": others}
 
     def unknown(table, node):
-        raise FleetFault("fleet.membership: unknown key: known are name\nmore")
+        raise FleetConfigError("fleet.membership: unknown key: known are name\nmore")
 
     monkeypatch.setattr(scale_run, "read_fleet", unknown)
     with pytest.raises(PlanError) as fault:
--- a/tests/test_zone_membership.py
+++ b/tests/test_zone_membership.py
@@ -11,7 +11,7 @@
 from loopback import Bench, play, until
 from test_fleet import free_udp, section
 
-from balancer.fleet.config import Section
+from balancer.fleet.config_section import ConfigSection
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Claim, Status
 from balancer.fleet.zone_membership.decisions import Federation
@@ -543,7 +543,7 @@
 
 
 def read(table, zone="a"):
-    section = Section({"zone": zone, "membership": table}, "fleet")
+    section = ConfigSection({"zone": zone, "membership": table}, "fleet")
     return read_membership(section, table), section.faults
 
 
--- a/workbench/scale/run.py
+++ b/workbench/scale/run.py
@@ -14,7 +14,7 @@
 
 import uvloop
 
-from balancer.fleet.config import FleetFault, read_fleet
+from balancer.fleet.config import FleetConfigError, read_fleet
 from balancer.fleet.membership.codec import Codec, read_key
 from workbench.emulator.places import Places
 from workbench.scale.group import Group, Place
@@ -349,7 +349,7 @@
     """Refuses a membership that this program's configuration does not know. PlanError."""
     try:
         read_fleet(group.fleet_table(group.places[0], key), group.places[0].name)
-    except FleetFault as e:
+    except FleetConfigError as e:
         raise PlanError(f"membership: {group.membership!r}: {str(e).splitlines()[0]}") from None
 
 
