--- a/balancer/net/caller.py
+++ b/balancer/net/caller.py
@@ -33,7 +33,7 @@
 class Caller(asyncio.BufferedProtocol):
     """A client's connection. One request is open at a time; the next ones wait their turn."""
 
-    def __init__(self, owner: Crowd, refusing: bool) -> None:
+    def __init__(self, owner: Crowd[Caller], refusing: bool) -> None:
         self.owner = owner
         self.refusing = refusing
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
--- a/balancer/net/callers.py
+++ b/balancer/net/callers.py
@@ -30,7 +30,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         budget: Descriptors,
-        handler: Handler,
+        handler: Handler[Caller],
         life: Lifecycle,
         room: Room,
     ) -> None:
--- a/workbench/lab/faults.py
+++ b/workbench/lab/faults.py
@@ -4,24 +4,51 @@
 
 import asyncio
 import signal
-from typing import TYPE_CHECKING
+from typing import Any, Protocol
 
-from workbench.lab.fleet import ask
-from workbench.lab.network import Rule
-from workbench.lab.plan import Fault, number
-
-if TYPE_CHECKING:
-    from workbench.lab.fleet import Member
-    from workbench.lab.run import Lab
+from workbench.emulator.nodes import Site
+from workbench.lab.fleet import Fleet, Member, ask
+from workbench.lab.network import Links, Rule
+from workbench.lab.plan import Fault, Plan, number
 
 RESTART_SIGNALS = {"kill": signal.SIGKILL, "term": signal.SIGTERM}
 END_MOST = 10.0  # seconds that a process has to end after SIGTERM
 
 
+class FaultyLab(Protocol):
+    """What faults use of the lab that they strike."""
+
+    @property
+    def plan(self) -> Plan:
+        """The plan that has the faults."""
+
+    @property
+    def loop(self) -> asyncio.AbstractEventLoop:
+        """The event loop, whose time faults begin and end by."""
+
+    @property
+    def fleet(self) -> Fleet:
+        """The processes of the nodes."""
+
+    @property
+    def site(self) -> Site:
+        """The nodes and their zones."""
+
+    @property
+    def links(self) -> Links:
+        """The network between the nodes."""
+
+    def tell(self, event: str, **fields: Any) -> None:
+        """Writes one line of the history."""
+
+    def pick(self, who: Any, key: str) -> list[str]:
+        """Names of the nodes that a fault strikes."""
+
+
 class Faults:
     """Plays them side by side, a task each. `over_at`: the loop's time when the last was over."""
 
-    def __init__(self, lab: Lab) -> None:
+    def __init__(self, lab: FaultyLab) -> None:
         self.lab = lab
         self.tasks: list[asyncio.Task[None]] = []
         self.open = 0
