--- a/balancer/fleet/assembly.py
+++ b/balancer/fleet/assembly.py
@@ -20,12 +20,18 @@
 
 @dataclass
 class FleetComponents:
-    """What `components_for` makes. `ordered`: all components, in the order in which they are opened, ticked
-    and shown. The others: those that the node and its operators speak to."""
-
-    adapter: PolicyAdapter
-    duties: DutiesComponent | None = None
-    replacement: ReplacementComponent | None = None
+    """The components of one process.
+
+    Attributes:
+        policy_adapter: What the node's policy calls.
+        leases: Leases, where voters are configured; operators' pages call it.
+        rolling_update: Rolling updates, where voters are configured; operators' pages call it.
+        ordered: All components, in the order in which they are opened, ticked and shown.
+    """
+
+    policy_adapter: PolicyAdapter
+    leases: DutiesComponent | None = None
+    rolling_update: ReplacementComponent | None = None
     ordered: list[Component] = field(default_factory=list)
 
 
@@ -39,12 +45,12 @@
         from balancer.fleet.leases.component import DutiesComponent
         from balancer.fleet.rolling_update.component import ReplacementComponent
 
-        made.duties = DutiesComponent(runtime)
-        made.replacement = ReplacementComponent(runtime, made.duties)
-        made.ordered += [made.duties, made.replacement]
+        made.leases = DutiesComponent(runtime)
+        made.rolling_update = ReplacementComponent(runtime, made.leases)
+        made.ordered += [made.leases, made.rolling_update]
     if config.membership is not None:
         from balancer.fleet.zone_membership.component import FederationComponent
 
         made.ordered.append(FederationComponent(runtime, config.membership))
-    made.ordered.append(PolicyComponent(runtime, adapter, made.duties))
+    made.ordered.append(PolicyComponent(runtime, adapter, made.leases))
     return made
--- a/balancer/fleet/component.py
+++ b/balancer/fleet/component.py
@@ -1,6 +1,6 @@
 """The interface between the fleet runtime and its components.
 
-A component is one concern of the fleet (leases, a rolling replacement, traffic between zones, ...). It owns
+A component is one concern of the fleet (leases, a rolling update, traffic between zones, ...). It owns
 its message kinds and its keys on the operators' page, and does no I/O: the runtime hands it time and messages
 and sends what it returns. To add one: write a class that inherits from `Component`, and construct it in
 `assembly.components_for`.
@@ -37,7 +37,7 @@
 
     @property
     def seq(self) -> int:
-        """Pairs an answer with its question, where the component needs that."""
+        """Pairs a response with its request, where the component needs that."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,21 +61,31 @@
     """What a component may use of the process that it runs in."""
 
     @property
-    def config(self) -> FleetConfig: ...
+    def config(self) -> FleetConfig:
+        """The process's place in its fleet."""
+
     @property
-    def settings(self) -> Settings: ...
+    def settings(self) -> Settings:
+        """The policy's settings."""
+
     @property
-    def log(self) -> Log: ...
+    def log(self) -> Log:
+        """The node's log."""
+
     @property
-    def life(self) -> Lifecycle: ...
+    def lifecycle(self) -> Lifecycle:
+        """Whether the node serves, drains or ends."""
+
     @property
     def rng(self) -> Random:
         """Shared with membership. A new component takes `stream` instead."""
 
     @property
     def membership(self) -> Swim:
-        """Membership of the own group, to be read only: `me`, `members`, `alive()`. From `open` on; each life
-        has another."""
+        """Membership of the own group, from `open` on; each incarnation has another.
+
+        Components only read it: `me`, `members`, `alive()`.
+        """
 
     def stream(self, purpose: str) -> Random:
         """A random stream of a component's own, the same for the same seed."""
@@ -117,12 +127,12 @@
         return ()
 
     def open(self) -> None:
-        """The process has a socket and its place in the group: a new life begins."""
-        return None
+        """The process has a socket and its place in the group: a new incarnation begins."""
+        return
 
     def close(self) -> None:
         """The socket is gone; nothing is sent or received from here on."""
-        return None
+        return
 
     def leave(self, now: int) -> Sequence[Outgoing]:
         """Last messages before a planned end."""
@@ -142,7 +152,7 @@
 
     def member_forgotten(self, name: str) -> None:
         """Membership has dropped a member that left or died a while ago: state about it can go."""
-        return None
+        return
 
     def status(self, now: int) -> dict[str, Any]:
         """Keys for the page `GET /fleet`, JSON values; durations in seconds. Empty to show nothing."""
--- a/balancer/fleet/member_table.py
+++ b/balancer/fleet/member_table.py
@@ -12,7 +12,7 @@
     return [
         {
             "name": name,
-            "address": spelled(member.claim.address),
+            "address": format_address(member.claim.address),
             "state": member.claim.status.name.lower(),
             "incarnation": member.claim.incarnation,
             "age_s": round((now - member.since) / 1e6, 3),
@@ -21,6 +21,6 @@
     ]
 
 
-def spelled(address: Address) -> str:
+def format_address(address: Address) -> str:
     """An address as in configurations and log lines."""
     return f"{address[0]}:{address[1]}"
--- a/balancer/fleet/operator_pages.py
+++ b/balancer/fleet/operator_pages.py
@@ -8,23 +8,38 @@
 
 import json
 from collections.abc import Sequence
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import TYPE_CHECKING, Any, NamedTuple, Protocol
 from urllib.parse import parse_qs
 
 from balancer.fleet.component import Outgoing, Runtime
 from balancer.fleet.leases.names import is_reserved
-from balancer.fleet.membership.codec import NAME_MOST
+from balancer.fleet.membership.claims import MAX_NAME_CHARACTERS
 from balancer.fleet.policy_adapter import PolicyAdapter
 
 if TYPE_CHECKING:
     from balancer.fleet.leases.component import DutiesComponent
     from balancer.fleet.rolling_update.component import ReplacementComponent
 
-Response = tuple[int, bytes]
 MAX_DIRECTIVE_SECONDS = 86_400
 MAX_DIGITS = 9  # of a number in a query
-NO_VOTERS = (503, b"no voters are configured, or this process is leaving\n")
-NO_ZONES = (503, b"fleet.zones is not configured, or this process is leaving\n")
+SECOND = 1_000_000  # microseconds
+
+
+class Response(NamedTuple):
+    """An HTTP status and a body."""
+
+    status: int
+    body: bytes
+
+
+NO_VOTERS = Response(503, b"no voters are configured, or this process is leaving\n")
+NO_ZONES = Response(503, b"fleet.zones is not configured, or this process is leaving\n")
+BAD_LEASE_NAME = Response(400, b"duty, script: must be names of 1 to 64 characters\n")
+RESERVED_LEASE = Response(400, b"duty: replace, probe.* and remeasure.* are the fleet's own\n")
+BAD_COMMAND = Response(400, b"do: must be begin, pause, resume or stop; most: 1 to 1000\n")
+BAD_DURATION = Response(400, b"for_s: must be 1 to 86400\n")
+BAD_DIRECTIVE = Response(400, b"do: must be leave or return\n")
+TOO_MANY_DIRECTIVES = Response(409, b"zone: words on too many zones hold already\n")
 
 
 class PageRuntime(Runtime, Protocol):
@@ -42,88 +57,103 @@
 
 
 class OperatorPages:
-    """`duties` and `replacement` are None where no voters are configured."""
+    """The handlers of one process.
+
+    Args:
+        runtime: The process's fleet runtime.
+        policy_adapter: Has the zone routing that directives go to.
+        leases: None where no voters are configured.
+        rolling_update: None where no voters are configured.
+    """
 
     def __init__(
         self,
         runtime: PageRuntime,
-        adapter: PolicyAdapter,
-        duties: DutiesComponent | None,
-        replacement: ReplacementComponent | None,
+        policy_adapter: PolicyAdapter,
+        leases: DutiesComponent | None,
+        rolling_update: ReplacementComponent | None,
     ) -> None:
         self.runtime = runtime
-        self.adapter = adapter
-        self.duties = duties
-        self.replacement = replacement
+        self.policy_adapter = policy_adapter
+        self.leases = leases
+        self.rolling_update = rolling_update
 
-    def page(self) -> Response:
-        """`GET /fleet`."""
+    def show_fleet(self) -> Response:
+        """Handles `GET /fleet`."""
         return success(self.runtime.view())
 
-    def hold(self, query: bytes) -> Response:
-        """`PUT /fleet/hold?duty=NAME&script=ID`: a script wants a duty, and comes again while it does."""
-        return self.script_request(query, release=False)
+    def acquire_lease(self, query: bytes) -> Response:
+        """Handles `PUT /fleet/hold?duty=NAME&script=ID`.
 
-    def give(self, query: bytes) -> Response:
-        """`PUT /fleet/give?duty=NAME&script=ID`: the script is done."""
-        return self.script_request(query, release=True)
+        A script acquires a lease, or renews the one that it holds.
+        """
+        return self.lease_request(query, release=False)
 
-    def script_request(self, query: bytes, release: bool) -> Response:
-        if self.duties is None or not self.runtime.is_open:
+    def release_lease(self, query: bytes) -> Response:
+        """Handles `PUT /fleet/give?duty=NAME&script=ID`: a script releases its lease."""
+        return self.lease_request(query, release=True)
+
+    def lease_request(self, query: bytes, release: bool) -> Response:
+        """Acquires, renews or releases a lease for a script."""
+        if self.leases is None or not self.runtime.is_open:
             return NO_VOTERS
-        duty, script = parameters(query, "duty", "script")
-        if not all(0 < len(name) <= NAME_MOST for name in (duty, script)):
-            return 400, b"duty, script: must be names of 1 to 64 characters\n"
-        if is_reserved(duty):
-            return 400, b"duty: replace, probe.* and remeasure.* are the fleet's own\n"
-        table, outgoing = self.duties.script_request(self.runtime.now(), duty, script, release)
+        lease, script = parameters(query, "duty", "script")
+        if not all(0 < len(name) <= MAX_NAME_CHARACTERS for name in (lease, script)):
+            return BAD_LEASE_NAME
+        if is_reserved(lease):
+            return RESERVED_LEASE
+        table, outgoing = self.leases.script_request(self.runtime.now(), lease, script, release)
         self.runtime.deliver(outgoing)
         self.runtime.schedule()
         return success(table)
 
-    def replace(self, query: bytes) -> Response:
-        """`PUT /fleet/replace?do=begin|pause|resume|stop&most=K`."""
-        if self.replacement is None or not self.runtime.is_open:
+    def control_rolling_update(self, query: bytes) -> Response:
+        """Handles `PUT /fleet/replace?do=begin|pause|resume|stop&most=K`."""
+        if self.rolling_update is None or not self.runtime.is_open:
             return NO_VOTERS
-        verb, most = parameters(query, "do", "most")
-        if not self.replacement.command(verb, max_out=whole_number(most or "1")):
-            return 400, b"do: must be begin, pause, resume or stop; most: 1 to 1000\n"
-        self.runtime.deliver(self.replacement.tick(self.runtime.now()))
+        command, max_unavailable = parameters(query, "do", "most")
+        if not self.rolling_update.command(command, max_out=whole_number(max_unavailable or "1")):
+            return BAD_COMMAND
+        self.runtime.deliver(self.rolling_update.tick(self.runtime.now()))
         self.runtime.schedule()
-        return success(self.replacement.table())
+        return success(self.rolling_update.table())
+
+    def direct_zone(self, query: bytes) -> Response:
+        """Handles `PUT /fleet/zone?do=leave|return&zone=NAME&for_s=N`.
 
-    def zone(self, query: bytes) -> Response:
-        """`PUT /fleet/zone?do=leave|return&zone=NAME&for_s=N`."""
-        traffic = self.adapter.zone_traffic
+        An operator takes the fleet's calls out of a zone for a while, or ends such a directive.
+        """
+        traffic = self.policy_adapter.zone_traffic
         if traffic is None or traffic.zones is None or traffic.orders is None:
             return NO_ZONES
         zones, orders = traffic.zones, traffic.orders
-        verb, zone, seconds = parameters(query, "do", "zone", "for_s")
+        command, zone, seconds = parameters(query, "do", "zone", "for_s")
         known = sorted({zones.zone, *zones.courses})
         if zone not in known:
-            return 400, f"zone: must be one of {', '.join(known)}\n".encode()
-        length = whole_number(seconds)
-        if verb == "leave" and not 0 < length <= MAX_DIRECTIVE_SECONDS:
-            return 400, b"for_s: must be 1 to 86400\n"
-        if verb not in ("leave", "return"):
-            return 400, b"do: must be leave or return\n"
-        if not orders.say(zone, length * 1_000_000 if verb == "leave" else 0):
-            return 409, b"zone: words on too many zones hold already\n"
-        self.runtime.log.line(f"fleet zone {zone}: told to {verb}")
+            return Response(400, f"zone: must be one of {', '.join(known)}\n".encode())
+        duration = whole_number(seconds)
+        if command == "leave" and not 0 < duration <= MAX_DIRECTIVE_SECONDS:
+            return BAD_DURATION
+        if command not in ("leave", "return"):
+            return BAD_DIRECTIVE
+        if not orders.say(zone, duration * SECOND if command == "leave" else 0):
+            return TOO_MANY_DIRECTIVES
+        self.runtime.log.line(f"fleet zone {zone}: directive {command}")
         self.runtime.schedule()
         return success(zones.view(self.runtime.now()))
 
 
 def parameters(query: bytes, *names: str) -> tuple[str, ...]:
-    """The first value of each parameter; empty where it is missing."""
+    """Returns the first value of each parameter; empty where it is missing."""
     values = parse_qs(query.decode("latin-1"))
     return tuple(values.get(name, [""])[0] for name in names)
 
 
 def whole_number(text: str) -> int:
-    """The number that a text spells in digits; 0 where it spells none, or far too great a one."""
+    """Returns the number that a text has in digits; 0 where it has none, or more than `MAX_DIGITS`."""
     return int(text) if text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS else 0
 
 
 def success(body: object) -> Response:
-    return 200, json.dumps(body).encode() + b"\n"
+    """Returns a response with a JSON body."""
+    return Response(200, json.dumps(body).encode() + b"\n")
--- a/balancer/fleet/policy_adapter.py
+++ b/balancer/fleet/policy_adapter.py
@@ -1,4 +1,4 @@
-"""Connects a node's policy with the fleet: minRTT passes, probes of ejected servers, shares between zones.
+"""Connects a node's policy with the fleet: minRTT recalculation, health checks and shares between zones.
 
 The policy calls `interface.Fleet` while it handles an event; messages that come of it are sent by the next
 tick, which `schedule` asks for. A package is imported only where the configuration asks for what is in it.
@@ -20,14 +20,29 @@
     from balancer.fleet.min_rtt.decisions import Remeasure
     from balancer.fleet.zone_routing.traffic import ZoneTraffic
 
-Out = list[tuple[str, Any]]  # a member's name, and a message to it
-Handler = Callable[[int, Any], Out]
-ProbeResult = Callable[[int, bool], None]  # a server that another node has probed, and whether it is well
-Shares = Callable[[dict[int, float], dict[int, int]], None]  # by zone: share, additional round-trip time
+SECOND = 1_000_000  # microseconds
+Messages = list[tuple[str, Any]]  # a member's name, and a message to it
+Handler = Callable[[int, Any], Messages]
+HealthCheckResult = Callable[[int, bool], None]  # a server that another node checked; whether it is healthy
+PublishShares = Callable[
+    [dict[int, float], dict[int, int]], None
+]  # by zone: share, additional round-trip time
 
 
 class PolicyAdapter:
-    """Implements `interface.Fleet`. Before `open` and after `close` the policy decides as on a node alone."""
+    """Implements `interface.Fleet`.
+
+    Before `open` and after `close` the policy decides as on a node alone. The owner sets `on_probe_result`
+    and `on_shares` before `open`.
+
+    Args:
+        config: The process's place in its fleet.
+        settings: The policy's settings.
+        now: The monotonic clock, in microseconds.
+        wall: Unix time, in microseconds.
+        schedule: Called when the deadline has changed.
+        log_line: Writes a line of the node's log.
+    """
 
     def __init__(
         self,
@@ -38,20 +53,18 @@
         schedule: Callable[[], None],
         log_line: Callable[[str], None],
     ) -> None:
-        """`schedule`: to be called when the deadline has changed. The owner sets `on_probe_result` and
-        `on_shares` before `open`."""
         self.config = config
         self.settings = settings
         self.now = now
         self.schedule = schedule
         self.log_line = log_line
-        self.on_probe_result: ProbeResult
-        self.on_shares: Shares
-        self.probe: Probe | None = None
-        self.remeasure: Remeasure | None = None
+        self.on_probe_result: HealthCheckResult
+        self.on_shares: PublishShares
+        self.health_checks: Probe | None = None
+        self.min_rtt: Remeasure | None = None
         self.zone_traffic: ZoneTraffic | None = None
         self.alive: Callable[[], Sequence[str]] = tuple
-        self.handlers: dict[int, Handler] = {}  # by message kind, of the parts that are open
+        self.handlers: dict[int, Handler] = {}  # by message kind, of what is open
         if config.zones is not None:
             from balancer.fleet.zone_routing.traffic import ZoneTraffic
 
@@ -60,7 +73,10 @@
             )
 
     def wires(self) -> list[Part]:
-        """Probes' messages are read by all that have voters, whether they probe themselves or not."""
+        """Returns the encoders and decoders of the message kinds.
+
+        Health checks' messages are read by all that have voters, whether they check themselves or not.
+        """
         wires: list[Part] = []
         if self.config.voters:
             from balancer.fleet.health_checks.messages import ProbeWire
@@ -73,37 +89,42 @@
         return wires
 
     def open(self, alive: Callable[[], Sequence[str]], rng: Random) -> None:
-        """A new life begins. `alive`: names of the other members that are alive."""
+        """Begins a new incarnation. `alive`: returns names of the other members that are alive."""
         self.alive = alive
         if self.zone_traffic is not None:
             self.zone_traffic.open(alive, rng)
             self.handlers |= dict.fromkeys(self.zone_traffic.kinds, self.zone_traffic.received)
 
     def use_leases(self, asker: Asker, rng: Random) -> None:
-        """There are voters: what needs leases can begin."""
+        """Opens what needs leases, which there are once voters are configured."""
         if self.config.probe:
-            self.open_probe(asker, rng)
+            self.open_health_checks(asker, rng)
         if self.config.remeasure:
-            self.open_remeasure(asker, rng)
+            self.open_min_rtt(asker, rng)
 
-    def open_probe(self, asker: Asker, rng: Random) -> None:
+    def open_health_checks(self, asker: Asker, rng: Random) -> None:
+        """From here on one node a zone checks an ejected server."""
         from balancer.fleet.health_checks.decisions import Probe
         from balancer.fleet.health_checks.messages import ProbeKind
         from balancer.fleet.health_checks.settings import settings_for
 
         config = self.config
         settings = settings_for(config.longest)
-        self.probe = Probe(config.name, config.zone, settings, asker, self.alive, self.on_probe_result, rng)
-        self.handlers |= dict.fromkeys(ProbeKind, self.probe.received)
+        self.health_checks = Probe(
+            config.name, config.zone, settings, asker, self.alive, self.on_probe_result, rng
+        )
+        self.handlers |= dict.fromkeys(ProbeKind, self.health_checks.received)
 
-    def open_remeasure(self, asker: Asker, rng: Random) -> None:
+    def open_min_rtt(self, asker: Asker, rng: Random) -> None:
+        """From here on a share of the tier's nodes at most recalculates its minRTT at once."""
         from balancer.fleet.min_rtt.decisions import Remeasure, RemeasureSettings
 
         bounds = RemeasureSettings(self.config.remeasure)
-        self.remeasure = Remeasure(self.settings.tier, self.settings.instances, bounds, asker, rng)
+        self.min_rtt = Remeasure(self.settings.tier, self.settings.instances, bounds, asker, rng)
 
     def close(self) -> None:
-        self.probe = self.remeasure = None
+        """From here on the policy decides as on a node alone."""
+        self.health_checks = self.min_rtt = None
         self.handlers.clear()
         if self.zone_traffic is not None:
             self.zone_traffic.close()
@@ -113,97 +134,111 @@
     def server_list(
         self, now: int, kind: ListKind, entries: Sequence[ServerEntry], zone_numbers: Mapping[str, int]
     ) -> None:
-        """Discovery's news, as the policy gets it. `now`: by discovery's clock."""
+        """Takes an endpoint list, as the policy gets it. `now`: by discovery's clock."""
         if self.zone_traffic is not None:
             self.zone_traffic.server_list(now, kind, entries, zone_numbers)
 
     def attempt_ended(self, server: int, outcome: Outcome, latency: int, connect_seconds: float) -> None:
-        """`connect_seconds`: what a new connection for the attempt took, or 0."""
+        """Records the outcome of an attempt.
+
+        Args:
+            server: The server that it went to.
+            outcome: How it ended.
+            latency: Microseconds until it ended.
+            connect_seconds: What a new connection for the attempt took, or 0.
+        """
         if self.zone_traffic is not None:
             self.zone_traffic.attempt_ended(server, outcome, latency, connect_seconds)
 
     def publish_shares(self, shares: dict[int, float], round_trips: dict[int, int]) -> None:
+        """Hands shares and additional round-trip times, by zone, to the policy."""
         self.on_shares(shares, round_trips)
 
-    # ---- what the policy asks and tells -----------------------------------------------------------------
+    # ---- interface.Fleet --------------------------------------------------------------------------------
 
     def may_pass(self) -> bool:
-        remeasure = self.remeasure
-        if remeasure is None:
+        """Whether a minRTT recalculation may begin now."""
+        min_rtt = self.min_rtt
+        if min_rtt is None:
             return True
         now = self.now()
-        asked_before = remeasure.since is not None
-        allowed = remeasure.may(now)
+        requested_before = min_rtt.since is not None
+        allowed = min_rtt.may(now)
         if allowed:
-            token = remeasure.token(now)
-            place = f"place={remeasure.place} token={token}" if token is not None else "without a place"
-            self.log_line(f"fleet pass begins {place} waited={remeasure.waited / 1e6:.1f}")
-        if allowed or not asked_before or remeasure.place is None:
+            token = min_rtt.token(now)
+            place = f"place={min_rtt.place} token={token}" if token is not None else "without a place"
+            self.log_line(f"fleet pass begins {place} waited={min_rtt.waited / SECOND:.1f}")
+        if allowed or not requested_before or min_rtt.place is None:
             self.schedule()
         return allowed
 
     def passed(self) -> None:
-        remeasure = self.remeasure
-        if remeasure is None or remeasure.begun is None:
+        """A minRTT recalculation is over."""
+        min_rtt = self.min_rtt
+        if min_rtt is None or min_rtt.begun is None:
             return
-        self.log_line(f"fleet pass over after={(self.now() - remeasure.begun) / 1e6:.1f}")
-        remeasure.passed(self.now())
+        self.log_line(f"fleet pass over after={(self.now() - min_rtt.begun) / SECOND:.1f}")
+        min_rtt.passed(self.now())
         self.schedule()
 
     def may_try(self, server: int) -> bool:
+        """Whether an ejected server may be checked now, or a server of its zone may get calls at all."""
         if self.zone_traffic is not None and not self.zone_traffic.allows(server):
             return False
-        if self.probe is None:
+        if self.health_checks is None:
             return True
         now = self.now()
-        allowed = self.probe.may_try(now, server)
+        allowed = self.health_checks.may_try(now, server)
         if allowed:  # the policy asks only for what is due, and sends at once
-            token = self.probe.token(now, server)
+            token = self.health_checks.token(now, server)
             self.log_line(f"fleet tries server={server} " + ("alone" if token is None else f"token={token}"))
         return allowed
 
     def set_aside(self, server: int, wait: int) -> None:
+        """The policy has ejected a server, for so many microseconds until its next check."""
         if self.zone_traffic is not None:
             self.zone_traffic.set_ejected(server, True)
-        if self.probe is not None:
-            self.probe.set_aside(self.now(), server, wait)
+        if self.health_checks is not None:
+            self.health_checks.set_aside(self.now(), server, wait)
             self.schedule()
 
     def back(self, server: int, well: bool) -> None:
+        """The policy ejects a server no longer; `well`: since a check of its own succeeded."""
         if self.zone_traffic is not None:
             self.zone_traffic.set_ejected(server, False)
-        if self.probe is not None:
-            self.probe.back(self.now(), server, well)
+        if self.health_checks is not None:
+            self.health_checks.back(self.now(), server, well)
             self.schedule()
 
     # ---- time and messages ------------------------------------------------------------------------------
 
     def deadline(self, now: int) -> int | None:
-        """When `tick` is due."""
-        deadlines = [part.deadline(now) for part in (self.probe, self.remeasure) if part is not None]
+        """Returns when `tick` is due."""
+        active = [part for part in (self.health_checks, self.min_rtt) if part is not None]
+        deadlines = [part.deadline(now) for part in active]
         if self.zone_traffic is not None:
             deadlines += self.zone_traffic.deadlines()
-        return min((d for d in deadlines if d is not None), default=None)
+        return min((deadline for deadline in deadlines if deadline is not None), default=None)
 
-    def tick(self, now: int) -> Out:
+    def tick(self, now: int) -> Messages:
         """Does what is due."""
-        parts = (self.probe, self.remeasure, self.zone_traffic)
-        return [sent for part in parts if part is not None for sent in part.tick(now)]
+        parts = (self.health_checks, self.min_rtt, self.zone_traffic)
+        return [message for part in parts if part is not None for message in part.tick(now)]
 
-    def received(self, now: int, message: Any) -> Out:
-        """A message to a part that is off here does nothing."""
+    def received(self, now: int, message: Any) -> Messages:
+        """Handles a message. One to what is off here does nothing."""
         handler = self.handlers.get(message.kind)
         return handler(now, message) if handler is not None else []
 
     def member_forgotten(self, member: str) -> None:
-        """Membership has dropped a member."""
-        if self.probe is not None:
-            self.probe.forget(member)
+        """Drops what is kept about a member that membership has forgotten."""
+        if self.health_checks is not None:
+            self.health_checks.forget(member)
 
     # ---- what operators see -----------------------------------------------------------------------------
 
     def status(self, now: int) -> dict[str, Any]:
-        """A key of the page for each part that is on."""
-        parts = {"probe": self.probe, "remeasure": self.remeasure}
+        """Returns a key of the page for each part that is on."""
+        parts = {"probe": self.health_checks, "remeasure": self.min_rtt}
         table = {name: part.view(now) for name, part in parts.items() if part is not None}
         return table if self.zone_traffic is None else table | self.zone_traffic.status(now)
--- a/balancer/fleet/policy_component.py
+++ b/balancer/fleet/policy_component.py
@@ -1,4 +1,4 @@
-"""The policy's adapter as a component of the fleet runtime: probes, minRTT passes and zones."""
+"""The policy adapter as a component of the fleet runtime: health checks, minRTT recalculation and zones."""
 
 from __future__ import annotations
 
@@ -15,37 +15,52 @@
 
 
 class PolicyComponent(Component):
-    """`duties`: None where no voters are configured, so that there are no probes and no bound on passes."""
+    """Runs a policy adapter.
 
-    def __init__(self, runtime: Runtime, adapter: PolicyAdapter, duties: DutiesComponent | None) -> None:
+    Args:
+        runtime: The process that the component runs in.
+        adapter: The adapter.
+        leases: None where no voters are configured: then there are neither shared health checks nor a bound
+            on minRTT recalculations.
+    """
+
+    def __init__(self, runtime: Runtime, adapter: PolicyAdapter, leases: DutiesComponent | None) -> None:
         self.runtime = runtime
         self.adapter = adapter
-        self.duties = duties
+        self.leases = leases
 
     @property
     def wires(self) -> Sequence[Part]:
+        """The adapter's message kinds."""
         return self.adapter.wires()
 
     def open(self) -> None:
+        """Opens the adapter, and hands it the lease client where there is one."""
         self.adapter.open(self.runtime.alive, self.runtime.rng)
-        asker = self.duties.duties.asker if self.duties is not None else None
+        asker = self.leases.duties.asker if self.leases is not None else None
         if asker is not None:
             self.adapter.use_leases(asker, self.runtime.rng)
 
     def close(self) -> None:
+        """From here on the policy decides as on a node alone."""
         self.adapter.close()
 
     def deadline(self, now: int) -> int | None:
+        """When the adapter is due."""
         return self.adapter.deadline(now)
 
     def tick(self, now: int) -> list[Outgoing]:
+        """Does what is due."""
         return addressed(self.adapter.tick(now))
 
     def received(self, now: int, sender: Address, message: Any) -> list[Outgoing]:
+        """Handles a message of one of the adapter's kinds."""
         return addressed(self.adapter.received(now, message))
 
     def member_forgotten(self, name: str) -> None:
+        """Drops what is kept about a member."""
         self.adapter.member_forgotten(name)
 
     def status(self, now: int) -> dict[str, Any]:
+        """The adapter's keys for the page `GET /fleet`."""
         return self.adapter.status(now)
--- a/balancer/fleet/registry.py
+++ b/balancer/fleet/registry.py
@@ -19,16 +19,22 @@
 Result = TypeVar("Result")
 
 
-class DuplicateKind(ValueError):
+class DuplicateKindError(ValueError):
     """Two components define the same message kind."""
 
 
 class Registry:
-    """Components in the order in which they are opened, ticked and shown. `report` gets what failed, as
-    "Component.method", and the exception."""
+    """Components in the order in which they are opened, ticked and shown.
+
+    Args:
+        components: The components of one process.
+        report: Called with what failed, as "Component.method", and the exception.
+
+    Raises:
+        DuplicateKindError: Two components define the same message kind.
+    """
 
     def __init__(self, components: Sequence[Component], report: Callable[[str, Exception], None]) -> None:
-        """Raises DuplicateKind."""
         self.report = report
         self.ordered = list(components)
         self.wires: list[Part] = []
@@ -36,12 +42,13 @@
         for component in self.ordered:
             for wire in component.wires:
                 self.wires.append(wire)
-                self.claim(component, wire.kinds)
+                self.register(component, wire.kinds)
 
-    def claim(self, component: Component, kinds: frozenset[int]) -> None:
+    def register(self, component: Component, kinds: frozenset[int]) -> None:
+        """Makes a component the owner of message kinds."""
         for kind in kinds:
             if kind in self.owners or kind in MEMBERSHIP_KINDS:
-                raise DuplicateKind(f"message kind {kind} is defined twice")
+                raise DuplicateKindError(f"message kind {kind} is defined twice")
             self.owners[kind] = component
 
     def owner(self, kind: int) -> Component | None:
@@ -53,7 +60,7 @@
     def guarded(
         self, component: Component, method: str, call: Callable[[], Result], default: Result
     ) -> Result:
-        """What a call to a component's method gives; `default` if it fails."""
+        """Returns what a call to a component's method returns; `default` if it fails."""
         try:
             return call()
         except Exception as error:
@@ -77,7 +84,7 @@
     def status(self, now: int) -> dict[str, Any]:
         """All components' keys for the page."""
         keys: dict[str, Any] = {}
-        nothing: dict[str, Any] = {}
+        no_keys: dict[str, Any] = {}
         for component in self.ordered:
-            keys |= self.guarded(component, "status", partial(component.status, now), nothing)
+            keys |= self.guarded(component, "status", partial(component.status, now), no_keys)
         return keys
--- a/balancer/fleet/rolling_update/component.py
+++ b/balancer/fleet/rolling_update/component.py
@@ -48,7 +48,7 @@
 
         Failure prevented: voters are replaced faster than they vote again, and there is no majority left.
         """
-        return self.runtime.life.serving and not self.duties.abstains(self.runtime.now())
+        return self.runtime.lifecycle.serving and not self.duties.abstains(self.runtime.now())
 
     def token(self) -> int | None:
         """Of the replacement's duty, if this process holds it now."""
@@ -79,7 +79,7 @@
         return out
 
     def end_once(self, replacement: Replacement) -> None:
-        if self.ended or self.runtime.life.stage == Stage.ENDING:
+        if self.ended or self.runtime.lifecycle.stage == Stage.ENDING:
             return
         self.ended = True
         self.runtime.log.line(
--- a/balancer/fleet/runtime.py
+++ b/balancer/fleet/runtime.py
@@ -1,7 +1,7 @@
 """The fleet runtime: runs membership and the components on a node's event loop.
 
 It owns the one timer, the order of calls, the log lines about members and the operators' page. Which
-components there are is decided in `assembly.py`; the runtime itself knows none of them by name.
+components there are is decided in `assembly.py`; the runtime's own loop knows none of them by name.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from balancer.fleet.component import Outgoing, WireMessage
 from balancer.fleet.config import FleetConfig
 from balancer.fleet.endpoint import DatagramEndpoint, unpredictable_seq
-from balancer.fleet.member_table import member_table, spelled
+from balancer.fleet.member_table import format_address, member_table
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.replay_guard import Received
 from balancer.fleet.membership.swim import Address, Claim, Send, Swim, Timing
@@ -29,16 +29,28 @@
 from balancer.policy.interface import Settings
 
 LOGGED_CHANGES = ("join", "suspect", "dead", "left", "alive", "refuted")
-LATE_TICK = 50_000  # microseconds: a tick so late is counted, since the process itself was slow
-MIN_WAIT = 1_000  # microseconds until the timer's next tick...
-WAIT_AFTER_FAULT = 100_000  # ...and after one in which something failed, which stays due
-SYNC_PERIODS = 15  # between two whole exchanges: what gossip missed is known after some of them
+LATE_TICK_US = 50_000  # a tick later than that is counted, since the process itself was slow
+MIN_WAIT_US = 1_000  # until the timer's next tick...
+WAIT_AFTER_FAULT_US = 100_000  # ...and after a tick in which something failed, which stays due
+ACK_TIMEOUT_TENTHS = 3  # of membership's period
+SYNC_PERIODS = 15  # between two full state exchanges, which repair what gossip missed
 LEAVE_REPEATS = 3  # a datagram may be lost
+MICROSECONDS = 1e6  # in a second
 STATUS_WITHOUT_VOTERS: dict[str, Any] = {"duties": None, "replace": None}
 
 
 class FleetRuntime(DatagramEndpoint):
-    """One process's part in the fleet. Open from `open` to `close`; each life is a new incarnation."""
+    """One process's part in the fleet. Each time from `open` to `close` is a new incarnation.
+
+    Args:
+        config: The process's place in its fleet.
+        loop: The node's event loop.
+        seed: Seeds the random streams, together with the process's name.
+        log: The node's log.
+        lifecycle: Whether the node serves, drains or ends.
+        terminate: Ends this process as SIGTERM does.
+        settings: The policy's settings.
+    """
 
     def __init__(
         self,
@@ -46,57 +58,72 @@
         loop: asyncio.AbstractEventLoop,
         seed: int,
         log: Log,
-        life: Lifecycle,
-        end: Callable[[], None],
+        lifecycle: Lifecycle,
+        terminate: Callable[[], None],
         settings: Settings,
     ) -> None:
-        """`end`: ends this process as SIGTERM does."""
         super().__init__(Clocks(config.clock_file))
         self.config = config
         self.loop = loop
         self.seed = seed
         self.log = log
-        self.life = life
-        self.end = end
+        self.lifecycle = lifecycle
+        self.terminate = terminate
         self.settings = settings
         self.rng = Random(f"fleet {config.name} {seed}")
         self.timer: asyncio.TimerHandle | None = None
         self.swim: Swim | None = None
-        self.late = 0  # ticks
-        self.end_requested = False
+        self.late_ticks = 0
+        self.termination_requested = False
         made = components_for(config, self)
-        self.policy_adapter = made.adapter
+        self.policy_adapter = made.policy_adapter
         self.components = Registry(made.ordered, self.report)
         self.use_codec(Codec(list(config.keys), self.components.wires), config.name)
-        pages = OperatorPages(self, made.adapter, made.duties, made.replacement)
-        self.page, self.hold, self.give = pages.page, pages.hold, pages.give
-        self.replace, self.zone = pages.replace, pages.zone
+        self.pages = OperatorPages(self, made.policy_adapter, made.leases, made.rolling_update)
 
     async def open(self) -> None:
-        """Takes the port and joins. An OSError if the address cannot be had."""
+        """Takes the port and joins.
+
+        Raises:
+            OSError: The address cannot be had.
+        """
         await self.loop.create_datagram_endpoint(lambda: self, local_addr=self.config.listen)
-        c = self.config
-        self.swim = Swim(
-            c.name,
-            c.advertise,
+        self.swim = self.make_membership()
+        self.log_join(self.swim)
+        for component in self.components.ordered:
+            component.open()
+        self.tick()
+
+    def make_membership(self) -> Swim:
+        """Returns the state machine of a new incarnation."""
+        config = self.config
+        return Swim(
+            config.name,
+            config.advertise,
             self.stamp(),
-            [s for s in c.seeds if s != c.advertise],
+            [seed for seed in config.seeds if seed != config.advertise],
             self.rng,
             self.now(),
-            Timing(period=c.period, ack_within=c.period * 3 // 10, sync_every=SYNC_PERIODS * c.period),
+            Timing(
+                period=config.period,
+                ack_within=config.period * ACK_TIMEOUT_TENTHS // 10,
+                sync_every=SYNC_PERIODS * config.period,
+            ),
             self.member_changed,
             unpredictable_seq(),
         )
+
+    def log_join(self, swim: Swim) -> None:
+        """Logs under which name and addresses the process joins."""
+        config = self.config
         self.log.line(
-            f"fleet joins name={c.name} zone={c.zone} region={c.region or '-'} listen={spelled(c.listen)}"
-            f" advertise={spelled(c.advertise)} seeds={len(c.seeds)} incarnation={self.swim.me.incarnation}"
+            f"fleet joins name={config.name} zone={config.zone} region={config.region or '-'}"
+            f" listen={format_address(config.listen)} advertise={format_address(config.advertise)}"
+            f" seeds={len(config.seeds)} incarnation={swim.me.incarnation}"
         )
-        for component in self.components.ordered:
-            component.open()
-        self.tick()
 
     def leave(self) -> None:
-        """SIGTERM: the others are told, and nothing is received or sent after that."""
+        """Notifies the others at SIGTERM. Nothing is received or sent after that."""
         if self.swim is not None and self.transport is not None:
             self.components.each("leave", lambda component: self.deliver(component.leave(self.now())))
             farewell = self.swim.leave()
@@ -116,40 +143,48 @@
 
     @property
     def membership(self) -> Swim:
+        """Membership of the own group, from `open` on."""
         assert self.swim is not None
         return self.swim
 
     def stream(self, purpose: str) -> Random:
+        """Returns a random stream of a component's own, the same for the same seed."""
         return Random(f"fleet {self.config.name} {self.seed} {purpose}")
 
     def alive(self) -> list[str]:
+        """Returns the names of the other members that are alive or suspect."""
         return self.swim.alive() if self.swim is not None else []
 
     def gone(self) -> list[str]:
-        return sorted(n for n, m in self.swim.members.items() if m.gone) if self.swim is not None else []
+        """Returns the names of members that have left or died and are not forgotten yet."""
+        if self.swim is None:
+            return []
+        return sorted(name for name, member in self.swim.members.items() if member.gone)
 
     def address_of(self, member: str) -> Address | None:
+        """Returns where a member receives datagrams; None if it is not known."""
         found = self.swim.members.get(member) if self.swim is not None else None
         return found.claim.address if found is not None else None
 
     def end_process(self) -> None:
-        self.end_requested = True
+        """Ends the process as SIGTERM does, after what the component returns has been sent."""
+        self.termination_requested = True
 
-    def schedule(self, min_wait: int = MIN_WAIT) -> None:
+    def schedule(self, min_wait: int = MIN_WAIT_US) -> None:
         """Sets the timer to the next deadline."""
         if self.timer is not None:
             self.timer.cancel()
         if self.transport is not None and self.swim is not None:
             wait = max(min_wait, self.deadline() - self.now())
-            self.timer = self.loop.call_later(wait / 1e6, self.tick)
+            self.timer = self.loop.call_later(wait / MICROSECONDS, self.tick)
 
     # ---- time -------------------------------------------------------------------------------------------
 
     def deadline(self) -> int:
-        """When membership or a component has something to do."""
+        """Returns when membership or a component has something to do."""
         assert self.swim is not None
-        first = self.components.deadline(self.now())
-        return self.swim.due() if first is None else min(first, self.swim.due())
+        earliest = self.components.deadline(self.now())
+        return self.swim.due() if earliest is None else min(earliest, self.swim.due())
 
     def tick(self) -> None:
         """Does what is due, and sets the timer again.
@@ -159,22 +194,23 @@
         assert self.swim is not None
         now = self.now()
         faults = self.events["fault"]
-        self.late += now - self.swim.due() > LATE_TICK
+        self.late_ticks += now - self.swim.due() > LATE_TICK_US
         try:
             self.send_membership(self.swim.tick(now))
         except Exception as error:
             self.report("membership.tick", error)
         self.components.each("tick", lambda component: self.deliver(component.tick(now)))
-        self.schedule(WAIT_AFTER_FAULT if self.events["fault"] > faults else MIN_WAIT)
+        self.schedule(WAIT_AFTER_FAULT_US if self.events["fault"] > faults else MIN_WAIT_US)
 
     def report(self, what: str, error: Exception) -> None:
-        """Tells the event loop's exception handler of a fault."""
+        """Hands a fault to the event loop's exception handler."""
         self.events["fault"] += 1
         self.loop.call_exception_handler({"message": f"fleet: {what} failed", "exception": error})
 
     # ---- messages in ------------------------------------------------------------------------------------
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
+        """Handles a datagram; the event loop calls this."""
         if self.swim is None:
             return
         admitted = self.admitted(data, (addr[0], addr[1]))
@@ -187,62 +223,64 @@
             self.schedule()
 
     def handle(self, swim: Swim, received: Received) -> None:
-        """Acts upon a message, membership's or a component's."""
+        """Handles a message, membership's or a component's."""
         if received.message.kind in MEMBERSHIP_KINDS:
             self.send_membership(swim.receive(self.now(), received.source, received.message))
         else:
             self.dispatch(received.message, received.source)
 
     def dispatch(self, message: WireMessage, sender: Address) -> None:
-        """Hands a message to the component that has its kind."""
+        """Hands a message to the component that owns its kind."""
         component = self.components.owner(message.kind)
-        if component is not None:
-            handle = partial(component.received, self.now(), sender, message)
-            self.components.guarded(component, "received", lambda: self.deliver(handle()), None)
-        else:
+        if component is None:
             self.events["unhandled"] += 1
+            return
+        handle = partial(component.received, self.now(), sender, message)
+        self.components.guarded(component, "received", lambda: self.deliver(handle()), None)
 
     def member_changed(self, change: str, claim: Claim) -> None:
-        """Membership's view has changed."""
+        """Counts and logs a change of membership's view; components drop a member that is forgotten."""
         self.events[change] += 1
         if change == "forgotten":
             self.guard.forget(claim.name)
             self.components.each("member_forgotten", lambda c: c.member_forgotten(claim.name))
         if change in LOGGED_CHANGES:
-            at = spelled(claim.address)
-            self.log.line(f"fleet {change} member={claim.name} at={at} incarnation={claim.incarnation}")
+            address = format_address(claim.address)
+            self.log.line(f"fleet {change} member={claim.name} at={address} incarnation={claim.incarnation}")
 
     # ---- messages out -----------------------------------------------------------------------------------
 
     def deliver(self, outgoing: Sequence[Outgoing]) -> None:
         """Sends what a component returned; what is addressed to this process itself is handled at once."""
-        waiting = deque(outgoing)
-        while waiting:
-            out = waiting.popleft()
-            if out.to == self.config.name:
-                waiting.extend(self.loop_back(out.message))
+        queue = deque(outgoing)
+        while queue:
+            item = queue.popleft()
+            if item.to == self.config.name:
+                queue.extend(self.deliver_locally(item.message))
                 continue
-            address = self.address_of(out.to) if isinstance(out.to, str) else out.to
+            address = self.address_of(item.to) if isinstance(item.to, str) else item.to
             if address is None:
                 self.events["unknown"] += 1
             else:
-                self.transmit(out.message, address)
-        if self.end_requested:
-            self.end_requested = False
-            self.end()
+                self.transmit(item.message, address)
+        if self.termination_requested:
+            self.termination_requested = False
+            self.terminate()
 
-    def loop_back(self, message: WireMessage) -> Sequence[Outgoing]:
+    def deliver_locally(self, message: WireMessage) -> Sequence[Outgoing]:
+        """Handles a message of this process to itself, and returns what comes of it."""
         component = self.components.owner(message.kind)
         return component.received(self.now(), self.config.advertise, message) if component is not None else ()
 
     def send_membership(self, sends: Sequence[Send]) -> None:
+        """Sends what membership returned."""
         for send in sends:
             self.transmit(send.message, send.to)
 
     # ---- what operators see -----------------------------------------------------------------------------
 
     def view(self) -> dict[str, Any]:
-        """The page: this process's own view, with ages in seconds, and its counters."""
+        """Returns the page: this process's own view, with ages in seconds, and its counters."""
         swim, config, now = self.swim, self.config, self.now()
         page = {
             "name": config.name,
@@ -252,5 +290,5 @@
             "incarnation": swim.me.incarnation if swim is not None else 0,
             "members": member_table(swim, now) if swim is not None else [],
         }
-        page |= self.counters() | {"late_ticks": self.late}
+        page |= self.counters() | {"late_ticks": self.late_ticks}
         return page | STATUS_WITHOUT_VOTERS | self.components.status(now)
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -221,11 +221,12 @@
             b"/control/in-service": Page(b"PUT", self.take_back),
         }
         if self.fleet is not None:
-            paths[b"/fleet"] = Page(b"GET", self.fleet.page, JSON)
-            paths[b"/fleet/replace"] = Page(b"PUT", self.fleet.replace, JSON, asks=True)
-            paths[b"/fleet/hold"] = Page(b"PUT", self.fleet.hold, JSON, asks=True)
-            paths[b"/fleet/zone"] = Page(b"PUT", self.fleet.zone, JSON, asks=True)
-            paths[b"/fleet/give"] = Page(b"PUT", self.fleet.give, JSON, asks=True)
+            pages = self.fleet.pages
+            paths[b"/fleet"] = Page(b"GET", pages.show_fleet, JSON)
+            paths[b"/fleet/replace"] = Page(b"PUT", pages.control_rolling_update, JSON, asks=True)
+            paths[b"/fleet/hold"] = Page(b"PUT", pages.acquire_lease, JSON, asks=True)
+            paths[b"/fleet/zone"] = Page(b"PUT", pages.direct_zone, JSON, asks=True)
+            paths[b"/fleet/give"] = Page(b"PUT", pages.release_lease, JSON, asks=True)
         return paths
 
     def ready(self) -> tuple[int, bytes]:
--- a/tests/test_fleet_components.py
+++ b/tests/test_fleet_components.py
@@ -19,7 +19,7 @@
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Claim, Kind, Status
 from balancer.fleet.operator_pages import whole_number
-from balancer.fleet.registry import DuplicateKind, Registry
+from balancer.fleet.registry import DuplicateKindError, Registry
 
 PERIOD = 20_000  # microseconds
 ON_PURPOSE = "fault on purpose"
@@ -278,7 +278,7 @@
 
 @pytest.mark.parametrize("kinds", [(Toy, Toy), (Membershiplike,)])
 def test_no_two_components_have_one_kind(kinds):
-    with pytest.raises(DuplicateKind, match="is defined twice"):
+    with pytest.raises(DuplicateKindError, match="is defined twice"):
         Registry([kind(None) for kind in kinds], lambda what, error: None)
 
 
--- a/workbench/explore/clocks.py
+++ b/workbench/explore/clocks.py
@@ -118,14 +118,14 @@
         """Asks for the lease as a script does; the token, if it is held."""
         if self.runtime is None:
             return None
-        _, body = self.runtime.hold(b"duty=d&script=" + self.name.encode())
+        _, body = self.runtime.pages.acquire_lease(b"duty=d&script=" + self.name.encode())
         told = json.loads(body)
         return int(told["token"]) if told["held"] else None
 
     def order(self, verb: str, seconds: int) -> None:
         """An operator's directive for the zone, through this process's page."""
         if self.runtime is not None:
-            self.runtime.zone(f"do={verb}&zone=z0&for_s={seconds}".encode())
+            self.runtime.pages.direct_zone(f"do={verb}&zone=z0&for_s={seconds}".encode())
 
     def obeys(self) -> bool:
         """Whether it holds the zone left by directive."""
@@ -247,7 +247,7 @@
         """An operator begins it, through any process's page."""
         process = self.rng.choice(self.processes)
         if process.runtime is not None:
-            process.runtime.replace(f"do=begin&most={AT_ONCE}".encode())
+            process.runtime.pages.control_rolling_update(f"do=begin&most={AT_ONCE}".encode())
 
     def check_replacement(self) -> None:
         """Each process was ended once."""
