--- a/workbench/model/clients.py
+++ b/workbench/model/clients.py
@@ -2,19 +2,17 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import numpy as np
 
 from balancer.policy.interface import Effect, Group
 from workbench.model.call import UNKNOWN, Answer, Call, Request, is_answered, is_left
+from workbench.model.environment import Environment
 from workbench.model.network import num, whole
 from workbench.model.streams import scramble
 from workbench.scenario.model import Scenario
 
-if TYPE_CHECKING:
-    from workbench.model.site import World
-
 GRID = 50_000  # microseconds between two points of the load's curve
 TRY, WAIT, HONOUR, LEAVE, LEAVE_AT, FRONT = range(101, 107)  # what a request's draws are for
 SPAN = 2**32
@@ -38,7 +36,7 @@
 class Clients:
     """Draws the day's requests, tries them through the front, and tells the account how each ended."""
 
-    def __init__(self, world: World, rate: float) -> None:
+    def __init__(self, world: Environment, rate: float) -> None:
         """`rate`: first tries a microsecond, at a load factor of 1."""
         self.world = world
         self.clock = world.clock
--- a/workbench/model/discovery.py
+++ b/workbench/model/discovery.py
@@ -2,17 +2,12 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from balancer.policy.interface import ListKind, ServerEntry, State
 from workbench.model.call import Port
+from workbench.model.environment import Environment, ServerView
 from workbench.model.network import num
 from workbench.scenario.model import Scenario
 
-if TYPE_CHECKING:
-    from workbench.model.server import Server
-    from workbench.model.site import World
-
 Changes = list[ServerEntry]
 
 
@@ -32,7 +27,7 @@
 class Discovery:
     """A change is published once it is noticed; each node hears of it some time after."""
 
-    def __init__(self, day: Scenario, world: World, tiers: int) -> None:
+    def __init__(self, day: Scenario, world: Environment, tiers: int) -> None:
         self.world = world
         self.clock = world.clock
         self.rng = world.streams.random("discovery")
@@ -58,27 +53,27 @@
 
     # ---- what discovery sees of the servers ----------------------------------------------------------------
 
-    def enter(self, server: Server, state: State = State.READY) -> None:
+    def enter(self, server: ServerView, state: State = State.READY) -> None:
         """The list has the server from the start, without news."""
         self.lists[server.tier][server.id] = entry_of(server, state)
 
-    def came(self, server: Server) -> None:
+    def came(self, server: ServerView) -> None:
         self.later(self.add, server, State.READY)
 
-    def drains(self, server: Server) -> None:
+    def drains(self, server: ServerView) -> None:
         self.later(self.period * 0.5, server, State.DRAINING)
 
-    def died(self, server: Server) -> None:
+    def died(self, server: ServerView) -> None:
         self.later(self.notice, server, State.GONE)
 
-    def fell_silent(self, server: Server) -> None:
+    def fell_silent(self, server: ServerView) -> None:
         self.later(self.silent_notice, server, State.GONE)
 
-    def later(self, mean: float, server: Server, state: State) -> None:
+    def later(self, mean: float, server: ServerView, state: State) -> None:
         at = self.clock.now + int(mean * (0.6 + 0.8 * self.rng.random()))
         self.clock.call_at(at, self.publish, (server, state, server.life))
 
-    def publish(self, change: tuple[Server, State, int]) -> None:
+    def publish(self, change: tuple[ServerView, State, int]) -> None:
         """Into the list, unless the server has moved on since."""
         server, state, life = change
         if life != server.life or (state == State.GONE and server.up and not server.silent):
@@ -202,5 +197,5 @@
                 self.tell_all(tier)
 
 
-def entry_of(server: Server, state: State) -> ServerEntry:
+def entry_of(server: ServerView, state: State) -> ServerEntry:
     return ServerEntry(server.id, state, server.cell, server.zone, server.kind, 1.0, server.ready_at)
--- /dev/null
+++ b/workbench/model/environment.py
@@ -0,0 +1,177 @@
+"""What the parts of the model use of the whole that they are in, and of servers.
+
+`site.World` implements `Environment`. The parts know it by this protocol alone, so that none imports the
+whole. Times are microseconds, work is in core-microseconds of the yardstick.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import Any, Protocol
+
+from balancer.policy.interface import ClassSettings
+from workbench.model.accounts import Accounts
+from workbench.model.call import Attempt, Call, Caller, Request
+from workbench.model.clock import Clock
+from workbench.model.front import Front
+from workbench.model.network import Network
+from workbench.model.streams import Streams
+from workbench.scenario.model import Scenario
+
+
+class ServerView(Protocol):
+    """What discovery and the referee see of a server."""
+
+    @property
+    def id(self) -> int:
+        """Its number, unique over all tiers."""
+
+    @property
+    def tier(self) -> int:
+        """Its tier."""
+
+    @property
+    def zone(self) -> int:
+        """Its zone."""
+
+    @property
+    def cell(self) -> int:
+        """Its cell."""
+
+    @property
+    def kind(self) -> int:
+        """Its kind of machine."""
+
+    @property
+    def clock(self) -> Clock:
+        """The model's clock."""
+
+    @property
+    def life(self) -> int:
+        """How often its process has been started anew."""
+
+    @property
+    def ready_at(self) -> int:
+        """When its process started; 0 for long ago."""
+
+    @property
+    def up(self) -> bool:
+        """Whether its process runs."""
+
+    @property
+    def silent(self) -> bool:
+        """Whether its machine neither sends nor receives."""
+
+
+class ServerDiscovery(Protocol):
+    """What servers and faults report to discovery."""
+
+    def came(self, server: ServerView) -> None:
+        """A server has started."""
+
+    def drains(self, server: ServerView) -> None:
+        """A server drains."""
+
+    def died(self, server: ServerView) -> None:
+        """A server's process has ended."""
+
+    def fell_silent(self, server: ServerView) -> None:
+        """A server's machine neither sends nor receives any more."""
+
+    def silence(self, on: bool) -> None:
+        """Discovery itself stops answering, or answers again."""
+
+
+class ServerReferee(Protocol):
+    """What servers report to the referee."""
+
+    def fell(self, server: ServerView, told_share: float) -> None:
+        """A cold server was sent more than it stands."""
+
+
+class Environment(Protocol):
+    """What every part of the model may use of the others."""
+
+    @property
+    def day(self) -> Scenario:
+        """The scenario that is played."""
+
+    @property
+    def clock(self) -> Clock:
+        """The model's clock."""
+
+    @property
+    def streams(self) -> Streams:
+        """The random streams, by name."""
+
+    @property
+    def begin(self) -> int:
+        """When the scenario begins, by the clock."""
+
+    @property
+    def length(self) -> int:
+        """How long clients send."""
+
+    @property
+    def zones(self) -> int:
+        """The number of zones."""
+
+    @property
+    def slack(self) -> int:
+        """How late a final answer may be."""
+
+    @property
+    def classes(self) -> Sequence[ClassSettings]:
+        """The request classes."""
+
+    @property
+    def work_table(self) -> Sequence[Any]:
+        """The mean work of a call, by tier and class."""
+
+    @property
+    def mean_work(self) -> Sequence[float]:
+        """The mean work of a call, by tier."""
+
+    @property
+    def shared_slow(self) -> float:
+        """How many times as long all servers take, by a fault that they share."""
+
+    @property
+    def fall_time(self) -> int:
+        """The window over which a cold server's load counts."""
+
+    @property
+    def fall_multiple(self) -> float:
+        """How many times its capacity a cold server stands in that window."""
+
+    @property
+    def network(self) -> Network:
+        """The network between zones."""
+
+    @property
+    def front(self) -> Front:
+        """What spreads clients over nodes."""
+
+    @property
+    def accounts(self) -> Accounts:
+        """The accounts of worth."""
+
+    @property
+    def discovery(self) -> ServerDiscovery:
+        """Discovery, as servers and faults see it."""
+
+    @property
+    def referee(self) -> ServerReferee:
+        """The referee, as servers see it."""
+
+    def calls(self, tier: int, key: int) -> int:
+        """Returns how many calls a server makes to the next tier for a call."""
+
+    def call(self, root: Request, key: int, tier: int, until: int, caller: Caller) -> Call:
+        """Returns a new call."""
+
+    def told(self, attempt: Attempt, server: ServerView) -> bool:
+        """Whether the node that sent an attempt knew of the server's present start."""
+
+    def trace(self, request: Request, who: str, what: str) -> None:
+        """Reports a step of a request that is being traced."""
--- a/workbench/model/faults.py
+++ b/workbench/model/faults.py
@@ -2,23 +2,44 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from collections.abc import Sequence
+from typing import Any, Protocol
 
 from workbench.model.call import Port
+from workbench.model.environment import Environment
 from workbench.model.network import num, whole
 from workbench.model.server import Server
+from workbench.model.server_spec import ServerSpec
 from workbench.scenario.model import Fault
 
-if TYPE_CHECKING:
-    from workbench.model.site import World
-
 DRAIN = 3_000_000  # a server that is replaced drains for so long before it ends
 
 
+class FaultyEnvironment(Environment, Protocol):
+    """What a fault uses of the model that it strikes."""
+
+    shared_slow: float
+
+    @property
+    def tiers(self) -> Sequence[Sequence[Server]]:
+        """The servers of each tier, those that are gone too."""
+
+    @property
+    def nodes(self) -> Sequence[Port]:
+        """The front's nodes."""
+
+    @property
+    def boot(self) -> int:
+        """Microseconds between a node's end and its next start."""
+
+    def add_server(self, spec: ServerSpec) -> Server:
+        """Makes a server that replaces another."""
+
+
 class Trouble:
     """One fault at work."""
 
-    def __init__(self, world: World, fault: Fault, number: int) -> None:
+    def __init__(self, world: FaultyEnvironment, fault: Fault, number: int) -> None:
         self.world = world
         self.clock = world.clock
         self.fault = fault
--- a/workbench/model/referee.py
+++ b/workbench/model/referee.py
@@ -2,13 +2,11 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from balancer.policy.interface import NEVER_RAN, ClassSettings, Effect, Group, Outcome
 from workbench.model.call import Call
-
-if TYPE_CHECKING:
-    from workbench.model.server import Server
+from workbench.model.environment import ServerView
 
 RULES = ("final_answer", "duplicate_effects", "drain_grace", "cold_server", "well_formed")
 KEPT = 20  # broken rules told one by one
@@ -37,7 +35,7 @@
     def malformed(self, now: int, story: str) -> None:
         self.broken(now, "well_formed", story)
 
-    def sending(self, now: int, call: Call, server: Server, away_since: int) -> None:
+    def sending(self, now: int, call: Call, server: ServerView, away_since: int) -> None:
         """Before an attempt is booked. `away_since`: when the node was told that the server drains or is
         gone."""
         if away_since >= 0 and now > away_since + self.stop_sending:
@@ -77,7 +75,7 @@
                 now, "duplicate_effects", f"request {call.root.index}: refused though it may have run"
             )
 
-    def fell(self, server: Server, told_share: float) -> None:
+    def fell(self, server: ServerView, told_share: float) -> None:
         """A cold server was sent more than it stands."""
         now = server.clock.now
         if told_share >= TOLD_SHARE:
--- a/workbench/model/server.py
+++ b/workbench/model/server.py
@@ -10,15 +10,14 @@
 
 from collections import deque
 from heapq import heappop, heappush
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from balancer.policy.interface import Outcome
 from workbench.model.call import Answer, Attempt, Call, Port
+from workbench.model.environment import Environment
+from workbench.model.server_spec import ServerSpec
 from workbench.model.streams import scramble
 
-if TYPE_CHECKING:
-    from workbench.model.site import ServerSpec, World
-
 BEFORE = 0.5  # of a server's own work is done before it calls the next tier
 WARM_STEPS = 40  # a cold start gains capacity in so many steps
 CONNECTION_TAX = 0.25  # of the capacity a full table of connections takes (BRIEF's site: 0.21 to 0.37)
@@ -48,7 +47,7 @@
 class Server:
     """One machine. `ready_at` is its process's start, 0 for long ago."""
 
-    def __init__(self, world: World, spec: ServerSpec) -> None:
+    def __init__(self, world: Environment, spec: ServerSpec) -> None:
         self.world = world
         self.clock = world.clock
         self.spec = spec
--- a/workbench/model/site.py
+++ b/workbench/model/site.py
@@ -6,7 +6,7 @@
 import itertools
 from collections import Counter
 from collections.abc import Callable
-from dataclasses import dataclass, replace
+from dataclasses import replace
 from math import floor
 from typing import Protocol
 
@@ -16,11 +16,13 @@
 from workbench.model.clients import Clients
 from workbench.model.clock import Clock
 from workbench.model.discovery import Discovery
+from workbench.model.environment import ServerView
 from workbench.model.faults import Trouble
 from workbench.model.front import Front
 from workbench.model.network import Network, num, whole
 from workbench.model.referee import Referee
 from workbench.model.server import Server
+from workbench.model.server_spec import ServerSpec
 from workbench.model.streams import Streams
 from workbench.scenario.model import Kind, Scenario
 
@@ -37,34 +39,6 @@
     return [k for _, k in turns][:count]
 
 
-@dataclass(frozen=True, slots=True)
-class ServerSpec:
-    """A machine's figures. Times in microseconds, work in core-microseconds of the yardstick."""
-
-    name: str
-    id: int
-    tier: int
-    zone: int
-    cell: int
-    kind: int
-    cores: int
-    speed: float
-    slots: int
-    queue: int
-    thrash: float
-    thrash_at: float
-    pause: float
-    pause_every: float
-    cold_from: float
-    cold: int
-    connection_cap: int
-    handshake: float
-    handshake_rtts: float
-    probe: float
-    error_rate: float
-    cancel: bool
-
-
 class Hosts(Protocol):
     """Makes the nodes of a world."""
 
@@ -260,7 +234,7 @@
     def call(self, root: Request, key: int, tier: int, until: int, caller: Caller) -> Call:
         return Call(next(self.numbers), root, key, tier, until, caller)
 
-    def told(self, attempt: Attempt, server: Server) -> bool:
+    def told(self, attempt: Attempt, server: ServerView) -> bool:
         """Whether the node that sent an attempt had been told of the server's present start."""
         return attempt.port.starts.get(server.id, -1) == server.ready_at
 
