--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -11,7 +11,7 @@
 from balancer.net.listener import Address
 from balancer.net.listing import Listing, read_listing
 from balancer.policy.interface import ListKind, Settings
-from balancer.settings import COLUMNS, Fields, settings_of
+from balancer.settings import REPORT_COLUMNS, Fields, parse_settings
 
 if TYPE_CHECKING:
     from balancer.fleet.config import FleetConfig
@@ -143,7 +143,7 @@
     report = settings.sub("report", optional=True)
     columns = [str(c) for c in report.items("columns")]
     known = table.get("known")
-    given_settings = settings_of(settings.table)
+    given_settings = parse_settings(settings.table)
     return Config(
         name=name,
         listen=read_address(table.get("listen"), "listen"),
@@ -172,6 +172,6 @@
         connect_timeout=limits.whole("connect_timeout", 250_000) / 1e6,
         idle_time=limits.whole("conn_idle", 15_000_000) / 1e6,
         inline_reports=report.text("how", "off") == "inline",
-        report_names=tuple((c, COLUMNS.get(c, c)) for c in columns),
+        report_names=tuple((c, REPORT_COLUMNS.get(c, c)) for c in columns),
         fleet=fleet_of(table, name),
     )
--- a/balancer/net/listing.py
+++ b/balancer/net/listing.py
@@ -53,7 +53,7 @@
     """One server. A state that is not known counts as draining: nothing new goes there."""
     host, _, port = line.text("addr").rpartition(":")
     if not (host and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-        raise line.bad("addr")
+        raise line.error("addr")
     return Line(
         id=line.text("id"),
         host=host.strip("[]"),
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -1,4 +1,4 @@
-"""The settings object, as the simulator's first message or a node's configuration gives it, to `Settings`."""
+"""Reads the settings object of a simulator's first message or a node's configuration into `Settings`."""
 
 from __future__ import annotations
 
@@ -6,9 +6,11 @@
 
 from balancer.policy.interface import ClassSettings, Effect, Group, Settings, TenantSettings
 
+MAX_NUMBER = 1e300  # no setting is near it; infinities and numbers that are none are refused
+
 EFFECTS = {"free": Effect.SAFE, "guarded": Effect.KEYED, "single_shot": Effect.UNSAFE}
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
-COLUMNS = {
+REPORT_COLUMNS = {
     "concurrent": "inflight",
     "depth": "queue",
     "load_share": "util",
@@ -18,87 +20,113 @@
 }
 
 
+class SettingsError(ValueError):
+    """A value is missing or impossible; the text names its key."""
+
+
 class Fields:
-    """Reads a JSON object's keys. What is missing or of the wrong form is a ValueError that names the key.
+    """Reads a JSON object's keys. Each reader raises a SettingsError for a value of the wrong form.
 
-    An optional key may be absent or null.
+    A key that has a default, or is optional, may be absent or null.
+
+    Args:
+        table: The decoded object.
+        path: What its keys are prefixed with in errors.
     """
 
-    def __init__(self, table: dict[str, Any], where: str = "") -> None:
+    def __init__(self, table: dict[str, Any], path: str = "") -> None:
         self.table = table
-        self.where = where
+        self.path = path
 
-    def bad(self, key: str) -> ValueError:
-        return ValueError(f"settings: missing or impossible value for {self.where}{key}")
+    def error(self, key: str) -> SettingsError:
+        """Returns the error for a key's value."""
+        return SettingsError(f"settings: missing or impossible value for {self.path}{key}")
 
     def number(self, key: str, default: float | None = None) -> float:
+        """Returns a number."""
         value = self.table.get(key)
         if value is None and default is not None:
             return default
-        if isinstance(value, bool) or not isinstance(value, (int, float)) or not -1e300 < value < 1e300:
-            raise self.bad(key)
+        if (
+            isinstance(value, bool)
+            or not isinstance(value, (int, float))
+            or not -MAX_NUMBER < value < MAX_NUMBER
+        ):
+            raise self.error(key)
         return float(value)
 
     def whole(self, key: str, default: int | None = None) -> int:
+        """Returns a number without its fraction."""
         return int(self.number(key, default))
 
     def flag(self, key: str) -> bool:
+        """Returns true or false; false where the key is absent."""
         value = self.table.get(key)
         if value is not None and not isinstance(value, bool):
-            raise self.bad(key)
+            raise self.error(key)
         return bool(value)
 
     def text(self, key: str, default: str | None = None) -> str:
+        """Returns a text."""
         value = self.table.get(key)
         if value is None and default is not None:
             return default
         if not isinstance(value, str):
-            raise self.bad(key)
+            raise self.error(key)
         return value
 
-    def listed(self, key: str, optional: bool) -> list[Any]:
+    def array(self, key: str, optional: bool) -> list[Any]:
+        """Returns a list; empty where it is optional and absent."""
         value = self.table.get(key)
         if value is None and optional:
             return []
         if not isinstance(value, list):
-            raise self.bad(key)
+            raise self.error(key)
         return value
 
     def items(self, key: str) -> list[Any]:
-        """An optional list of plain values."""
-        values = self.listed(key, optional=True)
-        if any(isinstance(v, (dict, list)) for v in values):
-            raise self.bad(key)
+        """Returns an optional list of plain values."""
+        values = self.array(key, optional=True)
+        if any(isinstance(value, (dict, list)) for value in values):
+            raise self.error(key)
         return values
 
-    def table_at(self, value: Any, key: str) -> Fields:
+    def child(self, value: Any, key: str) -> Fields:
+        """Returns the reader of an object within this one."""
         if not isinstance(value, dict):
-            raise self.bad(key)
-        return Fields(value, f"{self.where}{key}.")
+            raise self.error(key)
+        return Fields(value, f"{self.path}{key}.")
 
     def tables(self, key: str, optional: bool = False) -> list[Fields]:
-        return [self.table_at(v, f"{key}[{i}]") for i, v in enumerate(self.listed(key, optional))]
+        """Returns the readers of a list of objects."""
+        return [self.child(value, f"{key}[{i}]") for i, value in enumerate(self.array(key, optional))]
 
     def sub(self, key: str, optional: bool = False) -> Fields:
+        """Returns the reader of the object at a key."""
         value = self.table.get(key)
-        return self.table_at({} if value is None and optional else value, key)
+        return self.child({} if value is None and optional else value, key)
 
 
-def settings_of(env: object) -> Settings:
-    """The settings in decoded JSON. A missing or impossible value is a ValueError that names the key."""
-    if not isinstance(env, dict):
-        raise ValueError("settings: not an object")
+def parse_settings(table: object) -> Settings:
+    """Returns the settings in decoded JSON.
 
-    fields = Fields(env)
+    Raises:
+        SettingsError: A value is missing or impossible.
+    """
+    if not isinstance(table, dict):
+        raise SettingsError("settings: not an object")
+    return read_settings(Fields(table))
+
+
+def read_settings(fields: Fields) -> Settings:
+    """Returns the settings of an object's keys."""
     limits = fields.sub("policy_limits")
     rules = fields.sub("rules")
     deductions = fields.sub("deductions", optional=True)
     report = fields.sub("report", optional=True)
     return Settings(
-        classes=tuple(class_of(c) for c in fields.tables("classes")),
-        tenants=tuple(
-            TenantSettings(quota=t.number("quota_rps", 0.0)) for t in fields.tables("tenants", optional=True)
-        ),
+        classes=tuple(read_class(c) for c in fields.tables("classes")),
+        tenants=tuple(read_tenant(t) for t in fields.tables("tenants", optional=True)),
         tier=fields.whole("tier", 0),
         tiers=max(1, len(fields.items("layers"))),
         zone=fields.whole("zone", 0),
@@ -123,19 +151,24 @@
         answer_slack=rules.whole("answer_slack", 0),
         cross_zone_price=deductions.number("cross_zone", 0.0),
         over_share_worth=fields.number("over_share_worth", 1.0),
-        report_fields=tuple(COLUMNS.get(f, str(f)) for f in report.items("columns")),
+        report_fields=tuple(REPORT_COLUMNS.get(column, str(column)) for column in report.items("columns")),
     )
 
 
-def class_of(c: Fields) -> ClassSettings:
-    """A request class. An effect or group that is not known gets the fewest rights there are."""
+def read_tenant(fields: Fields) -> TenantSettings:
+    """Returns a tenant's settings."""
+    return TenantSettings(quota=fields.number("quota_rps", 0.0))
+
+
+def read_class(fields: Fields) -> ClassSettings:
+    """Returns a request class. An effect or group that is not known gets the fewest rights there are."""
     return ClassSettings(
-        effect=EFFECTS.get(c.text("effect"), Effect.UNSAFE),
-        aim=c.whole("goal_time"),
-        deadline=c.whole("hard_limit"),
-        worth=c.number("worth"),
-        late_worth=c.number("late_value", 0.0),
-        group=GROUPS.get(c.text("group", "all"), Group.CELL),
-        window=c.whole("window", 0),
-        stream=c.flag("stream"),
+        effect=EFFECTS.get(fields.text("effect"), Effect.UNSAFE),
+        aim=fields.whole("goal_time"),
+        deadline=fields.whole("hard_limit"),
+        worth=fields.number("worth"),
+        late_worth=fields.number("late_value", 0.0),
+        group=GROUPS.get(fields.text("group", "all"), Group.CELL),
+        window=fields.whole("window", 0),
+        stream=fields.flag("stream"),
     )
--- a/balancer/simulator_adapter.py
+++ b/balancer/simulator_adapter.py
@@ -13,7 +13,7 @@
 
 from balancer.policy import Balancer
 from balancer.policy.interface import ListKind, Outcome, ServerEntry, Settings, State
-from balancer.settings import settings_of
+from balancer.settings import parse_settings
 
 HEADER = Struct("<IIQ")
 LENGTH = Struct("<I")
@@ -69,7 +69,7 @@
         env = json.loads(text)
     except (ValueError, RecursionError) as e:
         raise WireError(f"settings are not JSON: {e}") from None
-    return settings_of(env)
+    return parse_settings(env)
 
 
 class WireActions:
