--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,33 +1,20 @@
-"""The fleet's part of a node: its section of the configuration, and nothing of it without one."""
+"""The fleet section of a node's configuration, and the runtime of nodes that have one."""
 
 import asyncio
 import json
 import os
-import socket
 import subprocess
 import sys
 
 import pytest
-from loopback import Bench, play, settings, until
+from fleet_section import fleet_section, free_udp_port, key_file, node_file
+from loopback import Bench, play, until
 
 from balancer.fleet.config import FleetConfigError, read_fleet
 from balancer.fleet.membership.swim import Kind, Message
 from balancer.net.config import ConfigError, load
 
 
-def key_file(folder, text="a key of the tests' own", mode=0o600):
-    path = folder / "key"
-    path.write_text(text)
-    path.chmod(mode)
-    return str(path)
-
-
-def section(folder, **changes):
-    table = {"zone": "here", "listen": "127.0.0.1:7400", "seeds": []}
-    table["key"] = changes.get("key") or key_file(folder)
-    return {k: v for k, v in (table | changes).items() if v is not ...}
-
-
 @pytest.mark.parametrize(
     ("changes", "lines"),
     [
@@ -65,17 +52,18 @@
         ({"key": "/nowhere/key"}, ["fleet.key: /nowhere/key: No such file or directory"]),
     ],
 )
-def test_the_section_is_checked_whole(tmp_path, changes, lines):
-    """Failure prevented: an operator mends one line, starts again, and is told of the next."""
-    table = section(tmp_path, **changes)
+def test_all_faults_of_the_section_are_reported_at_once(tmp_path, changes, lines):
+    """Failure prevented: an operator mends one line, starts again, and reads of the next."""
+    table = fleet_section(tmp_path, **changes)
     if not lines:
         found = read_fleet(table, "n0")
         assert found.name == changes.get("name", "n0") and found.advertise[1] in (7400, 9)
         return
-    with pytest.raises(FleetConfigError) as fault:
+    with pytest.raises(FleetConfigError) as error:
         read_fleet(table, "n0")
-    told = str(fault.value).splitlines()
-    assert len(told) == len(lines) and all(part in line for part, line in zip(lines, told, strict=True))
+    reported = str(error.value).splitlines()
+    assert len(reported) == len(lines)
+    assert all(part in line for part, line in zip(lines, reported, strict=True))
 
 
 @pytest.mark.parametrize(
@@ -84,21 +72,14 @@
 def test_a_key_that_others_may_read_or_guess_is_refused(tmp_path, mode, text, part):
     key = key_file(tmp_path, text, mode)
     with pytest.raises(FleetConfigError, match=part):
-        read_fleet(section(tmp_path, key=key), "n0")
+        read_fleet(fleet_section(tmp_path, key=key), "n0")
 
 
-def node_file(tmp_path, **more):
-    table = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f"}
-    file = tmp_path / "config.json"
-    file.write_text(json.dumps(table | {"settings": settings()} | more))
-    return {"LB_CONFIG": str(file)}
-
-
-def test_a_node_without_the_section_has_nothing_of_it(tmp_path):
-    """Failure prevented: sites whose nodes share nothing pay for the fleet, or speak of it on the wire."""
+def test_a_node_without_the_section_imports_nothing_of_the_fleet(tmp_path):
+    """Failure prevented: sites whose nodes share nothing pay for the fleet, or send datagrams."""
     config = load(node_file(tmp_path))
     assert config.fleet is None
-    with_fleet = load(node_file(tmp_path, fleet=section(tmp_path)))
+    with_fleet = load(node_file(tmp_path, fleet=fleet_section(tmp_path)))
     assert with_fleet.reserved == config.reserved + 1
     code = (
         "import asyncio, os, sys, balancer.__main__ as m;"
@@ -111,7 +92,7 @@
     assert out.stdout == "[]\n"
 
 
-def test_all_faults_come_out_of_one_start(tmp_path):
+def test_a_start_with_a_wrong_section_prints_all_faults_and_exits_with_2(tmp_path):
     env = os.environ | node_file(tmp_path, fleet={"zone": 3, "listen": "x", "seeds": [], "key": "/nowhere"})
     out = subprocess.run(
         [sys.executable, "-m", "balancer"], env=env, capture_output=True, text=True, timeout=60
@@ -123,15 +104,15 @@
         load(node_file(tmp_path, fleet=[1]))
 
 
-def test_two_nodes_meet_part_and_say_so(tmp_path):
-    """A seed that comes up later than who asks it; a leaving that is believed; garbage that is counted."""
+def test_two_nodes_join_leave_and_show_it(tmp_path):
+    """A seed that starts later than the node that joins through it; a leave; garbage that is counted."""
 
     def table(port, seeds):
-        given = section(tmp_path, listen=f"127.0.0.1:{port}", seeds=seeds, period_ms=100)
+        given = fleet_section(tmp_path, listen=f"127.0.0.1:{port}", seeds=seeds, period_ms=100)
         return {"name": f"n{port}", "fleet": given, "management": "127.0.0.1:0"}
 
     async def scene():
-        ports = [free_udp(), free_udp()]
+        ports = [free_udp_port(), free_udp_port()]
         one = await Bench(config=table(ports[0], [f"127.0.0.1:{ports[1]}"]), peers=False).start()
         await until(lambda: one.node.fleet.sent["sync"] > 0)
         two = await Bench(config=table(ports[1], []), peers=False).start()
@@ -148,19 +129,12 @@
     play(scene)
 
 
-def free_udp():
-    """A port for datagrams that was free a moment ago."""
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as s:
-        s.bind(("127.0.0.1", 0))
-        return s.getsockname()[1]
-
-
-def test_the_process_that_comes_after_takes_the_port(tmp_path):
-    """A process of the same node goes on under its name: the port is tried for until the elder lets it go."""
+def test_a_successor_process_takes_the_port(tmp_path):
+    """A successor retries the port until its predecessor closes it, and goes on under the node's name."""
 
     async def scene():
-        port = free_udp()
-        given = {"fleet": section(tmp_path, listen=f"127.0.0.1:{port}"), "name": "n0"}
+        port = free_udp_port()
+        given = {"fleet": fleet_section(tmp_path, listen=f"127.0.0.1:{port}"), "name": "n0"}
         first = await Bench(config=given, peers=False).start()
         second = Bench(config=given, peers=False)
         with pytest.raises(OSError):
@@ -177,13 +151,13 @@
     play(scene)
 
 
-def test_one_part_s_fault_and_one_bad_address_end_nothing_else(tmp_path, monkeypatch):
+def test_a_component_s_fault_and_a_bad_address_end_nothing_else(tmp_path, monkeypatch):
     """Failure prevented: an exception in a tick, or a member that advertises what cannot be sent to, silences
     the process for good."""
 
     async def scene():
-        given = section(
-            tmp_path, listen=f"127.0.0.1:{free_udp()}", voters=["n0", "b", "c"], period_ms=100, zones={}
+        given = fleet_section(
+            tmp_path, listen=f"127.0.0.1:{free_udp_port()}", voters=["n0", "b", "c"], period_ms=100, zones={}
         )
         bench = await Bench(config={"fleet": given, "management": "127.0.0.1:0"}, peers=False).start()
         fleet = bench.node.fleet
@@ -192,11 +166,11 @@
         assert fleet.events["unsendable"] == 1
         ticks = []
 
-        def broken(now):
+        def failing_tick(now):
             ticks.append(now)
             raise RuntimeError("on purpose")
 
-        monkeypatch.setattr(fleet.swim, "tick", broken)
+        monkeypatch.setattr(fleet.swim, "tick", failing_tick)
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
         await until(lambda: len(ticks) >= 3)
         for path, query, status in (
--- a/tests/test_fleet_clocks.py
+++ b/tests/test_fleet_clocks.py
@@ -11,9 +11,9 @@
 from random import Random
 
 import pytest
+from fleet_section import fleet_section, free_udp_port
 from loopback import PATIENCE, settings
 from test_duties import Members
-from test_fleet import free_udp, section
 from virtual_fleet import HOUR, SEC, EarlierProcess, Process, VirtualFleet, view
 
 from balancer.fleet.clocks import Clocks
@@ -439,7 +439,7 @@
     folder.mkdir(exist_ok=True)
     clock = folder / "clock"
     clock.write_text(str(offset_ms))
-    fleet = section(
+    fleet = fleet_section(
         folder,
         listen=f"127.0.0.1:{port}",
         seeds=[f"127.0.0.1:{s}" for s in seeds],
@@ -485,7 +485,7 @@
 
 
 def test_processes_on_loopback_whose_clocks_are_stepped_know_one_another(tmp_path):
-    ports, pages = [free_udp(), free_udp()], [free_tcp(), free_tcp()]
+    ports, pages = [free_udp_port(), free_udp_port()], [free_tcp(), free_tcp()]
 
     def second(offset_ms):
         return running(tmp_path, "n1", ports[1], pages[1], ports[:1], offset_ms)
--- a/tests/test_fleet_components.py
+++ b/tests/test_fleet_components.py
@@ -1,4 +1,4 @@
-"""The fleet runtime and its components: what one line gives a component, and what a fault in it ends."""
+"""The fleet runtime and its components: what the runtime does for a component, and what a fault ends."""
 
 import asyncio
 import json
@@ -11,8 +11,8 @@
 
 import msgspec
 import pytest
+from fleet_section import fleet_section, free_udp_port, node_file
 from loopback import Bench, play, until
-from test_fleet import free_udp, node_file, section
 
 from balancer.fleet.assembly import components_for
 from balancer.fleet.component import Component, Outgoing
@@ -27,7 +27,7 @@
 
 class ToyKind(IntEnum):
     TOY_HELLO = 200
-    TOY_ANSWER = 201
+    TOY_RESPONSE = 201
 
 
 @dataclass(frozen=True)
@@ -51,14 +51,14 @@
         return ToyMessage(ToyKind(kind), sender, msgspec.msgpack.decode(body, type=str), seq)
 
 
-class Toy(Component):
-    """Says hello to the members and itself by name each period; answers to the address of the sender."""
+class ToyComponent(Component):
+    """Sends hello to the members and to itself by name each period; responds to the sender's address."""
 
     def __init__(self, runtime):
         self.runtime = runtime
-        self.next = 0
+        self.next_tick = 0
         self.ticks = 0
-        self.heard = []
+        self.received_messages = []
         self.calls = []
 
     @property
@@ -67,7 +67,7 @@
 
     def open(self):
         self.calls.append("open")
-        self.next = self.runtime.now() + PERIOD
+        self.next_tick = self.runtime.now() + PERIOD
 
     def close(self):
         self.calls.append("close")
@@ -83,49 +83,49 @@
         return Outgoing(to, ToyMessage(kind, self.runtime.config.name, text))
 
     def deadline(self, now):
-        return self.next
+        return self.next_tick
 
     def tick(self, now):
-        if now < self.next:
+        if now < self.next_tick:
             return []
         self.ticks += 1
-        self.next = now + PERIOD
+        self.next_tick = now + PERIOD
         names = [*self.runtime.alive(), self.runtime.config.name, "nobody"]
         return [self.message(name, ToyKind.TOY_HELLO, "hello") for name in names]
 
     def received(self, now, sender, message):
-        self.heard.append((message.kind, message.sender, message.text, sender))
+        self.received_messages.append((message.kind, message.sender, message.text, sender))
         if message.kind == ToyKind.TOY_HELLO and message.sender != self.runtime.config.name:
-            return [self.message(sender, ToyKind.TOY_ANSWER)]
+            return [self.message(sender, ToyKind.TOY_RESPONSE)]
         return []
 
     def status(self, now):
         return {"toy": {"ticks": self.ticks}}
 
 
-class OddKind(IntEnum):
-    OWNED = 210  # by Broken
+class OtherKind(IntEnum):
+    OWNED = 210  # by FailingComponent
     UNKNOWN = 220  # to all components
 
 
-def odd(kind):
+def other_message(kind):
     return ToyMessage(kind, "two")
 
 
-class OddWire(ToyWire):
+class OtherWire(ToyWire):
     def __init__(self, kind):
         self.kinds = frozenset({int(kind)})
 
     def unpack(self, kind, sender, seq, body):
-        return ToyMessage(OddKind(kind), sender)
+        return ToyMessage(OtherKind(kind), sender)
 
 
-class Broken(Component):
-    """Fails at whatever it is asked to do."""
+class FailingComponent(Component):
+    """Fails at each call."""
 
     @property
     def wires(self):
-        return (OddWire(OddKind.OWNED),)
+        return (OtherWire(OtherKind.OWNED),)
 
     def fail(self, *args):
         raise RuntimeError(ON_PURPOSE)
@@ -134,12 +134,12 @@
 
 
 def with_components(monkeypatch, *kinds):
-    """Adds components as a line in `components_for` would; gives the list that they are made into."""
+    """Adds components as a line in `components_for` would; returns the list that they are made into."""
     made = []
 
     def with_new_components(config, runtime):
         found = components_for(config, runtime)
-        new = [kind(runtime) if kind is Toy else kind() for kind in kinds]
+        new = [kind(runtime) if kind is ToyComponent else kind() for kind in kinds]
         found.ordered += new
         made.extend(new)
         return found
@@ -149,38 +149,40 @@
 
 
 def node(tmp_path, name, port, *seeds, **more):
-    given = section(
+    given = fleet_section(
         tmp_path, listen=f"127.0.0.1:{port}", seeds=[f"127.0.0.1:{s}" for s in seeds], period_ms=100, **more
     )
     return Bench(config={"name": name, "fleet": given, "management": "127.0.0.1:0"}, peers=False)
 
 
-def introduce(fleet, sender):
-    """A sender proves to a process that it is live, as by answering a challenge."""
+def admit_sender(fleet, sender):
+    """A sender has proven to a process that it is live, as by answering a challenge."""
     fleet.guard.senders.begin(sender, fleet.stamp(), fleet.now(), max_age=0)
 
 
-def test_one_line_gives_a_component_messages_ticks_and_its_part_of_the_page(tmp_path, monkeypatch):
-    made = with_components(monkeypatch, Toy)
+def test_a_component_gets_messages_ticks_and_keys_on_the_page(tmp_path, monkeypatch):
+    made = with_components(monkeypatch, ToyComponent)
 
     async def scene():
-        ports = [free_udp(), free_udp()]
+        ports = [free_udp_port(), free_udp_port()]
         one = await node(tmp_path, "one", ports[0], ports[1]).start()
         two = await node(tmp_path, "two", ports[1]).start()
         first, second = made
         address = ("127.0.0.1", ports[1])
-        await until(lambda: (ToyKind.TOY_ANSWER, "two", "", address) in first.heard)  # sent by address
-        await until(lambda: (ToyKind.TOY_HELLO, "two", "hello", address) in first.heard)  # sent by name
-        own = [h for h in first.heard if h[1] == "one"]
-        assert own and all(h[0] == ToyKind.TOY_HELLO for h in own)  # to itself, without a datagram
+        sent_by_address = (ToyKind.TOY_RESPONSE, "two", "", address)
+        sent_by_name = (ToyKind.TOY_HELLO, "two", "hello", address)
+        await until(lambda: sent_by_address in first.received_messages)
+        await until(lambda: sent_by_name in first.received_messages)
+        own = [entry for entry in first.received_messages if entry[1] == "one"]
+        assert own and all(entry[0] == ToyKind.TOY_HELLO for entry in own)  # to itself, without a datagram
         fleet = one.node.fleet
         page = fleet.view()
-        assert page["toy"]["ticks"] >= 1 and page["sent"]["toy_hello"] and page["received"]["toy_answer"]
+        assert page["toy"]["ticks"] >= 1 and page["sent"]["toy_hello"] and page["received"]["toy_response"]
         assert page["events"]["unknown"] >= 1  # nobody is no member
         assert page["duties"] is None and page["replace"] is None
-        assert fleet.deadline() <= first.next
+        assert fleet.deadline() <= first.next_tick
         two.node.fleet.leave()
-        await until(lambda: any(h[2] == "farewell" for h in first.heard))
+        await until(lambda: any(entry[2] == "farewell" for entry in first.received_messages))
         assert second.calls == ["open", "leave", "close"]
         fleet.close()
 
@@ -188,32 +190,34 @@
 
 
 def test_a_fault_in_one_component_is_reported_and_ends_no_other(tmp_path, monkeypatch):
-    """Failure prevented: one component's exception keeps those after it from their ticks for ever."""
-    made = with_components(monkeypatch, Broken, Toy)
+    """Failure prevented: one component's exception keeps those after it from their ticks for good."""
+    made = with_components(monkeypatch, FailingComponent, ToyComponent)
 
     async def scene():
-        bench = node(tmp_path, "one", free_udp(), voters=["one", "b", "c"])
+        bench = node(tmp_path, "one", free_udp_port(), voters=["one", "b", "c"])
         reported = []
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: reported.append(context))
         await bench.start()
         fleet, toy = bench.node.fleet, made[1]
         await until(lambda: toy.ticks >= 3)
         assert str(reported[0]["exception"]) == ON_PURPOSE and fleet.events["fault"] >= 3
-        introduce(fleet, "two")
-        fleet.datagram_received(fleet.codec.encode(odd(OddKind.OWNED), fleet.stamp()), ("127.0.0.1", 9))
+        admit_sender(fleet, "two")
+        fleet.datagram_received(
+            fleet.codec.encode(other_message(OtherKind.OWNED), fleet.stamp()), ("127.0.0.1", 9)
+        )
         assert "toy" in fleet.view()
         claim = Claim("b", ("127.0.0.1", 9), Status.DEAD, 1)
         fleet.member_changed("forgotten", claim)
         fleet.leave()
         failed = {context["message"] for context in reported}
         methods = ("deadline", "tick", "received", "member_forgotten", "status", "leave", "close")
-        assert failed == {f"fleet: Broken.{method} failed" for method in methods}
+        assert failed == {f"fleet: FailingComponent.{method} failed" for method in methods}
         assert toy.calls == ["open", "forgotten b", "leave", "close"] and fleet.transport is None
 
     play(scene)
 
 
-class AlwaysDue(Component):
+class AlwaysDueComponent(Component):
     """Fails at each tick, and so stays due."""
 
     def __init__(self):
@@ -227,15 +231,15 @@
         raise RuntimeError(ON_PURPOSE)
 
 
-def test_a_component_that_fails_and_stays_due_does_not_take_the_core(tmp_path, monkeypatch):
-    """Failure prevented: a fault in the fleet's part is tried again each millisecond, beside the requests."""
-    made = with_components(monkeypatch, AlwaysDue, Toy)
+def test_a_component_that_fails_and_stays_due_does_not_spin_the_core(tmp_path, monkeypatch):
+    """Failure prevented: a fault in the fleet is retried each millisecond, at the cost of requests."""
+    made = with_components(monkeypatch, AlwaysDueComponent, ToyComponent)
 
     async def scene():
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda loop, context: None)
         begun = loop.time()
-        fleet = (await node(tmp_path, "one", free_udp()).start()).node.fleet
+        fleet = (await node(tmp_path, "one", free_udp_port()).start()).node.fleet
         failing, toy = made
         await until(lambda: toy.ticks >= 4)
         assert failing.ticks <= 2 + (loop.time() - begun) / 0.1
@@ -248,21 +252,21 @@
     ("text", "number"),
     [("1", 1), ("086400", 86_400), ("", 0), ("-1", 0), ("1.5", 0), (" 1", 0), ("\u0663", 0), ("9" * 5000, 0)],
 )
-def test_a_number_in_a_query_is_digits_and_no_more_than_makes_sense(text, number):
+def test_a_number_in_a_query_has_only_digits_and_a_bounded_length(text, number):
     assert whole_number(text) == number
 
 
-def test_a_kind_that_no_component_has_is_counted_and_dropped(tmp_path):
+def test_a_message_kind_without_an_owner_is_counted_and_dropped(tmp_path):
     """A later version's message is refused by the codec; one that only the codec knows is not handled."""
 
     async def scene():
-        fleet = (await node(tmp_path, "one", free_udp()).start()).node.fleet
-        unknown = odd(OddKind.UNKNOWN)
-        other = Codec(list(fleet.config.keys), [OddWire(OddKind.UNKNOWN)])
-        introduce(fleet, "two")
+        fleet = (await node(tmp_path, "one", free_udp_port()).start()).node.fleet
+        unknown = other_message(OtherKind.UNKNOWN)
+        other = Codec(list(fleet.config.keys), [OtherWire(OtherKind.UNKNOWN)])
+        admit_sender(fleet, "two")
         fleet.datagram_received(other.encode(unknown, fleet.stamp()), ("127.0.0.1", 9))
         assert fleet.view()["refused"] == {"kind": 1} and "unknown" not in fleet.view()["received"]
-        fleet.codec.parts[int(OddKind.UNKNOWN)] = OddWire(OddKind.UNKNOWN)
+        fleet.codec.parts[int(OtherKind.UNKNOWN)] = OtherWire(OtherKind.UNKNOWN)
         fleet.datagram_received(other.encode(unknown, fleet.stamp()), ("127.0.0.1", 9))
         assert fleet.view()["received"]["unknown"] == 1 and fleet.events["unhandled"] == 1
         fleet.close()
@@ -270,14 +274,14 @@
     play(scene)
 
 
-class Membershiplike(Toy):
+class ComponentWithMembershipKind(ToyComponent):
     @property
     def wires(self):
-        return (OddWire(Kind.PING),)
+        return (OtherWire(Kind.PING),)
 
 
-@pytest.mark.parametrize("kinds", [(Toy, Toy), (Membershiplike,)])
-def test_no_two_components_have_one_kind(kinds):
+@pytest.mark.parametrize("kinds", [(ToyComponent, ToyComponent), (ComponentWithMembershipKind,)])
+def test_a_message_kind_has_one_owner(kinds):
     with pytest.raises(DuplicateKindError, match="is defined twice"):
         Registry([kind(None) for kind in kinds], lambda what, error: None)
 
@@ -312,7 +316,7 @@
 def test_a_component_that_is_not_configured_is_not_imported(tmp_path, changes, packages):
     """Failure prevented: a node pays memory and start-up time for components that its site does not use."""
     assert all(find_spec(name) for name in DECISIONS)  # a module that was renamed would never be imported
-    env = os.environ | node_file(tmp_path, fleet=section(tmp_path, **changes))
+    env = os.environ | node_file(tmp_path, fleet=fleet_section(tmp_path, **changes))
     out = subprocess.run(
         [sys.executable, "-c", IMPORTED], env=env, capture_output=True, text=True, check=True
     )
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -14,6 +14,7 @@
 
 import pytest
 import uvloop
+from fleet_section import fleet_section, free_udp_port
 from loopback import (
     Bench,
     Client,
@@ -45,7 +46,6 @@
     towards,
     with_each,
 )
-from test_fleet import free_udp, section
 
 from balancer.fleet.membership.messages import Kind, Message
 from balancer.net import callers, handover, listener, node, roster, servers, system_faults
@@ -540,7 +540,10 @@
     run, error, tmp_path, monkeypatch
 ):
     """Failure prevented: the node does not start, or never has the port that the process before let go."""
-    given = {"fleet": section(tmp_path, listen=f"127.0.0.1:{free_udp()}"), "peer_listen": "127.0.0.1:0"}
+    given = {
+        "fleet": fleet_section(tmp_path, listen=f"127.0.0.1:{free_udp_port()}"),
+        "peer_listen": "127.0.0.1:0",
+    }
 
     async def scene():
         loop = asyncio.get_running_loop()
@@ -573,9 +576,11 @@
         peer, member = datagram_socket(), datagram_socket()
         names = [spelled(peer.getsockname())]
         given = {"peer_listen": "127.0.0.1:0", "peers": names}
-        fleet_port = free_udp()
+        fleet_port = free_udp_port()
         seeds = [spelled(member.getsockname())]
-        given["fleet"] = section(tmp_path, listen=f"127.0.0.1:{fleet_port}", seeds=seeds, period_ms=60_000)
+        given["fleet"] = fleet_section(
+            tmp_path, listen=f"127.0.0.1:{fleet_port}", seeds=seeds, period_ms=60_000
+        )
         bench = await Bench(Server(), config=given).start()
         peers, fleet = bench.node.peers, bench.node.fleet
         ping = Message(Kind.PING, "n0")
--- a/tests/test_zone_membership.py
+++ b/tests/test_zone_membership.py
@@ -6,10 +6,10 @@
 
 import msgspec
 import pytest
+from fleet_section import fleet_section, free_udp_port
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from loopback import Bench, play, until
-from test_fleet import free_udp, section
 
 from balancer.fleet.config_section import ConfigSection
 from balancer.fleet.membership.codec import Codec
@@ -594,7 +594,7 @@
 
 
 def start_node(tmp_path, zone, port, seeds, membership):
-    fleet = section(
+    fleet = fleet_section(
         tmp_path,
         zone=zone,
         region="north",
@@ -609,7 +609,7 @@
 
 def test_nodes_of_two_zones_show_each_others_zone_and_no_others_members(tmp_path):
     async def scene():
-        a, b, c = free_udp(), free_udp(), free_udp()
+        a, b, c = free_udp_port(), free_udp_port(), free_udp_port()
         to_b = {"scope": "zone", "zone_seeds": {"b": [f"127.0.0.1:{c}"]}}
         nodes = [
             await start_node(tmp_path, "a", a, [], to_b),
@@ -639,7 +639,7 @@
 
 def test_a_node_without_the_table_has_no_such_part_on_its_page(tmp_path):
     async def scene():
-        one = await start_node(tmp_path, "a", free_udp(), [], None)
+        one = await start_node(tmp_path, "a", free_udp_port(), [], None)
         assert "regions" not in one.node.fleet.view()
         one.node.fleet.close()
 
