--- a/tests/test_policy_adapter.py
+++ b/tests/test_policy_adapter.py
@@ -1,4 +1,4 @@
-"""The policy adapter: who probes an ejected server, when a minRTT pass may begin, shares between zones."""
+"""The policy adapter: who checks an ejected server, when minRTT recalculation may begin, zones' shares."""
 
 from dataclasses import replace
 from random import Random
@@ -25,144 +25,151 @@
 PROBE = ProbeSettings(lease=10 * SEC, patience=12 * SEC)
 
 
-class Table:
-    """Askers and their voters at one table: what is said is heard at once, by those not `deaf`."""
+class VirtualGroup:
+    """Members with their lease clients, and voters; messages arrive at once, but for those `unreachable`."""
 
     def __init__(self, *names):
         self.now = 100 * SEC
         self.voters = {v: Voter(v, 1, [LIST], DUTY, 0) for v in LIST.voters}
-        self.askers = {n: Asker(n, i, [LIST], DUTY, Random(i), lambda: 1000) for i, n in enumerate(names)}
-        self.parts = {}
-        self.verdicts = []
-        self.said = []
-        self.deaf = set()
-
-    def carry(self, out, sender):
-        for to, m in out:
-            if isinstance(m, ProbeMessage):
-                self.said.append((sender, to, m))
-                if to not in self.deaf:
-                    self.carry(self.parts[to].received(self.now, m), to)
-            elif to in self.voters and "voters" not in self.deaf:
-                for name, answer in self.voters[to].received(self.now, m):
-                    self.carry(self.askers[name].received(self.now, answer), name)
+        self.lease_clients = {
+            n: Asker(n, i, [LIST], DUTY, Random(i), lambda: 1000) for i, n in enumerate(names)
+        }
+        self.components = {}
+        self.results = []
+        self.sent = []
+        self.unreachable = set()
+
+    def deliver(self, messages, sender):
+        for to, message in messages:
+            if isinstance(message, ProbeMessage):
+                self.sent.append((sender, to, message))
+                if to not in self.unreachable:
+                    self.deliver(self.components[to].received(self.now, message), to)
+            elif to in self.voters and "voters" not in self.unreachable:
+                for name, response in self.voters[to].received(self.now, message):
+                    self.deliver(self.lease_clients[name].received(self.now, response), name)
 
     def run(self, seconds):
-        """Ticks whatever is due, for so long."""
+        """Ticks whatever is due, for so many seconds."""
         end = self.now + int(seconds * SEC)
         for _ in range(100_000):
-            dues = [(d, n) for n, a in self.askers.items() if (d := a.deadline()) is not None]
-            dues += [(d, n) for n, p in self.parts.items() if (d := p.deadline(self.now)) is not None]
-            if not dues or min(dues)[0] > end:
+            deadlines = [(d, n) for n, a in self.lease_clients.items() if (d := a.deadline()) is not None]
+            deadlines += [
+                (d, n) for n, p in self.components.items() if (d := p.deadline(self.now)) is not None
+            ]
+            if not deadlines or min(deadlines)[0] > end:
                 break
-            self.now = max(self.now + 1, min(dues)[0])
-            for name in self.askers:
-                self.carry(self.askers[name].tick(self.now), name)
-                self.carry(self.parts[name].tick(self.now), name)
+            self.now = max(self.now + 1, min(deadlines)[0])
+            for name in self.lease_clients:
+                self.deliver(self.lease_clients[name].tick(self.now), name)
+                self.deliver(self.components[name].tick(self.now), name)
         else:
             raise AssertionError("something is due without end")
         self.now = max(end, self.now)
         return self
 
 
-# ---- trials -----------------------------------------------------------------------------------------------
+# ---- health checks ---------------------------------------------------------------------------------------
 
 
-def probing(zones):
-    """A process for each name, with its zone."""
-    t = Table(*zones)
+def health_checking_group(zones):
+    """A member for each name, with its zone."""
+    group = VirtualGroup(*zones)
     for name, zone in zones.items():
         others = [n for n in zones if n != name]
 
-        def tell(server, well, name=name):
-            t.verdicts.append((name, server, well))
-            if well:  # as the module does
-                t.parts[name].back(t.now, server, False)
+        def on_result(server, well, name=name):
+            group.results.append((name, server, well))
+            if well:  # as the policy does
+                group.components[name].back(group.now, server, False)
 
-        t.parts[name] = Probe(name, zone, PROBE, t.askers[name], lambda o=others: o, tell, Random(1))
-    return t
+        group.components[name] = Probe(
+            name, zone, PROBE, group.lease_clients[name], lambda o=others: o, on_result, Random(1)
+        )
+    return group
 
 
-def aside(t, names, server=7, wait=2 * SEC):
+def eject(group, names, server=7, wait=2 * SEC):
     for name in names:
-        t.parts[name].set_aside(t.now, server, wait)
-    return t.run(1)
+        group.components[name].set_aside(group.now, server, wait)
+    return group.run(1)
 
 
-def tries(t, server=7):
-    return [n for n, p in t.parts.items() if p.may_try(t.now, server)]
+def checkers(group, server=7):
+    return [n for n, p in group.components.items() if p.may_try(group.now, server)]
 
 
-def test_one_node_a_zone_tries_and_passes_the_verdict_on():
-    t = aside(probing({"a": "x", "b": "x", "c": "x", "d": "y"}), "abcd")
-    first, other = tries(t)
+def test_one_node_a_zone_checks_and_publishes_the_result():
+    group = eject(health_checking_group({"a": "x", "b": "x", "c": "x", "d": "y"}), "abcd")
+    first, other = checkers(group)
     assert other == "d" and first in "abc"
-    t.parts[first].set_aside(t.now, 7, 4 * SEC)  # in vain
-    t.run(0.1)
-    assert sorted(t.verdicts) == [(n, 7, False) for n in "abc" if n != first]
-    t.verdicts.clear()
-    t.parts[first].back(t.now, 7, True)
-    t.run(3)
-    assert sorted(t.verdicts) == [(n, 7, True) for n in "abc" if n != first]
-    assert t.askers[first].wanted == {} and t.parts["a"].counts["old_token"] == 0
-    assert set(tries(t)) >= {"d", first}
+    group.components[first].set_aside(group.now, 7, 4 * SEC)  # in vain
+    group.run(0.1)
+    assert sorted(group.results) == [(n, 7, False) for n in "abc" if n != first]
+    group.results.clear()
+    group.components[first].back(group.now, 7, True)
+    group.run(3)
+    assert sorted(group.results) == [(n, 7, True) for n in "abc" if n != first]
+    assert group.lease_clients[first].wanted == {} and group.components["a"].counts["old_token"] == 0
+    assert set(checkers(group)) >= {"d", first}
 
 
 @pytest.mark.parametrize(
-    ("deaf", "seconds", "count"),  # who hears nothing, how long after the holder's last word, how many try
+    # Who gets nothing, how long after the holder's last message, and how many check then.
+    ("unreachable", "seconds", "count"),
     [
         ((), 5, 1),
-        (("a", "b", "c"), 5, 1),  # the voters' denials say as much as the holder
+        (("a", "b", "c"), 5, 1),  # the voters' denials show as much as the holder
         (("voters",), 5, 0),  # no majority: nobody is the holder
-        (("voters",), 13, 3),  # ...and after a patience all do as they would alone
+        (("voters",), 13, 3),  # ...and after a timeout all decide as on a node alone
     ],
 )
-def test_without_a_word_each_node_does_as_alone_after_its_patience(deaf, seconds, count):
-    t = probing({"a": "x", "b": "x", "c": "x"})
-    t.deaf = set(deaf)
-    aside(t, "abc", wait=20 * SEC).run(seconds - 1)
-    assert len(tries(t)) == count
+def test_without_messages_each_node_decides_alone_after_its_timeout(unreachable, seconds, count):
+    group = health_checking_group({"a": "x", "b": "x", "c": "x"})
+    group.unreachable = set(unreachable)
+    eject(group, "abc", wait=20 * SEC).run(seconds - 1)
+    assert len(checkers(group)) == count
 
 
-def test_who_has_no_calls_to_try_with_gives_the_duty_up():
-    t = aside(probing({"a": "x", "b": "x"}), "ab")
-    (first,) = tries(t)
-    t.run(2 + PROBE.slack / SEC)  # which is longer than it stays idle
-    assert first not in tries(t) and len(tries(t)) == 1
-    assert t.parts[first].counts["idle"] == 1
+def test_a_holder_without_calls_to_check_with_releases_the_lease():
+    group = eject(health_checking_group({"a": "x", "b": "x"}), "ab")
+    (first,) = checkers(group)
+    group.run(2 + PROBE.slack / SEC)  # which is longer than it stays idle
+    assert first not in checkers(group) and len(checkers(group)) == 1
+    assert group.components[first].counts["idle"] == 1
 
 
-def test_an_old_holder_s_word_is_refused_by_its_token():
-    t = aside(probing({"a": "x", "b": "x"}), "ab")
-    holder, other = sorted("ab", key=lambda n: n not in tries(t))
-    token = t.parts[holder].token(t.now, 7)
+def test_a_former_holder_s_result_is_refused_by_its_token():
+    group = eject(health_checking_group({"a": "x", "b": "x"}), "ab")
+    holder, other = sorted("ab", key=lambda n: n not in checkers(group))
+    token = group.components[holder].token(group.now, 7)
     late = ProbeMessage(ProbeKind.WELL, "z", "x", (Trial(7, token - 1),))
-    t.parts[other].received(t.now, late)
-    t.run(2)
-    assert t.verdicts == [] and t.parts[other].counts["old_token"] == 1
-    t.parts[other].received(t.now, replace(late, zone="y", trials=(Trial(7, token + 1),)))
-    assert t.run(2).verdicts == []  # another zone's
+    group.components[other].received(group.now, late)
+    group.run(2)
+    assert group.results == [] and group.components[other].counts["old_token"] == 1
+    group.components[other].received(group.now, replace(late, zone="y", trials=(Trial(7, token + 1),)))
+    assert group.run(2).results == []  # another zone's
 
 
-def test_a_holder_that_lost_the_duty_says_nothing():
-    t = aside(probing({"a": "x", "b": "x"}), "ab")
-    (holder,) = tries(t)
-    t.deaf = {"voters"}
-    t.run(11)
-    t.said.clear()
-    t.parts[holder].back(t.now, 7, True)
-    assert t.run(2).said == []
+def test_a_holder_that_lost_its_lease_publishes_nothing():
+    group = eject(health_checking_group({"a": "x", "b": "x"}), "ab")
+    (holder,) = checkers(group)
+    group.unreachable = {"voters"}
+    group.run(11)
+    group.sent.clear()
+    group.components[holder].back(group.now, 7, True)
+    assert group.run(2).sent == []
 
 
-def test_words_that_are_kept_are_bounded():
-    t = probing({"a": "x"})
+def test_results_that_are_kept_are_bounded():
+    group = health_checking_group({"a": "x"})
     for i in range(3 * PROBE.heard_most):
-        word = ProbeMessage(ProbeKind.TRYING, "z", "x", (Trial(i, 5, SEC),))
-        t.parts["a"].received(t.now, word)
-    assert len(t.parts["a"].heard) == len(t.parts["a"].seen) == PROBE.heard_most
+        message = ProbeMessage(ProbeKind.TRYING, "z", "x", (Trial(i, 5, SEC),))
+        group.components["a"].received(group.now, message)
+    assert len(group.components["a"].heard) == len(group.components["a"].seen) == PROBE.heard_most
 
 
-def test_trials_on_the_wire():
+def test_health_checks_on_the_wire():
     codec = Codec([b"k" * 20], [ProbeWire()])
     message = ProbeMessage(ProbeKind.FAILED, "a", "x", (Trial((1 << 64) - 1, 9, 5 * SEC), Trial(0, 1)))
     assert codec.decode(codec.encode(message, SEC), SEC) == message
@@ -172,161 +179,167 @@
     assert codec.decode(codec.encode(many, SEC), SEC) is not None  # all that one may hold fits
 
 
-# ---- passes -----------------------------------------------------------------------------------------------
+# ---- minRTT recalculation --------------------------------------------------------------------------------
 
 
-def passing(count, share):
-    t = Table(*(f"n{i}" for i in range(count)))
+def recalculating_group(count, share):
+    group = VirtualGroup(*(f"n{i}" for i in range(count)))
     settings = RemeasureSettings(share)
-    for i, name in enumerate(t.askers):
-        t.parts[name] = Remeasure(0, count, settings, t.askers[name], Random(i))
-    return t
+    for i, name in enumerate(group.lease_clients):
+        group.components[name] = Remeasure(0, count, settings, group.lease_clients[name], Random(i))
+    return group
 
 
-def passes_of(t, seconds, length=1.0):
-    """All nodes are due for a pass; the module asks each 0.1 s. Begins in order, the most at once."""
-    begun, on, most = [], {}, 0
+def recalculations_of(group, seconds, length=1.0):
+    """All nodes are due; each policy asks every 0.1 s. Begins in order, and the largest number at once."""
+    begun, running, max_running = [], {}, 0
     for _ in range(int(seconds * 10)):
-        for name, p in t.parts.items():
-            if name not in dict(begun) and p.may(t.now):
-                begun.append((name, t.now))
-                on[name] = t.now + int(length * SEC)
-            elif name in on and t.now >= on[name]:
-                del on[name]
-                p.passed(t.now)
-        most = max(most, len(on))
-        t.run(0.1)
-    return begun, most
+        for name, p in group.components.items():
+            if name not in dict(begun) and p.may(group.now):
+                begun.append((name, group.now))
+                running[name] = group.now + int(length * SEC)
+            elif name in running and group.now >= running[name]:
+                del running[name]
+                p.passed(group.now)
+        max_running = max(max_running, len(running))
+        group.run(0.1)
+    return begun, max_running
 
 
 @pytest.mark.parametrize(("count", "share", "places"), [(10, 0.2, 2), (10, 0.01, 1), (12, 0.5, 6)])
-def test_so_many_at_most_are_in_a_pass_and_all_get_theirs(count, share, places):
-    t = passing(count, share)
-    assert t.parts["n0"].places == places
-    begun, most = passes_of(t, 25)
-    assert most == places and len(begun) == count
-    assert all(p.counts["without_a_place"] == 0 for p in t.parts.values())
-    t.run(5)
-    assert all(a.wanted == {} for a in t.askers.values())
-
-
-def test_who_gets_no_place_passes_anyway_but_not_all_at_once():
-    t = passing(6, 0.2)
-    t.deaf = {"voters"}
+def test_recalculations_at_once_are_bounded_and_all_get_theirs(count, share, places):
+    group = recalculating_group(count, share)
+    assert group.components["n0"].places == places
+    begun, max_running = recalculations_of(group, 25)
+    assert max_running == places and len(begun) == count
+    assert all(p.counts["without_a_place"] == 0 for p in group.components.values())
+    group.run(5)
+    assert all(a.wanted == {} for a in group.lease_clients.values())
+
+
+def test_nodes_without_a_place_recalculate_anyway_but_not_all_at_once():
+    group = recalculating_group(6, 0.2)
+    group.unreachable = {"voters"}
     bound = RemeasureSettings(0.2).bound / SEC
-    assert passes_of(t, bound - 0.5) == ([], 0)
-    begun, _ = passes_of(t, bound * 0.6)
+    assert recalculations_of(group, bound - 0.5) == ([], 0)
+    begun, _ = recalculations_of(group, bound * 0.6)
     times = sorted(at for _, at in begun)
     assert len(times) == 6 and times[-1] - times[0] > 4 * SEC
 
 
-def test_a_pass_without_end_gives_its_place_back_and_one_not_due_any_more_asks_no_longer():
-    t = passing(2, 0.5)
-    (one, other) = t.parts.values()
-    while not one.may(t.now):
-        t.run(0.1)
-    assert one.token(t.now) is not None
-    t.run(11)
-    assert one.token(t.now) is None and one.view(t.now)["stage"] == "passes"
-    other.may(t.now)
-    t.run(1)
-    assert t.askers["n1"].wanted
-    t.run(3)
-    assert t.askers["n1"].wanted == {}
+def test_a_recalculation_without_end_releases_its_place_and_one_not_due_requests_none():
+    group = recalculating_group(2, 0.5)
+    (one, other) = group.components.values()
+    while not one.may(group.now):
+        group.run(0.1)
+    assert one.token(group.now) is not None
+    group.run(11)
+    assert one.token(group.now) is None and one.view(group.now)["stage"] == "passes"
+    other.may(group.now)
+    group.run(1)
+    assert group.lease_clients["n1"].wanted
+    group.run(3)
+    assert group.lease_clients["n1"].wanted == {}
 
 
-# ---- the adapter itself -----------------------------------------------------------------------------------
+# ---- the adapter itself ----------------------------------------------------------------------------------
 
 
-def adapter(tmp_path, **changes):
-    """An adapter on a clock that the test sets, servers 1 to 6 in zones 0 and 1, and what it told."""
+def make_adapter(tmp_path, **changes):
+    """An adapter on a clock that the test sets, servers 1 to 6 in zones 0 and 1, and what it published."""
     key = tmp_path / "key"
     key.write_text("k" * 20)
     key.chmod(0o600)
     table = {"zone": "x", "listen": "127.0.0.1:1", "key": str(key)} | changes
-    clock, told = [100 * SEC], []
-    h = PolicyAdapter(
-        read_fleet(table, "a"), BASE, lambda: clock[0], lambda: 10**15 + clock[0], lambda: None, told.append
+    clock, published = [100 * SEC], []
+    adapter = PolicyAdapter(
+        read_fleet(table, "a"),
+        BASE,
+        lambda: clock[0],
+        lambda: 10**15 + clock[0],
+        lambda: None,
+        published.append,
     )
-    h.on_probe_result = lambda server, well: told.append((server, well))
-    h.on_shares = lambda shares, trips: told.append((shares, trips))
-    h.open(lambda: ["b"], Random(1))
+    adapter.on_probe_result = lambda server, well: published.append((server, well))
+    adapter.on_shares = lambda shares, trips: published.append((shares, trips))
+    adapter.open(lambda: ["b"], Random(1))
     entries = [ServerEntry(i, zone=i % 2) for i in range(1, 7)]
-    h.server_list(0, ListKind.FULL, entries, {"y": 0, "x": 1})
-    return h, clock, told
+    adapter.server_list(0, ListKind.FULL, entries, {"y": 0, "x": 1})
+    return adapter, clock, published
 
 
-def test_without_its_keys_an_adapter_holds_nothing_back(tmp_path):
-    h, clock, told = adapter(tmp_path)
-    assert h.may_pass() and h.may_try(1) and h.tick(clock[0]) == [] and h.deadline(clock[0]) is None
-    h.set_aside(1, SEC)
-    h.attempt_ended(1, Outcome.ERROR, 1000, 0.1)
-    h.back(1, True)
-    h.passed()
-    assert told == [] and h.status(clock[0]) == {}
+def test_an_adapter_without_configuration_restrains_nothing(tmp_path):
+    adapter, clock, published = make_adapter(tmp_path)
+    assert adapter.may_pass() and adapter.may_try(1)
+    assert adapter.tick(clock[0]) == [] and adapter.deadline(clock[0]) is None
+    adapter.set_aside(1, SEC)
+    adapter.attempt_ended(1, Outcome.ERROR, 1000, 0.1)
+    adapter.back(1, True)
+    adapter.passed()
+    assert published == [] and adapter.status(clock[0]) == {}
 
 
-def test_the_module_hears_of_shares_and_ways_that_have_moved(tmp_path):
-    h, clock, told = adapter(tmp_path, zones={})
-    h.tick(clock[0])
-    assert told == [({1: 1.0, 0: 0.0}, {0: 0})]
+def test_the_policy_gets_shares_and_round_trips_that_have_changed(tmp_path):
+    adapter, clock, published = make_adapter(tmp_path, zones={})
+    adapter.tick(clock[0])
+    assert published == [({1: 1.0, 0: 0.0}, {0: 0})]
 
     def later(seconds=0.6):
         clock[0] += int(seconds * SEC)
-        before = len(told)
-        h.tick(clock[0])
-        return told[before:]
+        before = len(published)
+        adapter.tick(clock[0])
+        return published[before:]
 
     assert later() == []
-    h.attempt_ended(1, Outcome.OK, 9000, 0.001)
-    h.attempt_ended(2, Outcome.OK, 9000, 0.021)
+    adapter.attempt_ended(1, Outcome.OK, 9000, 0.001)
+    adapter.attempt_ended(2, Outcome.OK, 9000, 0.021)
     assert later() == [({1: 1.0, 0: 0.0}, {0: 20_000})]
     for server in (1, 3):  # two of the own zone's three
-        h.set_aside(server, SEC)
+        adapter.set_aside(server, SEC)
     ((shares, _),) = later()
-    assert 0 < shares[1] < 1 and h.may_try(1)
-    assert h.zone_traffic.orders.say("y", 60 * SEC)
-    ((shares, _),) = [t for t in later(1.1) if isinstance(t, tuple)]
-    assert set(shares) == {1} and not h.may_try(2) and h.may_try(1)
-    h.close()
-    assert h.may_try(2)
+    assert 0 < shares[1] < 1 and adapter.may_try(1)
+    assert adapter.zone_traffic.orders.say("y", 60 * SEC)
+    ((shares, _),) = [entry for entry in later(1.1) if isinstance(entry, tuple)]
+    assert set(shares) == {1} and not adapter.may_try(2) and adapter.may_try(1)
+    adapter.close()
+    assert adapter.may_try(2)
 
 
-# ---- the module's side ------------------------------------------------------------------------------------
+# ---- the policy's side -----------------------------------------------------------------------------------
 
 
-class Hook(Alone):
-    """Answers as told, and keeps what it was told."""
+class RecordingFleet(Alone):
+    """Allows as set, and records calls."""
 
     def __init__(self):
-        self.yes = True
-        self.heard = []
+        self.allows = True
+        self.calls = []
 
     def may_try(self, server):
-        return self.yes
+        return self.allows
 
     def may_pass(self):
-        return self.yes
+        return self.allows
 
     def passed(self):
-        self.heard.append("passed")
+        self.calls.append("passed")
 
     def set_aside(self, server, wait):
-        self.heard.append(("aside", server, wait))
+        self.calls.append(("aside", server, wait))
 
     def back(self, server, well):
-        self.heard.append(("back", server, well))
+        self.calls.append(("back", server, well))
 
 
-def module(hook):
-    node = Balancer(replace(BASE, max_attempts=1), 1, Recorder(), hook)
+def make_balancer(fleet):
+    node = Balancer(replace(BASE, max_attempts=1), 1, Recorder(), fleet)
     node.start(0)
     node.server_list(0, ListKind.FULL, [ServerEntry(i) for i in range(1, 7)])
     return node
 
 
-def call(node, now, number, outcome):
-    """One request; the outcome of its attempt by the server it went to, which is given."""
+def send_request(node, now, number, outcome):
+    """One request, with the outcome by server; returns the server that it went to."""
     node.request(now, number, 0, 0, 2 * SEC, False)
     sent = [action for action in node.actions.take("send") if action[1] == number]
     if not sent:
@@ -336,32 +349,32 @@
     return server
 
 
-def test_the_module_asks_before_a_trial_and_takes_another_s_verdict():
-    hook = Hook()
-    node = module(hook)
+def test_the_policy_asks_before_a_check_and_accepts_another_s_result():
+    fleet = RecordingFleet()
+    node = make_balancer(fleet)
     bad = next(iter(node.subset.members)).id
     outcome = lambda server: Outcome.RESET if server == bad else Outcome.OK  # noqa: E731
     now, number = 100_000, 0
-    while ("aside", bad) not in [h[:2] for h in hook.heard]:
+    while ("aside", bad) not in [entry[:2] for entry in fleet.calls]:
         number, now = number + 1, now + 20_000
-        call(node, now, number, outcome)
+        send_request(node, now, number, outcome)
         assert number < 500
-    hook.yes = False
-    for _ in range(300):  # six seconds: its trial is due after two
+    fleet.allows = False
+    for _ in range(300):  # six seconds: its check is due after two
         number, now = number + 1, now + 20_000
-        assert call(node, now, number, outcome) != bad
+        assert send_request(node, now, number, outcome) != bad
     node.tried(now, bad, False)
-    assert hook.heard[-1][0] == "aside" and node.servers[bad].trial_at > now
+    assert fleet.calls[-1][0] == "aside" and node.servers[bad].trial_at > now
     node.tried(now, bad, True)
-    assert hook.heard[-1] == ("back", bad, False) and not node.servers[bad].ejected
-    node.tried(now, bad, True)  # not set aside any more: nothing
+    assert fleet.calls[-1] == ("back", bad, False) and not node.servers[bad].ejected
+    node.tried(now, bad, True)  # not ejected any more: no effect
     node.tried(now, 99, True)
-    assert hook.heard[-1] == ("back", bad, False)
+    assert fleet.calls[-1] == ("back", bad, False)
 
 
-def test_the_module_waits_with_its_pass_until_it_may():
-    hook = Hook()
-    node = module(hook)
+def test_the_policy_delays_its_recalculation_until_allowed():
+    fleet = RecordingFleet()
+    node = make_balancer(fleet)
     ctl = node.controller
     now, number = 0, 0
 
@@ -369,13 +382,13 @@
         nonlocal now, number
         for _ in range(int(seconds * 50)):
             number, now = number + 1, now + 20_000
-            call(node, now, number, lambda server: Outcome.OK)
+            send_request(node, now, number, lambda server: Outcome.OK)
 
     go(5)
-    assert ctl.recalculations == 1 and hook.heard == ["passed"]
-    hook.yes = False
+    assert ctl.recalculations == 1 and fleet.calls == ["passed"]
+    fleet.allows = False
     go(70)
     assert ctl.recalculations == 1 and not ctl.recalculating
-    hook.yes = True
+    fleet.allows = True
     go(5)
     assert ctl.recalculations == 2
