--- a/balancer/fleet/config.py
+++ b/balancer/fleet/config.py
@@ -50,12 +50,12 @@
         voters: Names of the processes that vote on leases.
         old_voters: The list of voters before, while it is being changed.
         lease: Duration of a lease.
-        longest: Longest lease that any process of the fleet requests, and how long a voter abstains after
+        max_lease: Longest lease that any process of the fleet requests, and how long a voter abstains after
             its start.
         votes: A directory that outlives the process, if there is one, for a voter's highest number.
         period: Interval of membership's health checks.
-        probe: Whether one node a zone health-checks an ejected server for the others.
-        remeasure: Share of the tier's nodes that may recalculate their minRTT at once; 0: no bound.
+        health_checks: Whether one node a zone health-checks an ejected server for the others.
+        min_rtt_share: Share of the tier's nodes that may recalculate their minRTT at once; 0: no bound.
         zones: Settings of zone routing; None: the policy alone chooses between zones.
         clock_file: In labs, a file with the wall clock's offset in milliseconds.
         membership: Settings of membership by zone; None: one group spans the fleet.
@@ -71,11 +71,11 @@
     voters: tuple[str, ...]
     old_voters: tuple[str, ...]
     lease: int
-    longest: int
+    max_lease: int
     votes: Path | None
     period: int
-    probe: bool
-    remeasure: float
+    health_checks: bool
+    min_rtt_share: float
     zones: ZoneSettings | None
     clock_file: str | None
     membership: ZoneMembershipSettings | None = None
@@ -108,11 +108,11 @@
         voters=read_voters(section, "voters"),
         old_voters=read_voters(section, "old_voters"),
         lease=section.whole("lease_ms", 3_000, *LEASE_MS) * 1000,
-        longest=section.whole("longest_lease_ms", 10_000, *LEASE_MS) * 1000,
+        max_lease=section.whole("longest_lease_ms", 10_000, *LEASE_MS) * 1000,
         votes=read_votes_directory(section),
         period=section.whole("period_ms", 1000, *PERIOD_MS) * 1000,
-        probe=section.flag("probe"),
-        remeasure=section.number("remeasure", 0, 0, 1),
+        health_checks=section.flag("probe"),
+        min_rtt_share=section.number("remeasure", 0, 0, 1),
         zones=read_zones(section),
         membership=read_membership_table(section),
         clock_file=lab.file_path("clock_file") if "clock_file" in lab.table else None,
@@ -125,10 +125,10 @@
 
 def check_combinations(section: ConfigSection, found: FleetConfig) -> None:
     """Adds a fault for each key that is impossible beside another."""
-    if found.lease > found.longest:
-        allowed = f"must be at most longest_lease_ms, {found.longest // 1000}"
+    if found.lease > found.max_lease:
+        allowed = f"must be at most longest_lease_ms, {found.max_lease // 1000}"
         section.fault("lease_ms", found.lease // 1000, allowed)
-    for key, is_on in (("probe", found.probe), ("remeasure", found.remeasure)):
+    for key, is_on in (("probe", found.health_checks), ("remeasure", found.min_rtt_share)):
         if is_on and not found.voters:
             section.fault("voters", None, f"must be given where {key} is")
     if found.old_voters and not found.voters:
--- a/balancer/fleet/leases/part.py
+++ b/balancer/fleet/leases/part.py
@@ -35,7 +35,7 @@
         self.quiet = quiet  # beginnings of duties that come and go too often for the log
         self.log = log
         self.wire = DutyWire()
-        self.settings = DutySettings(lease=config.lease, longest=config.longest)
+        self.settings = DutySettings(lease=config.lease, longest=config.max_lease)
         lists = (config.voters, config.old_voters)
         self.lists = [Electorate(voters) for voters in lists if voters]
         self.voter: Voter | None = None
--- a/balancer/fleet/policy_adapter.py
+++ b/balancer/fleet/policy_adapter.py
@@ -32,8 +32,8 @@
 class PolicyAdapter:
     """Implements `interface.Fleet`.
 
-    Before `open` and after `close` the policy decides as on a node alone. The owner sets `on_probe_result`
-    and `on_shares` before `open`.
+    Before `open` and after `close` the policy decides as on a node alone. The owner sets
+    `on_health_check_result` and `on_shares` before `open`.
 
     Args:
         config: The process's place in its fleet.
@@ -58,7 +58,7 @@
         self.now = now
         self.schedule = schedule
         self.log_line = log_line
-        self.on_probe_result: HealthCheckResult
+        self.on_health_check_result: HealthCheckResult
         self.on_shares: PublishShares
         self.health_checks: Probe | None = None
         self.min_rtt: Remeasure | None = None
@@ -95,32 +95,32 @@
             self.zone_traffic.open(alive, rng)
             self.handlers |= dict.fromkeys(self.zone_traffic.kinds, self.zone_traffic.received)
 
-    def use_leases(self, asker: Asker, rng: Random) -> None:
+    def use_leases(self, lease_client: Asker, rng: Random) -> None:
         """Opens what needs leases, which there are once voters are configured."""
-        if self.config.probe:
-            self.open_health_checks(asker, rng)
-        if self.config.remeasure:
-            self.open_min_rtt(asker, rng)
+        if self.config.health_checks:
+            self.open_health_checks(lease_client, rng)
+        if self.config.min_rtt_share:
+            self.open_min_rtt(lease_client, rng)
 
-    def open_health_checks(self, asker: Asker, rng: Random) -> None:
+    def open_health_checks(self, lease_client: Asker, rng: Random) -> None:
         """From here on one node a zone checks an ejected server."""
         from balancer.fleet.health_checks.decisions import Probe
         from balancer.fleet.health_checks.messages import ProbeKind
         from balancer.fleet.health_checks.settings import settings_for
 
         config = self.config
-        settings = settings_for(config.longest)
+        settings = settings_for(config.max_lease)
         self.health_checks = Probe(
-            config.name, config.zone, settings, asker, self.alive, self.on_probe_result, rng
+            config.name, config.zone, settings, lease_client, self.alive, self.on_health_check_result, rng
         )
         self.handlers |= dict.fromkeys(ProbeKind, self.health_checks.received)
 
-    def open_min_rtt(self, asker: Asker, rng: Random) -> None:
+    def open_min_rtt(self, lease_client: Asker, rng: Random) -> None:
         """From here on a share of the tier's nodes at most recalculates its minRTT at once."""
         from balancer.fleet.min_rtt.decisions import Remeasure, RemeasureSettings
 
-        bounds = RemeasureSettings(self.config.remeasure)
-        self.min_rtt = Remeasure(self.settings.tier, self.settings.instances, bounds, asker, rng)
+        bounds = RemeasureSettings(self.config.min_rtt_share)
+        self.min_rtt = Remeasure(self.settings.tier, self.settings.instances, bounds, lease_client, rng)
 
     def close(self) -> None:
         """From here on the policy decides as on a node alone."""
--- a/balancer/fleet/policy_component.py
+++ b/balancer/fleet/policy_component.py
@@ -37,9 +37,9 @@
     def open(self) -> None:
         """Opens the adapter, and hands it the lease client where there is one."""
         self.adapter.open(self.runtime.alive, self.runtime.rng)
-        asker = self.leases.duties.asker if self.leases is not None else None
-        if asker is not None:
-            self.adapter.use_leases(asker, self.runtime.rng)
+        lease_client = self.leases.duties.asker if self.leases is not None else None
+        if lease_client is not None:
+            self.adapter.use_leases(lease_client, self.runtime.rng)
 
     def close(self) -> None:
         """From here on the policy decides as on a node alone."""
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -82,7 +82,7 @@
         adapter = None if self.fleet is None else self.fleet.policy_adapter
         self.balancer = Balancer(config.settings, config.seed, self, adapter)
         if adapter is not None:
-            adapter.on_probe_result, adapter.on_shares = self.tried, self.spread
+            adapter.on_health_check_result, adapter.on_shares = self.tried, self.spread
             self.roster.heard = adapter.server_list
             if config.fleet is not None and config.fleet.zones is not None:
                 self.requests.heard = adapter.attempt_ended
--- a/tests/test_policy_adapter.py
+++ b/tests/test_policy_adapter.py
@@ -260,7 +260,7 @@
         lambda: None,
         published.append,
     )
-    adapter.on_probe_result = lambda server, well: published.append((server, well))
+    adapter.on_health_check_result = lambda server, well: published.append((server, well))
     adapter.on_shares = lambda shares, trips: published.append((shares, trips))
     adapter.open(lambda: ["b"], Random(1))
     entries = [ServerEntry(i, zone=i % 2) for i in range(1, 7)]
--- a/workbench/explore/runtime_net.py
+++ b/workbench/explore/runtime_net.py
@@ -156,7 +156,7 @@
         runtime = FleetRuntime(config, loop, seed, QuietLog(machine.name, 0), life, end, settings)
         runtime.clocks = VirtualClocks(self.clock, machine)
         runtime.policy_adapter.on_shares = lambda shares, round_trips: None
-        runtime.policy_adapter.on_probe_result = lambda server, well: None
+        runtime.policy_adapter.on_health_check_result = lambda server, well: None
         finish(runtime.open())
         return runtime
 
@@ -181,11 +181,11 @@
         voters=tuple(m.name for m in machines[:voters]),
         old_voters=(),
         lease=3 * SECOND,
-        longest=3 * SECOND,
+        max_lease=3 * SECOND,
         votes=None,
         period=SECOND,
-        probe=False,
-        remeasure=0.0,
+        health_checks=False,
+        min_rtt_share=0.0,
         zones=ZoneSettings(),
         clock_file=None,
     )
--- a/workbench/simulator/fleet.py
+++ b/workbench/simulator/fleet.py
@@ -133,8 +133,8 @@
         names = tuple(f"n{i}" for i in range(uses.voters))
         config = FleetConfig(
             name=self.name, zone=f"z{settings.zone}", region="", listen=NOWHERE, advertise=NOWHERE, seeds=(),
-            keys=(), voters=names, old_voters=(), lease=uses.lease, longest=uses.longest, votes=None,
-            period=1_000_000, probe=uses.probe, remeasure=uses.remeasure, clock_file=None,
+            keys=(), voters=names, old_voters=(), lease=uses.lease, max_lease=uses.longest, votes=None,
+            period=1_000_000, health_checks=uses.probe, min_rtt_share=uses.remeasure, clock_file=None,
             zones=self.zone_settings(world, settings.zone),
         )  # fmt: skip
         duties = DutySettings(lease=uses.lease, longest=uses.longest)
@@ -144,7 +144,7 @@
         )
         if uses.strict and self.adapter.zone_traffic is not None:
             self.adapter.zone_traffic.zones_class = StrictlyLocal
-        self.adapter.on_probe_result = self.verdict
+        self.adapter.on_health_check_result = self.verdict
         self.asker = Asker(self.name, seed & 0xFFFFFF, lists, duties, self.rng, self.wall)
         votes = lists if self.name in names else []
         self.voter = Voter(self.name, 1, votes, duties, self.now())
