--- a/tests/fleet_section.py
+++ b/tests/fleet_section.py
@@ -1,4 +1,4 @@
-"""Configurations of nodes with a `fleet` section."""
+"""Nodes with a `fleet` section: their configuration and their fleet runtime."""
 
 from __future__ import annotations
 
@@ -7,7 +7,9 @@
 from pathlib import Path
 from typing import Any
 
-from loopback import settings
+from loopback import Bench, settings
+
+from balancer.fleet.runtime import FleetRuntime
 
 OWNER_ONLY = 0o600
 
@@ -41,3 +43,9 @@
         probe.bind(("127.0.0.1", 0))
         port: int = probe.getsockname()[1]
         return port
+
+
+def fleet_of(bench: Bench) -> FleetRuntime:
+    """The fleet runtime of a node that has one."""
+    assert bench.node.fleet is not None
+    return bench.node.fleet
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,9 +5,11 @@
 import os
 import subprocess
 import sys
+from pathlib import Path
+from typing import Any
 
 import pytest
-from fleet_section import fleet_section, free_udp_port, key_file, node_file
+from fleet_section import fleet_of, fleet_section, free_udp_port, key_file, node_file
 from loopback import Bench, play, until
 
 from balancer.fleet.config import FleetConfigError, read_fleet
@@ -52,7 +54,9 @@
         ({"key": "/nowhere/key"}, ["fleet.key: /nowhere/key: No such file or directory"]),
     ],
 )
-def test_all_faults_of_the_section_are_reported_at_once(tmp_path, changes, lines):
+def test_all_faults_of_the_section_are_reported_at_once(
+    tmp_path: Path, changes: dict[str, Any], lines: list[str]
+) -> None:
     """Failure prevented: an operator mends one line, starts again, and reads of the next."""
     table = fleet_section(tmp_path, **changes)
     if not lines:
@@ -69,13 +73,15 @@
 @pytest.mark.parametrize(
     ("mode", "text", "part"), [(0o644, "k" * 20, "chmod 600"), (0o600, "short", "16 to")]
 )
-def test_a_key_that_others_may_read_or_guess_is_refused(tmp_path, mode, text, part):
+def test_a_key_that_others_may_read_or_guess_is_refused(
+    tmp_path: Path, mode: int, text: str, part: str
+) -> None:
     key = key_file(tmp_path, text, mode)
     with pytest.raises(FleetConfigError, match=part):
         read_fleet(fleet_section(tmp_path, key=key), "n0")
 
 
-def test_a_node_without_the_section_imports_nothing_of_the_fleet(tmp_path):
+def test_a_node_without_the_section_imports_nothing_of_the_fleet(tmp_path: Path) -> None:
     """Failure prevented: sites whose nodes share nothing pay for the fleet, or send datagrams."""
     config = load(node_file(tmp_path))
     assert config.fleet is None
@@ -92,7 +98,7 @@
     assert out.stdout == "[]\n"
 
 
-def test_a_start_with_a_wrong_section_prints_all_faults_and_exits_with_2(tmp_path):
+def test_a_start_with_a_wrong_section_prints_all_faults_and_exits_with_2(tmp_path: Path) -> None:
     env = os.environ | node_file(tmp_path, fleet={"zone": 3, "listen": "x", "seeds": [], "key": "/nowhere"})
     out = subprocess.run(
         [sys.executable, "-m", "balancer"], env=env, capture_output=True, text=True, timeout=60
@@ -104,35 +110,35 @@
         load(node_file(tmp_path, fleet=[1]))
 
 
-def test_two_nodes_join_leave_and_show_it(tmp_path):
+def test_two_nodes_join_leave_and_show_it(tmp_path: Path) -> None:
     """A seed that starts later than the node that joins through it; a leave; garbage that is counted."""
 
-    def table(port, seeds):
+    def table(port: int, seeds: list[str]) -> dict[str, Any]:
         given = fleet_section(tmp_path, listen=f"127.0.0.1:{port}", seeds=seeds, period_ms=100)
         return {"name": f"n{port}", "fleet": given, "management": "127.0.0.1:0"}
 
-    async def scene():
+    async def scene() -> None:
         ports = [free_udp_port(), free_udp_port()]
         one = await Bench(config=table(ports[0], [f"127.0.0.1:{ports[1]}"]), peers=False).start()
-        await until(lambda: one.node.fleet.sent["sync"] > 0)
+        await until(lambda: fleet_of(one).sent["sync"] > 0)
         two = await Bench(config=table(ports[1], []), peers=False).start()
-        await until(lambda: one.node.fleet.swim.alive() and two.node.fleet.swim.alive())
-        one.node.fleet.datagram_received(b"x" * 100, ("127.0.0.1", 9))
+        await until(lambda: bool(fleet_of(one).membership.alive() and fleet_of(two).membership.alive()))
+        fleet_of(one).datagram_received(b"x" * 100, ("127.0.0.1", 9))
         page = json.loads(one.node.paths()[b"/fleet"].act()[1])
         assert page["refused"] == {"version": 1} and page["events"]["join"] == 1
         assert [(m["name"], m["state"]) for m in page["members"]] == [(f"n{ports[1]}", "alive")]
-        two.node.fleet.leave()
-        await until(lambda: not one.node.fleet.swim.alive())
-        assert one.node.fleet.view()["members"][0]["state"] == "left" and not two.node.fleet.view()["open"]
-        one.node.fleet.close()
+        fleet_of(two).leave()
+        await until(lambda: not fleet_of(one).membership.alive())
+        assert fleet_of(one).view()["members"][0]["state"] == "left" and not fleet_of(two).view()["open"]
+        fleet_of(one).close()
 
     play(scene)
 
 
-def test_a_successor_process_takes_the_port(tmp_path):
+def test_a_successor_process_takes_the_port(tmp_path: Path) -> None:
     """A successor retries the port until its predecessor closes it, and goes on under the node's name."""
 
-    async def scene():
+    async def scene() -> None:
         port = free_udp_port()
         given = {"fleet": fleet_section(tmp_path, listen=f"127.0.0.1:{port}"), "name": "n0"}
         first = await Bench(config=given, peers=False).start()
@@ -141,32 +147,34 @@
             await second.start()
         second.node.handover.shared = True
         await second.node.open_fleet()
-        assert second.node.fleet.transport is None
+        assert fleet_of(second).transport is None
         first.node.handover.elder = True
         first.node.share(True)
-        await until(lambda: second.node.fleet.swim is not None)
-        assert second.node.fleet.swim.me.incarnation > first.node.fleet.swim.me.incarnation
-        second.node.fleet.close()
+        await until(lambda: fleet_of(second).swim is not None)
+        assert fleet_of(second).membership.me.incarnation > fleet_of(first).membership.me.incarnation
+        fleet_of(second).close()
 
     play(scene)
 
 
-def test_a_component_s_fault_and_a_bad_address_end_nothing_else(tmp_path, monkeypatch):
+def test_a_component_s_fault_and_a_bad_address_end_nothing_else(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Failure prevented: an exception in a tick, or a member that advertises what cannot be sent to, silences
     the process for good."""
 
-    async def scene():
+    async def scene() -> None:
         given = fleet_section(
             tmp_path, listen=f"127.0.0.1:{free_udp_port()}", voters=["n0", "b", "c"], period_ms=100, zones={}
         )
         bench = await Bench(config={"fleet": given, "management": "127.0.0.1:0"}, peers=False).start()
-        fleet = bench.node.fleet
+        fleet = fleet_of(bench)
         await until(lambda: fleet.swim is not None and fleet.timer is not None)
         fleet.transmit(Message(Kind.PING, "n0"), ("no such host", 1))
         assert fleet.events["unsendable"] == 1
-        ticks = []
+        ticks: list[int] = []
 
-        def failing_tick(now):
+        def failing_tick(now: int) -> None:
             ticks.append(now)
             raise RuntimeError("on purpose")
 
--- a/tests/test_fleet_components.py
+++ b/tests/test_fleet_components.py
@@ -5,21 +5,26 @@
 import os
 import subprocess
 import sys
+from collections.abc import Sequence
 from dataclasses import dataclass
 from enum import IntEnum
 from importlib.util import find_spec
+from pathlib import Path
+from typing import Any
 
 import msgspec
 import pytest
-from fleet_section import fleet_section, free_udp_port, node_file
+from fleet_section import fleet_of, fleet_section, free_udp_port, node_file
 from loopback import Bench, play, until
 
-from balancer.fleet.assembly import components_for
-from balancer.fleet.component import Component, Outgoing
-from balancer.fleet.membership.codec import Codec
-from balancer.fleet.membership.swim import Claim, Kind, Status
+from balancer.fleet.assembly import FleetComponents, components_for
+from balancer.fleet.component import Component, Outgoing, Runtime
+from balancer.fleet.config import FleetConfig
+from balancer.fleet.membership.codec import Codec, Part
+from balancer.fleet.membership.swim import Address, Claim, Kind, Status
 from balancer.fleet.operator_pages import whole_number
 from balancer.fleet.registry import DuplicateKindError, Registry
+from balancer.fleet.runtime import FleetRuntime
 
 PERIOD = 20_000  # microseconds
 ON_PURPOSE = "fault on purpose"
@@ -41,51 +46,51 @@
 class ToyWire:
     kinds = frozenset(int(kind) for kind in ToyKind)
 
-    def pack(self, message):
+    def pack(self, message: ToyMessage) -> str:
         return message.text
 
-    def shorter(self, message):
+    def shorter(self, message: ToyMessage) -> None:
         return None
 
-    def unpack(self, kind, sender, seq, body):
+    def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> ToyMessage:
         return ToyMessage(ToyKind(kind), sender, msgspec.msgpack.decode(body, type=str), seq)
 
 
 class ToyComponent(Component):
     """Sends hello to the members and to itself by name each period; responds to the sender's address."""
 
-    def __init__(self, runtime):
+    def __init__(self, runtime: Runtime) -> None:
         self.runtime = runtime
         self.next_tick = 0
         self.ticks = 0
-        self.received_messages = []
-        self.calls = []
+        self.received_messages: list[tuple[IntEnum, str, str, Address]] = []
+        self.calls: list[str] = []
 
     @property
-    def wires(self):
+    def wires(self) -> Sequence[Part]:
         return (ToyWire(),)
 
-    def open(self):
+    def open(self) -> None:
         self.calls.append("open")
         self.next_tick = self.runtime.now() + PERIOD
 
-    def close(self):
+    def close(self) -> None:
         self.calls.append("close")
 
-    def member_forgotten(self, name):
+    def member_forgotten(self, name: str) -> None:
         self.calls.append(f"forgotten {name}")
 
-    def leave(self, now):
+    def leave(self, now: int) -> list[Outgoing]:
         self.calls.append("leave")
         return [self.message(name, ToyKind.TOY_HELLO, "farewell") for name in self.runtime.alive()]
 
-    def message(self, to, kind, text=""):
+    def message(self, to: str | Address, kind: ToyKind, text: str = "") -> Outgoing:
         return Outgoing(to, ToyMessage(kind, self.runtime.config.name, text))
 
-    def deadline(self, now):
+    def deadline(self, now: int) -> int | None:
         return self.next_tick
 
-    def tick(self, now):
+    def tick(self, now: int) -> list[Outgoing]:
         if now < self.next_tick:
             return []
         self.ticks += 1
@@ -93,13 +98,13 @@
         names = [*self.runtime.alive(), self.runtime.config.name, "nobody"]
         return [self.message(name, ToyKind.TOY_HELLO, "hello") for name in names]
 
-    def received(self, now, sender, message):
+    def received(self, now: int, sender: Address, message: ToyMessage) -> list[Outgoing]:
         self.received_messages.append((message.kind, message.sender, message.text, sender))
         if message.kind == ToyKind.TOY_HELLO and message.sender != self.runtime.config.name:
             return [self.message(sender, ToyKind.TOY_RESPONSE)]
         return []
 
-    def status(self, now):
+    def status(self, now: int) -> dict[str, Any]:
         return {"toy": {"ticks": self.ticks}}
 
 
@@ -108,15 +113,15 @@
     UNKNOWN = 220  # to all components
 
 
-def other_message(kind):
+def other_message(kind: OtherKind) -> ToyMessage:
     return ToyMessage(kind, "two")
 
 
 class OtherWire(ToyWire):
-    def __init__(self, kind):
+    def __init__(self, kind: IntEnum) -> None:
         self.kinds = frozenset({int(kind)})
 
-    def unpack(self, kind, sender, seq, body):
+    def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> ToyMessage:
         return ToyMessage(OtherKind(kind), sender)
 
 
@@ -124,20 +129,26 @@
     """Fails at each call."""
 
     @property
-    def wires(self):
+    def wires(self) -> Sequence[Part]:
         return (OtherWire(OtherKind.OWNED),)
 
-    def fail(self, *args):
+    def fail(self, *args: Any) -> Any:
         raise RuntimeError(ON_PURPOSE)
 
-    deadline = tick = received = member_forgotten = status = leave = close = fail
+    deadline: Any = fail
+    tick: Any = fail
+    received: Any = fail
+    member_forgotten: Any = fail
+    status: Any = fail
+    leave: Any = fail
+    close: Any = fail
 
 
-def with_components(monkeypatch, *kinds):
+def with_components(monkeypatch: pytest.MonkeyPatch, *kinds: Any) -> list[Any]:
     """Adds components as a line in `components_for` would; returns the list that they are made into."""
-    made = []
+    made: list[Any] = []
 
-    def with_new_components(config, runtime):
+    def with_new_components(config: FleetConfig, runtime: Runtime) -> FleetComponents:
         found = components_for(config, runtime)
         new = [kind(runtime) if kind is ToyComponent else kind() for kind in kinds]
         found.ordered += new
@@ -148,22 +159,24 @@
     return made
 
 
-def node(tmp_path, name, port, *seeds, **more):
+def node(tmp_path: Path, name: str, port: int, *seeds: int, **more: Any) -> Bench:
     given = fleet_section(
         tmp_path, listen=f"127.0.0.1:{port}", seeds=[f"127.0.0.1:{s}" for s in seeds], period_ms=100, **more
     )
     return Bench(config={"name": name, "fleet": given, "management": "127.0.0.1:0"}, peers=False)
 
 
-def admit_sender(fleet, sender):
+def admit_sender(fleet: FleetRuntime, sender: str) -> None:
     """A sender has proven to a process that it is live, as by answering a challenge."""
     fleet.guard.senders.begin(sender, fleet.stamp(), fleet.now(), max_age=0)
 
 
-def test_a_component_gets_messages_ticks_and_keys_on_the_page(tmp_path, monkeypatch):
+def test_a_component_gets_messages_ticks_and_keys_on_the_page(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     made = with_components(monkeypatch, ToyComponent)
 
-    async def scene():
+    async def scene() -> None:
         ports = [free_udp_port(), free_udp_port()]
         one = await node(tmp_path, "one", ports[0], ports[1]).start()
         two = await node(tmp_path, "two", ports[1]).start()
@@ -175,13 +188,13 @@
         await until(lambda: sent_by_name in first.received_messages)
         own = [entry for entry in first.received_messages if entry[1] == "one"]
         assert own and all(entry[0] == ToyKind.TOY_HELLO for entry in own)  # to itself, without a datagram
-        fleet = one.node.fleet
+        fleet = fleet_of(one)
         page = fleet.view()
         assert page["toy"]["ticks"] >= 1 and page["sent"]["toy_hello"] and page["received"]["toy_response"]
         assert page["events"]["unknown"] >= 1  # nobody is no member
         assert page["duties"] is None and page["replace"] is None
         assert fleet.deadline() <= first.next_tick
-        two.node.fleet.leave()
+        fleet_of(two).leave()
         await until(lambda: any(entry[2] == "farewell" for entry in first.received_messages))
         assert second.calls == ["open", "leave", "close"]
         fleet.close()
@@ -189,16 +202,18 @@
     play(scene)
 
 
-def test_a_fault_in_one_component_is_reported_and_ends_no_other(tmp_path, monkeypatch):
+def test_a_fault_in_one_component_is_reported_and_ends_no_other(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Failure prevented: one component's exception keeps those after it from their ticks for good."""
     made = with_components(monkeypatch, FailingComponent, ToyComponent)
 
-    async def scene():
+    async def scene() -> None:
         bench = node(tmp_path, "one", free_udp_port(), voters=["one", "b", "c"])
-        reported = []
+        reported: list[dict[str, Any]] = []
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: reported.append(context))
         await bench.start()
-        fleet, toy = bench.node.fleet, made[1]
+        fleet, toy = fleet_of(bench), made[1]
         await until(lambda: toy.ticks >= 3)
         assert str(reported[0]["exception"]) == ON_PURPOSE and fleet.events["fault"] >= 3
         admit_sender(fleet, "two")
@@ -220,26 +235,28 @@
 class AlwaysDueComponent(Component):
     """Fails at each tick, and so stays due."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.ticks = 0
 
-    def deadline(self, now):
+    def deadline(self, now: int) -> int | None:
         return 0
 
-    def tick(self, now):
+    def tick(self, now: int) -> list[Outgoing]:
         self.ticks += 1
         raise RuntimeError(ON_PURPOSE)
 
 
-def test_a_component_that_fails_and_stays_due_does_not_spin_the_core(tmp_path, monkeypatch):
+def test_a_component_that_fails_and_stays_due_does_not_spin_the_core(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Failure prevented: a fault in the fleet is retried each millisecond, at the cost of requests."""
     made = with_components(monkeypatch, AlwaysDueComponent, ToyComponent)
 
-    async def scene():
+    async def scene() -> None:
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda loop, context: None)
         begun = loop.time()
-        fleet = (await node(tmp_path, "one", free_udp_port()).start()).node.fleet
+        fleet = fleet_of(await node(tmp_path, "one", free_udp_port()).start())
         failing, toy = made
         await until(lambda: toy.ticks >= 4)
         assert failing.ticks <= 2 + (loop.time() - begun) / 0.1
@@ -252,15 +269,15 @@
     ("text", "number"),
     [("1", 1), ("086400", 86_400), ("", 0), ("-1", 0), ("1.5", 0), (" 1", 0), ("\u0663", 0), ("9" * 5000, 0)],
 )
-def test_a_number_in_a_query_has_only_digits_and_a_bounded_length(text, number):
+def test_a_number_in_a_query_has_only_digits_and_a_bounded_length(text: str, number: int) -> None:
     assert whole_number(text) == number
 
 
-def test_a_message_kind_without_an_owner_is_counted_and_dropped(tmp_path):
+def test_a_message_kind_without_an_owner_is_counted_and_dropped(tmp_path: Path) -> None:
     """A later version's message is refused by the codec; one that only the codec knows is not handled."""
 
-    async def scene():
-        fleet = (await node(tmp_path, "one", free_udp_port()).start()).node.fleet
+    async def scene() -> None:
+        fleet = fleet_of(await node(tmp_path, "one", free_udp_port()).start())
         unknown = other_message(OtherKind.UNKNOWN)
         other = Codec(list(fleet.config.keys), [OtherWire(OtherKind.UNKNOWN)])
         admit_sender(fleet, "two")
@@ -276,12 +293,12 @@
 
 class ComponentWithMembershipKind(ToyComponent):
     @property
-    def wires(self):
+    def wires(self) -> Sequence[Part]:
         return (OtherWire(Kind.PING),)
 
 
 @pytest.mark.parametrize("kinds", [(ToyComponent, ToyComponent), (ComponentWithMembershipKind,)])
-def test_a_message_kind_has_one_owner(kinds):
+def test_a_message_kind_has_one_owner(kinds: Any) -> None:
     with pytest.raises(DuplicateKindError, match="is defined twice"):
         Registry([kind(None) for kind in kinds], lambda what, error: None)
 
@@ -313,7 +330,9 @@
         (VOTERS, {"leases", "rolling_update"}),
     ],
 )
-def test_a_component_that_is_not_configured_is_not_imported(tmp_path, changes, packages):
+def test_a_component_that_is_not_configured_is_not_imported(
+    tmp_path: Path, changes: dict[str, Any], packages: set[str]
+) -> None:
     """Failure prevented: a node pays memory and start-up time for components that its site does not use."""
     assert all(find_spec(name) for name in DECISIONS)  # a module that was renamed would never be imported
     env = os.environ | node_file(tmp_path, fleet=fleet_section(tmp_path, **changes))
--- a/tests/test_policy_adapter.py
+++ b/tests/test_policy_adapter.py
@@ -1,7 +1,13 @@
 """The policy adapter: who checks an ejected server, when minRTT recalculation may begin, zones' shares."""
 
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
 from dataclasses import replace
+from functools import partial
+from pathlib import Path
 from random import Random
+from typing import Any
 
 import pytest
 from support import BASE, Recorder
@@ -28,18 +34,18 @@
 class VirtualGroup:
     """Members with their lease clients, and voters; messages arrive at once, but for those `unreachable`."""
 
-    def __init__(self, *names):
+    def __init__(self, *names: str) -> None:
         self.now = 100 * SEC
         self.voters = {v: Voter(v, 1, [LIST], DUTY, 0) for v in LIST.voters}
         self.lease_clients = {
             n: Asker(n, i, [LIST], DUTY, Random(i), lambda: 1000) for i, n in enumerate(names)
         }
-        self.components = {}
-        self.results = []
-        self.sent = []
-        self.unreachable = set()
+        self.components: dict[str, Any] = {}  # of each member: health checks or minRTT recalculation
+        self.results: list[tuple[str, int, bool]] = []
+        self.sent: list[tuple[str, str, ProbeMessage]] = []
+        self.unreachable: set[str] = set()
 
-    def deliver(self, messages, sender):
+    def deliver(self, messages: Iterable[tuple[str, Any]], sender: str) -> None:
         for to, message in messages:
             if isinstance(message, ProbeMessage):
                 self.sent.append((sender, to, message))
@@ -49,7 +55,7 @@
                 for name, response in self.voters[to].received(self.now, message):
                     self.deliver(self.lease_clients[name].received(self.now, response), name)
 
-    def run(self, seconds):
+    def run(self, seconds: float) -> VirtualGroup:
         """Ticks whatever is due, for so many seconds."""
         end = self.now + int(seconds * SEC)
         for _ in range(100_000):
@@ -72,34 +78,34 @@
 # ---- health checks ---------------------------------------------------------------------------------------
 
 
-def health_checking_group(zones):
+def health_checking_group(zones: dict[str, str]) -> VirtualGroup:
     """A member for each name, with its zone."""
     group = VirtualGroup(*zones)
     for name, zone in zones.items():
         others = [n for n in zones if n != name]
 
-        def on_result(server, well, name=name):
+        def on_result(server: int, well: bool, name: str = name) -> None:
             group.results.append((name, server, well))
             if well:  # as the policy does
                 group.components[name].back(group.now, server, False)
 
         group.components[name] = Probe(
-            name, zone, PROBE, group.lease_clients[name], lambda o=others: o, on_result, Random(1)
+            name, zone, PROBE, group.lease_clients[name], partial(list, others), on_result, Random(1)
         )
     return group
 
 
-def eject(group, names, server=7, wait=2 * SEC):
+def eject(group: VirtualGroup, names: str, server: int = 7, wait: int = 2 * SEC) -> VirtualGroup:
     for name in names:
         group.components[name].set_aside(group.now, server, wait)
     return group.run(1)
 
 
-def checkers(group, server=7):
+def checkers(group: VirtualGroup, server: int = 7) -> list[str]:
     return [n for n, p in group.components.items() if p.may_try(group.now, server)]
 
 
-def test_one_node_a_zone_checks_and_publishes_the_result():
+def test_one_node_a_zone_checks_and_publishes_the_result() -> None:
     group = eject(health_checking_group({"a": "x", "b": "x", "c": "x", "d": "y"}), "abcd")
     first, other = checkers(group)
     assert other == "d" and first in "abc"
@@ -124,14 +130,16 @@
         (("voters",), 13, 3),  # ...and after a timeout all decide as on a node alone
     ],
 )
-def test_without_messages_each_node_decides_alone_after_its_timeout(unreachable, seconds, count):
+def test_without_messages_each_node_decides_alone_after_its_timeout(
+    unreachable: tuple[str, ...], seconds: float, count: int
+) -> None:
     group = health_checking_group({"a": "x", "b": "x", "c": "x"})
     group.unreachable = set(unreachable)
     eject(group, "abc", wait=20 * SEC).run(seconds - 1)
     assert len(checkers(group)) == count
 
 
-def test_a_holder_without_calls_to_check_with_releases_the_lease():
+def test_a_holder_without_calls_to_check_with_releases_the_lease() -> None:
     group = eject(health_checking_group({"a": "x", "b": "x"}), "ab")
     (first,) = checkers(group)
     group.run(2 + PROBE.slack / SEC)  # which is longer than it stays idle
@@ -139,7 +147,7 @@
     assert group.components[first].counts["idle"] == 1
 
 
-def test_a_former_holder_s_result_is_refused_by_its_token():
+def test_a_former_holder_s_result_is_refused_by_its_token() -> None:
     group = eject(health_checking_group({"a": "x", "b": "x"}), "ab")
     holder, other = sorted("ab", key=lambda n: n not in checkers(group))
     token = group.components[holder].token(group.now, 7)
@@ -151,7 +159,7 @@
     assert group.run(2).results == []  # another zone's
 
 
-def test_a_holder_that_lost_its_lease_publishes_nothing():
+def test_a_holder_that_lost_its_lease_publishes_nothing() -> None:
     group = eject(health_checking_group({"a": "x", "b": "x"}), "ab")
     (holder,) = checkers(group)
     group.unreachable = {"voters"}
@@ -161,7 +169,7 @@
     assert group.run(2).sent == []
 
 
-def test_results_that_are_kept_are_bounded():
+def test_results_that_are_kept_are_bounded() -> None:
     group = health_checking_group({"a": "x"})
     for i in range(3 * PROBE.heard_most):
         message = ProbeMessage(ProbeKind.TRYING, "z", "x", (Trial(i, 5, SEC),))
@@ -169,7 +177,7 @@
     assert len(group.components["a"].heard) == len(group.components["a"].seen) == PROBE.heard_most
 
 
-def test_health_checks_on_the_wire():
+def test_health_checks_on_the_wire() -> None:
     codec = Codec([b"k" * 20], [ProbeWire()])
     message = ProbeMessage(ProbeKind.FAILED, "a", "x", (Trial((1 << 64) - 1, 9, 5 * SEC), Trial(0, 1)))
     assert codec.decode(codec.encode(message, SEC), SEC) == message
@@ -182,7 +190,7 @@
 # ---- minRTT recalculation --------------------------------------------------------------------------------
 
 
-def recalculating_group(count, share):
+def recalculating_group(count: int, share: float) -> VirtualGroup:
     group = VirtualGroup(*(f"n{i}" for i in range(count)))
     settings = RemeasureSettings(share)
     for i, name in enumerate(group.lease_clients):
@@ -190,9 +198,13 @@
     return group
 
 
-def recalculations_of(group, seconds, length=1.0):
+def recalculations_of(
+    group: VirtualGroup, seconds: float, length: float = 1.0
+) -> tuple[list[tuple[str, int]], int]:
     """All nodes are due; each policy asks every 0.1 s. Begins in order, and the largest number at once."""
-    begun, running, max_running = [], {}, 0
+    begun: list[tuple[str, int]] = []
+    running: dict[str, int] = {}  # until when
+    max_running = 0
     for _ in range(int(seconds * 10)):
         for name, p in group.components.items():
             if name not in dict(begun) and p.may(group.now):
@@ -207,7 +219,7 @@
 
 
 @pytest.mark.parametrize(("count", "share", "places"), [(10, 0.2, 2), (10, 0.01, 1), (12, 0.5, 6)])
-def test_recalculations_at_once_are_bounded_and_all_get_theirs(count, share, places):
+def test_recalculations_at_once_are_bounded_and_all_get_theirs(count: int, share: float, places: int) -> None:
     group = recalculating_group(count, share)
     assert group.components["n0"].places == places
     begun, max_running = recalculations_of(group, 25)
@@ -217,7 +229,7 @@
     assert all(a.wanted == {} for a in group.lease_clients.values())
 
 
-def test_nodes_without_a_place_recalculate_anyway_but_not_all_at_once():
+def test_nodes_without_a_place_recalculate_anyway_but_not_all_at_once() -> None:
     group = recalculating_group(6, 0.2)
     group.unreachable = {"voters"}
     bound = RemeasureSettings(0.2).bound / SEC
@@ -227,7 +239,7 @@
     assert len(times) == 6 and times[-1] - times[0] > 4 * SEC
 
 
-def test_a_recalculation_without_end_releases_its_place_and_one_not_due_requests_none():
+def test_a_recalculation_without_end_releases_its_place_and_one_not_due_requests_none() -> None:
     group = recalculating_group(2, 0.5)
     (one, other) = group.components.values()
     while not one.may(group.now):
@@ -245,13 +257,14 @@
 # ---- the adapter itself ----------------------------------------------------------------------------------
 
 
-def make_adapter(tmp_path, **changes):
+def make_adapter(tmp_path: Path, **changes: Any) -> tuple[PolicyAdapter, list[int], list[Any]]:
     """An adapter on a clock that the test sets, servers 1 to 6 in zones 0 and 1, and what it published."""
     key = tmp_path / "key"
     key.write_text("k" * 20)
     key.chmod(0o600)
     table = {"zone": "x", "listen": "127.0.0.1:1", "key": str(key)} | changes
-    clock, published = [100 * SEC], []
+    clock = [100 * SEC]
+    published: list[Any] = []
     adapter = PolicyAdapter(
         read_fleet(table, "a"),
         BASE,
@@ -268,7 +281,7 @@
     return adapter, clock, published
 
 
-def test_an_adapter_without_configuration_restrains_nothing(tmp_path):
+def test_an_adapter_without_configuration_restrains_nothing(tmp_path: Path) -> None:
     adapter, clock, published = make_adapter(tmp_path)
     assert adapter.may_pass() and adapter.may_try(1)
     assert adapter.tick(clock[0]) == [] and adapter.deadline(clock[0]) is None
@@ -279,12 +292,12 @@
     assert published == [] and adapter.status(clock[0]) == {}
 
 
-def test_the_policy_gets_shares_and_round_trips_that_have_changed(tmp_path):
+def test_the_policy_gets_shares_and_round_trips_that_have_changed(tmp_path: Path) -> None:
     adapter, clock, published = make_adapter(tmp_path, zones={})
     adapter.tick(clock[0])
     assert published == [({1: 1.0, 0: 0.0}, {0: 0})]
 
-    def later(seconds=0.6):
+    def later(seconds: float = 0.6) -> list[Any]:
         clock[0] += int(seconds * SEC)
         before = len(published)
         adapter.tick(clock[0])
@@ -298,7 +311,9 @@
         adapter.set_aside(server, SEC)
     ((shares, _),) = later()
     assert 0 < shares[1] < 1 and adapter.may_try(1)
-    assert adapter.zone_traffic.orders.say("y", 60 * SEC)
+    traffic = adapter.zone_traffic
+    assert traffic is not None and traffic.orders is not None
+    assert traffic.orders.say("y", 60 * SEC)
     ((shares, _),) = [entry for entry in later(1.1) if isinstance(entry, tuple)]
     assert set(shares) == {1} and not adapter.may_try(2) and adapter.may_try(1)
     adapter.close()
@@ -311,49 +326,53 @@
 class RecordingFleet(Alone):
     """Allows as set, and records calls."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.allows = True
-        self.calls = []
+        self.calls: list[Any] = []
 
-    def may_try(self, server):
+    def may_try(self, server: int) -> bool:
         return self.allows
 
-    def may_pass(self):
+    def may_pass(self) -> bool:
         return self.allows
 
-    def passed(self):
+    def passed(self) -> None:
         self.calls.append("passed")
 
-    def set_aside(self, server, wait):
+    def set_aside(self, server: int, wait: int) -> None:
         self.calls.append(("aside", server, wait))
 
-    def back(self, server, well):
+    def back(self, server: int, well: bool) -> None:
         self.calls.append(("back", server, well))
 
 
-def make_balancer(fleet):
+def make_balancer(fleet: RecordingFleet) -> Balancer:
     node = Balancer(replace(BASE, max_attempts=1), 1, Recorder(), fleet)
     node.start(0)
     node.server_list(0, ListKind.FULL, [ServerEntry(i) for i in range(1, 7)])
     return node
 
 
-def send_request(node, now, number, outcome):
+def send_request(node: Balancer, now: int, number: int, outcome: Callable[[int], Outcome]) -> int | None:
     """One request, with the outcome by server; returns the server that it went to."""
     node.request(now, number, 0, 0, 2 * SEC, False)
-    sent = [action for action in node.actions.take("send") if action[1] == number]
+    recorder: Any = node.actions
+    sent = [action for action in recorder.take("send") if action[1] == number]
     if not sent:
         return None
-    server = sent[0][2]
+    server: int = sent[0][2]
     node.outcome(now + 10_000, number, 0, server, outcome(server), 10_000, False, ())
     return server
 
 
-def test_the_policy_asks_before_a_check_and_accepts_another_s_result():
+def test_the_policy_asks_before_a_check_and_accepts_another_s_result() -> None:
     fleet = RecordingFleet()
     node = make_balancer(fleet)
     bad = next(iter(node.subset.members)).id
-    outcome = lambda server: Outcome.RESET if server == bad else Outcome.OK  # noqa: E731
+
+    def outcome(server: int) -> Outcome:
+        return Outcome.RESET if server == bad else Outcome.OK
+
     now, number = 100_000, 0
     while ("aside", bad) not in [entry[:2] for entry in fleet.calls]:
         number, now = number + 1, now + 20_000
@@ -372,23 +391,23 @@
     assert fleet.calls[-1] == ("back", bad, False)
 
 
-def test_the_policy_delays_its_recalculation_until_allowed():
+def test_the_policy_delays_its_recalculation_until_allowed() -> None:
     fleet = RecordingFleet()
     node = make_balancer(fleet)
     ctl = node.controller
     now, number = 0, 0
 
-    def go(seconds):
+    def run(seconds: float) -> None:
         nonlocal now, number
         for _ in range(int(seconds * 50)):
             number, now = number + 1, now + 20_000
             send_request(node, now, number, lambda server: Outcome.OK)
 
-    go(5)
+    run(5)
     assert ctl.recalculations == 1 and fleet.calls == ["passed"]
     fleet.allows = False
-    go(70)
+    run(70)
     assert ctl.recalculations == 1 and not ctl.recalculating
     fleet.allows = True
-    go(5)
+    run(5)
     assert ctl.recalculations == 2
