--- a/balancer/fleet/zone_routing/__init__.py
+++ b/balancer/fleet/zone_routing/__init__.py
@@ -1,4 +1,5 @@
 """Which zones a node's calls go to, and how much to each.
 
-`evidence.py` says how each zone does, `decisions.py` what comes of it; `docs/zones.md` has the design.
+`failure_evidence.py` says how each zone does, `router.py` what comes of it; `docs/zone-routing.md` has the
+design.
 """
--- a/balancer/fleet/zone_routing/decisions.py
+++ b/balancer/fleet/zone_routing/router.py
@@ -1,7 +1,7 @@
 """Shares of a node's calls by zone: near first, spill by room, leaving by evidence, return by steps.
 
 Sources: weights by locality, over-provisioning and a panic threshold as Envoy's documentation has them;
-reasons and figures in `docs/zones.md`. Times are microseconds of this process's monotonic clock.
+reasons and figures in `docs/zone-routing.md`. Times are microseconds of this process's monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from enum import Enum
 from typing import Any
 
-from balancer.fleet.zone_routing.evidence import Evidence, Verdict
+from balancer.fleet.zone_routing.failure_evidence import Evidence, Verdict
 from balancer.fleet.zone_routing.settings import ZoneSettings
 
 LEFT = 0.05  # a zone that has been halved below this part is left
--- a/balancer/fleet/zone_routing/traffic.py
+++ b/balancer/fleet/zone_routing/traffic.py
@@ -12,9 +12,9 @@
 from typing import Any
 
 from balancer.fleet.config import FleetConfig
-from balancer.fleet.zone_routing.decisions import Listed, Zones
+from balancer.fleet.zone_routing.directives import Orders, Out
 from balancer.fleet.zone_routing.messages import ZoneKind, ZoneMessage
-from balancer.fleet.zone_routing.orders import Orders, Out
+from balancer.fleet.zone_routing.router import Listed, Zones
 from balancer.fleet.zone_routing.settings import ZoneSettings
 from balancer.policy.interface import ListKind, Outcome, ServerEntry, Settings, State
 
--- a/tests/test_lab_clock_explorer.py
+++ b/tests/test_lab_clock_explorer.py
@@ -8,7 +8,7 @@
 from balancer.fleet.leases.voter import Voter
 from balancer.fleet.membership.swim import Status, Swim
 from balancer.fleet.rolling_update.decisions import Replacement
-from balancer.fleet.zone_routing.orders import Orders
+from balancer.fleet.zone_routing.directives import Orders
 from workbench.explore.clock_faults import FIRST_AT, STEPS_S, ClockStep, draw_clock_steps
 from workbench.explore.clocks import PROPERTIES, ClockFleet, play
 from workbench.explore.faults import draw_faults
--- a/tests/test_zone_directives.py
+++ b/tests/test_zone_directives.py
@@ -5,8 +5,8 @@
 import pytest
 
 from balancer.fleet.membership.codec import MAX_DATAGRAM_BYTES, Codec
+from balancer.fleet.zone_routing.directives import LONGEST, Orders
 from balancer.fleet.zone_routing.messages import MOST, Word, ZoneKind, ZoneMessage, ZoneWire
-from balancer.fleet.zone_routing.orders import LONGEST, Orders
 
 SEC = 1_000_000
 HOUR = 3600 * SEC
--- a/tests/test_zones.py
+++ b/tests/test_zone_routing.py
@@ -7,9 +7,9 @@
 from support import KEYED, SAFE, SEC, balancer, end
 
 from balancer.fleet.membership.codec import Codec
-from balancer.fleet.zone_routing.decisions import Listed, Stand, Zones
+from balancer.fleet.zone_routing.directives import Orders
 from balancer.fleet.zone_routing.messages import MOST, Word, ZoneKind, ZoneMessage, ZoneWire
-from balancer.fleet.zone_routing.orders import Orders
+from balancer.fleet.zone_routing.router import Listed, Stand, Zones
 from balancer.fleet.zone_routing.settings import ZoneSettings
 from balancer.policy.interface import Group, ListKind, Outcome, ServerEntry
 
--- a/workbench/baselines/local.py
+++ b/workbench/baselines/local.py
@@ -3,7 +3,7 @@
 
 from __future__ import annotations
 
-from balancer.fleet.zone_routing.decisions import Zones
+from balancer.fleet.zone_routing.router import Zones
 
 
 class StrictlyLocal(Zones):
--- a/workbench/lab/mischief.py
+++ b/workbench/lab/mischief.py
@@ -23,7 +23,7 @@
 from balancer.fleet.min_rtt.decisions import Remeasure
 from balancer.fleet.rolling_update.decisions import Replacement
 from balancer.fleet.runtime import FleetRuntime
-from balancer.fleet.zone_routing.decisions import Zones
+from balancer.fleet.zone_routing.router import Zones
 from balancer.net.forwarding import head_of
 from balancer.net.lifecycle import Lifecycle
 from balancer.net.requests import Requests
