--- a/balancer/fleet/config.py
+++ b/balancer/fleet/config.py
@@ -206,7 +206,7 @@
         if isinstance(cost, bool) or not isinstance(cost, (int, float)) or not 0 <= cost < 1e9:
             inner.fault(f"costs.{zone}", cost, "must be a number from 0 on")
     s.faults += inner.faults
-    return ZoneSettings(room=float(room), costs=costs)
+    return ZoneSettings(overprovisioning_factor=float(room), costs=costs)
 
 
 def membership(s: Section) -> ZoneMembershipSettings | None:
--- a/balancer/fleet/operator_pages.py
+++ b/balancer/fleet/operator_pages.py
@@ -95,11 +95,11 @@
     def zone(self, query: bytes) -> Response:
         """`PUT /fleet/zone?do=leave|return&zone=NAME&for_s=N`."""
         traffic = self.adapter.zone_traffic
-        if traffic is None or traffic.zones is None or traffic.orders is None:
+        if traffic is None or traffic.router is None or traffic.directives is None:
             return NO_ZONES
-        zones, orders = traffic.zones, traffic.orders
+        router, directives = traffic.router, traffic.directives
         verb, zone, seconds = parameters(query, "do", "zone", "for_s")
-        known = sorted({zones.zone, *zones.courses})
+        known = sorted({router.home, *router.states.by_zone})
         if zone not in known:
             return 400, f"zone: must be one of {', '.join(known)}\n".encode()
         length = whole_number(seconds)
@@ -107,11 +107,11 @@
             return 400, b"for_s: must be 1 to 86400\n"
         if verb not in ("leave", "return"):
             return 400, b"do: must be leave or return\n"
-        if not orders.say(zone, length * 1_000_000 if verb == "leave" else 0):
+        if not directives.issue(zone, length * 1_000_000 if verb == "leave" else 0):
             return 409, b"zone: words on too many zones hold already\n"
         self.runtime.log.line(f"fleet zone {zone}: told to {verb}")
         self.runtime.schedule()
-        return success(zones.view(self.runtime.now()))
+        return success(router.status(self.runtime.now()))
 
 
 def parameters(query: bytes, *names: str) -> tuple[str, ...]:
--- a/balancer/fleet/policy_adapter.py
+++ b/balancer/fleet/policy_adapter.py
@@ -77,7 +77,7 @@
         self.alive = alive
         if self.zone_traffic is not None:
             self.zone_traffic.open(alive, rng)
-            self.handlers |= dict.fromkeys(self.zone_traffic.kinds, self.zone_traffic.received)
+            self.handlers |= dict.fromkeys(self.zone_traffic.kinds, self.received_directives)
 
     def use_leases(self, asker: Asker, rng: Random) -> None:
         """There are voters: what needs leases can begin."""
@@ -187,14 +187,23 @@
 
     def tick(self, now: int) -> Out:
         """Does what is due."""
-        parts = (self.probe, self.remeasure, self.zone_traffic)
-        return [sent for part in parts if part is not None for sent in part.tick(now)]
+        parts = (self.probe, self.remeasure)
+        pairs: Out = [sent for part in parts if part is not None for sent in part.tick(now)]
+        if self.zone_traffic is not None:
+            pairs += [(sent.to, sent.message) for sent in self.zone_traffic.tick(now)]
+        return pairs
 
     def received(self, now: int, message: Any) -> Out:
         """A message to a part that is off here does nothing."""
         handler = self.handlers.get(message.kind)
         return handler(now, message) if handler is not None else []
 
+    def received_directives(self, now: int, message: Any) -> Out:
+        """An operator's directives on zones, passed on by another member."""
+        if self.zone_traffic is not None:
+            self.zone_traffic.received(message)
+        return []
+
     def member_forgotten(self, member: str) -> None:
         """Membership has dropped a member."""
         if self.probe is not None:
--- a/balancer/fleet/zone_routing/failure_evidence.py
+++ b/balancer/fleet/zone_routing/failure_evidence.py
@@ -1,4 +1,4 @@
-"""How each zone does, by this node's own calls over the last window.
+"""How each zone does, judged by the outcomes of this node's own calls over the last window.
 
 Times are microseconds of this process's monotonic clock.
 """
@@ -6,161 +6,225 @@
 from __future__ import annotations
 
 from collections import deque
+from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
 from balancer.fleet.zone_routing.settings import ZoneSettings
 
-TRIPS = 16  # last times to connect that are kept of a zone
+MAX_CONNECT_TIMES = 16  # that are kept for a zone, the last ones
+MIN_CALLS_TO_JUDGE_SERVER = 2
 
 
 @dataclass
-class Tally:
-    """One server's calls in a window."""
+class CallCounter:
+    """Outcomes of calls in a window.
+
+    Attributes:
+        calls: Calls that have ended.
+        failures: Those that failed.
+        latency: Latency of those that were answered, summed.
+    """
 
     calls: int = 0
-    fails: int = 0
-    latency: int = 0  # of those that were answered, summed
+    failures: int = 0
+    latency: int = 0
 
     @property
     def answered(self) -> int:
-        return self.calls - self.fails
+        """Calls that did not fail."""
+        return self.calls - self.failures
+
+    def record(self, ok: bool, latency: int) -> None:
+        """Count one call."""
+        self.calls += 1
+        if ok:
+            self.latency += latency
+        else:
+            self.failures += 1
 
-    def add(self, other: Tally) -> None:
+    def add(self, other: CallCounter) -> None:
+        """Add another counter's calls."""
         self.calls += other.calls
-        self.fails += other.fails
+        self.failures += other.failures
         self.latency += other.latency
 
 
-def whole(tallies: dict[int, Tally]) -> Tally:
-    """All servers' calls together."""
-    out = Tally()
-    for t in tallies.values():
-        out.add(t)
-    return out
+def total(counters: Mapping[int, CallCounter]) -> CallCounter:
+    """Return the calls to all servers together."""
+    result = CallCounter()
+    for counter in counters.values():
+        result.add(counter)
+    return result
 
 
 @dataclass
-class Zone:
-    """What is known of one zone."""
-
-    now: dict[int, Tally] = field(default_factory=dict)  # by server, the window at hand
-    last: dict[int, Tally] = field(default_factory=dict)  # and the one before
-    usual: float = 0.0  # latency while it did well, smoothed
-    failed: int = 0  # of its calls, one after the other
-    pace: float = 1.0  # what part of its usual work it does
-    trips: deque[int] = field(default_factory=lambda: deque(maxlen=TRIPS))
-
-    def joined(self) -> dict[int, Tally]:
-        """Both windows, so that a look right after a turn is not blind."""
-        out = {s: Tally(t.calls, t.fails, t.latency) for s, t in self.last.items()}
-        for server, t in self.now.items():
-            out.setdefault(server, Tally()).add(t)
-        return out
+class ZoneEvidence:
+    """What this node has seen of one zone.
+
+    Attributes:
+        current: Calls in the current window, by server.
+        previous: Calls in the window before, by server.
+        usual_latency: Smoothed latency in windows in which the zone did well; 0 if not known yet.
+        consecutive_failures: The zone's last calls that failed, in a row.
+        pace: The part of its usual work that the zone does, from 0 to 1.
+        connect_times: How long the last connections took to come up.
+    """
+
+    current: dict[int, CallCounter] = field(default_factory=dict)
+    previous: dict[int, CallCounter] = field(default_factory=dict)
+    usual_latency: float = 0.0
+    consecutive_failures: int = 0
+    pace: float = 1.0
+    connect_times: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_CONNECT_TIMES))
+
+    def both_windows(self) -> dict[int, CallCounter]:
+        """Return the calls of both windows by server: the current one alone may have just begun."""
+        joined: dict[int, CallCounter] = {}
+        for window in (self.previous, self.current):
+            for server, counter in window.items():
+                joined.setdefault(server, CallCounter()).add(counter)
+        return joined
+
+    def clear(self) -> None:
+        """Forget the outcomes; the usual latency and the connect times stay."""
+        self.current, self.previous = {}, {}
+        self.consecutive_failures = 0
+        self.pace = 1.0
+
+    def close_window(self, span: int, settings: ZoneSettings) -> None:
+        """Begin a new window after one of `span` microseconds, and follow the usual latency."""
+        self.update_usual_latency(span, settings)
+        self.previous, self.current = self.current, {}
+
+    def update_usual_latency(self, span: int, settings: ZoneSettings) -> None:
+        """Follow the current window's latency if the zone did well in it."""
+        window = total(self.current)
+        did_well = window.answered > window.calls * (1 - settings.failure_rate_threshold)
+        if window.answered < settings.min_calls or not did_well:
+            return
+        mean = window.latency / window.answered
+        if self.usual_latency == 0:
+            self.usual_latency = mean
+        elif mean < settings.slow_factor / 2 * self.usual_latency:
+            # Failure prevented: a zone that slows down little by little counts as usual in the end.
+            self.usual_latency += min(1.0, span / settings.baseline_time) * (mean - self.usual_latency)
 
 
 @dataclass(frozen=True)
 class Verdict:
-    """`calls` of two windows at most, and those `answered`; `bad`: the part of its servers that are; `dead`:
-    its last calls failed one after the other, however few they were."""
+    """The judgement on one zone, by two windows at most.
+
+    Attributes:
+        calls: Calls to the zone.
+        answered: Those that did not fail.
+        bad_share: Share of its judged servers that are bad.
+        is_unreachable: Its last calls failed in a row, however few they were.
+    """
 
     calls: int
     answered: int
-    bad: float
-    dead: bool
+    bad_share: float
+    is_unreachable: bool
 
-    def tells(self, least: int) -> bool:
-        """Whether it is enough to go by."""
-        return self.dead or self.calls >= least
+    @property
+    def is_mostly_answered(self) -> bool:
+        """Whether more than half of the calls were answered."""
+        return 2 * self.answered > self.calls
+
+    def is_conclusive(self, min_calls: int) -> bool:
+        """Return whether there were enough calls to judge the zone."""
+        return self.is_unreachable or self.calls >= min_calls
 
 
-class Evidence:
-    """Of all zones, by name."""
+class FailureEvidence:
+    """What this node has seen of all zones, by the zones' names."""
 
     def __init__(self, settings: ZoneSettings, now: int) -> None:
         self.settings = settings
-        self.zones: dict[str, Zone] = {}
-        self.turned = now
-
-    def of(self, zone: str) -> Zone:
-        return self.zones.setdefault(zone, Zone())
-
-    def ended(self, zone: str, server: int, ok: bool, latency: int) -> None:
-        """A call has ended."""
-        z = self.of(zone)
-        t = z.now.setdefault(server, Tally())
-        t.calls += 1
-        z.failed = 0 if ok else z.failed + 1
-        if ok:
-            t.latency += latency
-        else:
-            t.fails += 1
-
-    def connected(self, zone: str, took: int) -> None:
-        """A connection to a server of the zone came up in this time."""
-        self.of(zone).trips.append(took)
-
-    def forget(self, zone: str) -> None:
-        """What was seen of a zone before it was left says nothing of how it is now; its usual latency and the
-        way to it do."""
-        z = self.of(zone)
-        z.now, z.last, z.failed, z.pace = {}, {}, 0, 1.0
-
-    def trip(self, zone: str, home: str) -> int:
-        """How much longer the way to a zone is than at home."""
-        there, here = self.of(zone).trips, self.of(home).trips
+        self.zones: dict[str, ZoneEvidence] = {}
+        self.window_began_at = now
+
+    def of(self, zone: str) -> ZoneEvidence:
+        """Return what was seen of a zone, empty at first."""
+        return self.zones.setdefault(zone, ZoneEvidence())
+
+    def record_outcome(self, zone: str, server: int, ok: bool, latency: int) -> None:
+        """Record the end of a call."""
+        evidence = self.of(zone)
+        evidence.consecutive_failures = 0 if ok else evidence.consecutive_failures + 1
+        evidence.current.setdefault(server, CallCounter()).record(ok, latency)
+
+    def record_connection(self, zone: str, connect_time: int) -> None:
+        """Record a connection to a server of the zone that came up."""
+        self.of(zone).connect_times.append(connect_time)
+
+    def clear(self, zone: str) -> None:
+        """Forget the outcomes of calls to a zone: they say nothing of how it is after an evacuation."""
+        self.of(zone).clear()
+
+    def extra_round_trip(self, zone: str, home: str) -> int:
+        """Return how much longer a round trip to a zone takes than one at home; 0 if it is not known."""
+        there, here = self.of(zone).connect_times, self.of(home).connect_times
         return max(0, min(there) - min(here)) if there and here else 0
 
-    def turn(self, now: int) -> None:
-        """A window is over once it has lasted; a zone's usual latency follows while it does well."""
-        span = now - self.turned
+    def close_window_if_over(self, now: int) -> None:
+        """Begin a new window once the current one has lasted for its time."""
+        span = now - self.window_began_at
         if span < self.settings.window:
             return
-        self.turned = now
-        for z in self.zones.values():
-            all_ = whole(z.now)
-            well = all_.answered > all_.calls * (1 - self.settings.failing)
-            if all_.answered >= self.settings.least and well:
-                mean = all_.latency / all_.answered
-                if z.usual == 0:
-                    z.usual = mean
-                elif mean < self.settings.slower / 2 * z.usual:
-                    # Failure prevented: a zone that turns slow little by little is usual in the end.
-                    z.usual += min(1.0, span / self.settings.usual) * (mean - z.usual)
-            z.last, z.now = z.now, {}
+        self.window_began_at = now
+        for evidence in self.zones.values():
+            evidence.close_window(span, self.settings)
 
     def pace(self, zone: str) -> float:
-        """What part of its usual work a zone does, as it was last known."""
+        """Return the part of its usual work that a zone did when it was last measured."""
         return self.of(zone).pace
 
-    def measure(self, zone: str) -> None:
-        """Works the pace out anew: answers that come, and how fast they do; small delays, which any load
-        brings, do not count. Without calls it is forgotten little by little."""
-        s, z = self.settings, self.of(zone)
-        if z.failed >= s.row:
-            z.pace = s.first
+    def measure_pace(self, zone: str) -> None:
+        """Measure a zone's pace anew: the part of calls that are answered, and how fast.
+
+        Small delays, which any load brings, do not count. Without calls the pace returns to 1 gradually.
+        """
+        settings, evidence = self.settings, self.of(zone)
+        if evidence.consecutive_failures >= settings.consecutive_failures:
+            evidence.pace = settings.initial_weight
             return
-        all_ = whole(z.now)
-        if all_.calls < s.least:
-            all_ = whole(z.joined())
-        if all_.calls < s.least:
-            z.pace += s.forget * (1 - z.pace)
+        counter = total(evidence.current)
+        if counter.calls < settings.min_calls:
+            counter = total(evidence.both_windows())
+        if counter.calls < settings.min_calls:
+            evidence.pace += settings.pace_recovery * (1 - evidence.pace)
             return
-        mean = all_.latency / max(1, all_.answered)
-        speed = min(1.0, s.slack * z.usual / mean) if z.usual and mean else 1.0
-        z.pace = max(s.first, speed * all_.answered / all_.calls)
-
-    def verdict(self, zone: str, aside: set[int]) -> Verdict:
-        """Of a zone, with the servers that are set aside now."""
-        s, z = self.settings, self.of(zone)
-        tallies = z.joined()
-        judged, bad = set(aside), set(aside)
-        for server, t in tallies.items():
-            if t.calls < 2:
+        mean = counter.latency / max(1, counter.answered)
+        is_comparable = evidence.usual_latency and mean
+        speed = min(1.0, settings.latency_slack * evidence.usual_latency / mean) if is_comparable else 1.0
+        evidence.pace = max(settings.initial_weight, speed * counter.answered / counter.calls)
+
+    def verdict(self, zone: str, ejected: Collection[int]) -> Verdict:
+        """Judge a zone.
+
+        Args:
+            zone: The zone's name.
+            ejected: Its servers that are ejected now; they count as bad.
+        """
+        evidence = self.of(zone)
+        counters = evidence.both_windows()
+        judged, bad = set(ejected), set(ejected)
+        for server, counter in counters.items():
+            if counter.calls < MIN_CALLS_TO_JUDGE_SERVER:
                 continue
             judged.add(server)
-            slow = bool(z.usual and t.answered and t.latency > s.slower * z.usual * t.answered)
-            if t.fails >= s.failing * t.calls or slow:
+            if self.is_bad(counter, evidence.usual_latency):
                 bad.add(server)
-        all_, dead = whole(tallies), z.failed >= s.row
-        part = len(bad) / len(judged) if judged else 0.0
-        return Verdict(all_.calls, all_.answered, 1.0 if dead else part, dead)
+        calls = total(counters)
+        is_unreachable = evidence.consecutive_failures >= self.settings.consecutive_failures
+        bad_share = len(bad) / len(judged) if judged else 0.0
+        return Verdict(calls.calls, calls.answered, 1.0 if is_unreachable else bad_share, is_unreachable)
+
+    def is_bad(self, counter: CallCounter, usual_latency: float) -> bool:
+        """Return whether a server fails too many of its calls, or is far slower than is usual in its zone."""
+        settings = self.settings
+        if counter.failures >= settings.failure_rate_threshold * counter.calls:
+            return True
+        slowest_latency = settings.slow_factor * usual_latency * counter.answered
+        return bool(usual_latency and counter.answered and counter.latency > slowest_latency)
--- a/balancer/fleet/zone_routing/messages.py
+++ b/balancer/fleet/zone_routing/messages.py
@@ -1,4 +1,4 @@
-"""An operator's words on zones, from member to member."""
+"""Operators' directives on zones as members send them to one another, and their wire format."""
 
 from __future__ import annotations
 
@@ -7,21 +7,30 @@
 
 import msgspec
 
-LONGEST_ZONE = 64
-MOST = 12  # words in a datagram
-BIGGEST = 1 << 62
+MAX_ZONE_NAME_CHARACTERS = 64
+MAX_DIRECTIVES = 12  # in a datagram
+INTEGER_LIMIT = 1 << 62  # versions and ends are below it
+
+
+class ZoneMessageError(ValueError):
+    """A message's body holds values that no sender of any version writes."""
 
 
 class ZoneKind(IntEnum):
-    """What a message is. The number is apart from the other parts'."""
+    """Kinds of zone messages. The numbers are distinct from those of all other components."""
 
-    ORDERS = 64
+    DIRECTIVES = 64
 
 
 @dataclass(frozen=True)
-class Word:
-    """A directive on the wire. `version`: the higher, the newer. `until`: its end by the sender's wall clock,
-    in microseconds of Unix time; 0 where the zone may return."""
+class ZoneDirective:
+    """A directive on the wire.
+
+    Attributes:
+        zone: The name of the zone.
+        version: The directive with the highest version on a zone holds.
+        until: Its end by the sender's wall clock, in microseconds of Unix time; 0 if the zone may return.
+    """
 
     zone: str
     version: int
@@ -30,39 +39,71 @@
 
 @dataclass(frozen=True)
 class ZoneMessage:
-    """All that a member has to say of zones. `seq`: the wall clock by which the ends are meant, as it stood
-    when this was sent; 0 where it is not known. Processes of earlier versions say 0, and do not read it."""
+    """Directives that a member passes on.
+
+    Attributes:
+        kind: The only kind there is.
+        sender: The name of the member that sent the message.
+        directives: At most `MAX_DIRECTIVES`.
+        seq: The wall clock by which the ends are to be read, as it stood when the message was sent; 0 if it
+            is not known. Processes of earlier versions send 0 and ignore it.
+    """
 
     kind: ZoneKind
     sender: str
-    words: tuple[Word, ...] = ()
+    directives: tuple[ZoneDirective, ...] = ()
     seq: int = 0
 
 
+@dataclass(frozen=True, slots=True)
+class Outgoing:
+    """A message to be sent to one member of the own group, by its name."""
+
+    to: str
+    message: ZoneMessage
+
+
 Body = list[tuple[str, int, int]]
 
 
 class ZoneWire:
-    """Its messages to the envelope's parts and back."""
+    """Converts zone messages to the bodies of datagrams and back."""
 
-    kinds = frozenset(int(k) for k in ZoneKind)
+    kinds = frozenset(int(kind) for kind in ZoneKind)
 
     def __init__(self) -> None:
         self.decoder = msgspec.msgpack.Decoder(Body)
 
-    def pack(self, m: ZoneMessage) -> Body:
-        return [(w.zone, w.version, w.until) for w in m.words]
+    def pack(self, message: ZoneMessage) -> Body:
+        """Return the message's body, of plain types."""
+        return [(directive.zone, directive.version, directive.until) for directive in message.directives]
 
-    def shorter(self, m: ZoneMessage) -> ZoneMessage | None:
-        """Without the last word."""
-        return replace(m, words=m.words[:-1]) if m.words else None
+    def shorter(self, message: ZoneMessage) -> ZoneMessage | None:
+        """Return the message without its last directive, or None if it has none."""
+        return replace(message, directives=message.directives[:-1]) if message.directives else None
 
     def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> ZoneMessage:
-        """A ValueError, or one of msgspec's, where a figure is impossible."""
-        words = self.decoder.decode(body)
-        if len(words) > MOST:
-            raise ValueError("words")
-        for zone, version, until in words:
-            if not (0 < len(zone) <= LONGEST_ZONE and 0 <= version < BIGGEST and 0 <= until < BIGGEST):
-                raise ValueError("word")
-        return ZoneMessage(ZoneKind(kind), sender, tuple(Word(*w) for w in words), seq)
+        """Return the message that a body stands for.
+
+        Raises:
+            ZoneMessageError: A value is out of its range.
+            msgspec.MsgspecError: The body is not of the expected types.
+        """
+        entries = self.decoder.decode(body)
+        if len(entries) > MAX_DIRECTIVES:
+            raise ZoneMessageError("too many directives")
+        directives = tuple(checked_directive(*entry) for entry in entries)
+        return ZoneMessage(ZoneKind(kind), sender, directives, seq)
+
+
+def checked_directive(zone: str, version: int, until: int) -> ZoneDirective:
+    """Return a directive whose values are in range.
+
+    Raises:
+        ZoneMessageError: One of them is not.
+    """
+    if not 0 < len(zone) <= MAX_ZONE_NAME_CHARACTERS:
+        raise ZoneMessageError("zone name out of range")
+    if not (0 <= version < INTEGER_LIMIT and 0 <= until < INTEGER_LIMIT):
+        raise ZoneMessageError("version or end out of range")
+    return ZoneDirective(zone, version, until)
--- a/balancer/fleet/zone_routing/router.py
+++ b/balancer/fleet/zone_routing/router.py
@@ -1,345 +1,269 @@
-"""Shares of a node's calls by zone: near first, spill by room, leaving by evidence, return by steps.
+"""Routes one node's calls to zones: judges each zone by failure evidence, and computes the zones' shares.
 
-Sources: weights by locality, over-provisioning and a panic threshold as Envoy's documentation has them;
-reasons and figures in `docs/zone-routing.md`. Times are microseconds of this process's monotonic clock.
+`ZoneStates` holds which zones are in service, `ShareAllocation` divides the calls. Times are microseconds of
+this process's monotonic clock.
 """
 
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Callable, Collection, Mapping
+from collections.abc import Callable, Collection, Mapping, Sequence
 from dataclasses import dataclass
-from enum import Enum
 from typing import Any
 
-from balancer.fleet.zone_routing.failure_evidence import Evidence, Verdict
+from balancer.fleet.zone_routing.failure_evidence import FailureEvidence, Verdict
 from balancer.fleet.zone_routing.settings import ZoneSettings
-
-LEFT = 0.05  # a zone that has been halved below this part is left
-ONE_OF = 3  # so many zones at most one is left by evidence, or one where there are fewer
-
-
-class Stand(Enum):
-    """How a zone stands with this node."""
-
-    IN = "in"
-    LEAVING = "leaving"
-    OUT = "out"
-    RETURNING = "returning"
-
-
-@dataclass
-class Course:
-    """One zone's way out and back."""
-
-    stand: Stand = Stand.IN
-    part: float = 1.0  # of its strength that counts
-    at: int = 0  # when the next step may come
-    hold: int = 0  # how long it was left alone last
-    back_at: int = 0  # when it was last whole again
+from balancer.fleet.zone_routing.shares import ShareAllocation
+from balancer.fleet.zone_routing.zone_states import ZoneStates, ZoneStatus
 
 
 @dataclass(frozen=True)
-class Listed:
-    """A server in discovery's list."""
+class ListedServer:
+    """A server in discovery's list.
+
+    Attributes:
+        zone: The name of its zone.
+        slow_start_until: When its slow start is over; 0 if it started long ago.
+    """
 
     zone: str
-    cold_until: int  # 0: it has long been warm
+    slow_start_until: int
+
 
+class ZoneRouter:
+    """Decides for one node which zones its calls go to, and how much to each.
 
-class Zones:
-    """One node's part. `place` gives where this node stands among the members, from 0 to 1; `tell` takes a
-    line for the log."""
+    Args:
+        home: The node's own zone.
+        settings: Thresholds and times.
+        slow_start_time: How long a server's slow start lasts.
+        slow_start_share: What a server that has just started counts for, from 0 to 1.
+        now: The monotonic clock.
+        rank: Returns this node's place among the members, from 0 to 1.
+        log_line: Takes a line for the log.
+    """
 
     def __init__(
         self,
-        zone: str,
+        home: str,
         settings: ZoneSettings,
-        cold_time: int,
-        cold_share: float,
+        slow_start_time: int,
+        slow_start_share: float,
         now: int,
-        place: Callable[[], float],
-        tell: Callable[[str], None],
+        rank: Callable[[], float],
+        log_line: Callable[[str], None],
     ) -> None:
-        self.zone = zone
+        self.home = home
         self.settings = settings
-        self.cold_time = max(1, cold_time)
-        self.cold_share = cold_share
-        self.place = place
-        self.tell = tell
-        self.evidence = Evidence(settings, now)
-        self.servers: dict[int, Listed] = {}
-        self.names: list[str] = []  # of the zones that these lie in
-        self.aside: set[int] = set()
-        self.courses: dict[str, Course] = {}
-        self.orders: dict[str, int] = {}  # zones that an operator has left, and how long still
-        self.returned: set[str] = set()  # and those that he has let return
-        self.isolated = False
-        self.next = now
+        self.slow_start_time = max(1, slow_start_time)
+        self.slow_start_share = slow_start_share
+        self.log_line = log_line
         self.counts: Counter[str] = Counter()
+        self.evidence = FailureEvidence(settings, now)
+        self.states = ZoneStates(settings, self.evidence, rank, log_line, self.counts)
+        self.servers: dict[int, ListedServer] = {}
+        self.ejected: set[int] = set()
+        self.is_isolated = False  # all remote zones look bad, so the fault is likely this node's own
+        self.next_evaluation_at = now
 
     # ---- what the node sees -----------------------------------------------------------------------------
 
-    def listed(self, servers: Mapping[int, Listed]) -> None:
-        """Discovery's list as it stands: those that are ready."""
+    def update_servers(self, servers: Mapping[int, ListedServer]) -> None:
+        """Take discovery's list of the servers that are ready."""
         self.servers = dict(servers)
-        self.aside &= servers.keys()
-        self.names = sorted({s.zone for s in servers.values()})
-        for zone in self.names:
-            self.courses.setdefault(zone, Course())
+        self.ejected &= servers.keys()
+        self.states.set_present(sorted({server.zone for server in servers.values()}))
 
-    def set_aside(self, server: int, on: bool) -> None:
-        (self.aside.add if on else self.aside.discard)(server)
+    def set_ejected(self, server: int, ejected: bool) -> None:
+        """Take that a server has been ejected, or is not any more."""
+        if ejected:
+            self.ejected.add(server)
+        else:
+            self.ejected.discard(server)
 
-    def ended(self, now: int, server: int, ok: bool, latency: int) -> bool:
-        """A call to a server has ended. Whether it is time for a look now.
+    def record_outcome(self, now: int, server: int, ok: bool, latency: int) -> bool:
+        """Record the end of a call to a server.
 
-        Failure prevented: a zone dies, and for half a second all calls still go there, each at the cost of a
-        repeat that the budget soon has not.
+        Failure prevented: a zone dies, and until the next evaluation all calls still go there, each at the
+        cost of a retry, until the retry budget is used up.
+
+        Returns:
+            Whether the zones must be evaluated at once.
         """
-        known = self.servers.get(server)
-        if known is None:
+        listed = self.servers.get(server)
+        if listed is None:
             return False
-        self.evidence.ended(known.zone, server, ok, latency)
-        if self.evidence.of(known.zone).failed == self.settings.row:
-            self.next = now
-            return True
-        return False
-
-    def connected(self, server: int, took: int) -> None:
-        """A connection to a server came up."""
-        known = self.servers.get(server)
-        if known is not None:
-            self.evidence.connected(known.zone, took)
-
-    # ---- the operator's hand ----------------------------------------------------------------------------
-
-    def ordered(self, left: Mapping[str, int], returned: Collection[str] = ()) -> None:
-        """Zones that an operator has left, whatever the evidence says, and how long still. Those that he has
-        let return do, by steps; so do those whose time is over, unless they were left by evidence too."""
-        for zone in self.orders.keys() - left.keys():
-            c = self.course(zone)
-            if zone in returned or c.stand != Stand.OUT:
-                self.begin_return(self.next, zone, c)
-        for zone in set(returned) - self.returned:
-            if self.course(zone).stand == Stand.OUT:
-                self.begin_return(self.next, zone, self.course(zone))
-        self.returned = set(returned)
-        for zone, length in left.items():
-            if zone not in self.orders:
-                self.tell(f"fleet zone {zone} is left by order, {length / 1e6:.0f} s still")
-        self.orders = dict(left)
+        self.evidence.record_outcome(listed.zone, server, ok, latency)
+        failures = self.evidence.of(listed.zone).consecutive_failures
+        if failures != self.settings.consecutive_failures:
+            return False
+        self.next_evaluation_at = now
+        return True
 
-    def allows(self, server: int) -> bool:
-        """Whether calls may go to a server, by its zone."""
-        known = self.servers.get(server)
-        return known is None or self.able(known.zone) or not any(self.able(z) for z in self.present())
+    def record_connection(self, server: int, connect_time: int) -> None:
+        """Record a connection to a server that came up."""
+        listed = self.servers.get(server)
+        if listed is not None:
+            self.evidence.record_connection(listed.zone, connect_time)
 
-    def course(self, zone: str) -> Course:
-        return self.courses.setdefault(zone, Course())
+    def apply_directives(self, remaining: Mapping[str, int], returned: Collection[str] = ()) -> None:
+        """Take over the operators' directives; see `ZoneStates.apply_directives`."""
+        self.states.apply_directives(self.next_evaluation_at, remaining, returned)
 
-    # ---- time -------------------------------------------------------------------------------------------
+    def allows(self, server: int) -> bool:
+        """Return whether calls may go to a server, by its zone."""
+        listed = self.servers.get(server)
+        if listed is None or self.states.takes_calls(listed.zone):
+            return True
+        return not any(self.states.takes_calls(zone) for zone in self.zones())
+
+    # ---- evaluation -------------------------------------------------------------------------------------
 
     def deadline(self) -> int:
-        """When to `tick` next."""
-        return self.next
+        """Return when `tick` is due."""
+        return self.next_evaluation_at
 
     def tick(self, now: int) -> bool:
-        """Looks at all zones; whether it was time to."""
-        if now < self.next:
+        """Evaluate all zones if that is due; return whether it was."""
+        if now < self.next_evaluation_at:
             return False
-        self.next = now + self.settings.every
-        verdicts = {z: self.verdict(z) for z in self.present()}
-        bad = {z for z, v in verdicts.items() if v.bad >= self.settings.spread}
-        self.look_around(verdicts, bad)
+        self.next_evaluation_at = now + self.settings.evaluation_interval
+        verdicts = {zone: self.verdict(zone) for zone in self.zones()}
+        threshold = self.settings.bad_servers_threshold
+        bad = {zone for zone, verdict in verdicts.items() if verdict.bad_share >= threshold}
+        self.check_isolation(verdicts, bad)
         for zone, verdict in verdicts.items():
-            self.evidence.measure(zone)
-            if zone == self.zone or not self.isolated:
-                self.step(now, zone, verdict, zone in bad and self.alone_bad(zone, verdicts))
-        self.evidence.turn(now)
+            self.evidence.measure_pace(zone)
+            if zone == self.home or not self.is_isolated:
+                is_bad = zone in bad and self.others_are_better(zone, verdicts)
+                self.states.advance(now, zone, verdict, is_bad)
+        self.evidence.close_window_if_over(now)
         return True
 
-    def look_around(self, verdicts: dict[str, Verdict], bad: set[str]) -> None:
-        """Whether all far zones that are called look bad and the own one does not: the fault is near, and
-        those far ones are not left for it. A trickle goes on, to see when they are back."""
-        called = {z for z, v in verdicts.items() if v.tells(self.settings.least) and self.able(z)}
-        far = called - {self.zone}
-        before = self.isolated
-        if not before:
-            self.isolated = len(far) > 1 and far <= bad and self.zone in called - bad
-        elif self.zone in bad or any(2 * v.answered > v.calls for z, v in verdicts.items() if z != self.zone):
-            self.isolated = False
-        if self.isolated == before:
+    def check_isolation(self, verdicts: Mapping[str, Verdict], bad: Collection[str]) -> None:
+        """Find out whether all remote zones that are called look bad and the home zone does not.
+
+        The fault is then likely near this node, and the remote zones are not evacuated for it. A few calls
+        still go there, to see when they are reachable again.
+        """
+        was_isolated = self.is_isolated
+        self.is_isolated = (
+            self.stays_isolated(verdicts, bad) if was_isolated else self.isolates(verdicts, bad)
+        )
+        if self.is_isolated == was_isolated:
             return
-        self.counts["isolated"] += self.isolated
-        self.tell("fleet zones: " + ("all far ones look bad: staying" if self.isolated else "looking again"))
-        for zone, c in self.courses.items():
-            if zone != self.zone and c.stand == Stand.LEAVING:
-                c.stand, c.part = Stand.IN, 1.0
+        self.counts["isolated"] += self.is_isolated
+        what = "all far ones look bad: staying" if self.is_isolated else "looking again"
+        self.log_line(f"fleet zones: {what}")
+        self.states.cancel_evacuations(except_zone=self.home)
+
+    def isolates(self, verdicts: Mapping[str, Verdict], bad: Collection[str]) -> bool:
+        """Return whether two or more remote zones are called, all of them look bad, and home does not."""
+        called = {
+            zone
+            for zone, verdict in verdicts.items()
+            if verdict.is_conclusive(self.settings.min_calls) and self.states.takes_calls(zone)
+        }
+        remote = called - {self.home}
+        home_does_well = self.home in called and self.home not in bad
+        return len(remote) > 1 and all(zone in bad for zone in remote) and home_does_well
+
+    def stays_isolated(self, verdicts: Mapping[str, Verdict], bad: Collection[str]) -> bool:
+        """Return whether the home zone does well still and no remote zone answers most of its calls."""
+        if self.home in bad:
+            return False
+        return not any(verdict.is_mostly_answered for zone, verdict in verdicts.items() if zone != self.home)
 
-    def present(self) -> list[str]:
-        """Zones that have servers, in order."""
-        return self.names
+    def zones(self) -> Sequence[str]:
+        """Return the zones that have servers, in order."""
+        return self.states.present
 
     def verdict(self, zone: str) -> Verdict:
-        aside = {s for s in self.aside if s in self.servers and self.servers[s].zone == zone}
-        return self.evidence.verdict(zone, aside)
+        """Judge a zone by the failure evidence and its ejected servers."""
+        ejected = {
+            server for server in self.ejected if server in self.servers and self.servers[server].zone == zone
+        }
+        return self.evidence.verdict(zone, ejected)
 
-    def alone_bad(self, zone: str, verdicts: dict[str, Verdict]) -> bool:
-        """Whether some other zone is known to do clearly better, or none of the others is known at all.
+    def others_are_better(self, zone: str, verdicts: Mapping[str, Verdict]) -> bool:
+        """Return whether another zone is known to do clearly better, or none of the others is known at all.
 
-        Failure prevented: a release that is bad everywhere, or this node's own trouble, empties one zone
+        Failure prevented: a release that is bad everywhere, or a fault of this node's own, empties one zone
         after another.
         """
-        s = self.settings
-        if not verdicts[zone].tells(s.least) and self.course(zone).stand == Stand.IN:
+        min_calls = self.settings.min_calls
+        status = self.states.of(zone).status
+        if not verdicts[zone].is_conclusive(min_calls) and status == ZoneStatus.IN_SERVICE:
             return False
-        others = [v.bad for z, v in verdicts.items() if z != zone and v.tells(s.least) and self.able(z)]
-        return not others or min(others) <= s.better * verdicts[zone].bad
-
-    def able(self, zone: str) -> bool:
-        """Whether calls go there."""
-        return self.course(zone).part > 0 and zone not in self.orders
-
-    # ---- one zone's way out and back --------------------------------------------------------------------
-
-    def step(self, now: int, zone: str, verdict: Verdict, bad: bool) -> None:
-        c, s = self.course(zone), self.settings
-        if c.stand in (Stand.IN, Stand.LEAVING):
-            if bad and self.may_leave(zone):
-                c.stand = Stand.LEAVING
-                c.part /= 2
-                if c.part < LEFT:
-                    self.leave(now, zone, c)
-            elif c.stand == Stand.LEAVING and 2 * verdict.answered > verdict.calls:
-                c.part = min(1.0, 2 * c.part)
-                c.stand = Stand.IN if c.part == 1.0 else Stand.LEAVING
-        elif c.stand == Stand.OUT and now >= c.at:
-            self.begin_return(now, zone, c)
-        elif c.stand == Stand.RETURNING:
-            if bad or (verdict.tells(s.least) and verdict.bad >= s.spread):
-                self.leave(now, zone, c)
-            elif now >= c.at and 2 * verdict.answered > verdict.calls or self.unasked(now, verdict, c):
-                c.part, c.at = min(1.0, 2 * c.part), now + s.step
-                if c.part == 1.0:
-                    c.stand, c.back_at = Stand.IN, now
-                    self.tell(f"fleet zone {zone} is whole again")
-
-    def may_leave(self, zone: str) -> bool:
-        """Whether so few zones are gone or left that one more may be.
-
-        Failure prevented: a lost zone's load makes the others slow, the first of them is left for it, and its
-        load topples the next.
-        """
-        out = sum(
-            z not in self.names or c.stand != Stand.IN or z in self.orders
-            for z, c in self.courses.items()
-            if z != zone
-        )
-        return out < max(1, len(self.courses) // ONE_OF)
+        others = [
+            verdict.bad_share
+            for other, verdict in verdicts.items()
+            if other != zone and verdict.is_conclusive(min_calls) and self.states.takes_calls(other)
+        ]
+        return not others or min(others) <= self.settings.better_factor * verdicts[zone].bad_share
 
-    def unasked(self, now: int, verdict: Verdict, c: Course) -> bool:
-        """Whether nothing has gone to a zone for so long that no evidence is to be had.
+    # ---- shares -----------------------------------------------------------------------------------------
 
-        Failure prevented: a far zone that is not called while all is well at home stays at 2% for ever, and
-        bears nothing on the day that the own zone dies.
+    def strengths(self, now: int) -> dict[str, float]:
+        """Return each zone's strength: its servers in service, by their slow start and the zone's pace."""
+        strengths: dict[str, float] = dict.fromkeys(self.zones(), 0.0)
+        for number, server in self.servers.items():
+            if number not in self.ejected:
+                warmth = 1 - max(0.0, min(1.0, (server.slow_start_until - now) / self.slow_start_time))
+                strengths[server.zone] += self.slow_start_share + (1 - self.slow_start_share) * warmth
+        return {zone: strength * self.known_pace(zone) for zone, strength in strengths.items()}
+
+    def known_pace(self, zone: str) -> float:
+        """Return a zone's pace; in isolation 1 for remote zones, as this node's links may be at fault."""
+        return 1.0 if self.is_isolated and zone != self.home else self.evidence.pace(zone)
+
+    def shares(self, now: int) -> dict[str, float]:
+        """Return the part of the calls that goes to each zone, in order of preference.
+
+        Evacuated zones are not among them, unless all are.
         """
-        return verdict.calls == 0 and now >= c.at + self.settings.hold
-
-    def leave(self, now: int, zone: str, c: Course) -> None:
-        """Nothing goes there for a while; for longer, if it has come back only lately."""
-        s = self.settings
-        again = c.stand == Stand.RETURNING or now < c.back_at + s.lapse and c.hold > 0
-        c.hold = min(s.hold_most, s.longer * c.hold) if again else s.hold
-        c.stand, c.part = Stand.OUT, 0.0
-        c.at = now + c.hold + int(s.stagger * self.place())
-        self.counts["left"] += 1
-        self.tell(f"fleet zone {zone} is left for {c.hold / 1e6:g} s")
-
-    def begin_return(self, now: int, zone: str, c: Course) -> None:
-        c.stand, c.part, c.at = Stand.RETURNING, self.settings.first, now + self.settings.step
-        self.evidence.forget(zone)
-        self.tell(f"fleet zone {zone} returns, by steps")
+        strengths = self.strengths(now)
+        zones_with_demand = {*strengths, *self.states.by_zone, self.home}  # also those without servers now
+        allocation = ShareAllocation(
+            home=self.home,
+            strengths=strengths,
+            weights={zone: self.weight(zone) for zone in strengths},
+            even_share=1 / len(zones_with_demand),
+            overprovisioning_factor=self.settings.overprovisioning_factor,
+            costs=self.settings.costs,
+        )
+        return allocation.shares()
 
-    # ---- shares -----------------------------------------------------------------------------------------
+    def weight(self, zone: str) -> float:
+        """Return the part of a zone's strength that this node uses now."""
+        weight = self.states.effective_weight(zone)
+        is_limited = self.is_isolated and zone != self.home and self.home in self.zones()
+        return min(weight, self.settings.initial_weight) if is_limited else weight
 
-    def strength(self, now: int) -> dict[str, float]:
-        """Of each zone: servers in service, cold ones by their warmth, all by the zone's pace."""
-        out: dict[str, float] = dict.fromkeys(self.present(), 0.0)
-        for number, s in self.servers.items():
-            if number not in self.aside:
-                warmth = 1 - max(0.0, min(1.0, (s.cold_until - now) / self.cold_time))
-                out[s.zone] += self.cold_share + (1 - self.cold_share) * warmth
-        # While this node's own links may be at fault, what it saw of the others says nothing of them.
+    def extra_round_trips(self) -> dict[str, int]:
+        """Return how much longer a round trip to each remote zone takes than one at home."""
         return {
-            z: v * (1.0 if self.isolated and z != self.zone else self.evidence.pace(z))
-            for z, v in out.items()
+            zone: self.evidence.extra_round_trip(zone, self.home)
+            for zone in self.zones()
+            if zone != self.home
         }
 
-    def shares(self, now: int) -> dict[str, float]:
-        """What part of the calls goes to each zone, in order of preference; zones that are left are not
-        among them, unless all are."""
-        strength = self.strength(now)
-        parts = {z: self.course(z).part * (z not in self.orders) for z in strength}
-        if self.isolated and self.zone in parts:
-            parts |= {z: min(parts[z], self.settings.first) for z in parts if z != self.zone}
-        if not any(strength[z] * parts[z] for z in strength):
-            parts = dict.fromkeys(strength, 1.0)  # all bad, or all left: as if none were
-        whole = sum(strength.values())
-        if not whole:
-            return {z: 1 / len(strength) for z in strength}
-        # A zone that has no servers now asks for its part all the same.
-        even = 1 / len({*strength, *self.courses, self.zone})
-        bears = {z: self.settings.room * parts[z] * strength[z] / whole for z in strength}
-        order = sorted((z for z in strength if parts[z] > 0), key=lambda z: (z != self.zone, self.cost(z), z))
-        out = dict.fromkeys(order, 0.0)
-        left = 1.0
-        if self.zone in out:
-            out[self.zone] = min(1.0, bears[self.zone] / even)
-            left -= out[self.zone]
-        for cost in sorted({self.cost(z) for z in order if z != self.zone}):
-            alike = [z for z in order if z != self.zone and self.cost(z) == cost]
-            left -= self.spill(out, alike, bears, left, even)
-        if left > 1e-9:  # nobody has room for it: by strength, and the limits shed it
-            sum_ = sum(parts[z] * strength[z] for z in order)
-            for z in order:
-                out[z] += left * parts[z] * strength[z] / sum_
-        return out
-
-    def spill(
-        self, out: dict[str, float], zones: list[str], bears: dict[str, float], left: float, even: float
-    ) -> float:
-        """Gives what is left to zones of one cost, by their room beyond what is their own; how much it was.
-        A node's part of that room is what its zone asks of all."""
-        room = {z: max(0.0, bears[z] - even) / even for z in zones}
-        sum_ = sum(room.values())
-        given = min(left, sum_)
-        for z in zones:
-            out[z] += given * room[z] / sum_ if sum_ else 0.0
-        return given
-
-    def cost(self, zone: str) -> float:
-        return 0.0 if zone == self.zone else self.settings.costs.get(zone, 1.0)
-
-    def trips(self) -> dict[str, int]:
-        """How much longer a round-trip to each zone is than at home."""
-        return {z: self.evidence.trip(z, self.zone) for z in self.present() if z != self.zone}
-
     # ---- what operators see -----------------------------------------------------------------------------
 
-    def view(self, now: int) -> dict[str, Any]:
-        """Each zone as this node has it; times in seconds."""
+    def status(self, now: int) -> dict[str, Any]:
+        """Return the key `zones` of the operators' page; times in seconds."""
         shares = self.shares(now) if self.servers else {}
-        strength = self.strength(now)
+        strengths = self.strengths(now)
         table = {}
-        for zone in self.present():
-            c, ordered = self.course(zone), self.orders.get(zone, 0)
+        for zone in self.zones():
+            state = self.states.of(zone)
+            remaining = self.states.evacuated_by_directive.get(zone, 0)
             table[zone] = {
-                "stand": "left by order" if ordered else c.stand.value,
+                "stand": "left by order" if remaining else state.status.value,
                 "share": round(shares.get(zone, 0.0), 4),
-                "strength": round(strength[zone], 2),
-                "part": round(c.part, 3),
+                "strength": round(strengths[zone], 2),
+                "part": round(state.weight, 3),
                 "pace": round(self.evidence.pace(zone), 3),
-                "ordered_s": round(ordered / 1e6, 1),
+                "ordered_s": round(remaining / 1e6, 1),
             }
-        return {"home": self.zone, "isolated": self.isolated, "zones": table, "counts": dict(self.counts)}
+        return {"home": self.home, "isolated": self.is_isolated, "zones": table, "counts": dict(self.counts)}
--- a/balancer/fleet/zone_routing/settings.py
+++ b/balancer/fleet/zone_routing/settings.py
@@ -1,34 +1,59 @@
-"""Figures of the zones. Times in microseconds."""
+"""Thresholds and times of zone routing."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-SEC = 1_000_000
+SECOND_US = 1_000_000
 
 
 @dataclass(frozen=True)
 class ZoneSettings:
-    """`costs`: of a call from here to a zone; one for those that are not named."""
+    """Settings of one node's `ZoneRouter`; times are in microseconds.
 
-    room: float = 1.4  # a zone bears so many times its even part of the load
+    Operators set `room` and `costs` only (`docs/zone-routing.md`); the rest are fixed.
+
+    Attributes:
+        overprovisioning_factor: A zone can carry this many times its even share of the load. The key `room`.
+        costs: Cost of a call from this node's zone to another; 1 for zones that are not named.
+        evaluation_interval: Time between two evaluations of all zones.
+        window: Time over which outcomes of calls are counted.
+        min_calls: Calls to a zone in a window below which its failure rate says nothing.
+        consecutive_failures: Calls to a zone that fail in a row until it counts as unreachable.
+        failure_rate_threshold: Share of a server's calls that fail from which the server counts as bad.
+        latency_slack: Times its usual latency up to which a zone's pace does not fall.
+        pace_recovery: Part of the missing pace that a zone without calls regains at each evaluation.
+        slow_factor: Times the zone's usual latency above which a server counts as bad.
+        bad_servers_threshold: Share of a zone's judged servers that are bad from which the zone is bad.
+        better_factor: Another zone is better if its share of bad servers is at most this part of the zone's.
+        evacuation_time: How long an evacuated zone gets no calls the first time.
+        max_evacuation_time: Upper bound of that time.
+        evacuation_backoff: Factor by which that time grows if the zone turns bad again.
+        relapse_window: Time after a recovery within which the zone counts as having turned bad again.
+        return_stagger: Time over which the nodes of a fleet spread their return to a zone.
+        initial_weight: Weight of a zone when its recovery begins, and of remote zones in isolation.
+        recovery_step: Time after which a recovering zone's weight doubles.
+        baseline_time: Time constant by which a zone's usual latency is smoothed.
+    """
+
+    overprovisioning_factor: float = 1.4
     costs: Mapping[str, float] = field(default_factory=dict)
-    every: int = SEC // 2  # between two looks
-    window: int = 2 * SEC  # over which evidence is gathered
-    least: int = 10  # calls to a zone in a window, below which it tells nothing
-    row: int = 6  # so many of a zone's calls failed one after the other: it is dead until one does not
-    failing: float = 0.2  # of a server's calls: it is bad
-    slack: float = 1.5  # times its usual latency: so much is no sign of weakness
-    forget: float = 0.1  # of what a zone's pace lacks, at each look that has no calls to tell
-    slower: float = 4.0  # times the zone's usual: it is bad
-    spread: float = 0.5  # of a zone's servers that were called: the zone is bad
-    better: float = 0.5  # other zones are only better if so much less of them is bad
-    hold: int = 10 * SEC  # a zone that was left is left alone so long...
-    hold_most: int = 160 * SEC
-    longer: int = 4  # ...so many times longer if it turns bad again...
-    lapse: int = 60 * SEC  # ...before it was whole for this long
-    stagger: int = 8 * SEC  # between the first and the last node of the fleet
-    first: float = 0.02  # of its share, on return, and while its failure may be this node's own...
-    step: int = 2 * SEC  # ...twice as much after so long
-    usual: int = 60 * SEC  # over so long a zone's usual latency is smoothed
+    evaluation_interval: int = SECOND_US // 2
+    window: int = 2 * SECOND_US
+    min_calls: int = 10
+    consecutive_failures: int = 6
+    failure_rate_threshold: float = 0.2
+    latency_slack: float = 1.5
+    pace_recovery: float = 0.1
+    slow_factor: float = 4.0
+    bad_servers_threshold: float = 0.5
+    better_factor: float = 0.5
+    evacuation_time: int = 10 * SECOND_US
+    max_evacuation_time: int = 160 * SECOND_US
+    evacuation_backoff: int = 4
+    relapse_window: int = 60 * SECOND_US
+    return_stagger: int = 8 * SECOND_US
+    initial_weight: float = 0.02
+    recovery_step: int = 2 * SECOND_US
+    baseline_time: int = 60 * SECOND_US
--- a/balancer/fleet/zone_routing/traffic.py
+++ b/balancer/fleet/zone_routing/traffic.py
@@ -1,54 +1,46 @@
-"""Traffic between zones of one node: feeds the decisions with discovery's list and with the outcomes of
-attempts, and publishes the shares that come of it to the policy.
+"""Connects zone routing with one node's policy.
 
-Times are microseconds; `now` and `wall` are the process's monotonic clock and Unix time.
+Feeds the router with discovery's list, outcomes of attempts and operators' directives, and publishes the
+shares that follow to the policy. Times are microseconds; `now` and `wall` are the process's monotonic clock
+and Unix time.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping, Sequence
-from dataclasses import dataclass
 from random import Random
 from typing import Any
 
 from balancer.fleet.config import FleetConfig
-from balancer.fleet.zone_routing.directives import Orders, Out
-from balancer.fleet.zone_routing.messages import ZoneKind, ZoneMessage
-from balancer.fleet.zone_routing.router import Listed, Zones
+from balancer.fleet.zone_routing.directives import ZoneDirectives
+from balancer.fleet.zone_routing.messages import Outgoing, ZoneKind, ZoneMessage
+from balancer.fleet.zone_routing.publication import Publish, SharePublisher
+from balancer.fleet.zone_routing.router import ListedServer, ZoneRouter
+from balancer.fleet.zone_routing.server_starts import ServerStarts
 from balancer.fleet.zone_routing.settings import ZoneSettings
 from balancer.policy.interface import ListKind, Outcome, ServerEntry, Settings, State
 
-NO_EVIDENCE = (Outcome.CANCELLED, Outcome.NOT_SENT)  # outcomes that tell nothing about a server
-MIN_SHARE_CHANGE = 0.005  # a smaller change isn't worth publishing...
-MIN_ROUND_TRIP_CHANGE = 500  # ...nor is a round-trip's by fewer microseconds than this, or by under a tenth
-Publish = Callable[[dict[int, float], dict[int, int]], None]
+OUTCOMES_WITHOUT_EVIDENCE = (Outcome.CANCELLED, Outcome.NOT_SENT)  # they say nothing of the server
 
 
-@dataclass(frozen=True)
-class Start:
-    """A server's last start, as discovery has it and as this node learned of it."""
-
-    ready_at: int  # by discovery's clock
-    learned_at: int
-    witnessed: bool  # the server was known with another start before
+class ZoneTraffic:
+    """Zone routing of one process, open from `open` to `close`, any number of times.
 
-    def cold_until(self, cold_time: int, list_clock_offset: int) -> int:
-        """When the slow start is over; 0 where the server started long ago.
+    Discovery's list and the published shares survive `close`.
 
-        Failure prevented: the node's wall clock is off, so that a server counts as warm at once, or as cold
-        for an hour.
-        """
-        if self.ready_at <= 0:
-            return 0
-        longest = self.learned_at + cold_time
-        return longest if self.witnessed else min(longest, self.ready_at + cold_time - list_clock_offset)
-
-
-class ZoneTraffic:
-    """Open from `open` to `close`, each time anew; discovery's list and what was published stay."""
+    Args:
+        config: The process's name and zone.
+        zone_settings: Thresholds and times of zone routing.
+        settings: The policy's settings.
+        now: Returns the monotonic clock.
+        wall: Returns Unix time.
+        schedule: To be called when the deadline has changed.
+        log_line: Takes a line for the log.
+        publish: Takes shares and extra round-trip times by zone number.
+    """
 
     kinds = frozenset(ZoneKind)  # of the messages for `received`
-    zones_class = Zones  # a workbench may measure against another
+    router_class = ZoneRouter  # the workbench measures it against another
 
     def __init__(
         self,
@@ -61,8 +53,6 @@
         log_line: Callable[[str], None],
         publish: Publish,
     ) -> None:
-        """`schedule`: to be called when the deadline has changed. `publish`: gets shares and additional
-        round-trip times by zone number."""
         self.config = config
         self.zone_settings = zone_settings
         self.settings = settings
@@ -70,39 +60,40 @@
         self.wall = wall
         self.schedule = schedule
         self.log_line = log_line
-        self.publish = publish
-        self.zones: Zones | None = None
-        self.orders: Orders | None = None
+        self.publisher = SharePublisher(publish)
+        self.router: ZoneRouter | None = None
+        self.directives: ZoneDirectives | None = None
         self.alive: Callable[[], Sequence[str]] = tuple
         self.ready_servers: dict[int, ServerEntry] = {}
-        self.starts: dict[int, Start] = {}  # of the servers that discovery lists, ready or not
-        self.list_clock_offset = 0  # of discovery's clock against `now`
+        self.starts = ServerStarts(settings.cold_time, now)
         self.zone_numbers: Mapping[str, int] = {}
-        self.published_shares: dict[str, float] = {}
-        self.published_round_trips: dict[str, int] = {}
 
     def open(self, alive: Callable[[], Sequence[str]], rng: Random) -> None:
-        """A new life begins. `alive`: the names of the other members that are alive."""
+        """Begin a new incarnation.
+
+        Args:
+            alive: Returns the names of the other members that are alive.
+            rng: Chooses the members that directives are passed on to.
+        """
         self.alive = alive
-        config, settings, now = self.config, self.settings, self.now()
-        self.zones = self.zones_class(
-            config.zone,
+        self.router = self.router_class(
+            self.config.zone,
             self.zone_settings,
-            settings.cold_time,
-            settings.cold_share,
-            now,
+            self.settings.cold_time,
+            self.settings.cold_share,
+            self.now(),
             self.rank,
             self.log_line,
         )
-        self.orders = Orders(config.name, alive, self.wall, rng, self.now)
-        self.update_zones()
+        self.directives = ZoneDirectives(self.config.name, alive, self.wall, rng, self.now)
+        self.update_router()
 
     def close(self) -> None:
-        """The policy keeps the last shares: there is no way to go on without."""
-        self.zones = self.orders = None
+        """Stop. The policy keeps the last shares, since it cannot route to zones without any."""
+        self.router = self.directives = None
 
     def rank(self) -> float:
-        """This node's place among the members, from 0 to 1."""
+        """Return this node's place among the members, from 0 to 1."""
         names = sorted([*self.alive(), self.config.name])
         return names.index(self.config.name) / len(names)
 
@@ -111,111 +102,90 @@
     def server_list(
         self, now: int, kind: ListKind, entries: Sequence[ServerEntry], zone_numbers: Mapping[str, int]
     ) -> None:
-        """Discovery's news, as the policy gets it. `now`: by discovery's clock."""
+        """Take a list, or changes of it, as the policy gets it from discovery.
+
+        Args:
+            now: Discovery's clock.
+            kind: Whether the entries are all servers or only those that changed. A failure changes nothing.
+            entries: The servers.
+            zone_numbers: The policy's numbers of zones by name.
+        """
         if kind == ListKind.FAILED:
             return
         if kind != ListKind.CHANGES:
             self.ready_servers.clear()
-            listed = {entry.server for entry in entries}
-            self.starts = {server: start for server, start in self.starts.items() if server in listed}
         for entry in entries:
-            self.note_start(entry)
             if entry.state == State.READY:
                 self.ready_servers[entry.server] = entry
             else:
                 self.ready_servers.pop(entry.server, None)
-        self.list_clock_offset = now - self.now()
+        self.starts.update(now, kind, entries)
         self.zone_numbers = zone_numbers
-        self.update_zones()
-
-    def note_start(self, entry: ServerEntry) -> None:
-        """Keeps when this node learned of a server's start."""
-        known = self.starts.get(entry.server)
-        if known is None or known.ready_at != entry.ready_at:
-            self.starts[entry.server] = Start(entry.ready_at, self.now(), witnessed=known is not None)
+        self.update_router()
 
-    def update_zones(self) -> None:
-        """Hands the list to the decisions."""
-        if self.zones is None or not self.ready_servers:
+    def update_router(self) -> None:
+        """Give the list to the router."""
+        if self.router is None or not self.ready_servers:
             return
         names = {number: name for name, number in self.zone_numbers.items()}
-        cold_time, offset = self.settings.cold_time, self.list_clock_offset
-        self.zones.listed(
+        self.router.update_servers(
             {
-                number: Listed(names[entry.zone], self.starts[number].cold_until(cold_time, offset))
+                number: ListedServer(names[entry.zone], self.starts.slow_start_until(number))
                 for number, entry in self.ready_servers.items()
             }
         )
         self.schedule()
 
     def attempt_ended(self, server: int, outcome: Outcome, latency: int, connect_seconds: float) -> None:
-        """`connect_seconds`: what a new connection for the attempt took, or 0."""
-        if self.zones is None or outcome in NO_EVIDENCE:
+        """Take the outcome of an attempt.
+
+        Args:
+            server: The server's number.
+            outcome: How the attempt ended.
+            latency: Microseconds from its begin to its end.
+            connect_seconds: What a new connection for it took, or 0.
+        """
+        if self.router is None or outcome in OUTCOMES_WITHOUT_EVIDENCE:
             return
-        if self.zones.ended(self.now(), server, outcome == Outcome.OK, latency):
+        if self.router.record_outcome(self.now(), server, outcome == Outcome.OK, latency):
             self.schedule()
         if connect_seconds:
-            self.zones.connected(server, int(connect_seconds * 1e6))
+            self.router.record_connection(server, int(connect_seconds * 1e6))
 
     def allows(self, server: int) -> bool:
-        """Whether the server's zone takes calls from here."""
-        return self.zones is None or self.zones.allows(server)
+        """Return whether the server's zone takes calls from here."""
+        return self.router is None or self.router.allows(server)
 
     def set_ejected(self, server: int, ejected: bool) -> None:
-        """The policy has ejected a server, or does not any more."""
-        if self.zones is not None:
-            self.zones.set_aside(server, ejected)
+        """Take that the policy has ejected a server, or does not eject it any more."""
+        if self.router is not None:
+            self.router.set_ejected(server, ejected)
 
     # ---- time and messages ------------------------------------------------------------------------------
 
     def deadlines(self) -> list[int | None]:
-        """When `tick` is due, for one reason or another."""
-        if self.zones is None or self.orders is None or not self.ready_servers:
+        """Return the times at which `tick` is due."""
+        if self.router is None or self.directives is None or not self.ready_servers:
             return []
-        return [self.zones.deadline(), self.orders.deadline()]
+        return [self.router.deadline(), self.directives.deadline()]
 
-    def tick(self, now: int) -> Out:
-        """Does what is due."""
-        if self.zones is None or self.orders is None:
+    def tick(self, now: int) -> list[Outgoing]:
+        """Do what is due, and return messages to be sent."""
+        if self.router is None or self.directives is None:
             return []
-        if self.ready_servers and self.zones.tick(now):
-            self.zones.ordered(self.orders.left(), self.orders.returned())
-            self.publish_changes(now, self.zones)
-        return self.orders.tick(now)
-
-    def publish_changes(self, now: int, zones: Zones) -> None:
-        """Tells the policy of shares and round-trip times that have changed enough."""
-        shares, round_trips = zones.shares(now), zones.trips()
-        if not self.shares_changed(shares) and not self.round_trips_changed(round_trips):
-            return
-        self.published_shares, self.published_round_trips = shares, round_trips
-        numbers = self.zone_numbers
-        self.publish(
-            {numbers[zone]: share for zone, share in shares.items()},
-            {numbers[zone]: time for zone, time in round_trips.items()},
-        )
-
-    def shares_changed(self, shares: dict[str, float]) -> bool:
-        before = self.published_shares
-        if list(shares) != list(before):
-            return True
-        return any(abs(shares[zone] - before[zone]) > MIN_SHARE_CHANGE for zone in shares)
-
-    def round_trips_changed(self, round_trips: dict[str, int]) -> bool:
-        before = self.published_round_trips
-        return any(
-            abs(time - before.get(zone, 0)) > max(MIN_ROUND_TRIP_CHANGE, time // 10)
-            for zone, time in round_trips.items()
-        )
+        if self.ready_servers and self.router.tick(now):
+            self.router.apply_directives(self.directives.remaining(), self.directives.returned())
+            shares, round_trips = self.router.shares(now), self.router.extra_round_trips()
+            self.publisher.update(shares, round_trips, self.zone_numbers)
+        return self.directives.tick(now)
 
-    def received(self, now: int, message: ZoneMessage) -> Out:
-        """An operator's directives, passed on by another member."""
-        if self.orders is not None:
-            self.orders.received(message)
-        return []
+    def received(self, message: ZoneMessage) -> None:
+        """Take over operators' directives that another member passes on."""
+        if self.directives is not None:
+            self.directives.received(message)
 
     # ---- what operators see -----------------------------------------------------------------------------
 
     def status(self, now: int) -> dict[str, Any]:
-        """The key `zones` of the page, while this is open."""
-        return {"zones": self.zones.view(now)} if self.zones is not None else {}
+        """Return the key `zones` of the operators' page, or nothing while this is closed."""
+        return {"zones": self.router.status(now)} if self.router is not None else {}
--- a/tests/test_lab_clock_explorer.py
+++ b/tests/test_lab_clock_explorer.py
@@ -8,7 +8,7 @@
 from balancer.fleet.leases.voter import Voter
 from balancer.fleet.membership.swim import Status, Swim
 from balancer.fleet.rolling_update.decisions import Replacement
-from balancer.fleet.zone_routing.directives import Orders
+from balancer.fleet.zone_routing.directives import ZoneDirectives
 from workbench.explore.clock_faults import FIRST_AT, STEPS_S, ClockStep, draw_clock_steps
 from workbench.explore.clocks import PROPERTIES, ClockFleet, play
 from workbench.explore.faults import draw_faults
@@ -68,9 +68,9 @@
         (Voter, "too_low", lambda self, slot, number, holder: False),
     ],
     "lease": [(Voter, "abstains", lambda self, now: True)],
-    "directive": [(Orders, "received", takes_nothing)],
+    "directive": [(ZoneDirectives, "received", takes_nothing)],
     "replacement": [(Replacement, "must_go", lambda self, message: False)],
-    "fault": [(Orders, "received", raises)],
+    "fault": [(ZoneDirectives, "received", raises)],
 }
 
 
--- a/tests/test_policy_adapter.py
+++ b/tests/test_policy_adapter.py
@@ -285,7 +285,7 @@
         h.set_aside(server, SEC)
     ((shares, _),) = later()
     assert 0 < shares[1] < 1 and h.may_try(1)
-    assert h.zone_traffic.orders.say("y", 60 * SEC)
+    assert h.zone_traffic.directives.issue("y", 60 * SEC)
     ((shares, _),) = [t for t in later(1.1) if isinstance(t, tuple)]
     assert set(shares) == {1} and not h.may_try(2) and h.may_try(1)
     h.close()
--- a/tests/test_zone_directives.py
+++ b/tests/test_zone_directives.py
@@ -1,264 +1,290 @@
-"""Directives on zones where members' wall clocks differ or step, and beside processes of earlier versions."""
+"""Directives on zones where wall clocks differ or step, and beside processes of earlier versions."""
 
 from random import Random
 
 import pytest
 
 from balancer.fleet.membership.codec import MAX_DATAGRAM_BYTES, Codec
-from balancer.fleet.zone_routing.directives import LONGEST, Orders
-from balancer.fleet.zone_routing.messages import MOST, Word, ZoneKind, ZoneMessage, ZoneWire
+from balancer.fleet.zone_routing.directives import ZoneDirectives
+from balancer.fleet.zone_routing.known_directive import MAX_DURATION_US
+from balancer.fleet.zone_routing.messages import (
+    MAX_DIRECTIVES,
+    Outgoing,
+    ZoneDirective,
+    ZoneKind,
+    ZoneMessage,
+    ZoneWire,
+)
 
 SEC = 1_000_000
 HOUR = 3600 * SEC
 UNIX = 1_700_000_000 * SEC
 TRANSIT = 5_000  # microseconds
+MONOTONIC_OFFSET = 1000 * SEC  # between the monotonic clocks of two members
 STEPS = [-3600, -5, 5, 3600]
-BOUND = 2 * SEC  # from when a directive's span is over until it is over at each member
+END_TOLERANCE = 2 * SEC  # from a directive's end until it is over at each member
 
 
-class EarlierOrders:
-    """As it was in the version before: ends and versions by wall clocks that agree."""
+class EarlierZoneDirectives:
+    """The implementation of the version before: ends and versions by wall clocks that agree."""
 
     def __init__(self, name, alive, wall, rng, now):
         self.name, self.alive, self.wall, self.rng = name, alive, wall, rng
-        self.words, self.fresh, self.next = {}, 0, now()
+        self.by_zone, self.broadcasts_remaining, self.next_tick_at = {}, 0, now()
 
-    def say(self, zone, length):
-        wall, old = self.wall(), self.words.get(zone)
-        version = max(wall, old.version + 1 if old is not None else 0)
-        self.words[zone] = Word(zone, version, wall + min(length, LONGEST) if length else 0)
-        self.fresh = 3
+    def issue(self, zone, duration):
+        wall, known = self.wall(), self.by_zone.get(zone)
+        version = max(wall, known.version + 1 if known is not None else 0)
+        self.by_zone[zone] = ZoneDirective(
+            zone, version, wall + min(duration, MAX_DURATION_US) if duration else 0
+        )
+        self.broadcasts_remaining = 3
 
-    def left(self):
+    def remaining(self):
         wall = self.wall()
-        return {z: min(w.until - wall, LONGEST) for z, w in self.words.items() if w.until > wall}
+        return {
+            zone: min(directive.until - wall, MAX_DURATION_US)
+            for zone, directive in self.by_zone.items()
+            if directive.until > wall
+        }
 
     def returned(self):
-        return {z for z, w in self.words.items() if not w.until}
+        return {zone for zone, directive in self.by_zone.items() if not directive.until}
 
     def tick(self, now):
-        if not self.words or now < self.next:
+        if not self.by_zone or now < self.next_tick_at:
             return []
-        self.next = now + SEC
+        self.next_tick_at = now + SEC
         wall = self.wall()
-        self.words = {z: w for z, w in self.words.items() if max(w.until, w.version) + HOUR > wall}
-        message = ZoneMessage(ZoneKind.ORDERS, self.name, tuple(w for _, w in sorted(self.words.items())))
-        if self.fresh:
-            self.fresh -= 1
-            return [(name, message) for name in self.alive()]
-        return [(self.rng.choice(list(self.alive())), message)]
+        self.by_zone = {
+            zone: directive
+            for zone, directive in self.by_zone.items()
+            if max(directive.until, directive.version) + HOUR > wall
+        }
+        directives = tuple(directive for _, directive in sorted(self.by_zone.items()))
+        message = ZoneMessage(ZoneKind.DIRECTIVES, self.name, directives)
+        if self.broadcasts_remaining:
+            self.broadcasts_remaining -= 1
+            return [Outgoing(name, message) for name in self.alive()]
+        return [Outgoing(self.rng.choice(list(self.alive())), message)]
 
     def received(self, message):
-        for word in message.words:
-            known = self.words.get(word.zone)
-            if known is None or (word.version, word.until) > (known.version, known.until):
-                self.words[word.zone] = word
+        for directive in message.directives:
+            known = self.by_zone.get(directive.zone)
+            order = (directive.version, directive.until)
+            if known is None or order > (known.version, known.until):
+                self.by_zone[directive.zone] = directive
 
 
 class Fleet:
-    """Members on one true time, each with a wall clock that is off by a step and a monotonic one of its own.
-    Messages go through the codec and take `TRANSIT`."""
+    """Members that share one true time.
+
+    Each has a wall clock that is off by `steps` and a monotonic clock of its own. Messages go through
+    the codec and take `TRANSIT`.
+    """
 
     def __init__(self, count, earlier=()):
-        self.true = 100 * SEC
+        self.true_time = 100 * SEC
         self.steps = [0] * count
-        self.cut = set()
-        self.kinds = [EarlierOrders if i in earlier else Orders for i in range(count)]
+        self.partitioned = set()
+        self.implementations = [
+            EarlierZoneDirectives if i in earlier else ZoneDirectives for i in range(count)
+        ]
         self.members = [None] * count
         self.codec = Codec([b"k" * 20], [ZoneWire()])
         for i in range(count):
             self.restart(i)
 
     def restart(self, i):
-        others = [f"n{j}" for j in range(len(self.kinds)) if j != i]
-        self.members[i] = self.kinds[i](
+        """Replace a member by one that knows nothing."""
+        others = [f"n{j}" for j in range(len(self.implementations)) if j != i]
+        self.members[i] = self.implementations[i](
             f"n{i}",
             lambda: others,
-            lambda: UNIX + self.true + self.steps[i] * SEC,
+            lambda: UNIX + self.true_time + self.steps[i] * SEC,
             Random(i),
-            lambda: self.true + i * 1000 * SEC,
+            lambda: self.true_time + i * MONOTONIC_OFFSET,
         )
 
-    def run(self, seconds, every=SEC // 2):
-        for _ in range(int(seconds * SEC / every)):
-            self.true += every - TRANSIT
+    def run(self, seconds, interval=SEC // 2):
+        for _ in range(int(seconds * SEC / interval)):
+            self.true_time += interval - TRANSIT
             sent = [
-                (i, int(to[1:]), message)
-                for i, member in enumerate(self.members)
-                for to, message in member.tick(self.true + i * 1000 * SEC)
+                (sender, int(outgoing.to[1:]), outgoing.message)
+                for sender, member in enumerate(self.members)
+                for outgoing in member.tick(self.true_time + sender * MONOTONIC_OFFSET)
             ]
-            self.true += TRANSIT
-            for i, to, message in sent:
-                if not {i, to} & self.cut:
-                    self.members[to].received(self.read(message))
+            self.true_time += TRANSIT
+            for sender, receiver, message in sent:
+                if not {sender, receiver} & self.partitioned:
+                    self.members[receiver].received(self.through_codec(message))
         return self
 
-    def read(self, message):
-        """Through the wire; whether wall clocks agree is the codec's matter."""
+    def through_codec(self, message):
+        """Encode and decode a message; the codec itself is tested for clocks that disagree elsewhere."""
         data = self.codec.encode(message, UNIX)
         assert len(data) <= MAX_DATAGRAM_BYTES
-        stamp = self.codec.stamp
-        read = self.codec.decode(data, stamp)
-        assert read == message
-        return read
-
-    def skip(self, seconds):
-        """Time goes on, and the wire is dead."""
-        self.cut = set(range(len(self.members)))
-        self.run(seconds, every=10 * SEC)
-        self.cut = set()
+        decoded = self.codec.decode(data, self.codec.stamp)
+        assert decoded == message
+        return decoded
+
+    def run_partitioned(self, seconds):
+        """Let time pass while no message arrives."""
+        self.partitioned = set(range(len(self.members)))
+        self.run(seconds, interval=10 * SEC)
+        self.partitioned = set()
         return self
 
-    def left(self):
-        return ["".join(sorted(m.left())) for m in self.members]
+    def zones_evacuated(self):
+        return ["".join(sorted(m.remaining())) for m in self.members]
 
     def seconds_left(self):
-        return [round(m.left().get("a", 0) / SEC) for m in self.members]
+        return [round(m.remaining().get("a", 0) / SEC) for m in self.members]
 
 
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("when", ["before", "after"])
-@pytest.mark.parametrize("who", [0, 1], ids=["the-operator-s", "another"])
-def test_a_span_is_real_time_at_each_member_whatever_its_wall_clock(step, when, who):
+@pytest.mark.parametrize("stepped", [0, 1], ids=["issuer", "receiver"])
+def test_a_directive_lasts_its_duration_at_each_member_whatever_the_wall_clocks(step, when, stepped):
     fleet = Fleet(4)
     if when == "before":
-        fleet.steps[who] = step
-    fleet.members[0].say("a", 60 * SEC)
+        fleet.steps[stepped] = step
+    fleet.members[0].issue("a", 60 * SEC)
     fleet.run(10)
     assert fleet.seconds_left() == [50] * 4
-    fleet.steps[who] = step
-    assert fleet.run(49).left() == ["a"] * 4
-    assert fleet.run(1 + BOUND / SEC).left() == [""] * 4
+    fleet.steps[stepped] = step
+    assert fleet.run(49).zones_evacuated() == ["a"] * 4
+    assert fleet.run(1 + END_TOLERANCE / SEC).zones_evacuated() == [""] * 4
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_member_that_restarts_with_a_stepped_clock_hears_what_is_left(step):
+def test_a_member_restarted_with_a_stepped_clock_learns_the_remaining_duration(step):
     fleet = Fleet(4)
-    fleet.members[0].say("a", 60 * SEC)
+    fleet.members[0].issue("a", 60 * SEC)
     fleet.run(10)
     fleet.steps[0] = step
     fleet.restart(0)
     assert fleet.run(20).seconds_left() == [30] * 4
-    assert fleet.run(30 + BOUND / SEC).left() == [""] * 4
+    assert fleet.run(30 + END_TOLERANCE / SEC).zones_evacuated() == [""] * 4
 
 
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("restart", [False, True], ids=["running", "restarting"])
-def test_what_is_said_later_wins_wherever_the_one_before_was_seen(step, restart):
-    """First where the clock is wrong, then where it is right, and the other way round."""
+def test_the_later_directive_wins_wherever_the_earlier_one_was_issued(step, restart):
+    """First at the member whose clock is off, then at another, and the other way round."""
     for first, second in ((0, 1), (1, 0)):
         fleet = Fleet(4)
         fleet.steps[0] = step
-        for lengths in ((600 * SEC, 0), (0, 600 * SEC), (600 * SEC, 300 * SEC)):
-            fleet.members[first].say("a", lengths[0])
+        for durations in ((600 * SEC, 0), (0, 600 * SEC), (600 * SEC, 300 * SEC)):
+            fleet.members[first].issue("a", durations[0])
             fleet.run(6)
             if restart:
                 fleet.restart(0)
                 fleet.run(20)
-            fleet.members[second].say("a", lengths[1])
+            fleet.members[second].issue("a", durations[1])
             fleet.run(20)
-            assert fleet.seconds_left() == [max(0, lengths[1] // SEC - 20)] * 4
+            assert fleet.seconds_left() == [max(0, durations[1] // SEC - 20)] * 4
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_step_under_a_running_member_leaves_the_order_of_what_it_says(step):
+def test_a_step_of_the_wall_clock_keeps_the_order_of_a_running_member_s_directives(step):
     fleet = Fleet(3)
-    fleet.members[0].say("a", 600 * SEC)
+    fleet.members[0].issue("a", 600 * SEC)
     fleet.run(5)
     fleet.steps = [step] * 3
-    fleet.members[0].say("a", 0)
-    assert fleet.run(5).left() == [""] * 3
+    fleet.members[0].issue("a", 0)
+    assert fleet.run(5).zones_evacuated() == [""] * 3
     fleet.steps = [0] * 3
-    fleet.members[1].say("a", 600 * SEC)
-    assert fleet.run(5).left() == ["a"] * 3
+    fleet.members[1].issue("a", 600 * SEC)
+    assert fleet.run(5).zones_evacuated() == ["a"] * 3
 
 
-def test_two_that_have_not_heard_of_one_another_go_by_time_above_a_fast_clock():
-    """After a directive an hour ahead, later ones of two members that are cut off have their order still."""
+def test_two_partitioned_members_are_ordered_by_time_above_a_fast_clock():
+    """After a directive an hour ahead, those of two partitioned members stay in order."""
     fleet = Fleet(3)
     fleet.steps[0] = 3600
-    fleet.members[0].say("a", 600 * SEC)
+    fleet.members[0].issue("a", 600 * SEC)
     fleet.run(5)
-    fleet.cut = {1}
-    fleet.members[1].say("a", 900 * SEC)
+    fleet.partitioned = {1}
+    fleet.members[1].issue("a", 900 * SEC)
     fleet.run(2)
-    fleet.members[2].say("a", 0)
-    fleet.cut = set()
-    assert fleet.run(20).left() == [""] * 3
+    fleet.members[2].issue("a", 0)
+    fleet.partitioned = set()
+    assert fleet.run(20).zones_evacuated() == [""] * 3
 
 
-def test_what_was_taken_back_stays_so_when_a_member_comes_back_from_a_long_cut():
-    """Failure prevented: an hour after a return all forget it, and a member spreads the one before."""
+def test_a_withdrawn_directive_stays_withdrawn_after_a_long_partition():
+    """Failure prevented: an hour after a return all forget it, and a member spreads the directive before."""
     fleet = Fleet(4)
-    fleet.members[0].say("a", LONGEST)
+    fleet.members[0].issue("a", MAX_DURATION_US)
     fleet.run(5)
-    fleet.cut = {3}
-    fleet.members[1].say("a", 0)
-    fleet.run(5).skip(3 * 3600)
-    assert fleet.run(60).left() == [""] * 4
+    fleet.partitioned = {3}
+    fleet.members[1].issue("a", 0)
+    fleet.run(5).run_partitioned(3 * 3600)
+    assert fleet.run(60).zones_evacuated() == [""] * 4
     assert all(m.returned() == {"a"} for m in fleet.members)
 
 
-def test_what_is_over_is_told_for_an_hour_and_kept_while_there_is_room():
+def test_an_ended_directive_is_gossiped_for_an_hour_and_kept_while_there_is_room():
     fleet = Fleet(2)
-    for i in range(MOST):
-        fleet.members[0].say(f"z{i:02}", (i + 10) * SEC)
+    for i in range(MAX_DIRECTIVES):
+        fleet.members[0].issue(f"z{i:02}", (i + 10) * SEC)
     fleet.run(5)
-    assert not fleet.members[0].say("b", SEC)
-    fleet.run(30).skip(3600 + 30)
+    assert not fleet.members[0].issue("b", SEC)
+    fleet.run(30).run_partitioned(3600 + 30)
     fleet.run(1)
     assert all(m.deadline() is None for m in fleet.members)
-    assert fleet.members[0].say("b", SEC) and "z00" not in fleet.members[0].directives
-    assert len(fleet.members[0].directives) == MOST
+    assert fleet.members[0].issue("b", SEC) and "z00" not in fleet.members[0].by_zone
+    assert len(fleet.members[0].by_zone) == MAX_DIRECTIVES
 
 
-def test_a_return_that_goes_round_dies_out_though_members_join():
-    """A joiner takes on how old it is, and does not begin its hour anew."""
+def test_gossip_of_a_return_ends_although_members_join():
+    """A member that joins takes over the directive's age and does not begin its hour anew."""
     fleet = Fleet(3)
-    fleet.members[0].say("a", 0)
+    fleet.members[0].issue("a", 0)
     fleet.run(5)
     for i in range(6):
-        fleet.run(1200, every=10 * SEC)
+        fleet.run(1200, interval=10 * SEC)
         fleet.restart(i % 3)
     fleet.run(60)
     assert all(m.deadline() is None for m in fleet.members)
 
 
-def test_a_clock_before_1970_says_what_can_be_sent():
+def test_a_clock_before_1970_gives_ends_that_can_be_encoded():
     fleet = Fleet(3)
     fleet.steps[0] = -2 * UNIX // SEC
-    fleet.members[0].say("a", 60 * SEC)
+    fleet.members[0].issue("a", 60 * SEC)
     assert fleet.run(5).seconds_left() == [55] * 3
     fleet.run(100)
-    assert fleet.left() == [""] * 3
+    assert fleet.zones_evacuated() == [""] * 3
 
 
-# ---- beside processes of the version before ---------------------------------------------------------------
+# ---- beside processes of an earlier version ---------------------------------------------------------------
 
 
 @pytest.mark.parametrize("earlier", [(0,), (1,), (0, 1), (0, 2, 3)])
-def test_both_versions_side_by_side(earlier):
+def test_both_versions_agree_in_one_fleet(earlier):
     """With wall clocks that agree, as the version before needs them."""
     fleet = Fleet(4, earlier)
-    for speaker in range(4):
-        fleet.members[speaker].say("a", 60 * SEC)
+    for issuer in range(4):
+        fleet.members[issuer].issue("a", 60 * SEC)
         assert fleet.run(10).seconds_left() == [50] * 4
-        fleet.members[3 - speaker].say("a", 0)
-        assert fleet.run(10).left() == [""] * 4
-    fleet.members[0].say("a", 60 * SEC)
+        fleet.members[3 - issuer].issue("a", 0)
+        assert fleet.run(10).zones_evacuated() == [""] * 4
+    fleet.members[0].issue("a", 60 * SEC)
     fleet.run(59)
-    assert fleet.left() == ["a"] * 4
-    assert fleet.run(1 + BOUND / SEC).left() == [""] * 4
+    assert fleet.zones_evacuated() == ["a"] * 4
+    assert fleet.run(1 + END_TOLERANCE / SEC).zones_evacuated() == [""] * 4
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_what_an_earlier_version_passes_on_gives_way_to_a_better_measure(step):
-    """Member 3's clock is off: it hears the end from an earlier one, then from one that sends its clock."""
+def test_an_end_passed_on_by_an_earlier_version_is_replaced_by_a_measured_one(step):
+    """Member 3's clock is off. It gets the end from an earlier version, then a measured one."""
     fleet = Fleet(4, earlier=(1,))
     fleet.steps[3] = step
-    fleet.members[0].say("a", 600 * SEC)
-    word = Word("a", fleet.members[0].directives["a"].version, UNIX + fleet.true + 600 * SEC)
-    fleet.members[3].received(ZoneMessage(ZoneKind.ORDERS, "n1", (word,)))
+    fleet.members[0].issue("a", 600 * SEC)
+    directive = ZoneDirective("a", fleet.members[0].by_zone["a"].version, UNIX + fleet.true_time + 600 * SEC)
+    fleet.members[3].received(ZoneMessage(ZoneKind.DIRECTIVES, "n1", (directive,)))
     assert fleet.seconds_left()[3] == 600 - step if step < 600 else fleet.seconds_left()[3] == 0
     fleet.run(10)
     assert fleet.seconds_left()[3] == 590
--- a/tests/test_zone_slow_start.py
+++ b/tests/test_zone_slow_start.py
@@ -39,7 +39,7 @@
 
     def warmth(self):
         """Strength of zone b, of one server: 0.2 cold, 1 warm."""
-        return round(self.traffic.zones.strength(self.time)["b"], 3)
+        return round(self.traffic.router.strengths(self.time)["b"], 3)
 
 
 def started(at, state=State.READY):
@@ -77,4 +77,4 @@
     node = Node(0)
     node.hear(*(ServerEntry(i, zone=1, ready_at=UNIX) for i in range(1, 100)), kind=ListKind.FULL)
     node.hear(ServerEntry(1, zone=1, ready_at=UNIX), kind=ListKind.FULL)
-    assert len(node.traffic.starts) == 1
+    assert len(node.traffic.starts.by_server) == 1
--- a/workbench/baselines/local.py
+++ b/workbench/baselines/local.py
@@ -1,22 +1,29 @@
-"""A baseline for zones: strictly local until the own zone is empty. What the fleet's shares are measured
-against; nodes that spread their calls over all zones alike are the module alone."""
+"""A baseline for zone routing: strictly local until the home zone has no servers.
+
+The fleet's shares are measured against it. Nodes that spread their calls over all zones alike are the policy
+alone.
+"""
 
 from __future__ import annotations
 
-from balancer.fleet.zone_routing.router import Zones
+from balancer.fleet.zone_routing.router import ZoneRouter
 
 
-class StrictlyLocal(Zones):
-    """All to the own zone while it has a server in service, else to the others by their strength."""
+class StrictlyLocal(ZoneRouter):
+    """All calls go to the home zone while it has a server in service, else to the others by their servers."""
 
     def shares(self, now: int) -> dict[str, float]:
-        servers = dict.fromkeys(self.present(), 0)
-        for number, s in self.servers.items():
-            servers[s.zone] += number not in self.aside
-        if servers.get(self.zone):
-            return {self.zone: 1.0}
-        whole = sum(servers.values())
-        return {z: n / whole if whole else 1 / len(servers) for z, n in servers.items() if n or not whole}
+        """Return the part of the calls that goes to each zone."""
+        servers = dict.fromkeys(self.zones(), 0)
+        for number, server in self.servers.items():
+            servers[server.zone] += number not in self.ejected
+        if servers.get(self.home):
+            return {self.home: 1.0}
+        total = sum(servers.values())
+        if not total:
+            return {zone: 1 / len(servers) for zone in servers}
+        return {zone: count / total for zone, count in servers.items() if count}
 
     def allows(self, server: int) -> bool:
+        """Return that calls may go to any server."""
         return True
--- a/workbench/explore/clocks.py
+++ b/workbench/explore/clocks.py
@@ -131,7 +131,7 @@
         """Whether it holds the zone left by directive."""
         assert self.runtime is not None
         traffic = self.runtime.policy_adapter.zone_traffic
-        return traffic is not None and traffic.orders is not None and bool(traffic.orders.left())
+        return traffic is not None and traffic.directives is not None and bool(traffic.directives.remaining())
 
 
 class ClockFleet:
--- a/workbench/lab/mischief.py
+++ b/workbench/lab/mischief.py
@@ -23,7 +23,8 @@
 from balancer.fleet.min_rtt.decisions import Remeasure
 from balancer.fleet.rolling_update.decisions import Replacement
 from balancer.fleet.runtime import FleetRuntime
-from balancer.fleet.zone_routing.router import Zones
+from balancer.fleet.zone_routing.router import ZoneRouter
+from balancer.fleet.zone_routing.zone_states import ZoneStates
 from balancer.net.forwarding import head_of
 from balancer.net.lifecycle import Lifecycle
 from balancer.net.requests import Requests
@@ -229,20 +230,20 @@
 def rash() -> None:
     """Returns at once to a zone that it has left."""
 
-    def leave(go: Any, self: Any, now: int, zone: str, c: Any) -> None:
-        go(self, now, zone, c)
-        c.at = now
+    def evacuate(go: Any, self: Any, now: int, zone: str, state: Any) -> None:
+        go(self, now, zone, state)
+        state.next_step_at = now
 
-    wrap(Zones, "leave", leave)
+    wrap(ZoneStates, "evacuate", evacuate)
 
 
 def stray() -> None:
     """Goes on sending to zones that it has left."""
 
     def shares(go: Any, self: Any, now: int) -> dict[str, float]:
-        return dict.fromkeys(self.present(), 1 / max(1, len(self.present())))
+        return dict.fromkeys(self.zones(), 1 / max(1, len(self.zones())))
 
-    wrap(Zones, "shares", shares)
+    wrap(ZoneRouter, "shares", shares)
 
 
 def crash() -> None:
--- a/workbench/simulator/fleet.py
+++ b/workbench/simulator/fleet.py
@@ -143,7 +143,7 @@
             config, settings, self.now, lambda: self.wall() * 1000, self.arm, self.tell
         )
         if uses.strict and self.adapter.zone_traffic is not None:
-            self.adapter.zone_traffic.zones_class = StrictlyLocal
+            self.adapter.zone_traffic.router_class = StrictlyLocal
         self.adapter.on_probe_result = self.verdict
         self.asker = Asker(self.name, seed & 0xFFFFFF, lists, duties, self.rng, self.wall)
         votes = lists if self.name in names else []
