--- a/tests/test_fleet_components.py
+++ b/tests/test_fleet_components.py
@@ -295,7 +295,7 @@
     ("changes", "packages"),
     [
         ({}, set()),
-        ({"zones": {}}, {"zones"}),
+        ({"zones": {}}, {"zone_routing"}),
         (VOTERS, {"duties", "replace"}),
     ],
 )
@@ -307,5 +307,5 @@
     )
     decisions = ("duties.voter", "probe.decisions", "remeasure.decisions", "replace.decisions")
     imported = {name.removeprefix("balancer.fleet.") for name in json.loads(out.stdout)}
-    loaded = {name.split(".")[0] for name in (*decisions, "zones.decisions") if name in imported}
+    loaded = {name.split(".")[0] for name in (*decisions, "zone_routing.router") if name in imported}
     assert loaded == packages
