--- a/workbench/explore/uses.py
+++ b/workbench/explore/uses.py
@@ -1,7 +1,8 @@
-"""What the fleet's uses of duties are worth: the same day with and without them, seed by seed.
+"""What the fleet's uses of leases and zone routing gain: the same day with and without them, seed by seed.
 
 python -m workbench.explore.uses probe --seeds 10 --jobs 8
 python -m workbench.explore.uses remeasure --seeds 10 --jobs 8
+python -m workbench.explore.uses zone-lost --seeds 10 --jobs 8
 
 On the virtual clock: 50 front nodes, their duties between them, and the world's servers and clients.
 """
@@ -25,7 +26,7 @@
 
 NODES = 50
 COMMON = [f"nodes.count={NODES}", "nodes.start_spread_ms=200"]
-WHOLE = 0.99  # of the worth in a second: as good as all
+COMPLETE = 0.99  # of the worth in a second: as good as all
 SETTLED = 50.0  # seconds: the refusals of the first passes are long over
 SILENT: dict[str, Any] = {"type": "silent", "at_s": 10.0, "for_s": 50.0, "part": 0.333}
 DAYS: dict[str, tuple[Uses, list[str], list[dict[str, Any]]]] = {
@@ -49,33 +50,36 @@
     ),
 }
 # Three zones, a round-trip of 16 ms between them; their servers are at 47% of what they can do.
-REGION = [
+THREE_ZONES = [
     *("servers=75", "zones.count=3", "nodes.count=30", "network.cross_ms=8", "length_s=90"),
     *("load.fraction=0.47", "discovery.silent_notice_s=300"),
 ]
-BROKEN, MENDED = 20.0, 45.0
+FAULT_BEGIN_S, FAULT_END_S = 20.0, 45.0
+FAULT_SHOWS_WITHIN_S = 15  # losses that begin later are not counted as the fault's
 
 
-def hit(kind: str, at: float = BROKEN, length: float = MENDED - BROKEN, **more: float) -> dict[str, Any]:
-    """A fault of the second zone, or of what `more` says."""
+def zone_fault(
+    kind: str, at: float = FAULT_BEGIN_S, length: float = FAULT_END_S - FAULT_BEGIN_S, **more: float
+) -> dict[str, Any]:
+    """A fault of the second zone, or of what `more` names."""
     return {"type": kind, "at_s": at, "for_s": length, "zone": 1} | more
 
 
-TROUBLES: dict[str, list[dict[str, Any]]] = {
+ZONE_FAULTS: dict[str, list[dict[str, Any]]] = {
     "zones": [],
-    "zone-lost": [hit("zone_lost")],
-    "zone-failing": [hit("zone_failing", share=0.3)],
-    "zone-slow": [hit("zone_slow", factor=5.0)],
-    "zone-cut": [hit("cut")],
-    "zone-flaps": [hit("zone_failing", at, 10.0, share=0.6) for at in (15.0, 35.0, 55.0)],
-    "release-bad": [hit("zone_failing", zone=z, share=0.3) for z in range(3)],
-    "one-bad": [hit("silent", part=0.03)],
-    "region-lost": [hit("zone_lost")],  # the others at 66%: with its load they are at 99%
-    "regions": [hit("zone_lost")],
+    "zone-lost": [zone_fault("zone_lost")],
+    "zone-failing": [zone_fault("zone_failing", share=0.3)],
+    "zone-slow": [zone_fault("zone_slow", factor=5.0)],
+    "zone-cut": [zone_fault("cut")],
+    "zone-flaps": [zone_fault("zone_failing", at, 10.0, share=0.6) for at in (15.0, 35.0, 55.0)],
+    "release-bad": [zone_fault("zone_failing", zone=z, share=0.3) for z in range(3)],
+    "one-bad": [zone_fault("silent", part=0.03)],
+    "region-lost": [zone_fault("zone_lost")],  # the others at 66%: with its load they are at 99%
+    "regions": [zone_fault("zone_lost")],
     "uneven": [],
     "no-clients": [],
 }
-OTHER = {
+ZONE_DAY_KEYS = {
     "region-lost": ["load.fraction=0.66"],
     "uneven": ["zones.count=2", "zones.servers.0=2", "zones.servers.1=50", "servers=52"],
     "no-clients": ["zones.count=2", "zones.skew=1.0"],
@@ -86,13 +90,13 @@
     ],
 }
 DAYS |= {
-    name: (Uses(zones=ZoneSettings(), far_cost=3.0), REGION + OTHER.get(name, []), faults)
-    for name, faults in TROUBLES.items()
+    name: (Uses(zones=ZoneSettings(), far_cost=3.0), THREE_ZONES + ZONE_DAY_KEYS.get(name, []), faults)
+    for name, faults in ZONE_FAULTS.items()
 }
 # A call to another zone takes 120 ms longer, and one zone has a third of its servers.
-FAR = [*REGION, "network.cross_ms=60", "load.fraction=0.75", "zones.servers.0=0.3"]
+DISTANT_ZONES = [*THREE_ZONES, "network.cross_ms=60", "load.fraction=0.75", "zones.servers.0=0.3"]
 DAYS |= {
-    name: (Uses(zones=ZoneSettings(), together=together), FAR, [])
+    name: (Uses(zones=ZoneSettings(), together=together), DISTANT_ZONES, [])
     for name, together in (("far-apart", False), ("far-together", True))
 }
 Row = dict[str, float]
@@ -144,24 +148,28 @@
 
 
 def zone_figures(run: Run, fleet: VirtualFleet) -> Row:
-    """What calls that keep near are judged by."""
+    """The figures by which zone routing is judged."""
     account, seconds = run.result["account"], run.result["seconds"]
     attempts = account["attempts_a_call"][0] * account["calls"][0]
     served = [b["served_worth"] / b["worth"] if b["worth"] else 1.0 for b in seconds]
-    broken, after = int(BROKEN), [n for n, s in enumerate(served) if n >= BROKEN and s < WHOLE]
-    begun = [n for n in after if n < broken + 15]
+    lossy_seconds = [
+        second
+        for second, share in enumerate(served)
+        if FAULT_BEGIN_S <= second < FAULT_BEGIN_S + FAULT_SHOWS_WITHIN_S and share < COMPLETE
+    ]
+    lossy_until = lossy_seconds[-1] + 1 if lossy_seconds else FAULT_BEGIN_S
     lines = [text for *_, text in fleet.notes.lines]
-    by_node = Counter((n, t.split()[2]) for _, n, t in fleet.notes.lines if "is left" in t)
+    evacuations = Counter((node, text.split()[2]) for _, node, text in fleet.notes.lines if "is left" in text)
     return {
         "worst 10 s, points": 100 * account["worst_window"],
-        "seconds under 99% after the fault": float(max(begun) + 1 - broken if begun else 0),
+        "seconds under 99% after the fault": float(lossy_until - FAULT_BEGIN_S),
         "attempts that cross zones, %": 100 * fleet.crossings() / max(1.0, attempts),
         "attempts a call": account["attempts_a_call"][0],
         "p50, ms": account["latency_ms"]["p50"],
         "p99, ms": account["latency_ms"]["p99"],
         "cold servers pushed over": float(sum("cold" in s for s in run.broken)),
-        "zones left, by all nodes": float(sum(by_node.values())),
-        "most by one node": float(max(by_node.values(), default=0)),
+        "zones left, by all nodes": float(sum(evacuations.values())),
+        "most by one node": float(max(evacuations.values(), default=0)),
         "zones whole again": float(sum("whole again" in text for text in lines)),
     }
 
