--- a/balancer/fleet/zone_routing/router.py
+++ b/balancer/fleet/zone_routing/router.py
@@ -153,8 +153,10 @@
         if self.is_isolated == was_isolated:
             return
         self.counts["isolated"] += self.is_isolated
-        what = "all far ones look bad: staying" if self.is_isolated else "looking again"
-        self.log_line(f"fleet zones: {what}")
+        if self.is_isolated:
+            self.log_line("fleet zones: all remote zones look bad, calls stay at home")
+        else:
+            self.log_line("fleet zones: remote zones are evaluated again")
         self.states.cancel_evacuations(except_zone=self.home)
 
     def isolates(self, verdicts: Mapping[str, Verdict], bad: Collection[str]) -> bool:
--- a/balancer/fleet/zone_routing/zone_states.py
+++ b/balancer/fleet/zone_routing/zone_states.py
@@ -125,7 +125,7 @@
         self.returned_by_directive = set(returned)
         for zone, duration in remaining.items():
             if zone not in self.evacuated_by_directive:
-                self.log_line(f"fleet zone {zone} is left by order, {duration / 1e6:.0f} s still")
+                self.log_line(f"fleet zone {zone} evacuated by directive, {duration / 1e6:.0f} s remaining")
         self.evacuated_by_directive = dict(remaining)
 
     # ---- one zone's way out and back --------------------------------------------------------------------
@@ -175,7 +175,7 @@
         if state.weight == 1.0:
             state.put_in_service()
             state.recovered_at = now
-            self.log_line(f"fleet zone {zone} is whole again")
+            self.log_line(f"fleet zone {zone} recovered")
 
     def may_evacuate(self, zone: str) -> bool:
         """Return whether so few other zones are lost or out of service that one more may be evacuated.
@@ -212,7 +212,7 @@
         state.status, state.weight = ZoneStatus.EVACUATED, 0.0
         state.next_step_at = now + state.evacuation_time + int(settings.return_stagger * self.rank())
         self.counts["left"] += 1
-        self.log_line(f"fleet zone {zone} is left for {state.evacuation_time / 1e6:g} s")
+        self.log_line(f"fleet zone {zone} evacuated for {state.evacuation_time / 1e6:g} s")
 
     def begin_recovery(self, now: int, zone: str) -> None:
         """Send a first few calls to a zone again."""
@@ -220,4 +220,4 @@
         state.status, state.weight = ZoneStatus.RECOVERING, self.settings.initial_weight
         state.next_step_at = now + self.settings.recovery_step
         self.evidence.clear(zone)
-        self.log_line(f"fleet zone {zone} returns, by steps")
+        self.log_line(f"fleet zone {zone} recovering in steps")
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,5 +1,6 @@
 """The lab's plans, links and histories, and its checkers on histories made up by hand."""
 
+import re
 from random import Random
 
 import pytest
@@ -454,12 +455,31 @@
     assert [b.who for b in found["replacement"]] == broken
 
 
-def gone(t, node="n0", hold=10):
-    return log(t, node, f"fleet zone z1 is left for {hold} s")
+def evacuated(t, node="n0", seconds=10):
+    return log(t, node, f"fleet zone z1 evacuated for {seconds} s")
 
 
-def returns(t, node="n0"):
-    return log(t, node, "fleet zone z1 returns, by steps")
+def evacuated_by_directive(t, node="n0", seconds=5):
+    return log(t, node, f"fleet zone z1 evacuated by directive, {seconds} s remaining")
+
+
+def recovering(t, node="n0"):
+    return log(t, node, "fleet zone z1 recovering in steps")
+
+
+EARLIER_ZONE_LINES = [  # a line of zone routing, and how nodes of earlier revisions log it
+    ("evacuated for", "is left for"),
+    (r"evacuated by directive, (\d+) s remaining", r"is left by order, \1 s still"),
+    ("recovering in steps", "returns, by steps"),
+]
+
+
+def as_logged_earlier(event):
+    """The event with its log line, if it has one, as an earlier revision writes it."""
+    text = event.get("text", "")
+    for pattern, earlier in EARLIER_ZONE_LINES:
+        text = re.sub(pattern, earlier, text)
+    return event | {"text": text} if "text" in event else event
 
 
 def to_zone(at, zone, node="n0"):
@@ -480,20 +500,26 @@
             {"home": 1},
         ),
         (HIT, [to_zone(3, 1), to_zone(4, 1)], {}),
-        (HIT, [to_zone(3, 1), gone(4), to_zone(4.1, 1), to_zone(5, 0), returns(14), to_zone(15, 1)], {}),
-        (HIT, [gone(4), to_zone(5, 1), returns(14)], {"left": 1}),
-        (HIT, [gone(4), to_zone(5, 1, "n1"), returns(14)], {}),  # another node's
-        (HIT, [gone(4), returns(9)], {"turns": 1}),
-        (HIT, [log(4, "n0", "fleet zone z1 is left by order, 5 s still"), to_zone(5, 1)], {"left": 1}),
-        (HIT, [gone(4), log(5, "n0", "fleet zone z1 is left by order, 5 s still"), returns(10)], {}),
         (
             HIT,
-            [gone(4), process(5.0, "n0", "start", life=2), to_zone(6, 1), returns(14)],
+            [to_zone(3, 1), evacuated(4), to_zone(4.1, 1), to_zone(5, 0), recovering(14), to_zone(15, 1)],
+            {},
+        ),
+        (HIT, [evacuated(4), to_zone(5, 1), recovering(14)], {"left": 1}),
+        (HIT, [evacuated(4), to_zone(5, 1, "n1"), recovering(14)], {}),  # another node's
+        (HIT, [evacuated(4), recovering(9)], {"turns": 1}),
+        (HIT, [evacuated_by_directive(4), to_zone(5, 1)], {"left": 1}),
+        (HIT, [evacuated(4), evacuated_by_directive(5), recovering(10)], {}),
+        (
+            HIT,
+            [evacuated(4), process(5.0, "n0", "start", life=2), to_zone(6, 1), recovering(14)],
             {},
         ),  # a new process
     ],
 )
-def test_what_goes_to_which_zone_is_judged(plan, events, broken):
+@pytest.mark.parametrize("is_earlier", [False, True], ids=["lines-of-now", "earlier-lines"])
+def test_what_goes_to_which_zone_is_judged(plan, events, broken, is_earlier):
+    events = [as_logged_earlier(event) if is_earlier else event for event in events]
     run = RUN | {"plan": RUN["plan"] | plan, "nodes": [["n0", 0], ["n1", 1], ["n2", 2]]}
     found = check([run, *START, *ALL, *events, *END])
     assert {n: len(found[n]) for n in ("home", "left", "turns") if found[n]} == broken
@@ -504,7 +530,7 @@
 
 
 def obeys(t, node, until):
-    return [log(t, node, "fleet zone z1 is left by order, 3 s still"), returns(until, node)]
+    return [evacuated_by_directive(t, node, seconds=3), recovering(until, node)]
 
 
 @pytest.mark.parametrize(
@@ -516,7 +542,9 @@
         ([*obeys(2.5, "n0", 5.5), *obeys(7.0, "n1", 8.5), *obeys(2.5, "n2", 5.5)], ["n1"]),  # too late
     ],
 )
-def test_a_directive_holds_everywhere_for_its_time(events, broken):
+@pytest.mark.parametrize("is_earlier", [False, True], ids=["lines-of-now", "earlier-lines"])
+def test_a_directive_holds_everywhere_for_its_time(events, broken, is_earlier):
+    events = [as_logged_earlier(event) if is_earlier else event for event in events]
     plan = RUN["plan"] | NEAR | {"fault": [{"for_s": 3.0}], "trouble": [{}]}
     words = [directive(2.0, "begin", 0), directive(5.0, "end", 0)]
     found = check([RUN | {"plan": plan}, *START, *ALL, *words, *events, *END])
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -230,7 +230,7 @@
         if name == "uses":
             assert sum("fleet pass begins place=" in line for line in lines) >= 3, printed
         elif name == "zones":
-            left = {e["node"] for e in truth.of("log") if "fleet zone z0 is left" in e["text"]}
+            left = {e["node"] for e in truth.of("log") if "fleet zone z0 evacuated" in e["text"]}
             assert left == {"n0", "n3"}, printed
         else:
             assert sum("eject server=" in line for line in lines) >= 2, printed
--- a/tests/test_zone_routing.py
+++ b/tests/test_zone_routing.py
@@ -1,6 +1,8 @@
 """Zone routing: shares by strength and capacity, evacuation by evidence, recovery in steps, directives."""
 
+import re
 from dataclasses import replace
+from pathlib import Path
 from random import Random
 
 import pytest
@@ -20,6 +22,8 @@
 from balancer.fleet.zone_routing.zone_states import ZoneStatus
 from balancer.policy.interface import Group, ListKind, Outcome, ServerEntry
 
+ROOT = Path(__file__).parent.parent
+LOG_LINE = re.compile(r'log_line\(\s*f?"([^"]+)"')
 SETTINGS = ZoneSettings()
 USUAL_LATENCY = 50_000
 FIRST_SERVER = {zone: 100 * (i + 1) for i, zone in enumerate("abcdef")}
@@ -365,6 +369,17 @@
         assert codec.decode(codec.encode(invalid_message, SEC), SEC) is None
 
 
+# ---- log lines ------------------------------------------------------------------------------------------
+
+
+def test_each_log_line_is_on_the_on_call_page():
+    page = (ROOT / "docs" / "on-call.md").read_text()
+    sources = (ROOT / "balancer" / "fleet" / "zone_routing").glob("*.py")
+    found = {line for file in sources for line in LOG_LINE.findall(file.read_text())}
+    lines = {re.sub(r"\{[^}]+\}", "N", line.replace("{zone}", "Z")) for line in found}
+    assert len(lines) == 6 and not {line for line in lines if f"`{line}`" not in page}
+
+
 # ---- the policy with shares -------------------------------------------------------------------------------
 
 
--- a/workbench/explore/uses.py
+++ b/workbench/explore/uses.py
@@ -159,7 +159,9 @@
     ]
     lossy_until = lossy_seconds[-1] + 1 if lossy_seconds else FAULT_BEGIN_S
     lines = [text for *_, text in fleet.notes.lines]
-    evacuations = Counter((node, text.split()[2]) for _, node, text in fleet.notes.lines if "is left" in text)
+    evacuations = Counter(
+        (node, text.split()[2]) for _, node, text in fleet.notes.lines if " evacuated " in text
+    )
     return {
         "worst 10 s, points": 100 * account["worst_window"],
         "seconds under 99% after the fault": float(lossy_until - FAULT_BEGIN_S),
@@ -170,7 +172,7 @@
         "cold servers pushed over": float(sum("cold" in s for s in run.broken)),
         "zones left, by all nodes": float(sum(evacuations.values())),
         "most by one node": float(max(evacuations.values(), default=0)),
-        "zones whole again": float(sum("whole again" in text for text in lines)),
+        "zones whole again": float(sum(text.endswith(" recovered") for text in lines)),
     }
 
 
--- a/workbench/lab/checkers.py
+++ b/workbench/lab/checkers.py
@@ -25,8 +25,10 @@
     r"fleet pass (?:(?P<over>over)|begins (?:(?P<place>place=\d+)|without a place waited=(?P<waited>[\d.]+)))"
 )
 TRIAL = re.compile(r"fleet tries server=(?P<server>\d+)")
-COURSE = re.compile(
-    r"fleet zone (?P<zone>\S+) (?:is left for (?P<hold>[\d.]+) s|is left by order|(?P<back>returns))"
+# Nodes of earlier revisions log "is left for", "is left by order" and "returns".
+ZONE_ROUTING = re.compile(
+    r"fleet zone (?P<zone>\S+) (?:(?:evacuated|is left) for (?P<hold>[\d.]+) s"
+    r"|evacuated by directive|is left by order|(?P<back>recovering|returns))"
 )
 FAR_MOST = 0.05  # of the calls, where nothing is wrong
 DIRECTIVE_WITHIN = 4.0  # seconds in which a directive for a zone is known to all, and over for all
@@ -242,7 +244,7 @@
         for name in truth.names:
             if last >= truth.end or not truth.undisturbed(name, begin, last):
                 continue
-            out = [c for c in courses(truth, name) if c[0] == zone and c[1] < end and begin < c[2]]
+            out = [c for c in evacuations(truth, name) if c[0] == zone and c[1] < end and begin < c[2]]
             if not any(
                 a <= begin + DIRECTIVE_WITHIN and end - DIRECTIVE_WITHIN <= b <= last for _, a, b, _ in out
             ):
@@ -349,7 +351,7 @@
     numbers = {f"z{z}": z for z in truth.zones.values()}
     for name in truth.names:
         attempts = [e for e in truth.of("attempt") if e["node"] == name]
-        for zone, begin, end, _ in courses(truth, name):
+        for zone, begin, end, _ in evacuations(truth, name):
             begin += LINES + truth.late(begin, begin)
             times = [seconds(e["began"]) for e in attempts if e["zone"] == numbers.get(zone)]
             sent = [at for at in times if begin < at < end - LINES]
@@ -362,25 +364,25 @@
     if not truth.plan.get("near"):
         return
     for name in truth.names:
-        for zone, begin, end, hold in courses(truth, name):
+        for zone, begin, end, hold in evacuations(truth, name):
             if hold and end < truth.end and end - begin < hold - LINES:
                 yield end, name, f"returns to zone {zone} after {end - begin:.1f} s, {hold:g} were due"
 
 
-def courses(truth: Truth, name: str) -> list[tuple[str, float, float, float]]:
-    """By a node's log: zones that it left, when, until when, and for how long it said (0: by order)."""
+def evacuations(truth: Truth, name: str) -> list[tuple[str, float, float, float]]:
+    """By a node's log: zones that it evacuated, when, until when, how long it said (0: by directive)."""
     out: list[tuple[str, float, float, float]] = []
     open_: dict[str, tuple[float, float]] = {}
     lives = [e["t"] for e in truth.of("process") if e["node"] == name and e["what"] == "start"]
     for e in truth.of("log"):
-        found = COURSE.search(e["text"]) if e["node"] == name else None
+        found = ZONE_ROUTING.search(e["text"]) if e["node"] == name else None
         if found is None:
             continue
         zone = found["zone"]
         if zone in open_:
             begin, hold = open_.pop(zone)
             end = min([e["t"], *(t for t in lives if t > begin)])
-            # An order may come in between, or another process, which knows nothing of it.
+            # A directive may come in between, or another process, which knows nothing of it.
             out.append((zone, begin, end, hold if found["back"] and end == e["t"] else 0.0))
         if not found["back"]:
             open_[zone] = (e["t"], float(found["hold"] or 0))
