--- a/tests/test_zone_slow_start.py
+++ b/tests/test_zone_slow_start.py
@@ -1,4 +1,4 @@
-"""How cold a zone's servers count where the wall clock, by which discovery's starts are read, is off."""
+"""Slow start in a zone's strength where the wall clock, by which discovery's starts are read, is off."""
 
 from random import Random
 from types import SimpleNamespace
@@ -10,71 +10,75 @@
 from balancer.policy.interface import ListKind, ServerEntry, State
 
 SEC = 1_000_000
-COLD = 10 * SEC
-UNIX = 1_700_000_000 * SEC
+SLOW_START = 10 * SEC
+NODE_START = 100 * SEC  # by the true clock
+UNIX = 1_700_000_000 * SEC  # at zero of the true clock
 STEPS = [-3600, -5, 5, 3600]
 
 
 class Node:
-    """A node whose wall clock was off by `step` seconds as it started; discovery's starts are Unix time."""
+    """A node whose wall clock is off by `step` seconds; discovery's starts are Unix time."""
 
     def __init__(self, step):
         self.step = step * SEC
-        self.time = 100 * SEC
+        self.time = NODE_START
         self.traffic = ZoneTraffic(
-            SimpleNamespace(name="n", zone="a"),
-            ZoneSettings(),
-            SimpleNamespace(cold_time=COLD, cold_share=0.2),
-            lambda: self.time,
-            lambda: UNIX + self.time + self.step,
-            lambda: None,
-            lambda line: None,
-            lambda shares, round_trips: None,
+            config=SimpleNamespace(name="n", zone="a"),
+            zone_settings=ZoneSettings(),
+            settings=SimpleNamespace(cold_time=SLOW_START, cold_share=0.2),
+            now=lambda: self.time,
+            wall=self.wall,
+            schedule=lambda: None,
+            log_line=lambda line: None,
+            publish=lambda shares, round_trips: None,
         )
         self.traffic.open(tuple, Random(1))
 
-    def hear(self, *entries, kind=ListKind.CHANGES):
-        clock = UNIX + self.time + self.step
-        self.traffic.server_list(clock, kind, entries, {"a": 0, "b": 1})
+    def wall(self):
+        return UNIX + self.time + self.step
 
-    def warmth(self):
-        """Strength of zone b, of one server: 0.2 cold, 1 warm."""
+    def receive_list(self, *entries, kind=ListKind.CHANGES):
+        self.traffic.server_list(self.wall(), kind, entries, {"a": 0, "b": 1})
+
+    def strength(self):
+        """Strength of zone b, which has one server: 0.2 when its slow start begins, 1 when it is over."""
         return round(self.traffic.router.strengths(self.time)["b"], 3)
 
 
-def started(at, state=State.READY):
-    return ServerEntry(1, state, zone=1, ready_at=UNIX + at)
+def started(at):
+    return ServerEntry(1, zone=1, ready_at=UNIX + at)
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_no_server_counts_as_cold_for_longer_than_a_slow_start(step):
+def test_no_server_counts_as_starting_for_longer_than_a_slow_start(step):
     node = Node(step)
-    node.hear(started(node.time), kind=ListKind.FULL)
-    for _ in range(5):  # a list that comes again does not begin it anew
-        node.time += COLD // 5
-        node.hear(started(100 * SEC), kind=ListKind.FULL)
-    assert node.warmth() == 1.0
+    node.receive_list(started(node.time), kind=ListKind.FULL)
+    for _ in range(5):  # a list that comes again does not begin the slow start anew
+        node.time += SLOW_START // 5
+        node.receive_list(started(NODE_START), kind=ListKind.FULL)
+    assert node.strength() == 1.0
 
 
 @pytest.mark.parametrize("kind", [ListKind.FULL, ListKind.CHANGES])
 @pytest.mark.parametrize("step", STEPS)
-def test_a_start_that_is_seen_counts_from_when_it_was_seen(step, kind):
+def test_a_witnessed_start_counts_from_when_the_node_learned_of_it(step, kind):
     node = Node(step)
-    node.hear(ServerEntry(1, zone=1), ServerEntry(2), kind=ListKind.FULL)
-    assert node.warmth() == 1.0
-    node.hear(ServerEntry(1, State.DRAINING, zone=1), ServerEntry(2), kind=kind)
+    node.receive_list(ServerEntry(1, zone=1), ServerEntry(2), kind=ListKind.FULL)
+    assert node.strength() == 1.0
+    node.receive_list(ServerEntry(1, State.DRAINING, zone=1), ServerEntry(2), kind=kind)
     node.time += 60 * SEC
-    node.hear(started(node.time), ServerEntry(2), kind=kind)
-    assert node.warmth() == 0.2
-    node.time += COLD // 2
-    node.hear(started(160 * SEC), ServerEntry(2), kind=kind)
-    assert node.warmth() == 0.6
-    node.time += COLD // 2
-    assert node.warmth() == 1.0
+    server_start = node.time
+    node.receive_list(started(server_start), ServerEntry(2), kind=kind)
+    assert node.strength() == 0.2
+    node.time += SLOW_START // 2
+    node.receive_list(started(server_start), ServerEntry(2), kind=kind)
+    assert node.strength() == 0.6
+    node.time += SLOW_START // 2
+    assert node.strength() == 1.0
 
 
-def test_a_server_that_is_gone_from_a_whole_list_is_forgotten():
+def test_a_server_that_a_full_list_lacks_is_forgotten():
     node = Node(0)
-    node.hear(*(ServerEntry(i, zone=1, ready_at=UNIX) for i in range(1, 100)), kind=ListKind.FULL)
-    node.hear(ServerEntry(1, zone=1, ready_at=UNIX), kind=ListKind.FULL)
+    node.receive_list(*(ServerEntry(i, zone=1, ready_at=UNIX) for i in range(1, 100)), kind=ListKind.FULL)
+    node.receive_list(ServerEntry(1, zone=1, ready_at=UNIX), kind=ListKind.FULL)
     assert len(node.traffic.starts.by_server) == 1
