--- a/tests/test_zone_routing.py
+++ b/tests/test_zone_routing.py
@@ -1,15 +1,18 @@
 """Zone routing: shares by strength and capacity, evacuation by evidence, recovery in steps, directives."""
 
 import re
+from collections.abc import Callable, Collection, Mapping
 from dataclasses import replace
 from pathlib import Path
 from random import Random
+from typing import Any
 
 import pytest
-from support import KEYED, SAFE, SEC, balancer, end
+from support import KEYED, SAFE, SEC, Recorder, balancer, end
 
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.zone_routing.directives import ZoneDirectives
+from balancer.fleet.zone_routing.failure_evidence import Verdict
 from balancer.fleet.zone_routing.messages import (
     MAX_DIRECTIVES,
     ZoneDirective,
@@ -20,6 +23,8 @@
 from balancer.fleet.zone_routing.router import ListedServer, ZoneRouter
 from balancer.fleet.zone_routing.settings import ZoneSettings
 from balancer.fleet.zone_routing.zone_states import ZoneStatus
+from balancer.policy import Balancer
+from balancer.policy.gradient import GradientController
 from balancer.policy.interface import Group, ListKind, Outcome, ServerEntry
 
 ROOT = Path(__file__).parent.parent
@@ -29,7 +34,13 @@
 FIRST_SERVER = {zone: 100 * (i + 1) for i, zone in enumerate("abcdef")}
 
 
-def router_of(home="a", settings=SETTINGS, rank=0.0, router_class=ZoneRouter, **counts):
+def router_of(
+    home: str = "a",
+    settings: ZoneSettings = SETTINGS,
+    rank: float = 0.0,
+    router_class: type[ZoneRouter] = ZoneRouter,
+    **counts: int,
+) -> ZoneRouter:
     """A router at `home`; the servers of each zone are numbered on from 100, 200, 300."""
     router = router_class(home, settings, 10 * SEC, 0.2, 0, lambda: rank, lambda line: None)
     router.update_servers(
@@ -42,11 +53,11 @@
     return router
 
 
-def servers_in(router, zone):
+def servers_in(router: ZoneRouter, zone: str) -> list[int]:
     return [number for number, server in router.servers.items() if server.zone == zone]
 
 
-def rounded(shares):
+def rounded(shares: dict[str, float]) -> dict[str, float]:
     return {zone: round(share, 2) for zone, share in shares.items()}
 
 
@@ -69,7 +80,9 @@
         ({"a": 10, "b": 10}, {"a": 10, "b": 10}, {}, {"a": 0.5, "b": 0.5}),  # all ejected: as if none were
     ],
 )
-def test_calls_stay_in_the_home_zone_and_spill_over_by_capacity(counts, ejected, costs, expected):
+def test_calls_stay_in_the_home_zone_and_spill_over_by_capacity(
+    counts: dict[str, Any], ejected: dict[str, int], costs: dict[str, float], expected: dict[str, float]
+) -> None:
     router = router_of(settings=ZoneSettings(costs=costs), **counts)
     for zone, count in ejected.items():
         for server in servers_in(router, zone)[:count]:
@@ -82,12 +95,13 @@
 class AllOrNothingRouter(ZoneRouter):
     """Broken on purpose: one zone gets all calls."""
 
-    def shares(self, now):
+    def shares(self, now: int) -> dict[str, float]:
         shares = super().shares(now)
-        return {zone: float(zone == max(shares, key=shares.get)) for zone in shares}
+        first = max(shares, key=lambda zone: shares[zone])
+        return {zone: float(zone == first) for zone in shares}
 
 
-def largest_share_change(router):
+def largest_share_change(router: ZoneRouter) -> float:
     """The largest change of a share as the servers of zone a are ejected one after the other."""
     largest, before = 0.0, router.shares(0)
     for server in servers_in(router, "a"):
@@ -98,15 +112,15 @@
     return largest
 
 
-def test_shares_change_gradually_with_the_number_of_servers():
+def test_shares_change_gradually_with_the_number_of_servers() -> None:
     assert largest_share_change(router_of(a=60, b=60, c=60)) < 0.05
     assert largest_share_change(router_of(router_class=AllOrNothingRouter, a=60, b=60, c=60)) == 1.0
 
 
-def test_shares_add_up_to_one_whatever_is_ejected_evacuated_or_lost():
+def test_shares_add_up_to_one_whatever_is_ejected_evacuated_or_lost() -> None:
     rng = Random(7)
     for _ in range(500):
-        counts = {zone: rng.choice((0, 1, 2, 50)) for zone in "abcd"}
+        counts: dict[str, Any] = {zone: rng.choice((0, 1, 2, 50)) for zone in "abcd"}
         router = router_of(settings=ZoneSettings(costs={"b": rng.random(), "d": 3}), **counts)
         for server in list(router.servers):
             router.set_ejected(server, rng.random() < 0.3)
@@ -124,7 +138,7 @@
         assert set(shares) == usable or not any(router.strengths(0)[zone] for zone in usable)
 
 
-def test_servers_in_slow_start_count_by_their_progress():
+def test_servers_in_slow_start_count_by_their_progress() -> None:
     router = router_of(a=10, b=10)
     router.update_servers(
         {
@@ -139,13 +153,22 @@
 # ---- evacuation and recovery ------------------------------------------------------------------------------
 
 
-def run_calls(router, seconds, bad_zones="", calls=40, failure_share=0.5, slowdown=1.0, bad_servers=None):
+def run_calls(
+    router: ZoneRouter,
+    seconds: int,
+    bad_zones: str = "",
+    calls: int = 40,
+    failure_share: float = 0.5,
+    slowdown: float = 1.0,
+    bad_servers: int | None = None,
+) -> set[str]:
     """Play calls by the shares, with a tick each half second.
 
     In `bad_zones` the first `bad_servers` servers, or all, fail a share of their calls and are slower.
     Returns the zones that were called.
     """
-    now, called, rng = router.next_evaluation_at, set(), Random(1)
+    now, rng = router.next_evaluation_at, Random(1)
+    called: set[str] = set()
     for _ in range(int(seconds * 2)):
         shares = router.shares(now)
         for _ in range(calls // 2):
@@ -162,7 +185,7 @@
     return called
 
 
-def statuses(router):
+def statuses(router: ZoneRouter) -> str:
     """The first letters of the zones' statuses on the page: in, leaving, out, returning."""
     return "".join(router.states.of(zone).status.value[0] for zone in sorted(router.states.by_zone))
 
@@ -180,7 +203,9 @@
         ("a", "b", {}, "iii"),  # not called from here: no evidence
     ],
 )
-def test_a_zone_is_evacuated_only_if_it_is_bad_as_a_whole(home, bad_zones, fault, expected):
+def test_a_zone_is_evacuated_only_if_it_is_bad_as_a_whole(
+    home: str, bad_zones: str, fault: dict[str, Any], expected: str
+) -> None:
     router = router_of(home, a=10, b=10, c=10)
     run_calls(router, 20)
     for zone in "bc":
@@ -193,7 +218,7 @@
         assert "a" not in shares and not router.allows(100) and router.allows(200)
 
 
-def test_consecutive_failures_are_evaluated_at_once():
+def test_consecutive_failures_are_evaluated_at_once() -> None:
     router = router_of(a=10, b=10, c=10)
     run_calls(router, 10)
     now = router.next_evaluation_at - 400_000
@@ -206,7 +231,7 @@
     assert router.shares(router.next_evaluation_at)["a"] > 0.5
 
 
-def test_no_remote_zone_is_evacuated_if_all_look_bad():
+def test_no_remote_zone_is_evacuated_if_all_look_bad() -> None:
     """Failure prevented: a node that is partitioned evacuates all other zones, one after the other."""
     router = router_of(a=4, b=10, c=10)  # home has little capacity, so the others are called
     run_calls(router, 20)
@@ -222,11 +247,11 @@
 class NeverIsolatedRouter(ZoneRouter):
     """Broken on purpose: never takes a fault for its own."""
 
-    def check_isolation(self, verdicts, bad):
+    def check_isolation(self, verdicts: Mapping[str, Verdict], bad: Collection[str]) -> None:
         self.is_isolated = False
 
 
-def test_without_the_check_for_isolation_remote_zones_are_evacuated():
+def test_without_the_check_for_isolation_remote_zones_are_evacuated() -> None:
     router = router_of(router_class=NeverIsolatedRouter, a=4, b=10, c=10)
     run_calls(router, 20, calls=400)
     run_calls(router, 6, "bc", failure_share=1.0, calls=400)
@@ -234,7 +259,7 @@
 
 
 @pytest.mark.parametrize("failure_share", [0.5, 1.0])
-def test_a_zone_recovers_in_steps_and_later_each_time(failure_share):
+def test_a_zone_recovers_in_steps_and_later_each_time(failure_share: float) -> None:
     router = router_of(a=10, b=10, c=10)
     run_calls(router, 20)
     run_calls(router, 6, "a", failure_share=failure_share)
@@ -257,7 +282,7 @@
     assert state.evacuation_time >= 4 * SETTINGS.evacuation_time
 
 
-def test_a_remote_zone_without_calls_recovers_in_time():
+def test_a_remote_zone_without_calls_recovers_in_time() -> None:
     router = router_of(a=10, b=10, c=10)
     router.apply_directives({"b": SEC})
     router.apply_directives({})
@@ -267,7 +292,7 @@
     assert router.states.of("b").status == ZoneStatus.IN_SERVICE
 
 
-def test_no_second_zone_is_evacuated_while_one_is_lost():
+def test_no_second_zone_is_evacuated_while_one_is_lost() -> None:
     router = router_of(a=10, b=10, c=10)
     run_calls(router, 20)
     router.update_servers({number: server for number, server in router.servers.items() if server.zone != "c"})
@@ -275,7 +300,7 @@
     assert router.states.of("a").status == ZoneStatus.IN_SERVICE
 
 
-def test_nodes_return_to_a_zone_at_different_times():
+def test_nodes_return_to_a_zone_at_different_times() -> None:
     return_times = []
     for rank in (0.0, 0.5, 0.9):
         router = router_of(rank=rank, a=10, b=10)
@@ -286,7 +311,7 @@
     assert second - first == SETTINGS.return_stagger // 2 and third > second
 
 
-def test_extra_round_trips_follow_from_connect_times():
+def test_extra_round_trips_follow_from_connect_times() -> None:
     router = router_of(a=2, b=2)
     for connect_time in (900, 1000, 5000):
         router.record_connection(100, connect_time)
@@ -301,16 +326,17 @@
 class DirectivesFleet:
     """Members that receive one another's directives, except for those partitioned."""
 
-    def __init__(self, count):
-        self.now, self.wall, self.partitioned = 0, 10**15, set()
+    def __init__(self, count: int) -> None:
+        self.now, self.wall = 0, 10**15
+        self.partitioned: set[str] = set()
         names = [f"n{i}" for i in range(count)]
         self.members = {name: self.member(i, name, names) for i, name in enumerate(names)}
 
-    def member(self, seed, name, names):
+    def member(self, seed: int, name: str, names: list[str]) -> ZoneDirectives:
         others = [other for other in names if other != name]
         return ZoneDirectives(name, lambda: others, lambda: self.wall, Random(seed), lambda: self.now)
 
-    def run(self, seconds):
+    def run(self, seconds: int) -> list[list[str]]:
         """The zones evacuated by directive at each member after so many seconds."""
         for _ in range(seconds):
             self.now, self.wall = self.now + SEC, self.wall + SEC
@@ -321,7 +347,7 @@
         return [sorted(member.remaining()) for member in self.members.values()]
 
 
-def test_a_directive_reaches_all_members_lasts_its_duration_and_the_newest_wins():
+def test_a_directive_reaches_all_members_lasts_its_duration_and_the_newest_wins() -> None:
     fleet = DirectivesFleet(5)
     fleet.partitioned = {"n4"}
     assert fleet.members["n0"].issue("a", 60 * SEC)
@@ -340,27 +366,27 @@
     assert len(fleet.members["n0"].by_zone) == MAX_DIRECTIVES
 
 
-def test_a_directive_overrides_the_evidence():
+def test_a_directive_overrides_the_evidence() -> None:
     router = router_of(a=10, b=10)
     run_calls(router, 10)
     router.apply_directives({"a": 60 * SEC})
     assert set(router.shares(router.next_evaluation_at)) == {"b"} and not router.allows(100)
     assert run_calls(router, 5) == {"b"}
     router.apply_directives({})
-    state = router.states.of("a")
-    assert state.status == ZoneStatus.RECOVERING and 0 < router.shares(router.next_evaluation_at)["a"] < 0.1
+    assert router.states.of("a").status == ZoneStatus.RECOVERING
+    assert 0 < router.shares(router.next_evaluation_at)["a"] < 0.1
     run_calls(router, 40)
     run_calls(router, 6, "a")  # evacuated by evidence: a directive's end does not undo that, a return does
     router.apply_directives({"a": SEC})
     router.apply_directives({})
-    assert state.status == ZoneStatus.EVACUATED
+    assert router.states.of("a").status == ZoneStatus.EVACUATED
     router.apply_directives({}, {"a"})
-    assert state.status == ZoneStatus.RECOVERING
+    assert router.states.of("a").status == ZoneStatus.RECOVERING
     router.apply_directives({"a": SEC, "b": SEC})
     assert set(router.shares(router.next_evaluation_at)) == {"a", "b"}  # all evacuated: as if none were
 
 
-def test_directives_are_encoded_and_checked():
+def test_directives_are_encoded_and_checked() -> None:
     codec = Codec([b"k" * 20], [ZoneWire()])
     message = ZoneMessage(ZoneKind.DIRECTIVES, "a", (ZoneDirective("x" * 64, 1, 2),) * MAX_DIRECTIVES)
     assert codec.decode(codec.encode(message, SEC), SEC) == message
@@ -372,7 +398,7 @@
 # ---- log lines ------------------------------------------------------------------------------------------
 
 
-def test_each_log_line_is_on_the_on_call_page():
+def test_each_log_line_is_on_the_on_call_page() -> None:
     page = (ROOT / "docs" / "on-call.md").read_text()
     sources = (ROOT / "balancer" / "fleet" / "zone_routing").glob("*.py")
     found = {line for file in sources for line in LOG_LINE.findall(file.read_text())}
@@ -383,20 +409,26 @@
 # ---- the policy with shares -------------------------------------------------------------------------------
 
 
-def policy_with_shares(shares, extra_round_trips=None, **changes):
+def policy_with_shares(
+    shares: dict[int, float], extra_round_trips: dict[int, int] | None = None, **changes: Any
+) -> tuple[Balancer, Recorder]:
     """A policy before thirty servers in zones 0, 1 and 2, and what records its actions."""
     node, recorder = balancer([ServerEntry(i, zone=i % 3, cell=i) for i in range(1, 31)], **changes)
     node.zones(1, shares, extra_round_trips or {})
     return node, recorder
 
 
-def zone_of(server):
+def zone_of(server: int) -> int:
     return server % 3
 
 
 def attempted_servers(
-    node, recorder, count, outcome=lambda server: Outcome.OK, latency=lambda server: 10_000
-):
+    node: Balancer,
+    recorder: Recorder,
+    count: int,
+    outcome: Callable[[int], Outcome] = lambda server: Outcome.OK,
+    latency: Callable[[int], int] = lambda server: 10_000,
+) -> list[int]:
     """Servers in the order of the attempts that went to them, with a request each 20 ms."""
     servers, now = [], 1000
     for request in range(count):
@@ -413,17 +445,17 @@
     return servers
 
 
-def test_calls_go_to_the_zones_by_their_shares():
+def test_calls_go_to_the_zones_by_their_shares() -> None:
     node, recorder = policy_with_shares({0: 0.7, 1: 0.3, 2: 0.0})
     zones = [zone_of(server) for server in attempted_servers(node, recorder, 600)]
     assert 2 not in zones and 0.25 < zones.count(1) / 600 < 0.35
     node, recorder = balancer([ServerEntry(i, zone=i % 3, cell=i) for i in range(1, 31)])
-    zones = {zone_of(server) for server in attempted_servers(node, recorder, 200)}
-    assert zones == {0, 1, 2}  # without shares, as ever
+    called = {zone_of(server) for server in attempted_servers(node, recorder, 200)}
+    assert called == {0, 1, 2}  # without shares, as ever
 
 
-def test_a_retry_goes_to_another_zone_but_never_to_an_evacuated_one():
-    def outcome(server):
+def test_a_retry_goes_to_another_zone_but_never_to_an_evacuated_one() -> None:
+    def outcome(server: int) -> Outcome:
         return Outcome.CONNECT_FAILED if zone_of(server) == 0 else Outcome.OK
 
     node, recorder = policy_with_shares({0: 1.0, 1: 0.0})
@@ -431,7 +463,7 @@
     assert zones[:2] == [0, 1] and 2 not in zones
 
 
-def test_a_keyed_request_that_may_have_run_stays_in_its_group():
+def test_a_keyed_request_that_may_have_run_stays_in_its_group() -> None:
     zone_group = replace(KEYED, group=Group.ZONE, window=3 * SEC)
     node, recorder = policy_with_shares({0: 1.0, 1: 0.0}, classes=(SAFE, zone_group))
     for request in range(10):
@@ -442,10 +474,10 @@
         assert all(action[0] != "send" or zone_of(action[2]) == zone_of(first) for action in actions)
 
 
-def controller_after_remote_calls(extra_round_trips):
+def controller_after_remote_calls(extra_round_trips: dict[int, int]) -> GradientController:
     """The concurrency controller after three in ten calls have gone to a zone that is 15 ms away."""
 
-    def latency(server):
+    def latency(server: int) -> int:
         return 20_000 + (15_000 if zone_of(server) == 1 else 0)
 
     node, recorder = policy_with_shares({0: 0.7, 1: 0.3}, extra_round_trips)
@@ -453,14 +485,14 @@
     return node.controller
 
 
-def test_the_extra_round_trip_of_remote_calls_does_not_enter_the_min_rtt():
+def test_the_extra_round_trip_of_remote_calls_does_not_enter_the_min_rtt() -> None:
     """Failure prevented: distance is taken for queueing, and the limit follows the remote calls."""
     known, unknown = controller_after_remote_calls({1: 15_000}), controller_after_remote_calls({})
     assert max(known.min_rtt) == 20_000 and max(unknown.min_rtt) == 35_000
     assert known.sample_rtt < unknown.sample_rtt
 
 
-def test_lists_without_the_home_zone_or_with_new_zones_do_no_harm():
+def test_lists_without_the_home_zone_or_with_new_zones_do_no_harm() -> None:
     node, recorder = policy_with_shares({0: 1.0, 7: 0.0})  # a zone that no server has
     assert attempted_servers(node, recorder, 20)
     node.server_list(SEC, ListKind.FULL, [ServerEntry(i, zone=5) for i in range(40, 44)])
