--- a/balancer/fleet/config.py
+++ b/balancer/fleet/config.py
@@ -198,7 +198,7 @@
         if isinstance(cost, bool) or not isinstance(cost, (int, float)) or not 0 <= cost < MAX_ZONE_COST:
             inner.fault(f"costs.{zone}", cost, "must be a number from 0 on")
     section.faults += inner.faults
-    return ZoneSettings(room=room, costs=costs)
+    return ZoneSettings(overprovisioning_factor=float(room), costs=costs)
 
 
 def read_membership_table(section: ConfigSection) -> ZoneMembershipSettings | None:
--- a/balancer/fleet/operator_pages.py
+++ b/balancer/fleet/operator_pages.py
@@ -124,11 +124,11 @@
         An operator takes the fleet's calls out of a zone for a while, or ends such a directive.
         """
         traffic = self.policy_adapter.zone_traffic
-        if traffic is None or traffic.zones is None or traffic.orders is None:
+        if traffic is None or traffic.router is None or traffic.directives is None:
             return NO_ZONES
-        zones, orders = traffic.zones, traffic.orders
+        router, directives = traffic.router, traffic.directives
         command, zone, seconds = parameters(query, "do", "zone", "for_s")
-        known = sorted({zones.zone, *zones.courses})
+        known = sorted({router.home, *router.states.by_zone})
         if zone not in known:
             return Response(400, f"zone: must be one of {', '.join(known)}\n".encode())
         duration = whole_number(seconds)
@@ -136,11 +136,11 @@
             return BAD_DURATION
         if command not in ("leave", "return"):
             return BAD_DIRECTIVE
-        if not orders.say(zone, duration * SECOND if command == "leave" else 0):
+        if not directives.issue(zone, duration * SECOND if command == "leave" else 0):
             return TOO_MANY_DIRECTIVES
         self.runtime.log.line(f"fleet zone {zone}: directive {command}")
         self.runtime.schedule()
-        return success(zones.view(self.runtime.now()))
+        return success(router.status(self.runtime.now()))
 
 
 def parameters(query: bytes, *names: str) -> tuple[str, ...]:
--- a/balancer/fleet/policy_adapter.py
+++ b/balancer/fleet/policy_adapter.py
@@ -93,7 +93,7 @@
         self.alive = alive
         if self.zone_traffic is not None:
             self.zone_traffic.open(alive, rng)
-            self.handlers |= dict.fromkeys(self.zone_traffic.kinds, self.zone_traffic.received)
+            self.handlers |= dict.fromkeys(self.zone_traffic.kinds, self.received_directives)
 
     def use_leases(self, lease_client: Asker, rng: Random) -> None:
         """Opens what needs leases, which there are once voters are configured."""
@@ -222,14 +222,23 @@
 
     def tick(self, now: int) -> Messages:
         """Does what is due."""
-        parts = (self.health_checks, self.min_rtt, self.zone_traffic)
-        return [message for part in parts if part is not None for message in part.tick(now)]
+        parts = (self.health_checks, self.min_rtt)
+        messages: Messages = [sent for part in parts if part is not None for sent in part.tick(now)]
+        if self.zone_traffic is not None:
+            messages += [(sent.to, sent.message) for sent in self.zone_traffic.tick(now)]
+        return messages
 
     def received(self, now: int, message: Any) -> Messages:
         """Handles a message. One to what is off here does nothing."""
         handler = self.handlers.get(message.kind)
         return handler(now, message) if handler is not None else []
 
+    def received_directives(self, now: int, message: Any) -> Messages:
+        """An operator's directives on zones, passed on by another member."""
+        if self.zone_traffic is not None:
+            self.zone_traffic.received(message)
+        return []
+
     def member_forgotten(self, member: str) -> None:
         """Drops what is kept about a member that membership has forgotten."""
         if self.health_checks is not None:
--- a/tests/test_fleet_components.py
+++ b/tests/test_fleet_components.py
@@ -317,7 +317,7 @@
         "balancer.fleet.leases.voter",
         "balancer.fleet.min_rtt.decisions",
         "balancer.fleet.rolling_update.decisions",
-        "balancer.fleet.zone_routing.decisions",
+        "balancer.fleet.zone_routing.router",
     }
 )
 
--- a/tests/test_policy_adapter.py
+++ b/tests/test_policy_adapter.py
@@ -312,8 +312,8 @@
     ((shares, _),) = later()
     assert 0 < shares[1] < 1 and adapter.may_try(1)
     traffic = adapter.zone_traffic
-    assert traffic is not None and traffic.orders is not None
-    assert traffic.orders.say("y", 60 * SEC)
+    assert traffic is not None and traffic.directives is not None
+    assert traffic.directives.issue("y", 60 * SEC)
     ((shares, _),) = [entry for entry in later(1.1) if isinstance(entry, tuple)]
     assert set(shares) == {1} and not adapter.may_try(2) and adapter.may_try(1)
     adapter.close()
