--- a/balancer/fleet/assembly.py
+++ b/balancer/fleet/assembly.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from balancer.fleet.leases.component import DutiesComponent
-    from balancer.fleet.rolling_update.component import ReplacementComponent
+    from balancer.fleet.rolling_update.component import RollingUpdateComponent
 
 
 @dataclass
@@ -25,7 +25,7 @@
 
     adapter: PolicyAdapter
     duties: DutiesComponent | None = None
-    replacement: ReplacementComponent | None = None
+    rolling_update: RollingUpdateComponent | None = None
     ordered: list[Component] = field(default_factory=list)
 
 
@@ -37,11 +37,11 @@
     made = FleetComponents(adapter)
     if config.voters:
         from balancer.fleet.leases.component import DutiesComponent
-        from balancer.fleet.rolling_update.component import ReplacementComponent
+        from balancer.fleet.rolling_update.component import RollingUpdateComponent
 
         made.duties = DutiesComponent(runtime)
-        made.replacement = ReplacementComponent(runtime, made.duties)
-        made.ordered += [made.duties, made.replacement]
+        made.rolling_update = RollingUpdateComponent(runtime, made.duties)
+        made.ordered += [made.duties, made.rolling_update]
     if config.membership is not None:
         from balancer.fleet.zone_membership.component import FederationComponent
 
--- a/balancer/fleet/operator_pages.py
+++ b/balancer/fleet/operator_pages.py
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from balancer.fleet.leases.component import DutiesComponent
-    from balancer.fleet.rolling_update.component import ReplacementComponent
+    from balancer.fleet.rolling_update.component import RollingUpdateComponent
 
 Response = tuple[int, bytes]
 MAX_DIRECTIVE_SECONDS = 86_400
@@ -42,19 +42,19 @@
 
 
 class OperatorPages:
-    """`duties` and `replacement` are None where no voters are configured."""
+    """`duties` and `rolling_update` are None where no voters are configured."""
 
     def __init__(
         self,
         runtime: PageRuntime,
         adapter: PolicyAdapter,
         duties: DutiesComponent | None,
-        replacement: ReplacementComponent | None,
+        rolling_update: RollingUpdateComponent | None,
     ) -> None:
         self.runtime = runtime
         self.adapter = adapter
         self.duties = duties
-        self.replacement = replacement
+        self.rolling_update = rolling_update
 
     def page(self) -> Response:
         """`GET /fleet`."""
@@ -83,14 +83,14 @@
 
     def replace(self, query: bytes) -> Response:
         """`PUT /fleet/replace?do=begin|pause|resume|stop&most=K`."""
-        if self.replacement is None or not self.runtime.is_open:
+        if self.rolling_update is None or not self.runtime.is_open:
             return NO_VOTERS
         verb, most = parameters(query, "do", "most")
-        if not self.replacement.command(verb, max_out=whole_number(most or "1")):
+        if not self.rolling_update.command(verb, max_unavailable=whole_number(most or "1")):
             return 400, b"do: must be begin, pause, resume or stop; most: 1 to 1000\n"
-        self.runtime.deliver(self.replacement.tick(self.runtime.now()))
+        self.runtime.deliver(self.rolling_update.tick(self.runtime.now()))
         self.runtime.schedule()
-        return success(self.replacement.table())
+        return success(self.rolling_update.table())
 
     def zone(self, query: bytes) -> Response:
         """`PUT /fleet/zone?do=leave|return&zone=NAME&for_s=N`."""
--- a/balancer/fleet/rolling_update/__init__.py
+++ b/balancer/fleet/rolling_update/__init__.py
@@ -1,4 +1,5 @@
-"""A rolling replacement of a fleet's processes, led by whoever holds the duty `replace`.
+"""Rolling updates: the processes of a fleet are ended one after another, so that new ones take their places.
 
-`decisions.py` leads and follows, without sockets or clocks; `docs/duties.md` has the design.
+The process that holds the lease `replace` leads. `decisions.py` has the state machine, without sockets or
+clocks; `docs/duties.md` has the design.
 """
--- a/balancer/fleet/rolling_update/messages.py
+++ b/balancer/fleet/rolling_update/messages.py
@@ -1,4 +1,4 @@
-"""What the holder of the replacement and the members say to one another."""
+"""Messages between the leader of a rolling update and the other processes, and their wire form."""
 
 from __future__ import annotations
 
@@ -7,20 +7,24 @@
 
 import msgspec
 
-BIGGEST = 1 << 62
-LONGEST_ZONE = 64
+MAX_NUMBER = 1 << 62
+MAX_ZONE_LENGTH = 64
 
 
-class ReplaceKind(IntEnum):
-    """What a message is. The numbers are apart from the other parts'."""
+class InvalidRollingUpdateError(ValueError):
+    """A message of a rolling update holds a value that is out of range."""
 
-    PLAN = 32  # this is the plan; say how you stand
+
+class RollingUpdateKind(IntEnum):
+    """Kinds of messages. Their numbers are unique over all components."""
+
+    PLAN = 32  # the plan as the sender knows it; the receiver answers with a REPORT
     REPORT = 33
-    GO = 34  # end, and let another process take your place
+    GO = 34  # the receiver is to shut down gracefully
 
 
-class State(IntEnum):
-    """How the plan stands; of one version the greater holds."""
+class UpdateState(IntEnum):
+    """State of a plan. Of two states with the same version the greater one wins."""
 
     RUNS = 0
     PAUSED = 1
@@ -29,32 +33,47 @@
 
 
 @dataclass(frozen=True)
-class Plan:
-    """`number`: Unix time in microseconds at which it was begun: a process that was started later is a new
-    one. `version` rises with each change of `state`. At most `most` are out at a time."""
+class UpdatePlan:
+    """What an operator has asked for.
+
+    Attributes:
+        number: Unix time in microseconds at which the plan was started; identifies the plan.
+        version: Rises with each change of `state`.
+        max_unavailable: How many processes may be unavailable at a time.
+        state: Whether the update runs, is paused, stopped or done.
+    """
 
     number: int
     version: int
-    most: int
-    state: State
+    max_unavailable: int
+    state: UpdateState
 
-    def newer(self, other: Plan | None) -> bool:
-        """Whether it takes the place of the one known so far."""
+    def supersedes(self, other: UpdatePlan | None) -> bool:
+        """Whether this plan takes the place of the one that is known so far."""
         if other is None:
             return True
         return (self.number, self.version, self.state) > (other.number, other.version, other.state)
 
 
 @dataclass(frozen=True)
-class ReplaceMessage:
-    """`token`: of the duty, 0 where an operator's word is passed on; `life`, `serving` and `zone` are the
-    sender's; `life` is above the plan's number if it began after the plan. `seq`: see `plan_age`; versions
-    before it send 0 and don't read it."""
-
-    kind: ReplaceKind
+class RollingUpdateMessage:
+    """A message of any of the three kinds.
+
+    Attributes:
+        kind: What the message is.
+        sender: Name of the process that sent it.
+        plan: The plan as the sender knows it.
+        incarnation: The sender's incarnation, above the plan's number if it began after the plan.
+        token: Fencing token of the sender's lease; 0 if the sender does not hold the lease.
+        serving: Whether the sender accepts clients.
+        zone: The sender's zone.
+        seq: The plan's age, see `plan_age`. Earlier versions send 0 and ignore it.
+    """
+
+    kind: RollingUpdateKind
     sender: str
-    plan: Plan
-    life: int = 0
+    plan: UpdatePlan
+    incarnation: int = 0
     token: int = 0
     serving: bool = False
     zone: str = ""
@@ -62,38 +81,50 @@
 
     @property
     def plan_age(self) -> int | None:
-        """Microseconds since the plan was begun, as far as the sender knows."""
+        """Microseconds since the plan was started; None if the sender does not know."""
         return self.seq - 1 if self.seq > 0 else None
 
 
 def seq_of_age(age: int | None) -> int:
-    """The `seq` that carries a plan's age; 0 for one that isn't known."""
+    """The value of `seq` that carries a plan's age in microseconds; 0 for an unknown age."""
     return 0 if age is None else age + 1
 
 
 Body = tuple[int, int, int, int, int, int, bool, str]
 
 
-class ReplaceWire:
-    """Its messages to the envelope's parts and back."""
+class RollingUpdateWire:
+    """Encodes and decodes the bodies of rolling update messages."""
 
-    kinds = frozenset(int(k) for k in ReplaceKind)
+    kinds = frozenset(int(kind) for kind in RollingUpdateKind)
 
     def __init__(self) -> None:
         self.decoder = msgspec.msgpack.Decoder(Body)
 
-    def pack(self, m: ReplaceMessage) -> Body:
-        p = m.plan
-        return p.number, p.version, p.most, int(p.state), m.life, m.token, m.serving, m.zone
-
-    def shorter(self, m: ReplaceMessage) -> None:
-        """It always fits."""
-
-    def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> ReplaceMessage:
-        """A ValueError, or one of msgspec's, where a figure is impossible."""
-        number, version, most, state, life, token, serving, zone = self.decoder.decode(body)
-        figures = (number, version, most, life, token)
-        if not all(0 <= x < BIGGEST for x in figures) or len(zone) > LONGEST_ZONE:
-            raise ValueError("replace")
-        plan = Plan(number, version, most, State(state))
-        return ReplaceMessage(ReplaceKind(kind), sender, plan, life, token, serving, zone, seq)
+    def pack(self, message: RollingUpdateMessage) -> Body:
+        """The body of a message, of plain types."""
+        plan = message.plan
+        return (
+            *(plan.number, plan.version, plan.max_unavailable, int(plan.state)),
+            *(message.incarnation, message.token, message.serving, message.zone),
+        )
+
+    def shorter(self, message: RollingUpdateMessage) -> None:
+        """None: a message always fits into a datagram, and nothing of it can be left out."""
+
+    def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> RollingUpdateMessage:
+        """Decodes a message.
+
+        Raises:
+            InvalidRollingUpdateError: A value is out of range.
+            ValueError: The state is not known.
+            msgspec.DecodeError: The body has not the form of these messages.
+        """
+        number, version, max_unavailable, state, incarnation, token, serving, zone = self.decoder.decode(body)
+        numbers = (number, version, max_unavailable, incarnation, token)
+        if not all(0 <= value < MAX_NUMBER for value in numbers) or len(zone) > MAX_ZONE_LENGTH:
+            raise InvalidRollingUpdateError("a number or the zone is out of range")
+        plan = UpdatePlan(number, version, max_unavailable, UpdateState(state))
+        return RollingUpdateMessage(
+            RollingUpdateKind(kind), sender, plan, incarnation, token, serving, zone, seq
+        )
--- a/tests/test_fleet_clocks.py
+++ b/tests/test_fleet_clocks.py
@@ -21,8 +21,13 @@
 from balancer.fleet.membership.messages import Accusation, Accusations
 from balancer.fleet.membership.replay_guard import Received, ReplayGuard, StampWindow, Verdict
 from balancer.fleet.membership.swim import Claim, Kind, Message, Status, Swim
-from balancer.fleet.rolling_update.decisions import Replacement
-from balancer.fleet.rolling_update.messages import Plan, ReplaceKind, ReplaceMessage, State
+from balancer.fleet.rolling_update.decisions import RollingUpdate
+from balancer.fleet.rolling_update.messages import (
+    RollingUpdateKind,
+    RollingUpdateMessage,
+    UpdatePlan,
+    UpdateState,
+)
 
 STEPS = (-HOUR, -5 * SEC, 5 * SEC, HOUR)
 NEW, EARLIER = Process, EarlierProcess
@@ -377,11 +382,11 @@
     assert swim.members == {}
 
 
-# ---- replacements ---------------------------------------------------------------------------------------
+# ---- rolling updates ------------------------------------------------------------------------------------
 
 
-def replacement(name, life, started):
-    return Replacement(name, "here", life, Members(), started)
+def rolling_update(name, life, started):
+    return RollingUpdate(name, "here", life, Members(), started)
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -389,44 +394,49 @@
 def test_old_and_new_are_told_by_real_time(step, started, old):
     """A plan begun at second 100; a process started at another, its clock stepped; both of their monotonic
     clocks begin somewhere."""
-    leader = replacement("z", 1, 10 * SEC)
-    leader.begin(wall=100 * SEC, most=1, now=100 * SEC)
-    other = replacement("a", started * SEC + step, started * SEC - 7 * SEC)
-    asked = leader.message(160 * SEC, ReplaceKind.PLAN, leader.plan, 3)
-    [(_, report)] = other.received(153 * SEC, asked)
-    leader.received(160 * SEC, report)
-    assert (leader.reports["a"].life <= leader.plan.number) is old
-    other.received(153 * SEC, leader.message(160 * SEC, ReplaceKind.GO, leader.plan, 3))
+    leader = rolling_update("z", 1, 10 * SEC)
+    leader.begin(wall=100 * SEC, max_unavailable=1, now=100 * SEC)
+    other = rolling_update("a", started * SEC + step, started * SEC - 7 * SEC)
+    asked = leader.message(160 * SEC, RollingUpdateKind.PLAN, leader.plan, 3)
+    [outgoing] = other.received(153 * SEC, asked)
+    leader.received(160 * SEC, outgoing.message)
+    assert (leader.reports["a"].incarnation <= leader.plan.number) is old
+    other.received(153 * SEC, leader.message(160 * SEC, RollingUpdateKind.GO, leader.plan, 3))
     assert other.leaving is old
 
 
 def test_the_plan_s_age_goes_from_holder_to_holder():
-    first, second, third = (replacement(n, 1, s * SEC) for n, s in (("a", 1), ("b", 200), ("c", 90)))
-    first.begin(wall=5, most=1, now=100 * SEC)
-    second.received(300 * SEC, first.message(300 * SEC, ReplaceKind.PLAN, first.plan, 3))
-    third.received(400 * SEC, second.message(400 * SEC, ReplaceKind.PLAN, second.plan, 4))
-    assert (first.is_old(first.plan), second.is_old(first.plan), third.is_old(first.plan)) == (1, 0, 1)
+    first, second, third = (rolling_update(n, 1, s * SEC) for n, s in (("a", 1), ("b", 200), ("c", 90)))
+    first.begin(wall=5, max_unavailable=1, now=100 * SEC)
+    second.received(300 * SEC, first.message(300 * SEC, RollingUpdateKind.PLAN, first.plan, 3))
+    third.received(400 * SEC, second.message(400 * SEC, RollingUpdateKind.PLAN, second.plan, 4))
+    assert (first.is_outdated(first.plan), second.is_outdated(first.plan), third.is_outdated(first.plan)) == (
+        1,
+        0,
+        1,
+    )
     # A datagram that was 20 s on its way says less than what is known.
-    third.received(420 * SEC, second.message(400 * SEC, ReplaceKind.PLAN, second.plan, 4))
-    assert third.plan_begun == 100 * SEC
+    third.received(420 * SEC, second.message(400 * SEC, RollingUpdateKind.PLAN, second.plan, 4))
+    assert third.plan_started_at == 100 * SEC
 
 
 @pytest.mark.parametrize(("life", "goes"), [(500, True), (2000, False)])
 def test_a_plan_of_an_earlier_version_is_judged_by_numbers(life, goes):
-    process = replacement("a", life, SEC)
-    plan = Plan(1000, 1, 1, State.RUNS)
-    [(_, report)] = process.received(SEC, ReplaceMessage(ReplaceKind.PLAN, "z", plan, 1, 7))
-    assert report.life == life and report.plan_age is None
-    process.received(SEC, ReplaceMessage(ReplaceKind.GO, "z", plan, 1, 7))
+    process = rolling_update("a", life, SEC)
+    plan = UpdatePlan(1000, 1, 1, UpdateState.RUNS)
+    [outgoing] = process.received(SEC, RollingUpdateMessage(RollingUpdateKind.PLAN, "z", plan, 1, 7))
+    report = outgoing.message
+    assert report.incarnation == life and report.plan_age is None
+    process.received(SEC, RollingUpdateMessage(RollingUpdateKind.GO, "z", plan, 1, 7))
     assert process.leaving is goes
 
 
 def test_a_plan_after_a_step_back_takes_the_place_of_the_last():
-    process = replacement("a", 1, SEC)
-    process.begin(wall=HOUR, most=1, now=2 * SEC)
-    process.change(State.STOPPED)
+    process = rolling_update("a", 1, SEC)
+    process.begin(wall=HOUR, max_unavailable=1, now=2 * SEC)
+    process.change(UpdateState.STOPPED)
     last = process.plan
-    assert process.begin(wall=5, most=1, now=3 * SEC).newer(last)
+    assert process.begin(wall=5, max_unavailable=1, now=3 * SEC).supersedes(last)
 
 
 # ---- real processes -------------------------------------------------------------------------------------
--- a/tests/test_lab_clock_explorer.py
+++ b/tests/test_lab_clock_explorer.py
@@ -7,7 +7,7 @@
 from balancer.fleet.leases.asker import Asker
 from balancer.fleet.leases.voter import Voter
 from balancer.fleet.membership.swim import Status, Swim
-from balancer.fleet.rolling_update.decisions import Replacement
+from balancer.fleet.rolling_update.decisions import RollingUpdate
 from balancer.fleet.zone_routing.orders import Orders
 from workbench.explore.clock_faults import FIRST_AT, STEPS_S, ClockStep, draw_clock_steps
 from workbench.explore.clocks import PROPERTIES, ClockFleet, play
@@ -69,7 +69,7 @@
     ],
     "lease": [(Voter, "abstains", lambda self, now: True)],
     "directive": [(Orders, "received", takes_nothing)],
-    "replacement": [(Replacement, "must_go", lambda self, message: False)],
+    "replacement": [(RollingUpdate, "must_end", lambda self, message: False)],
     "fault": [(Orders, "received", raises)],
 }
 
--- a/workbench/lab/mischief.py
+++ b/workbench/lab/mischief.py
@@ -21,7 +21,7 @@
 from balancer.fleet.membership.codec import MembershipWire
 from balancer.fleet.membership.swim import Claim, Kind, Message, Status, Swim
 from balancer.fleet.min_rtt.decisions import Remeasure
-from balancer.fleet.rolling_update.decisions import Replacement
+from balancer.fleet.rolling_update.decisions import RollingUpdate
 from balancer.fleet.runtime import FleetRuntime
 from balancer.fleet.zone_routing.decisions import Zones
 from balancer.net.forwarding import head_of
@@ -192,14 +192,14 @@
 
 
 def hasty() -> None:
-    """Leads a replacement without a look at who is out."""
+    """Leads a rolling update without a look at who is out."""
 
     def lead(go: Any, self: Any, *args: Any) -> Any:
         self.reports = {n: dataclasses.replace(r, serving=True) for n, r in self.reports.items()}
-        self.told.clear()
+        self.asked_to_end.clear()
         return go(self, *args)
 
-    wrap(Replacement, "lead", lead)
+    wrap(RollingUpdate, "lead", lead)
     wrap(FleetRuntime, "gone", lambda go, self: [])
 
 
--- a/workbench/scale/leader.py
+++ b/workbench/scale/leader.py
@@ -1,4 +1,4 @@
-"""What leading a replacement of the fleet costs its leader: `python -m workbench.scale.leader SIZES...`.
+"""What leading a rolling update of the fleet costs its leader: `python -m workbench.scale.leader SIZES...`.
 
 The leader asks all members how they stand each half second, and each answers. Measured are the decisions and
 the codec, for datagrams out and in; the event loop and the kernel are left out.
@@ -10,8 +10,8 @@
 import msgspec
 
 from balancer.fleet.membership.codec import Codec
-from balancer.fleet.rolling_update.decisions import EVERY, Replacement
-from balancer.fleet.rolling_update.messages import ReplaceKind, ReplaceMessage, ReplaceWire
+from balancer.fleet.rolling_update.decisions import BROADCAST_INTERVAL_US, RollingUpdate
+from balancer.fleet.rolling_update.messages import RollingUpdateKind, RollingUpdateMessage, RollingUpdateWire
 from workbench.explore.members import KEY
 from workbench.scale.member import Stopwatch
 from workbench.scale.membership import Row
@@ -41,25 +41,25 @@
 def measure(size: int) -> list[Row]:
     """Processor time, datagrams and bytes a second of a leader."""
     group = Group(size)
-    leader = Replacement("n1", "z0", 1, group, NOW_US)
+    leader = RollingUpdate("n1", "z0", 1, group, NOW_US)
     plan = leader.begin(2, 1)
-    outgoing, incoming = Codec([KEY], [ReplaceWire()]), Codec([KEY], [ReplaceWire()])
+    outgoing, incoming = Codec([KEY], [RollingUpdateWire()]), Codec([KEY], [RollingUpdateWire()])
     watch = Stopwatch()
     datagrams = traffic = 0
     now = NOW_US
     for _ in range(ROUNDS):
-        for _, message in watch.time("decisions", leader.tick, now, TOKEN):
-            data = watch.time("codec", outgoing.encode, message, now)
+        for sent in watch.time("decisions", leader.tick, now, TOKEN):
+            data = watch.time("codec", outgoing.encode, sent.message, now)
             datagrams, traffic = datagrams + 1, traffic + len(data)
         for name in group.names:
-            report = ReplaceMessage(ReplaceKind.REPORT, name, plan, 1, 0, True, "z0")
+            report = RollingUpdateMessage(RollingUpdateKind.REPORT, name, plan, 1, 0, True, "z0")
             data = incoming.encode(report, now)
             decoded = watch.time("codec", outgoing.decode, data, now)
-            assert isinstance(decoded, ReplaceMessage)
+            assert isinstance(decoded, RollingUpdateMessage)
             watch.time("decisions", leader.received, now, decoded)
             datagrams, traffic = datagrams + 1, traffic + len(data)
-        now += EVERY
-    seconds = ROUNDS * EVERY / SECOND_US
+        now += BROADCAST_INTERVAL_US
+    seconds = ROUNDS * BROADCAST_INTERVAL_US / SECOND_US
     values = {
         "cpu_us": (watch.microseconds("decisions") + watch.microseconds("codec")) / seconds,
         "datagrams": datagrams / seconds,
