--- a/balancer/fleet/health_checks/__init__.py
+++ b/balancer/fleet/health_checks/__init__.py
@@ -1,4 +1,4 @@
-"""Servers that are set aside are tried by one node a zone, which tells the others what came of it.
+"""Health checks that a zone's nodes share: one node probes an ejected server, the others take its result.
 
-`decisions.py` says who tries and what is told, without sockets or clocks; `docs/duties.md` has the design.
+`decisions.py` has the state machine, without sockets or clocks; `docs/duties.md` has the design.
 """
--- a/balancer/fleet/health_checks/decisions.py
+++ b/balancer/fleet/health_checks/decisions.py
@@ -1,11 +1,11 @@
-"""Who tries a server that was set aside, and what the others make of the holder's word.
+"""The state machine of shared health checks: who probes an ejected server, and who relies on whose result.
 
-Each server that is set aside is a duty of its zone. Its holder's module goes on with the trials that it makes
-anyway, on real calls; who has set the same server aside and hears of the holder tries nothing. A word holds
-until the trial that it foretells is overdue; after that, and after a patience without a majority, each node
-does what it would do alone.
+Each ejected server has a lease in its zone. The lease holder's policy continues with its probes, which are
+real requests, and announces them; the other nodes that have ejected the same server do not probe it. An
+announcement is valid until the probe that it foretells is overdue. After that, and after some patience where
+no majority of voters grants the lease, each node probes as it would alone.
 
-Times are microseconds of this process's monotonic clock.
+All times are microseconds of this process's monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,244 +13,263 @@
 import hashlib
 from collections import Counter
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass
 from random import Random
 from typing import Any
 
-from balancer.fleet.health_checks.messages import MOST, ProbeKind, ProbeMessage, Trial
-from balancer.fleet.health_checks.settings import ProbeSettings
+from balancer.fleet.component import Outgoing, addressed
+from balancer.fleet.health_checks.messages import (
+    MAX_PROBES,
+    HealthCheckKind,
+    HealthCheckMessage,
+    ProbeAnnouncement,
+)
+from balancer.fleet.health_checks.servers import AnnouncementHistory, EjectedServer, RecoveredServer
+from balancer.fleet.health_checks.settings import HealthCheckSettings
 from balancer.fleet.leases.asker import Asker
 from balancer.fleet.leases.names import PROBE_PREFIX
 
-Out = list[tuple[str, Any]]  # duties' messages and this part's
+Announcements = dict[HealthCheckKind, list[ProbeAnnouncement]]
 
 
-@dataclass
-class Aside:
-    """A server that this node has set aside."""
-
-    since: int
-    due: int  # its next trial here
-    told: int = 0  # until when another node's word on it holds
-    rest: int = 0  # this node had no calls to try it with, and does not ask before
-    tried: bool = False  # in vain, and the others have not been told yet
-    said: int = 0  # the token under which they were told that this node tries...
-    said_at: int = 0  # ...and since when
-
-
-@dataclass
-class Good:
-    """A server that this node found well, while it holds the duty to say so."""
-
-    token: int
-    left: int
-    next: int
-
-
-class Probe:
-    """One process's part. `alive` gives the members that may be told; `verdict` tells the module."""
+class HealthChecks:
+    """One process's part in the health checks of its zone."""
 
     def __init__(
         self,
         name: str,
         zone: str,
-        settings: ProbeSettings,
-        asker: Asker,
+        settings: HealthCheckSettings,
+        lease_client: Asker,
         alive: Callable[[], Sequence[str]],
-        verdict: Callable[[int, bool], None],
+        on_probe_result: Callable[[int, bool], None],
         rng: Random,
     ) -> None:
+        """Creates the state machine of a process.
+
+        Args:
+            name: Name of this process.
+            zone: Zone of this process.
+            settings: Time spans and limits.
+            lease_client: Acquires the servers' leases.
+            alive: Gives the names of the other members that are alive.
+            on_probe_result: Receives the results of other nodes' probes: a server, and whether it recovered.
+            rng: Spreads the readmission of servers.
+        """
         self.name = name
         self.zone = zone
         self.settings = settings
-        self.asker = asker
+        self.lease_client = lease_client
         self.alive = alive
-        self.verdict = verdict
+        self.on_probe_result = on_probe_result
         self.rng = rng
-        self.asides: dict[int, Aside] = {}
-        self.good: dict[int, Good] = {}
-        self.pending: dict[int, int] = {}  # servers to be taken back, and when
-        self.given_up: list[int] = []  # duties to be let go of
-        self.heard: dict[int, int] = {}  # until when a holder's word on a server holds, set aside here or not
-        self.seen: dict[int, int] = {}  # the highest token of each server's holder
-        self.zones: dict[str, str] = {}  # of members that have spoken
-        self.mark = hashlib.blake2b(zone.encode(errors="surrogatepass"), digest_size=4).hexdigest()
+        self.ejected: dict[int, EjectedServer] = {}
+        self.recovered: dict[int, RecoveredServer] = {}
+        self.readmissions: dict[int, int] = {}  # when a server that another node found recovered is due
+        self.unused_leases: list[int] = []  # servers whose leases are to be released
+        self.history = AnnouncementHistory(settings.max_remembered_servers)
+        self.zones: dict[str, str] = {}  # of members that have announced probes
+        self.zone_digest = hashlib.blake2b(zone.encode(errors="surrogatepass"), digest_size=4).hexdigest()
         self.counts: Counter[str] = Counter()
 
-    def duty(self, server: int) -> str:
-        """The zone's name may be as long as a duty's: its mark stands for it."""
-        return f"{PROBE_PREFIX}{self.mark}.{server:x}"
+    # ---- leases -----------------------------------------------------------------------------------------
+
+    def lease_name(self, server: int) -> str:
+        """Name of a server's lease. The zone's name may be as long as a lease's: its digest stands for it."""
+        return f"{PROBE_PREFIX}{self.zone_digest}.{server:x}"
 
     def token(self, now: int, server: int) -> int | None:
-        """Of the server's trial, if this node holds it now."""
-        return self.asker.holding(now, self.duty(server))
+        """Token of a server's lease, if this process holds it now."""
+        return self.lease_client.holding(now, self.lease_name(server))
+
+    def is_acquiring(self, server: int) -> bool:
+        """Whether this process holds a server's lease or tries to acquire it."""
+        return self.lease_name(server) in self.lease_client.wanted
 
-    # ---- what the module says and asks ------------------------------------------------------------------
+    def release(self, now: int, server: int) -> list[Outgoing]:
+        """Releases a server's lease, or stops acquiring it."""
+        return addressed(self.lease_client.drop(now, self.lease_name(server)))
 
-    def may_try(self, now: int, server: int) -> bool:
-        """Whether this node tries: it holds the duty, or nobody has said that he does for too long."""
-        a = self.asides.get(server)
-        if a is None or self.token(now, server) is not None:
+    # ---- the policy's events and questions --------------------------------------------------------------
+
+    def may_probe(self, now: int, server: int) -> bool:
+        """Whether this node probes: it holds the lease, or has not heard of a lease holder for too long."""
+        state = self.ejected.get(server)
+        if state is None or self.token(now, server) is not None:
             return True
-        wanted = self.asker.wanted.get(self.duty(server))
-        elsewhere = wanted.elsewhere if wanted is not None else 0
-        alone = now >= max(a.since, a.told, elsewhere) + self.settings.patience
-        if alone:
+        request = self.lease_client.wanted.get(self.lease_name(server))
+        held_elsewhere_until = request.elsewhere if request is not None else 0
+        heard_at = max(state.waiting_since, state.covered_until, held_elsewhere_until)
+        is_alone = now >= heard_at + self.settings.patience
+        if is_alone:
             self.counts["alone"] += 1
-        return alone
-
-    def set_aside(self, now: int, server: int, wait: int) -> None:
-        """The module has set a server aside, or tried it in vain."""
-        a = self.asides.get(server)
-        self.good.pop(server, None)
-        self.pending.pop(server, None)
-        if a is None:
-            self.asides[server] = Aside(now, now + wait, self.heard.get(server, 0))
+        return is_alone
+
+    def server_ejected(self, now: int, server: int, wait: int) -> None:
+        """The policy has ejected a server, or its probe has failed; its next probe is due in `wait`."""
+        state = self.ejected.get(server)
+        self.recovered.pop(server, None)
+        self.readmissions.pop(server, None)
+        if state is None:
+            self.ejected[server] = EjectedServer(now, now + wait, self.history.valid_until(server))
             return
-        a.due = now + wait
-        a.tried = True
+        state.probe_due_at = now + wait
+        state.failure_unannounced = True
 
-    def back(self, now: int, server: int, well: bool) -> None:
-        """The module does not set it aside any more; `well`: by this node's own trial."""
-        if self.asides.pop(server, None) is None:
+    def server_readmitted(self, now: int, server: int, recovered: bool) -> None:
+        """The server is not ejected any more; `recovered`: because this node's own probe succeeded."""
+        if self.ejected.pop(server, None) is None:
             return
-        self.pending.pop(server, None)
+        self.readmissions.pop(server, None)
         token = self.token(now, server)
-        if well and token is not None:
-            self.good[server] = Good(token, self.settings.tells, now)
+        if recovered and token is not None:
+            self.recovered[server] = RecoveredServer(token, self.settings.success_announcements, now)
             self.counts["found_well"] += 1
         else:
-            self.given_up.append(server)
+            self.unused_leases.append(server)
 
     # ---- time -------------------------------------------------------------------------------------------
 
     def deadline(self, now: int) -> int | None:
-        """When to `tick` next."""
-        dues = [self.due(now, server, a) for server, a in self.asides.items()]
-        dues += [g.next for g in self.good.values()]
-        dues += self.pending.values()
-        dues += [now] if self.given_up else []
-        return min((d for d in dues if d is not None), default=None)
-
-    def due(self, now: int, server: int, a: Aside) -> int | None:
+        """When `tick` is due; None if nothing is."""
+        deadlines = [self.ejected_deadline(now, server, state) for server, state in self.ejected.items()]
+        deadlines += [state.next_announcement_at for state in self.recovered.values()]
+        deadlines += self.readmissions.values()
+        deadlines += [now] if self.unused_leases else []
+        return min((at for at in deadlines if at is not None), default=None)
+
+    def ejected_deadline(self, now: int, server: int, state: EjectedServer) -> int | None:
+        """When something is due for an ejected server."""
         token = self.token(now, server)
         if token is not None:
-            return now if a.tried or a.said != token else self.idle_at(a)
-        wanted = self.duty(server) in self.asker.wanted
-        until = max(a.told, a.rest)
-        if until > now:
-            return now if wanted else until
-        return None if wanted else now  # who asks is called when it has an answer
-
-    def tick(self, now: int) -> Out:
-        """Does what is due."""
-        out: Out = []
-        for server in [s for s, at in self.pending.items() if at <= now]:
-            del self.pending[server]
+            is_news = state.failure_unannounced or state.announced_token != token
+            return now if is_news else state.idle_at(self.settings.idle_timeout)
+        is_acquiring = self.is_acquiring(server)
+        if state.acquire_after() > now:
+            return now if is_acquiring else state.acquire_after()
+        return None if is_acquiring else now  # the lease client has a deadline of its own
+
+    def tick(self, now: int) -> list[Outgoing]:
+        """Does what is due: readmits servers, acquires and releases leases, announces probes."""
+        self.readmit_due_servers(now)
+        outgoing = self.release_unused_leases(now)
+        announcements: Announcements = {kind: [] for kind in HealthCheckKind}
+        for server, state in self.ejected.items():
+            outgoing += self.update_ejected(now, server, state, announcements)
+        for server, recovered in list(self.recovered.items()):
+            outgoing += self.update_recovered(now, server, recovered, announcements)
+        return outgoing + self.broadcast(announcements)
+
+    def readmit_due_servers(self, now: int) -> None:
+        """Has the policy readmit the servers that other nodes have found recovered."""
+        for server in [server for server, at in self.readmissions.items() if at <= now]:
+            del self.readmissions[server]
             self.counts["taken_back"] += 1
-            self.verdict(server, True)
-        given_up, self.given_up = self.given_up, []
-        for server in given_up:
-            if server not in self.asides:
-                out += self.asker.drop(now, self.duty(server))
-        words: dict[ProbeKind, list[Trial]] = {kind: [] for kind in ProbeKind}
-        for server, a in self.asides.items():
-            out += self.look(now, server, a, words)
-        for server, g in list(self.good.items()):
-            out += self.tell_well(now, server, g, words)
-        for kind, trials in words.items():
-            for i in range(0, len(trials), MOST):
-                out += self.to_zone(ProbeMessage(kind, self.name, self.zone, tuple(trials[i : i + MOST])))
-        return out
-
-    def look(self, now: int, server: int, a: Aside, words: dict[ProbeKind, list[Trial]]) -> Out:
-        """Asks for the duty while nobody is heard of, and says what comes of it while it is held."""
-        duty = self.duty(server)
+            self.on_probe_result(server, True)
+
+    def release_unused_leases(self, now: int) -> list[Outgoing]:
+        """Releases the leases of servers that are not ejected any more."""
+        unused, self.unused_leases = self.unused_leases, []
+        servers = [server for server in unused if server not in self.ejected]
+        return [sent for server in servers for sent in self.release(now, server)]
+
+    def update_ejected(
+        self, now: int, server: int, state: EjectedServer, announcements: Announcements
+    ) -> list[Outgoing]:
+        """Acquires the lease while no lease holder is known, and announces probes while it is held."""
         token = self.token(now, server)
         if token is None:
-            a.tried = False
-            if max(a.told, a.rest) > now:
-                return self.asker.drop(now, duty) if duty in self.asker.wanted else []
-            self.asker.want(now, duty, self.settings.lease)
-            return []
-        if a.tried or a.said != token:
-            kind = ProbeKind.FAILED if a.tried else ProbeKind.TRYING
-            if a.said != token:
-                a.said, a.said_at = token, now
-            a.tried = False
-            words[kind].append(Trial(server, token, max(0, a.due - now)))
-        elif now >= self.idle_at(a):
-            a.rest = now + self.settings.rest
+            return self.update_unleased(now, server, state)
+        if state.failure_unannounced or state.announced_token != token:
+            kind = HealthCheckKind.FAILED if state.failure_unannounced else HealthCheckKind.TRYING
+            if state.announced_token != token:
+                state.announced_token, state.announced_at = token, now
+            state.failure_unannounced = False
+            announcements[kind].append(ProbeAnnouncement(server, token, max(0, state.probe_due_at - now)))
+        elif now >= state.idle_at(self.settings.idle_timeout):
+            state.idle_until = now + self.settings.idle_pause
             self.counts["idle"] += 1
-            return self.asker.drop(now, duty)
+            return self.release(now, server)
         return []
 
-    def idle_at(self, a: Aside) -> int:
-        """When it is plain that this node has no calls to try with: a trial is long overdue, though it has
-        held the duty all that time."""
-        return max(a.due, a.said_at) + self.settings.idle
+    def update_unleased(self, now: int, server: int, state: EjectedServer) -> list[Outgoing]:
+        """Acquires a server's lease, or stops that while another node's announcement is valid."""
+        state.failure_unannounced = False
+        if state.acquire_after() <= now:
+            self.lease_client.want(now, self.lease_name(server), self.settings.lease)
+            return []
+        return self.release(now, server) if self.is_acquiring(server) else []
 
-    def tell_well(self, now: int, server: int, g: Good, words: dict[ProbeKind, list[Trial]]) -> Out:
-        if now < g.next:
+    def update_recovered(
+        self, now: int, server: int, state: RecoveredServer, announcements: Announcements
+    ) -> list[Outgoing]:
+        """Announces a recovered server a few times, then releases its lease."""
+        if now < state.next_announcement_at:
             return []
-        # The look at the clock right before the act; whoever gets it looks at the token.
-        if g.left == 0 or self.token(now, server) != g.token:
-            del self.good[server]
-            return self.asker.drop(now, self.duty(server))
-        g.left -= 1
-        g.next = now + self.settings.tell_every
-        words[ProbeKind.WELL].append(Trial(server, g.token))
+        # The lease is checked right before the announcement; the receivers check the token.
+        if state.announcements_left == 0 or self.token(now, server) != state.token:
+            del self.recovered[server]
+            return self.release(now, server)
+        state.announcements_left -= 1
+        state.next_announcement_at = now + self.settings.success_interval
+        announcements[HealthCheckKind.WELL].append(ProbeAnnouncement(server, state.token))
         return []
 
-    def to_zone(self, message: ProbeMessage) -> Out:
-        """To those of the zone, and to those whose zone is not known."""
-        self.counts[f"said_{message.kind.name.lower()}"] += len(message.trials)
-        return [(n, message) for n in self.alive() if self.zones.get(n, self.zone) == self.zone]
-
     # ---- messages ---------------------------------------------------------------------------------------
 
-    def received(self, now: int, m: ProbeMessage) -> Out:
-        """Takes a holder's word in."""
-        self.zones[m.sender] = m.zone
-        if m.zone != self.zone:
-            return []
-        for trial in m.trials:
-            if trial.token < self.seen.get(trial.server, 0):
-                self.counts["old_token"] += 1
-                continue
-            self.remember(trial, 0 if m.kind == ProbeKind.WELL else now + trial.wait + self.settings.slack)
-            a = self.asides.get(trial.server)
-            if a is None:
-                continue
-            a.told = self.heard[trial.server]
-            if m.kind == ProbeKind.WELL:
-                # Failure prevented: a server that has just come back gets all nodes' calls at one instant.
-                at = now + int(self.settings.spread * self.rng.random())
-                self.pending.setdefault(trial.server, at)
-                a.since = now
-            elif m.kind == ProbeKind.FAILED:
-                self.verdict(trial.server, False)
+    def broadcast(self, announcements: Announcements) -> list[Outgoing]:
+        """The announcements as messages to the members of the zone."""
+        outgoing: list[Outgoing] = []
+        for kind, probes in announcements.items():
+            for start in range(0, len(probes), MAX_PROBES):
+                batch = tuple(probes[start : start + MAX_PROBES])
+                outgoing += self.to_zone(HealthCheckMessage(kind, self.name, self.zone, batch))
+        return outgoing
+
+    def to_zone(self, message: HealthCheckMessage) -> list[Outgoing]:
+        """A message to the members of the zone, and to those whose zone is not known."""
+        self.counts[f"said_{message.kind.name.lower()}"] += len(message.probes)
+        members = [name for name in self.alive() if self.zones.get(name, self.zone) == self.zone]
+        return [Outgoing(name, message) for name in members]
+
+    def received(self, now: int, message: HealthCheckMessage) -> list[Outgoing]:
+        """Handles the announcements of a lease holder. Nothing is answered."""
+        self.zones[message.sender] = message.zone
+        if message.zone == self.zone:
+            for probe in message.probes:
+                self.announcement_received(now, message.kind, probe)
         return []
 
-    def remember(self, trial: Trial, until: int) -> None:
-        """The newest words are kept, so many at most."""
-        for table, value in ((self.heard, until), (self.seen, trial.token)):
-            table.pop(trial.server, None)
-            table[trial.server] = value
-            while len(table) > self.settings.heard_most:
-                del table[next(iter(table))]
+    def announcement_received(self, now: int, kind: HealthCheckKind, probe: ProbeAnnouncement) -> None:
+        """Handles one announcement; one by a former lease holder has no effect."""
+        if probe.token < self.history.highest_token(probe.server):
+            self.counts["old_token"] += 1
+            return
+        is_recovered = kind == HealthCheckKind.WELL
+        valid_until = 0 if is_recovered else now + probe.wait + self.settings.announcement_slack
+        self.history.record(probe, valid_until)
+        state = self.ejected.get(probe.server)
+        if state is None:
+            return
+        state.covered_until = valid_until
+        if is_recovered:
+            # Failure prevented: a server that has just recovered gets all nodes' requests at one instant.
+            at = now + int(self.settings.readmission_spread * self.rng.random())
+            self.readmissions.setdefault(probe.server, at)
+            state.waiting_since = now
+        elif kind == HealthCheckKind.FAILED:
+            self.on_probe_result(probe.server, False)
 
     def forget(self, member: str) -> None:
-        """A member is gone for good."""
+        """Membership has dropped a member."""
         self.zones.pop(member, None)
 
     # ---- what operators see -----------------------------------------------------------------------------
 
     def view(self, now: int) -> dict[str, Any]:
-        """Servers set aside here, and of each whether this node tries it; counters."""
+        """The key `probe` of `GET /fleet`: ejected servers, how many of them are probed here, counters."""
         return {
-            "aside": len(self.asides),
-            "tries": sum(self.token(now, server) is not None for server in self.asides),
-            "told": sum(a.told > now for a in self.asides.values()),
+            "aside": len(self.ejected),
+            "tries": sum(self.token(now, server) is not None for server in self.ejected),
+            "told": sum(state.covered_until > now for state in self.ejected.values()),
             "counts": dict(self.counts),
         }
--- a/balancer/fleet/health_checks/messages.py
+++ b/balancer/fleet/health_checks/messages.py
@@ -1,4 +1,4 @@
-"""What the holder of a server's trial says to the nodes of its zone."""
+"""Messages by which a node announces its probes to the nodes of its zone, and their wire form."""
 
 from __future__ import annotations
 
@@ -7,22 +7,33 @@
 
 import msgspec
 
-LONGEST_ZONE = 64
-MOST = 32  # trials in a datagram
-BIGGEST = 1 << 62
+MAX_ZONE_LENGTH = 64
+MAX_PROBES = 32  # in a message
+MAX_SERVER = (1 << 64) - 1
+MAX_NUMBER = 1 << 62
 
 
-class ProbeKind(IntEnum):
-    """What a message is. The numbers are apart from the other parts'."""
+class InvalidHealthCheckError(ValueError):
+    """A health check message holds a value that is out of range."""
 
-    TRYING = 48  # I try these servers; nobody else need
-    FAILED = 49  # I have tried them in vain
-    WELL = 50  # they answer again
+
+class HealthCheckKind(IntEnum):
+    """Kinds of messages. Their numbers are unique over all components."""
+
+    TRYING = 48  # the sender probes these servers
+    FAILED = 49  # its last probes of them failed
+    WELL = 50  # its last probes of them succeeded
 
 
 @dataclass(frozen=True)
-class Trial:
-    """`server`: its number, the same at every node. `wait`: microseconds until the next trial is due."""
+class ProbeAnnouncement:
+    """What the holder of a server's lease says of its probes.
+
+    Attributes:
+        server: Number of the server, the same at every node.
+        token: Fencing token of the lease.
+        wait: Microseconds until the next probe is due.
+    """
 
     server: int
     token: int
@@ -30,40 +41,47 @@
 
 
 @dataclass(frozen=True)
-class ProbeMessage:
-    """`token` goes with each server, since each is a duty of its own."""
+class HealthCheckMessage:
+    """Announcements of one kind. Each has a token, since each server has a lease of its own."""
 
-    kind: ProbeKind
+    kind: HealthCheckKind
     sender: str
     zone: str
-    trials: tuple[Trial, ...] = ()
+    probes: tuple[ProbeAnnouncement, ...] = ()
     seq: int = 0
 
 
 Body = tuple[str, list[tuple[int, int, int]]]
 
 
-class ProbeWire:
-    """Its messages to the envelope's parts and back."""
+class HealthCheckWire:
+    """Encodes and decodes the bodies of health check messages."""
 
-    kinds = frozenset(int(k) for k in ProbeKind)
+    kinds = frozenset(int(kind) for kind in HealthCheckKind)
 
     def __init__(self) -> None:
         self.decoder = msgspec.msgpack.Decoder(Body)
 
-    def pack(self, m: ProbeMessage) -> Body:
-        return m.zone, [(t.server, t.token, t.wait) for t in m.trials]
-
-    def shorter(self, m: ProbeMessage) -> ProbeMessage | None:
-        """Without the last trial."""
-        return replace(m, trials=m.trials[:-1]) if m.trials else None
-
-    def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> ProbeMessage:
-        """A ValueError, or one of msgspec's, where a figure is impossible."""
-        zone, trials = self.decoder.decode(body)
-        if len(zone) > LONGEST_ZONE or len(trials) > MOST:
-            raise ValueError("probe")
-        for server, token, wait in trials:
-            if not (0 <= server < 1 << 64 and 0 < token < BIGGEST and 0 <= wait < BIGGEST):
-                raise ValueError("trial")
-        return ProbeMessage(ProbeKind(kind), sender, zone, tuple(Trial(*t) for t in trials), seq)
+    def pack(self, message: HealthCheckMessage) -> Body:
+        """The body of a message, of plain types."""
+        return message.zone, [(probe.server, probe.token, probe.wait) for probe in message.probes]
+
+    def shorter(self, message: HealthCheckMessage) -> HealthCheckMessage | None:
+        """The message without its last probe; None if it has none."""
+        return replace(message, probes=message.probes[:-1]) if message.probes else None
+
+    def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> HealthCheckMessage:
+        """Decodes a message.
+
+        Raises:
+            InvalidHealthCheckError: A value is out of range.
+            msgspec.DecodeError: The body has not the form of these messages.
+        """
+        zone, probes = self.decoder.decode(body)
+        if len(zone) > MAX_ZONE_LENGTH or len(probes) > MAX_PROBES:
+            raise InvalidHealthCheckError("the zone's name is too long, or there are too many probes")
+        for server, token, wait in probes:
+            if not (0 <= server <= MAX_SERVER and 0 < token < MAX_NUMBER and 0 <= wait < MAX_NUMBER):
+                raise InvalidHealthCheckError("a server, token or wait is out of range")
+        announcements = tuple(ProbeAnnouncement(*probe) for probe in probes)
+        return HealthCheckMessage(HealthCheckKind(kind), sender, zone, announcements, seq)
--- a/balancer/fleet/min_rtt/decisions.py
+++ b/balancer/fleet/min_rtt/decisions.py
@@ -15,9 +15,9 @@
 from random import Random
 from typing import Any
 
+from balancer.fleet.component import Outgoing, addressed
 from balancer.fleet.leases.asker import Asker
 from balancer.fleet.leases.names import REMEASURE_PREFIX
-from balancer.fleet.leases.voter import Out
 
 
 @dataclass(frozen=True)
@@ -99,7 +99,7 @@
         stays = self.places == 1 or self.token(now) is not None
         return self.asked + s.stale + 1 if stays else self.moved + s.each
 
-    def tick(self, now: int) -> Out:
+    def tick(self, now: int) -> list[Outgoing]:
         """Asks for a place while a pass is due, and gives it back when that is over."""
         s = self.settings
         if self.begun is not None:
@@ -114,19 +114,19 @@
             return self.give_back(now) + self.ask(now, (self.before + 1) % self.places)
         return []
 
-    def ask(self, now: int, place: int) -> Out:
+    def ask(self, now: int, place: int) -> list[Outgoing]:
         self.place, self.moved = place, now
         duty = self.duty()
         assert duty is not None
         self.asker.want(now, duty)
-        return self.asker.tick(now)
+        return addressed(self.asker.tick(now))
 
-    def give_back(self, now: int) -> Out:
+    def give_back(self, now: int) -> list[Outgoing]:
         duty = self.duty()
         if duty is None:
             return []
         self.before, self.place = self.place or 0, None
-        return self.asker.drop(now, duty)
+        return addressed(self.asker.drop(now, duty))
 
     # ---- what operators see -----------------------------------------------------------------------------
 
--- a/balancer/fleet/policy_adapter.py
+++ b/balancer/fleet/policy_adapter.py
@@ -10,18 +10,18 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
+from balancer.fleet.component import Outgoing, addressed
 from balancer.fleet.config import FleetConfig
 from balancer.fleet.membership.codec import Part
 from balancer.policy.interface import ListKind, Outcome, ServerEntry, Settings
 
 if TYPE_CHECKING:
-    from balancer.fleet.health_checks.decisions import Probe
+    from balancer.fleet.health_checks.decisions import HealthChecks
     from balancer.fleet.leases.asker import Asker
     from balancer.fleet.min_rtt.decisions import Remeasure
     from balancer.fleet.zone_routing.traffic import ZoneTraffic
 
-Out = list[tuple[str, Any]]  # a member's name, and a message to it
-Handler = Callable[[int, Any], Out]
+Handler = Callable[[int, Any], list[Outgoing]]
 ProbeResult = Callable[[int, bool], None]  # a server that another node has probed, and whether it is well
 Shares = Callable[[dict[int, float], dict[int, int]], None]  # by zone: share, additional round-trip time
 
@@ -47,7 +47,7 @@
         self.log_line = log_line
         self.on_probe_result: ProbeResult
         self.on_shares: Shares
-        self.probe: Probe | None = None
+        self.health_checks: HealthChecks | None = None
         self.remeasure: Remeasure | None = None
         self.zone_traffic: ZoneTraffic | None = None
         self.alive: Callable[[], Sequence[str]] = tuple
@@ -60,12 +60,12 @@
             )
 
     def wires(self) -> list[Part]:
-        """Probes' messages are read by all that have voters, whether they probe themselves or not."""
+        """Health check messages are read by all that have voters, whether they probe themselves or not."""
         wires: list[Part] = []
         if self.config.voters:
-            from balancer.fleet.health_checks.messages import ProbeWire
+            from balancer.fleet.health_checks.messages import HealthCheckWire
 
-            wires.append(ProbeWire())
+            wires.append(HealthCheckWire())
         if self.config.zones is not None:
             from balancer.fleet.zone_routing.messages import ZoneWire
 
@@ -77,24 +77,26 @@
         self.alive = alive
         if self.zone_traffic is not None:
             self.zone_traffic.open(alive, rng)
-            self.handlers |= dict.fromkeys(self.zone_traffic.kinds, self.zone_traffic.received)
+            self.handlers |= dict.fromkeys(self.zone_traffic.kinds, self.zone_message_received)
 
     def use_leases(self, asker: Asker, rng: Random) -> None:
         """There are voters: what needs leases can begin."""
         if self.config.probe:
-            self.open_probe(asker, rng)
+            self.open_health_checks(asker, rng)
         if self.config.remeasure:
             self.open_remeasure(asker, rng)
 
-    def open_probe(self, asker: Asker, rng: Random) -> None:
-        from balancer.fleet.health_checks.decisions import Probe
-        from balancer.fleet.health_checks.messages import ProbeKind
+    def open_health_checks(self, asker: Asker, rng: Random) -> None:
+        from balancer.fleet.health_checks.decisions import HealthChecks
+        from balancer.fleet.health_checks.messages import HealthCheckKind
         from balancer.fleet.health_checks.settings import settings_for
 
         config = self.config
         settings = settings_for(config.longest)
-        self.probe = Probe(config.name, config.zone, settings, asker, self.alive, self.on_probe_result, rng)
-        self.handlers |= dict.fromkeys(ProbeKind, self.probe.received)
+        self.health_checks = HealthChecks(
+            config.name, config.zone, settings, asker, self.alive, self.on_probe_result, rng
+        )
+        self.handlers |= dict.fromkeys(HealthCheckKind, self.health_checks.received)
 
     def open_remeasure(self, asker: Asker, rng: Random) -> None:
         from balancer.fleet.min_rtt.decisions import Remeasure, RemeasureSettings
@@ -103,7 +105,7 @@
         self.remeasure = Remeasure(self.settings.tier, self.settings.instances, bounds, asker, rng)
 
     def close(self) -> None:
-        self.probe = self.remeasure = None
+        self.health_checks = self.remeasure = None
         self.handlers.clear()
         if self.zone_traffic is not None:
             self.zone_traffic.close()
@@ -153,57 +155,68 @@
     def may_try(self, server: int) -> bool:
         if self.zone_traffic is not None and not self.zone_traffic.allows(server):
             return False
-        if self.probe is None:
+        if self.health_checks is None:
             return True
         now = self.now()
-        allowed = self.probe.may_try(now, server)
+        allowed = self.health_checks.may_probe(now, server)
         if allowed:  # the policy asks only for what is due, and sends at once
-            token = self.probe.token(now, server)
+            token = self.health_checks.token(now, server)
             self.log_line(f"fleet tries server={server} " + ("alone" if token is None else f"token={token}"))
         return allowed
 
     def set_aside(self, server: int, wait: int) -> None:
         if self.zone_traffic is not None:
             self.zone_traffic.set_ejected(server, True)
-        if self.probe is not None:
-            self.probe.set_aside(self.now(), server, wait)
+        if self.health_checks is not None:
+            self.health_checks.server_ejected(self.now(), server, wait)
             self.schedule()
 
     def back(self, server: int, well: bool) -> None:
         if self.zone_traffic is not None:
             self.zone_traffic.set_ejected(server, False)
-        if self.probe is not None:
-            self.probe.back(self.now(), server, well)
+        if self.health_checks is not None:
+            self.health_checks.server_readmitted(self.now(), server, well)
             self.schedule()
 
     # ---- time and messages ------------------------------------------------------------------------------
 
     def deadline(self, now: int) -> int | None:
         """When `tick` is due."""
-        deadlines = [part.deadline(now) for part in (self.probe, self.remeasure) if part is not None]
+        deadlines = [part.deadline(now) for part in (self.health_checks, self.remeasure) if part is not None]
         if self.zone_traffic is not None:
             deadlines += self.zone_traffic.deadlines()
         return min((d for d in deadlines if d is not None), default=None)
 
-    def tick(self, now: int) -> Out:
+    def tick(self, now: int) -> list[Outgoing]:
         """Does what is due."""
-        parts = (self.probe, self.remeasure, self.zone_traffic)
-        return [sent for part in parts if part is not None for sent in part.tick(now)]
+        outgoing: list[Outgoing] = []
+        if self.health_checks is not None:
+            outgoing += self.health_checks.tick(now)
+        if self.remeasure is not None:
+            outgoing += self.remeasure.tick(now)
+        if self.zone_traffic is not None:
+            outgoing += addressed(self.zone_traffic.tick(now))
+        return outgoing
 
-    def received(self, now: int, message: Any) -> Out:
+    def received(self, now: int, message: Any) -> list[Outgoing]:
         """A message to a part that is off here does nothing."""
         handler = self.handlers.get(message.kind)
         return handler(now, message) if handler is not None else []
 
+    def zone_message_received(self, now: int, message: Any) -> list[Outgoing]:
+        """A message to what shares the traffic between zones."""
+        assert self.zone_traffic is not None
+        return addressed(self.zone_traffic.received(now, message))
+
     def member_forgotten(self, member: str) -> None:
         """Membership has dropped a member."""
-        if self.probe is not None:
-            self.probe.forget(member)
+        if self.health_checks is not None:
+            self.health_checks.forget(member)
 
     # ---- what operators see -----------------------------------------------------------------------------
 
     def status(self, now: int) -> dict[str, Any]:
         """A key of the page for each part that is on."""
-        parts = {"probe": self.probe, "remeasure": self.remeasure}
+        parts = {"probe": self.health_checks, "remeasure": self.remeasure}
         table = {name: part.view(now) for name, part in parts.items() if part is not None}
         return table if self.zone_traffic is None else table | self.zone_traffic.status(now)
--- a/balancer/fleet/policy_component.py
+++ b/balancer/fleet/policy_component.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any
 
-from balancer.fleet.component import Component, Outgoing, Runtime, addressed
+from balancer.fleet.component import Component, Outgoing, Runtime
 from balancer.fleet.membership.codec import Part
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.policy_adapter import PolicyAdapter
@@ -39,10 +39,10 @@
         return self.adapter.deadline(now)
 
     def tick(self, now: int) -> list[Outgoing]:
-        return addressed(self.adapter.tick(now))
+        return self.adapter.tick(now)
 
     def received(self, now: int, sender: Address, message: Any) -> list[Outgoing]:
-        return addressed(self.adapter.received(now, message))
+        return self.adapter.received(now, message)
 
     def member_forgotten(self, name: str) -> None:
         self.adapter.member_forgotten(name)
--- a/tests/test_min_rtt_slots.py
+++ b/tests/test_min_rtt_slots.py
@@ -45,7 +45,7 @@
 
 def test_who_gets_no_place_passes_anyway_but_not_all_at_once():
     t = passing(6, 0.2)
-    t.deaf = {"voters"}
+    t.unreachable = {"voters"}
     bound = RemeasureSettings(0.2).bound / SEC
     assert passes_of(t, bound - 0.5) == ([], 0)
     begun, _ = passes_of(t, bound * 0.6)
--- a/tests/virtual_leases.py
+++ b/tests/virtual_leases.py
@@ -2,7 +2,8 @@
 
 from random import Random
 
-from balancer.fleet.health_checks.messages import ProbeMessage
+from balancer.fleet.component import addressed
+from balancer.fleet.health_checks.messages import HealthCheckMessage
 from balancer.fleet.leases.asker import Asker
 from balancer.fleet.leases.settings import DutySettings, Electorate
 from balancer.fleet.leases.voter import Voter
@@ -13,26 +14,26 @@
 
 
 class Table:
-    """Askers and their voters at one table: what is said is heard at once, by those not `deaf`."""
+    """Lease clients and their voters: what is sent arrives at once, but not at those `unreachable`."""
 
     def __init__(self, *names):
         self.now = 100 * SEC
         self.voters = {v: Voter(v, 1, [LIST], DUTY, 0) for v in LIST.voters}
         self.askers = {n: Asker(n, i, [LIST], DUTY, Random(i), lambda: 1000) for i, n in enumerate(names)}
         self.parts = {}
-        self.verdicts = []
-        self.said = []
-        self.deaf = set()
-
-    def carry(self, out, sender):
-        for to, m in out:
-            if isinstance(m, ProbeMessage):
-                self.said.append((sender, to, m))
-                if to not in self.deaf:
-                    self.carry(self.parts[to].received(self.now, m), to)
-            elif to in self.voters and "voters" not in self.deaf:
-                for name, answer in self.voters[to].received(self.now, m):
-                    self.carry(self.askers[name].received(self.now, answer), name)
+        self.probe_results = []
+        self.announced = []
+        self.unreachable = set()
+
+    def deliver(self, outgoing, sender):
+        for sent in outgoing:
+            if isinstance(sent.message, HealthCheckMessage):
+                self.announced.append((sender, sent.to, sent.message))
+                if sent.to not in self.unreachable:
+                    self.deliver(self.parts[sent.to].received(self.now, sent.message), sent.to)
+            elif sent.to in self.voters and "voters" not in self.unreachable:
+                for name, answer in self.voters[sent.to].received(self.now, sent.message):
+                    self.deliver(addressed(self.askers[name].received(self.now, answer)), name)
 
     def run(self, seconds):
         """Ticks whatever is due, for so long."""
@@ -44,8 +45,8 @@
                 break
             self.now = max(self.now + 1, min(dues)[0])
             for name in self.askers:
-                self.carry(self.askers[name].tick(self.now), name)
-                self.carry(self.parts[name].tick(self.now), name)
+                self.deliver(addressed(self.askers[name].tick(self.now)), name)
+                self.deliver(self.parts[name].tick(self.now), name)
         else:
             raise AssertionError("something is due without end")
         self.now = max(end, self.now)
--- a/workbench/lab/mischief.py
+++ b/workbench/lab/mischief.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 import balancer.__main__ as program
-from balancer.fleet.health_checks.decisions import Probe
+from balancer.fleet.health_checks.decisions import HealthChecks
 from balancer.fleet.leases.asker import Asker
 from balancer.fleet.membership.codec import MembershipWire
 from balancer.fleet.membership.swim import Claim, Kind, Message, Status, Swim
@@ -221,9 +221,9 @@
 
 
 def pushy() -> None:
-    """Tries servers that are set aside, and often, whoever else does."""
+    """Probes ejected servers, and often, whoever else does."""
     ejection.EJECT_TIME = 200_000
-    wrap(Probe, "may_try", lambda go, self, now, server: True)
+    wrap(HealthChecks, "may_probe", lambda go, self, now, server: True)
 
 
 def rash() -> None:
--- a/workbench/simulator/fleet.py
+++ b/workbench/simulator/fleet.py
@@ -12,6 +12,7 @@
 from random import Random
 from typing import Any
 
+from balancer.fleet.component import Outgoing, addressed
 from balancer.fleet.config import FleetConfig
 from balancer.fleet.leases.asker import Asker
 from balancer.fleet.leases.messages import DutyMessage
@@ -205,12 +206,13 @@
             return
         self.armed = -1
         now = self.clock.now
-        self.carry([*self.voter.tick(now), *self.asker.tick(now)])
+        self.carry(addressed([*self.voter.tick(now), *self.asker.tick(now)]))
         self.carry(self.adapter.tick(now))
         self.arm()
 
-    def carry(self, out: list[tuple[str, Any]]) -> None:
-        for name, message in out:
+    def carry(self, outgoing: list[Outgoing]) -> None:
+        for sent in outgoing:
+            name, message = str(sent.to), sent.message
             other = self.fleet.processes.get(name)
             if other is None:
                 continue
@@ -228,7 +230,7 @@
     def take(self, message: Any) -> None:
         now = self.clock.now
         if isinstance(message, DutyMessage):
-            self.carry([*self.voter.received(now, message), *self.asker.received(now, message)])
+            self.carry(addressed([*self.voter.received(now, message), *self.asker.received(now, message)]))
         else:
             self.carry(self.adapter.received(now, message))
         self.arm()
