--- a/balancer/fleet/min_rtt/__init__.py
+++ b/balancer/fleet/min_rtt/__init__.py
@@ -1,4 +1,4 @@
-"""So many nodes of a tier at most are in a minRTT pass at once: a duty with places.
+"""Slots for minRTT recalculations: a limited share of a tier's nodes recalculates at once.
 
-`decisions.py` says when a pass may begin; `docs/duties.md` has the design.
+`decisions.py` has the state machine, without sockets or clocks; `docs/duties.md` has the design.
 """
--- a/balancer/fleet/min_rtt/decisions.py
+++ b/balancer/fleet/min_rtt/decisions.py
@@ -1,142 +1,153 @@
-"""When a node's minRTT pass may begin: it holds one of the tier's places, or has waited long enough.
+"""When a node's minRTT recalculation may begin: it holds one of the tier's slots, or has waited long enough.
 
-Each place is a duty. A node that waits tries the places one after the other, from one that it draws; a place
-that another gives back is offered to those that had asked for it last. The pass itself is DESIGN's, and so is
-the first of a process, which has no limit before it.
+Each slot is a lease. A node that waits tries the slots one after the other, from a random one on; a slot that
+another node releases is offered to those that tried to acquire it last. The recalculation itself is the
+policy's. The first one of a process is not limited.
 
-Times are microseconds of this process's monotonic clock.
+All times are microseconds of this process's monotonic clock.
 """
 
 from __future__ import annotations
 
 from collections import Counter
-from dataclasses import dataclass
-from math import floor
 from random import Random
 from typing import Any
 
 from balancer.fleet.component import Outgoing, addressed
 from balancer.fleet.leases.asker import Asker
 from balancer.fleet.leases.names import REMEASURE_PREFIX
+from balancer.fleet.min_rtt.settings import MinRttSettings
 
+MICROSECONDS = 1e6  # in a second
 
-@dataclass(frozen=True)
-class RemeasureSettings:
-    """`share`: of the tier's nodes, in a pass at once; one at least."""
 
-    share: float
-    bound: int = 30_000_000  # a node that got no place passes anyway after so long...
-    jitter: float = 0.5  # ...and up to this part more, so that those that wait do not all pass at once
-    each: int = 400_000  # a place is waited for, then the next one
-    stale: int = 2_000_000  # the module has not asked for so long: no pass is due any more
-    longest: int = 10_000_000  # a pass without traffic has no end: its place is given back
-
-    def places(self, instances: int) -> int:
-        """Of a tier with so many nodes."""
-        return max(1, floor(self.share * instances))
-
-
-class Remeasure:
-    """One process's part."""
+class MinRttSlots:
+    """One process's part: it acquires a slot while a recalculation is due, and releases it afterwards."""
 
     def __init__(
-        self, tier: int, instances: int, settings: RemeasureSettings, asker: Asker, rng: Random
+        self, tier: int, instances: int, settings: MinRttSettings, lease_client: Asker, rng: Random
     ) -> None:
+        """Creates the state machine of a process.
+
+        Args:
+            tier: Number of the process's tier.
+            instances: Number of nodes of the tier.
+            settings: Time spans and limits.
+            lease_client: Acquires the slots' leases.
+            rng: Chooses the first slot and the time to wait.
+        """
         self.tier = tier
         self.settings = settings
-        self.places = settings.places(instances)
-        self.asker = asker
+        self.slot_count = settings.slots(instances)
+        self.lease_client = lease_client
         self.rng = rng
-        self.place: int | None = None  # the one that is asked for or held
-        self.before = 0  # the one before it
-        self.moved = 0  # since when
-        self.since: int | None = None  # a pass has been due
-        self.bound = 0
-        self.asked = 0  # when the module asked last
-        self.begun: int | None = None  # the pass that is on
-        self.waited = 0  # before that pass
+        self.slot: int | None = None  # the one that is being acquired or held
+        self.previous_slot = 0
+        self.slot_requested_at = 0
+        self.waiting_since: int | None = None  # None while no recalculation is due
+        self.max_wait = 0  # of the recalculation that is due
+        self.last_asked_at = 0
+        self.started_at: int | None = None  # of the recalculation in progress
+        self.waited = 0  # before the recalculation in progress
         self.counts: Counter[str] = Counter()
 
-    def duty(self) -> str | None:
-        return None if self.place is None else f"{REMEASURE_PREFIX}{self.tier}.{self.place}"
+    # ---- leases -----------------------------------------------------------------------------------------
+
+    def lease_name(self) -> str | None:
+        """Name of the lease of the slot that is being acquired or held."""
+        return None if self.slot is None else f"{REMEASURE_PREFIX}{self.tier}.{self.slot}"
 
     def token(self, now: int) -> int | None:
-        """Of the place, if one is held now."""
-        duty = self.duty()
-        return None if duty is None else self.asker.holding(now, duty)
-
-    # ---- what the module says and asks ------------------------------------------------------------------
-
-    def may(self, now: int) -> bool:
-        """Whether the pass that is due begins now. Asked again with each window while it may not."""
-        s = self.settings
-        if self.since is None or now - self.asked > 2 * s.bound:
-            self.since = now
-            self.bound = int(s.bound * (1 + s.jitter * self.rng.random()))
-        self.asked = now
-        held = self.token(now) is not None
-        if not held and now < self.since + self.bound:
+        """Token of the slot's lease, if this process holds it now."""
+        name = self.lease_name()
+        return None if name is None else self.lease_client.holding(now, name)
+
+    def acquire(self, now: int, slot: int) -> list[Outgoing]:
+        """Starts to acquire a slot."""
+        self.slot, self.slot_requested_at = slot, now
+        name = self.lease_name()
+        assert name is not None
+        self.lease_client.want(now, name)
+        return addressed(self.lease_client.tick(now))
+
+    def release(self, now: int) -> list[Outgoing]:
+        """Releases the slot, or stops acquiring it."""
+        name = self.lease_name()
+        if name is None:
+            return []
+        self.previous_slot, self.slot = self.slot or 0, None
+        return addressed(self.lease_client.drop(now, name))
+
+    # ---- the policy's events and questions --------------------------------------------------------------
+
+    def may_start(self, now: int) -> bool:
+        """Whether the recalculation that is due begins now. The policy asks in each window until it does."""
+        settings = self.settings
+        if self.waiting_since is None or now - self.last_asked_at > 2 * settings.max_wait:
+            self.waiting_since = now
+            self.max_wait = int(settings.max_wait * (1 + settings.wait_jitter * self.rng.random()))
+        self.last_asked_at = now
+        has_slot = self.token(now) is not None
+        if not has_slot and now < self.waiting_since + self.max_wait:
             return False
-        self.counts["passes" if held else "without_a_place"] += 1
-        self.begun, self.waited, self.since = now, now - self.since, None
+        self.counts["passes" if has_slot else "without_a_place"] += 1
+        self.started_at, self.waited = now, now - self.waiting_since
+        self.waiting_since = None
         return True
 
-    def passed(self, now: int) -> None:
-        """The pass is over."""
-        self.begun = None
+    def finished(self) -> None:
+        """The recalculation in progress has ended."""
+        self.started_at = None
+
+    def is_due(self, now: int) -> bool:
+        """Whether the policy still waits for a recalculation."""
+        return self.waiting_since is not None and now <= self.last_asked_at + self.settings.due_timeout
 
     # ---- time -------------------------------------------------------------------------------------------
 
     def deadline(self, now: int) -> int | None:
-        """When to `tick` next."""
-        s = self.settings
-        if self.begun is not None:
-            return self.begun + s.longest if self.place is not None else None
-        if self.since is None or now > self.asked + s.stale:
-            return now if self.place is not None else None
-        if self.place is None:
+        """When `tick` is due; None if nothing is."""
+        settings = self.settings
+        if self.started_at is not None:
+            return self.started_at + settings.max_duration if self.slot is not None else None
+        if not self.is_due(now):
+            return now if self.slot is not None else None
+        if self.slot is None:
             return now
-        stays = self.places == 1 or self.token(now) is not None
-        return self.asked + s.stale + 1 if stays else self.moved + s.each
+        keeps_slot = self.slot_count == 1 or self.token(now) is not None
+        if keeps_slot:
+            return self.last_asked_at + settings.due_timeout + 1
+        return self.slot_requested_at + settings.slot_wait
 
     def tick(self, now: int) -> list[Outgoing]:
-        """Asks for a place while a pass is due, and gives it back when that is over."""
-        s = self.settings
-        if self.begun is not None:
-            if self.place is not None and (now >= self.begun + s.longest or self.token(now) is None):
-                return self.give_back(now)
-            return []
-        if self.since is None or now > self.asked + s.stale:
-            return self.give_back(now)
-        if self.place is None:
-            return self.ask(now, self.rng.randrange(self.places))
-        if self.token(now) is None and now >= self.moved + s.each and self.places > 1:
-            return self.give_back(now) + self.ask(now, (self.before + 1) % self.places)
+        """Acquires a slot while a recalculation is due, and releases it when that has ended."""
+        if self.started_at is not None:
+            is_over = now >= self.started_at + self.settings.max_duration or self.token(now) is None
+            return self.release(now) if is_over else []
+        if not self.is_due(now):
+            return self.release(now)
+        if self.slot is None:
+            return self.acquire(now, self.rng.randrange(self.slot_count))
+        has_waited = now >= self.slot_requested_at + self.settings.slot_wait
+        if self.token(now) is None and has_waited and self.slot_count > 1:
+            return self.release(now) + self.acquire(now, (self.previous_slot + 1) % self.slot_count)
         return []
 
-    def ask(self, now: int, place: int) -> list[Outgoing]:
-        self.place, self.moved = place, now
-        duty = self.duty()
-        assert duty is not None
-        self.asker.want(now, duty)
-        return addressed(self.asker.tick(now))
-
-    def give_back(self, now: int) -> list[Outgoing]:
-        duty = self.duty()
-        if duty is None:
-            return []
-        self.before, self.place = self.place or 0, None
-        return addressed(self.asker.drop(now, duty))
-
     # ---- what operators see -----------------------------------------------------------------------------
 
     def view(self, now: int) -> dict[str, Any]:
-        """Whether a pass is on or waited for, times in seconds; counters."""
-        stage = "passes" if self.begun is not None else "waits" if self.since is not None else "-"
+        """The key `remeasure` of `GET /fleet`: whether a recalculation goes on or is due, and counters."""
+        waited = 0 if self.waiting_since is None else now - self.waiting_since
         return {
-            "places": self.places,
-            "stage": stage,
-            "place": self.place if self.token(now) is not None else None,
-            "waits_s": 0.0 if self.since is None else round((now - self.since) / 1e6, 3),
+            "places": self.slot_count,
+            "stage": self.stage(),
+            "place": self.slot if self.token(now) is not None else None,
+            "waits_s": round(waited / MICROSECONDS, 3),
             "counts": dict(self.counts),
         }
+
+    def stage(self) -> str:
+        """`passes` while a recalculation goes on, `waits` while one is due, else `-`."""
+        if self.started_at is not None:
+            return "passes"
+        return "waits" if self.waiting_since is not None else "-"
--- a/balancer/fleet/policy_adapter.py
+++ b/balancer/fleet/policy_adapter.py
@@ -1,4 +1,4 @@
-"""Connects a node's policy with the fleet: minRTT passes, probes of ejected servers, shares between zones.
+"""Connects a node's policy with the fleet: minRTT recalculations, health checks, shares between zones.
 
 The policy calls `interface.Fleet` while it handles an event; messages that come of it are sent by the next
 tick, which `schedule` asks for. A package is imported only where the configuration asks for what is in it.
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from balancer.fleet.health_checks.decisions import HealthChecks
     from balancer.fleet.leases.asker import Asker
-    from balancer.fleet.min_rtt.decisions import Remeasure
+    from balancer.fleet.min_rtt.decisions import MinRttSlots
     from balancer.fleet.zone_routing.traffic import ZoneTraffic
 
 Handler = Callable[[int, Any], list[Outgoing]]
@@ -48,7 +48,7 @@
         self.on_probe_result: ProbeResult
         self.on_shares: Shares
         self.health_checks: HealthChecks | None = None
-        self.remeasure: Remeasure | None = None
+        self.min_rtt_slots: MinRttSlots | None = None
         self.zone_traffic: ZoneTraffic | None = None
         self.alive: Callable[[], Sequence[str]] = tuple
         self.handlers: dict[int, Handler] = {}  # by message kind, of the parts that are open
@@ -84,7 +84,7 @@
         if self.config.probe:
             self.open_health_checks(asker, rng)
         if self.config.remeasure:
-            self.open_remeasure(asker, rng)
+            self.open_min_rtt_slots(asker, rng)
 
     def open_health_checks(self, asker: Asker, rng: Random) -> None:
         from balancer.fleet.health_checks.decisions import HealthChecks
@@ -98,14 +98,15 @@
         )
         self.handlers |= dict.fromkeys(HealthCheckKind, self.health_checks.received)
 
-    def open_remeasure(self, asker: Asker, rng: Random) -> None:
-        from balancer.fleet.min_rtt.decisions import Remeasure, RemeasureSettings
+    def open_min_rtt_slots(self, asker: Asker, rng: Random) -> None:
+        from balancer.fleet.min_rtt.decisions import MinRttSlots
+        from balancer.fleet.min_rtt.settings import MinRttSettings
 
-        bounds = RemeasureSettings(self.config.remeasure)
-        self.remeasure = Remeasure(self.settings.tier, self.settings.instances, bounds, asker, rng)
+        settings, policy = MinRttSettings(self.config.remeasure), self.settings
+        self.min_rtt_slots = MinRttSlots(policy.tier, policy.instances, settings, asker, rng)
 
     def close(self) -> None:
-        self.health_checks = self.remeasure = None
+        self.health_checks = self.min_rtt_slots = None
         self.handlers.clear()
         if self.zone_traffic is not None:
             self.zone_traffic.close()
@@ -130,26 +131,26 @@
     # ---- what the policy asks and tells -----------------------------------------------------------------
 
     def may_pass(self) -> bool:
-        remeasure = self.remeasure
-        if remeasure is None:
+        slots = self.min_rtt_slots
+        if slots is None:
             return True
         now = self.now()
-        asked_before = remeasure.since is not None
-        allowed = remeasure.may(now)
+        asked_before = slots.waiting_since is not None
+        allowed = slots.may_start(now)
         if allowed:
-            token = remeasure.token(now)
-            place = f"place={remeasure.place} token={token}" if token is not None else "without a place"
-            self.log_line(f"fleet pass begins {place} waited={remeasure.waited / 1e6:.1f}")
-        if allowed or not asked_before or remeasure.place is None:
+            token = slots.token(now)
+            slot = f"place={slots.slot} token={token}" if token is not None else "without a place"
+            self.log_line(f"fleet pass begins {slot} waited={slots.waited / 1e6:.1f}")
+        if allowed or not asked_before or slots.slot is None:
             self.schedule()
         return allowed
 
     def passed(self) -> None:
-        remeasure = self.remeasure
-        if remeasure is None or remeasure.begun is None:
+        slots = self.min_rtt_slots
+        if slots is None or slots.started_at is None:
             return
-        self.log_line(f"fleet pass over after={(self.now() - remeasure.begun) / 1e6:.1f}")
-        remeasure.passed(self.now())
+        self.log_line(f"fleet pass over after={(self.now() - slots.started_at) / 1e6:.1f}")
+        slots.finished()
         self.schedule()
 
     def may_try(self, server: int) -> bool:
@@ -182,7 +183,9 @@
 
     def deadline(self, now: int) -> int | None:
         """When `tick` is due."""
-        deadlines = [part.deadline(now) for part in (self.health_checks, self.remeasure) if part is not None]
+        deadlines = [
+            part.deadline(now) for part in (self.health_checks, self.min_rtt_slots) if part is not None
+        ]
         if self.zone_traffic is not None:
             deadlines += self.zone_traffic.deadlines()
         return min((d for d in deadlines if d is not None), default=None)
@@ -192,8 +195,8 @@
         outgoing: list[Outgoing] = []
         if self.health_checks is not None:
             outgoing += self.health_checks.tick(now)
-        if self.remeasure is not None:
-            outgoing += self.remeasure.tick(now)
+        if self.min_rtt_slots is not None:
+            outgoing += self.min_rtt_slots.tick(now)
         if self.zone_traffic is not None:
             outgoing += addressed(self.zone_traffic.tick(now))
         return outgoing
@@ -217,6 +220,6 @@
 
     def status(self, now: int) -> dict[str, Any]:
         """A key of the page for each part that is on."""
-        parts = {"probe": self.health_checks, "remeasure": self.remeasure}
+        parts = {"probe": self.health_checks, "remeasure": self.min_rtt_slots}
         table = {name: part.view(now) for name, part in parts.items() if part is not None}
         return table if self.zone_traffic is None else table | self.zone_traffic.status(now)
--- a/balancer/fleet/policy_component.py
+++ b/balancer/fleet/policy_component.py
@@ -1,4 +1,4 @@
-"""The policy's adapter as a component of the fleet runtime: probes, minRTT passes and zones."""
+"""The policy's adapter as a component of the fleet runtime: health checks, minRTT slots and zones."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PolicyComponent(Component):
-    """`duties`: None where no voters are configured, so that there are no probes and no bound on passes."""
+    """`duties`: None where no voters are configured, so that health checks and minRTT slots are off."""
 
     def __init__(self, runtime: Runtime, adapter: PolicyAdapter, duties: DutiesComponent | None) -> None:
         self.runtime = runtime
--- a/workbench/lab/checkers.py
+++ b/workbench/lab/checkers.py
@@ -14,7 +14,7 @@
 from itertools import pairwise
 
 from balancer.fleet.health_checks.settings import settings_for
-from balancer.fleet.min_rtt.decisions import RemeasureSettings
+from balancer.fleet.min_rtt.settings import MinRttSettings
 from workbench.lab.history import Event
 from workbench.lab.truth import FOREVER, HELD, OUTSIDE, Truth, seconds
 from workbench.model.site import BEGIN
@@ -301,8 +301,8 @@
     share = truth.plan.get("remeasure")
     if not share:
         return
-    settings = RemeasureSettings(share)
-    places = settings.places(len(truth.names))
+    settings = MinRttSettings(share)
+    slots = settings.slots(len(truth.names))
     spans: list[tuple[float, float, str]] = []
     for node in truth.names:
         begun = None
@@ -313,14 +313,14 @@
             if found["over"] and begun is not None:
                 spans.append((begun, e["t"], node))
             begun = e["t"] if found["place"] else None
-            if found["waited"] and float(found["waited"]) < settings.bound / 1e6:
+            if found["waited"] and float(found["waited"]) < settings.max_wait / 1e6:
                 yield e["t"], node, f"passes without a place, after {found['waited']} s of waiting"
     for begin, _, node in spans:
         # Whoever was cut off or paused may have lost its place half-way; a line may be read late.
         inside = begin + LINES + truth.late(begin, begin)
         on = {n for a, b, n in spans if a <= begin and inside < b and truth.steady(n, a, begin)}
-        if len(on | {node}) > places:
-            yield begin, node, f"passes while {', '.join(sorted(on - {node}))} do, {places} allowed at once"
+        if len(on | {node}) > slots:
+            yield begin, node, f"passes while {', '.join(sorted(on - {node}))} do, {slots} allowed at once"
 
 
 def trials(truth: Truth) -> Found:
--- a/workbench/lab/mischief.py
+++ b/workbench/lab/mischief.py
@@ -20,7 +20,7 @@
 from balancer.fleet.leases.asker import Asker
 from balancer.fleet.membership.codec import MembershipWire
 from balancer.fleet.membership.swim import Claim, Kind, Message, Status, Swim
-from balancer.fleet.min_rtt.decisions import Remeasure
+from balancer.fleet.min_rtt.decisions import MinRttSlots
 from balancer.fleet.rolling_update.decisions import RollingUpdate
 from balancer.fleet.runtime import FleetRuntime
 from balancer.fleet.zone_routing.decisions import Zones
@@ -204,20 +204,20 @@
 
 
 def brisk() -> None:
-    """Passes each few seconds, so that a short run sees some."""
+    """Recalculates minRTT each few seconds, so that a short run sees some."""
     gradient.MIN_RTT_INTERVAL = 2_000_000
 
 
 def unruly() -> None:
-    """Passes, and often, whether it has a place or not."""
+    """Recalculates minRTT, and often, whether it has a slot or not."""
     brisk()
 
-    def may(go: Any, self: Any, now: int) -> bool:
+    def may_start(go: Any, self: Any, now: int) -> bool:
         go(self, now)
-        self.bound = 0
+        self.max_wait = 0
         return bool(go(self, now))
 
-    wrap(Remeasure, "may", may)
+    wrap(MinRttSlots, "may_start", may_start)
 
 
 def pushy() -> None:
