--- a/balancer/fleet/component.py
+++ b/balancer/fleet/component.py
@@ -1,6 +1,6 @@
 """The interface between the fleet runtime and its components.
 
-A component is one concern of the fleet (leases, a rolling replacement, traffic between zones, ...). It owns
+A component is one concern of the fleet (leases, a rolling update, traffic between zones, ...). It owns
 its message kinds and its keys on the operators' page, and does no I/O: the runtime hands it time and messages
 and sends what it returns. To add one: write a class that inherits from `Component`, and construct it in
 `assembly.components_for`.
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -1,11 +1,13 @@
 """Health checks: which node of a zone probes an ejected server, and what the others make of its results."""
 
 from dataclasses import replace
+from functools import partial
 from random import Random
 
 import pytest
 from virtual_leases import SEC, Table
 
+from balancer.fleet.component import Outgoing
 from balancer.fleet.health_checks.decisions import HealthChecks
 from balancer.fleet.health_checks.messages import (
     HealthCheckKind,
@@ -19,36 +21,58 @@
 SETTINGS = HealthCheckSettings(lease=10 * SEC, patience=12 * SEC)
 
 
-def processes(zones):
-    """A process for each name, with its zone."""
-    t = Table(*zones)
-    for name, zone in zones.items():
-        others = [n for n in zones if n != name]
-
-        def on_probe_result(server, recovered, name=name):
-            t.probe_results.append((name, server, recovered))
-            if recovered:  # as the policy does
-                t.parts[name].server_readmitted(t.now, server, False)
-
-        t.parts[name] = HealthChecks(
-            name, zone, SETTINGS, t.askers[name], lambda o=others: o, on_probe_result, Random(1)
-        )
-    return t
-
-
-def ejected(t, names, server=7, wait=2 * SEC):
-    for name in names:
-        t.parts[name].server_ejected(t.now, server, wait)
-    return t.run(1)
-
-
-def probers(t, server=7):
-    return [n for n, p in t.parts.items() if p.may_probe(t.now, server)]
-
-
-def test_one_node_a_zone_probes_and_announces_the_result():
-    t = ejected(processes({"a": "x", "b": "x", "c": "x", "d": "y"}), "abcd")
-    first, other = probers(t)
+class Zones(Table[HealthChecks]):
+    """A process for each name, with its zone. Those `unreachable` get no announcements."""
+
+    def __init__(self, zones: dict[str, str]) -> None:
+        super().__init__(*zones)
+        self.probe_results: list[tuple[str, int, bool]] = []
+        self.announced: list[Outgoing] = []
+        for name, zone in zones.items():
+            others = [other for other in zones if other != name]
+            self.parts[name] = HealthChecks(
+                name,
+                zone,
+                SETTINGS,
+                self.askers[name],
+                partial(list, others),
+                partial(self.on_probe_result, name),
+                Random(1),
+            )
+
+    def on_probe_result(self, name: str, server: int, recovered: bool) -> None:
+        self.probe_results.append((name, server, recovered))
+        if recovered:  # as the policy does
+            self.parts[name].server_readmitted(self.now, server, False)
+
+    def deliver_to_part(self, sent: Outgoing, sender: str) -> None:
+        assert isinstance(sent.message, HealthCheckMessage)
+        self.announced.append(sent)
+        name = str(sent.to)
+        if name not in self.unreachable:
+            self.deliver(self.parts[name].received(self.now, sent.message), name)
+
+    def eject(self, names: str, server: int = 7, wait: int = 2 * SEC) -> None:
+        for name in names:
+            self.parts[name].server_ejected(self.now, server, wait)
+        self.run(1)
+
+    def probers(self, server: int = 7) -> list[str]:
+        return [name for name, part in self.parts.items() if part.may_probe(self.now, server)]
+
+
+@pytest.fixture
+def pair() -> Zones:
+    """Two processes of a zone that have ejected a server."""
+    zones = Zones({"a": "x", "b": "x"})
+    zones.eject("ab")
+    return zones
+
+
+def test_one_node_a_zone_probes_and_announces_the_result() -> None:
+    t = Zones({"a": "x", "b": "x", "c": "x", "d": "y"})
+    t.eject("abcd")
+    first, other = t.probers()
     assert other == "d" and first in "abc"
     t.parts[first].server_ejected(t.now, 7, 4 * SEC)  # in vain
     t.run(0.1)
@@ -58,7 +82,7 @@
     t.run(3)
     assert sorted(t.probe_results) == [(n, 7, True) for n in "abc" if n != first]
     assert t.askers[first].wanted == {} and t.parts["a"].counts["old_token"] == 0
-    assert set(probers(t)) >= {"d", first}
+    assert set(t.probers()) >= {"d", first}
 
 
 @pytest.mark.parametrize(
@@ -70,45 +94,48 @@
         (("voters",), 13, 3),  # ...and after a patience all do as they would alone
     ],
 )
-def test_without_announcements_each_node_probes_alone_after_its_patience(unreachable, seconds, count):
-    t = processes({"a": "x", "b": "x", "c": "x"})
+def test_without_announcements_each_node_probes_alone_after_its_patience(
+    unreachable: tuple[str, ...], seconds: int, count: int
+) -> None:
+    t = Zones({"a": "x", "b": "x", "c": "x"})
     t.unreachable = set(unreachable)
-    ejected(t, "abc", wait=20 * SEC).run(seconds - 1)
-    assert len(probers(t)) == count
+    t.eject("abc", wait=20 * SEC)
+    t.run(seconds - 1)
+    assert len(t.probers()) == count
 
 
-def test_a_node_with_no_requests_to_probe_with_releases_the_lease():
-    t = ejected(processes({"a": "x", "b": "x"}), "ab")
-    (first,) = probers(t)
-    t.run(2 + SETTINGS.announcement_slack / SEC)  # which is longer than it stays idle
-    assert first not in probers(t) and len(probers(t)) == 1
-    assert t.parts[first].counts["idle"] == 1
+def test_a_node_with_no_requests_to_probe_with_releases_the_lease(pair: Zones) -> None:
+    (first,) = pair.probers()
+    pair.run(2 + SETTINGS.announcement_slack / SEC)  # which is longer than it stays idle
+    assert first not in pair.probers() and len(pair.probers()) == 1
+    assert pair.parts[first].counts["idle"] == 1
 
 
-def test_an_announcement_of_a_former_lease_holder_is_refused_by_its_token():
-    t = ejected(processes({"a": "x", "b": "x"}), "ab")
-    holder, other = sorted("ab", key=lambda n: n not in probers(t))
-    token = t.parts[holder].token(t.now, 7)
+def test_an_announcement_of_a_former_lease_holder_is_refused_by_its_token(pair: Zones) -> None:
+    holder, other = sorted("ab", key=lambda n: n not in pair.probers())
+    token = pair.parts[holder].token(pair.now, 7)
+    assert token is not None
     late = HealthCheckMessage(HealthCheckKind.WELL, "z", "x", (ProbeAnnouncement(7, token - 1),))
-    t.parts[other].received(t.now, late)
-    t.run(2)
-    assert t.probe_results == [] and t.parts[other].counts["old_token"] == 1
-    t.parts[other].received(t.now, replace(late, zone="y", probes=(ProbeAnnouncement(7, token + 1),)))
-    assert t.run(2).probe_results == []  # another zone's
-
-
-def test_a_node_that_lost_the_lease_announces_nothing():
-    t = ejected(processes({"a": "x", "b": "x"}), "ab")
-    (holder,) = probers(t)
-    t.unreachable = {"voters"}
-    t.run(11)
-    t.announced.clear()
-    t.parts[holder].server_readmitted(t.now, 7, True)
-    assert t.run(2).announced == []
-
-
-def test_the_announcements_that_are_remembered_are_bounded():
-    t = processes({"a": "x"})
+    pair.parts[other].received(pair.now, late)
+    pair.run(2)
+    assert pair.probe_results == [] and pair.parts[other].counts["old_token"] == 1
+    pair.parts[other].received(pair.now, replace(late, zone="y", probes=(ProbeAnnouncement(7, token + 1),)))
+    pair.run(2)
+    assert pair.probe_results == []  # another zone's
+
+
+def test_a_node_that_lost_the_lease_announces_nothing(pair: Zones) -> None:
+    (holder,) = pair.probers()
+    pair.unreachable = {"voters"}
+    pair.run(11)
+    pair.announced.clear()
+    pair.parts[holder].server_readmitted(pair.now, 7, True)
+    pair.run(2)
+    assert pair.announced == []
+
+
+def test_the_announcements_that_are_remembered_are_bounded() -> None:
+    t = Zones({"a": "x"})
     for i in range(3 * SETTINGS.max_remembered_servers):
         announcement = HealthCheckMessage(HealthCheckKind.TRYING, "z", "x", (ProbeAnnouncement(i, 5, SEC),))
         t.parts["a"].received(t.now, announcement)
@@ -117,7 +144,7 @@
     assert history.highest_token(newest) == 5 and history.highest_token(0) == 0
 
 
-def test_health_check_messages_on_the_wire():
+def test_health_check_messages_on_the_wire() -> None:
     codec = Codec([b"k" * 20], [HealthCheckWire()])
     message = HealthCheckMessage(
         HealthCheckKind.FAILED,
--- a/tests/test_min_rtt_slots.py
+++ b/tests/test_min_rtt_slots.py
@@ -9,20 +9,24 @@
 from balancer.fleet.min_rtt.settings import MinRttSettings
 
 
-def nodes(count, share):
-    t = Table(*(f"n{i}" for i in range(count)))
+def nodes(count: int, share: float) -> Table[MinRttSlots]:
+    t: Table[MinRttSlots] = Table(*(f"n{i}" for i in range(count)))
     settings = MinRttSettings(share)
     for i, name in enumerate(t.askers):
         t.parts[name] = MinRttSlots(0, count, settings, t.askers[name], Random(i))
     return t
 
 
-def recalculate(t, seconds, length=1.0):
+def recalculate(
+    t: Table[MinRttSlots], seconds: float, length: float = 1.0
+) -> tuple[list[tuple[str, int]], int]:
     """All nodes are due for a recalculation; the policy asks each 0.1 s.
 
     Returns the starts in order, and the greatest number of recalculations at once.
     """
-    started, ends, greatest = [], {}, 0
+    started: list[tuple[str, int]] = []
+    ends: dict[str, int] = {}
+    greatest = 0
     for _ in range(int(seconds * 10)):
         for name, slots in t.parts.items():
             if name not in dict(started) and slots.may_start(t.now):
@@ -37,7 +41,9 @@
 
 
 @pytest.mark.parametrize(("count", "share", "slots"), [(10, 0.2, 2), (10, 0.01, 1), (12, 0.5, 6)])
-def test_as_many_recalculate_at_once_as_there_are_slots_and_all_get_one(count, share, slots):
+def test_as_many_recalculate_at_once_as_there_are_slots_and_all_get_one(
+    count: int, share: float, slots: int
+) -> None:
     t = nodes(count, share)
     assert t.parts["n0"].slot_count == slots
     started, greatest = recalculate(t, 25)
@@ -47,7 +53,7 @@
     assert all(a.wanted == {} for a in t.askers.values())
 
 
-def test_nodes_that_get_no_slot_recalculate_later_but_not_all_at_once():
+def test_nodes_that_get_no_slot_recalculate_later_but_not_all_at_once() -> None:
     t = nodes(6, 0.2)
     t.unreachable = {"voters"}
     max_wait = MinRttSettings(0.2).max_wait / SEC
@@ -57,7 +63,7 @@
     assert len(times) == 6 and times[-1] - times[0] > 4 * SEC
 
 
-def test_a_recalculation_without_end_releases_its_slot_and_one_not_due_any_more_acquires_none():
+def test_a_recalculation_without_end_releases_its_slot_and_one_not_due_any_more_acquires_none() -> None:
     t = nodes(2, 0.5)
     (one, other) = t.parts.values()
     while not one.may_start(t.now):
