--- a/balancer/fleet/assembly.py
+++ b/balancer/fleet/assembly.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from balancer.fleet.leases.component import DutiesComponent
-    from balancer.fleet.rolling_update.component import ReplacementComponent
+    from balancer.fleet.rolling_update.component import RollingUpdateComponent
 
 
 @dataclass
@@ -31,7 +31,7 @@
 
     policy_adapter: PolicyAdapter
     leases: DutiesComponent | None = None
-    rolling_update: ReplacementComponent | None = None
+    rolling_update: RollingUpdateComponent | None = None
     ordered: list[Component] = field(default_factory=list)
 
 
@@ -43,10 +43,10 @@
     made = FleetComponents(adapter)
     if config.voters:
         from balancer.fleet.leases.component import DutiesComponent
-        from balancer.fleet.rolling_update.component import ReplacementComponent
+        from balancer.fleet.rolling_update.component import RollingUpdateComponent
 
         made.leases = DutiesComponent(runtime)
-        made.rolling_update = ReplacementComponent(runtime, made.leases)
+        made.rolling_update = RollingUpdateComponent(runtime, made.leases)
         made.ordered += [made.leases, made.rolling_update]
     if config.membership is not None:
         from balancer.fleet.zone_membership.component import FederationComponent
--- a/balancer/fleet/operator_pages.py
+++ b/balancer/fleet/operator_pages.py
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from balancer.fleet.leases.component import DutiesComponent
-    from balancer.fleet.rolling_update.component import ReplacementComponent
+    from balancer.fleet.rolling_update.component import RollingUpdateComponent
 
 MAX_DIRECTIVE_SECONDS = 86_400
 MAX_DIGITS = 9  # of a number in a query
@@ -71,7 +71,7 @@
         runtime: PageRuntime,
         policy_adapter: PolicyAdapter,
         leases: DutiesComponent | None,
-        rolling_update: ReplacementComponent | None,
+        rolling_update: RollingUpdateComponent | None,
     ) -> None:
         self.runtime = runtime
         self.policy_adapter = policy_adapter
@@ -112,7 +112,7 @@
         if self.rolling_update is None or not self.runtime.is_open:
             return NO_VOTERS
         command, max_unavailable = parameters(query, "do", "most")
-        if not self.rolling_update.command(command, max_out=whole_number(max_unavailable or "1")):
+        if not self.rolling_update.command(command, max_unavailable=whole_number(max_unavailable or "1")):
             return BAD_COMMAND
         self.runtime.deliver(self.rolling_update.tick(self.runtime.now()))
         self.runtime.schedule()
--- a/balancer/fleet/policy_adapter.py
+++ b/balancer/fleet/policy_adapter.py
@@ -10,19 +10,19 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
+from balancer.fleet.component import Outgoing
 from balancer.fleet.config import FleetConfig
 from balancer.fleet.membership.codec import Part
 from balancer.policy.interface import ListKind, Outcome, ServerEntry, Settings
 
 if TYPE_CHECKING:
-    from balancer.fleet.health_checks.decisions import Probe
+    from balancer.fleet.health_checks.decisions import HealthChecks
     from balancer.fleet.leases.asker import Asker
-    from balancer.fleet.min_rtt.decisions import Remeasure
+    from balancer.fleet.min_rtt.decisions import MinRttSlots
     from balancer.fleet.zone_routing.traffic import ZoneTraffic
 
 SECOND = 1_000_000  # microseconds
-Messages = list[tuple[str, Any]]  # a member's name, and a message to it
-Handler = Callable[[int, Any], Messages]
+Handler = Callable[[int, Any], list[Outgoing]]
 HealthCheckResult = Callable[[int, bool], None]  # a server that another node checked; whether it is healthy
 PublishShares = Callable[
     [dict[int, float], dict[int, int]], None
@@ -60,8 +60,8 @@
         self.log_line = log_line
         self.on_health_check_result: HealthCheckResult
         self.on_shares: PublishShares
-        self.health_checks: Probe | None = None
-        self.min_rtt: Remeasure | None = None
+        self.health_checks: HealthChecks | None = None
+        self.min_rtt_slots: MinRttSlots | None = None
         self.zone_traffic: ZoneTraffic | None = None
         self.alive: Callable[[], Sequence[str]] = tuple
         self.handlers: dict[int, Handler] = {}  # by message kind, of what is open
@@ -79,9 +79,9 @@
         """
         wires: list[Part] = []
         if self.config.voters:
-            from balancer.fleet.health_checks.messages import ProbeWire
+            from balancer.fleet.health_checks.messages import HealthCheckWire
 
-            wires.append(ProbeWire())
+            wires.append(HealthCheckWire())
         if self.config.zones is not None:
             from balancer.fleet.zone_routing.messages import ZoneWire
 
@@ -100,31 +100,32 @@
         if self.config.health_checks:
             self.open_health_checks(lease_client, rng)
         if self.config.min_rtt_share:
-            self.open_min_rtt(lease_client, rng)
+            self.open_min_rtt_slots(lease_client, rng)
 
     def open_health_checks(self, lease_client: Asker, rng: Random) -> None:
         """From here on one node a zone checks an ejected server."""
-        from balancer.fleet.health_checks.decisions import Probe
-        from balancer.fleet.health_checks.messages import ProbeKind
+        from balancer.fleet.health_checks.decisions import HealthChecks
+        from balancer.fleet.health_checks.messages import HealthCheckKind
         from balancer.fleet.health_checks.settings import settings_for
 
         config = self.config
         settings = settings_for(config.max_lease)
-        self.health_checks = Probe(
+        self.health_checks = HealthChecks(
             config.name, config.zone, settings, lease_client, self.alive, self.on_health_check_result, rng
         )
-        self.handlers |= dict.fromkeys(ProbeKind, self.health_checks.received)
+        self.handlers |= dict.fromkeys(HealthCheckKind, self.health_checks.received)
 
-    def open_min_rtt(self, lease_client: Asker, rng: Random) -> None:
+    def open_min_rtt_slots(self, lease_client: Asker, rng: Random) -> None:
         """From here on a share of the tier's nodes at most recalculates its minRTT at once."""
-        from balancer.fleet.min_rtt.decisions import Remeasure, RemeasureSettings
+        from balancer.fleet.min_rtt.decisions import MinRttSlots
+        from balancer.fleet.min_rtt.settings import MinRttSettings
 
-        bounds = RemeasureSettings(self.config.min_rtt_share)
-        self.min_rtt = Remeasure(self.settings.tier, self.settings.instances, bounds, lease_client, rng)
+        settings, policy = MinRttSettings(self.config.min_rtt_share), self.settings
+        self.min_rtt_slots = MinRttSlots(policy.tier, policy.instances, settings, lease_client, rng)
 
     def close(self) -> None:
         """From here on the policy decides as on a node alone."""
-        self.health_checks = self.min_rtt = None
+        self.health_checks = self.min_rtt_slots = None
         self.handlers.clear()
         if self.zone_traffic is not None:
             self.zone_traffic.close()
@@ -158,27 +159,27 @@
 
     def may_pass(self) -> bool:
         """Whether a minRTT recalculation may begin now."""
-        min_rtt = self.min_rtt
-        if min_rtt is None:
+        slots = self.min_rtt_slots
+        if slots is None:
             return True
         now = self.now()
-        requested_before = min_rtt.since is not None
-        allowed = min_rtt.may(now)
+        requested_before = slots.waiting_since is not None
+        allowed = slots.may_start(now)
         if allowed:
-            token = min_rtt.token(now)
-            place = f"place={min_rtt.place} token={token}" if token is not None else "without a place"
-            self.log_line(f"fleet pass begins {place} waited={min_rtt.waited / SECOND:.1f}")
-        if allowed or not requested_before or min_rtt.place is None:
+            token = slots.token(now)
+            slot = f"place={slots.slot} token={token}" if token is not None else "without a place"
+            self.log_line(f"fleet pass begins {slot} waited={slots.waited / SECOND:.1f}")
+        if allowed or not requested_before or slots.slot is None:
             self.schedule()
         return allowed
 
     def passed(self) -> None:
         """A minRTT recalculation is over."""
-        min_rtt = self.min_rtt
-        if min_rtt is None or min_rtt.begun is None:
+        slots = self.min_rtt_slots
+        if slots is None or slots.started_at is None:
             return
-        self.log_line(f"fleet pass over after={(self.now() - min_rtt.begun) / SECOND:.1f}")
-        min_rtt.passed(self.now())
+        self.log_line(f"fleet pass over after={(self.now() - slots.started_at) / SECOND:.1f}")
+        slots.finished()
         self.schedule()
 
     def may_try(self, server: int) -> bool:
@@ -188,7 +189,7 @@
         if self.health_checks is None:
             return True
         now = self.now()
-        allowed = self.health_checks.may_try(now, server)
+        allowed = self.health_checks.may_probe(now, server)
         if allowed:  # the policy asks only for what is due, and sends at once
             token = self.health_checks.token(now, server)
             self.log_line(f"fleet tries server={server} " + ("alone" if token is None else f"token={token}"))
@@ -199,7 +200,7 @@
         if self.zone_traffic is not None:
             self.zone_traffic.set_ejected(server, True)
         if self.health_checks is not None:
-            self.health_checks.set_aside(self.now(), server, wait)
+            self.health_checks.server_ejected(self.now(), server, wait)
             self.schedule()
 
     def back(self, server: int, well: bool) -> None:
@@ -207,33 +208,36 @@
         if self.zone_traffic is not None:
             self.zone_traffic.set_ejected(server, False)
         if self.health_checks is not None:
-            self.health_checks.back(self.now(), server, well)
+            self.health_checks.server_readmitted(self.now(), server, well)
             self.schedule()
 
     # ---- time and messages ------------------------------------------------------------------------------
 
     def deadline(self, now: int) -> int | None:
         """Returns when `tick` is due."""
-        active = [part for part in (self.health_checks, self.min_rtt) if part is not None]
+        active = [part for part in (self.health_checks, self.min_rtt_slots) if part is not None]
         deadlines = [part.deadline(now) for part in active]
         if self.zone_traffic is not None:
             deadlines += self.zone_traffic.deadlines()
         return min((deadline for deadline in deadlines if deadline is not None), default=None)
 
-    def tick(self, now: int) -> Messages:
+    def tick(self, now: int) -> list[Outgoing]:
         """Does what is due."""
-        parts = (self.health_checks, self.min_rtt)
-        messages: Messages = [sent for part in parts if part is not None for sent in part.tick(now)]
+        outgoing: list[Outgoing] = []
+        if self.health_checks is not None:
+            outgoing += self.health_checks.tick(now)
+        if self.min_rtt_slots is not None:
+            outgoing += self.min_rtt_slots.tick(now)
         if self.zone_traffic is not None:
-            messages += [(sent.to, sent.message) for sent in self.zone_traffic.tick(now)]
-        return messages
+            outgoing += [Outgoing(sent.to, sent.message) for sent in self.zone_traffic.tick(now)]
+        return outgoing
 
-    def received(self, now: int, message: Any) -> Messages:
+    def received(self, now: int, message: Any) -> list[Outgoing]:
         """Handles a message. One to what is off here does nothing."""
         handler = self.handlers.get(message.kind)
         return handler(now, message) if handler is not None else []
 
-    def received_directives(self, now: int, message: Any) -> Messages:
+    def received_directives(self, now: int, message: Any) -> list[Outgoing]:
         """An operator's directives on zones, passed on by another member."""
         if self.zone_traffic is not None:
             self.zone_traffic.received(message)
@@ -248,6 +252,6 @@
 
     def status(self, now: int) -> dict[str, Any]:
         """Returns a key of the page for each part that is on."""
-        parts = {"probe": self.health_checks, "remeasure": self.min_rtt}
+        parts = {"probe": self.health_checks, "remeasure": self.min_rtt_slots}
         table = {name: part.view(now) for name, part in parts.items() if part is not None}
         return table if self.zone_traffic is None else table | self.zone_traffic.status(now)
--- a/balancer/fleet/policy_component.py
+++ b/balancer/fleet/policy_component.py
@@ -1,11 +1,11 @@
-"""The policy adapter as a component of the fleet runtime: health checks, minRTT recalculation and zones."""
+"""The policy adapter as a component of the fleet runtime: health checks, minRTT slots and zones."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any
 
-from balancer.fleet.component import Component, Outgoing, Runtime, addressed
+from balancer.fleet.component import Component, Outgoing, Runtime
 from balancer.fleet.membership.codec import Part
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.policy_adapter import PolicyAdapter
@@ -51,11 +51,11 @@
 
     def tick(self, now: int) -> list[Outgoing]:
         """Does what is due."""
-        return addressed(self.adapter.tick(now))
+        return self.adapter.tick(now)
 
     def received(self, now: int, sender: Address, message: Any) -> list[Outgoing]:
         """Handles a message of one of the adapter's kinds."""
-        return addressed(self.adapter.received(now, message))
+        return self.adapter.received(now, message)
 
     def member_forgotten(self, name: str) -> None:
         """Drops what is kept about a member."""
--- a/workbench/lab/mischief.py
+++ b/workbench/lab/mischief.py
@@ -16,12 +16,12 @@
 from typing import Any
 
 import balancer.__main__ as program
-from balancer.fleet.health_checks.decisions import Probe
+from balancer.fleet.health_checks.decisions import HealthChecks
 from balancer.fleet.leases.asker import Asker
 from balancer.fleet.membership.codec import MembershipWire
 from balancer.fleet.membership.swim import Claim, Kind, Message, Status, Swim
-from balancer.fleet.min_rtt.decisions import Remeasure
-from balancer.fleet.rolling_update.decisions import Replacement
+from balancer.fleet.min_rtt.decisions import MinRttSlots
+from balancer.fleet.rolling_update.decisions import RollingUpdate
 from balancer.fleet.runtime import FleetRuntime
 from balancer.fleet.zone_routing.router import ZoneRouter
 from balancer.fleet.zone_routing.zone_states import ZoneStates
@@ -193,38 +193,38 @@
 
 
 def hasty() -> None:
-    """Leads a replacement without a look at who is out."""
+    """Leads a rolling update without a look at who is out."""
 
     def lead(go: Any, self: Any, *args: Any) -> Any:
         self.reports = {n: dataclasses.replace(r, serving=True) for n, r in self.reports.items()}
-        self.told.clear()
+        self.asked_to_end.clear()
         return go(self, *args)
 
-    wrap(Replacement, "lead", lead)
+    wrap(RollingUpdate, "lead", lead)
     wrap(FleetRuntime, "gone", lambda go, self: [])
 
 
 def brisk() -> None:
-    """Passes each few seconds, so that a short run sees some."""
+    """Recalculates minRTT each few seconds, so that a short run sees some."""
     gradient.MIN_RTT_INTERVAL = 2_000_000
 
 
 def unruly() -> None:
-    """Passes, and often, whether it has a place or not."""
+    """Recalculates minRTT, and often, whether it has a slot or not."""
     brisk()
 
-    def may(go: Any, self: Any, now: int) -> bool:
+    def may_start(go: Any, self: Any, now: int) -> bool:
         go(self, now)
-        self.bound = 0
+        self.max_wait = 0
         return bool(go(self, now))
 
-    wrap(Remeasure, "may", may)
+    wrap(MinRttSlots, "may_start", may_start)
 
 
 def pushy() -> None:
-    """Tries servers that are set aside, and often, whoever else does."""
+    """Probes ejected servers, and often, whoever else does."""
     ejection.EJECT_TIME = 200_000
-    wrap(Probe, "may_try", lambda go, self, now, server: True)
+    wrap(HealthChecks, "may_probe", lambda go, self, now, server: True)
 
 
 def rash() -> None:
