--- a/balancer/fleet/assembly.py
+++ b/balancer/fleet/assembly.py
@@ -43,8 +43,8 @@
         made.replacement = ReplacementComponent(runtime, made.duties)
         made.ordered += [made.duties, made.replacement]
     if config.membership is not None:
-        from balancer.fleet.zone_membership.component import FederationComponent
+        from balancer.fleet.zone_membership.component import ZoneMembershipComponent
 
-        made.ordered.append(FederationComponent(runtime, config.membership))
+        made.ordered.append(ZoneMembershipComponent(runtime, config.membership))
     made.ordered.append(PolicyComponent(runtime, adapter, made.duties))
     return made
--- /dev/null
+++ b/balancer/fleet/zone_membership/exchanges.py
@@ -0,0 +1,106 @@
+"""The exchanges of a gateway with the gateways of other zones."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from random import Random
+
+from balancer.fleet.membership.swim import Address
+from balancer.fleet.zone_membership.gateway_selection import GatewaySelection
+from balancer.fleet.zone_membership.local_summary import LocalSummary
+from balancer.fleet.zone_membership.messages import (
+    AddressedMessage,
+    ZoneMembershipKind,
+    ZoneMembershipMessage,
+)
+from balancer.fleet.zone_membership.queries import GatewayQueries
+from balancer.fleet.zone_membership.records import Records
+from balancer.fleet.zone_membership.settings import ZoneMembershipTiming
+from balancer.fleet.zone_membership.timers import SequenceNumbers, jittered
+
+
+class GatewayExchanges:
+    """Sends the own zone's summary to one gateway of each other zone while this node is a gateway.
+
+    Args:
+        selection: The own zone's gateways.
+        local_summary: The own zone's summary.
+        queries: Makes the query that goes to one of the gateways.
+        records: The summaries of the other zones.
+        zone_seeds: Addresses of other zones' nodes, by zone.
+        timing: Intervals.
+        rng: Chooses the gateway that is queried, and intervals.
+        sequence: Numbers of requests.
+        first_at: When the first exchange is due.
+        first_gateway: Which of a zone's gateways comes first, modulo their number.
+    """
+
+    def __init__(
+        self,
+        selection: GatewaySelection,
+        local_summary: LocalSummary,
+        queries: GatewayQueries,
+        records: Records,
+        zone_seeds: Mapping[str, tuple[Address, ...]],
+        timing: ZoneMembershipTiming,
+        rng: Random,
+        sequence: SequenceNumbers,
+        first_at: int,
+        first_gateway: int,
+    ) -> None:
+        self.selection = selection
+        self.local_summary = local_summary
+        self.queries = queries
+        self.records = records
+        self.zone_seeds = zone_seeds
+        self.timing = timing
+        self.rng = rng
+        self.sequence = sequence
+        self.next_at = first_at
+        self.gateway_index = first_gateway
+        self.is_gateway = False
+        self.unacknowledged: dict[str, int] = {}  # exchanges in a row, by zone
+
+    def tick(self, now: int) -> list[AddressedMessage]:
+        """Exchanges with every other zone if that is due."""
+        if now < self.next_at:
+            return []
+        self.next_at = now + jittered(self.timing.exchange_interval, self.rng)
+        return self._exchange(now)
+
+    def acknowledged(self, zone: str) -> None:
+        """Takes note that a gateway of a zone has answered."""
+        self.unacknowledged.pop(zone, None)
+
+    def _exchange(self, now: int) -> list[AddressedMessage]:
+        """Sends the own summary to one gateway of each other zone, and a query to one of these gateways.
+
+        By the query, two zones that do not reach each other get each other's summaries from a third.
+        """
+        me = self.selection.group.me.name
+        own_zone = self.records.own_zone
+        self.is_gateway = me in self.selection.gateways(now)
+        if not self.is_gateway:
+            return []
+        self.gateway_index += 1
+        seq = self.sequence.advance()
+        summaries = (self.local_summary.get(now),)
+        message = ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, me, own_zone, seq, summaries)
+        outgoing: list[AddressedMessage] = []
+        for zone in sorted({*self.records.zones, *self.zone_seeds} - {own_zone}):
+            to = self._target(zone)
+            if to is None:
+                continue
+            self.unacknowledged[zone] = self.unacknowledged.get(zone, 0) + 1
+            outgoing.append(AddressedMessage(to, message))
+        if outgoing:
+            outgoing.append(AddressedMessage(self.rng.choice(outgoing).to, self.queries.message(now)))
+        return outgoing
+
+    def _target(self, zone: str) -> Address | None:
+        """Returns a zone's next gateway, or one of its seeds while no gateway is known or none answers."""
+        record = self.records.zones.get(zone)
+        addresses = [gateway.address for gateway in record.state.gateways] if record is not None else []
+        if self.unacknowledged.get(zone, 0) >= len(addresses):
+            addresses += [seed for seed in self.zone_seeds.get(zone, ()) if seed not in addresses]
+        return addresses[self.gateway_index % len(addresses)] if addresses else None
--- a/balancer/fleet/zone_membership/records.py
+++ b/balancer/fleet/zone_membership/records.py
@@ -1,9 +1,9 @@
-"""What a node holds of the other zones: one summary each, with its age.
+"""The summaries that a node has of the other zones: one a zone, with its age.
 
-Copies of one origin's statements are ordered by version. Those of two origins (a zone has several gateways)
-are ordered by when they were made, as their ages tell. An age grows by the time that a copy lies at each of
-its holders; no two clocks are compared. The time on the way is not counted, so an age may be too small by
-that; of two copies of one version the greater age holds.
+Copies of summaries of one origin are ordered by version. Those of two origins (a zone has several gateways)
+are ordered by when they were made, according to their ages. An age grows by the time that a copy stays at
+each node on its way; the clocks of two nodes are never compared. The transmission time is not counted, so an
+age may be too small by that; of two copies of one version the greater age is taken.
 """
 
 from __future__ import annotations
@@ -11,57 +11,90 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from enum import IntEnum
+from enum import IntEnum, StrEnum
 
-from balancer.fleet.zone_membership.messages import Known, Refresh, Summary, Version, ZoneState
+from balancer.fleet.zone_membership.summaries import Known, Refresh, Summary, Version, ZoneState
 
 MAX_RECORDS = 64  # zones
 MAX_ORIGINS = 8  # of a zone, whose newest versions are remembered
 
 
 class Freshness(IntEnum):
-    """How a summary's age stands to its bounds."""
+    """A summary's age in relation to its bounds."""
 
     FRESH = 0
     STALE = 1
     LOST = 2
 
 
+class ZoneEventKind(StrEnum):
+    """What has happened to the summary of a zone."""
+
+    FOUND = "found"
+    FRESH = "fresh"
+    STALE = "stale"
+    LOST = "lost"
+
+
 @dataclass(frozen=True)
-class Event:
+class ZoneEvent:
     """A zone was found, or the freshness of its summary has changed."""
 
     zone: str
-    what: str  # "found", "fresh", "stale", "lost"
+    kind: ZoneEventKind
+
+
+EVENT_OF_FRESHNESS = {
+    Freshness.FRESH: ZoneEventKind.FRESH,
+    Freshness.STALE: ZoneEventKind.STALE,
+    Freshness.LOST: ZoneEventKind.LOST,
+}
 
 
 @dataclass
 class Record:
-    """One zone's summary. `made` is when, by this process's clock; `newest` has the origins' versions."""
+    """The latest summary of one zone.
+
+    Attributes:
+        state: The zone's state.
+        fingerprint: Hash of the state.
+        version: Version of the summary.
+        made_at: When the summary was made, by this process's clock.
+        freshness: Its age in relation to its bounds, as last reported.
+        newest_by_origin: Sort keys of the newest versions, by origin; the origin heard of last at the end.
+    """
 
     state: ZoneState
     fingerprint: int
     version: Version
-    made: int
+    made_at: int
     freshness: Freshness
-    newest: dict[str, tuple[int, int]] = field(default_factory=dict)
+    newest_by_origin: dict[str, tuple[int, int]] = field(default_factory=dict)
 
     def age(self, now: int) -> int:
-        return max(0, now - self.made)
+        """Returns the microseconds since the summary was made."""
+        return max(0, now - self.made_at)
 
-    def remember(self, version: Version) -> None:
-        """The newest version of each origin heard of lately."""
-        self.newest.pop(version.origin, None)
-        self.newest[version.origin] = version.order
-        while len(self.newest) > MAX_ORIGINS:
-            del self.newest[next(iter(self.newest))]
+    def remember_version(self, version: Version) -> None:
+        """Stores the newest version of an origin, and drops the origin that was heard of longest ago."""
+        self.newest_by_origin.pop(version.origin, None)
+        self.newest_by_origin[version.origin] = version.order
+        while len(self.newest_by_origin) > MAX_ORIGINS:
+            del self.newest_by_origin[next(iter(self.newest_by_origin))]
 
 
 class Records:
-    """Of all other zones, by name. `notify` hears of each event."""
+    """The records of all other zones, by name.
+
+    Args:
+        own_zone: Name of the own zone, of which no summary is accepted.
+        stale_after: Age, in microseconds, from which a summary is stale.
+        lost_after: Age from which it is lost.
+        notify: Called with each event.
+    """
 
     def __init__(
-        self, own_zone: str, stale_after: int, lost_after: int, notify: Callable[[Event], None]
+        self, own_zone: str, stale_after: int, lost_after: int, notify: Callable[[ZoneEvent], None]
     ) -> None:
         self.own_zone = own_zone
         self.stale_after = stale_after
@@ -73,108 +106,131 @@
     # ---- copies that come in --------------------------------------------------------------------------
 
     def accept(self, now: int, summary: Summary) -> bool:
-        """Holds a copy if it is newer than what is held."""
+        """Stores a summary if it is newer than the one of its zone; returns whether it was."""
         zone = summary.state.zone
         if zone == self.own_zone:
             self.counts["own_zone"] += 1
             return False
-        held = self.zones.get(zone)
-        if held is None:
-            return self.add(now, summary)
-        if not self.newer(now, held, summary.version, summary.age):
+        record = self.zones.get(zone)
+        if record is None:
+            return self._add(now, summary)
+        if not self._is_newer(now, record, summary.version, summary.age):
             return False
-        held.state, held.fingerprint = summary.state, summary.state.fingerprint()
-        self.renew(now, zone, held, summary.version, summary.age)
+        record.state, record.fingerprint = summary.state, summary.state.fingerprint()
+        self._renew(now, zone, record, summary.version, summary.age)
         return True
 
     def refresh(self, now: int, refresh: Refresh) -> bool:
-        """Takes over version and age if the state is the one that is held."""
-        held = self.zones.get(refresh.zone)
-        if held is None or held.fingerprint != refresh.fingerprint:
+        """Stores a newer version and age if the state is the same; returns whether it was stored."""
+        record = self.zones.get(refresh.zone)
+        if record is None or record.fingerprint != refresh.fingerprint:
             self.counts["refresh_of_other_state"] += 1
             return False
-        if not self.newer(now, held, refresh.version, refresh.age):
+        if not self._is_newer(now, record, refresh.version, refresh.age):
             return False
-        self.renew(now, refresh.zone, held, refresh.version, refresh.age)
+        self._renew(now, refresh.zone, record, refresh.version, refresh.age)
         return True
 
-    def newer(self, now: int, held: Record, version: Version, age: int) -> bool:
-        """Whether a copy takes the place of the one held. Of the same version the greater age stays."""
-        made = now - age
-        if version == held.version:
-            held.made = min(held.made, made)
+    def _is_newer(self, now: int, record: Record, version: Version, age: int) -> bool:
+        """Returns whether a copy replaces the record; of the same version the greater age is taken over."""
+        made_at = now - age
+        if version == record.version:
+            record.made_at = min(record.made_at, made_at)
             return False
-        if held.freshness == Freshness.LOST:
-            # Failure prevented: an origin whose clock was set back is refused for ever.
-            return made > held.made
-        newest = held.newest.get(version.origin)
+        if record.freshness == Freshness.LOST:
+            # Otherwise an origin whose clock, and so its incarnation, was set back would be refused for ever.
+            return made_at > record.made_at
+        newest = record.newest_by_origin.get(version.origin)
         if newest is not None and version.order < newest:
             self.counts["older"] += 1
             return False
-        return version.origin == held.version.origin or made > held.made
+        return version.origin == record.version.origin or made_at > record.made_at
 
-    def add(self, now: int, summary: Summary) -> bool:
-        if len(self.zones) >= MAX_RECORDS and not self.evict(now):
+    def _add(self, now: int, summary: Summary) -> bool:
+        if len(self.zones) >= MAX_RECORDS and not self._evict():
             self.counts["zones_refused"] += 1
             return False
-        state, version, made = summary.state, summary.version, now - summary.age
-        record = Record(state, state.fingerprint(), version, made, self.freshness(summary.age))
-        record.remember(version)
+        state, version = summary.state, summary.version
+        freshness = self._freshness_at(summary.age)
+        record = Record(state, state.fingerprint(), version, now - summary.age, freshness)
+        record.remember_version(version)
         self.zones[state.zone] = record
-        self.notify(Event(state.zone, "found"))
+        self.notify(ZoneEvent(state.zone, ZoneEventKind.FOUND))
         return True
 
-    def evict(self, now: int) -> bool:
-        """Makes room: the oldest of those that are lost goes."""
-        lost = [(r.made, zone) for zone, r in self.zones.items() if r.freshness == Freshness.LOST]
-        if lost:
-            self.counts["evicted"] += 1
-            del self.zones[min(lost)[1]]
-        return bool(lost)
+    def _evict(self) -> bool:
+        """Drops the oldest lost record; returns whether there was one."""
+        lost = [
+            (record.made_at, zone)
+            for zone, record in self.zones.items()
+            if record.freshness == Freshness.LOST
+        ]
+        if not lost:
+            return False
+        self.counts["evicted"] += 1
+        _, oldest = min(lost)
+        del self.zones[oldest]
+        return True
 
-    def renew(self, now: int, zone: str, held: Record, version: Version, age: int) -> None:
-        held.version, held.made = version, now - age
-        held.remember(version)
-        self.judge(now, zone, held)
+    def _renew(self, now: int, zone: str, record: Record, version: Version, age: int) -> None:
+        record.version, record.made_at = version, now - age
+        record.remember_version(version)
+        self._update_freshness(now, zone, record)
 
     # ---- ages -----------------------------------------------------------------------------------------
 
-    def freshness(self, age: int) -> Freshness:
-        if age >= self.lost_after:
-            return Freshness.LOST
-        return Freshness.STALE if age >= self.stale_after else Freshness.FRESH
-
-    def judge(self, now: int, zone: str, record: Record) -> None:
-        freshness = self.freshness(record.age(now))
-        if freshness != record.freshness:
-            record.freshness = freshness
-            self.notify(Event(zone, freshness.name.lower()))
-
     def tick(self, now: int) -> None:
-        """Reports what has become stale or lost."""
+        """Reports which summaries have become stale or lost."""
         for zone, record in self.zones.items():
-            self.judge(now, zone, record)
+            self._update_freshness(now, zone, record)
 
     def deadline(self) -> int | None:
-        """When the next record reaches a bound, unless it is renewed."""
+        """Returns when the next summary becomes stale or lost, unless it is renewed; None if none does."""
         bounds = {Freshness.FRESH: self.stale_after, Freshness.STALE: self.lost_after}
         return min(
-            (r.made + bounds[r.freshness] for r in self.zones.values() if r.freshness in bounds), default=None
+            (
+                record.made_at + bounds[record.freshness]
+                for record in self.zones.values()
+                if record.freshness in bounds
+            ),
+            default=None,
         )
 
+    def _freshness_at(self, age: int) -> Freshness:
+        if age >= self.lost_after:
+            return Freshness.LOST
+        return Freshness.STALE if age >= self.stale_after else Freshness.FRESH
+
+    def _update_freshness(self, now: int, zone: str, record: Record) -> None:
+        freshness = self._freshness_at(record.age(now))
+        if freshness != record.freshness:
+            record.freshness = freshness
+            self.notify(ZoneEvent(zone, EVENT_OF_FRESHNESS[freshness]))
+
     # ---- copies that go out ---------------------------------------------------------------------------
 
     def known(self, now: int) -> tuple[Known, ...]:
-        """What is held, in short."""
-        return tuple(Known(zone, r.fingerprint, r.age(now)) for zone, r in self.zones.items())
-
-    def younger(self, now: int, known: tuple[Known, ...], slack: int) -> tuple[list[Summary], list[Refresh]]:
-        """What is held that an asker lacks, or has of an age greater by more than `slack`."""
-        theirs = {k.zone: k for k in known}
+        """Returns fingerprint and age of each summary, for a query."""
+        return tuple(Known(zone, record.fingerprint, record.age(now)) for zone, record in self.zones.items())
+
+    def younger(
+        self, now: int, known: tuple[Known, ...], min_age_difference: int
+    ) -> tuple[list[Summary], list[Refresh]]:
+        """Returns what the sender of a query lacks.
+
+        Args:
+            now: The current time.
+            known: What the sender has.
+            min_age_difference: A copy that is younger by no more than this is not sent.
+
+        Returns:
+            Summaries of the states that the sender does not have, and refreshes of those that it has.
+        """
+        known_by_zone = {entry.zone: entry for entry in known}
         summaries, refreshes = [], []
         for zone, record in self.zones.items():
-            age, other = record.age(now), theirs.get(zone)
-            if other is not None and age + slack >= other.age:
+            age, other = record.age(now), known_by_zone.get(zone)
+            if other is not None and age + min_age_difference >= other.age:
                 continue
             if other is not None and other.fingerprint == record.fingerprint:
                 refreshes.append(Refresh(zone, record.fingerprint, record.version, age))
--- a/balancer/fleet/zone_membership/settings.py
+++ b/balancer/fleet/zone_membership/settings.py
@@ -1,4 +1,4 @@
-"""Figures of membership by zone, and the checked reading of its table in the configuration."""
+"""The configuration table `fleet.membership`, and the timing of the protocol."""
 
 from __future__ import annotations
 
@@ -8,79 +8,119 @@
 
 from balancer.fleet.config import Section
 from balancer.fleet.membership.swim import Address
-from balancer.fleet.zone_membership.messages import MAX_NAME, MAX_ZONES
+from balancer.fleet.zone_membership.summaries import MAX_NAME_CHARACTERS
+from balancer.fleet.zone_membership.wire import MAX_ZONES
 
-MAX_SEEDS_A_ZONE = 16
-MAX_GROUP = 400  # members of a zone's group; a larger zone is to be split
+MAX_SEEDS_PER_ZONE = 16
+MAX_GROUP_SIZE = 400  # members of a zone's group; a larger zone is to be split
 SCOPES = ("zone", "fleet")
 SECOND = 1_000_000
-INTERVALS = (
-    *("exchange_every", "ask_every", "answer_within", "silent_for", "remake_after", "settle"),
-    *("stale_after", "lost_after"),
+SCALED_INTERVALS = (
+    "exchange_interval",
+    "query_interval",
+    "response_timeout",
+    "unresponsive_for",
+    "max_summary_reuse",
+    "startup_delay",
+    "stale_after",
+    "lost_after",
 )
 
 
 @dataclass(frozen=True)
 class ZoneMembershipSettings:
-    """`zone_seeds`: a few addresses of each other zone, asked while its gateways are not known or silent."""
+    """The configuration.
+
+    Attributes:
+        zone_seeds: A few addresses of each other zone, contacted while no gateway of it is known or responds.
+    """
 
     zone_seeds: Mapping[str, tuple[Address, ...]] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
-class FederationTiming:
-    """Figures of the protocol, for SWIM periods of a second. Times in microseconds."""
-
-    gateways: int = 4  # of a zone
-    exchange_every: int = 5_000_000  # a gateway with one gateway of each other zone
-    ask_every: int = 10_000_000  # a member its zone's gateways
-    answer_within: int = 2_000_000
-    asks_unanswered: int = 2  # in a row: then a gateway counts as silent...
-    silent_for: int = 120_000_000  # ...so long, and others take its place
-    remake_after: int = 1_000_000  # an own summary is sent again unchanged so long
-    settle: int = 10_000_000  # from the start until a node speaks for its zone
+class ZoneMembershipTiming:
+    """Intervals, in microseconds, and limits of the protocol for SWIM periods of a second.
+
+    Attributes:
+        gateways: How many gateways a zone has.
+        exchange_interval: From one exchange of a gateway to its next.
+        query_interval: From the response to a member's query to its next query.
+        response_timeout: How long a query may remain unanswered.
+        max_unanswered_queries: So many in a row make a gateway unresponsive.
+        unresponsive_for: How long an unresponsive member is not taken for a gateway.
+        max_summary_reuse: How long the own summary is sent again unchanged.
+        startup_delay: From the start until a node may act as a gateway.
+        stale_after: Age from which a summary is stale.
+        lost_after: Age from which a summary is lost.
+        responses_per_second: Limit on the responses of one node.
+    """
+
+    gateways: int = 4
+    exchange_interval: int = 5_000_000
+    query_interval: int = 10_000_000
+    response_timeout: int = 2_000_000
+    max_unanswered_queries: int = 2
+    unresponsive_for: int = 120_000_000
+    max_summary_reuse: int = 1_000_000
+    startup_delay: int = 10_000_000
     stale_after: int = 30_000_000
     lost_after: int = 60_000_000
-    answers_a_second: int = 200
+    responses_per_second: int = 200
 
-    def scaled(self, period: int) -> FederationTiming:
-        """For SWIM periods of another length."""
-        intervals = {name: getattr(self, name) * period // SECOND for name in INTERVALS}
+    def scaled(self, period: int) -> ZoneMembershipTiming:
+        """Returns the timing for SWIM periods of another length, in microseconds."""
+        intervals = {name: getattr(self, name) * period // SECOND for name in SCALED_INTERVALS}
         return replace(self, **intervals)
 
 
 def read_membership(section: Section, table: object) -> ZoneMembershipSettings | None:
-    """The table `membership` of the fleet's section; None where one group spans the fleet. Faults go into the
-    section."""
+    """Reads the table `membership` of the configuration section `fleet`.
+
+    Args:
+        section: The configuration section `fleet`; faults are added to it.
+        table: The value of its key `membership`.
+
+    Returns:
+        The settings, or None where one group spans the fleet or the table is not valid.
+    """
     if not isinstance(table, dict):
         section.fault("membership", table, "must be a table")
         return None
-    inner = Section(table, f"{section.where}.membership")
-    inner.only("scope", "zone_seeds")
+    membership = Section(table, f"{section.where}.membership")
+    membership.only("scope", "zone_seeds")
     scope = table.get("scope")
     if scope not in SCOPES:
-        inner.fault("scope", scope, f"must be {' or '.join(SCOPES)}")
-    seeds = read_zone_seeds(inner, table.get("zone_seeds", {}), section.table.get("zone"))
+        membership.fault("scope", scope, f"must be {' or '.join(SCOPES)}")
+    seeds = read_zone_seeds(membership, table.get("zone_seeds", {}), section.table.get("zone"))
     if scope == "fleet" and "zone_seeds" in table:
-        inner.fault("zone_seeds", table["zone_seeds"], "must not be given where scope is fleet")
-    section.faults += inner.faults
+        membership.fault("zone_seeds", table["zone_seeds"], "must not be given where scope is fleet")
+    section.faults += membership.faults
     return ZoneMembershipSettings(seeds) if scope == "zone" else None
 
 
-def read_zone_seeds(inner: Section, table: Any, own_zone: object) -> dict[str, tuple[Address, ...]]:
-    """Addresses by zone."""
+def read_zone_seeds(membership: Section, table: Any, own_zone: object) -> dict[str, tuple[Address, ...]]:
+    """Reads the addresses of other zones' nodes, by zone.
+
+    Args:
+        membership: The configuration section `fleet.membership`; faults are added to it.
+        table: The value of its key `zone_seeds`.
+        own_zone: Name of the own zone.
+    """
     if not isinstance(table, dict) or len(table) > MAX_ZONES:
-        inner.fault("zone_seeds", table, f"must be a table of at most {MAX_ZONES} zones")
+        membership.fault("zone_seeds", table, f"must be a table of at most {MAX_ZONES} zones")
         return {}
     seeds = {}
     for zone, addresses in table.items():
         key = f"zone_seeds.{zone}"
-        if not 0 < len(zone) <= MAX_NAME:
-            inner.fault(key, zone, f"a zone's name must have 1 to {MAX_NAME} characters")
+        if not 0 < len(zone) <= MAX_NAME_CHARACTERS:
+            reason = f"a zone's name must have 1 to {MAX_NAME_CHARACTERS} characters"
+            membership.fault(key, zone, reason)
         elif zone == own_zone:
-            inner.fault(key, addresses, "must be of other zones: this zone's addresses go into fleet.seeds")
-        elif not isinstance(addresses, list) or not 0 < len(addresses) <= MAX_SEEDS_A_ZONE:
-            inner.fault(key, addresses, f"must be a list of 1 to {MAX_SEEDS_A_ZONE} addresses")
+            reason = "must be of other zones: this zone's addresses go into fleet.seeds"
+            membership.fault(key, addresses, reason)
+        elif not isinstance(addresses, list) or not 0 < len(addresses) <= MAX_SEEDS_PER_ZONE:
+            membership.fault(key, addresses, f"must be a list of 1 to {MAX_SEEDS_PER_ZONE} addresses")
         else:
-            seeds[zone] = tuple(inner.address(f"{key}[{i}]", a) for i, a in enumerate(addresses))
+            seeds[zone] = tuple(membership.address(f"{key}[{i}]", a) for i, a in enumerate(addresses))
     return seeds
--- a/tests/test_zone_membership.py
+++ b/tests/test_zone_membership.py
@@ -14,26 +14,25 @@
 from balancer.fleet.config import Section
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Claim, Status
-from balancer.fleet.zone_membership.decisions import Federation
+from balancer.fleet.zone_membership.batches import batches
+from balancer.fleet.zone_membership.decisions import ZoneMembership
 from balancer.fleet.zone_membership.gateways import Rendezvous
-from balancer.fleet.zone_membership.messages import (
-    FederationKind,
-    FederationMessage,
-    FederationWire,
+from balancer.fleet.zone_membership.messages import ZoneMembershipKind, ZoneMembershipMessage
+from balancer.fleet.zone_membership.records import MAX_ORIGINS, MAX_RECORDS, Freshness, Records
+from balancer.fleet.zone_membership.settings import (
+    ZoneMembershipSettings,
+    ZoneMembershipTiming,
+    read_membership,
+)
+from balancer.fleet.zone_membership.summaries import (
     Gateway,
     Known,
     Refresh,
     Summary,
     Version,
     ZoneState,
-    batches,
-)
-from balancer.fleet.zone_membership.records import MAX_ORIGINS, MAX_RECORDS, Freshness, Records
-from balancer.fleet.zone_membership.settings import (
-    FederationTiming,
-    ZoneMembershipSettings,
-    read_membership,
 )
+from balancer.fleet.zone_membership.wire import ZoneMembershipWire
 from workbench.explore import zone_cases
 from workbench.explore.regional import KEY
 from workbench.explore.zone_members import (
@@ -63,7 +62,7 @@
 
 def records(events=None):
     notify = (
-        (lambda event: events.append((event.zone, event.what))) if events is not None else (lambda e: None)
+        (lambda event: events.append((event.zone, event.kind))) if events is not None else (lambda e: None)
     )
     return Records("a", 30 * SEC, 60 * SEC, notify)
 
@@ -85,8 +84,8 @@
     ZoneState, names, st.text(max_size=64), st.integers(0, 999_999), digests, gateway_lists, facts
 )
 messages = st.builds(
-    FederationMessage,
-    st.sampled_from(FederationKind),
+    ZoneMembershipMessage,
+    st.sampled_from(ZoneMembershipKind),
     names,
     names,
     st.integers(0, 1 << 61),
@@ -99,10 +98,10 @@
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(messages)
 def test_a_message_comes_back_as_it_was_and_one_too_long_without_its_ends(message):
-    codec = Codec([KEY], [FederationWire()])
+    codec = Codec([KEY], [ZoneMembershipWire()])
     data = codec.encode(message, START)
-    found = Codec([KEY], [FederationWire()]).decode(data, START)
-    whole = msgspec.msgpack.encode(FederationWire().pack(message))
+    found = Codec([KEY], [ZoneMembershipWire()]).decode(data, START)
+    whole = msgspec.msgpack.encode(ZoneMembershipWire().pack(message))
     if len(whole) < MAX_DATAGRAM_BYTES - 200:
         assert found == message
     elif found is not None:  # names in longer characters than the cap foresees are dropped, never raised at
@@ -115,10 +114,10 @@
     gateways = [Gateway("g" * 63 + str(i), ("f" * 45, 65535)) for i in range(4)]
     longest = ZoneState("z" * 64, "r" * 64, 999_999, (1 << 64) - 1, tuple(gateways), (("k" * 32, "v" * 224),))
     biggest = Summary(longest, Version("o" * 64, (1 << 62) - 1, (1 << 62) - 1), 1 << 40)
-    message = FederationMessage(FederationKind.ZONE_EXCHANGE, "s" * 64, "z" * 64, 1 << 61, (biggest,))
-    data = Codec([KEY], [FederationWire()]).encode(message, START)
+    message = ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, "s" * 64, "z" * 64, 1 << 61, (biggest,))
+    data = Codec([KEY], [ZoneMembershipWire()]).encode(message, START)
     assert len(data) <= MAX_DATAGRAM_BYTES
-    assert Codec([KEY], [FederationWire()]).decode(data, START) is not None
+    assert Codec([KEY], [ZoneMembershipWire()]).decode(data, START) is not None
 
 
 def test_a_full_answer_is_split_so_that_nothing_is_left_out():
@@ -129,9 +128,9 @@
     split = batches(all_zones)
     assert [s for batch in split for s in batch] == all_zones
     for batch in split:
-        message = FederationMessage(FederationKind.ZONE_RESPONSE, "zone-0-1", "zone-0", 5, batch)
-        data = Codec([KEY], [FederationWire()]).encode(message, START)
-        assert Codec([KEY], [FederationWire()]).decode(data, START).summaries == batch
+        message = ZoneMembershipMessage(ZoneMembershipKind.ZONE_RESPONSE, "zone-0-1", "zone-0", 5, batch)
+        data = Codec([KEY], [ZoneMembershipWire()]).encode(message, START)
+        assert Codec([KEY], [ZoneMembershipWire()]).decode(data, START).summaries == batch
 
 
 NONSENSE = [
@@ -156,33 +155,37 @@
 
 @pytest.mark.parametrize("body", NONSENSE)
 def test_a_valid_datagram_with_a_nonsense_body_is_dropped_by_its_form(body):
-    codec = Codec([KEY], [FederationWire()])
+    codec = Codec([KEY], [ZoneMembershipWire()])
 
-    class Forged(FederationWire):
+    class Forged(ZoneMembershipWire):
         def pack(self, m):
             return body
 
         def shorter(self, m):
             return None
 
-    data = Codec([KEY], [Forged()]).encode(FederationMessage(FederationKind.ZONE_EXCHANGE, "x", "z"), START)
+    data = Codec([KEY], [Forged()]).encode(
+        ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, "x", "z"), START
+    )
     assert codec.decode(data, START) is None
     assert codec.dropped["form"] + codec.dropped["length"] == 1
 
 
 def test_a_later_versions_further_fields_are_passed_over():
-    class Later(FederationWire):
+    class Later(ZoneMembershipWire):
         def pack(self, m):
             wire = ["b", "north", 5, 7, [], [], ["b-0", 1, 1, "more"], 0, "more"]
             return ["b", [wire], [], [], {"more": 1}]
 
-    data = Codec([KEY], [Later()]).encode(FederationMessage(FederationKind.ZONE_EXCHANGE, "x", "b"), START)
-    assert Codec([KEY], [FederationWire()]).decode(data, START).summaries == (summary(),)
+    data = Codec([KEY], [Later()]).encode(
+        ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, "x", "b"), START
+    )
+    assert Codec([KEY], [ZoneMembershipWire()]).decode(data, START).summaries == (summary(),)
 
 
 def test_an_old_version_counts_the_kinds_as_unknown():
-    data = Codec([KEY], [FederationWire()]).encode(
-        FederationMessage(FederationKind.ZONE_QUERY, "x", "z"), START
+    data = Codec([KEY], [ZoneMembershipWire()]).encode(
+        ZoneMembershipMessage(ZoneMembershipKind.ZONE_QUERY, "x", "z"), START
     )
     old = Codec([KEY])
     assert old.decode(data, START) is None
@@ -204,10 +207,11 @@
 
 
 def test_the_age_of_an_own_summary_counts_from_when_it_was_made():
-    fed, _ = alone()
-    exchange = FederationMessage(FederationKind.ZONE_EXCHANGE, "x", "b")
+    zones, _ = alone()
+    exchange = ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, "x", "b")
     ages = [
-        fed.received(START + at, ("h", 9), exchange)[0][1].summaries[0].age for at in (0, 900_000, 1_000_000)
+        zones.received(START + at, ("h", 9), exchange)[0].message.summaries[0].age
+        for at in (0, 900_000, 1_000_000)
     ]
     assert ages == [0, 900_000, 0]
 
@@ -332,7 +336,7 @@
     assert fresh.counts["zones_refused"] == 1 and len(fresh.zones) == MAX_RECORDS
     for i in range(50):
         fresh.accept(START + i * SEC, summary("z0", origin=f"o{i}"))
-    assert len(fresh.zones["z0"].newest) <= MAX_ORIGINS
+    assert len(fresh.zones["z0"].newest_by_origin) <= MAX_ORIGINS
 
 
 # ---- gateways ---------------------------------------------------------------------------------------------
@@ -360,11 +364,11 @@
 
 
 def test_hashes_of_members_long_gone_are_not_kept():
-    fed, view = alone()
+    zones, view = alone()
     for generation in range(20):
         view.members = {f"n{generation}-{i}": member(f"n{generation}-{i}", i + 2) for i in range(10)}
-        fed.gateways(START)
-    assert len(fed.rendezvous.scores) <= 33
+        zones.gateways(START)
+    assert len(zones.selection.rendezvous.scores) <= 33
 
 
 def member(name, port):
@@ -372,107 +376,113 @@
 
 
 def alone(seeds=None, members=()):
-    """A federation with a group that the test sets."""
+    """A node's membership by zone with a group that the test sets."""
     view = ZoneView({name: member(name, port) for name, port in members})
     me = Claim("me", ("h", 1), Status.ALIVE, 7)
     zone_settings = ZoneMembershipSettings(seeds or {})
-    fed = Federation("a", "north", SharedGroup(me, view), zone_settings, FederationTiming(), Random(1), START)
-    return fed, view
+    zones = ZoneMembership(
+        "a", "north", SharedGroup(me, view), zone_settings, ZoneMembershipTiming(), Random(1), START
+    )
+    return zones, view
 
 
 # ---- decisions --------------------------------------------------------------------------------------------
 
 
-def exchanged(fed, now):
+def exchanged(zones, now):
     """The zones' addresses that an exchange goes to."""
-    fed.next_exchange = now
-    return {to for to, m in fed.tick(now) if m.kind == FederationKind.ZONE_EXCHANGE}
+    zones.exchanges.next_at = now
+    return {m.to for m in zones.tick(now) if m.message.kind == ZoneMembershipKind.ZONE_EXCHANGE}
 
 
 def test_seeds_are_asked_until_gateways_are_known_and_again_when_none_answers():
     seeds = {"b": (("s", 1), ("s", 2))}
-    fed, _ = alone(seeds)
+    zones, _ = alone(seeds)
     now = START + 10 * SEC
-    assert exchanged(fed, now) < {("s", 1), ("s", 2)}
+    assert exchanged(zones, now) < {("s", 1), ("s", 2)}
     gateways = (Gateway("b-1", ("g", 1)), Gateway("b-2", ("g", 2)))
-    reply = FederationMessage(
-        FederationKind.ZONE_EXCHANGE_ACK,
+    reply = ZoneMembershipMessage(
+        ZoneMembershipKind.ZONE_EXCHANGE_ACK,
         "b-1",
         "b",
         0,
         (Summary(state(gateways=gateways), Version("b-1", 1, 1), 0),),
     )
-    fed.received(now, ("g", 1), reply)
-    known = {a for i in range(2) for a in exchanged(fed, now + (i + 1) * 5 * SEC)}
+    zones.received(now, ("g", 1), reply)
+    known = {a for i in range(2) for a in exchanged(zones, now + (i + 1) * 5 * SEC)}
     assert known == {("g", 1), ("g", 2)}
-    unanswered = {a for i in range(8) for a in exchanged(fed, now + (i + 3) * 5 * SEC)}
+    unanswered = {a for i in range(8) for a in exchanged(zones, now + (i + 3) * 5 * SEC)}
     assert unanswered == {("g", 1), ("g", 2), ("s", 1), ("s", 2)}
 
 
 def test_a_gateway_that_does_not_answer_twice_is_passed_over_and_another_takes_its_place():
-    fed, view = alone(members=[(f"n{i}", i + 2) for i in range(8)])
-    first = fed.gateways(START)
+    zones, view = alone(members=[(f"n{i}", i + 2) for i in range(8)])
+    first = zones.gateways(START)
     now, asked = START, []
     for _ in range(40):
         now += SEC
         asked += [
-            fed.pending.gateway
-            for _, m in fed.tick(now)
-            if m.kind == FederationKind.ZONE_QUERY and fed.pending
+            zones.queries.pending.gateway
+            for m in zones.tick(now)
+            if m.message.kind == ZoneMembershipKind.ZONE_QUERY and zones.queries.pending
         ]
     assert asked[0] == asked[1] and asked[1] != asked[2]  # once more, for a lost datagram
-    assert set(asked) == set(view.members) and fed.counts["silent_gateways"] == 8
-    assert fed.gateways(now) == ["me"]  # never none
-    assert fed.gateways(now + FederationTiming().silent_for) == first
-    fed.received(now, ("h", 2), FederationMessage(FederationKind.ZONE_QUERY, asked[-1], "a"))
-    assert asked[-1] not in fed.silent
+    assert set(asked) == set(view.members) and zones.counts["silent_gateways"] == 8
+    assert zones.gateways(now) == ["me"]  # never none
+    assert zones.gateways(now + ZoneMembershipTiming().unresponsive_for) == first
+    zones.received(now, ("h", 2), ZoneMembershipMessage(ZoneMembershipKind.ZONE_QUERY, asked[-1], "a"))
+    assert asked[-1] not in zones.selection.unresponsive_until
 
 
 def test_an_answer_to_another_question_is_none():
-    fed, _ = alone(members=[("n1", 2)])
-    fed.tick(START + 2 * SEC)
-    assert fed.pending is not None
-    stray = FederationMessage(FederationKind.ZONE_RESPONSE, "n1", "a", fed.pending.seq + 1)
-    fed.received(START + 2 * SEC, ("h", 2), stray)
-    assert fed.pending is not None
-    fed.received(
-        START + 2 * SEC, ("h", 2), FederationMessage(FederationKind.ZONE_RESPONSE, "n1", "a", fed.pending.seq)
+    zones, _ = alone(members=[("n1", 2)])
+    zones.tick(START + 2 * SEC)
+    assert zones.queries.pending is not None
+    stray = ZoneMembershipMessage(ZoneMembershipKind.ZONE_RESPONSE, "n1", "a", zones.queries.pending.seq + 1)
+    zones.received(START + 2 * SEC, ("h", 2), stray)
+    assert zones.queries.pending is not None
+    zones.received(
+        START + 2 * SEC,
+        ("h", 2),
+        ZoneMembershipMessage(ZoneMembershipKind.ZONE_RESPONSE, "n1", "a", zones.queries.pending.seq),
     )
-    assert fed.pending is None
+    assert zones.queries.pending is None
 
 
 def test_answers_are_bounded_by_the_second():
-    fed, _ = alone()
-    ask = FederationMessage(FederationKind.ZONE_QUERY, "x", "a", 1)
-    answers = sum(len(fed.received(START, ("h", 9), ask)) for _ in range(1000))
-    assert answers == FederationTiming().answers_a_second
-    assert fed.counts["answers_refused"] == 800
-    assert fed.received(START + SEC, ("h", 9), ask)
+    zones, _ = alone()
+    ask = ZoneMembershipMessage(ZoneMembershipKind.ZONE_QUERY, "x", "a", 1)
+    answers = sum(len(zones.received(START, ("h", 9), ask)) for _ in range(1000))
+    assert answers == ZoneMembershipTiming().responses_per_second
+    assert zones.counts["answers_refused"] == 800
+    assert zones.received(START + SEC, ("h", 9), ask)
 
 
 def test_nobody_else_speaks_for_the_own_zone_and_mixed_groups_are_counted():
-    fed, _ = alone(members=[("n1", 2)])
+    zones, _ = alone(members=[("n1", 2)])
     own = summary("a", size=99)
-    fed.received(START, ("h", 9), FederationMessage(FederationKind.ZONE_EXCHANGE, "n1", "b", 0, (own,)))
-    assert "a" not in fed.records.zones
-    assert fed.counts["own_zone"] == 1 and fed.counts["members_of_other_zones"] == 1
+    zones.received(
+        START, ("h", 9), ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, "n1", "b", 0, (own,))
+    )
+    assert "a" not in zones.records.zones
+    assert zones.counts["own_zone"] == 1 and zones.counts["members_of_other_zones"] == 1
 
 
 def test_facts_go_out_with_the_zones_summary_and_are_bounded():
-    fed, _ = alone()
-    fed.set_fact("config", "17")
-    reply = fed.received(START, ("h", 9), FederationMessage(FederationKind.ZONE_EXCHANGE, "x", "b"))
-    assert reply[0][1].summaries[0].state.facts == (("config", "17"),)
+    zones, _ = alone()
+    zones.set_fact("config", "17")
+    reply = zones.received(START, ("h", 9), ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, "x", "b"))
+    assert reply[0].message.summaries[0].state.facts == (("config", "17"),)
     with pytest.raises(ValueError):
-        fed.set_fact("config", "v" * 300)
-    assert fed.facts == {"config": "17"}
+        zones.set_fact("config", "v" * 300)
+    assert zones.local_summary.facts == {"config": "17"}
 
 
 def test_a_node_speaks_for_its_zone_only_once_it_has_settled():
-    fed, _ = alone({"b": (("s", 1),)})
-    sent = [m.kind for at in range(10) for _, m in fed.tick(START + at * SEC)]
-    assert FederationKind.ZONE_EXCHANGE not in sent and not fed.is_gateway
-    assert fed.deadline() <= START + 15 * SEC
+    zones, _ = alone({"b": (("s", 1),)})
+    sent = [m.message.kind for at in range(10) for m in zones.tick(START + at * SEC)]
+    assert ZoneMembershipKind.ZONE_EXCHANGE not in sent and not zones.is_gateway
+    assert zones.deadline() <= START + 15 * SEC
 
 
 # ---- whole fleets -----------------------------------------------------------------------------------------
@@ -572,9 +582,9 @@
 
 
 def test_all_intervals_go_by_the_period():
-    scaled = FederationTiming().scaled(SEC // 10)
-    for name, value in vars(FederationTiming()).items():
-        same = name in ("gateways", "asks_unanswered", "answers_a_second")
+    scaled = ZoneMembershipTiming().scaled(SEC // 10)
+    for name, value in vars(ZoneMembershipTiming()).items():
+        same = name in ("gateways", "max_unanswered_queries", "responses_per_second")
         assert getattr(scaled, name) == (value if same else value // 10), name
 
 
--- a/workbench/explore/zone_cases.py
+++ b/workbench/explore/zone_cases.py
@@ -63,7 +63,7 @@
     groups hold them alive all the time: then their silence alone tells."""
     joined(fleet)
     now = fleet.network.clock.now
-    names = fleet.of_zone(0)[0].federation.gateways(now)  # type: ignore[union-attr]
+    names = fleet.of_zone(0)[0].zone_membership.gateways(now)  # type: ignore[union-attr]
     for node in [n for n in fleet.of_zone(0) if n.name in names]:
         fleet.kill(node, noticed=False)
     oldest, lost = 0.0, False
@@ -135,7 +135,7 @@
         peak = max([peak, *(b - a for a, b in zip(counts, now, strict=True))])
         counts = now
     known = all(n.freshness(z) == Freshness.FRESH for n in fresh for z in range(1, fleet.zones))
-    refused = sum(n.federation.counts["answers_refused"] for n in fleet.speaking() if n.federation)
+    refused = sum(n.zone_membership.counts["answers_refused"] for n in fleet.speaking() if n.zone_membership)
     notes = f"{joins} joins, at most {peak} datagrams sent by one node in a second, answers refused {refused}"
     return CaseFigures("storm of joins", known and waited < JOIN_LIMIT, {"all known": waited}, notes)
 
--- a/workbench/explore/zone_costs.py
+++ b/workbench/explore/zone_costs.py
@@ -27,20 +27,20 @@
     bytes_out: float
     bytes_in: float
     swim_us: float
-    federation_us: float
+    summaries_us: float
     codec_us: float
 
     def line(self, role: str) -> str:
         return (
             f"{role} ({self.nodes}): sent {self.sent:.2f} received {self.received:.2f} datagrams/s, "
             f"out {self.bytes_out:.0f} in {self.bytes_in:.0f} bytes/s, swim {self.swim_us:.0f} "
-            f"federation {self.federation_us:.0f} codec {self.codec_us:.0f} us/s"
+            f"summaries {self.summaries_us:.0f} codec {self.codec_us:.0f} us/s"
         )
 
 
 def calm_costs(fleet: Fleet) -> dict[str, Cost]:
     """By role, over some calm seconds."""
-    gateways = [n for n in fleet.speaking() if n.federation is not None and n.federation.is_gateway]
+    gateways = [n for n in fleet.speaking() if n.zone_membership is not None and n.zone_membership.is_gateway]
     members = [n for n in fleet.nodes.values() if n not in gateways]
     for node in fleet.nodes.values():
         node.endpoint.traffic = Traffic()
@@ -66,7 +66,7 @@
     )
 
 
-def federation_alone(size: int) -> list[str]:
+def summaries_alone(size: int) -> list[str]:
     """Costs of the zones' summaries, without SWIM."""
     fleet = Fleet(ZONES, size // ZONES, shared=True)
     fleet.network.run(SETTLED)
@@ -126,13 +126,13 @@
 
 
 def memory(size: int) -> list[str]:
-    """Bytes that a federation holds, by tracemalloc: of a whole fleet over its nodes."""
+    """Bytes that the summaries take in a node, by tracemalloc: of a whole fleet over its nodes."""
     fleet = Fleet(ZONES, size // ZONES, shared=True)
     fleet.network.run(SETTLED)
     for node in fleet.nodes.values():
-        assert node.federation is not None
-        node.federation.records.zones.clear()
-        node.federation.rendezvous.scores.clear()
+        assert node.zone_membership is not None
+        node.zone_membership.records.zones.clear()
+        node.zone_membership.selection.rendezvous.scores.clear()
     tracemalloc.start()
     fleet.network.run(SETTLED)
     held, _ = tracemalloc.get_traced_memory()
@@ -145,7 +145,7 @@
     "zones": lambda size: whole(size, flat=False),
     "partition-flat": lambda size: partition(size, flat=True),
     "partition-zones": lambda size: partition(size, flat=False),
-    "federation": federation_alone,
+    "summaries": summaries_alone,
     "memory": memory,
 }
 
--- a/workbench/explore/zone_members.py
+++ b/workbench/explore/zone_members.py
@@ -9,10 +9,12 @@
 from typing import Any
 
 from balancer.fleet.membership.swim import Address, Claim, Send, Status, Swim
-from balancer.fleet.zone_membership.decisions import Federation, Group
-from balancer.fleet.zone_membership.messages import FederationMessage, FederationWire
-from balancer.fleet.zone_membership.records import Event, Freshness
-from balancer.fleet.zone_membership.settings import FederationTiming, ZoneMembershipSettings
+from balancer.fleet.zone_membership.decisions import ZoneMembership
+from balancer.fleet.zone_membership.group import Group
+from balancer.fleet.zone_membership.messages import AddressedMessage, ZoneMembershipMessage
+from balancer.fleet.zone_membership.records import Freshness, Record, ZoneEvent
+from balancer.fleet.zone_membership.settings import ZoneMembershipSettings, ZoneMembershipTiming
+from balancer.fleet.zone_membership.wire import ZoneMembershipWire
 from workbench.explore.regional import RegionalNetwork
 
 ZONES = 13
@@ -55,7 +57,7 @@
 
 
 class Node:
-    """One process: its group and, unless it is of an old version, its federation."""
+    """One process: its group and, unless it is of an old version, its membership by zone."""
 
     def __init__(self, fleet: Fleet, number: int, zone: int, incarnation: int, old: bool) -> None:
         self.fleet = fleet
@@ -64,24 +66,24 @@
         self.address = node_address(zone, number)
         self.incarnation = incarnation
         self.open = True
-        self.cpu_ns = 0  # of the federation, without the codec...
+        self.cpu_ns = 0  # of membership by zone, without the codec...
         self.swim_cpu_ns = 0  # ...and of SWIM
-        self.events: list[tuple[int, Event]] = []
+        self.events: list[tuple[int, ZoneEvent]] = []
         network = fleet.network
         self.endpoint = network.attach(self.address, zone % fleet.regions, self.receive, old)
         self.swim: Swim | None = None
-        self.federation: Federation | None = None
+        self.zone_membership: ZoneMembership | None = None
         self.group = self.join_group()
         now, rng = network.clock.now, Random(fleet.rng.random())
         if self.swim is not None:
-            network.clock.call_at(self.swim.due(), self.wake_swim, None)
+            network.clock.call_at(self.swim.due(), self.on_swim_timer, None)
         if not fleet.flat and not old:
             settings = ZoneMembershipSettings(fleet.zone_seeds(zone))
             region = f"r{zone % fleet.regions}"
-            self.federation = Federation(
+            self.zone_membership = ZoneMembership(
                 zone_name(zone), region, self.group, settings, fleet.timing, rng, now, self.notify
             )
-            network.clock.call_at(self.federation.deadline(), self.wake_federation, None)
+            network.clock.call_at(self.zone_membership.deadline(), self.on_zone_membership_timer, None)
 
     def join_group(self) -> Group:
         fleet = self.fleet
@@ -102,38 +104,38 @@
         )
         return self.swim
 
-    def notify(self, event: Event) -> None:
+    def notify(self, event: ZoneEvent) -> None:
         self.events.append((self.fleet.network.clock.now, event))
 
     # ---- time and messages ----------------------------------------------------------------------------
 
-    def wake_swim(self, _: object) -> None:
+    def on_swim_timer(self, _: object) -> None:
         clock = self.fleet.network.clock
         if self.open and self.swim is not None:
             self.timed_swim(self.swim.tick, clock.now)
-            clock.call_at(max(clock.now + 1, self.swim.due()), self.wake_swim, None)
+            clock.call_at(max(clock.now + 1, self.swim.due()), self.on_swim_timer, None)
 
-    def wake_federation(self, _: object) -> None:
-        clock, federation = self.fleet.network.clock, self.federation
-        if self.open and federation is not None:
-            self.timed(lambda: federation.tick(clock.now))
-            clock.call_at(max(clock.now + 1, federation.deadline()), self.wake_federation, None)
+    def on_zone_membership_timer(self, _: object) -> None:
+        clock, zone_membership = self.fleet.network.clock, self.zone_membership
+        if self.open and zone_membership is not None:
+            self.timed(lambda: zone_membership.tick(clock.now))
+            clock.call_at(max(clock.now + 1, zone_membership.deadline()), self.on_zone_membership_timer, None)
 
     def receive(self, source: Address, message: Any) -> None:
         now = self.fleet.network.clock.now
-        federation = self.federation
-        if isinstance(message, FederationMessage):
-            if federation is not None:
-                self.timed(lambda: federation.received(now, source, message))
+        zone_membership = self.zone_membership
+        if isinstance(message, ZoneMembershipMessage):
+            if zone_membership is not None:
+                self.timed(lambda: zone_membership.received(now, source, message))
         elif self.swim is not None:
             self.timed_swim(self.swim.receive, now, source, message)
 
-    def timed(self, act: Callable[[], list[tuple[Address, FederationMessage]]]) -> None:
+    def timed(self, act: Callable[[], list[AddressedMessage]]) -> None:
         began = process_time_ns()
         out = act()
         self.cpu_ns += process_time_ns() - began
-        for to, message in out:
-            self.fleet.network.send(self.address, to, message)
+        for addressed in out:
+            self.fleet.network.send(self.address, addressed.to, addressed.message)
 
     def timed_swim(self, act: Callable[..., list[Send]], *what: Any) -> None:
         began = process_time_ns()
@@ -144,29 +146,46 @@
 
     # ---- what it knows --------------------------------------------------------------------------------
 
+    def record(self, zone: int) -> Record | None:
+        """Returns what it has of another zone."""
+        if self.zone_membership is None:
+            return None
+        return self.zone_membership.records.zones.get(zone_name(zone))
+
     def freshness(self, zone: int) -> Freshness | None:
-        record = self.federation.records.zones.get(zone_name(zone)) if self.federation else None
+        record = self.record(zone)
         return record.freshness if record is not None else None
 
     def size_of(self, zone: int) -> int | None:
         if zone == self.zone:
             return len(self.group.alive()) + 1
-        record = self.federation.records.zones.get(zone_name(zone)) if self.federation else None
+        record = self.record(zone)
         return record.state.size if record is not None else None
 
     def age_of(self, zone: int) -> float | None:
-        record = self.federation.records.zones.get(zone_name(zone)) if self.federation else None
+        record = self.record(zone)
         return record.age(self.fleet.network.clock.now) / SECOND if record is not None else None
 
     def names_gateways(self) -> bool:
         """Whether it counts itself among its zone's gateways."""
         now = self.fleet.network.clock.now
-        return self.federation is not None and self.name in self.federation.gateways(now)
+        return self.zone_membership is not None and self.name in self.zone_membership.gateways(now)
 
 
 class Fleet:
-    """Zones of nodes. `shared`: a zone's nodes see the same members at once, without SWIM. `flat`: one SWIM
-    group over all, and no federation. `old`: which of a zone's nodes, by number, are of a version without."""
+    """Zones of nodes on one virtual network.
+
+    Args:
+        zones: How many zones.
+        zone_size: Nodes of each zone.
+        seed: Of all random draws.
+        regions: Over how many regions the zones are spread.
+        loss: Probability with which a datagram is lost.
+        shared: A zone's nodes see the same members at once, without SWIM.
+        flat: One SWIM group over all nodes, without membership by zone.
+        old: Which of a zone's nodes, by number, run a version without membership by zone.
+        timing: Intervals and limits of the protocol.
+    """
 
     def __init__(
         self,
@@ -179,14 +198,14 @@
         shared: bool = False,
         flat: bool = False,
         old: Callable[[int], bool] = lambda number: False,
-        timing: FederationTiming | None = None,
+        timing: ZoneMembershipTiming | None = None,
     ) -> None:
         self.zones = zones
         self.regions = min(regions, zones)
         self.shared = shared
         self.flat = flat
-        self.timing = timing or FederationTiming()
-        self.network = RegionalNetwork(seed, loss, [FederationWire()])
+        self.timing = timing or ZoneMembershipTiming()
+        self.network = RegionalNetwork(seed, loss, [ZoneMembershipWire()])
         self.rng = Random(seed + 1)
         self.views: dict[int, ZoneView] = {}
         self.nodes: dict[Address, Node] = {}
@@ -224,8 +243,8 @@
         return [n for n in self.nodes.values() if n.zone == zone]
 
     def speaking(self) -> list[Node]:
-        """The nodes that have a federation."""
-        return [n for n in self.nodes.values() if n.federation is not None]
+        """Returns the nodes that take part in membership by zone."""
+        return [n for n in self.nodes.values() if n.zone_membership is not None]
 
     # ---- what must come to hold -----------------------------------------------------------------------
 
--- a/workbench/scale/meter.py
+++ b/workbench/scale/meter.py
@@ -15,15 +15,15 @@
 
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Swim
-from workbench.scale.program import further_components
+from workbench.scale.program import FURTHER_COMPONENTS
 
 LOOP = "loop"
 RUNTIME = "runtime"  # what the fleet runtime does around its components
 SOCKET = "socket"  # sending system calls
 COMPONENTS: dict[str, tuple[type, tuple[str, ...]]] = {
     "membership": (Swim, ("tick", "receive", "due")),
-    "codec": (Codec, ("encode", "read" if hasattr(Codec, "read") else "decode")),  # versions before: decode
-    **further_components(),
+    "codec": (Codec, ("encode", "read")),
+    **FURTHER_COMPONENTS,
 }
 
 
