--- /dev/null
+++ b/tests/test_zone_membership_fleets.py
@@ -0,0 +1,72 @@
+"""Whole fleets with membership by zone on a virtual network."""
+
+from __future__ import annotations
+
+from balancer.fleet.zone_membership.gateways import Rendezvous
+from workbench.explore import zone_cases
+from workbench.explore.zone_members import Fleet, node_address, zone_name
+
+
+def test_every_node_learns_every_zone_within_the_bound_of_ages() -> None:
+    figures = zone_cases.discovery(Fleet(4, 6, seed=3, loss=0.02))
+    assert figures.holds, figures.line()
+
+
+def test_a_death_corrects_the_zones_size_everywhere() -> None:
+    figures = zone_cases.death(Fleet(3, 5, seed=4))
+    assert figures.holds, figures.line()
+
+
+def test_when_all_gateways_die_others_take_their_place_and_the_zone_is_not_lost() -> None:
+    figures = zone_cases.gateways_die(Fleet(3, 8, seed=5))
+    assert figures.holds, figures.line()
+
+
+def test_gateways_whose_death_the_group_does_not_notice_are_replaced_as_unresponsive() -> None:
+    figures = zone_cases.gateways_die(Fleet(2, 9, seed=5, shared=True))
+    assert figures.holds and figures.seconds["oldest age of the zone"] < 45, figures.line()
+
+
+def test_a_lost_zone_is_reported_by_all_within_the_bound_and_found_again_after_a_cold_start() -> None:
+    figures = zone_cases.zone_lost(Fleet(4, 5, seed=6))
+    assert figures.holds, figures.line()
+
+
+def test_a_partitioned_region_keeps_its_summaries_with_their_ages_and_catches_up() -> None:
+    figures = zone_cases.region_alone(Fleet(3, 3, seed=7, shared=True, regions=3), 1200.0)
+    assert figures.holds, figures.line()
+
+
+def test_two_zones_that_do_not_reach_each_other_get_summaries_from_a_third() -> None:
+    fleet = Fleet(3, 3, seed=8, shared=True, regions=3)
+    fleet.network.blocked = {(0, 1), (1, 0)}
+    assert fleet.network.until(fleet.all_know, 90) < 90
+
+
+def test_all_zones_are_known_after_many_joins_at_once() -> None:
+    figures = zone_cases.storm(Fleet(3, 5, seed=9), 25)
+    assert figures.holds, figures.line()
+
+
+def test_different_views_give_more_gateways_never_none() -> None:
+    figures = zone_cases.different_views(Fleet(2, 12, seed=10, shared=True))
+    assert figures.holds, figures.line()
+
+
+def test_new_nodes_find_one_another_beside_old_ones() -> None:
+    fleet = Fleet(3, 12, seed=11, old=lambda number: number != 0)
+    for zone in range(3):  # by their place in the order alone the new ones are no gateways
+        names = [n.name for n in fleet.of_zone(zone)]
+        assert f"zone-{zone}-0" not in Rendezvous(zone_name(zone)).first(names, 4)
+    figures = zone_cases.release(fleet)
+    assert figures.holds, figures.line()
+    assert fleet.network.old_codec.dropped["kind"] > 0
+
+
+def test_the_same_seed_gives_the_same_run() -> None:
+    runs = [zone_cases.discovery(Fleet(3, 4, seed=12, loss=0.1)).line() for _ in range(2)]
+    assert runs[0] == runs[1]
+
+
+def test_addresses_of_the_virtual_fleet_are_its_own() -> None:
+    assert len({node_address(z, n) for z in range(13) for n in range(400)}) == 13 * 400
--- /dev/null
+++ b/tests/test_zone_membership_messages.py
@@ -0,0 +1,149 @@
+"""Messages of membership by zone: encoding, bounds and compatibility between versions."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+from zone_membership_support import START, make_codec, summary, zone_state
+
+from balancer.fleet.membership.codec import Codec
+from balancer.fleet.zone_membership.batches import batches
+from balancer.fleet.zone_membership.messages import ZoneMembershipKind, ZoneMembershipMessage
+from balancer.fleet.zone_membership.summaries import Gateway, Known, Refresh, Summary, Version, ZoneState
+from balancer.fleet.zone_membership.wire import ZoneMembershipWire
+from workbench.explore.regional import KEY
+from workbench.explore.zone_members import zone_name
+
+MAX_DATAGRAM_BYTES = 1200
+
+
+def decoded_summaries(data: bytes) -> tuple[Summary, ...]:
+    """The summaries of a datagram."""
+    message = make_codec().decode(data, START)
+    assert isinstance(message, ZoneMembershipMessage)
+    return message.summaries
+
+
+names = st.text(min_size=1, max_size=64)
+ages = st.integers(0, 10_000_000).map(lambda ms: ms * 1000)
+versions = st.builds(Version, names, st.integers(0, (1 << 62) - 1), st.integers(0, (1 << 62) - 1))
+digests = st.integers(0, (1 << 64) - 1)
+hosts = st.text("0123456789abcdef.:", min_size=1, max_size=45)
+gateway_lists = st.lists(st.builds(Gateway, names, st.tuples(hosts, st.integers(1, 65535))), max_size=4).map(
+    tuple
+)
+facts = st.lists(
+    st.tuples(st.text("abcdef.", min_size=1, max_size=32), st.text("0123456789", max_size=30)), max_size=4
+).map(tuple)
+states = st.builds(
+    ZoneState, names, st.text(max_size=64), st.integers(0, 999_999), digests, gateway_lists, facts
+)
+messages = st.builds(
+    ZoneMembershipMessage,
+    st.sampled_from(ZoneMembershipKind),
+    names,
+    names,
+    st.integers(0, 1 << 61),
+    st.lists(st.builds(Summary, states, versions, ages), max_size=3).map(tuple),
+    st.lists(st.builds(Refresh, names, digests, versions, ages), max_size=5).map(tuple),
+    st.lists(st.builds(Known, names, digests, ages), max_size=5).map(tuple),
+)
+
+
+@settings(max_examples=100, deadline=None, derandomize=True)
+@given(messages)
+def test_a_message_is_decoded_as_it_was_or_without_its_last_entries(message: ZoneMembershipMessage) -> None:
+    codec = make_codec()
+    data = codec.encode(message, START)
+    found = make_codec().decode(data, START)
+    whole = msgspec.msgpack.encode(ZoneMembershipWire().pack(message))
+    if len(whole) < MAX_DATAGRAM_BYTES - 200:
+        assert found == message
+    elif found is not None:  # names of wider characters than the bound allows for are dropped
+        assert found.summaries == message.summaries[: len(found.summaries)]
+        assert found.refreshes == message.refreshes[: len(found.refreshes)]
+        assert found.known == message.known[: len(found.known)]
+
+
+def test_the_longest_summary_fits_into_a_datagram() -> None:
+    gateways = [Gateway("g" * 63 + str(i), ("f" * 45, 65535)) for i in range(4)]
+    longest = ZoneState("z" * 64, "r" * 64, 999_999, (1 << 64) - 1, tuple(gateways), (("k" * 32, "v" * 224),))
+    biggest = Summary(longest, Version("o" * 64, (1 << 62) - 1, (1 << 62) - 1), 1 << 40)
+    message = ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, "s" * 64, "z" * 64, 1 << 61, (biggest,))
+    data = make_codec().encode(message, START)
+    assert len(data) <= MAX_DATAGRAM_BYTES
+    assert make_codec().decode(data, START) is not None
+
+
+def test_a_long_response_is_split_into_datagrams_without_loss() -> None:
+    gateways = [Gateway(f"zone-1-{i}", (f"10.1.0.{i}", 7400)) for i in range(4)]
+    all_zones = [
+        Summary(zone_state(zone_name(i), 246, gateways), Version("x" * 12, 1 << 50, 9), 0) for i in range(13)
+    ]
+    split = batches(all_zones)
+    assert [s for batch in split for s in batch] == all_zones
+    for batch in split:
+        message = ZoneMembershipMessage(ZoneMembershipKind.ZONE_RESPONSE, "zone-0-1", "zone-0", 5, batch)
+        data = make_codec().encode(message, START)
+        assert decoded_summaries(data) == batch
+
+
+MALFORMED_BODIES = [
+    None,
+    "zone",
+    ["", [], [], []],
+    ["z" * 65, [], [], []],
+    ["z", [["b"]], [], []],
+    ["z", [["b", "", -1, 0, [], [], ["o", 1, 1], 0]], [], []],
+    ["z", [["b", "", 1, 1 << 63, [], [], ["o", 1, 1], 0]] * 65, [], []],
+    ["z", [["b", "", 1, 0, [["g", "h", 0]], [], ["o", 1, 1], 0]], [], []],
+    ["z", [["b", "", 1, 0, [["g", "h", 1]] * 5, [], ["o", 1, 1], 0]], [], []],
+    ["z", [["b", "", 1, 0, [], [["k" * 33, ""]], ["o", 1, 1], 0]], [], []],
+    ["z", [["b", "", 1, 0, [], [["k", "v" * 257]], ["o", 1, 1], 0]], [], []],
+    ["z", [["b", "", 1, 0, [], [], ["", 1, 1], 0]], [], []],
+    ["z", [["b", "", 1, 0, [], [], ["o", 1 << 62, 1], 0]], [], []],
+    ["z", [["b", "", 1, 0, [], [], ["o", 1, 1], -5]], [], []],
+    ["z", [], [["b", 0, ["o", 1, 1], 1 << 50]], []],
+    ["z", [], [], [["b", -1, 0]]],
+]
+
+
+@pytest.mark.parametrize("body", MALFORMED_BODIES)
+def test_an_authentic_datagram_with_a_malformed_body_is_dropped_and_counted(body: object) -> None:
+    codec = make_codec()
+
+    class Forged(ZoneMembershipWire):
+        def pack(self, message: ZoneMembershipMessage) -> Any:
+            return body
+
+        def shorter(self, message: ZoneMembershipMessage) -> None:
+            return None
+
+    data = Codec([KEY], [Forged()]).encode(
+        ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, "x", "z"), START
+    )
+    assert codec.decode(data, START) is None
+    assert codec.dropped["form"] + codec.dropped["length"] == 1
+
+
+def test_fields_that_a_later_version_adds_are_skipped() -> None:
+    class Later(ZoneMembershipWire):
+        def pack(self, message: ZoneMembershipMessage) -> Any:
+            wire = ["b", "north", 5, 7, [], [], ["b-0", 1, 1, "more"], 0, "more"]
+            return ["b", [wire], [], [], {"more": 1}]
+
+    data = Codec([KEY], [Later()]).encode(
+        ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, "x", "b"), START
+    )
+    assert decoded_summaries(data) == (summary(),)
+
+
+def test_a_version_without_these_kinds_counts_them_as_unknown() -> None:
+    data = make_codec().encode(ZoneMembershipMessage(ZoneMembershipKind.ZONE_QUERY, "x", "z"), START)
+    old = Codec([KEY])
+    assert old.decode(data, START) is None
+    assert old.dropped == {"kind": 1}
--- /dev/null
+++ b/tests/test_zone_membership_node.py
@@ -0,0 +1,116 @@
+"""Membership by zone in the configuration and on the status page of nodes on loopback sockets."""
+
+import subprocess
+import sys
+
+from loopback import Bench, play, until
+from test_fleet import free_udp, section
+
+from balancer.fleet.config import Section
+from balancer.fleet.zone_membership.settings import (
+    ZoneMembershipSettings,
+    ZoneMembershipTiming,
+    read_membership,
+)
+
+SEC = 1_000_000
+
+
+def read(table, zone="a"):
+    section = Section({"zone": zone, "membership": table}, "fleet")
+    return read_membership(section, table), section.faults
+
+
+def test_the_table_is_read():
+    found, faults = read({"scope": "zone", "zone_seeds": {"b": ["10.0.1.5:7400"]}})
+    assert faults == [] and found.zone_seeds == {"b": (("10.0.1.5", 7400),)}
+    assert read({"scope": "zone"}) == (ZoneMembershipSettings({}), [])
+    assert read({"scope": "fleet"}) == (None, [])
+
+
+def test_all_faults_of_the_table_are_reported_at_once():
+    _, faults = read(
+        {"scope": "city", "zone_seeds": {"a": ["10.0.0.1:1"], "b": [], "c": ["there:7"]}, "more": 1}
+    )
+    assert len(faults) == 5
+    assert [f.split(": ")[0] for f in faults] == [
+        "fleet.membership.more",
+        "fleet.membership.scope",
+        "fleet.membership.zone_seeds.a",
+        "fleet.membership.zone_seeds.b",
+        "fleet.membership.zone_seeds.c[0]",
+    ]
+    assert read([]) == (None, ["fleet.membership: []: must be a table"])
+    assert len(read({"scope": "zone", "zone_seeds": []})[1]) == 1
+    assert len(read({"scope": "fleet", "zone_seeds": {}})[1]) == 1
+
+
+def test_all_intervals_scale_with_the_period():
+    scaled = ZoneMembershipTiming().scaled(SEC // 10)
+    for name, value in vars(ZoneMembershipTiming()).items():
+        same = name in ("gateways", "max_unanswered_queries", "responses_per_second")
+        assert getattr(scaled, name) == (value if same else value // 10), name
+
+
+def test_without_the_table_nothing_of_the_package_is_imported():
+    code = (
+        "import sys; import balancer.fleet.runtime; "
+        "sys.exit(any(m.startswith('balancer.fleet.zone_membership') for m in sys.modules))"
+    )
+    assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
+
+
+# ---- nodes on loopback sockets ---------------------------------------------------------------------------
+
+
+def start_node(tmp_path, zone, port, seeds, membership):
+    fleet = section(
+        tmp_path,
+        zone=zone,
+        region="north",
+        listen=f"127.0.0.1:{port}",
+        seeds=[f"127.0.0.1:{s}" for s in seeds],
+        period_ms=100,
+    )
+    fleet |= {"membership": membership} if membership is not None else {}
+    config = {"name": f"n{port}", "fleet": fleet, "management": "127.0.0.1:0"}
+    return Bench(config=config, peers=False).start()
+
+
+def test_nodes_of_two_zones_show_each_others_zone_but_only_members_of_their_own(tmp_path):
+    async def scene():
+        a, b, c = free_udp(), free_udp(), free_udp()
+        to_b = {"scope": "zone", "zone_seeds": {"b": [f"127.0.0.1:{c}"]}}
+        nodes = [
+            await start_node(tmp_path, "a", a, [], to_b),
+            await start_node(tmp_path, "a", b, [a], {"scope": "zone"}),
+            await start_node(tmp_path, "b", c, [], {"scope": "zone"}),
+        ]
+        fleets = [n.node.fleet for n in nodes]
+
+        def zones(i):
+            return fleets[i].view()["regions"]["zones"]
+
+        await until(lambda: zones(0) and zones(1) and zones(2) and zones(2)["a"]["size"] == 2)
+        page = fleets[1].view()
+        assert [m["name"] for m in page["members"]] == [f"n{a}"]
+        assert page["regions"]["zone"] == "a" and page["regions"]["size"] == 2
+        shown = page["regions"]["zones"]["b"]
+        assert (shown["region"], shown["size"], shown["gateways"]) == ("north", 1, [f"n{c}"])
+        assert shown["state"] == "fresh" and not shown["stale"] and 0 <= shown["age_s"] < 3
+        assert fleets[0].sent["zone_exchange"] and fleets[2].sent["zone_exchange_ack"]
+        assert fleets[1].sent["zone_query"] and fleets[0].sent["zone_response"]
+        for fleet in fleets:
+            fleet.close()
+        assert fleets[0].view()["regions"] is None
+
+    play(scene)
+
+
+def test_a_node_without_the_table_has_no_zones_on_its_status_page(tmp_path):
+    async def scene():
+        one = await start_node(tmp_path, "a", free_udp(), [], None)
+        assert "regions" not in one.node.fleet.view()
+        one.node.fleet.close()
+
+    play(scene)
