--- a/workbench/explore/zone_costs.py
+++ b/workbench/explore/zone_costs.py
@@ -146,6 +146,7 @@
     "partition-flat": lambda size: partition(size, flat=True),
     "partition-zones": lambda size: partition(size, flat=False),
     "summaries": summaries_alone,
+    "federation": summaries_alone,  # the former name, in commands of stored figures
     "memory": memory,
 }
 
