--- a/tests/test_zone_membership_fleets.py
+++ b/tests/test_zone_membership_fleets.py
@@ -39,7 +39,8 @@
 
 def test_two_zones_that_do_not_reach_each_other_get_summaries_from_a_third() -> None:
     fleet = Fleet(3, 3, seed=8, shared=True, regions=3)
-    fleet.network.blocked = {(0, 1), (1, 0)}
+    fleet.network.block(0, 1)
+    fleet.network.block(1, 0)
     assert fleet.network.until(fleet.all_know, 90) < 90
 
 
--- a/workbench/explore/heartbeats.py
+++ b/workbench/explore/heartbeats.py
@@ -179,9 +179,7 @@
 
     def reaches(self, peer: str) -> bool:
         """Whether what was sent arrives: stands for an acknowledgement."""
-        isolated = self.world.network.isolated
-        here, there = self.endpoint.region, self.world.machine(peer).endpoint.region
-        return here == there or not (here in isolated or there in isolated)
+        return self.world.network.connected(self.address, self.world.machine(peer).address)
 
 
 class BeatNode:
@@ -325,12 +323,12 @@
     world.kill(size - 1)
     death = world.network.until(lambda: world.all_hold([size - 1], False), 60)
     alone = REGIONS - 1
-    world.network.isolated = {alone}
+    world.network.isolate({alone})
     world.network.run(alone_s)
     wrong = world.wrong()
     of_region = [n for n in world.nodes.values() if n.endpoint.region == alone]
     machines = len({n.at().name for n in of_region if n.unanswered <= 1})
-    world.network.isolated = set()
+    world.network.heal()
     heal = world.recover(120)
     reborn = list(world.nodes)[: min(reconnects, size // 2)]
     for number in reborn:
--- a/workbench/explore/zone_cases.py
+++ b/workbench/explore/zone_cases.py
@@ -107,12 +107,12 @@
     inside = [n for n in fleet.speaking() if n.zone % fleet.regions == alone]
     away = [z for z in range(fleet.zones) if z % fleet.regions != alone]
     home = [z for z in range(fleet.zones) if z % fleet.regions == alone]
-    fleet.network.isolated = {alone}
+    fleet.network.isolate({alone})
     fleet.network.run(seconds)
     ages = [n.age_of(z) for n in inside for z in away]
     kept = all(age is not None and seconds - 30 <= age <= seconds + 60 for age in ages)
     near = fleet.all_know(home, inside)
-    fleet.network.isolated = set()
+    fleet.network.heal()
     caught_up = fleet.network.until(lambda: fleet.all_know() and fleet.sizes_right(), KNOW_LIMIT)
     figures = {"youngest age kept": min(a or 0.0 for a in ages), "all fresh after": caught_up}
     notes = f"kept {kept}, own region fresh {near}"
--- a/workbench/explore/zone_costs.py
+++ b/workbench/explore/zone_costs.py
@@ -96,11 +96,11 @@
     """A region reaches no other for a while, and then does again."""
     fleet = Fleet(ZONES, size // ZONES, flat=flat)
     fleet.network.until(lambda: complete(fleet), JOIN_LIMIT, 0.5)
-    fleet.network.isolated = {fleet.regions - 1}
+    fleet.network.isolate({fleet.regions - 1})
     alone, _ = busiest(fleet, int(ALONE))
     group = len(fleet.nodes) if flat else size // ZONES
     missing = sum(group - 1 - len(n.group.alive()) for n in fleet.nodes.values())
-    fleet.network.isolated = set()
+    fleet.network.heal()
     healed = seconds = size_out = 0
     while not complete(fleet) and seconds < JOIN_LIMIT:
         datagrams, octets = busiest(fleet, 1)
--- a/workbench/scale/membership.py
+++ b/workbench/scale/membership.py
@@ -23,6 +23,7 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
+from functools import partial
 from random import Random
 from time import process_time_ns
 from typing import Any
@@ -33,6 +34,7 @@
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Address, Claim, Send, Status, Swim
 from workbench.explore.members import DELAY, KEY
+from workbench.explore.virtual_network import Delay, VirtualNetwork, Waited
 from workbench.simulator.heap import HeapClock
 
 WARM_UP_S = 5.0
@@ -44,7 +46,8 @@
 ZONES = 13
 REGIONS = 5
 BACKLOG_S = 20.0
-LOOK_S = 0.25  # between two looks whether a condition holds
+POLL_INTERVAL_S = 0.25  # between two evaluations of a condition
+START = 1_000_000  # microseconds
 HOST = "10.0.0.1"
 SEEDS = 3
 
@@ -81,17 +84,24 @@
                 waiting.remove(member)
 
 
+def transmission_delay(source: Address, to: Address) -> Delay:
+    """The same between all members."""
+    return Delay(DELAY)
+
+
 class MeteredNet:
     """Members on one virtual clock, with processor time counted by component; no datagram is lost."""
 
     def __init__(self, count: int, seed: int) -> None:
-        self.clock = HeapClock(1_000_000)
-        self.rng = Random(seed)
+        self.clock = HeapClock(START)
+        self.rng = Random(seed)  # the network's, and of the members' seeds
+        self.network: VirtualNetwork[Address, bytes] = VirtualNetwork(
+            self.clock, self.rng, transmission_delay
+        )
         self.spent = Spent()
         self.wire = Codec([KEY])
         self.readers: dict[Address, Codec] = {}  # each member keeps its own window against replays
         self.members: dict[Address, Swim] = {}
-        self.partitioned: set[Address] = set()
         for i in range(count):
             self.add((HOST, i + 1), seeds_of(count))
 
@@ -100,22 +110,20 @@
         swim = Swim(f"n{address[1]}", address, incarnation, seeds, Random(self.rng.random()), self.clock.now)
         self.readers[address] = Codec([KEY])
         self.members[address] = swim
+        self.network.attach(address, partial(self.arrive, address))
         self.clock.call_at(swim.due(), self.on_timer, (address, swim))
 
     def kill(self, address: Address) -> str:
         """A member ends without a word; its name."""
+        self.network.detach(address)
         return self.members.pop(address).me.name
 
     def run(self, seconds: float) -> None:
-        self.clock.run(self.clock.now + int(seconds * 1e6))
+        self.network.run(seconds)
 
-    def until(self, holds: Callable[[], bool], limit: float) -> float:
-        """Seconds until a condition holds, `limit` if it does not."""
-        passed = 0.0
-        while passed < limit and not holds():
-            self.run(LOOK_S)
-            passed += LOOK_S
-        return passed
+    def until(self, holds: Callable[[], bool], limit: float) -> Waited:
+        """Runs until a condition holds, up to a limit in seconds."""
+        return self.network.run_until(holds, limit, POLL_INTERVAL_S)
 
     def on_timer(self, what: tuple[Address, Swim]) -> None:
         """A member's next due time has come."""
@@ -137,16 +145,11 @@
             self.spent.encode += process_time_ns() - begun
             self.spent.datagrams += 1
             self.spent.bytes += len(data)
-            if (source in self.partitioned) == (send.to in self.partitioned):
-                at = self.clock.now + int(DELAY * (0.5 + self.rng.random()))
-                self.clock.call_at(at, self.arrive, (source, send.to, data))
+            self.network.send(source, send.to, data)
 
-    def arrive(self, what: tuple[Address, Address, bytes]) -> None:
+    def arrive(self, to: Address, source: Address, data: bytes) -> None:
         """A datagram comes in."""
-        source, to, data = what
-        swim = self.members.get(to)
-        if swim is None:
-            return
+        swim = self.members[to]
         reader = self.readers[to]
         begun = process_time_ns()
         message = reader.decode(data, self.clock.now)
@@ -216,8 +219,8 @@
 
 def timed(name: str, net: MeteredNet, size: int, seed: int, holds: Callable[[], bool], limit: float) -> Row:
     """Seconds until a condition holds."""
-    passed = net.until(holds, limit)
-    return Row(name, size, seed, passed, limit=not holds())
+    waited = net.until(holds, limit)
+    return Row(name, size, seed, waited.seconds, limit=not waited.holds)
 
 
 def calm(size: int, seed: int) -> list[Row]:
@@ -302,9 +305,9 @@
     net.introduce_all()
     net.run(WARM_UP_S)
     # Members with the highest numbers: the seeds stay on the larger side.
-    net.partitioned = {(HOST, size - i) for i in range(max(1, size // REGIONS))}
+    net.network.partition((HOST, size - i) for i in range(max(1, size // REGIONS)))
     net.run(PARTITION_S)
-    net.partitioned = set()
+    net.network.heal()
     return [timed("membership.region_back_s", net, size, seed, net.complete, JOIN_LIMIT_S)]
 
 
