--- a/tests/test_zone_membership_fleets.py
+++ b/tests/test_zone_membership_fleets.py
@@ -45,7 +45,7 @@
 
 
 def test_all_zones_are_known_after_many_joins_at_once() -> None:
-    figures = zone_cases.storm(Fleet(3, 5, seed=9), 25)
+    figures = zone_cases.many_joins(Fleet(3, 5, seed=9), 25)
     assert figures.holds, figures.line()
 
 
--- a/workbench/explore/zone_costs.py
+++ b/workbench/explore/zone_costs.py
@@ -1,4 +1,9 @@
-"""What membership costs a node by the size of the fleet: one SWIM group, or one a zone with gateways."""
+"""Costs of membership for a node by the size of the fleet: one SWIM group, or one a zone with gateways.
+
+What is measured, and sizes:
+
+    python -m workbench.explore.zone_costs zones 100 200 400
+"""
 
 from __future__ import annotations
 
@@ -19,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Cost:
-    """Of one role, a node and second: datagrams and bytes each way, and microseconds of processor time."""
+    """Mean of one role, a node and second: datagrams and bytes each way, microseconds of processor time."""
 
     nodes: int
     sent: float
@@ -31,6 +36,7 @@
     codec_us: float
 
     def line(self, role: str) -> str:
+        """Returns the costs as a line."""
         return (
             f"{role} ({self.nodes}): sent {self.sent:.2f} received {self.received:.2f} datagrams/s, "
             f"out {self.bytes_out:.0f} in {self.bytes_in:.0f} bytes/s, swim {self.swim_us:.0f} "
@@ -39,8 +45,10 @@
 
 
 def calm_costs(fleet: Fleet) -> dict[str, Cost]:
-    """By role, over some calm seconds."""
-    gateways = [n for n in fleet.speaking() if n.zone_membership is not None and n.zone_membership.is_gateway]
+    """Returns the costs by role over some seconds without faults."""
+    gateways = [
+        n for n in fleet.participants() if n.zone_membership is not None and n.zone_membership.is_gateway
+    ]
     members = [n for n in fleet.nodes.values() if n not in gateways]
     for node in fleet.nodes.values():
         node.endpoint.traffic = Traffic()
@@ -51,6 +59,8 @@
 
 
 def mean_cost(nodes: Sequence[Node]) -> Cost:
+    """Returns the mean costs of nodes since their counters were reset."""
+
     def mean(figure: Callable[[Node], float]) -> float:
         return sum(map(figure, nodes)) / len(nodes) / CALM
 
@@ -67,14 +77,14 @@
 
 
 def summaries_alone(size: int) -> list[str]:
-    """Costs of the zones' summaries, without SWIM."""
+    """Measures the costs of summaries without SWIM."""
     fleet = Fleet(ZONES, size // ZONES, shared=True)
     fleet.network.run(SETTLED)
     return [cost.line(role) for role, cost in calm_costs(fleet).items()]
 
 
-def whole(size: int, flat: bool) -> list[str]:
-    """Joining, costs and a death, with SWIM in the zones or in one group over all."""
+def groups_and_summaries(size: int, flat: bool) -> list[str]:
+    """Measures a start, costs and a death, with a SWIM group for each zone or one over all."""
     fleet = Fleet(ZONES, size // ZONES, flat=flat)
     total = len(fleet.nodes)
     joined = fleet.network.until(lambda: complete(fleet), JOIN_LIMIT, 0.5)
@@ -86,14 +96,14 @@
 
 
 def complete(fleet: Fleet) -> bool:
-    """Whether every node knows what it is to know: all others, or its zone's and each zone's size."""
+    """Returns whether every node knows all others, or those of its zone and the size of each zone."""
     if fleet.flat:
         return all(len(n.group.alive()) + 1 == len(fleet.nodes) for n in fleet.nodes.values())
     return fleet.groups_complete() and fleet.all_know() and fleet.sizes_right()
 
 
 def partition(size: int, flat: bool) -> list[str]:
-    """A region reaches no other for a while, and then does again."""
+    """Partitions a region from all others for a while, and measures the recovery."""
     fleet = Fleet(ZONES, size // ZONES, flat=flat)
     fleet.network.until(lambda: complete(fleet), JOIN_LIMIT, 0.5)
     fleet.network.isolate({fleet.regions - 1})
@@ -114,7 +124,7 @@
 
 
 def busiest(fleet: Fleet, seconds: int) -> tuple[int, int]:
-    """Datagrams and bytes that one node sent at most in a second."""
+    """Returns the most datagrams and the most bytes that one node sent in a second."""
     datagrams = octets = 0
     for _ in range(seconds):
         before = {n: (n.endpoint.traffic.sent, n.endpoint.traffic.bytes_out) for n in fleet.nodes.values()}
@@ -126,7 +136,7 @@
 
 
 def memory(size: int) -> list[str]:
-    """Bytes that the summaries take in a node, by tracemalloc: of a whole fleet over its nodes."""
+    """Measures the memory of summaries a node: that of a whole fleet, by tracemalloc, over its nodes."""
     fleet = Fleet(ZONES, size // ZONES, shared=True)
     fleet.network.run(SETTLED)
     for node in fleet.nodes.values():
@@ -141,8 +151,8 @@
 
 
 MODES: dict[str, Callable[[int], list[str]]] = {
-    "flat": lambda size: whole(size, flat=True),
-    "zones": lambda size: whole(size, flat=False),
+    "flat": lambda size: groups_and_summaries(size, flat=True),
+    "zones": lambda size: groups_and_summaries(size, flat=False),
     "partition-flat": lambda size: partition(size, flat=True),
     "partition-zones": lambda size: partition(size, flat=False),
     "summaries": summaries_alone,
@@ -152,7 +162,7 @@
 
 
 def main() -> None:
-    """What is measured, and sizes: `python -m workbench.explore.zone_costs zones 100 200 400`."""
+    """Measures each size that is named on the command line, and prints the figures."""
     mode = sys.argv[1]
     for size in map(int, sys.argv[2:]):
         print(f"{mode} {size}:", *MODES[mode](size), sep="\n  ", flush=True)
--- a/workbench/explore/zone_members.py
+++ b/workbench/explore/zone_members.py
@@ -1,4 +1,4 @@
-"""Membership by zone on a virtual network: SWIM in each zone, the zones' summaries between them."""
+"""Fleets with membership by zone on a virtual network: SWIM in each zone, summaries between zones."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 ZONES = 13
 REGIONS = 5
 ZONE_SIZE = 246
-SEEDS = 3  # nodes of a zone that others ask first
+SEEDS = 3  # nodes of a zone that others contact first
 PORT = 7400
 SECOND = 1_000_000
 HOUR = 3600.0
@@ -35,13 +35,13 @@
 
 @dataclass
 class ZoneView:
-    """A zone's members as all of its nodes see them at once, where SWIM itself is not of interest."""
+    """A zone's members, the same for all of its nodes at once, where SWIM is not of interest."""
 
     members: dict[str, SharedMember] = field(default_factory=dict)
 
 
 class SharedGroup:
-    """One node's part of a `ZoneView`."""
+    """The group of one node, which shares a `ZoneView` with the other nodes of its zone."""
 
     def __init__(self, me: Claim, view: ZoneView) -> None:
         self.me = me
@@ -50,9 +50,11 @@
 
     @property
     def members(self) -> dict[str, SharedMember]:
+        """The members of the zone by name."""
         return self.view.members
 
     def alive(self) -> list[str]:
+        """Returns the names of the other members that this node sees."""
         return [n for n in self.view.members if n != self.me.name and n not in self.hidden]
 
 
@@ -73,7 +75,7 @@
         self.endpoint = network.attach(self.address, zone % fleet.regions, self.receive, old)
         self.swim: Swim | None = None
         self.zone_membership: ZoneMembership | None = None
-        self.group = self.join_group()
+        self.group = self._join_group()
         now, rng = network.clock.now, Random(fleet.rng.random())
         if self.swim is not None:
             network.clock.call_at(self.swim.due(), self.on_swim_timer, None)
@@ -81,11 +83,11 @@
             settings = ZoneMembershipSettings(fleet.zone_seeds(zone))
             region = f"r{zone % fleet.regions}"
             self.zone_membership = ZoneMembership(
-                zone_name(zone), region, self.group, settings, fleet.timing, rng, now, self.notify
+                zone_name(zone), region, self.group, settings, fleet.timing, rng, now, self.on_event
             )
             network.clock.call_at(self.zone_membership.deadline(), self.on_zone_membership_timer, None)
 
-    def join_group(self) -> Group:
+    def _join_group(self) -> Group:
         fleet = self.fleet
         if fleet.shared:
             me = Claim(self.name, self.address, Status.ALIVE, self.incarnation)
@@ -104,70 +106,77 @@
         )
         return self.swim
 
-    def notify(self, event: ZoneEvent) -> None:
+    def on_event(self, event: ZoneEvent) -> None:
+        """Records an event of membership by zone with its time."""
         self.events.append((self.fleet.network.clock.now, event))
 
     # ---- time and messages ----------------------------------------------------------------------------
 
     def on_swim_timer(self, _: object) -> None:
+        """Runs SWIM's timer, and schedules the next."""
         clock = self.fleet.network.clock
         if self.open and self.swim is not None:
-            self.timed_swim(self.swim.tick, clock.now)
+            self._run_swim(self.swim.tick, clock.now)
             clock.call_at(max(clock.now + 1, self.swim.due()), self.on_swim_timer, None)
 
     def on_zone_membership_timer(self, _: object) -> None:
+        """Runs the timer of membership by zone, and schedules the next."""
         clock, zone_membership = self.fleet.network.clock, self.zone_membership
         if self.open and zone_membership is not None:
-            self.timed(lambda: zone_membership.tick(clock.now))
+            self._run_zone_membership(lambda: zone_membership.tick(clock.now))
             clock.call_at(max(clock.now + 1, zone_membership.deadline()), self.on_zone_membership_timer, None)
 
     def receive(self, source: Address, message: Any) -> None:
+        """Handles a message of the network."""
         now = self.fleet.network.clock.now
         zone_membership = self.zone_membership
         if isinstance(message, ZoneMembershipMessage):
             if zone_membership is not None:
-                self.timed(lambda: zone_membership.received(now, source, message))
+                self._run_zone_membership(lambda: zone_membership.received(now, source, message))
         elif self.swim is not None:
-            self.timed_swim(self.swim.receive, now, source, message)
+            self._run_swim(self.swim.receive, now, source, message)
 
-    def timed(self, act: Callable[[], list[AddressedMessage]]) -> None:
+    def _run_zone_membership(self, call: Callable[[], list[AddressedMessage]]) -> None:
         began = process_time_ns()
-        out = act()
+        messages = call()
         self.cpu_ns += process_time_ns() - began
-        for addressed in out:
+        for addressed in messages:
             self.fleet.network.send(self.address, addressed.to, addressed.message)
 
-    def timed_swim(self, act: Callable[..., list[Send]], *what: Any) -> None:
+    def _run_swim(self, call: Callable[..., list[Send]], *arguments: Any) -> None:
         began = process_time_ns()
-        out = act(*what)
+        sends = call(*arguments)
         self.swim_cpu_ns += process_time_ns() - began
-        for send in out:
+        for send in sends:
             self.fleet.network.send(self.address, send.to, send.message)
 
-    # ---- what it knows --------------------------------------------------------------------------------
+    # ---- state ----------------------------------------------------------------------------------------
 
     def record(self, zone: int) -> Record | None:
-        """Returns what it has of another zone."""
+        """Returns the record of another zone, None if there is none."""
         if self.zone_membership is None:
             return None
         return self.zone_membership.records.zones.get(zone_name(zone))
 
     def freshness(self, zone: int) -> Freshness | None:
+        """Returns the freshness of another zone's summary."""
         record = self.record(zone)
         return record.freshness if record is not None else None
 
     def size_of(self, zone: int) -> int | None:
+        """Returns the size of a zone as this node knows it."""
         if zone == self.zone:
             return len(self.group.alive()) + 1
         record = self.record(zone)
         return record.state.size if record is not None else None
 
     def age_of(self, zone: int) -> float | None:
+        """Returns the age of another zone's summary in seconds."""
         record = self.record(zone)
         return record.age(self.fleet.network.clock.now) / SECOND if record is not None else None
 
-    def names_gateways(self) -> bool:
-        """Whether it counts itself among its zone's gateways."""
+    def selects_itself(self) -> bool:
+        """Returns whether this node is a gateway by its own selection."""
         now = self.fleet.network.clock.now
         return self.zone_membership is not None and self.name in self.zone_membership.gateways(now)
 
@@ -214,6 +223,7 @@
                 self.start(zone, number, old=old(number))
 
     def zone_seeds(self, own: int) -> dict[str, tuple[Address, ...]]:
+        """Returns the seeds of all other zones."""
         return {
             zone_name(z): tuple(node_address(z, i) for i in range(SEEDS))
             for z in range(self.zones)
@@ -221,12 +231,13 @@
         }
 
     def start(self, zone: int, number: int, incarnation: int = 1, old: bool = False) -> Node:
+        """Starts a node; `old`: of a version without membership by zone."""
         node = Node(self, number, zone, incarnation, old)
         self.nodes[node.address] = node
         return node
 
     def kill(self, node: Node, noticed: bool = True) -> None:
-        """Ends a node. `noticed`: of shared groups, whether they do not hold it alive any more."""
+        """Ends a node; `noticed`: a shared group drops it at once."""
         node.open = False
         del self.nodes[node.address]
         self.network.detach(node.address)
@@ -234,48 +245,51 @@
             del self.views[node.zone].members[node.name]
 
     def notice_dead(self) -> None:
-        """Shared groups notice the nodes that have been killed."""
+        """Drops the nodes that have been killed from the shared groups."""
         names = {n.name for n in self.nodes.values()}
         for view in self.views.values():
             view.members = {name: m for name, m in view.members.items() if name in names}
 
     def of_zone(self, zone: int) -> list[Node]:
+        """Returns the nodes of a zone."""
         return [n for n in self.nodes.values() if n.zone == zone]
 
-    def speaking(self) -> list[Node]:
+    def participants(self) -> list[Node]:
         """Returns the nodes that take part in membership by zone."""
         return [n for n in self.nodes.values() if n.zone_membership is not None]
 
-    # ---- what must come to hold -----------------------------------------------------------------------
+    # ---- conditions ----------------------------------------------------------------------------------
 
     def all_know(self, zones: Iterable[int] | None = None, nodes: Iterable[Node] | None = None) -> bool:
-        """Whether the nodes hold fresh summaries of the zones."""
+        """Returns whether these nodes have fresh summaries of these zones; by default all."""
         wanted = list(range(self.zones) if zones is None else zones)
         return all(
             z == n.zone or n.freshness(z) == Freshness.FRESH
-            for n in (self.speaking() if nodes is None else nodes)
+            for n in (self.participants() if nodes is None else nodes)
             for z in wanted
         )
 
     def sizes_right(self) -> bool:
-        """Whether all hold the true size of each zone."""
+        """Returns whether all nodes know the true size of each zone."""
         sizes = [len(self.of_zone(z)) for z in range(self.zones)]
-        return all(n.size_of(z) == sizes[z] for n in self.speaking() for z in range(self.zones))
+        return all(n.size_of(z) == sizes[z] for n in self.participants() for z in range(self.zones))
 
     def groups_complete(self) -> bool:
-        """Whether each node's group holds all of its zone alive."""
+        """Returns whether each node's group has all nodes of its zone alive."""
         sizes = [len(self.of_zone(z)) for z in range(self.zones)]
         return all(len(n.group.alive()) + 1 == sizes[n.zone] for n in self.nodes.values())
 
-    def oldest(self) -> float:
-        """The greatest age, in seconds, of a summary that a node holds."""
-        ages = (n.age_of(z) for n in self.speaking() for z in range(self.zones))
+    def oldest_age(self) -> float:
+        """Returns the greatest age, in seconds, of all summaries of all nodes."""
+        ages = (n.age_of(z) for n in self.participants() for z in range(self.zones))
         return max((age for age in ages if age is not None), default=0.0)
 
 
 def zone_name(zone: int) -> str:
+    """Returns the name of a zone."""
     return f"zone-{zone}"
 
 
 def node_address(zone: int, number: int) -> Address:
+    """Returns the address of a node."""
     return f"10.{zone}.{number >> 8}.{number & 255}", PORT
--- a/workbench/scale/membership.py
+++ b/workbench/scale/membership.py
@@ -119,6 +119,7 @@
         return self.members.pop(address).me.name
 
     def run(self, seconds: float) -> None:
+        """Handles all events of the next seconds."""
         self.network.run(seconds)
 
     def until(self, holds: Callable[[], bool], limit: float) -> Waited:
