--- a/workbench/scale/member.py
+++ b/workbench/scale/member.py
@@ -21,7 +21,7 @@
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Claim, Kind, Message, Send, Status, Swim
 from workbench.explore.members import KEY
-from workbench.scale.membership import Row, stop_spreading
+from workbench.scale.membership import Row, stop_dissemination
 
 PERIOD_US = 1_000_000
 PERIODS = 30
@@ -69,7 +69,7 @@
                 name[:1] + name[1:], (".".join(["10", "0", "0", "1"]), int(name[1:])), Status.ALIVE, 1
             )
             self.swim.accept(self.now, claim)
-        stop_spreading(self.swim)
+        stop_dissemination(self.swim)
         taken = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
         return taken
--- a/workbench/scale/membership.py
+++ b/workbench/scale/membership.py
@@ -3,20 +3,20 @@
     python -m workbench.scale.membership SCENARIO SIZES... [--seed N]...
 
 Single process, simulated time, fixed seeds. Every datagram is encoded and decoded by the fleet's own codec.
-The processor time is that of the state machine and of the codec, measured around each call; the simulator's
-own heap is left out.
+The processor time is that of the state machine and of the codec, measured around each call, without the
+simulator's own.
 
 Scenarios:
 
-* `calm`: all members know each other and no news is under way; then one of them dies.
-* `backlog`: all members know each other and each still spreads the news of all others.
-* `news`: in a calm group one member takes a new incarnation, as after a quick restart; until all hold it.
-* `news_busy`: the same while each member still spreads the news of all others.
+* `calm`: all members know each other and no update is being disseminated; then one of them dies.
+* `backlog`: all members know each other and each still disseminates updates about all others.
+* `news`: in a calm group one member takes a new incarnation, as after a quick restart; until all know it.
+* `news_busy`: the same while each member still disseminates updates about all others.
 * `join`: all members start at once and know the three seeds.
-* `batch`: in a calm group one member in thirteen dies at one instant, and comes back cold 60 s after the
-  last survivor knew of it, as a zone does.
-* `region`: in a calm group one member in five is cut off from the others for 150 s, past the time for which
-  the dead are remembered.
+* `batch`: in a calm group one member in thirteen dies at one instant, as with a zone, and starts again
+  without knowledge 60 s after the last survivor knew of it.
+* `region`: in a calm group one member in five is partitioned from the others for 150 s, longer than dead
+  members are remembered.
 """
 
 from __future__ import annotations
@@ -26,7 +26,6 @@
 from functools import partial
 from random import Random
 from time import process_time_ns
-from typing import Any
 
 import click
 import msgspec
@@ -54,7 +53,7 @@
 
 @dataclass
 class Spent:
-    """Processor nanoseconds by component, and traffic, since the last reset."""
+    """Processor nanoseconds by call, and traffic, since the last reset."""
 
     tick: int = 0
     receive: int = 0
@@ -65,31 +64,23 @@
 
 
 def seeds_of(count: int) -> list[Address]:
-    """The members that all others ask first."""
+    """Returns the members that all others contact first."""
     return [(HOST, i + 1) for i in range(min(SEEDS, count))]
 
 
-def stop_spreading(swim: Any) -> None:
-    """Nothing rides along any more, as long after the last change.
-
-    The state machine has no call for that, and where it keeps what it still tells differs between versions: a
-    map, or queues. Both are known here so that one program measures before and after.
-    """
-    for name in ("news", "updates", "accusations"):
-        waiting = getattr(swim, name, None)
-        if isinstance(waiting, dict):
-            waiting.clear()
-        elif waiting is not None:
-            for member in list(waiting.times):
-                waiting.remove(member)
+def stop_dissemination(swim: Swim) -> None:
+    """Drops all updates and accusations that a member still passes on, as long after the last change."""
+    for queue in (swim.updates, swim.accusations):
+        for name in list(queue.times):
+            queue.remove(name)
 
 
 def transmission_delay(source: Address, to: Address) -> Delay:
-    """The same between all members."""
+    """Returns the delay, which is the same between all members."""
     return Delay(DELAY)
 
 
-class MeteredNet:
+class MeteredNetwork:
     """Members on one virtual clock, with processor time counted by component; no datagram is lost."""
 
     def __init__(self, count: int, seed: int) -> None:
@@ -106,7 +97,7 @@
             self.add((HOST, i + 1), seeds_of(count))
 
     def add(self, address: Address, seeds: list[Address], incarnation: int = 1) -> None:
-        """A member starts."""
+        """Starts a member."""
         swim = Swim(f"n{address[1]}", address, incarnation, seeds, Random(self.rng.random()), self.clock.now)
         self.readers[address] = Codec([KEY])
         self.members[address] = swim
@@ -114,7 +105,7 @@
         self.clock.call_at(swim.due(), self.on_timer, (address, swim))
 
     def kill(self, address: Address) -> str:
-        """A member ends without a word; its name."""
+        """Ends a member without a message; returns its name."""
         self.network.detach(address)
         return self.members.pop(address).me.name
 
@@ -122,12 +113,12 @@
         """Handles all events of the next seconds."""
         self.network.run(seconds)
 
-    def until(self, holds: Callable[[], bool], limit: float) -> Waited:
+    def until(self, condition: Callable[[], bool], limit: float) -> Waited:
         """Runs until a condition holds, up to a limit in seconds."""
-        return self.network.run_until(holds, limit, POLL_INTERVAL_S)
+        return self.network.run_until(condition, limit, POLL_INTERVAL_S)
 
     def on_timer(self, what: tuple[Address, Swim]) -> None:
-        """A member's next due time has come."""
+        """Runs a member's timer, and schedules the next."""
         address, swim = what
         if self.members.get(address) is not swim:
             return
@@ -162,14 +153,14 @@
         self.spent.receive += process_time_ns() - begun
         self.transmit(to, sends)
 
-    def introduce_all(self, keep_news: bool = False) -> None:
-        """Every member knows every other. `keep_news`: and still spreads each of them as new."""
+    def introduce_all(self, disseminate: bool = False) -> None:
+        """Makes every member known to every other; `disseminate`: by updates that they still pass on."""
         claims = [s.me for s in self.members.values()]
         for swim in self.members.values():
             for claim in claims:
                 swim.accept(self.clock.now, claim)
-            if not keep_news:
-                stop_spreading(swim)
+            if not disseminate:
+                stop_dissemination(swim)
 
     def measure(self, seconds: float) -> Spent:
         """What the whole group spends in a window of simulated time."""
@@ -178,14 +169,14 @@
         return self.spent
 
     def knows_gone(self, names: set[str]) -> bool:
-        """Whether no member that runs holds any of these members alive."""
+        """Returns whether no live member has any of these members as alive or suspect."""
         return all(
             not any(s.status(name) in (Status.ALIVE, Status.SUSPECT) for name in names)
             for s in self.members.values()
         )
 
     def complete(self) -> bool:
-        """Whether every member holds every other alive or suspect, and nobody else."""
+        """Returns whether every member has exactly the others as alive or suspect."""
         wanted = len(self.members) - 1
         return all(len(s.alive()) == wanted for s in self.members.values())
 
@@ -201,7 +192,7 @@
     limit: bool = False
 
 
-def rates(prefix: str, net: MeteredNet, size: int, seed: int, seconds: float) -> list[Row]:
+def rates(prefix: str, net: MeteredNetwork, size: int, seed: int, seconds: float) -> list[Row]:
     """Processor time, datagrams and bytes a member and second."""
     spent = net.measure(seconds)
     scale = size * seconds
@@ -218,15 +209,17 @@
     return [Row(f"{prefix}.{name}", size, seed, value) for name, value in values.items()]
 
 
-def timed(name: str, net: MeteredNet, size: int, seed: int, holds: Callable[[], bool], limit: float) -> Row:
-    """Seconds until a condition holds."""
-    waited = net.until(holds, limit)
+def timed(
+    name: str, net: MeteredNetwork, size: int, seed: int, condition: Callable[[], bool], limit: float
+) -> Row:
+    """Measures the seconds until a condition holds."""
+    waited = net.until(condition, limit)
     return Row(name, size, seed, waited.seconds, limit=not waited.holds)
 
 
 def calm(size: int, seed: int) -> list[Row]:
-    """Rates without news, then the time for a death to be known to all."""
-    net = MeteredNet(size, seed)
+    """Measures rates without updates, then the time until all know of a death."""
+    net = MeteredNetwork(size, seed)
     net.introduce_all()
     net.run(WARM_UP_S)
     rows = rates("membership.calm", net, size, seed, CALM_S)
@@ -236,17 +229,17 @@
 
 
 def backlog(size: int, seed: int) -> list[Row]:
-    """Rates while each member still spreads the news of every other, as after a start of the whole group."""
-    net = MeteredNet(size, seed)
-    net.introduce_all(keep_news=True)
+    """Measures rates while each member disseminates updates about all others, as after a joint start."""
+    net = MeteredNetwork(size, seed)
+    net.introduce_all(disseminate=True)
     net.run(WARM_UP_S)
     return rates("membership.backlog", net, size, seed, BACKLOG_S)
 
 
-def time_of_news(name: str, size: int, seed: int, busy: bool) -> list[Row]:
-    """Seconds until all hold a member's new incarnation, which it tells one other about."""
-    net = MeteredNet(size, seed)
-    net.introduce_all(keep_news=busy)
+def dissemination_time(name: str, size: int, seed: int, busy: bool) -> list[Row]:
+    """Measures the seconds until all know a member's new incarnation, which at first one other knows."""
+    net = MeteredNetwork(size, seed)
+    net.introduce_all(disseminate=busy)
     net.run(WARM_UP_S)
     changed = net.members[(HOST, size)]
     first = net.members[(HOST, 1)]
@@ -254,30 +247,30 @@
     changed.me = claim
     first.accept(net.clock.now, claim)
 
-    def all_hold() -> bool:
+    def all_know() -> bool:
         others = [s for s in net.members.values() if s is not changed]
         return all(s.members[claim.name].claim.incarnation == claim.incarnation for s in others)
 
-    return [timed(name, net, size, seed, all_hold, JOIN_LIMIT_S)]
+    return [timed(name, net, size, seed, all_know, JOIN_LIMIT_S)]
 
 
 def news(size: int, seed: int) -> list[Row]:
-    """One change in a group in calm."""
-    return time_of_news("membership.news_s", size, seed, busy=False)
+    """Measures one change in a calm group."""
+    return dissemination_time("membership.news_s", size, seed, busy=False)
 
 
 def news_busy(size: int, seed: int) -> list[Row]:
-    """One change while the group is busy with the news of all its members."""
-    return time_of_news("membership.news_busy_s", size, seed, busy=True)
+    """Measures one change while the group disseminates updates about all its members."""
+    return dissemination_time("membership.news_busy_s", size, seed, busy=True)
 
 
 def join(size: int, seed: int) -> list[Row]:
     """Time until a group that starts at once knows itself."""
-    net = MeteredNet(size, seed)
+    net = MeteredNetwork(size, seed)
     return [timed("membership.join_s", net, size, seed, net.complete, JOIN_LIMIT_S)]
 
 
-def restarted(net: MeteredNet, addresses: list[Address]) -> None:
+def restarted(net: MeteredNetwork, addresses: list[Address]) -> None:
     """Members come back cold, each with a higher incarnation, knowing the seeds alone."""
     for address in addresses:
         net.add(address, seeds_of(SEEDS), incarnation=2)
@@ -285,7 +278,7 @@
 
 def batch(size: int, seed: int) -> list[Row]:
     """A thirteenth of the group dies at one instant and comes back cold."""
-    net = MeteredNet(size, seed)
+    net = MeteredNetwork(size, seed)
     net.introduce_all()
     net.run(WARM_UP_S)
     count = max(1, size // ZONES)
@@ -302,7 +295,7 @@
 
 def region(size: int, seed: int) -> list[Row]:
     """A fifth of the group is cut off until both sides have forgotten each other, then the cut heals."""
-    net = MeteredNet(size, seed)
+    net = MeteredNetwork(size, seed)
     net.introduce_all()
     net.run(WARM_UP_S)
     # Members with the highest numbers: the seeds stay on the larger side.
--- a/workbench/scale/program.py
+++ b/workbench/scale/program.py
@@ -1,6 +1,6 @@
-"""What a scale run takes hold of in the program: its fleet runtime, and the calls that are timed.
+"""The parts of the node that a scale run instruments: its fleet runtime, and the calls that are timed.
 
-Nothing else of the run knows where the program keeps these.
+No other module of the run depends on where the node has these.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 
 
 class Runtime(Protocol):
-    """What a run uses of the fleet runtime."""
+    """What a scale run uses of the fleet runtime."""
 
     swim: Swim | None
     codec: Codec
 
     async def open(self) -> None:
-        """Takes the port and joins."""
+        """Opens the port and joins the group."""
 
     def close(self) -> None:
-        """Lets the port go, without a word."""
+        """Closes the port without a message to other members."""
 
     def view(self) -> dict[str, Any]:
         """The operators' page."""
@@ -55,7 +55,7 @@
     end: Callable[[], None],
     settings: Settings,
 ) -> Runtime:
-    """The program's fleet runtime for one member."""
+    """Returns the node's fleet runtime for one member."""
     return FleetRuntime(config, loop, seed, log, life, end, settings)
 
 
