--- a/tests/test_zone_membership_protocol.py
+++ b/tests/test_zone_membership_protocol.py
@@ -9,6 +9,7 @@
 
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.zone_membership.decisions import ZoneMembership
+from balancer.fleet.zone_membership.errors import ZoneFactsError
 from balancer.fleet.zone_membership.gateways import Rendezvous
 from balancer.fleet.zone_membership.messages import ZoneMembershipKind, ZoneMembershipMessage
 from balancer.fleet.zone_membership.settings import ZoneMembershipTiming
@@ -132,7 +133,7 @@
     node.set_fact("config", "17")
     reply = node.received(START, ("h", 9), ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, "x", "b"))
     assert reply[0].message.summaries[0].state.facts == (("config", "17"),)
-    with pytest.raises(ValueError):
+    with pytest.raises(ZoneFactsError):
         node.set_fact("config", "v" * 300)
     assert node.local_summary.facts == {"config": "17"}
 
