--- a/balancer/fleet/assembly.py
+++ b/balancer/fleet/assembly.py
@@ -49,8 +49,8 @@
         made.rolling_update = RollingUpdateComponent(runtime, made.leases)
         made.ordered += [made.leases, made.rolling_update]
     if config.membership is not None:
-        from balancer.fleet.zone_membership.component import FederationComponent
+        from balancer.fleet.zone_membership.component import ZoneMembershipComponent
 
-        made.ordered.append(FederationComponent(runtime, config.membership))
+        made.ordered.append(ZoneMembershipComponent(runtime, config.membership))
     made.ordered.append(PolicyComponent(runtime, adapter, made.leases))
     return made
