--- a/balancer/fleet/health_checks/decisions.py
+++ b/balancer/fleet/health_checks/decisions.py
@@ -19,7 +19,7 @@
 
 from balancer.fleet.health_checks.messages import MOST, ProbeKind, ProbeMessage, Trial
 from balancer.fleet.health_checks.settings import ProbeSettings
-from balancer.fleet.leases.asker import Asker
+from balancer.fleet.leases.client import Asker
 from balancer.fleet.leases.names import PROBE_PREFIX
 
 Out = list[tuple[str, Any]]  # duties' messages and this part's
--- a/balancer/fleet/leases/component.py
+++ b/balancer/fleet/leases/component.py
@@ -7,7 +7,7 @@
 
 from balancer.fleet.component import Component, Outgoing, Runtime, addressed
 from balancer.fleet.leases.names import FREQUENT_PREFIXES
-from balancer.fleet.leases.part import Duties
+from balancer.fleet.leases.service import Duties
 from balancer.fleet.membership.codec import Part
 from balancer.fleet.membership.swim import Address
 
--- a/balancer/fleet/leases/part.py
+++ b/balancer/fleet/leases/service.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from balancer.fleet.config import FleetConfig
-from balancer.fleet.leases.asker import Asker, Stage
+from balancer.fleet.leases.client import Asker, Stage
 from balancer.fleet.leases.messages import DutyMessage, DutyWire
 from balancer.fleet.leases.settings import DutySettings, Electorate
-from balancer.fleet.leases.store import VoteStore
+from balancer.fleet.leases.vote_store import VoteStore
 from balancer.fleet.leases.voter import Out, Voter
 from balancer.net.log import Log
 
--- a/balancer/fleet/min_rtt/decisions.py
+++ b/balancer/fleet/min_rtt/decisions.py
@@ -15,7 +15,7 @@
 from random import Random
 from typing import Any
 
-from balancer.fleet.leases.asker import Asker
+from balancer.fleet.leases.client import Asker
 from balancer.fleet.leases.names import REMEASURE_PREFIX
 from balancer.fleet.leases.voter import Out
 
--- a/balancer/fleet/policy_adapter.py
+++ b/balancer/fleet/policy_adapter.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from balancer.fleet.health_checks.decisions import Probe
-    from balancer.fleet.leases.asker import Asker
+    from balancer.fleet.leases.client import Asker
     from balancer.fleet.min_rtt.decisions import Remeasure
     from balancer.fleet.zone_routing.traffic import ZoneTraffic
 
--- a/balancer/fleet/rolling_update/__init__.py
+++ b/balancer/fleet/rolling_update/__init__.py
@@ -1,4 +1,4 @@
 """A rolling replacement of a fleet's processes, led by whoever holds the duty `replace`.
 
-`decisions.py` leads and follows, without sockets or clocks; `docs/duties.md` has the design.
+`decisions.py` leads and follows, without sockets or clocks; `docs/leases.md` has the design.
 """
--- a/tests/test_lab_clock_explorer.py
+++ b/tests/test_lab_clock_explorer.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from balancer.fleet.leases.asker import Asker
+from balancer.fleet.leases.client import Asker
 from balancer.fleet.leases.voter import Voter
 from balancer.fleet.membership.swim import Status, Swim
 from balancer.fleet.rolling_update.decisions import Replacement
--- a/tests/test_lease_tokens.py
+++ b/tests/test_lease_tokens.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from balancer.fleet.leases.asker import Asker
+from balancer.fleet.leases.client import Asker
 from balancer.fleet.leases.component import DutiesComponent
 from balancer.fleet.leases.messages import DutyKind, DutyMessage, Reason
 from balancer.fleet.leases.settings import DutySettings, Electorate, promised
-from balancer.fleet.leases.store import AHEAD, VoteStore
+from balancer.fleet.leases.vote_store import AHEAD, VoteStore
 from balancer.fleet.leases.voter import Voter
-from workbench.explore.duty_net import Net
 from workbench.explore.faults import Fault
+from workbench.explore.lease_network import Net
 
 SEC = 1_000_000
 SETTINGS = DutySettings(lease=3 * SEC, longest=10 * SEC)
@@ -154,7 +154,7 @@
 
 
 def test_without_disks_it_stays_impossible_where_all_start_anew_with_clocks_set_back():
-    """What docs/duties.md states: nothing is left that knows the last token. Time mends it."""
+    """What docs/leases.md states: nothing is left that knows the last token. Time mends it."""
     group = Group()
     last = group.holder("x", UNIX)
     group.restart()
--- a/tests/test_duties.py
+++ b/tests/test_leases.py
@@ -5,18 +5,18 @@
 
 import pytest
 
-from balancer.fleet.leases import store
-from balancer.fleet.leases.asker import Asker, Stage
+from balancer.fleet.leases import vote_store as store
+from balancer.fleet.leases.client import Asker, Stage
 from balancer.fleet.leases.messages import DutyKind, DutyMessage, DutyWire, Reason
 from balancer.fleet.leases.settings import DRIFT, DutySettings, Electorate, counted, promised
 from balancer.fleet.leases.voter import Voter
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.rolling_update.decisions import Replacement
 from balancer.fleet.rolling_update.messages import Plan, ReplaceKind, ReplaceMessage, ReplaceWire, State
-from workbench.explore.duties import MUTANTS, explore, play, shrink
-from workbench.explore.duty_model import Bounds, Model
-from workbench.explore.duty_net import DUTY, Net
 from workbench.explore.faults import Fault
+from workbench.explore.lease_model import Bounds, Model
+from workbench.explore.lease_network import DUTY, Net
+from workbench.explore.leases import MUTANTS, explore, play, shrink
 
 SEC = 1_000_000
 SET = DutySettings(lease=3 * SEC, longest=10 * SEC)
--- a/tests/test_policy_adapter.py
+++ b/tests/test_policy_adapter.py
@@ -10,7 +10,7 @@
 from balancer.fleet.health_checks.decisions import Probe
 from balancer.fleet.health_checks.messages import ProbeKind, ProbeMessage, ProbeWire, Trial
 from balancer.fleet.health_checks.settings import ProbeSettings
-from balancer.fleet.leases.asker import Asker
+from balancer.fleet.leases.client import Asker
 from balancer.fleet.leases.settings import DutySettings, Electorate
 from balancer.fleet.leases.voter import Voter
 from balancer.fleet.membership.codec import Codec
--- a/tests/test_vote_store.py
+++ b/tests/test_vote_store.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from balancer.fleet.leases import store
-from balancer.fleet.leases.asker import Asker
+from balancer.fleet.leases import vote_store as store
+from balancer.fleet.leases.client import Asker
 from balancer.fleet.leases.messages import DutyKind, DutyMessage, Reason
-from balancer.fleet.leases.part import Duties
+from balancer.fleet.leases.service import Duties
 from balancer.fleet.leases.settings import DutySettings, Electorate, promised
 from balancer.fleet.leases.voter import Voter
 
--- a/workbench/explore/duty_figures.py
+++ b/workbench/explore/lease_figures.py
@@ -1,4 +1,4 @@
-"""How long a duty is without a holder, and what it costs: `python -m workbench.explore.duty_figures`.
+"""How long a duty is without a holder, and what it costs: `python -m workbench.explore.lease_figures`.
 
 On the virtual network without faults but one: the holder is killed, or gives the duty back. Leases of 3 s,
 delays of 1 to 3 ms, clocks 1% off either way.
@@ -9,8 +9,8 @@
 import click
 import numpy as np
 
-from workbench.explore.duty_net import DUTY, Net, Process
 from workbench.explore.faults import SEC
+from workbench.explore.lease_network import DUTY, Net, Process
 
 SETTLED = 10 * SEC
 COUNTED = 12 * SEC  # in which datagrams are
--- a/workbench/explore/duty_model.py
+++ b/workbench/explore/lease_model.py
@@ -1,4 +1,4 @@
-"""Duties as a small model, explored to its end: `python -m workbench.explore.duty_model --help`.
+"""Duties as a small model, explored to its end: `python -m workbench.explore.lease_model --help`.
 
 Three voters, two askers, one restart of any of them, on a clock that goes in steps of half a lease. The
 program's own asker and voter take messages in waves: all that have been sent come before any answer to them,
@@ -23,11 +23,11 @@
 
 import click
 
-from balancer.fleet.leases.asker import Asker, Stage, Wanted
+from balancer.fleet.leases.client import Asker, Stage, Wanted
 from balancer.fleet.leases.messages import DutyMessage
 from balancer.fleet.leases.settings import DutySettings, Electorate
 from balancer.fleet.leases.voter import Slot, Voter
-from workbench.explore.duties import MUTANTS
+from workbench.explore.leases import MUTANTS
 
 STEP = 1_000_000
 LEASE = 2 * STEP
--- a/workbench/explore/duty_net.py
+++ b/workbench/explore/lease_network.py
@@ -13,7 +13,7 @@
 from functools import partial
 from random import Random
 
-from balancer.fleet.leases.asker import Asker
+from balancer.fleet.leases.client import Asker
 from balancer.fleet.leases.messages import DutyMessage
 from balancer.fleet.leases.settings import DutySettings, Electorate
 from balancer.fleet.leases.voter import Out, Voter
--- a/workbench/explore/duties.py
+++ b/workbench/explore/leases.py
@@ -1,9 +1,9 @@
 """Explores duties on the virtual network: seeds by the thousand, each a run that repeats; one that fails is
 shrunk.
 
-python -m workbench.explore.duties --seeds 1-10000 --jobs 8
-python -m workbench.explore.duties --mutant no-abstaining --seeds 1-1000
-python -m workbench.explore.duties --shrink 17 --mutant no-abstaining
+python -m workbench.explore.leases --seeds 1-10000 --jobs 8
+python -m workbench.explore.leases --mutant no-abstaining --seeds 1-1000
+python -m workbench.explore.leases --shrink 17 --mutant no-abstaining
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 import click
 
-from balancer.fleet.leases.asker import Asker, Wanted
+from balancer.fleet.leases.client import Asker, Wanted
 from balancer.fleet.leases.voter import Holder, Slot, Voter
-from workbench.explore.duty_net import Kinds, Net, Story
 from workbench.explore.faults import Fault
+from workbench.explore.lease_network import Kinds, Net, Story
 
 # Programs broken on purpose.
 
--- a/workbench/lab/mischief.py
+++ b/workbench/lab/mischief.py
@@ -17,7 +17,7 @@
 
 import balancer.__main__ as program
 from balancer.fleet.health_checks.decisions import Probe
-from balancer.fleet.leases.asker import Asker
+from balancer.fleet.leases.client import Asker
 from balancer.fleet.membership.codec import MembershipWire
 from balancer.fleet.membership.swim import Claim, Kind, Message, Status, Swim
 from balancer.fleet.min_rtt.decisions import Remeasure
--- a/workbench/simulator/fleet.py
+++ b/workbench/simulator/fleet.py
@@ -1,7 +1,7 @@
 """A fleet on the virtual clock: the front nodes of a world with their duties between them.
 
 Voters, askers and the policy adapter are the node's own; the network between them is the world's, without
-loss, and who is there is known at once. What faults do to duties, `explore/duties.py` tries.
+loss, and who is there is known at once. What faults do to duties, `explore/leases.py` tries.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from typing import Any
 
 from balancer.fleet.config import FleetConfig
-from balancer.fleet.leases.asker import Asker
+from balancer.fleet.leases.client import Asker
 from balancer.fleet.leases.messages import DutyMessage
 from balancer.fleet.leases.settings import DutySettings, Electorate
 from balancer.fleet.leases.voter import Voter
