--- a/tests/test_vote_store.py
+++ b/tests/test_vote_store.py
@@ -273,7 +273,7 @@
 
 def test_a_file_written_before_is_read_byte_for_byte(tmp_path):
     path = tmp_path / "a.votes"
-    path.write_bytes(b"balancer votes 1\na\n60500\n" + OLD_CHECKSUM + b"\n")
+    path.write_bytes(b"brackenladder votes 1\na\n60500\n" + OLD_CHECKSUM + b"\n")
     assert store.load(path, "a") == CEILING
     assert contents(tmp_path, CEILING) == path.read_bytes()
 
