--- a/tests/test_fleet_clocks.py
+++ b/tests/test_fleet_clocks.py
@@ -13,7 +13,7 @@
 import pytest
 from loopback import PATIENCE, settings
 from test_fleet import free_udp, section
-from test_leases import Members
+from test_rolling_update import Members
 from virtual_fleet import HOUR, SEC, EarlierProcess, Process, VirtualFleet, view
 
 from balancer.fleet.clocks import Clocks
