--- a/balancer/fleet/operator_pages.py
+++ b/balancer/fleet/operator_pages.py
@@ -61,7 +61,7 @@
         return success(self.runtime.view())
 
     def hold(self, query: bytes) -> Response:
-        """`PUT /fleet/hold?duty=NAME&script=ID`: a script wants a duty, and comes again while it does."""
+        """`PUT /fleet/hold?duty=NAME&script=ID`: a script requests a lease, and comes again while needed."""
         return self.external_request(query, release=False)
 
     def give(self, query: bytes) -> Response:
@@ -71,12 +71,12 @@
     def external_request(self, query: bytes, release: bool) -> Response:
         if self.leases is None or not self.runtime.is_open:
             return NO_VOTERS
-        duty, script = parameters(query, "duty", "script")
-        if not all(0 < len(name) <= NAME_MOST for name in (duty, script)):
+        lease, script = parameters(query, "duty", "script")
+        if not all(0 < len(name) <= NAME_MOST for name in (lease, script)):
             return 400, b"duty, script: must be names of 1 to 64 characters\n"
-        if is_reserved(duty):
+        if is_reserved(lease):
             return 400, b"duty: replace, probe.* and remeasure.* are the fleet's own\n"
-        table, outgoing = self.leases.external_request(self.runtime.now(), duty, script, release)
+        table, outgoing = self.leases.external_request(self.runtime.now(), lease, script, release)
         self.runtime.deliver(outgoing)
         self.runtime.schedule()
         return success(table)
--- a/workbench/cli/balancerctl/lease.py
+++ b/workbench/cli/balancerctl/lease.py
@@ -31,7 +31,7 @@
     SIGTERM, and SIGKILL if it stays. Exits with the command's status, 75 where the lease was not acquired in
     time, 76 where it was lost and the command was ended.
     """
-    from workbench.emulator.lease_command import Hold
+    from workbench.emulator.lease_command import LeaseCommand
 
     if not 0 < len(name) <= MAX_LEASE_NAME:
         raise Bad(f"{name}: a lease's name has 1 to {MAX_LEASE_NAME} characters")
@@ -39,4 +39,4 @@
         addresses = [address_of(node) for node in nodes]
     except PageError as e:
         raise Bad(str(e)) from None
-    return Hold(name, addresses, wait, list(command), lambda text: click.echo(text, err=True)).run()
+    return LeaseCommand(name, addresses, wait, list(command), lambda text: click.echo(text, err=True)).run()
--- a/workbench/emulator/lease_command.py
+++ b/workbench/emulator/lease_command.py
@@ -1,7 +1,7 @@
-"""A command that runs while a duty is held, and is ended before the lease is.
+"""A command that runs while a lease is held, and is ended before the lease expires.
 
-The node that answers holds the duty; this process counts what it may count on from before it asked, by its
-own clock, so an answer that came late or a pause in between makes the time shorter and never longer.
+The node that answers holds the lease; this process counts what it may count on from before its request, by
+its own clock, so a late answer or a pause in between makes the time shorter and never longer.
 """
 
 from __future__ import annotations
@@ -18,114 +18,126 @@
 from workbench.emulator.pages import PageError, put
 from workbench.emulator.starter import tied
 
-ASK_EVERY = 0.2  # seconds, or a quarter of what is left if that is more
-DRIFT = 0.01  # that this machine's clock may be slow by
-NOT_HAD, LOST = 75, 76
+RENEW_INTERVAL_S = 0.2  # or a quarter of what remains if that is less
+CLOCK_DRIFT = 0.01  # that this machine's clock may be slow by
+TERMINATE_AT, KILL_AT = 0.4, 0.15  # parts of the lease that remain when SIGTERM and SIGKILL are due
+EXIT_NOT_ACQUIRED, EXIT_LOST = 75, 76
+ACQUIRE, RELEASE = "hold", "give"  # pages of a node
 
 
-class Hold:
-    """One command under one duty. `share`: of what is left of the lease, when SIGTERM is due, and SIGKILL."""
+class LeaseCommand:
+    """One command under one lease.
 
-    TERM_AT, KILL_AT = 0.4, 0.15
+    Args:
+        lease: Its name.
+        nodes: Management addresses; the next is tried where one does not answer.
+        wait: Seconds to wait for the lease.
+        command: Program and arguments.
+        report: Hears what happens, a line each.
+        now: A clock that goes on while the machine is suspended, in seconds.
+    """
 
     def __init__(
         self,
-        duty: str,
+        lease: str,
         nodes: list[tuple[str, int]],
         wait: float,
         command: list[str],
-        say: Callable[[str], None],
+        report: Callable[[str], None],
         now: Callable[[], float] = lambda: clock_gettime(CLOCK_BOOTTIME),
     ) -> None:
-        self.duty = duty
+        self.lease = lease
         self.nodes = nodes
         self.wait = wait
         self.command = command
-        self.say = say
+        self.report = report
         self.now = now
-        self.script = secrets.token_hex(8)  # tells this script from another at the same node
+        self.script = secrets.token_hex(8)  # tells this process from another at the same node
         self.token = 0
-        self.until = 0.0  # held so long, by this process's clock
-        self.lease = 0.0  # as much was left when it was held last
-        self.why = ""
+        self.expires_at = 0.0  # by this process's clock
+        self.duration = 0.0  # as much remained when it was renewed last
+        self.failure = ""
 
-    def ask(self, act: str) -> dict[str, Any] | None:
-        """One PUT to the node in front; the next one comes to the front where it does not answer."""
+    def put(self, page: str) -> dict[str, Any] | None:
+        """One PUT to the first node; the page's JSON, or None where there is no answer."""
         try:
-            return put(self.nodes[0], f"/fleet/{act}?duty={quote(self.duty)}&script={self.script}")
-        except (PageError, ValueError) as e:
-            self.why = str(e)
+            return put(self.nodes[0], f"/fleet/{page}?duty={quote(self.lease)}&script={self.script}")
+        except (PageError, ValueError) as error:
+            self.failure = str(error)
         return None
 
     def renew(self) -> bool:
-        """Asks again. Whether the duty is held, under the same token as before."""
-        asked = self.now()
-        answer = self.ask("hold")
+        """Acquires or renews the lease. Whether it is held, under the same token as before."""
+        requested_at = self.now()
+        answer = self.put(ACQUIRE)
         if answer is None:
-            if (
-                self.until <= asked
-            ):  # what was held came from this node, and is left to lapse before another's
+            # What this node granted has to expire before another node is asked.
+            if self.expires_at <= requested_at:
                 self.nodes.append(self.nodes.pop(0))
             return False
         if not answer.get("held") or (self.token and answer["token"] != self.token):
-            self.why = answer.get("why", "another holds it")
+            self.failure = answer.get("why", "another holds it")
             return False
         self.token = answer["token"]
-        self.lease = answer["left_us"] / 1e6 * (1 - DRIFT)
-        self.until = max(self.until, asked + self.lease)
+        self.duration = answer["left_us"] / 1e6 * (1 - CLOCK_DRIFT)
+        self.expires_at = max(self.expires_at, requested_at + self.duration)
         return True
 
     def run(self) -> int:
-        """Waits for the duty, runs the command, gives it back. The command's status, NOT_HAD or LOST."""
+        """Waits for the lease, runs the command, releases the lease.
+
+        Returns:
+            The command's status, EXIT_NOT_ACQUIRED or EXIT_LOST.
+        """
         end = self.now() + self.wait
         while not self.renew():
             if self.now() >= end:
-                self.ask("give")
-                self.say(f"{self.duty}: not held after {self.wait:g} s: {self.why}")
-                return NOT_HAD
-            sleep(ASK_EVERY)
-        self.say(f"{self.duty}: held, token {self.token}")
-        env = os.environ | {"FLEET_DUTY": self.duty, "FLEET_TOKEN": str(self.token)}
-        signal.signal(signal.SIGTERM, ended)
+                self.put(RELEASE)
+                self.report(f"{self.lease}: not held after {self.wait:g} s: {self.failure}")
+                return EXIT_NOT_ACQUIRED
+            sleep(RENEW_INTERVAL_S)
+        self.report(f"{self.lease}: held, token {self.token}")
+        env = os.environ | {"FLEET_DUTY": self.lease, "FLEET_TOKEN": str(self.token)}
+        signal.signal(signal.SIGTERM, exit_on_signal)
         with subprocess.Popen(tied(self.command), env=env, process_group=0) as child:
             try:
                 status = self.watch(child)
             except BaseException:
-                stop(child, signal.SIGKILL)
+                send_signal(child, signal.SIGKILL)
                 raise
             finally:
-                self.ask("give")
+                self.put(RELEASE)
         return status
 
     def watch(self, child: subprocess.Popen[bytes]) -> int:
-        """Renews while the command runs; ends it before the time is out."""
-        told = False
+        """Renews the lease while the command runs; ends the command before the lease expires."""
+        terminated = False
         while True:
-            left = self.until - self.now()
-            if left <= self.lease * self.KILL_AT:
-                stop(child, signal.SIGKILL)
+            remaining = self.expires_at - self.now()
+            if remaining <= self.duration * KILL_AT:
+                send_signal(child, signal.SIGKILL)
                 child.wait()
-                self.say(f"{self.duty}: lost, the command was killed: {self.why}")
-                return LOST
-            if left <= self.lease * self.TERM_AT and not told:
-                told = True
-                self.say(f"{self.duty}: not renewed, the command is told to end: {self.why}")
-                stop(child, signal.SIGTERM)
+                self.report(f"{self.lease}: lost, the command was killed: {self.failure}")
+                return EXIT_LOST
+            if remaining <= self.duration * TERMINATE_AT and not terminated:
+                terminated = True
+                self.report(f"{self.lease}: not renewed, the command is told to end: {self.failure}")
+                send_signal(child, signal.SIGTERM)
             try:
-                status = child.wait(max(0.01, min(ASK_EVERY, left / 4)))
-                return LOST if told else status if status >= 0 else 128 - status
+                status = child.wait(max(0.01, min(RENEW_INTERVAL_S, remaining / 4)))
+                return EXIT_LOST if terminated else status if status >= 0 else 128 - status
             except subprocess.TimeoutExpired:
                 pass
-            if not told:
+            if not terminated:
                 self.renew()
 
 
-def ended(number: int, frame: Any) -> None:
-    """SIGTERM ends the command too, and gives the duty back."""
+def exit_on_signal(number: int, frame: Any) -> None:
+    """SIGTERM ends the command too, and releases the lease."""
     raise SystemExit(128 + number)
 
 
-def stop(child: subprocess.Popen[bytes], how: signal.Signals) -> None:
+def send_signal(child: subprocess.Popen[bytes], number: signal.Signals) -> None:
     """A signal to the command and all that it started."""
     if child.poll() is None:
-        os.killpg(child.pid, how)
+        os.killpg(child.pid, number)
--- a/workbench/lab/checkers.py
+++ b/workbench/lab/checkers.py
@@ -251,8 +251,8 @@
 
 
 def duties(truth: Truth) -> Found:
-    """No two nodes may count on the duty at one instant of the lab's time, and each that takes over has a
-    higher token."""
+    """No two nodes may count on the lab's lease at one instant of the lab's time, and each that takes over
+    has a higher token."""
     held: dict[tuple[str, int, int], list[int]] = {}
     for e in truth.of("duty"):
         span = held.setdefault((e["node"], e["life"], e["token"]), [e["answered"], e["until"]])
@@ -262,14 +262,14 @@
         begin, _, other, other_life, next_token = after
         if begin < until and (node, life) != (other, other_life):
             over = (until - begin) / 1e6
-            yield seconds(begin), other, f"holds the duty while {node} may count on it for {over:.3f} s more"
+            yield seconds(begin), other, f"holds the lease while {node} may count on it for {over:.3f} s more"
         if next_token <= token:
             yield seconds(begin), other, f"holds it with token {next_token}, {node} had {token}"
     calm = truth.end - max([truth.go, *(at for at, _ in truth.changes), *(p.end for p in truth.periods)])
     if truth.plan.get("voters") and truth.agree <= calm < FOREVER:
         last = seconds(max((until for _, until, *_ in spans), default=BEGIN))
         if last < truth.end - truth.plan["lease_ms"] / 500:
-            yield truth.end, "all", f"nobody has held the duty since {last:.1f} s, all faults are long over"
+            yield truth.end, "all", f"nobody has held the lease since {last:.1f} s, all faults are long over"
 
 
 def replacement(truth: Truth) -> Found:
--- a/workbench/lab/fleet.py
+++ b/workbench/lab/fleet.py
@@ -240,7 +240,7 @@
             self.fleet.tell("summaries", node=self.name, life=life, zones=summaries)
 
     async def hold(self) -> None:
-        """Asks its process for the lab's duty, as a script would, and tells what it may count on."""
+        """Requests the lab's lease from its process, as a script would, and records what it may count on."""
         if self.wanting or not self.running or self.process is None:
             return
         self.wanting = True
--- a/workbench/lab/plan.py
+++ b/workbench/lab/plan.py
@@ -107,7 +107,7 @@
     fleet: bool = True
     supervise: bool = False  # a process that ends by itself, and well, is started again, as a platform does
     period_ms: Over0 = 300.0  # of membership's probes
-    voters: Any0 = 0  # the first so many nodes vote, and every node asks for one duty
+    voters: Any0 = 0  # the first so many nodes vote, and every node requests one lease
     lease_ms: Over0 = 1500.0
     probe: bool = False  # servers that are set aside are tried by one node a zone
     remeasure: Share = 0.0  # of the nodes in a minRTT pass at once; 0: as each sees fit
