--- a/tests/lease_support.py
+++ b/tests/lease_support.py
@@ -1,6 +1,8 @@
 """Settings, messages and answers that tests of leases share."""
 
-from balancer.fleet.leases.messages import LeaseKind, LeaseMessage
+from typing import Any
+
+from balancer.fleet.leases.messages import LeaseKind, LeaseMessage, OutgoingLeaseMessage
 from balancer.fleet.leases.settings import Electorate, LeaseSettings, granted_duration
 from balancer.fleet.leases.voter import Voter
 
@@ -11,19 +13,27 @@
 ABLE = START + granted_duration(SETTINGS.max_lease)  # when a voter that started at START votes
 
 
-def request_message(token, sender="x", incarnation=1, lease="d", seq=1, duration=SETTINGS.lease, of=THREE):
+def request_message(
+    token: int,
+    sender: str = "x",
+    incarnation: int = 1,
+    lease: str = "d",
+    seq: int = 1,
+    duration: int = SETTINGS.lease,
+    of: Electorate = THREE,
+) -> LeaseMessage:
     return LeaseMessage(LeaseKind.REQUEST, sender, incarnation, lease, seq, token, of.digest, duration)
 
 
-def release_message(token, sender="x", incarnation=1, lease="d"):
+def release_message(token: int, sender: str = "x", incarnation: int = 1, lease: str = "d") -> LeaseMessage:
     return LeaseMessage(LeaseKind.RELEASE, sender, incarnation, lease, 1, token)
 
 
-def voter_a(settings=SETTINGS, **more):
+def voter_a(settings: LeaseSettings = SETTINGS, **more: Any) -> Voter:
     return Voter("a", 1, [THREE], settings, START, **more)
 
 
-def only_answer(out):
+def only_answer(out: list[OutgoingLeaseMessage]) -> tuple[str, str, int]:
     """Kind, reason and token of the one answer."""
     ((_, message),) = out
     return message.kind.name, message.reason.name, message.token
--- a/tests/test_lease_explorer.py
+++ b/tests/test_lease_explorer.py
@@ -9,7 +9,7 @@
 from workbench.explore.leases import MUTANTS, explore, play, shrink
 
 
-def test_seeds_with_all_faults_violate_nothing_and_repeat():
+def test_seeds_with_all_faults_violate_nothing_and_repeat() -> None:
     sums, broken = explore(226, 375, "none", 1)  # among them one in which an act comes too late
     assert not broken, broken[0]
     assert sums["holders"] > 250 and sums["late_acts"] > 0
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("clients", [2, 8])
-def test_clients_that_request_at_one_instant_soon_have_a_holder(clients):
+def test_clients_that_request_at_one_instant_soon_have_a_holder(clients: int) -> None:
     for seed in range(20):
         net = LeaseNetwork(seed, faults=[], voters=3, clients=clients)
         net.clock.run(SEC)
@@ -28,7 +28,7 @@
 ALL = ("v0", "v1", "v2", "a0", "a1")
 
 
-def test_when_all_forget_at_once_the_token_rises_as_far_as_wall_clocks_do():
+def test_when_all_forget_at_once_the_token_rises_as_far_as_wall_clocks_do() -> None:
     """Voters alone: whoever asked before remembers. All processes: Unix time carries the rise, if it does not
     step back; then the next holder's acts are refused until its tokens are up again."""
     back = Fault("step", 9 * SEC, SEC, ALL, amount=-3600.0)
@@ -39,7 +39,7 @@
         assert net.forgot() and (trace.late_acts > 50) is refused
 
 
-def test_when_voters_come_back_one_after_another_the_token_rises_whatever_wall_clocks_do():
+def test_when_voters_come_back_one_after_another_the_token_rises_whatever_wall_clocks_do() -> None:
     back = Fault("step", 5 * SEC, SEC, ("a0", "a1"), amount=-3600.0)
     one_by_one = [Fault("kill", (6 + 4 * i) * SEC, SEC // 10, (f"v{i}",)) for i in range(3)]
     for seed in range(5):
@@ -58,7 +58,7 @@
         ("no-look-at-clock", 9),
     ],
 )
-def test_a_program_broken_on_purpose_is_caught_and_shrunk(mutant, seed):
+def test_a_program_broken_on_purpose_is_caught_and_shrunk(mutant: str, seed: int) -> None:
     assert set(MUTANTS) == {"none", "from-answer", "no-abstaining", "majority-of-living"} | {
         "token-not-raised",
         "no-look-at-clock",
@@ -79,7 +79,9 @@
         ("token-not-raised", (4, 0, 0, 1), "token 1 after 1"),
     ],
 )
-def test_a_small_model_is_explored_to_its_end(mutant, bounds, broken):
+def test_a_small_model_is_explored_to_its_end(
+    mutant: str, bounds: tuple[int, int, int, int], broken: str
+) -> None:
     """Steps, upsets, sleeps, restarts; the last mutant, a majority of the living, takes 20 s by hand."""
     findings = Model(mutant, Bounds(*bounds)).explore(400_000)
     assert findings.violation == broken
--- a/tests/test_lease_tokens.py
+++ b/tests/test_lease_tokens.py
@@ -1,13 +1,16 @@
 """Tokens of leases while wall clocks step, on running and restarting processes, and where voters forget."""
 
+from pathlib import Path
 from random import Random
 from types import SimpleNamespace
+from typing import cast
 
 import pytest
 
+from balancer.fleet.component import Runtime
 from balancer.fleet.leases.client import LeaseClient
 from balancer.fleet.leases.component import LeaseComponent
-from balancer.fleet.leases.messages import DenialReason, LeaseKind, LeaseMessage
+from balancer.fleet.leases.messages import DenialReason, LeaseKind, LeaseMessage, OutgoingLeaseMessage
 from balancer.fleet.leases.settings import Electorate, LeaseSettings, granted_duration
 from balancer.fleet.leases.vote_store import CEILING_MARGIN, VoteStore
 from balancer.fleet.leases.voter import Voter
@@ -22,11 +25,11 @@
 UNIX = 1_700_000_000_000  # milliseconds
 
 
-def question(number, sender="x", lease="d", seq=1):
+def question(number: int, sender: str = "x", lease: str = "d", seq: int = 1) -> LeaseMessage:
     return LeaseMessage(LeaseKind.REQUEST, sender, 1, lease, seq, number, VOTERS.digest, SETTINGS.lease)
 
 
-def answer_of(voter, now, message):
+def answer_of(voter: Voter, now: int, message: LeaseMessage) -> tuple[LeaseKind, DenialReason, int]:
     ((_, answer),) = voter.received(now, message)
     return answer.kind, answer.reason, answer.token
 
@@ -37,7 +40,7 @@
 class SteppedRuntime(SimpleNamespace):
     """What the component uses of the runtime, with clocks fed by hand."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         super().__init__(
             config=SimpleNamespace(
                 name="x", lease=3 * SEC, longest=10 * SEC, voters=VOTERS.voters, old_voters=(), votes=None
@@ -45,46 +48,50 @@
             log=SimpleNamespace(line=lambda text: None),
             membership=SimpleNamespace(me=SimpleNamespace(incarnation=1)),
             rng=Random(1),
-            time=50 * SEC,
-            step=0,
         )
+        self.time = 50 * SEC
+        self.step = 0
 
-    def now(self):
+    def now(self) -> int:
         return self.time
 
-    def wall(self):
+    def wall(self) -> int:
         return UNIX * 1000 + self.time + self.step
 
 
+def requested_token(component: LeaseComponent, now: int) -> int:
+    """The token of the one request that a script leads to."""
+    _, (sent,) = component.external_request(now, "d", "script", release=False)
+    assert isinstance(sent.message, LeaseMessage)
+    return sent.message.token
+
+
 @pytest.mark.parametrize("step", STEPS)
-def test_a_step_under_a_running_process_does_not_move_its_numbers(step):
+def test_a_step_under_a_running_process_does_not_move_its_numbers(step: int) -> None:
     runtime = SteppedRuntime()
-    component = LeaseComponent(runtime)
+    component = LeaseComponent(cast(Runtime, runtime))
     component.open()
     runtime.step = step * SEC
     runtime.time += 7 * SEC
-    _, (sent,) = component.external_request(runtime.time, "d", "script", release=False)
-    assert sent.message.token == UNIX + 57_000
+    assert requested_token(component, runtime.time) == UNIX + 57_000
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_life_begins_with_the_wall_clock_as_it_stands_then(step):
+def test_a_life_begins_with_the_wall_clock_as_it_stands_then(step: int) -> None:
     runtime = SteppedRuntime()
-    component = LeaseComponent(runtime)
+    component = LeaseComponent(cast(Runtime, runtime))
     component.open()
     runtime.step = step * SEC
     component.open()
-    _, (sent,) = component.external_request(runtime.time, "d", "script", release=False)
-    assert sent.message.token == UNIX + 50_000 + step * 1000
+    assert requested_token(component, runtime.time) == UNIX + 50_000 + step * 1000
 
 
-def test_a_wall_clock_before_1970_gives_numbers_that_can_be_sent():
+def test_a_wall_clock_before_1970_gives_numbers_that_can_be_sent() -> None:
     runtime = SteppedRuntime()
     runtime.step = -2 * UNIX * 1000
-    component = LeaseComponent(runtime)
+    component = LeaseComponent(cast(Runtime, runtime))
     component.open()
-    _, (sent,) = component.external_request(runtime.time, "d", "script", release=False)
-    assert sent.message.token == 1
+    assert requested_token(component, runtime.time) == 1
 
 
 # ---- voters that remember ---------------------------------------------------------------------------------
@@ -93,39 +100,40 @@
 class Group:
     """Voters that live on, and clients that come one after the other, each with a wall clock of its own."""
 
-    def __init__(self, folder=None):
+    def __init__(self, folder: Path | None = None) -> None:
         """`folder`: where voters keep their numbers, if anywhere."""
         self.now = 0
         self.folder = folder
-        self.log = []
+        self.log: list[str] = []
         self.restart()
 
-    def restart(self):
+    def restart(self) -> None:
         """All voters start from what their disks have, and abstain for as long as they have to."""
         self.voters = {name: self.voter(name) for name in VOTERS.voters}
         self.now += ABLE
 
-    def voter(self, name):
+    def voter(self, name: str) -> Voter:
         if self.folder is None:
             return Voter(name, 1, [VOTERS], SETTINGS, self.now)
         votes = VoteStore(self.folder / f"{name}.votes", name, self.log.append)
         return Voter(name, 1, [VOTERS], SETTINGS, self.now, votes.open(), votes.raise_ceiling)
 
-    def holder(self, name, wall):
+    def holder(self, name: str, wall: int) -> int:
         """The token under which a new process comes to hold the lease, within two seconds."""
         client = LeaseClient(name, 1, [VOTERS], SETTINGS, Random(name), lambda: wall)
         client.acquire(self.now, "d")
         end = self.now + 2 * SEC
         while client.held_token(self.now, "d") is None:
             due = client.deadline()
-            assert due <= end
+            assert due is not None and due <= end
             self.now = max(self.now, due)
             self.carry(client, client.tick(self.now))
         token = client.held_token(self.now, "d")
+        assert token is not None
         self.carry(client, client.release(self.now, "d"))
         return token
 
-    def carry(self, client, out):
+    def carry(self, client: LeaseClient, out: list[OutgoingLeaseMessage]) -> None:
         while out:
             to, message = out.pop(0)
             for name, answer in self.voters[to].received(self.now, message):
@@ -134,7 +142,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_whoever_comes_next_soon_has_a_higher_token_whatever_its_wall_clock(step):
+def test_whoever_comes_next_soon_has_a_higher_token_whatever_its_wall_clock(step: int) -> None:
     """Right, stepped, right again: a step forward is beaten by the next, a step back is soon not refused."""
     group = Group()
     tokens = [group.holder(f"x{i}", UNIX + i + 1000 * s) for i, s in enumerate((0, step, 0, step, 0))]
@@ -143,7 +151,9 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_with_disks_tokens_rise_though_all_processes_start_anew_and_all_clocks_are_stepped(tmp_path, step):
+def test_with_disks_tokens_rise_though_all_processes_start_anew_and_all_clocks_are_stepped(
+    tmp_path: Path, step: int
+) -> None:
     group = Group(tmp_path)
     tokens = []
     for i, wall in enumerate((UNIX, UNIX + 1000 * step, UNIX, UNIX + 1000 * step)):
@@ -153,7 +163,7 @@
     assert tokens[-1] <= UNIX + 1000 * max(0, step) + 4 * CEILING_MARGIN
 
 
-def test_without_disks_it_stays_impossible_where_all_start_anew_with_clocks_set_back():
+def test_without_disks_it_stays_impossible_where_all_start_anew_with_clocks_set_back() -> None:
     """What docs/leases.md states: nothing is left that knows the last token. Time mends it."""
     group = Group()
     last = group.holder("x", UNIX)
@@ -165,7 +175,7 @@
 # ---- voters that all forget -------------------------------------------------------------------------------
 
 
-def test_a_voter_that_abstains_remembers_the_numbers_of_those_that_ask():
+def test_a_voter_that_abstains_remembers_the_numbers_of_those_that_ask() -> None:
     voter = Voter("a", 1, [VOTERS], SETTINGS, 0)
     assert answer_of(voter, 1, question(5000))[1] == DenialReason.ABSTAINS
     assert answer_of(voter, ABLE, question(1000, "y")) == (LeaseKind.DENY, DenialReason.OLD, 4999)
@@ -173,14 +183,14 @@
     assert answer_of(voter, ABLE, question(1000, "y", lease="e"))[0] == LeaseKind.GRANT
 
 
-def test_a_voter_that_abstains_tells_what_it_remembers_once_it_votes():
+def test_a_voter_that_abstains_tells_what_it_remembers_once_it_votes() -> None:
     voter = Voter("a", 1, [VOTERS], SETTINGS, 0)
     voter.received(1, question(5000))
     ((_, memory),) = voter.received(ABLE, LeaseMessage(LeaseKind.RECALL, "b", 2))
     assert memory.token == 4999
 
 
-def test_names_made_up_while_a_voter_abstains_fill_no_memory_and_raise_no_floor():
+def test_names_made_up_while_a_voter_abstains_fill_no_memory_and_raise_no_floor() -> None:
     few = LeaseSettings(lease=3 * SEC, max_lease=10 * SEC, max_leases=3)
     voter = Voter("a", 1, [VOTERS], few, 0)
     for i in range(10):
@@ -191,7 +201,9 @@
 @pytest.mark.parametrize("restarts", [(), ("a0",), ("a1",)], ids=["voters", "and-a0", "and-a1"])
 @pytest.mark.parametrize("stepped", [("a0",), ("a1",), ("v0", "v1", "v2")], ids=["a0", "a1", "all-voters"])
 @pytest.mark.parametrize("step", STEPS)
-def test_when_all_voters_forget_one_client_that_remembers_is_enough(step, stepped, restarts):
+def test_when_all_voters_forget_one_client_that_remembers_is_enough(
+    step: int, stepped: tuple[str, ...], restarts: tuple[str, ...]
+) -> None:
     """No act is refused, at any wall clock of the one that comes back or of the one that stayed."""
     voters = ("v0", "v1", "v2")
     faults = [
--- a/tests/test_lease_voter.py
+++ b/tests/test_lease_voter.py
@@ -1,5 +1,9 @@
 """A voter: what it grants and denies, its memory, its vote store over two incarnations."""
 
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
 import pytest
 from lease_support import (
     ABLE,
@@ -14,6 +18,7 @@
 )
 
 from balancer.fleet.leases import vote_store
+from balancer.fleet.leases.ceiling import TokenRange
 from balancer.fleet.leases.settings import (
     CLOCK_DRIFT_DIVISOR,
     Electorate,
@@ -97,14 +102,14 @@
         ],
     ],
 )
-def test_what_a_voter_grants_and_denies(steps):
+def test_what_a_voter_grants_and_denies(steps: Any) -> None:
     v = voter_a()
     for at, message, answer in steps:
         out = v.received(ABLE + at, message)
         assert (only_answer(out) if answer else out) == (answer or [])
 
 
-def test_a_bounded_number_of_releases_that_overtook_their_requests_is_remembered():
+def test_a_bounded_number_of_releases_that_overtook_their_requests_is_remembered() -> None:
     """The oldest give way: a request that is that late is granted, as to one that holds nothing any more."""
     v = voter_a()
     for i in range(SETTINGS.max_waiters + 1):
@@ -114,7 +119,7 @@
     assert len(v.leases["d"].early_releases) == 0
 
 
-def test_a_grant_outlasts_the_held_lease_though_both_clocks_drift():
+def test_a_grant_outlasts_the_held_lease_though_both_clocks_drift() -> None:
     slow, fast = 1 - 1 / CLOCK_DRIFT_DIVISOR, 1 + 1 / CLOCK_DRIFT_DIVISOR
     for lease in (200_000, 3 * SEC, 600 * SEC):
         believed = held_duration(lease)
@@ -122,7 +127,7 @@
         assert believed / slow < granted_duration(lease) / slow and believed > 0.97 * lease
 
 
-def test_denied_clients_are_notified_when_the_lease_becomes_available():
+def test_denied_clients_are_notified_when_the_lease_becomes_available() -> None:
     v = voter_a()
     v.received(ABLE, request_message(5))
     for i in range(SETTINGS.max_waiters + 3):
@@ -133,7 +138,7 @@
     ]
 
 
-def test_a_voter_keeps_a_bounded_number_of_leases_and_an_evicted_one_leaves_its_token():
+def test_a_voter_keeps_a_bounded_number_of_leases_and_an_evicted_one_leaves_its_token() -> None:
     """Failure prevented: made-up names of leases fill the memory, or a forgotten lease's token falls back."""
     v = voter_a(LeaseSettings(lease=3 * SEC, max_lease=10 * SEC, max_leases=3))
     for i in range(3):
@@ -145,7 +150,7 @@
     assert len(v.leases) == 3
 
 
-def test_a_restarted_voter_recalls_the_tokens_that_the_others_know():
+def test_a_restarted_voter_recalls_the_tokens_that_the_others_know() -> None:
     v, b, c = voter_a(), Voter("b", 1, [THREE], SETTINGS, 0), Voter("c", 1, [THREE], SETTINGS, 0)
     b.received(START, request_message(70))
     asked = v.tick(START)
@@ -159,11 +164,11 @@
     assert only_answer(v.received(ABLE, request_message(71, "y"))) == (GRANT, "NONE", 71)
 
 
-def test_a_voter_with_a_disk_grants_nothing_below_its_last_life(tmp_path):
+def test_a_voter_with_a_disk_grants_nothing_below_its_last_life(tmp_path: Path) -> None:
     path = tmp_path / "a.votes"
     saved = []
 
-    def raise_ceiling(number):
+    def raise_ceiling(number: int) -> TokenRange:
         saved.append(number)
         return vote_store.VoteStore(path, "a", print).raise_ceiling(number)
 
@@ -192,7 +197,9 @@
         (lambda d: b"a poem\n" + vote_store.checksum(b"a poem"), "not a file of votes"),
     ],
 )
-def test_torn_and_foreign_files_are_named_and_not_trusted(tmp_path, change, part):
+def test_torn_and_foreign_files_are_named_and_not_trusted(
+    tmp_path: Path, change: Callable[[bytes], bytes], part: str
+) -> None:
     path = tmp_path / "a.votes"
     vote_store.save(path, "a", 500)
     assert vote_store.load(path, "a") == 500
--- a/tests/test_vote_store.py
+++ b/tests/test_vote_store.py
@@ -2,19 +2,23 @@
 
 import errno
 import os
+from collections.abc import Callable
 from dataclasses import replace
 from pathlib import Path
 from random import Random
 from types import SimpleNamespace
+from typing import Any, Self, cast
 
 import pytest
 
+from balancer.fleet.config import FleetConfig
 from balancer.fleet.leases import vote_store
 from balancer.fleet.leases.client import LeaseClient
-from balancer.fleet.leases.messages import DenialReason, LeaseKind, LeaseMessage
+from balancer.fleet.leases.messages import DenialReason, LeaseKind, LeaseMessage, OutgoingLeaseMessage
 from balancer.fleet.leases.service import LeaseService
 from balancer.fleet.leases.settings import Electorate, LeaseSettings, granted_duration
 from balancer.fleet.leases.voter import Voter
+from balancer.net.log import Log
 
 SEC = 1_000_000
 SETTINGS = LeaseSettings(lease=3 * SEC, max_lease=10 * SEC)
@@ -44,15 +48,15 @@
 class FailingDisk:
     """Stands before the system calls of the store: one call fails from its turn on, writes are short."""
 
-    def __init__(self, monkeypatch):
-        self.fails = {}  # by call: its turn, and the error
+    def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        self.fails: dict[str, tuple[int, int]] = {}  # by call: its turn, and the error
         self.turns = dict.fromkeys(("open", "write", "fsync", "close", "rename"), 0)
         self.opened, self.closed = 0, 0
         for call in self.turns:
-            monkeypatch.setattr(vote_store.os, call, self.wrapped(call, getattr(os, call)))
+            monkeypatch.setattr(os, call, self.wrapped(call, getattr(os, call)))
 
-    def wrapped(self, call, real):
-        def system_call(*arguments, **named):
+    def wrapped(self, call: str, real: Callable[..., Any]) -> Callable[..., Any]:
+        def system_call(*arguments: Any, **named: Any) -> Any:
             self.turns[call] += 1
             turn, error = self.fails.get(call, (0, 0))
             if call == "write":
@@ -69,24 +73,26 @@
 
         return system_call
 
-    def fail(self, call, turn, error):
+    def fail(self, call: str, turn: int, error: int) -> None:
         self.turns = dict.fromkeys(self.turns, 0)
         self.fails = {call: (turn, error)}
 
-    def heal(self):
+    def heal(self) -> None:
         self.fails = {}
 
 
 class VoterWithDisk:
     """One life of a voter over a folder, and its log."""
 
-    def __init__(self, folder, name="a"):
+    def __init__(self, folder: Path, name: str = "a") -> None:
         self.path = Path(folder) / f"{name}.votes"
-        self.log = []
+        self.log: list[str] = []
         self.votes = vote_store.VoteStore(self.path, name, self.log.append)
         self.voter = Voter(name, 1, [VOTERS], SETTINGS, START, self.votes.open(), self.votes.raise_ceiling)
 
-    def ask(self, now, number, sender="x", lease="d"):
+    def ask(
+        self, now: int, number: int, sender: str = "x", lease: str = "d"
+    ) -> tuple[LeaseKind, DenialReason, int]:
         """The kind, reason and number of the answer."""
         question = LeaseMessage(LeaseKind.REQUEST, sender, 1, lease, 1, number, VOTERS.digest, SETTINGS.lease)
         ((_, answer),) = self.voter.received(now, question)
@@ -99,8 +105,8 @@
 @pytest.mark.parametrize("error", ERRORS, ids=errno.errorcode.get)
 @pytest.mark.parametrize(("call", "turn"), CALLS)
 def test_a_voter_whose_disk_fails_grants_up_to_its_ceiling_and_says_so_once(
-    tmp_path, monkeypatch, call, turn, error
-):
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str, turn: int, error: int
+) -> None:
     node = VoterWithDisk(tmp_path)
     assert node.ask(ABLE, FIRST)[:2] == GRANTED
     disk = FailingDisk(monkeypatch)
@@ -122,7 +128,7 @@
 class Group:
     """Three voters with disks and a client of the version before, which knows no word for this."""
 
-    def __init__(self, folder):
+    def __init__(self, folder: Path) -> None:
         self.now = ABLE
         self.nodes = {}
         for name in VOTERS.voters:
@@ -131,7 +137,7 @@
         self.wall = FIRST
         self.client = LeaseClient("x", 1, [VOTERS], SETTINGS, Random(1), lambda: self.wall)
 
-    def run(self, seconds):
+    def run(self, seconds: int) -> Self:
         end = self.now + seconds * SEC
         while (due := self.client.deadline()) is not None and due <= end:
             self.now = max(self.now, due)
@@ -139,18 +145,20 @@
         self.now = end
         return self
 
-    def carry(self, out):
+    def carry(self, out: list[OutgoingLeaseMessage]) -> None:
         while out:
             to, message = out.pop(0)
             for _, answer in self.nodes[to].voter.received(self.now, message):
                 out += self.client.received(self.now, answer)
 
-    def token(self, lease):
+    def token(self, lease: str) -> int | None:
         return self.client.held_token(self.now, lease)
 
 
 @pytest.mark.parametrize(("failing", "held"), [("a", True), ("b", True), ("ab", False), ("abc", False)])
-def test_clients_go_on_with_the_others_and_wait_where_a_majority_s_disks_fail(tmp_path, failing, held):
+def test_clients_go_on_with_the_others_and_wait_where_a_majority_s_disks_fail(
+    tmp_path: Path, failing: str, held: bool
+) -> None:
     group = Group(tmp_path)
     group.client.acquire(group.now, "d")
     assert group.run(1).token("d") == FIRST
@@ -162,18 +170,19 @@
     assert group.token("d") == FIRST  # renewed all the while
     for name in failing:
         (tmp_path / f"{name} away").rename(tmp_path / name)
-    assert group.run(3).token("e") >= BEYOND
+    token = group.run(3).token("e")
+    assert token is not None and token >= BEYOND
     assert group.token("d") == FIRST
     for name, node in group.nodes.items():
         assert len(node.log) == (2 if name in failing else 0)
 
 
-def test_the_part_reads_and_keeps_its_votes_in_the_configured_folder(tmp_path):
+def test_the_part_reads_and_keeps_its_votes_in_the_configured_folder(tmp_path: Path) -> None:
     config = SimpleNamespace(
         name="a", lease=3 * SEC, longest=10 * SEC, voters=VOTERS.voters, old_voters=(), votes=tmp_path
     )
-    lines = []
-    service = LeaseService(config, SimpleNamespace(line=lines.append))
+    lines: list[str] = []
+    service = LeaseService(cast(FleetConfig, config), cast(Log, SimpleNamespace(line=lines.append)))
     vote_store.save(tmp_path / "a.votes", "a", CEILING)
     service.open(1, START, lambda: BEYOND, Random(1))
     question = LeaseMessage(LeaseKind.REQUEST, "x", 1, "d", 1, CEILING, VOTERS.digest, SETTINGS.lease)
@@ -184,7 +193,9 @@
     assert vote_store.load(tmp_path / "a.votes", "a") == BEYOND + vote_store.CEILING_MARGIN
 
 
-def test_a_failing_disk_is_not_tried_at_each_question(tmp_path, monkeypatch):
+def test_a_failing_disk_is_not_tried_at_each_question(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     node = VoterWithDisk(tmp_path)
     disk = FailingDisk(monkeypatch)
     disk.fail("open", 1, errno.EIO)
@@ -196,8 +207,8 @@
 @pytest.mark.parametrize("error", ERRORS[:2], ids=errno.errorcode.get)
 @pytest.mark.parametrize(("call", "turn"), CALLS)
 def test_a_life_after_a_failed_write_grants_nothing_that_was_granted_before(
-    tmp_path, monkeypatch, call, turn, error
-):
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str, turn: int, error: int
+) -> None:
     node = VoterWithDisk(tmp_path)
     node.ask(ABLE, FIRST)
     disk = FailingDisk(monkeypatch)
@@ -211,12 +222,12 @@
     assert again.log == []
 
 
-def contents(folder, number):
+def contents(folder: Path, number: int) -> bytes:
     vote_store.save(folder / "b.votes", "a", number)
     return (folder / "b.votes").read_bytes()
 
 
-def test_a_kill_at_every_byte_of_a_write_leaves_the_file_before(tmp_path):
+def test_a_kill_at_every_byte_of_a_write_leaves_the_file_before(tmp_path: Path) -> None:
     node = VoterWithDisk(tmp_path)
     node.ask(ABLE, FIRST)
     data = contents(tmp_path, 10 * BEYOND)
@@ -227,7 +238,7 @@
     assert again.ask(ABLE, BEYOND)[:2] == GRANTED  # what was left half done is no hindrance
 
 
-def test_no_beginning_of_a_file_is_read_as_whole(tmp_path):
+def test_no_beginning_of_a_file_is_read_as_whole(tmp_path: Path) -> None:
     """A file system that loses the end of a file that was renamed."""
     path = tmp_path / "a.votes"
     data = contents(tmp_path, BEYOND)
@@ -243,11 +254,13 @@
 @pytest.mark.parametrize(
     "error", [errno.EIO, errno.EACCES, errno.ESTALE, errno.ENFILE], ids=errno.errorcode.get
 )
-def test_a_file_that_cannot_be_read_at_the_start_is_read_before_it_is_replaced(tmp_path, monkeypatch, error):
+def test_a_file_that_cannot_be_read_at_the_start_is_read_before_it_is_replaced(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, error: int
+) -> None:
     VoterWithDisk(tmp_path).ask(ABLE, FIRST)
     real = Path.read_bytes
 
-    def failing(path):
+    def failing(path: Path) -> bytes:
         raise OSError(error, os.strerror(error))
 
     monkeypatch.setattr(Path, "read_bytes", failing)
@@ -259,7 +272,7 @@
     assert len(node.log) == 2
 
 
-def test_a_folder_that_is_mounted_late_is_read_before_it_is_written(tmp_path):
+def test_a_folder_that_is_mounted_late_is_read_before_it_is_written(tmp_path: Path) -> None:
     folder, away = tmp_path / "votes", tmp_path / "away"
     folder.mkdir()
     VoterWithDisk(folder).ask(ABLE, FIRST)
@@ -271,7 +284,7 @@
     assert node.ask(LATER, BEYOND)[:2] == GRANTED
 
 
-def test_a_file_written_before_is_read_byte_for_byte(tmp_path):
+def test_a_file_written_before_is_read_byte_for_byte(tmp_path: Path) -> None:
     path = tmp_path / "a.votes"
     path.write_bytes(b"brackenladder votes 1\na\n60500\n" + OLD_CHECKSUM + b"\n")
     assert vote_store.load(path, "a") == CEILING
