--- a/balancer/fleet/assembly.py
+++ b/balancer/fleet/assembly.py
@@ -14,7 +14,7 @@
 from balancer.fleet.policy_component import PolicyComponent
 
 if TYPE_CHECKING:
-    from balancer.fleet.leases.component import DutiesComponent
+    from balancer.fleet.leases.component import LeaseComponent
     from balancer.fleet.rolling_update.component import RollingUpdateComponent
 
 
@@ -30,7 +30,7 @@
     """
 
     policy_adapter: PolicyAdapter
-    leases: DutiesComponent | None = None
+    leases: LeaseComponent | None = None
     rolling_update: RollingUpdateComponent | None = None
     ordered: list[Component] = field(default_factory=list)
 
@@ -42,10 +42,10 @@
     )
     made = FleetComponents(adapter)
     if config.voters:
-        from balancer.fleet.leases.component import DutiesComponent
+        from balancer.fleet.leases.component import LeaseComponent
         from balancer.fleet.rolling_update.component import RollingUpdateComponent
 
-        made.leases = DutiesComponent(runtime)
+        made.leases = LeaseComponent(runtime)
         made.rolling_update = RollingUpdateComponent(runtime, made.leases)
         made.ordered += [made.leases, made.rolling_update]
     if config.membership is not None:
--- a/balancer/fleet/health_checks/decisions.py
+++ b/balancer/fleet/health_checks/decisions.py
@@ -25,7 +25,7 @@
 )
 from balancer.fleet.health_checks.servers import AnnouncementHistory, EjectedServer, RecoveredServer
 from balancer.fleet.health_checks.settings import HealthCheckSettings
-from balancer.fleet.leases.asker import Asker
+from balancer.fleet.leases.client import LeaseClient
 from balancer.fleet.leases.names import PROBE_PREFIX
 
 Announcements = dict[HealthCheckKind, list[ProbeAnnouncement]]
@@ -39,7 +39,7 @@
         name: str,
         zone: str,
         settings: HealthCheckSettings,
-        lease_client: Asker,
+        lease_client: LeaseClient,
         alive: Callable[[], Sequence[str]],
         on_probe_result: Callable[[int, bool], None],
         rng: Random,
@@ -79,15 +79,15 @@
 
     def token(self, now: int, server: int) -> int | None:
         """Token of a server's lease, if this process holds it now."""
-        return self.lease_client.holding(now, self.lease_name(server))
+        return self.lease_client.held_token(now, self.lease_name(server))
 
     def is_acquiring(self, server: int) -> bool:
         """Whether this process holds a server's lease or tries to acquire it."""
-        return self.lease_name(server) in self.lease_client.wanted
+        return self.lease_name(server) in self.lease_client.requests
 
     def release(self, now: int, server: int) -> list[Outgoing]:
         """Releases a server's lease, or stops acquiring it."""
-        return addressed(self.lease_client.drop(now, self.lease_name(server)))
+        return addressed(self.lease_client.release(now, self.lease_name(server)))
 
     # ---- the policy's events and questions --------------------------------------------------------------
 
@@ -96,8 +96,8 @@
         state = self.ejected.get(server)
         if state is None or self.token(now, server) is not None:
             return True
-        request = self.lease_client.wanted.get(self.lease_name(server))
-        held_elsewhere_until = request.elsewhere if request is not None else 0
+        request = self.lease_client.requests.get(self.lease_name(server))
+        held_elsewhere_until = request.held_elsewhere_until if request is not None else 0
         heard_at = max(state.waiting_since, state.covered_until, held_elsewhere_until)
         is_alone = now >= heard_at + self.settings.patience
         if is_alone:
@@ -195,7 +195,7 @@
         """Acquires a server's lease, or stops that while another node's announcement is valid."""
         state.failure_unannounced = False
         if state.acquire_after() <= now:
-            self.lease_client.want(now, self.lease_name(server), self.settings.lease)
+            self.lease_client.acquire(now, self.lease_name(server), self.settings.lease)
             return []
         return self.release(now, server) if self.is_acquiring(server) else []
 
--- a/balancer/fleet/min_rtt/decisions.py
+++ b/balancer/fleet/min_rtt/decisions.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from balancer.fleet.component import Outgoing, addressed
-from balancer.fleet.leases.asker import Asker
+from balancer.fleet.leases.client import LeaseClient
 from balancer.fleet.leases.names import REMEASURE_PREFIX
 from balancer.fleet.min_rtt.settings import MinRttSettings
 
@@ -25,7 +25,7 @@
     """One process's part: it acquires a slot while a recalculation is due, and releases it afterwards."""
 
     def __init__(
-        self, tier: int, instances: int, settings: MinRttSettings, lease_client: Asker, rng: Random
+        self, tier: int, instances: int, settings: MinRttSettings, lease_client: LeaseClient, rng: Random
     ) -> None:
         """Creates the state machine of a process.
 
@@ -60,14 +60,14 @@
     def token(self, now: int) -> int | None:
         """Token of the slot's lease, if this process holds it now."""
         name = self.lease_name()
-        return None if name is None else self.lease_client.holding(now, name)
+        return None if name is None else self.lease_client.held_token(now, name)
 
     def acquire(self, now: int, slot: int) -> list[Outgoing]:
         """Starts to acquire a slot."""
         self.slot, self.slot_requested_at = slot, now
         name = self.lease_name()
         assert name is not None
-        self.lease_client.want(now, name)
+        self.lease_client.acquire(now, name)
         return addressed(self.lease_client.tick(now))
 
     def release(self, now: int) -> list[Outgoing]:
@@ -76,7 +76,7 @@
         if name is None:
             return []
         self.previous_slot, self.slot = self.slot or 0, None
-        return addressed(self.lease_client.drop(now, name))
+        return addressed(self.lease_client.release(now, name))
 
     # ---- the policy's events and questions --------------------------------------------------------------
 
--- a/balancer/fleet/operator_pages.py
+++ b/balancer/fleet/operator_pages.py
@@ -17,7 +17,7 @@
 from balancer.fleet.policy_adapter import PolicyAdapter
 
 if TYPE_CHECKING:
-    from balancer.fleet.leases.component import DutiesComponent
+    from balancer.fleet.leases.component import LeaseComponent
     from balancer.fleet.rolling_update.component import RollingUpdateComponent
 
 MAX_DIRECTIVE_SECONDS = 86_400
@@ -70,7 +70,7 @@
         self,
         runtime: PageRuntime,
         policy_adapter: PolicyAdapter,
-        leases: DutiesComponent | None,
+        leases: LeaseComponent | None,
         rolling_update: RollingUpdateComponent | None,
     ) -> None:
         self.runtime = runtime
@@ -102,7 +102,7 @@
             return BAD_LEASE_NAME
         if is_reserved(lease):
             return RESERVED_LEASE
-        table, outgoing = self.leases.script_request(self.runtime.now(), lease, script, release)
+        table, outgoing = self.leases.external_request(self.runtime.now(), lease, script, release)
         self.runtime.deliver(outgoing)
         self.runtime.schedule()
         return success(table)
--- a/balancer/fleet/policy_adapter.py
+++ b/balancer/fleet/policy_adapter.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from balancer.fleet.health_checks.decisions import HealthChecks
-    from balancer.fleet.leases.asker import Asker
+    from balancer.fleet.leases.client import LeaseClient
     from balancer.fleet.min_rtt.decisions import MinRttSlots
     from balancer.fleet.zone_routing.traffic import ZoneTraffic
 
@@ -95,14 +95,14 @@
             self.zone_traffic.open(alive, rng)
             self.handlers |= dict.fromkeys(self.zone_traffic.kinds, self.received_directives)
 
-    def use_leases(self, lease_client: Asker, rng: Random) -> None:
+    def use_leases(self, lease_client: LeaseClient, rng: Random) -> None:
         """Opens what needs leases, which there are once voters are configured."""
         if self.config.health_checks:
             self.open_health_checks(lease_client, rng)
         if self.config.min_rtt_share:
             self.open_min_rtt_slots(lease_client, rng)
 
-    def open_health_checks(self, lease_client: Asker, rng: Random) -> None:
+    def open_health_checks(self, lease_client: LeaseClient, rng: Random) -> None:
         """From here on one node a zone checks an ejected server."""
         from balancer.fleet.health_checks.decisions import HealthChecks
         from balancer.fleet.health_checks.messages import HealthCheckKind
@@ -115,7 +115,7 @@
         )
         self.handlers |= dict.fromkeys(HealthCheckKind, self.health_checks.received)
 
-    def open_min_rtt_slots(self, lease_client: Asker, rng: Random) -> None:
+    def open_min_rtt_slots(self, lease_client: LeaseClient, rng: Random) -> None:
         """From here on a share of the tier's nodes at most recalculates its minRTT at once."""
         from balancer.fleet.min_rtt.decisions import MinRttSlots
         from balancer.fleet.min_rtt.settings import MinRttSettings
--- a/balancer/fleet/policy_component.py
+++ b/balancer/fleet/policy_component.py
@@ -11,7 +11,7 @@
 from balancer.fleet.policy_adapter import PolicyAdapter
 
 if TYPE_CHECKING:
-    from balancer.fleet.leases.component import DutiesComponent
+    from balancer.fleet.leases.component import LeaseComponent
 
 
 class PolicyComponent(Component):
@@ -24,7 +24,7 @@
             on minRTT recalculations.
     """
 
-    def __init__(self, runtime: Runtime, adapter: PolicyAdapter, leases: DutiesComponent | None) -> None:
+    def __init__(self, runtime: Runtime, adapter: PolicyAdapter, leases: LeaseComponent | None) -> None:
         self.runtime = runtime
         self.adapter = adapter
         self.leases = leases
@@ -37,7 +37,7 @@
     def open(self) -> None:
         """Opens the adapter, and hands it the lease client where there is one."""
         self.adapter.open(self.runtime.alive, self.runtime.rng)
-        lease_client = self.leases.duties.asker if self.leases is not None else None
+        lease_client = self.leases.client if self.leases is not None else None
         if lease_client is not None:
             self.adapter.use_leases(lease_client, self.runtime.rng)
 
--- a/balancer/fleet/rolling_update/__init__.py
+++ b/balancer/fleet/rolling_update/__init__.py
@@ -1,5 +1,5 @@
 """Rolling updates: the processes of a fleet are ended one after another, so that new ones take their places.
 
 The process that holds the lease `replace` leads. `decisions.py` has the state machine, without sockets or
-clocks; `docs/duties.md` has the design.
+clocks; `docs/leases.md` has the design.
 """
--- a/balancer/fleet/rolling_update/component.py
+++ b/balancer/fleet/rolling_update/component.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from balancer.fleet.component import Component, Outgoing, Runtime, addressed
-from balancer.fleet.leases.asker import Asker
-from balancer.fleet.leases.component import DutiesComponent
+from balancer.fleet.leases.client import LeaseClient
+from balancer.fleet.leases.component import LeaseComponent
 from balancer.fleet.leases.names import REPLACEMENT
 from balancer.fleet.membership.codec import Part
 from balancer.fleet.membership.swim import Address
@@ -25,7 +25,7 @@
 class RollingUpdateComponent(Component):
     """Acquires the lease while a plan is to be led, leads while it is held, ends the process when asked."""
 
-    def __init__(self, runtime: Runtime, leases: DutiesComponent) -> None:
+    def __init__(self, runtime: Runtime, leases: LeaseComponent) -> None:
         self.runtime = runtime
         self.leases = leases
         self.rolling_update: RollingUpdate | None = None
@@ -60,14 +60,14 @@
         return self.runtime.lifecycle.serving and not self.leases.abstains(self.runtime.now())
 
     @property
-    def lease_client(self) -> Asker | None:
+    def lease_client(self) -> LeaseClient | None:
         """What acquires leases; None before `open`."""
-        return self.leases.duties.asker
+        return self.leases.client
 
     def token(self) -> int | None:
         """Token of the rolling update's lease, if this process holds it now."""
         client = self.lease_client
-        return client.holding(self.runtime.now(), REPLACEMENT) if client is not None else None
+        return client.held_token(self.runtime.now(), REPLACEMENT) if client is not None else None
 
     # ---- time and messages ------------------------------------------------------------------------------
 
@@ -83,9 +83,9 @@
             return []
         outgoing: list[Outgoing] = []
         if update.wants_lease():
-            client.want(now, REPLACEMENT)
-        elif REPLACEMENT in client.wanted and not update.announcements_left:
-            outgoing += addressed(client.drop(now, REPLACEMENT))
+            client.acquire(now, REPLACEMENT)
+        elif REPLACEMENT in client.requests and not update.announcements_left:
+            outgoing += addressed(client.release(now, REPLACEMENT))
         plan_before = update.plan
         outgoing += update.tick(now, self.token())
         if update.plan != plan_before and update.plan is not None:
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -34,7 +34,7 @@
                 name,
                 zone,
                 SETTINGS,
-                self.askers[name],
+                self.lease_clients[name],
                 partial(list, others),
                 partial(self.on_probe_result, name),
                 Random(1),
@@ -81,7 +81,7 @@
     t.parts[first].server_readmitted(t.now, 7, True)
     t.run(3)
     assert sorted(t.probe_results) == [(n, 7, True) for n in "abc" if n != first]
-    assert t.askers[first].wanted == {} and t.parts["a"].counts["old_token"] == 0
+    assert t.lease_clients[first].requests == {} and t.parts["a"].counts["old_token"] == 0
     assert set(t.probers()) >= {"d", first}
 
 
--- a/tests/test_min_rtt_slots.py
+++ b/tests/test_min_rtt_slots.py
@@ -12,8 +12,8 @@
 def nodes(count: int, share: float) -> Table[MinRttSlots]:
     t: Table[MinRttSlots] = Table(*(f"n{i}" for i in range(count)))
     settings = MinRttSettings(share)
-    for i, name in enumerate(t.askers):
-        t.parts[name] = MinRttSlots(0, count, settings, t.askers[name], Random(i))
+    for i, name in enumerate(t.lease_clients):
+        t.parts[name] = MinRttSlots(0, count, settings, t.lease_clients[name], Random(i))
     return t
 
 
@@ -50,7 +50,7 @@
     assert greatest == slots and len(started) == count
     assert all(p.counts["without_a_place"] == 0 for p in t.parts.values())
     t.run(5)
-    assert all(a.wanted == {} for a in t.askers.values())
+    assert all(a.requests == {} for a in t.lease_clients.values())
 
 
 def test_nodes_that_get_no_slot_recalculate_later_but_not_all_at_once() -> None:
@@ -73,6 +73,6 @@
     assert one.token(t.now) is None and one.view(t.now)["stage"] == "passes"
     other.may_start(t.now)
     t.run(1)
-    assert t.askers["n1"].wanted
+    assert t.lease_clients["n1"].requests
     t.run(3)
-    assert t.askers["n1"].wanted == {}
+    assert t.lease_clients["n1"].requests == {}
--- a/tests/virtual_leases.py
+++ b/tests/virtual_leases.py
@@ -5,14 +5,14 @@
 from typing import Generic, Protocol, TypeVar
 
 from balancer.fleet.component import Outgoing, addressed
-from balancer.fleet.leases.asker import Asker
-from balancer.fleet.leases.messages import DutyMessage
-from balancer.fleet.leases.settings import DutySettings, Electorate
+from balancer.fleet.leases.client import LeaseClient
+from balancer.fleet.leases.messages import LeaseMessage
+from balancer.fleet.leases.settings import Electorate, LeaseSettings
 from balancer.fleet.leases.voter import Voter
 
 SEC = 1_000_000
 LIST = Electorate(("v0", "v1", "v2"))
-DUTY = DutySettings(lease=3 * SEC, longest=10 * SEC)
+LEASE = LeaseSettings(lease=3 * SEC, max_lease=10 * SEC)
 MAX_STEPS = 100_000
 
 
@@ -31,19 +31,21 @@
 
     def __init__(self, *names: str) -> None:
         self.now = 100 * SEC
-        self.voters = {v: Voter(v, 1, [LIST], DUTY, 0) for v in LIST.voters}
-        self.askers = {n: Asker(n, i, [LIST], DUTY, Random(i), lambda: 1000) for i, n in enumerate(names)}
+        self.voters = {v: Voter(v, 1, [LIST], LEASE, 0) for v in LIST.voters}
+        self.lease_clients = {
+            n: LeaseClient(n, i, [LIST], LEASE, Random(i), lambda: 1000) for i, n in enumerate(names)
+        }
         self.parts: dict[str, UserT] = {}
         self.unreachable: set[str] = set()
 
     def deliver(self, outgoing: Iterable[Outgoing], sender: str) -> None:
         """Delivers messages to voters, and their answers to the lease clients."""
         for sent in outgoing:
-            if not isinstance(sent.message, DutyMessage):
+            if not isinstance(sent.message, LeaseMessage):
                 self.deliver_to_part(sent, sender)
             elif sent.to in self.voters and "voters" not in self.unreachable:
                 for name, answer in self.voters[str(sent.to)].received(self.now, sent.message):
-                    self.deliver(addressed(self.askers[name].received(self.now, answer)), name)
+                    self.deliver(addressed(self.lease_clients[name].received(self.now, answer)), name)
 
     def deliver_to_part(self, sent: Outgoing, sender: str) -> None:
         """Delivers a message from one part to another, where the parts have messages of their own."""
@@ -57,8 +59,8 @@
             if due > end:
                 break
             self.now = max(self.now + 1, due)
-            for name in self.askers:
-                self.deliver(addressed(self.askers[name].tick(self.now)), name)
+            for name in self.lease_clients:
+                self.deliver(addressed(self.lease_clients[name].tick(self.now)), name)
                 self.deliver(self.parts[name].tick(self.now), name)
         else:
             raise AssertionError("something is due without end")
@@ -66,6 +68,6 @@
 
     def deadlines(self) -> list[int]:
         """When something is due at a lease client or a part."""
-        deadlines = [asker.deadline() for asker in self.askers.values()]
+        deadlines = [client.deadline() for client in self.lease_clients.values()]
         deadlines += [part.deadline(self.now) for part in self.parts.values()]
         return [at for at in deadlines if at is not None]
--- a/workbench/explore/uses.py
+++ b/workbench/explore/uses.py
@@ -4,7 +4,7 @@
 python -m workbench.explore.uses remeasure --seeds 10 --jobs 8
 python -m workbench.explore.uses zone-lost --seeds 10 --jobs 8
 
-On the virtual clock: 50 front nodes, their duties between them, and the world's servers and clients.
+On the virtual clock: 50 front nodes, their leases between them, and the world's servers and clients.
 """
 
 from __future__ import annotations
