--- a/balancer/fleet/component.py
+++ b/balancer/fleet/component.py
@@ -17,7 +17,7 @@
 from typing import Any, Protocol
 
 from balancer.fleet.config import FleetConfig
-from balancer.fleet.membership.codec import Part
+from balancer.fleet.membership.codec import PayloadCodec
 from balancer.fleet.membership.swim import Address, Swim
 from balancer.net.lifecycle import Lifecycle
 from balancer.net.log import Log
@@ -112,7 +112,7 @@
     """
 
     @property
-    def wires(self) -> Sequence[Part]:
+    def wires(self) -> Sequence[PayloadCodec]:
         """Encoders and decoders of this component's message kinds. Read once, before `open`."""
         return ()
 
--- a/balancer/fleet/config.py
+++ b/balancer/fleet/config.py
@@ -9,7 +9,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from balancer.fleet.membership.codec import NAME_MOST, KeyFault, read_key
+from balancer.fleet.membership.claims import MAX_NAME_CHARACTERS
+from balancer.fleet.membership.codec import InvalidKeyError, read_key
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.zone_routing.settings import ZoneSettings
 
@@ -73,7 +74,7 @@
             if key not in known:
                 self.faults.append(f"{self.where}.{key}: unknown key: known are {', '.join(known)}")
 
-    def text(self, key: str, default: str | None = None, most: int = NAME_MOST) -> str:
+    def text(self, key: str, default: str | None = None, most: int = MAX_NAME_CHARACTERS) -> str:
         value = self.table.get(key, default)
         if isinstance(value, str) and (0 < len(value) <= most or value == default):
             return value
@@ -123,7 +124,7 @@
             return b""
         try:
             return read_key(Path(path))
-        except KeyFault as e:
+        except InvalidKeyError as e:
             self.faults.append(f"{self.where}.{key}: {e}")
             return b""
 
@@ -176,7 +177,7 @@
 
 def voters(s: Section, key: str) -> tuple[str, ...]:
     names = s.listed(key, max(VOTERS))
-    named = all(isinstance(n, str) and 0 < len(n) <= NAME_MOST for n in names)
+    named = all(isinstance(n, str) and 0 < len(n) <= MAX_NAME_CHARACTERS for n in names)
     if not named or len(set(names)) != len(names):
         s.fault(key, names, "must be names, none of them twice")
     elif len(names) not in VOTERS:
--- a/balancer/fleet/leases/component.py
+++ b/balancer/fleet/leases/component.py
@@ -8,7 +8,7 @@
 from balancer.fleet.component import Component, Outgoing, Runtime, addressed
 from balancer.fleet.leases.names import FREQUENT_PREFIXES
 from balancer.fleet.leases.part import Duties
-from balancer.fleet.membership.codec import Part
+from balancer.fleet.membership.codec import PayloadCodec
 from balancer.fleet.membership.swim import Address
 
 
@@ -21,7 +21,7 @@
         self.unix_offset = 0  # from the monotonic clock to Unix time, as it stood when this life began
 
     @property
-    def wires(self) -> Sequence[Part]:
+    def wires(self) -> Sequence[PayloadCodec]:
         return (self.duties.wire,)
 
     def abstains(self, now: int) -> bool:
--- a/balancer/fleet/membership/anti_entropy.py
+++ b/balancer/fleet/membership/anti_entropy.py
@@ -21,9 +21,9 @@
     DigestMessage,
     Kind,
     Message,
+    OutgoingMessage,
     Page,
     Pull,
-    Send,
     room_for_claims,
 )
 from balancer.fleet.membership.rate_limit import RateLimit
@@ -81,9 +81,9 @@
             due = min(due, self.comparison.fall_back_at)
         return due
 
-    def tick(self, now: int) -> list[Send]:
+    def tick(self, now: int) -> list[OutgoingMessage]:
         """Does what is due."""
-        out: list[Send] = []
+        out: list[OutgoingMessage] = []
         if self.transfer is not None and now >= self.transfer.retry_at:
             out += self.retry(now, self.transfer)
         if self.comparison is not None and now >= self.comparison.fall_back_at:
@@ -93,7 +93,7 @@
             out += self.begin(now)
         return out
 
-    def begin(self, now: int) -> list[Send]:
+    def begin(self, now: int) -> list[OutgoingMessage]:
         """Compares views with one member, and asks a seed that isn't known alive: a cut may have healed."""
         # Failure prevented: all start at once, the seed's port is not open yet, and the group finds itself
         # only at the next exchange.
@@ -120,7 +120,7 @@
 
     # ---- messages ------------------------------------------------------------------------------------
 
-    def receive(self, now: int, source: Address, message: AnyMessage) -> list[Send]:
+    def receive(self, now: int, source: Address, message: AnyMessage) -> list[OutgoingMessage]:
         """Answers a message of an exchange, whose claims have been taken in already."""
         if isinstance(message, DigestMessage):
             return self.compare(now, source, message)
@@ -132,7 +132,7 @@
             return self.answer_sync(now, source)
         return []
 
-    def sync(self, to: Address) -> Send:
+    def sync(self, to: Address) -> OutgoingMessage:
         """This instance and as many others as go into a datagram, from a random place on."""
         return self.send(to, Message(Kind.SYNC, self.view.me.name, 0, "", self.some_claims()))
 
@@ -151,7 +151,7 @@
         claims, last = self.view.page(buckets, after, self.room())
         return (self.view.me, *claims), last
 
-    def answer_sync(self, now: int, source: Address) -> list[Send]:
+    def answer_sync(self, now: int, source: Address) -> list[OutgoingMessage]:
         """A few pages in a form that every version reads, and the digest, by which this one pulls the rest.
 
         Beyond the limit one page alone goes out, as an earlier version has no other answer; the asker's next
@@ -159,7 +159,7 @@
         """
         if not self.limit.take(now):
             return [self.sync_ack(source, self.some_claims())]
-        out: list[Send] = []
+        out: list[OutgoingMessage] = []
         after = self.rng.choice(self.view.order)[1] if self.view.order else ""
         remaining = len(self.view.order)
         while True:
@@ -172,16 +172,16 @@
         out.append(self.digest(source, Kind.DIGEST_ACK))
         return out
 
-    def sync_ack(self, to: Address, claims: tuple[Claim, ...]) -> Send:
+    def sync_ack(self, to: Address, claims: tuple[Claim, ...]) -> OutgoingMessage:
         return self.send(to, Message(Kind.SYNC_ACK, self.view.me.name, 0, "", claims))
 
-    def digest(self, to: Address, kind: Kind, seq: int = 0) -> Send:
+    def digest(self, to: Address, kind: Kind, seq: int = 0) -> OutgoingMessage:
         me = self.view.me
         return self.send(to, DigestMessage(kind, me.name, self.view.digest(), (me,), seq))
 
-    def compare(self, now: int, source: Address, message: DigestMessage) -> list[Send]:
+    def compare(self, now: int, source: Address, message: DigestMessage) -> list[OutgoingMessage]:
         """Answers a digest with this view's own, and pulls what differs."""
-        out: list[Send] = []
+        out: list[OutgoingMessage] = []
         if message.kind == Kind.DIGEST:
             out.append(self.digest(source, Kind.DIGEST_ACK, message.seq))
         elif self.comparison is not None and self.comparison.seq == message.seq:
@@ -199,14 +199,14 @@
 
     # ---- pages ---------------------------------------------------------------------------------------
 
-    def pull(self, now: int, transfer: Transfer) -> Send:
+    def pull(self, now: int, transfer: Transfer) -> OutgoingMessage:
         self.seq += 1
         transfer.seq = self.seq
         transfer.retry_at = now + self.jittered(self.timing.ack_within)
         pull = Pull(self.view.me.name, transfer.seq, transfer.buckets, transfer.after)
         return self.send(transfer.source, pull)
 
-    def serve(self, now: int, source: Address, message: Pull) -> list[Send]:
+    def serve(self, now: int, source: Address, message: Pull) -> list[OutgoingMessage]:
         """A page, within the limit; beyond it the asker tries another member."""
         if not self.limit.take(now):
             self.counts.pages_refused += 1
@@ -214,7 +214,7 @@
         claims, last = self.page(message.buckets, message.after)
         return [self.send(source, Page(self.view.me.name, message.seq, last, claims))]
 
-    def proceed(self, now: int, message: Page) -> list[Send]:
+    def proceed(self, now: int, message: Page) -> list[OutgoingMessage]:
         """Asks for the next page."""
         transfer = self.transfer
         if transfer is None or message.seq != transfer.seq:
@@ -228,7 +228,7 @@
         transfer.attempts = 1
         return [self.pull(now, transfer)]
 
-    def retry(self, now: int, transfer: Transfer) -> list[Send]:
+    def retry(self, now: int, transfer: Transfer) -> list[OutgoingMessage]:
         """No page came: the same of another member, a few times."""
         if transfer.attempts >= self.timing.page_attempts:
             self.transfer = None
@@ -238,6 +238,6 @@
             transfer.source = self.random_address()
         return [self.pull(now, transfer)]
 
-    def send(self, to: Address, message: AnyMessage) -> Send:
+    def send(self, to: Address, message: AnyMessage) -> OutgoingMessage:
         self.counts.sent += 1
-        return Send(to, message)
+        return OutgoingMessage(to, message)
--- a/balancer/fleet/membership/codec.py
+++ b/balancer/fleet/membership/codec.py
@@ -27,18 +27,17 @@
 from balancer.fleet.membership.replay_guard import MAX_SKEW, SenderStamps, Verdict
 from balancer.fleet.membership.wire import MembershipWire
 
-__all__ = ["NAME_MOST", "Codec", "KeyFault", "MembershipWire", "Part", "mark", "read_key", "tag"]
+__all__ = ["Codec", "InvalidKeyError", "MembershipWire", "PayloadCodec", "mark", "read_key", "tag"]
 
 VERSION = 1
 HEAD = Struct("<B4sQ")
 TAG_BYTES = 16
 MIN_KEY_BYTES = 16
-NAME_MOST = MAX_NAME_CHARACTERS  # the name that other packages import
 
 Head = tuple[int, str, int, msgspec.Raw]
 
 
-class Part(Protocol):
+class PayloadCodec(Protocol):
     """What makes bodies of one part's messages and reads them."""
 
     kinds: frozenset[int]
@@ -61,7 +60,7 @@
         self.reason = reason
 
 
-class KeyFault(Exception):
+class InvalidKeyError(Exception):
     """A key file that cannot be used: one line."""
 
 
@@ -69,14 +68,14 @@
     """Messages to datagrams and back. `keys`: the one to sign with first, then those still taken. `parts`:
     whose messages go through it; membership's always do."""
 
-    def __init__(self, keys: list[bytes], parts: Sequence[Part] = ()) -> None:
+    def __init__(self, keys: list[bytes], parts: Sequence[PayloadCodec] = ()) -> None:
         if not keys or any(len(k) < MIN_KEY_BYTES for k in keys):
-            raise KeyFault(f"a key of at least {MIN_KEY_BYTES} bytes is needed")
+            raise InvalidKeyError(f"a key of at least {MIN_KEY_BYTES} bytes is needed")
         self.keys = {mark(k): k for k in reversed(keys[:2])}
         self.signing = keys[0]
         self.encoder = msgspec.msgpack.Encoder()
         self.decoder = msgspec.msgpack.Decoder(Head)
-        self.parts: dict[int, Part] = {k: p for p in (MembershipWire(), *parts) for k in p.kinds}
+        self.parts: dict[int, PayloadCodec] = {k: p for p in (MembershipWire(), *parts) for k in p.kinds}
         self.replays = SenderStamps()
         self.stamp = 0
         self.dropped: Counter[str] = Counter()
@@ -158,14 +157,14 @@
 
 
 def read_key(path: Path) -> bytes:
-    """The key in a file that only its owner may read. KeyFault."""
+    """The key in a file that only its owner may read. InvalidKeyError."""
     try:
         found = os.stat(path)
         key = path.read_bytes().strip()
     except OSError as e:
-        raise KeyFault(f"{path}: {e.strerror}") from None
+        raise InvalidKeyError(f"{path}: {e.strerror}") from None
     if stat.S_IMODE(found.st_mode) & 0o077:
-        raise KeyFault(f"{path}: others may read it: chmod 600 it")
+        raise InvalidKeyError(f"{path}: others may read it: chmod 600 it")
     if not MIN_KEY_BYTES <= len(key) <= 64:
-        raise KeyFault(f"{path}: a key has {MIN_KEY_BYTES} to 64 bytes, this one {len(key)}")
+        raise InvalidKeyError(f"{path}: a key has {MIN_KEY_BYTES} to 64 bytes, this one {len(key)}")
     return key
--- a/balancer/fleet/membership/messages.py
+++ b/balancer/fleet/membership/messages.py
@@ -107,7 +107,7 @@
 
 
 @dataclass(frozen=True)
-class Send:
+class OutgoingMessage:
     """A datagram to be sent."""
 
     to: Address
--- a/balancer/fleet/membership/swim.py
+++ b/balancer/fleet/membership/swim.py
@@ -29,7 +29,7 @@
     AnyMessage,
     Kind,
     Message,
-    Send,
+    OutgoingMessage,
     room_for_claims,
 )
 from balancer.fleet.membership.suspicion import Suspicion
@@ -37,7 +37,18 @@
 from balancer.fleet.membership.timing import Timing
 from balancer.fleet.membership.view import Member, View, claim_size
 
-__all__ = ["Address", "Claim", "Counts", "Kind", "Member", "Message", "Send", "Status", "Swim", "Timing"]
+__all__ = [
+    "Address",
+    "Claim",
+    "Counts",
+    "Kind",
+    "Member",
+    "Message",
+    "OutgoingMessage",
+    "Status",
+    "Swim",
+    "Timing",
+]
 
 
 WHOLE_VIEW = (Kind.SYNC_ACK, Kind.PAGE)  # kinds that carry what the sender holds, new or not
@@ -153,11 +164,11 @@
         deadline = self.deadlines.next()
         return due if deadline is None else min(due, deadline)
 
-    def tick(self, now: int) -> list[Send]:
+    def tick(self, now: int) -> list[OutgoingMessage]:
         """Does what is due. A clock that has leapt ahead makes one period late, not many at once."""
         if self.me.status != Status.ALIVE:
             return []
-        out: list[Send] = []
+        out: list[OutgoingMessage] = []
         for name in self.deadlines.pop_due(now):
             self.expire(now, name)
         probe = self.probe
@@ -178,7 +189,7 @@
         self.updates.remove(name)
         self.publish("forgotten", claim)
 
-    def begin_period(self, now: int) -> list[Send]:
+    def begin_period(self, now: int) -> list[OutgoingMessage]:
         probe, self.probe = self.probe, None
         if probe is not None and not probe.acked:
             self.suspect(now, probe.target)
@@ -208,7 +219,7 @@
     def may_retry(self, probe: Probe) -> bool:
         return not probe.acked and probe.retries < self.timing.retries
 
-    def retry(self, now: int, probe: Probe) -> list[Send]:
+    def retry(self, now: int, probe: Probe) -> list[OutgoingMessage]:
         """No ack yet: the target is pinged again, the first time by others too.
 
         Failure prevented: where three datagrams in ten are lost, one probe in five fails, and the claims and
@@ -222,7 +233,7 @@
         ping = self.send(member.claim.address, Kind.PING, probe.seq, about=probe.target)
         return [ping] if probe.retries > 1 else [ping, *self.ask_others(probe)]
 
-    def ask_others(self, probe: Probe) -> list[Send]:
+    def ask_others(self, probe: Probe) -> list[OutgoingMessage]:
         """Some random members are asked to ping the probe's target."""
         living = self.view.living
         drawn = self.rng.sample(living, min(self.timing.helpers + 1, len(living)))
@@ -233,7 +244,7 @@
 
     # ---- messages ------------------------------------------------------------------------------------
 
-    def receive(self, now: int, source: Address, message: AnyMessage) -> list[Send]:
+    def receive(self, now: int, source: Address, message: AnyMessage) -> list[OutgoingMessage]:
         """Takes a message in. `source` is where it came from; an answer goes there."""
         if self.me.status != Status.ALIVE or message.sender == self.me.name:
             return []
@@ -251,7 +262,7 @@
                 self.updates.remove(claim.name)
         return [*self.tell_of_earlier_life(source, message), *self.answer(now, source, message)]
 
-    def answer(self, now: int, source: Address, message: AnyMessage) -> list[Send]:
+    def answer(self, now: int, source: Address, message: AnyMessage) -> list[OutgoingMessage]:
         """What a message asks for, after its claims have been taken in."""
         if isinstance(message, Accusations):
             for accusation in message.accusations:
@@ -269,7 +280,7 @@
             return self.anti_entropy.receive(now, source, message)
         return []
 
-    def relay(self, now: int, source: Address, message: Message) -> list[Send]:
+    def relay(self, now: int, source: Address, message: Message) -> list[OutgoingMessage]:
         """Pings a member on another's behalf."""
         target = self.members.get(message.target)
         if target is None:
@@ -278,7 +289,7 @@
         self.relays[self.seq] = Relay(source, message.seq, now + self.timing.period)
         return [self.send(target.claim.address, Kind.PING, self.seq, about=message.target)]
 
-    def acked(self, message: Message) -> list[Send]:
+    def acked(self, message: Message) -> list[OutgoingMessage]:
         probe = self.probe
         if probe is not None and message.seq == probe.seq:
             # Failure prevented: a helper's ack comes under its own name, and nobody else's ack may stand for
@@ -288,11 +299,11 @@
         relay = self.relays.pop(message.seq, None)
         return [self.send(relay.to, Kind.ACK, relay.seq)] if relay is not None else []
 
-    def send(self, to: Address, kind: Kind, seq: int, target: str = "", about: str = "") -> Send:
+    def send(self, to: Address, kind: Kind, seq: int, target: str = "", about: str = "") -> OutgoingMessage:
         """A message with the updates that have been sent least, and what is held of whom it goes to, if that
         is bad."""
         self.counts.sent += 1
-        return Send(to, Message(kind, self.me.name, seq, target, self.piggyback(target, about)))
+        return OutgoingMessage(to, Message(kind, self.me.name, seq, target, self.piggyback(target, about)))
 
     def piggyback(self, target: str, about: str) -> tuple[Claim, ...]:
         """The claims that ride on a message: as many as go into its datagram."""
@@ -346,7 +357,7 @@
             self.me = Claim(self.me.name, self.me.address, Status.ALIVE, claim.incarnation + 1)
             self.publish("refuted", claim)
 
-    def tell_of_earlier_life(self, source: Address, message: AnyMessage) -> list[Send]:
+    def tell_of_earlier_life(self, source: Address, message: AnyMessage) -> list[OutgoingMessage]:
         """What is held of the sender, if that is newer than its message says: it may take a higher
         incarnation at once.
 
@@ -363,7 +374,7 @@
         told = held.claim
         if message.kind == Kind.SYNC and told.status == Status.ALIVE:
             told = replace(told, status=Status.SUSPECT)
-        return [Send(source, Message(Kind.ACK, self.me.name, 0, "", (self.me, told)))]
+        return [OutgoingMessage(source, Message(Kind.ACK, self.me.name, 0, "", (self.me, told)))]
 
     def schedule(self, now: int, claim: Claim) -> None:
         """Sets the deadline that goes with a member's new status."""
@@ -406,7 +417,7 @@
             self.deadlines.set(claim.name, suspicion.deadline())
             self.accusations.add(claim.name)
 
-    def accuse_to(self, to: Address) -> list[Send]:
+    def accuse_to(self, to: Address) -> list[OutgoingMessage]:
         """The suspicions whose accusers are still to be passed on; none in calm."""
         accusations: list[Accusation] = []
         room = room_for_claims(self.me.name)
@@ -421,9 +432,9 @@
         if not accusations:
             return []
         self.counts.sent += 1
-        return [Send(to, Accusations(self.me.name, tuple(accusations)))]
+        return [OutgoingMessage(to, Accusations(self.me.name, tuple(accusations)))]
 
-    def leave(self) -> list[Send]:
+    def leave(self) -> list[OutgoingMessage]:
         """SIGTERM: tells a few members, who tell the others. Nothing is sent or heard after this."""
         self.me = Claim(self.me.name, self.me.address, Status.LEFT, self.me.incarnation)
         living = self.view.living
--- a/balancer/fleet/operator_pages.py
+++ b/balancer/fleet/operator_pages.py
@@ -13,7 +13,7 @@
 
 from balancer.fleet.component import Outgoing, Runtime
 from balancer.fleet.leases.names import is_reserved
-from balancer.fleet.membership.codec import NAME_MOST
+from balancer.fleet.membership.claims import MAX_NAME_CHARACTERS
 from balancer.fleet.policy_adapter import PolicyAdapter
 
 if TYPE_CHECKING:
@@ -72,7 +72,7 @@
         if self.duties is None or not self.runtime.is_open:
             return NO_VOTERS
         duty, script = parameters(query, "duty", "script")
-        if not all(0 < len(name) <= NAME_MOST for name in (duty, script)):
+        if not all(0 < len(name) <= MAX_NAME_CHARACTERS for name in (duty, script)):
             return 400, b"duty, script: must be names of 1 to 64 characters\n"
         if is_reserved(duty):
             return 400, b"duty: replace, probe.* and remeasure.* are the fleet's own\n"
--- a/balancer/fleet/policy_adapter.py
+++ b/balancer/fleet/policy_adapter.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Any
 
 from balancer.fleet.config import FleetConfig
-from balancer.fleet.membership.codec import Part
+from balancer.fleet.membership.codec import PayloadCodec
 from balancer.policy.interface import ListKind, Outcome, ServerEntry, Settings
 
 if TYPE_CHECKING:
@@ -59,9 +59,9 @@
                 config, config.zones, settings, now, wall, schedule, log_line, self.publish_shares
             )
 
-    def wires(self) -> list[Part]:
+    def wires(self) -> list[PayloadCodec]:
         """Probes' messages are read by all that have voters, whether they probe themselves or not."""
-        wires: list[Part] = []
+        wires: list[PayloadCodec] = []
         if self.config.voters:
             from balancer.fleet.health_checks.messages import ProbeWire
 
--- a/balancer/fleet/policy_component.py
+++ b/balancer/fleet/policy_component.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from balancer.fleet.component import Component, Outgoing, Runtime, addressed
-from balancer.fleet.membership.codec import Part
+from balancer.fleet.membership.codec import PayloadCodec
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.policy_adapter import PolicyAdapter
 
@@ -23,7 +23,7 @@
         self.duties = duties
 
     @property
-    def wires(self) -> Sequence[Part]:
+    def wires(self) -> Sequence[PayloadCodec]:
         return self.adapter.wires()
 
     def open(self) -> None:
--- a/balancer/fleet/registry.py
+++ b/balancer/fleet/registry.py
@@ -10,7 +10,7 @@
 from typing import Any, TypeVar
 
 from balancer.fleet.component import Component
-from balancer.fleet.membership.codec import Part
+from balancer.fleet.membership.codec import PayloadCodec
 from balancer.fleet.membership.swim import Kind
 
 MEMBERSHIP_KINDS = frozenset(int(kind) for kind in Kind)
@@ -31,7 +31,7 @@
         """Raises DuplicateKind."""
         self.report = report
         self.ordered = list(components)
-        self.wires: list[Part] = []
+        self.wires: list[PayloadCodec] = []
         self.owners: dict[int, Component] = {}  # by message kind
         for component in self.ordered:
             for wire in component.wires:
--- a/balancer/fleet/rolling_update/component.py
+++ b/balancer/fleet/rolling_update/component.py
@@ -8,7 +8,7 @@
 from balancer.fleet.component import Component, Outgoing, Runtime, addressed
 from balancer.fleet.leases.component import DutiesComponent
 from balancer.fleet.leases.names import REPLACEMENT
-from balancer.fleet.membership.codec import Part
+from balancer.fleet.membership.codec import PayloadCodec
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.rolling_update.decisions import MOST, Replacement
 from balancer.fleet.rolling_update.messages import ReplaceWire, State
@@ -27,7 +27,7 @@
         self.ended = False
 
     @property
-    def wires(self) -> Sequence[Part]:
+    def wires(self) -> Sequence[PayloadCodec]:
         return (ReplaceWire(),)
 
     def open(self) -> None:
--- a/balancer/fleet/runtime.py
+++ b/balancer/fleet/runtime.py
@@ -21,7 +21,7 @@
 from balancer.fleet.member_table import member_table, spelled
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.replay_guard import Received
-from balancer.fleet.membership.swim import Address, Claim, Send, Swim, Timing
+from balancer.fleet.membership.swim import Address, Claim, OutgoingMessage, Swim, Timing
 from balancer.fleet.operator_pages import OperatorPages
 from balancer.fleet.registry import MEMBERSHIP_KINDS, Registry
 from balancer.net.lifecycle import Lifecycle
@@ -235,7 +235,7 @@
         component = self.components.owner(message.kind)
         return component.received(self.now(), self.config.advertise, message) if component is not None else ()
 
-    def send_membership(self, sends: Sequence[Send]) -> None:
+    def send_membership(self, sends: Sequence[OutgoingMessage]) -> None:
         for send in sends:
             self.transmit(send.message, send.to)
 
--- a/balancer/fleet/zone_membership/component.py
+++ b/balancer/fleet/zone_membership/component.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from balancer.fleet.component import Component, Outgoing, Runtime, addressed
-from balancer.fleet.membership.codec import Part
+from balancer.fleet.membership.codec import PayloadCodec
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.zone_membership.decisions import Federation
 from balancer.fleet.zone_membership.messages import FederationWire
@@ -26,7 +26,7 @@
         self.federation: Federation | None = None
 
     @property
-    def wires(self) -> Sequence[Part]:
+    def wires(self) -> Sequence[PayloadCodec]:
         return (FederationWire(),)
 
     def open(self) -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,7 +9,7 @@
 
 from balancer.fleet.membership.advice import Advice
 from balancer.fleet.membership.claims import overrides
-from balancer.fleet.membership.codec import Codec, KeyFault, read_key
+from balancer.fleet.membership.codec import Codec, InvalidKeyError, read_key
 from balancer.fleet.membership.swim import Claim, Kind, Message, Status, Swim
 from workbench.explore.members import KEY, Net
 
@@ -209,7 +209,7 @@
         path.write_bytes(data)
         path.chmod(mode)
     if word:
-        with pytest.raises(KeyFault, match=word):
+        with pytest.raises(InvalidKeyError, match=word):
             read_key(path)
     else:
         assert read_key(path) == data
--- a/tests/test_membership_scale.py
+++ b/tests/test_membership_scale.py
@@ -18,9 +18,9 @@
     DigestMessage,
     Kind,
     Message,
+    OutgoingMessage,
     Page,
     Pull,
-    Send,
 )
 from balancer.fleet.membership.rate_limit import RateLimit
 from balancer.fleet.membership.suspicion import Suspicion
@@ -48,7 +48,7 @@
     return swim
 
 
-def pump(swims: list[Swim], sends: list[tuple[Swim, Send]], now: int) -> list[Send]:
+def pump(swims: list[Swim], sends: list[tuple[Swim, OutgoingMessage]], now: int) -> list[OutgoingMessage]:
     """Delivers datagrams and their answers until none is left; returns all."""
     by_address = {s.me.address: s for s in swims}
     delivered = []
@@ -92,7 +92,7 @@
         total = 0
         for period in range(12, 30):
             now = period * SEC
-            sends: list[Send] = []
+            sends: list[OutgoingMessage] = []
             total += opcodes(lambda s=swim, n=now, out=sends: out.extend(s.tick(n)))
             for send in sends:
                 if send.message.kind == Kind.PING:
@@ -342,7 +342,7 @@
         self.rng = Random(address[1])
 
     def join(self):
-        return [Send(seed, self.all(Kind.SYNC)) for seed in self.seeds]
+        return [OutgoingMessage(seed, self.all(Kind.SYNC)) for seed in self.seeds]
 
     def all(self, kind):
         claims = list(self.known.values())
@@ -356,8 +356,8 @@
             if claim.name != self.me.name:
                 self.known[claim.name] = claim
         if message.kind == Kind.PING:
-            return [Send(source, Message(Kind.ACK, self.me.name, message.seq, "", (self.me,)))]
-        return [Send(source, self.all(Kind.SYNC_ACK))] if message.kind == Kind.SYNC else []
+            return [OutgoingMessage(source, Message(Kind.ACK, self.me.name, message.seq, "", (self.me,)))]
+        return [OutgoingMessage(source, self.all(Kind.SYNC_ACK))] if message.kind == Kind.SYNC else []
 
 
 def test_an_earlier_version_joins_through_this_one():
--- a/workbench/explore/members.py
+++ b/workbench/explore/members.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from balancer.fleet.membership.codec import Codec
-from balancer.fleet.membership.swim import Address, Send, Status, Swim
+from balancer.fleet.membership.swim import Address, OutgoingMessage, Status, Swim
 from workbench.simulator.heap import HeapClock
 
 DELAY = 2_000  # mean of a datagram's way, microseconds
@@ -72,7 +72,7 @@
             self.transmit(address, swim.tick(self.clock.now))
             self.clock.call_at(max(self.clock.now + 1, swim.due()), self.on_timer, what)
 
-    def transmit(self, source: Address, sends: list[Send]) -> None:
+    def transmit(self, source: Address, sends: list[OutgoingMessage]) -> None:
         if sends:
             self.sent[source, self.clock.now // 1_000_000] += len(sends)
         for send in sends:
--- a/workbench/explore/regional.py
+++ b/workbench/explore/regional.py
@@ -9,7 +9,7 @@
 from time import process_time_ns
 from typing import Any
 
-from balancer.fleet.membership.codec import Codec, Part
+from balancer.fleet.membership.codec import Codec, PayloadCodec
 from balancer.fleet.membership.swim import Address
 from workbench.simulator.heap import HeapClock
 
@@ -47,7 +47,7 @@
     """Endpoints on one clock. A message goes through its endpoints' codecs: that of the present version, with
     `parts`, or that of an old one, which knows membership's messages alone."""
 
-    def __init__(self, seed: int, loss: float = 0.0, parts: Sequence[Part] = ()) -> None:
+    def __init__(self, seed: int, loss: float = 0.0, parts: Sequence[PayloadCodec] = ()) -> None:
         self.clock = HeapClock(START)
         self.rng = Random(seed)
         self.loss = loss
--- a/workbench/explore/zone_members.py
+++ b/workbench/explore/zone_members.py
@@ -8,7 +8,7 @@
 from time import process_time_ns
 from typing import Any
 
-from balancer.fleet.membership.swim import Address, Claim, Send, Status, Swim
+from balancer.fleet.membership.swim import Address, Claim, OutgoingMessage, Status, Swim
 from balancer.fleet.zone_membership.decisions import Federation, Group
 from balancer.fleet.zone_membership.messages import FederationMessage, FederationWire
 from balancer.fleet.zone_membership.records import Event, Freshness
@@ -135,7 +135,7 @@
         for to, message in out:
             self.fleet.network.send(self.address, to, message)
 
-    def timed_swim(self, act: Callable[..., list[Send]], *what: Any) -> None:
+    def timed_swim(self, act: Callable[..., list[OutgoingMessage]], *what: Any) -> None:
         began = process_time_ns()
         out = act(*what)
         self.swim_cpu_ns += process_time_ns() - began
--- a/workbench/scale/member.py
+++ b/workbench/scale/member.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from balancer.fleet.membership.codec import Codec
-from balancer.fleet.membership.swim import Claim, Kind, Message, Send, Status, Swim
+from balancer.fleet.membership.swim import Claim, Kind, Message, OutgoingMessage, Status, Swim
 from workbench.explore.members import KEY
 from workbench.scale.membership import Row, stop_spreading
 
@@ -93,7 +93,7 @@
             sent += self.put(sends)
         return sent
 
-    def put(self, sends: list[Send]) -> int:
+    def put(self, sends: list[OutgoingMessage]) -> int:
         """Encodes what the member sends; those pinged answer at once."""
         for send in sends:
             message = send.message
--- a/workbench/scale/membership.py
+++ b/workbench/scale/membership.py
@@ -31,7 +31,7 @@
 import msgspec
 
 from balancer.fleet.membership.codec import Codec
-from balancer.fleet.membership.swim import Address, Claim, Send, Status, Swim
+from balancer.fleet.membership.swim import Address, Claim, OutgoingMessage, Status, Swim
 from workbench.explore.members import DELAY, KEY
 from workbench.simulator.heap import HeapClock
 
@@ -129,7 +129,7 @@
         self.transmit(address, sends)
         self.clock.call_at(max(self.clock.now + 1, due), self.on_timer, what)
 
-    def transmit(self, source: Address, sends: list[Send]) -> None:
+    def transmit(self, source: Address, sends: list[OutgoingMessage]) -> None:
         """Datagrams go out, each with a delay of its own."""
         for send in sends:
             begun = process_time_ns()
