--- a/tests/test_fleet_components.py
+++ b/tests/test_fleet_components.py
@@ -295,8 +295,8 @@
     ("changes", "packages"),
     [
         ({}, set()),
-        ({"zones": {}}, {"zones"}),
-        (VOTERS, {"duties", "replace"}),
+        ({"zones": {}}, {"zone_routing"}),
+        (VOTERS, {"leases", "rolling_update"}),
     ],
 )
 def test_a_component_that_is_not_asked_for_is_not_imported(tmp_path, changes, packages):
@@ -305,7 +305,13 @@
     out = subprocess.run(
         [sys.executable, "-c", IMPORTED], env=env, capture_output=True, text=True, check=True
     )
-    decisions = ("duties.voter", "probe.decisions", "remeasure.decisions", "replace.decisions")
+    decisions = (
+        "leases.voter",
+        "health_checks.decisions",
+        "min_rtt.decisions",
+        "rolling_update.decisions",
+        "zone_routing.decisions",
+    )
     imported = {name.removeprefix("balancer.fleet.") for name in json.loads(out.stdout)}
-    loaded = {name.split(".")[0] for name in (*decisions, "zones.decisions") if name in imported}
+    loaded = {name.split(".")[0] for name in decisions if name in imported}
     assert loaded == packages
