--- a/balancer/fleet/membership/__init__.py
+++ b/balancer/fleet/membership/__init__.py
@@ -1,6 +1,7 @@
-"""Membership between instances: who is alive, and what others know.
+"""Group membership of the fleet: which instances are alive.
 
-`swim.py` decides, without sockets or clocks, on top of `view.py` (what is held true), `anti_entropy.py`
-(comparing views), `suspicion.py`, `dissemination.py` and `timers.py`; `codec.py` makes datagrams of messages,
-whose bodies `wire.py` packs.
+`swim.py` implements the protocol without sockets or clocks, on top of `view.py` (the state of all members),
+`anti_entropy.py` (comparison of views), `suspicion.py`, `dissemination.py` and `timers.py`. `codec.py`
+encodes messages as datagrams, with payloads from `wire.py` and keys from `keys.py`; `replay_guard.py` rejects
+replays.
 """
--- a/balancer/fleet/membership/advice.py
+++ b/balancer/fleet/membership/advice.py
@@ -1,4 +1,4 @@
-"""Advice on servers: which of them members have ejected, and whose word counts."""
+"""Advice on servers: which of them enough members have ejected."""
 
 from __future__ import annotations
 
@@ -7,49 +7,58 @@
 
 
 @dataclass
-class Fact:
-    """What one member says of a server: advice, with its age."""
+class EjectionReport:
+    """One member's report that it has ejected a server, with the time of its arrival."""
 
     reporter: str
-    at: int
+    received_at: int
 
 
 @dataclass
 class Advice:
-    """Servers that members have ejected. Believed only from enough reporters, and never of too many
-    servers.
+    """Servers that members have ejected, heeded only from enough reporters and for a share of all servers.
 
-    Failure prevented: one lying or mistaken peer takes a server away from everybody, or all peers together
-    take away all servers while everything is slow at once.
+    Failure prevented: one faulty peer makes everybody avoid a server, or all peers together make everybody
+    avoid all servers while everything is slow at once.
+
+    Attributes:
+        quorum: Number of living reporters that a server's ejection requires.
+        max_share: Share of the listed servers that may be ejected.
+        validity: Microseconds for which a report counts.
+        reports: The latest reports, by server and reporter.
     """
 
     quorum: int = 2
     max_share: float = 0.34
-    fresh: int = 10_000_000
-    facts: dict[int, dict[str, Fact]] = field(default_factory=dict)
+    validity: int = 10_000_000
+    reports: dict[int, dict[str, EjectionReport]] = field(default_factory=dict)
 
     def report(self, now: int, reporter: str, server: int, ejected: bool) -> None:
-        """Records a member's report on a server; its latest holds."""
-        reports = self.facts.setdefault(server, {})
+        """Records a member's report on a server, in place of its earlier one."""
+        reports = self.reports.setdefault(server, {})
         if ejected:
-            reports[reporter] = Fact(reporter, now)
+            reports[reporter] = EjectionReport(reporter, now)
         else:
             reports.pop(reporter, None)
 
     def drop(self, reporter: str) -> None:
         """Discards the reports of a member that is gone."""
-        for reports in self.facts.values():
+        for reports in self.reports.values():
             reports.pop(reporter, None)
 
     def ejected(self, now: int, listed: Iterable[int], alive: Iterable[str]) -> list[int]:
-        """Of the servers that the own list names, those that enough living members have ejected lately;
-        those with most reporters first, up to the share."""
+        """Returns the listed servers that enough living members have ejected recently.
+
+        Those with the largest number of reporters come first; the result is limited to `max_share`.
+        """
         servers = sorted(set(listed))
         living = set(alive)
         found = []
         for server in servers:
-            reports = self.facts.get(server, {})
-            count = sum(f.reporter in living and now < f.at + self.fresh for f in reports.values())
+            reports = self.reports.get(server, {})
+            count = sum(
+                r.reporter in living and now < r.received_at + self.validity for r in reports.values()
+            )
             if count >= self.quorum:
                 found.append((-count, server))
         return [server for _, server in sorted(found)][: int(self.max_share * len(servers))]
--- a/balancer/fleet/membership/claims.py
+++ b/balancer/fleet/membership/claims.py
@@ -1,7 +1,7 @@
-"""Claims: what one member says of another, and which of two claims holds.
+"""Claims about the status of members, and their precedence.
 
-Of two claims about a member the one with the higher incarnation holds; of the same incarnation left over dead
-over suspect over alive. Only a member itself raises its incarnation.
+Of two claims about a member the one with the higher incarnation prevails; of the same incarnation, the order
+is left over dead over suspect over alive. Only a member itself raises its incarnation.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 Address = tuple[str, int]
 
-MAX_NAME_CHARACTERS = 64  # of a member or a host
+MAX_NAME_CHARACTERS = 64  # of a member's name or a host
 
 
 class Status(IntEnum):
-    """A claim about a member; of one incarnation the greater holds."""
+    """Status of a member; of one incarnation, the greater prevails."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Claim:
-    """What somebody says of a member."""
+    """A statement about a member's status in one of its incarnations."""
 
     name: str
     address: Address
@@ -33,8 +33,8 @@
     incarnation: int
 
 
-def overrides(new: Claim, held: Claim) -> bool:
-    """Whether a claim takes the place of the one held."""
-    if new.incarnation != held.incarnation:
-        return new.incarnation > held.incarnation
-    return new.status > held.status
+def overrides(new: Claim, current: Claim) -> bool:
+    """Returns whether a claim takes precedence over the current one about the same member."""
+    if new.incarnation != current.incarnation:
+        return new.incarnation > current.incarnation
+    return new.status > current.status
--- a/balancer/fleet/membership/codec.py
+++ b/balancer/fleet/membership/codec.py
@@ -3,9 +3,9 @@
     version (1 byte) | key id (4) | sender's stamp in microseconds (8) | message (MessagePack) | tag (16)
 
 A message is encoded as kind, sender, seq and a payload, whose form the `PayloadCodec` of its kind defines.
-The tag is a keyed BLAKE2b over everything before it. Two keys are valid at a time, so that keys can be rotated
-one instance after the other. A datagram that fails a check is counted by reason and dropped; no input raises.
-Whether an authentic datagram is a replay is decided by `replay_guard.py`.
+The tag is a keyed BLAKE2b over everything before it. Two keys are valid at a time, so that keys can be
+rotated one instance after the other. A datagram that fails a check is counted by reason and dropped; no input
+raises. Whether an authentic datagram is a replay is decided by `replay_guard.py`.
 """
 
 from __future__ import annotations
--- a/balancer/fleet/membership/counts.py
+++ b/balancer/fleet/membership/counts.py
@@ -1,4 +1,4 @@
-"""What has happened in an instance's membership, for an operator's figures."""
+"""Counters of an instance's membership, for the operators' page."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 @dataclass
 class Counts:
-    """Counters since the start."""
+    """Numbers of events since the start."""
 
     sent: int = 0
     received: int = 0
     suspected: int = 0
     refuted: int = 0
     died: int = 0
-    pages_refused: int = 0  # asked of this instance beyond its limit
+    pages_refused: int = 0  # requests to this instance beyond its rate limit
--- a/balancer/fleet/membership/dissemination.py
+++ b/balancer/fleet/membership/dissemination.py
@@ -1,34 +1,34 @@
-"""Updates that ride on other messages, least-sent first."""
+"""Updates to be piggybacked on other messages, least-sent first."""
 
 from __future__ import annotations
 
 
 class Dissemination:
-    """Names of the members whose updates are still to be passed on, in buckets by the number of times sent.
+    """Names of the members whose updates are still to be disseminated, in buckets by transmission count.
 
-    Choosing those for a datagram costs what the datagram carries, not what waits.
+    The cost of choosing updates for a datagram depends on their number in it, not on the number pending.
     """
 
     def __init__(self) -> None:
-        self.times: dict[str, int] = {}
+        self.transmissions: dict[str, int] = {}
         self.buckets: list[dict[str, None]] = []
         self.lowest = 0  # no bucket below this one holds a name
 
     def add(self, name: str) -> None:
-        """A new update about a member: it has not been sent yet."""
+        """Adds a new update about a member, in place of an earlier one."""
         self.remove(name)
         self.put(name, 0)
 
     def remove(self, name: str) -> None:
-        """Nothing about this member need be passed on any more."""
-        times = self.times.pop(name, None)
-        if times is not None:
-            del self.buckets[times][name]
+        """Removes a member's update, if there is one."""
+        count = self.transmissions.pop(name, None)
+        if count is not None:
+            del self.buckets[count][name]
 
     def choose(self, count: int) -> list[str]:
-        """Up to `count` names, the least-sent first; of those the longest waiting."""
+        """Returns up to `count` names, the least-sent first and, among those, the oldest first."""
         chosen: list[str] = []
-        if not self.times or count <= 0:
+        if not self.transmissions or count <= 0:
             return chosen
         while not self.buckets[self.lowest]:
             self.lowest += 1
@@ -39,16 +39,17 @@
                     return chosen
         return chosen
 
-    def sent(self, name: str, maximum: int) -> None:
-        """An update has been sent once more; after `maximum` times it is dropped."""
-        times = self.times[name] + 1
+    def record_sent(self, name: str, max_transmissions: int) -> None:
+        """Records a transmission of an update, which is removed after `max_transmissions`."""
+        count = self.transmissions[name] + 1
         self.remove(name)
-        if times < maximum:
-            self.put(name, times)
+        if count < max_transmissions:
+            self.put(name, count)
 
-    def put(self, name: str, times: int) -> None:
-        while len(self.buckets) <= times:
+    def put(self, name: str, count: int) -> None:
+        """Puts an update into the bucket of its transmission count."""
+        while len(self.buckets) <= count:
             self.buckets.append({})
-        self.times[name] = times
-        self.buckets[times][name] = None
-        self.lowest = min(self.lowest, times)
+        self.transmissions[name] = count
+        self.buckets[count][name] = None
+        self.lowest = min(self.lowest, count)
--- a/balancer/fleet/membership/messages.py
+++ b/balancer/fleet/membership/messages.py
@@ -1,7 +1,7 @@
-"""Membership's messages, before a codec makes datagrams of them.
+"""Membership's messages, independent of their encoding.
 
-A member of an earlier version counts and drops the kinds that it doesn't know; kinds 0 to 4 and their form
-are the ones that every version reads.
+A member of an earlier version counts and drops the kinds that it doesn't know; every version reads kinds 0 to
+4, whose encoding is fixed.
 """
 
 from __future__ import annotations
@@ -12,27 +12,35 @@
 from balancer.fleet.membership.claims import Address, Claim
 
 MAX_DATAGRAM_BYTES = 1200
-ENVELOPE_BYTES = 80  # at most, of a datagram beside its names and claims: header, tag, numbers, lengths
+MAX_ENVELOPE_BYTES = 80  # of a datagram without its names and claims: header, tag, numbers, lengths
 
 
 class Kind(IntEnum):
-    """What a message is. Numbers from 16 on are other components'."""
+    """Kinds of messages. Numbers from 16 on belong to other components."""
 
     PING = 0
     ACK = 1
-    PING_REQ = 2  # ping `target` for me
-    SYNC = 3  # some of what I know; answer with what you know
+    PING_REQ = 2  # asks the receiver to ping `target`
+    SYNC = 3  # asks for the receiver's view
     SYNC_ACK = 4
-    DIGEST = 5  # my view's digest; answer with yours
+    DIGEST = 5  # the sender's digest; asks for the receiver's
     DIGEST_ACK = 6
-    PULL = 7  # send me a page of claims
+    PULL = 7  # asks for a page of claims
     PAGE = 8
-    ACCUSATIONS = 9  # who suspects whom
+    ACCUSATIONS = 9  # suspicions with the members that support them
 
 
 @dataclass(frozen=True)
 class Message:
-    """Kinds 0 to 4. `seq` pairs an ack with its ping; `target` is whom a PING_REQ is about."""
+    """A message of kinds 0 to 4.
+
+    Attributes:
+        kind: PING, ACK, PING_REQ, SYNC or SYNC_ACK.
+        sender: The sender's name.
+        seq: Number that an ACK repeats from its PING.
+        target: The member that a PING_REQ is about; empty in other kinds.
+        claims: The sender's claim about itself, then those about others.
+    """
 
     kind: Kind
     sender: str
@@ -43,8 +51,15 @@
 
 @dataclass(frozen=True)
 class DigestMessage:
-    """DIGEST and DIGEST_ACK: a number for each bucket of the sender's view, and its claim about itself. `seq`
-    comes back; 0 where a DIGEST_ACK goes with the answer to a SYNC."""
+    """A DIGEST or DIGEST_ACK.
+
+    Attributes:
+        kind: DIGEST or DIGEST_ACK.
+        sender: The sender's name.
+        digest: A number for each bucket of the sender's view.
+        claims: The sender's claim about itself.
+        seq: Number that a DIGEST_ACK repeats from its DIGEST; 0 if it accompanies the answer to a SYNC.
+    """
 
     kind: Kind
     sender: str
@@ -55,7 +70,14 @@
 
 @dataclass(frozen=True)
 class Pull:
-    """Asks for the claims in some buckets (a bit mask) that follow the member named; `seq` comes back."""
+    """A request for a page of claims.
+
+    Attributes:
+        sender: The sender's name.
+        seq: Number that the PAGE repeats.
+        buckets: The buckets to take claims from, as a bit mask.
+        after: The member that the page follows in the order of `View`; empty for the first page.
+    """
 
     sender: str
     seq: int
@@ -65,13 +87,20 @@
 
     @property
     def claims(self) -> tuple[Claim, ...]:
-        """It carries none."""
+        """No claims."""
         return ()
 
 
 @dataclass(frozen=True)
 class Page:
-    """The sender's claim about itself, then those asked for; `last`: none follow."""
+    """A page of claims.
+
+    Attributes:
+        sender: The sender's name.
+        seq: Number of the PULL that it answers.
+        last: Whether no page follows.
+        claims: The sender's claim about itself, then those requested.
+    """
 
     sender: str
     seq: int
@@ -82,7 +111,7 @@
 
 @dataclass(frozen=True)
 class Accusation:
-    """A suspicion, and the members whose own probes support it."""
+    """A suspicion, with the members whose own probes support it."""
 
     claim: Claim
     accusers: tuple[str, ...]
@@ -90,7 +119,7 @@
 
 @dataclass(frozen=True)
 class Accusations:
-    """Goes beside a ping or an ack while suspicions are being passed on."""
+    """Suspicions that are being disseminated; sent beside a ping or an ack."""
 
     sender: str
     accusations: tuple[Accusation, ...]
@@ -99,7 +128,7 @@
 
     @property
     def claims(self) -> tuple[Claim, ...]:
-        """The suspicions alone."""
+        """The claims of the suspicions."""
         return tuple(accusation.claim for accusation in self.accusations)
 
 
@@ -108,12 +137,12 @@
 
 @dataclass(frozen=True)
 class OutgoingMessage:
-    """A datagram to be sent."""
+    """A message to be sent to an address in one datagram."""
 
     to: Address
     message: AnyMessage
 
 
 def claim_capacity(sender: str, names: str = "") -> int:
-    """Bytes that a datagram has for claims, beside its sender and other names."""
-    return MAX_DATAGRAM_BYTES - ENVELOPE_BYTES - len(sender.encode()) - len(names.encode())
+    """Returns the bytes that a datagram has for claims, beside its sender's and other names."""
+    return MAX_DATAGRAM_BYTES - MAX_ENVELOPE_BYTES - len(sender.encode()) - len(names.encode())
--- a/balancer/fleet/membership/rate_limit.py
+++ b/balancer/fleet/membership/rate_limit.py
@@ -1,20 +1,25 @@
-"""A bound on how often something is done."""
+"""A limit on the rate of events."""
 
 from __future__ import annotations
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 
 
 class RateLimit:
-    """A token bucket: `per_second` on the long run, `burst` at once. Time is integer microseconds."""
+    """A token bucket; times are integer microseconds.
+
+    Args:
+        per_second: Long-term rate.
+        burst: Number of events that may happen at once.
+    """
 
     def __init__(self, per_second: int, burst: int) -> None:
-        self.interval = SECOND // per_second
+        self.interval = SECOND_US // per_second
         self.tolerance = self.interval * (burst - 1)
-        self.next_at: int | None = None  # when the next one would come at an even pace
+        self.next_at: int | None = None  # time of the next event at an even rate
 
     def take(self, now: int) -> bool:
-        """Whether one more may be done now; if so it is counted."""
+        """Returns whether one more event may happen now, and if so counts it."""
         at = now if self.next_at is None else max(self.next_at, now)
         if at - now > self.tolerance:
             return False
--- a/balancer/fleet/membership/suspicion.py
+++ b/balancer/fleet/membership/suspicion.py
@@ -1,8 +1,8 @@
-"""How long a member stays suspect: shorter as distinct members confirm it.
+"""The duration of a suspicion, which shortens as distinct members confirm it.
 
 Source: Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection"
-(2017), "local health aware suspicion": the time starts at a maximum, which nobody else's failed probe has yet
-supported, and falls with the logarithm of the number of confirmations to a minimum.
+(2017), "local health aware suspicion": the duration starts at a maximum and decreases
+to a minimum with the logarithm of the number of members whose own probes have failed too.
 """
 
 from __future__ import annotations
@@ -12,10 +12,14 @@
 
 
 class Suspicion:
-    """One member's suspicion as this instance holds it.
-
-    `maximum` and `minimum` are durations in microseconds; `confirmations` is how many members beside the
-    first must have found it unreachable for the minimum to hold. With none to be had the maximum stays.
+    """The suspicion of one member.
+
+    Args:
+        since: When it began.
+        maximum: Its duration without confirmation, in microseconds.
+        minimum: Its duration when fully confirmed, in microseconds.
+        confirmations: Number of members beside the first accuser that confirm it fully; if it is 0 the
+            maximum applies.
     """
 
     __slots__ = ("accusers", "confirmations", "maximum", "minimum", "since")
@@ -25,10 +29,10 @@
         self.maximum = maximum
         self.minimum = minimum
         self.confirmations = confirmations
-        self.accusers: list[str] = []  # members whose own probes failed, in the order heard of
+        self.accusers: list[str] = []  # members whose own probes failed, in order of arrival
 
     def accuse(self, accusers: Iterable[str]) -> bool:
-        """Adds members that suspect of their own; whether there was a new one that counts."""
+        """Adds members whose own probes failed; returns whether one of them is new and counts."""
         before = len(self.accusers)
         for accuser in accusers:
             if len(self.accusers) <= self.confirmations and accuser not in self.accusers:
@@ -36,7 +40,7 @@
         return len(self.accusers) > before
 
     def deadline(self) -> int:
-        """When the member is held dead unless it has refuted."""
+        """Returns when the member is considered dead unless it refutes the suspicion."""
         confirmed = max(0, len(self.accusers) - 1)
         if confirmed == 0:
             return self.since + self.maximum
--- a/balancer/fleet/membership/swim.py
+++ b/balancer/fleet/membership/swim.py
@@ -1,21 +1,24 @@
-"""Who is alive: SWIM with suspicion and incarnation numbers, as a state machine that is handed time and
-messages.
+"""Failure detection and dissemination: SWIM with suspicion and incarnation numbers.
+
+A state machine without sockets or clocks, whose caller passes in time and messages.
 
 Source: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
-Protocol" (DSN 2002); anti-entropy, so that a partition heals, is common practice on top of it. Each period a
-member is pinged, all in a shuffled round; where no ack comes, it is pinged again, and a few others are asked
-to ping it; where none brings an ack by the period's end it is suspected, and dead once nobody, above all not
-itself, has refuted that in time. Updates ride on pings and acks, each as often as some times the logarithm of
-the group's size. Times are integer microseconds.
-
-No operation walks all members in calm: deadlines are in a heap (`timers.py`), updates in buckets
-(`dissemination.py`), members in sorted lists (`view.py`); views are compared by digests (`anti_entropy.py`).
+Protocol" (DSN 2002); anti-entropy, which lets a partition heal, is common practice on top of it. In each
+period one member is pinged, in shuffled rounds over all of them. If it doesn't acknowledge, it is pinged
+again, and a few others are asked to ping it. If there is no ack by the period's end it becomes suspect, and
+dead unless it refutes the suspicion in time. Updates are piggybacked on pings and acks, each a number of
+times proportional to the logarithm of the group's size. Times are integer microseconds.
+
+Without failures no operation iterates over all members: deadlines are in a heap (`timers.py`), updates in
+buckets (`dissemination.py`), members in sorted lists (`view.py`); views are compared by digests
+(`anti_entropy.py`).
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, replace
+from enum import StrEnum
 from math import ceil
 from random import Random
 
@@ -51,12 +54,12 @@
 ]
 
 
-FULL_VIEW_KINDS = (Kind.SYNC_ACK, Kind.PAGE)  # kinds that carry what the sender holds, new or not
+FULL_VIEW_KINDS = (Kind.SYNC_ACK, Kind.PAGE)  # messages with the sender's whole view, new or not
 
 
 @dataclass
 class Probe:
-    """The ping of this period."""
+    """The ping of the present period."""
 
     target: str
     seq: int
@@ -67,27 +70,61 @@
 
 @dataclass
 class Relay:
-    """A ping on another's behalf: whom its ack goes to."""
+    """A ping on another member's behalf.
+
+    Attributes:
+        requester: The address that the ack is passed on to.
+        seq: The number of the request, which that ack repeats.
+        expires_at: When the request is forgotten.
+    """
 
-    to: Address
+    requester: Address
     seq: int
-    until: int
+    expires_at: int
+
+
+class MembershipChange(StrEnum):
+    """A change of this instance's view of a member; its values are written to logs and pages."""
+
+    JOIN = "join"
+    ALIVE = "alive"
+    SUSPECT = "suspect"
+    DEAD = "dead"
+    LEFT = "left"
+    REFUTED = "refuted"  # a claim about this instance
+    FORGOTTEN = "forgotten"
+
+
+ChangeSubscriber = Callable[[MembershipChange, Claim], None]
 
+CHANGES_BY_STATUS = {
+    Status.ALIVE: MembershipChange.ALIVE,
+    Status.SUSPECT: MembershipChange.SUSPECT,
+    Status.DEAD: MembershipChange.DEAD,
+    Status.LEFT: MembershipChange.LEFT,
+}
 
-def ignore_change(what: str, claim: Claim) -> None:
-    """The default subscriber: ignores the change."""
+
+def ignore_change(change: MembershipChange, claim: Claim) -> None:
+    """The default subscriber, which ignores all changes."""
 
 
 class Swim:
-    """One instance's part in the group. Every call may return datagrams to send; `due` says when to `tick`
-    next.
-
-    `incarnation` should be higher than that of the instance's last life: its start in Unix time serves. If
-    it is not, the instance goes above it as soon as anyone tells it of that life.
-    `seeds` are the configured peers, asked for the whole state at the start and again as long as they are
-    not known alive. `publish` is called at each change of what is held true: what it is ("join", "alive",
-    "suspect", "dead", "left", "refuted", "forgotten") and the claim. `first_seq`: where the `seq` of pings
-    begins; acks that come back are proof of liveness if nobody foresees it.
+    """One instance's membership in the group.
+
+    Calls return the messages to send; `due` returns when to call `tick` next.
+
+    Args:
+        name: This instance's name.
+        address: The address at which the others reach it.
+        incarnation: Should be higher than that of an earlier process of this name; the start in Unix time
+            is suitable. Otherwise this instance adopts a higher one once a member reports the earlier one.
+        seeds: Configured peers, asked for the whole view at the start, and again while not known alive.
+        rng: The source of all random decisions.
+        now: The present time.
+        timing: The protocol's parameters.
+        publish: Called at each change of the view, with the change and the claim that caused it.
+        first_seq: Where the `seq` of pings begins. Acks are proof of liveness if it is unpredictable.
     """
 
     def __init__(
@@ -99,7 +136,7 @@
         rng: Random,
         now: int,
         timing: Timing | None = None,
-        publish: Callable[[str, Claim], None] = ignore_change,
+        publish: ChangeSubscriber = ignore_change,
         first_seq: int | None = None,
     ) -> None:
         self.publish = publish
@@ -111,14 +148,14 @@
         self.probe: Probe | None = None
         self.next_period = now + int(self.timing.period * rng.random())
         self.seq = rng.getrandbits(24) if first_seq is None else first_seq
-        self.relays: dict[int, Relay] = {}  # by the seq of our ping
+        self.relays: dict[int, Relay] = {}  # by the seq of this instance's ping
         self.updates = Dissemination()
         self.accusations = Dissemination()
         self.suspicions: dict[str, Suspicion] = {}
-        self.deadlines = Deadlines()  # suspicions' ends, and when the gone are forgotten
+        self.deadlines = Deadlines()  # when suspicions end, and when members that are gone are forgotten
         self.anti_entropy = AntiEntropy(self.view, seeds, rng, now, self.timing, self.counts)
 
-    # ---- what is known -------------------------------------------------------------------------------
+    # ---- the view --------------------------------------------------------------------------------------
 
     @property
     def me(self) -> Claim:
@@ -131,33 +168,33 @@
 
     @property
     def members(self) -> dict[str, Member]:
-        """The other members, by name; to be read only."""
+        """The other members, by name; read-only."""
         return self.view.members
 
     @property
     def seeds(self) -> list[Address]:
-        """The configured peers, without this instance."""
+        """The configured peers except this instance."""
         return self.anti_entropy.seeds
 
     def alive(self) -> list[str]:
-        """The other members held alive or suspect, by name."""
+        """Returns the names of the other members that are alive or suspect."""
         return self.view.living.copy()
 
     def status(self, name: str) -> Status | None:
-        """What is held true of a member; None of one never heard of or forgotten."""
+        """Returns the status of a member; None if it is unknown or forgotten."""
         if name == self.me.name:
             return self.me.status
         member = self.members.get(name)
         return member.claim.status if member else None
 
     def scale(self) -> int:
-        """The logarithm, to base 2 and rounded up, that suspicion and spread go by."""
+        """Returns the binary logarithm of the group's size, rounded up; durations and spread depend on it."""
         return max(1, (len(self.members) + 1).bit_length())
 
     # ---- time ----------------------------------------------------------------------------------------
 
     def due(self) -> int:
-        """When something is to be done next."""
+        """Returns when `tick` is to be called next."""
         due = min(self.next_period, self.anti_entropy.due())
         if self.probe is not None and self.may_retry(self.probe):
             due = min(due, self.probe.retry_at)
@@ -165,7 +202,10 @@
         return due if deadline is None else min(due, deadline)
 
     def tick(self, now: int) -> list[OutgoingMessage]:
-        """Does what is due. A clock that has leapt ahead makes one period late, not many at once."""
+        """Performs what is due.
+
+        After a pause of several periods only one period begins, late, rather than many at once.
+        """
         if self.me.status != Status.ALIVE:
             return []
         out: list[OutgoingMessage] = []
@@ -179,7 +219,7 @@
         return out + self.anti_entropy.tick(now)
 
     def expire(self, now: int, name: str) -> None:
-        """A suspicion has not been refuted in time, or a gone member was kept long enough."""
+        """Handles a deadline: the end of a suspicion that nobody refuted, or of a dead member's record."""
         claim = self.members[name].claim
         if claim.status == Status.SUSPECT:
             self.counts.died += 1
@@ -187,14 +227,15 @@
             return
         self.view.forget(name)
         self.updates.remove(name)
-        self.publish("forgotten", claim)
+        self.publish(MembershipChange.FORGOTTEN, claim)
 
     def begin_period(self, now: int) -> list[OutgoingMessage]:
+        """Ends the present probe and pings the next member."""
         probe, self.probe = self.probe, None
         if probe is not None and not probe.acked:
             self.suspect(now, probe.target)
         self.next_period = max(self.next_period + self.timing.period, now + self.timing.period // 2)
-        self.relays = {seq: relay for seq, relay in self.relays.items() if relay.until > now}
+        self.relays = {seq: relay for seq, relay in self.relays.items() if relay.expires_at > now}
         target = self.next_target()
         if target is None:
             return []
@@ -204,7 +245,10 @@
         return [self.send(to, Kind.PING, self.seq, about=target), *self.accusations_for(to)]
 
     def next_target(self) -> str | None:
-        """All members in a shuffled round, so that each is pinged within two rounds."""
+        """Returns the member to ping next; None if there is none.
+
+        Members are taken in shuffled rounds, so that each is pinged within two rounds.
+        """
         while True:
             if not self.round:
                 self.round = self.alive()
@@ -217,13 +261,14 @@
                 return name
 
     def may_retry(self, probe: Probe) -> bool:
+        """Returns whether a probe is unacknowledged and has retries left."""
         return not probe.acked and probe.retries < self.timing.retries
 
     def retry(self, now: int, probe: Probe) -> list[OutgoingMessage]:
-        """No ack yet: the target is pinged again, the first time by others too.
+        """Pings the target of an unacknowledged probe again, and the first time has others ping it too.
 
         Failure prevented: where three datagrams in ten are lost, one probe in five fails, and the claims and
-        refutations that follow crowd out each other.
+        refutations that follow displace each other.
         """
         probe.retries += 1
         probe.retry_at = now + self.timing.ack_timeout
@@ -234,7 +279,7 @@
         return [ping] if probe.retries > 1 else [ping, *self.ping_indirectly(probe)]
 
     def ping_indirectly(self, probe: Probe) -> list[OutgoingMessage]:
-        """Some random members are asked to ping the probe's target."""
+        """Asks some random members to ping the probe's target."""
         living = self.view.living
         drawn = self.rng.sample(living, min(self.timing.indirect_probes + 1, len(living)))
         chosen = [name for name in drawn if name != probe.target][: self.timing.indirect_probes]
@@ -245,25 +290,25 @@
     # ---- messages ------------------------------------------------------------------------------------
 
     def receive(self, now: int, source: Address, message: AnyMessage) -> list[OutgoingMessage]:
-        """Takes a message in. `source` is where it came from; an answer goes there."""
+        """Processes a message that came from `source`, which any answer is sent to."""
         if self.me.status != Status.ALIVE or message.sender == self.me.name:
             return []
         self.counts.received += 1
         if isinstance(message, Accusations) and message.sender not in self.members:
             # Failure prevented: a process of another zone answers a challenge, and its zone's members are
-            # taken for this one's.
+            # added to this one's.
             return []
         for claim in message.claims:
             known = claim.name in self.members
             self.accept(now, claim)
             if not known and message.kind in FULL_VIEW_KINDS:
-                # Failure prevented: after a storm of joins each member passes all of them on for minutes,
-                # though the others have them from pages too.
+                # Failure prevented: after many simultaneous joins each member disseminates all of them for
+                # minutes, though the others have received them in pages too.
                 self.updates.remove(claim.name)
         return [*self.report_newer_incarnation(source, message), *self.answer(now, source, message)]
 
     def answer(self, now: int, source: Address, message: AnyMessage) -> list[OutgoingMessage]:
-        """What a message asks for, after its claims have been taken in."""
+        """Returns the answer to a message whose claims have been processed already."""
         if isinstance(message, Accusations):
             for accusation in message.accusations:
                 self.accuse(now, accusation.claim, accusation.accusers)
@@ -275,13 +320,13 @@
         elif message.kind == Kind.PING_REQ:
             return self.relay(now, source, message)
         elif message.kind == Kind.ACK:
-            return self.acked(message)
+            return self.receive_ack(message)
         elif message.kind == Kind.SYNC:
             return self.anti_entropy.receive(now, source, message)
         return []
 
     def relay(self, now: int, source: Address, message: Message) -> list[OutgoingMessage]:
-        """Pings a member on another's behalf."""
+        """Pings a member on another member's behalf."""
         target = self.members.get(message.target)
         if target is None:
             return []
@@ -289,92 +334,100 @@
         self.relays[self.seq] = Relay(source, message.seq, now + self.timing.period)
         return [self.send(target.claim.address, Kind.PING, self.seq, about=message.target)]
 
-    def acked(self, message: Message) -> list[OutgoingMessage]:
+    def receive_ack(self, message: Message) -> list[OutgoingMessage]:
+        """Completes this instance's probe, or passes on the ack of a relayed ping."""
         probe = self.probe
         if probe is not None and message.seq == probe.seq:
-            # Failure prevented: a helper's ack comes under its own name, and nobody else's ack may stand for
-            # the target's: the seq is ours alone, and a helper passes on only what the target has acked.
+            # Failure prevented: a relayed ack bears the relay's name, and another member's ack must not count
+            # as the target's: this seq is unique, and a relay only passes on what the target has acked.
             probe.acked = True
             return []
         relay = self.relays.pop(message.seq, None)
-        return [self.send(relay.to, Kind.ACK, relay.seq)] if relay is not None else []
+        return [self.send(relay.requester, Kind.ACK, relay.seq)] if relay is not None else []
 
     def send(self, to: Address, kind: Kind, seq: int, target: str = "", about: str = "") -> OutgoingMessage:
-        """A message with the updates that have been sent least, and what is held of whom it goes to, if that
-        is bad."""
+        """Returns a message with piggybacked claims.
+
+        Args:
+            to: The receiver's address.
+            kind: The kind of message.
+            seq: Its number.
+            target: The member that a PING_REQ is about.
+            about: The receiver's name, if known: a claim that it isn't alive is included, so that it can
+                refute it.
+        """
         self.counts.sent += 1
         return OutgoingMessage(to, Message(kind, self.me.name, seq, target, self.piggyback(target, about)))
 
     def piggyback(self, target: str, about: str) -> tuple[Claim, ...]:
-        """The claims that ride on a message: as many as go into its datagram."""
+        """Returns the claims to piggyback on a message: the least-sent ones, as many as fit."""
         claims = [self.me]
         member = self.members.get(about)
         if member is not None and member.claim.status != Status.ALIVE:
-            claims.append(member.claim)  # it may refute that at once
-        room = claim_capacity(self.me.name, target) - sum(map(claim_size, claims))
-        maximum = ceil(self.timing.spread_factor * self.scale())
+            claims.append(member.claim)
+        remaining_bytes = claim_capacity(self.me.name, target) - sum(map(claim_size, claims))
+        max_transmissions = ceil(self.timing.spread_factor * self.scale())
         for name in self.updates.choose(self.timing.claims_per_message - len(claims)):
             claim = self.members[name].claim
-            room -= claim_size(claim)
-            if room < 0:
+            remaining_bytes -= claim_size(claim)
+            if remaining_bytes < 0:
                 break
             if name != about:
                 claims.append(claim)
-            self.updates.sent(name, maximum)
+            self.updates.record_sent(name, max_transmissions)
         return tuple(claims)
 
     # ---- claims --------------------------------------------------------------------------------------
 
     def accept(self, now: int, claim: Claim) -> None:
-        """Holds a claim true if it overrides what is held; refutes one about this instance."""
+        """Applies a claim if it overrides the present one; refutes it if it is about this instance."""
         if claim.name == self.me.name:
             self.refute(claim)
             return
-        held = self.members.get(claim.name)
-        if held is not None and not overrides(claim, held.claim):
+        known = self.members.get(claim.name)
+        if known is not None and not overrides(claim, known.claim):
             return
-        if held is None and claim.status >= Status.DEAD:
-            # Failure prevented: news of a member long forgotten goes round for ever.
+        if known is None and claim.status >= Status.DEAD:
+            # Failure prevented: claims about a member forgotten long ago circulate for ever.
             return
         self.view.put(claim, now)
         self.schedule(now, claim)
         self.updates.add(claim.name)
-        if held is None or held.claim.status != claim.status:
-            self.publish("join" if held is None else claim.status.name.lower(), claim)
-        if held is None and self.round:
+        if known is None or known.claim.status != claim.status:
+            self.publish(MembershipChange.JOIN if known is None else CHANGES_BY_STATUS[claim.status], claim)
+        if known is None and self.round:
             self.round.insert(int(self.rng.random() * (len(self.round) + 1)), claim.name)
 
     def refute(self, claim: Claim) -> None:
-        """Overrides a claim that this instance is not alive, or that is of an earlier life.
+        """Overrides a claim that this instance is not alive, or that has a higher incarnation.
 
-        An earlier life's claim, be it that it is alive, may have a higher incarnation than this life began
-        with: the wall clock was stepped back in between. This life goes just above it, so that the next one
-        can go above this.
+        A higher incarnation is that of an earlier process of this name, if the wall clock was stepped back
+        between their starts. This process adopts the number just above it, so that the next one can go above
+        this one's.
         """
-        earlier_life = claim.incarnation > self.me.incarnation
-        if earlier_life or (claim.status != Status.ALIVE and claim.incarnation == self.me.incarnation):
+        is_newer = claim.incarnation > self.me.incarnation
+        if is_newer or (claim.status != Status.ALIVE and claim.incarnation == self.me.incarnation):
             self.counts.refuted += 1
             self.me = Claim(self.me.name, self.me.address, Status.ALIVE, claim.incarnation + 1)
-            self.publish("refuted", claim)
+            self.publish(MembershipChange.REFUTED, claim)
 
     def report_newer_incarnation(self, source: Address, message: AnyMessage) -> list[OutgoingMessage]:
-        """What is held of the sender, if that is newer than its message says: it may take a higher
-        incarnation at once.
+        """Reports the incarnation known of a sender, if it is higher than the one in its message.
 
-        To a SYNC, which a life begins with, the claim is at least a suspicion: versions before this refute
-        only that.
+        The sender then adopts a higher one at once. In answer to a SYNC, which a process begins with, the
+        claim is at least a suspicion, since earlier versions refute nothing less.
         """
         own = message.claims[0] if message.claims else None
-        held = self.members.get(message.sender)
-        if own is None or held is None or own.name != message.sender:
+        known = self.members.get(message.sender)
+        if own is None or known is None or own.name != message.sender:
             return []
-        if own.incarnation >= held.claim.incarnation:
+        if own.incarnation >= known.claim.incarnation:
             return []
         self.counts.sent += 1
-        told = held.claim
-        if message.kind == Kind.SYNC and told.status == Status.ALIVE:
-            told = replace(told, status=Status.SUSPECT)
-        return [OutgoingMessage(source, Message(Kind.ACK, self.me.name, 0, "", (self.me, told)))]
+        reported = known.claim
+        if message.kind == Kind.SYNC and reported.status == Status.ALIVE:
+            reported = replace(reported, status=Status.SUSPECT)
+        return [OutgoingMessage(source, Message(Kind.ACK, self.me.name, 0, "", (self.me, reported)))]
 
     def schedule(self, now: int, claim: Claim) -> None:
         """Sets the deadline that goes with a member's new status."""
@@ -390,26 +443,26 @@
             self.deadlines.set(claim.name, now + self.timing.forget_after)
 
     def suspicion(self, now: int) -> Suspicion:
-        """One that begins now, in a group of the present size."""
+        """Returns a suspicion that begins now, with durations for the present size of the group."""
         maximum = int(self.timing.suspect_factor * self.scale() * self.timing.period)
         minimum = max(
             int(maximum * self.timing.suspect_min_share), self.timing.suspect_min_periods * self.timing.period
         )
-        others = len(self.view.living) - 1  # who could confirm: all but the suspect and the first accuser
+        others = len(self.view.living) - 1  # that could confirm it: all but the suspect and the first accuser
         return Suspicion(now, maximum, minimum, min(self.timing.confirmations, others))
 
     def suspect(self, now: int, name: str) -> None:
-        """This instance's own probe of a member has failed."""
+        """Suspects a member that this instance's own probe has not reached."""
         member = self.members.get(name)
         if member is None or member.gone:
             return
-        held = member.claim
-        claim = Claim(name, held.address, Status.SUSPECT, held.incarnation)
+        known = member.claim
+        claim = Claim(name, known.address, Status.SUSPECT, known.incarnation)
         self.accept(now, claim)
         self.accuse(now, claim, (self.me.name,))
 
     def accuse(self, now: int, claim: Claim, accusers: Sequence[str]) -> None:
-        """Counts the members that support a suspicion, which ends sooner the more there are."""
+        """Adds members that support a suspicion; the more there are, the sooner it ends."""
         suspicion = self.suspicions.get(claim.name)
         if suspicion is None or self.members[claim.name].claim.incarnation != claim.incarnation:
             return
@@ -418,24 +471,27 @@
             self.accusations.add(claim.name)
 
     def accusations_for(self, to: Address) -> list[OutgoingMessage]:
-        """The suspicions whose accusers are still to be passed on; none in calm."""
+        """Returns a message with the suspicions that are still to be disseminated, if there are any."""
         accusations: list[Accusation] = []
-        room = claim_capacity(self.me.name)
-        maximum = ceil(self.timing.spread_factor * self.scale())
+        remaining_bytes = claim_capacity(self.me.name)
+        max_transmissions = ceil(self.timing.spread_factor * self.scale())
         for name in self.accusations.choose(self.timing.claims_per_message):
             claim, accusers = self.members[name].claim, tuple(self.suspicions[name].accusers)
-            room -= claim_size(claim) + sum(len(a.encode()) + 2 for a in accusers) + 2
-            if room < 0:
+            remaining_bytes -= claim_size(claim) + sum(len(a.encode()) + 2 for a in accusers) + 2
+            if remaining_bytes < 0:
                 break
             accusations.append(Accusation(claim, accusers))
-            self.accusations.sent(name, maximum)
+            self.accusations.record_sent(name, max_transmissions)
         if not accusations:
             return []
         self.counts.sent += 1
         return [OutgoingMessage(to, Accusations(self.me.name, tuple(accusations)))]
 
     def leave(self) -> list[OutgoingMessage]:
-        """SIGTERM: tells a few members, who tell the others. Nothing is sent or heard after this."""
+        """Announces to a few members, which inform the others, that this instance leaves.
+
+        After this it neither sends nor receives anything.
+        """
         self.me = Claim(self.me.name, self.me.address, Status.LEFT, self.me.incarnation)
         living = self.view.living
         chosen = self.rng.sample(living, min(self.timing.indirect_probes + 2, len(living)))
--- a/balancer/fleet/membership/timers.py
+++ b/balancer/fleet/membership/timers.py
@@ -1,15 +1,18 @@
-"""Deadlines by name: the next one is found without a look at the others."""
+"""Deadlines by name, in a heap."""
 
 from __future__ import annotations
 
 from heapq import heapify, heappop, heappush
 
-SLACK = 64  # obsolete entries that the heap may hold beyond as many as are valid
+MAX_EXCESS_OBSOLETE = 64  # obsolete heap entries beyond the number of valid ones
 
 
 class Deadlines:
-    """At most one deadline for each name. A replaced or cancelled one stays in the heap until it comes to the
-    top or obsolete entries outnumber the valid ones (lazy deletion)."""
+    """A set of deadlines, at most one for each name.
+
+    Deletion is lazy: a replaced or cancelled entry stays in the heap until it reaches the top, or until the
+    obsolete entries outnumber the valid ones.
+    """
 
     def __init__(self) -> None:
         self.at: dict[str, int] = {}
@@ -21,7 +24,7 @@
             return
         self.at[name] = at
         heappush(self.heap, (at, name))
-        if len(self.heap) > 2 * len(self.at) + SLACK:
+        if len(self.heap) > 2 * len(self.at) + MAX_EXCESS_OBSOLETE:
             self.heap = [(at, name) for name, at in self.at.items()]
             heapify(self.heap)
 
@@ -30,7 +33,7 @@
         self.at.pop(name, None)
 
     def next(self) -> int | None:
-        """The earliest deadline; None where there is none."""
+        """Returns the earliest deadline; None if there is none."""
         while self.heap:
             at, name = self.heap[0]
             if self.at.get(name) == at:
@@ -39,7 +42,7 @@
         return None
 
     def pop_due(self, now: int) -> list[str]:
-        """Removes the deadlines that have passed, and returns their names in order of time."""
+        """Removes the deadlines that have passed and returns their names in chronological order."""
         due: list[str] = []
         while (at := self.next()) is not None and at <= now:
             _, name = heappop(self.heap)
--- a/balancer/fleet/membership/timing.py
+++ b/balancer/fleet/membership/timing.py
@@ -1,4 +1,4 @@
-"""The protocol's settings."""
+"""The protocol's parameters."""
 
 from __future__ import annotations
 
@@ -7,23 +7,42 @@
 
 @dataclass(frozen=True)
 class Timing:
-    """Figures of the protocol. Times are integer microseconds."""
+    """Parameters of the protocol. Times are integer microseconds.
+
+    "log(n)" is the binary logarithm of the group's size, rounded up.
+
+    Attributes:
+        period: Between two probes.
+        ack_timeout: Until an unacknowledged ping is repeated, also through other members.
+        retries: Pings of a probe beside the first; `retries * ack_timeout` must be less than `period`.
+        indirect_probes: Members that are asked to ping a target.
+        suspect_factor: Maximum duration of a suspicion, in periods times log(n).
+        suspect_min_share: Share of that duration that remains once the suspicion is fully confirmed...
+        suspect_min_periods: ...but at least this many periods, so that a small group tolerates short pauses.
+        confirmations: Members beside the first accuser that confirm a suspicion fully.
+        spread_factor: Number of transmissions of an update, in multiples of log(n).
+        claims_per_message: Maximum number of claims on a ping or ack, if its datagram holds as many.
+        sync_interval: Maximum time between two comparisons of views.
+        sync_ack_pages: Maximum number of pages that answer a SYNC at once.
+        page_attempts: Requests for one page before the transfer is abandoned.
+        pages_per_second: Long-term limit on the pages that an instance sends.
+        page_burst: Limit on the pages that it sends at once.
+        forget_after: How long a dead member is remembered, so that no old claim revives it.
+    """
 
     period: int = 1_000_000
-    ack_timeout: int = 300_000  # of the period; then the target is pinged again, and others are asked to
-    retries: int = 2  # pings beside the first; so many times `ack_timeout` must be less than the period
-    indirect_probes: int = 3  # members asked to ping for us
-    suspect_factor: float = 4.0  # periods of suspicion at most, times the logarithm of the group's size
-    suspect_min_share: float = 0.25  # share of that which remains once enough members have confirmed it
-    suspect_min_periods: int = (
-        6  # but no less than so many, lest a small group take a short stall for a death
-    )
-    confirmations: int = 3  # that many, beside the first
-    spread_factor: float = 4.0  # times that news rides along, times that logarithm
-    claims_per_message: int = 24  # at most; as many as go into a datagram
-    sync_interval: int = 15_000_000  # in calm
-    sync_ack_pages: int = 4  # that answer a SYNC at once
-    page_attempts: int = 4  # requests for one page before it is given up
-    pages_per_second: int = 50  # that an instance sends others, on the long run
-    page_burst: int = 50  # and at once
-    forget_after: int = 60_000_000  # a dead member is kept so long, lest an old claim revive it
+    ack_timeout: int = 300_000
+    retries: int = 2
+    indirect_probes: int = 3
+    suspect_factor: float = 4.0
+    suspect_min_share: float = 0.25
+    suspect_min_periods: int = 6
+    confirmations: int = 3
+    spread_factor: float = 4.0
+    claims_per_message: int = 24
+    sync_interval: int = 15_000_000
+    sync_ack_pages: int = 4
+    page_attempts: int = 4
+    pages_per_second: int = 50
+    page_burst: int = 50
+    forget_after: int = 60_000_000
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -215,7 +215,7 @@
 
 
 def test_advice_wants_a_quorum_of_the_living_and_leaves_most_servers():
-    advice = Advice(quorum=2, max_share=0.34, fresh=10 * SEC)
+    advice = Advice(quorum=2, max_share=0.34, validity=10 * SEC)
     for reporter, server in (("a", 1), ("a", 1), ("b", 2), ("c", 2), ("b", 9), ("c", 9), ("a", 2)):
         advice.report(0, reporter, server, ejected=True)
     listed, alive = range(1, 7), ["a", "b", "c"]
--- a/tests/test_membership_scale.py
+++ b/tests/test_membership_scale.py
@@ -157,11 +157,11 @@
         rest = [t for n, t in times.items() if n not in chosen]
         assert max((times[n] for n in chosen), default=0) <= min(rest, default=99)
         for sent in chosen:
-            updates.sent(sent, 3)
+            updates.record_sent(sent, 3)
             times[sent] += 1
             if times[sent] == 3:
                 del times[sent]
-    assert updates.times == times
+    assert updates.transmissions == times
 
 
 # ---- joining and comparing ---------------------------------------------------------------------------
@@ -178,7 +178,9 @@
     net = Net(100, 0.0, seed=1)
     net.until(net.complete, 30)
     net.run(10)
-    assert sum(len(s.updates.times) for s in net.members.values()) < 1000  # of 9,900 that were learned
+    assert (
+        sum(len(s.updates.transmissions) for s in net.members.values()) < 1000
+    )  # of 9,900 that were learned
 
 
 def test_pages_beyond_the_limit_are_refused_and_others_are_asked():
@@ -440,7 +442,7 @@
     assert swim.deadlines.at["n3"] < unconfirmed
     swim.accept(SEC, replace(member(3), incarnation=3))
     assert "n3" not in swim.suspicions and "n3" not in swim.deadlines.at
-    assert swim.accusations.times == {}
+    assert swim.accusations.transmissions == {}
 
 
 def test_a_death_is_known_in_half_the_time_that_an_unconfirmed_suspicion_lasts():
