--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -45,16 +45,16 @@
     gone = net.kill(("10.0.0.1", count))
     assert net.until(lambda: not any(gone in s.alive() for s in net.members.values()), 120) < 120
     net.run(60)
-    assert net.wrong() == 0
+    assert net.false_deaths() == 0
 
 
 def test_a_cut_heals_and_a_restart_comes_back_under_its_name():
     net = Net(8, 0.0, seed=2)
     net.until(net.complete, 30)
-    net.cut = {("10.0.0.1", p) for p in (5, 6, 7, 8)}
+    net.partitioned = {("10.0.0.1", p) for p in (5, 6, 7, 8)}
     net.run(40)
-    assert net.wrong() > 0  # each side holds the other dead
-    net.cut = set()
+    assert net.false_deaths() > 0  # each side holds the other dead
+    net.partitioned = set()
     assert net.until(net.complete, 120) < 120
     name = net.kill(("10.0.0.1", 3))
     net.run(30)
--- a/tests/test_membership_scale.py
+++ b/tests/test_membership_scale.py
@@ -29,7 +29,7 @@
 from balancer.fleet.membership.timers import Deadlines
 from balancer.fleet.membership.timing import Timing
 from balancer.fleet.membership.view import ALL_BUCKETS, BUCKETS
-from workbench.explore.members import KEY, Net, storm
+from workbench.explore.members import KEY, Net, measure_join_storm
 
 SEC = 1_000_000
 A, S, D = Status.ALIVE, Status.SUSPECT, Status.DEAD
@@ -169,7 +169,7 @@
 
 def test_a_storm_of_joins_is_bounded_and_soon_over():
     """The bound: a datagram for each SYNC that comes in, 50 pages a second, and the calm's few."""
-    found = storm(standing=20, joining=250)
+    found = measure_join_storm(standing=20, joining=250)
     assert found.joined_s <= 15
     assert found.busiest_member <= 250 + 50 + 50
 
@@ -290,7 +290,7 @@
     net.run(10)
     assert all(s.members["n40"].claim.incarnation >= 9 for s in net.members.values() if s is not back)
     net.run(40)
-    assert net.wrong() == 0
+    assert net.false_deaths() == 0
 
 
 # ---- faulty input ------------------------------------------------------------------------------------
--- a/workbench/explore/members.py
+++ b/workbench/explore/members.py
@@ -1,4 +1,4 @@
-"""Membership on a virtual network: how soon a death is known, how often a living member is taken for dead."""
+"""Membership on a virtual network: detection times, false detections and traffic."""
 
 from __future__ import annotations
 
@@ -8,154 +8,198 @@
 from dataclasses import dataclass
 from random import Random
 from time import process_time
-from typing import Any
 
 from balancer.fleet.membership.codec import Codec
-from balancer.fleet.membership.swim import Address, OutgoingMessage, Status, Swim
+from balancer.fleet.membership.messages import AnyMessage, OutgoingMessage
+from balancer.fleet.membership.swim import Address, Status, Swim
 from workbench.simulator.heap import HeapClock
 
-DELAY = 2_000  # mean of a datagram's way, microseconds
+MEAN_DELAY_US = 2_000  # of a datagram
+SECOND_US = 1_000_000
 KEY = b"a key for the virtual network"
-JOIN_LIMIT = 180.0  # seconds that a group is given to know itself
-KNOWN_LIMIT = 180.0  # and to know of a death
+JOIN_LIMIT_S = 180.0  # within which all members have to know one another
+DETECTION_LIMIT_S = 180.0  # within which all have to know of a death
+SETTLE_BEFORE_STORM_S = 60.0
 
 
 @dataclass
-class Found:
-    """What a run showed; times in seconds, rates a member and second."""
+class GroupMeasurement:
+    """Figures of a group's run; rates are per member and second.
+
+    Attributes:
+        joined_s: Seconds until all members knew one another.
+        known_s: Seconds from a death until all living members knew of it.
+        false_deaths: Claims that a living member is dead, counted at each member.
+        suspicions: Suspicions, counted at each member.
+        datagrams: Rate of datagrams sent.
+        bytes: Rate of bytes sent.
+        cpu_us: Processor time of the simulation, including the network's work and the codec's encoding.
+    """
 
     joined_s: float
-    known_s: float  # from a death until all who live know of it
+    known_s: float
     false_deaths: int
     suspicions: int
     datagrams: float
     bytes: float
-    cpu_us: float  # of this process, the network's own work and the codec's encoding included
+    cpu_us: float
 
 
 @dataclass
-class Storm:
-    """What a storm of joins showed."""
+class JoinStormMeasurement:
+    """Figures of many simultaneous joins.
+
+    Attributes:
+        joined_s: Seconds until all members knew one another.
+        busiest_member: Maximum number of datagrams that a member sent within a second.
+        busiest_seed: The same for the seeds.
+        pages_refused: Requests for pages beyond a member's rate limit.
+    """
 
     joined_s: float
-    busiest_member: int  # most datagrams that one member sent within a second
+    busiest_member: int
     busiest_seed: int
-    refused: int  # pages beyond a member's limit
+    pages_refused: int
+
+
+@dataclass(frozen=True)
+class Transmission:
+    """A message on its way between two addresses."""
+
+    source: Address
+    to: Address
+    message: AnyMessage
 
 
 class Net:
-    """Members on one clock; datagrams are late, and some are lost. `codec`: through real bytes, to count
-    them."""
+    """Members on one virtual clock, with a network that delays datagrams and loses some.
+
+    Args:
+        count: Number of members that start at once; the first three are seeds.
+        loss: Probability that a datagram is lost.
+        seed: Seed of all random decisions.
+        codec: Whether to encode messages, to count their bytes.
+
+    Attributes:
+        partitioned: Addresses that only reach one another, and that the others don't reach.
+    """
 
     def __init__(self, count: int, loss: float, seed: int, codec: bool = False) -> None:
-        self.clock = HeapClock(1_000_000)
+        self.clock = HeapClock(SECOND_US)
         self.rng = Random(seed)
         self.loss = loss
         self.codec = Codec([KEY]) if codec else None
         self.bytes = 0
         self.sent: Counter[tuple[Address, int]] = Counter()  # datagrams by member and second
         self.members: dict[Address, Swim] = {}
-        self.cut: set[Address] = set()
+        self.partitioned: set[Address] = set()
         seeds = [("10.0.0.1", i + 1) for i in range(min(3, count))]
         for i in range(count):
             self.add(("10.0.0.1", i + 1), seeds)
 
     def add(self, address: Address, seeds: list[Address], incarnation: int = 1) -> Swim:
+        """Starts a member and returns it."""
         swim = Swim(f"n{address[1]}", address, incarnation, seeds, Random(self.rng.random()), self.clock.now)
         self.members[address] = swim
-        self.clock.call_at(swim.due(), self.on_timer, (address, swim))
+        self.clock.call_at(swim.due(), self.on_timer, swim)
         return swim
 
-    def on_timer(self, what: tuple[Address, Swim]) -> None:
-        address, swim = what
+    def on_timer(self, swim: Swim) -> None:
+        """Performs what is due at a member, unless it was killed."""
+        address = swim.me.address
         if self.members.get(address) is swim:
             self.transmit(address, swim.tick(self.clock.now))
-            self.clock.call_at(max(self.clock.now + 1, swim.due()), self.on_timer, what)
+            self.clock.call_at(max(self.clock.now + 1, swim.due()), self.on_timer, swim)
 
-    def transmit(self, source: Address, sends: list[OutgoingMessage]) -> None:
-        if sends:
-            self.sent[source, self.clock.now // 1_000_000] += len(sends)
-        for send in sends:
+    def transmit(self, source: Address, outgoing: list[OutgoingMessage]) -> None:
+        """Sends a member's messages."""
+        if outgoing:
+            self.sent[source, self.clock.now // SECOND_US] += len(outgoing)
+        for sent in outgoing:
             if self.codec is not None:
-                self.bytes += len(self.codec.encode(send.message, self.clock.now))
-            if self.rng.random() >= self.loss and (source in self.cut) == (send.to in self.cut):
-                at = self.clock.now + int(DELAY * (0.5 + self.rng.random()))
-                self.clock.call_at(at, self.arrive, (source, send.to, send.message))
-
-    def arrive(self, what: tuple[Address, Address, Any]) -> None:
-        source, to, message = what
-        swim = self.members.get(to)
+                self.bytes += len(self.codec.encode(sent.message, self.clock.now))
+            is_lost = self.rng.random() < self.loss
+            if not is_lost and (source in self.partitioned) == (sent.to in self.partitioned):
+                at = self.clock.now + int(MEAN_DELAY_US * (0.5 + self.rng.random()))
+                self.clock.call_at(at, self.arrive, Transmission(source, sent.to, sent.message))
+
+    def arrive(self, transmission: Transmission) -> None:
+        """Delivers a message, if its receiver is still alive."""
+        swim = self.members.get(transmission.to)
         if swim is not None:
-            self.transmit(to, swim.receive(self.clock.now, source, message))
+            answers = swim.receive(self.clock.now, transmission.source, transmission.message)
+            self.transmit(transmission.to, answers)
 
     def kill(self, address: Address) -> str:
+        """Stops a member without notice and returns its name."""
         return self.members.pop(address).me.name
 
     def run(self, seconds: float) -> None:
-        self.clock.run(self.clock.now + int(seconds * 1e6))
+        """Advances the virtual clock."""
+        self.clock.run(self.clock.now + int(seconds * SECOND_US))
 
-    def until(self, holds: Callable[[], bool], limit: float, step: float = 0.25) -> float:
-        """Seconds until a condition holds, `limit` if it doesn't in that time."""
-        passed = 0.0
-        while passed < limit and not holds():
+    def until(self, condition: Callable[[], bool], limit: float, step: float = 0.25) -> float:
+        """Runs until a condition holds; returns the seconds taken, or `limit` if it doesn't hold by then."""
+        elapsed = 0.0
+        while elapsed < limit and not condition():
             self.run(step)
-            passed += step
-        return passed
+            elapsed += step
+        return elapsed
 
     def complete(self) -> bool:
-        """Whether every member holds every other alive."""
+        """Returns whether each member considers all others alive."""
         return all(len(s.alive()) == len(self.members) - 1 for s in self.members.values())
 
     def knows_gone(self, name: str) -> bool:
-        """Whether no living member holds this one alive any more."""
+        """Returns whether no living member considers this one alive any more."""
         gone = (None, Status.DEAD, Status.LEFT)
         return all(s.status(name) in gone for s in self.members.values())
 
     def total(self, counter: str) -> int:
-        """A counter of all members together."""
+        """Returns the sum of a counter over all members."""
         return sum(getattr(s.counts, counter) for s in self.members.values())
 
-    def wrong(self) -> int:
-        """Living members that somebody holds dead."""
+    def false_deaths(self) -> int:
+        """Returns the number of claims, over all members, that a living one is dead or has left."""
         names = {s.me.name for s in self.members.values()}
         return sum(s.status(n) in (Status.DEAD, Status.LEFT) for s in self.members.values() for n in names)
 
 
-def measure(count: int, loss: float, seed: int = 1, settle: float = 60.0) -> Found:
-    """One group: it joins, runs for `settle` seconds, loses a member."""
+def measure(count: int, loss: float, seed: int = 1, settle: float = 60.0) -> GroupMeasurement:
+    """Measures a group that joins, runs for `settle` seconds and then loses a member."""
     net = Net(count, loss, seed, codec=True)
-    joined = net.until(net.complete, JOIN_LIMIT)
+    joined = net.until(net.complete, JOIN_LIMIT_S)
     sent, suspected, died = net.total("sent"), net.total("suspected"), net.total("died")
     size = net.bytes
-    began = process_time()
+    started = process_time()
     net.run(settle)
     member_seconds = settle * count
-    cpu = (process_time() - began) / member_seconds * 1e6
+    cpu = (process_time() - started) / member_seconds * 1e6
     datagrams = (net.total("sent") - sent) / member_seconds
     traffic = (net.bytes - size) / member_seconds
     suspicions = net.total("suspected") - suspected
     died = net.total("died") - died
     gone = net.kill(("10.0.0.1", count))
-    known = net.until(lambda: net.knows_gone(gone), KNOWN_LIMIT)
-    return Found(joined, known, died, suspicions, datagrams, traffic, cpu)
+    known = net.until(lambda: net.knows_gone(gone), DETECTION_LIMIT_S)
+    return GroupMeasurement(joined, known, died, suspicions, datagrams, traffic, cpu)
 
 
-def storm(standing: int, joining: int, seed: int = 1) -> Storm:
-    """Members that all start at one instant and know three seeds of a standing group."""
+def measure_join_storm(standing: int, joining: int, seed: int = 1) -> JoinStormMeasurement:
+    """Measures the simultaneous start of members that know three seeds of an existing group."""
     net = Net(standing, 0.0, seed)
-    net.until(net.complete, JOIN_LIMIT)
-    net.run(60)
+    net.until(net.complete, JOIN_LIMIT_S)
+    net.run(SETTLE_BEFORE_STORM_S)
     net.sent.clear()
     seeds = list(net.members)[:3]
     for number in range(joining):
         net.add(("10.0.0.1", standing + number + 1), seeds)
-    joined = net.until(net.complete, JOIN_LIMIT)
-    busiest_seed = max(most for (address, _), most in net.sent.items() if address in seeds)
-    return Storm(joined, max(net.sent.values()), busiest_seed, net.total("pages_refused"))
+    joined = net.until(net.complete, JOIN_LIMIT_S)
+    busiest_seed = max(count for (address, _), count in net.sent.items() if address in seeds)
+    return JoinStormMeasurement(joined, max(net.sent.values()), busiest_seed, net.total("pages_refused"))
 
 
 def main() -> None:
-    """A line for each size, loss and seed, as `python -m workbench.explore.members 50 --seeds 1 2`."""
+    """Prints a line for each size, loss and seed, as `python -m workbench.explore.members 50 --seeds 1 2`."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("members", type=int, nargs="*", default=[10, 50])
     parser.add_argument("--loss", type=float, nargs="+", default=[0.0, 0.1, 0.3])
@@ -164,7 +208,7 @@
     parser.add_argument("--storm", type=int, help="so many join each group at one instant, without loss")
     args = parser.parse_args()
     if args.storm is not None:
-        print_storms(args.members, args.storm, args.seeds)
+        print_join_storms(args.members, args.storm, args.seeds)
         return
     print("members  loss  seed  joined s  known s  false deaths  suspicions  datagrams/s  bytes/s  CPU us/s")
     for count in args.members:
@@ -179,14 +223,15 @@
                 )
 
 
-def print_storms(standing: list[int], joining: int, seeds: list[int]) -> None:
+def print_join_storms(standing: list[int], joining: int, seeds: list[int]) -> None:
+    """Prints a line for each size of the existing group and seed."""
     print("standing  joining  seed  joined s  busiest member, datagrams/s  busiest seed  pages refused")
     for count in standing:
         for seed in seeds:
-            s = storm(count, joining, seed)
+            s = measure_join_storm(count, joining, seed)
             print(
                 f"{count:8}  {joining:7}  {seed:4}  {s.joined_s:8.1f}  {s.busiest_member:27}"
-                f"  {s.busiest_seed:12}  {s.refused:13}",
+                f"  {s.busiest_seed:12}  {s.pages_refused:13}",
                 flush=True,
             )
 
--- a/workbench/scale/membership.py
+++ b/workbench/scale/membership.py
@@ -32,7 +32,7 @@
 
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Address, Claim, Status, Swim
-from workbench.explore.members import DELAY, KEY
+from workbench.explore.members import KEY, MEAN_DELAY_US
 from workbench.simulator.heap import HeapClock
 
 if TYPE_CHECKING:  # earlier revisions, which are measured too, have it under another name
@@ -141,7 +141,7 @@
             self.spent.datagrams += 1
             self.spent.bytes += len(data)
             if (source in self.partitioned) == (send.to in self.partitioned):
-                at = self.clock.now + int(DELAY * (0.5 + self.rng.random()))
+                at = self.clock.now + int(MEAN_DELAY_US * (0.5 + self.rng.random()))
                 self.clock.call_at(at, self.arrive, (source, send.to, data))
 
     def arrive(self, what: tuple[Address, Address, bytes]) -> None:
