--- a/tests/test_fleet_clocks.py
+++ b/tests/test_fleet_clocks.py
@@ -1,4 +1,4 @@
-"""Wall clocks are stepped, datagrams are recorded and replayed, versions mix: membership goes on."""
+"""Membership, rolling updates and running nodes while wall clocks step, with earlier versions among them."""
 
 import json
 import os
@@ -14,37 +14,26 @@
 from loopback import PATIENCE, settings
 from test_duties import Members
 from test_fleet import free_udp, section
-from virtual_fleet import HOUR, SEC, EarlierProcess, Process, VirtualFleet, view
+from virtual_fleet import (
+    EARLIER,
+    HERE,
+    HOUR,
+    NEW,
+    SEC,
+    STEPS,
+    VirtualFleet,
+    changes_since,
+    changes_so_far,
+    settled,
+)
 
 from balancer.fleet.clocks import Clocks
-from balancer.fleet.membership import replay_guard
 from balancer.fleet.membership.messages import Accusation, Accusations
-from balancer.fleet.membership.replay_guard import Received, ReplayGuard, StampWindow, Verdict
 from balancer.fleet.membership.swim import Claim, Kind, Message, Status, Swim
 from balancer.fleet.rolling_update.decisions import Replacement
 from balancer.fleet.rolling_update.messages import Plan, ReplaceKind, ReplaceMessage, State
 
-STEPS = (-HOUR, -5 * SEC, 5 * SEC, HOUR)
-NEW, EARLIER = Process, EarlierProcess
 KINDS = [(NEW, NEW, NEW, NEW), (NEW, EARLIER, NEW, EARLIER)]
-ATTACKER = ("10.9.9.9", 9)
-HERE = ("10.0.0.1", 1)
-
-
-def settled(*kinds):
-    """A fleet whose members know one another, and have all proven themselves."""
-    fleet = VirtualFleet(*kinds)
-    assert fleet.until(fleet.complete, 20)
-    fleet.run(20)
-    return fleet
-
-
-def changes_since(fleet, count):
-    return [c for p in fleet.processes.values() for c in p.changes[count[p.name] :]]
-
-
-def changes_so_far(fleet):
-    return {p.name: len(p.changes) for p in fleet.processes.values()}
 
 
 # ---- steps ----------------------------------------------------------------------------------------------
@@ -134,207 +123,6 @@
         assert abs(clocks.wall() - stamp - int(step) * 1000) < HOUR // 2
 
 
-# ---- replays --------------------------------------------------------------------------------------------
-
-
-def test_what_was_recorded_moves_no_view_of_a_running_process():
-    fleet = settled(NEW, NEW, NEW)
-    recorded = list(fleet.recorded)
-    fleet.run(60)
-    target = fleet.processes[HERE]
-    before = view(target), target.swim.me
-    assert fleet.replay(HERE, recorded) == 0 and fleet.replay(HERE, recorded, ATTACKER) == 0
-    fleet.run(5)
-    assert (view(target), target.swim.me) == before and fleet.complete()
-
-
-@pytest.mark.parametrize("source", [None, ATTACKER])
-def test_what_was_recorded_moves_no_view_of_a_process_that_has_just_started(source):
-    """Among the recorded: a member that is gone for long. It does not come back to life."""
-    fleet = settled(NEW, NEW, NEW, NEW)
-    fleet.kill(4)
-    fleet.run(200)
-    recorded = [r for r in fleet.recorded if r[0] < fleet.now - 7 * SEC]
-    fresh = fleet.start(5)
-    fleet.kill(1)
-    fleet.kill(2)
-    fleet.kill(3)
-    assert fleet.replay(fresh.address, recorded, source) == 0 and view(fresh) == {}
-    assert len(fresh.guard.challenges) <= 4
-    # Now with those alive that can answer its challenges: what is old by their own clocks is refused.
-    fleet = settled(NEW, NEW, NEW, NEW)
-    fleet.kill(4)
-    fleet.run(200)
-    recorded = [r for r in fleet.recorded if r[0] < fleet.now - 7 * SEC]
-    fresh = fleet.start(5)
-    assert fleet.replay(fresh.address, recorded, source) == 0
-    for _ in range(20):
-        fleet.run(0.05)
-        assert fleet.replay(fresh.address, recorded, source) == 0
-    assert "n4" not in view(fresh) and set(view(fresh)) <= {"n1", "n2", "n3"}
-
-
-def test_a_forgotten_sender_s_datagrams_do_not_bring_it_back():
-    fleet = settled(NEW, NEW, NEW)
-    fleet.kill(3)
-    recorded = [r for r in fleet.recorded if r[1] == ("10.0.0.1", 3)]
-    fleet.run(200)
-    target = fleet.processes[HERE]
-    assert "n3" not in target.swim.members and "n3" not in target.guard.senders.windows
-    assert fleet.replay(HERE, recorded) == 0 and fleet.replay(HERE, recorded, ATTACKER) == 0
-    fleet.run(5)
-    assert set(view(target)) == {"n2"}
-
-
-@pytest.mark.parametrize("step", STEPS)
-def test_an_earlier_life_s_datagrams_move_nothing_once_the_next_has_proven_itself(step):
-    fleet = settled(NEW, NEW, NEW)
-    fleet.kill(3)
-    recorded = [r for r in fleet.recorded if r[1] == ("10.0.0.1", 3)]
-    fleet.run(40)
-    again = fleet.start(3, offset=step)
-    assert fleet.until(lambda: fleet.believed(again), 10)
-    for source in (None, ATTACKER):
-        fleet.replay(HERE, recorded, source)
-        fleet.run(1)
-    before = changes_so_far(fleet)
-    fleet.run(30)
-    assert fleet.complete() and changes_since(fleet, before) == []
-    assert fleet.processes[HERE].swim.members["n3"].claim == again.swim.me
-
-
-def proven(now=100 * SEC, stamp=5 * SEC, **more):
-    """A guard that knows `a`, by a challenge that took no time."""
-    guard = ReplayGuard("me", 1000, replay_guard.Counter())
-    challenge = guard.admit(now, received("a", stamp, **more)).reply
-    assert challenge.kind == Kind.PING and challenge.claims == ()
-    return guard, guard.admit(now, received("a", stamp + 1, Kind.ACK, challenge.seq, claims=()))
-
-
-ALIVE = Claim("x", ("10.0.0.7", 7), Status.ALIVE, 1)
-
-
-def received(sender, stamp, kind=Kind.PING, seq=0, claims=(ALIVE,), source=("10.0.0.3", 3), size=100):
-    return Received(source, stamp, Message(kind, sender, seq, "", claims), size)
-
-
-def test_a_datagram_is_held_until_its_sender_has_answered():
-    guard, admission = proven()
-    assert [r.stamp for r in admission.accepted] == [5 * SEC] and admission.reply is None
-    assert guard.challenges == {} and guard.challenges_by_source == {} and guard.buffered_bytes == 0
-    assert guard.admit(101 * SEC, received("a", 6 * SEC)).accepted
-    assert guard.admit(101 * SEC, received("a", 6 * SEC)) == replay_guard.REJECTED
-    assert guard.dropped == {"replay": 1}
-
-
-@pytest.mark.parametrize(
-    ("age", "taken"),
-    [(1, True), (replay_guard.MAX_TRANSIT_US, True), (replay_guard.MAX_TRANSIT_US + 2, False)],
-)
-def test_what_was_old_when_its_sender_proved_itself_is_refused(age, taken):
-    guard = ReplayGuard("me", 1000, replay_guard.Counter())
-    challenge = guard.admit(SEC, received("a", 100 * SEC - age)).reply
-    answer = guard.admit(SEC, received("a", 100 * SEC, Kind.ACK, challenge.seq))
-    assert bool(answer.accepted) is taken
-    assert guard.admit(SEC, received("a", 100 * SEC - 1 - replay_guard.MAX_TRANSIT_US)).accepted == ()
-
-
-@pytest.mark.parametrize(
-    "answer",
-    [
-        received("a", 6 * SEC, Kind.ACK, 999),  # not the challenge's number
-        received("b", 6 * SEC, Kind.ACK, 1001),  # another's answer
-        received("a", 6 * SEC, Kind.SYNC, 1001),  # no answer
-    ],
-)
-def test_nothing_else_is_proof(answer):
-    guard = ReplayGuard("me", 1000, replay_guard.Counter())
-    assert guard.admit(SEC, received("a", 5 * SEC)).reply.seq == 1001
-    assert guard.admit(SEC, answer).accepted == () and guard.senders.windows == {}
-
-
-def test_an_ack_of_an_own_ping_is_proof_for_a_while():
-    for passed, taken in ((replay_guard.PROOF_TIMEOUT_US, True), (replay_guard.PROOF_TIMEOUT_US + 1, False)):
-        guard = ReplayGuard("me", 1000, replay_guard.Counter())
-        guard.ping_sent(SEC, 77)
-        assert bool(guard.admit(SEC + passed, received("a", 9 * SEC, Kind.ACK, 77)).accepted) is taken
-
-
-def test_a_late_answer_is_none():
-    guard = ReplayGuard("me", 1000, replay_guard.Counter())
-    challenge = guard.admit(SEC, received("a", 5 * SEC)).reply
-    late = SEC + replay_guard.PROOF_TIMEOUT_US + 1
-    assert guard.admit(late, received("a", 9 * SEC, Kind.ACK, challenge.seq)) == replay_guard.REJECTED
-    assert guard.dropped == {"unproven": 2} and guard.senders.windows == {} and guard.buffered_bytes == 0
-
-
-def test_a_challenge_of_another_is_echoed_and_changes_nothing():
-    guard = ReplayGuard("me", 1000, replay_guard.Counter())
-    admission = guard.admit(SEC, received("b", 7, seq=42, claims=()))
-    assert admission.reply == Message(Kind.ACK, "me", 42) and admission.accepted == ()
-    assert guard.senders.windows == {} and guard.challenges == {}
-
-
-def test_a_process_s_own_datagrams_are_no_news_to_it():
-    guard = ReplayGuard("me", 1000, replay_guard.Counter())
-    assert guard.admit(SEC, received("me", 5)) == replay_guard.REJECTED and guard.dropped == {"replay": 1}
-
-
-def test_a_challenge_is_repeated_and_what_waits_is_bounded():
-    guard = ReplayGuard("me", 1000, replay_guard.Counter())
-    answers = [guard.admit(SEC + i, received("a", 5 * SEC + i)).reply for i in range(10)]
-    assert [a.seq for a in answers if a] == [1001]
-    assert guard.admit(SEC + replay_guard.CHALLENGE_RETRY_US, received("a", 6 * SEC)).reply.seq == 1001
-    assert len(
-        guard.challenges[1001].buffered
-    ) == replay_guard.MAX_BUFFERED_PER_CHALLENGE and guard.dropped == {"unproven": 7}
-    # An attacker that sends another's datagrams from its own address keeps nobody from proving itself.
-    assert guard.admit(SEC, received("a", 5 * SEC, source=ATTACKER)).reply.seq == 1002
-    for number in range(2000):
-        guard.admit(SEC, received(f"made up {number}", 5, size=1200))
-    assert len(guard.challenges) == len(guard.challenges_by_source) == replay_guard.MAX_CHALLENGES
-    held = [h.size for c in guard.challenges.values() for h in c.buffered]
-    assert sum(held) == guard.buffered_bytes <= replay_guard.MAX_BUFFERED_BYTES
-
-
-def test_what_is_kept_of_senders_is_bounded(monkeypatch):
-    monkeypatch.setattr(replay_guard, "MAX_SENDERS", 3)
-    stamps = replay_guard.SenderStamps()
-    for number in range(9):
-        stamps.begin(f"n{number}", 5, SEC, 0)
-    assert list(stamps.windows) == ["n6", "n7", "n8"]
-    guard = ReplayGuard("me", 1, replay_guard.Counter())
-    for seq in range(replay_guard.MAX_PINGS + 9):
-        guard.ping_sent(SEC, seq)
-    assert len(guard.pings) == replay_guard.MAX_PINGS and 0 not in guard.pings
-
-
-@pytest.mark.parametrize(
-    ("stamp", "verdict"),
-    [
-        (100 * SEC, Verdict.REPLAY),  # the newest itself
-        (100 * SEC + 1, Verdict.FRESH),
-        (110 * SEC + replay_guard.MAX_SKEW_US, Verdict.FRESH),
-        (110 * SEC + replay_guard.MAX_SKEW_US + 1, Verdict.DISTANT),
-        (100 * SEC - 3, Verdict.FRESH),  # overtaken
-        (90 * SEC, Verdict.FRESH),
-        (90 * SEC - 1, Verdict.REPLAY),  # before the sender had proven itself
-        (110 * SEC - replay_guard.MAX_SKEW_US - 1, Verdict.DISTANT),
-    ],
-)
-def test_stamps_are_judged_by_their_sender_s_own(stamp, verdict):
-    window = StampWindow(99 * SEC, 8 * SEC, floor=90 * SEC)
-    window.record(100 * SEC, 10 * SEC)
-    assert window.judge(stamp, 20 * SEC) == verdict
-
-
-def test_a_stamp_behind_a_full_window_is_refused():
-    window = StampWindow(0, 0)
-    for stamp in range(1, replay_guard.WINDOW_SIZE + 2):
-        window.record(stamp, 0)
-    assert window.judge(1, 0) == Verdict.REPLAY and len(window.seen) == replay_guard.WINDOW_SIZE
-
-
 # ---- incarnations ---------------------------------------------------------------------------------------
 
 
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -16,6 +16,9 @@
 DELAY = 2_000
 EARLIER_SLACK = 30 * SEC
 EARLIER_WINDOW = 64
+STEPS = (-HOUR, -5 * SEC, 5 * SEC, HOUR)  # of a wall clock
+HERE = ("10.0.0.1", 1)
+ATTACKER = ("10.9.9.9", 9)
 
 
 class Process:
@@ -199,3 +202,22 @@
 def view(process):
     """What a process holds of the others."""
     return {name: member.claim for name, member in process.swim.members.items()}
+
+
+NEW, EARLIER = Process, EarlierProcess
+
+
+def settled(*kinds):
+    """A fleet whose members know one another, and have all proven themselves."""
+    fleet = VirtualFleet(*kinds)
+    assert fleet.until(fleet.complete, 20)
+    fleet.run(20)
+    return fleet
+
+
+def changes_since(fleet, count):
+    return [c for p in fleet.processes.values() for c in p.changes[count[p.name] :]]
+
+
+def changes_so_far(fleet):
+    return {p.name: len(p.changes) for p in fleet.processes.values()}
