--- a/tests/test_fleet_clocks.py
+++ b/tests/test_fleet_clocks.py
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("kinds", KINDS)
-def test_a_step_on_a_running_process_changes_nothing(kinds, step):
+def test_a_step_on_a_running_process_changes_nothing(kinds, step) -> None:
     fleet = settled(*kinds)
     before, refused = changes_so_far(fleet), fleet.processes[HERE].codec.dropped.copy()
     fleet.processes[HERE].offset += step
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("away", [3, 200])  # seconds: not missed yet; forgotten
-def test_a_process_that_restarts_with_a_step_is_believed_at_once(step, away):
+def test_a_process_that_restarts_with_a_step_is_believed_at_once(step, away) -> None:
     fleet = settled(NEW, NEW, NEW, NEW)
     fleet.kill(4)
     fleet.run(away)
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("step", [-20 * SEC, -5 * SEC, 5 * SEC, 20 * SEC])
-def test_a_restart_among_earlier_versions_works_as_far_as_their_slack_goes(step):
+def test_a_restart_among_earlier_versions_works_as_far_as_their_slack_goes(step) -> None:
     for kind in (NEW, EARLIER):
         fleet = settled(NEW, EARLIER, NEW, EARLIER)
         fleet.kill(4)
@@ -74,7 +74,7 @@
         assert fleet.until(lambda f=fleet, a=again: f.believed(a), 15)
 
 
-def test_a_seed_too_comes_back_with_its_clock_in_the_past():
+def test_a_seed_too_comes_back_with_its_clock_in_the_past() -> None:
     fleet = settled(NEW, NEW, NEW, NEW)
     fleet.kill(1)
     fleet.run(3)
@@ -82,7 +82,7 @@
     assert fleet.until(lambda: fleet.believed(again), 4)
 
 
-def test_a_fast_life_is_followed_by_a_right_one_again_and_again():
+def test_a_fast_life_is_followed_by_a_right_one_again_and_again() -> None:
     """Failure prevented: each life goes above the last by more, and one day none can."""
     fleet = settled(NEW, NEW, NEW)
     highest = fleet.processes[HERE].wall() + HOUR + 120 * SEC
@@ -94,7 +94,7 @@
         assert again.swim.me.incarnation < highest
 
 
-def test_all_clocks_differ_and_all_members_meet():
+def test_all_clocks_differ_and_all_members_meet() -> None:
     fleet = VirtualFleet()
     for number, offset in enumerate((0, HOUR, -HOUR, 24 * HOUR), start=1):
         fleet.start(number, offset=offset)
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("step", [-25 * SEC, 25 * SEC])
-def test_an_earlier_version_s_stepped_clock_is_heard_on(step):
+def test_an_earlier_version_s_stepped_clock_is_heard_on(step) -> None:
     """Its stamps stand still after a step back, and leap after one forward: it proves itself again."""
     fleet = settled(NEW, NEW, EARLIER)
     before = changes_so_far(fleet)
@@ -111,7 +111,7 @@
     assert changes_since(fleet, before) == [] and fleet.complete()
 
 
-def test_stamps_and_incarnations_do_not_step_within_a_life(tmp_path):
+def test_stamps_and_incarnations_do_not_step_within_a_life(tmp_path) -> None:
     file = tmp_path / "offset"
     file.write_text("0")
     clocks = Clocks(str(file))
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize("status", list(Status))
 @pytest.mark.parametrize(("told", "becomes"), [(9, 5), (10, 6), (3, None)])
-def test_a_life_goes_just_above_what_is_told_of_an_earlier_one(status, told, becomes):
+def test_a_life_goes_just_above_what_is_told_of_an_earlier_one(status, told, becomes) -> None:
     swim = member("a", 1, 5)
     swim.accept(SEC, Claim("a", ("10.0.0.1", 1), status, told))
     assert swim.me.incarnation == (told + 1 if becomes else 5) and swim.me.status == Status.ALIVE
@@ -140,7 +140,7 @@
 
 @pytest.mark.parametrize("kind", [Kind.PING, Kind.SYNC, Kind.ACK])
 @pytest.mark.parametrize("status", [Status.ALIVE, Status.DEAD, Status.LEFT])
-def test_whoever_says_less_of_itself_than_is_held_is_told_so(kind, status):
+def test_whoever_says_less_of_itself_than_is_held_is_told_so(kind, status) -> None:
     swim, again = member("a", 1, 1), member("b", 2, 5)
     swim.accept(SEC, Claim("b", ("10.0.0.1", 2), Status.ALIVE, 9))
     swim.accept(SEC, Claim("b", ("10.0.0.1", 2), status, 9))
@@ -152,7 +152,7 @@
     assert swim.status("b") == Status.ALIVE and swim.members["b"].claim == again.me
 
 
-def test_whoever_says_as_much_of_itself_as_is_held_is_told_nothing():
+def test_whoever_says_as_much_of_itself_as_is_held_is_told_nothing() -> None:
     swim = member("a", 1, 1)
     swim.accept(SEC, Claim("b", ("10.0.0.1", 2), Status.ALIVE, 9))
     for incarnation in (9, 10):
@@ -160,7 +160,7 @@
         assert swim.receive(SEC, ("10.0.0.1", 2), Message(Kind.ACK, "b", 0, "", (claim,))) == []
 
 
-def test_suspicions_of_a_stranger_are_no_news():
+def test_suspicions_of_a_stranger_are_no_news() -> None:
     """Failure prevented: a process of another zone answers a challenge with its zone's suspicions."""
     swim = member("a", 1, 1)
     suspect = Claim("z", ("10.0.0.9", 9), Status.SUSPECT, 3)
@@ -177,7 +177,7 @@
 
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize(("started", "old"), [(50, True), (100, True), (101, False), (150, False)])
-def test_old_and_new_are_told_by_real_time(step, started, old):
+def test_old_and_new_are_told_by_real_time(step, started, old) -> None:
     """A plan begun at second 100; a process started at another, its clock stepped; both of their monotonic
     clocks begin somewhere."""
     leader = replacement("z", 1, 10 * SEC)
@@ -191,7 +191,7 @@
     assert other.leaving is old
 
 
-def test_the_plan_s_age_goes_from_holder_to_holder():
+def test_the_plan_s_age_goes_from_holder_to_holder() -> None:
     first, second, third = (replacement(n, 1, s * SEC) for n, s in (("a", 1), ("b", 200), ("c", 90)))
     first.begin(wall=5, most=1, now=100 * SEC)
     second.received(300 * SEC, first.message(300 * SEC, ReplaceKind.PLAN, first.plan, 3))
@@ -203,7 +203,7 @@
 
 
 @pytest.mark.parametrize(("life", "goes"), [(500, True), (2000, False)])
-def test_a_plan_of_an_earlier_version_is_judged_by_numbers(life, goes):
+def test_a_plan_of_an_earlier_version_is_judged_by_numbers(life, goes) -> None:
     process = replacement("a", life, SEC)
     plan = Plan(1000, 1, 1, State.RUNS)
     [(_, report)] = process.received(SEC, ReplaceMessage(ReplaceKind.PLAN, "z", plan, 1, 7))
@@ -212,7 +212,7 @@
     assert process.leaving is goes
 
 
-def test_a_plan_after_a_step_back_takes_the_place_of_the_last():
+def test_a_plan_after_a_step_back_takes_the_place_of_the_last() -> None:
     process = replacement("a", 1, SEC)
     process.begin(wall=HOUR, most=1, now=2 * SEC)
     process.change(State.STOPPED)
@@ -275,7 +275,7 @@
     return page(port)["received"].get("ping", 0)
 
 
-def test_processes_on_loopback_whose_clocks_are_stepped_know_one_another(tmp_path):
+def test_processes_on_loopback_whose_clocks_are_stepped_know_one_another(tmp_path) -> None:
     ports, pages = [free_udp(), free_udp()], [free_tcp(), free_tcp()]
 
     def second(offset_ms):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,5 +1,7 @@
-"""Membership: a machine over lost, doubled, late and spoilt datagrams, and a codec that nothing upsets."""
+"""Membership over lost, duplicated, delayed and corrupted datagrams; the codec over arbitrary input."""
 
+from collections.abc import Callable
+from pathlib import Path
 from random import Random
 
 import pytest
@@ -8,9 +10,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from balancer.fleet.membership.advice import Advice
-from balancer.fleet.membership.claims import overrides
+from balancer.fleet.membership.claims import Address, overrides
 from balancer.fleet.membership.codec import HEADER, Codec
 from balancer.fleet.membership.keys import InvalidKeyError, authentication_tag, key_id, read_key
+from balancer.fleet.membership.messages import AnyMessage, OutgoingMessage
 from balancer.fleet.membership.swim import Claim, Kind, Message, Status, Swim
 from workbench.explore.members import KEY, Net
 
@@ -19,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    ("held", "new", "taken"),
+    ("current", "new", "is_accepted"),
     [
         ((A, 1), (S, 1), True),
         ((A, 1), (S, 0), False),
@@ -32,13 +35,17 @@
         ((A, 1), (A, 1), False),
     ],
 )
-def test_what_overrides_what(held, new, taken):
-    claim = [Claim("x", ("h", 1), status, incarnation) for status, incarnation in (held, new)]
-    assert overrides(claim[1], claim[0]) is taken
+def test_precedence_of_claims(
+    current: tuple[Status, int], new: tuple[Status, int], is_accepted: bool
+) -> None:
+    old_claim, new_claim = (
+        Claim("x", ("h", 1), status, incarnation) for status, incarnation in (current, new)
+    )
+    assert overrides(new_claim, old_claim) is is_accepted
 
 
 @pytest.mark.parametrize(("count", "loss"), [(3, 0.0), (12, 0.1), (40, 0.2)])
-def test_a_death_is_known_to_all_and_no_living_member_stays_dead(count, loss):
+def test_a_death_is_known_to_all_and_no_living_member_stays_dead(count: int, loss: float) -> None:
     net = Net(count, loss, seed=5)
     assert net.until(net.complete, 90) < 90
     net.run(30)
@@ -48,12 +55,12 @@
     assert net.false_deaths() == 0
 
 
-def test_a_cut_heals_and_a_restart_comes_back_under_its_name():
+def test_a_partition_heals_and_a_restarted_member_rejoins_under_its_name() -> None:
     net = Net(8, 0.0, seed=2)
     net.until(net.complete, 30)
     net.partitioned = {("10.0.0.1", p) for p in (5, 6, 7, 8)}
     net.run(40)
-    assert net.false_deaths() > 0  # each side holds the other dead
+    assert net.false_deaths() > 0  # each side considers the other dead
     net.partitioned = set()
     assert net.until(net.complete, 120) < 120
     name = net.kill(("10.0.0.1", 3))
@@ -62,7 +69,7 @@
     assert again.me.name == name and net.until(net.complete, 60) < 60
 
 
-def test_who_leaves_is_not_suspected_first():
+def test_a_leaving_member_is_not_suspected_first() -> None:
     net = Net(6, 0.0, seed=3)
     net.until(net.complete, 30)
     leaver = net.members[("10.0.0.1", 6)]
@@ -75,41 +82,40 @@
 
 
 class Group(RuleBasedStateMachine):
-    """Three members whose datagrams hypothesis delivers, doubles, delays, or loses, while clocks step as it
-    likes."""
+    """Three members; hypothesis delivers, duplicates, delays or loses datagrams and advances clocks."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         super().__init__()
         self.clocks = [SEC, SEC, SEC]
         seeds = [("h", i + 1) for i in range(3)]
         self.members = [Swim(f"m{i}", seeds[i], 1, seeds, Random(i), SEC) for i in range(3)]
-        self.wire = []
-        self.highest = {}
+        self.in_transit: list[tuple[Address, Address, AnyMessage]] = []
+        self.highest: dict[tuple[str, str], int] = {}
 
-    def carry(self, i, sends):
-        self.wire += [(self.members[i].me.address, s.to, s.message) for s in sends]
-        del self.wire[:-200]
+    def transmit(self, i: int, outgoing: list[OutgoingMessage]) -> None:
+        self.in_transit += [(self.members[i].me.address, s.to, s.message) for s in outgoing]
+        del self.in_transit[:-200]
 
     @rule(i=st.integers(0, 2), step=st.integers(0, 20 * SEC))
-    def pass_time(self, i, step):
+    def advance_clock(self, i: int, step: int) -> None:
         self.clocks[i] += step
-        self.carry(i, self.members[i].tick(self.clocks[i]))
+        self.transmit(i, self.members[i].tick(self.clocks[i]))
 
-    @rule(place=st.integers(0, 199), keep=st.booleans())
-    def deliver(self, place, keep):
-        if self.wire:
-            place %= len(self.wire)
-            source, to, message = self.wire[place] if keep else self.wire.pop(place)
+    @rule(position=st.integers(0, 199), keep=st.booleans())
+    def deliver(self, position: int, keep: bool) -> None:
+        if self.in_transit:
+            position %= len(self.in_transit)
+            source, to, message = self.in_transit[position] if keep else self.in_transit.pop(position)
             i = to[1] - 1
-            self.carry(i, self.members[i].receive(self.clocks[i], source, message))
+            self.transmit(i, self.members[i].receive(self.clocks[i], source, message))
 
-    @rule(place=st.integers(0, 199))
-    def lose(self, place):
-        if self.wire:
-            self.wire.pop(place % len(self.wire))
+    @rule(position=st.integers(0, 199))
+    def lose(self, position: int) -> None:
+        if self.in_transit:
+            self.in_transit.pop(position % len(self.in_transit))
 
     @invariant()
-    def incarnations_never_fall_and_each_lives_for_itself(self):
+    def incarnations_never_decrease_and_only_their_owner_raises_them(self) -> None:
         for m in self.members:
             assert m.me.status == A
             for name, member in m.members.items():
@@ -119,12 +125,12 @@
                 owner = self.members[int(name[1])]
                 assert member.claim.incarnation <= owner.me.incarnation  # only the owner raises it
 
-    def teardown(self):
-        """Whatever has happened: once messages pass, all agree in bounded time that all are alive."""
+    def teardown(self) -> None:
+        """Once messages pass again, all agree within bounded time that all are alive."""
         now = max(self.clocks)
         for step in range(400):
             now += SEC // 4
-            queue = list(self.wire) if step == 0 else []
+            queue = list(self.in_transit) if step == 0 else []
             for m in self.members:
                 queue += [(m.me.address, s.to, s.message) for s in m.tick(now)]
             while queue:
@@ -142,7 +148,7 @@
 MESSAGE = Message(Kind.PING_REQ, "n1", 77, "n2", (CLAIM,))
 
 
-def test_datagrams_come_back_as_they_were_and_fit():
+def test_datagrams_are_decoded_as_encoded_and_fit() -> None:
     codec, other = Codec([KEY]), Codec([KEY])
     assert other.decode(codec.encode(MESSAGE, SEC), SEC) == MESSAGE
     full = Message(
@@ -154,7 +160,7 @@
 
 
 @pytest.mark.parametrize(
-    ("spoil", "reason"),
+    ("corrupt", "reason"),
     [
         (lambda d: d[:10], "length"),
         (lambda d: d + b"x" * 1200, "length"),
@@ -164,13 +170,13 @@
         (lambda d: d[:20] + bytes([d[20] ^ 1]) + d[21:], "tag"),
     ],
 )
-def test_what_fails_a_check_is_counted_and_dropped(spoil, reason):
+def test_an_invalid_datagram_is_counted_and_dropped(corrupt: Callable[[bytes], bytes], reason: str) -> None:
     codec = Codec([KEY])
-    assert codec.decode(spoil(codec.encode(MESSAGE, SEC)), SEC) is None
+    assert codec.decode(corrupt(codec.encode(MESSAGE, SEC)), SEC) is None
     assert codec.dropped == {reason: 1}
 
 
-def test_replays_old_clocks_and_keys_in_change():
+def test_replays_distant_stamps_and_rotated_keys() -> None:
     codec, other = Codec([KEY]), Codec([b"another key, sixteen", KEY])
     data = codec.encode(MESSAGE, SEC)
     late = [codec.encode(MESSAGE, SEC) for _ in range(3)]
@@ -186,10 +192,10 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.binary(max_size=1300), st.binary(max_size=300))
-def test_no_input_upsets_the_decoder(noise, body):
+def test_no_input_raises_in_the_decoder(noise: bytes, body: bytes) -> None:
     codec = Codec([KEY])
     assert codec.decode(noise, SEC) is None
-    signed = HEADER.pack(1, key_id(KEY), SEC) + body  # by one who has the key, and sends nonsense
+    signed = HEADER.pack(1, key_id(KEY), SEC) + body  # arbitrary content under a valid key
     codec.decode(signed + authentication_tag(KEY, signed), SEC)
 
 
@@ -202,7 +208,9 @@
         (None, b"", "No such"),
     ],
 )
-def test_a_key_comes_from_a_file_of_its_owners(tmp_path, mode, data, word):
+def test_a_key_is_read_from_a_file_of_its_owner_alone(
+    tmp_path: Path, mode: int | None, data: bytes, word: str
+) -> None:
     path = tmp_path / "key"
     if mode is not None:
         path.write_bytes(data)
@@ -214,7 +222,7 @@
         assert read_key(path) == data
 
 
-def test_advice_wants_a_quorum_of_the_living_and_leaves_most_servers():
+def test_advice_requires_a_quorum_of_living_reporters_and_leaves_most_servers() -> None:
     advice = Advice(quorum=2, max_share=0.34, validity=10 * SEC)
     for reporter, server in (("a", 1), ("a", 1), ("b", 2), ("c", 2), ("b", 9), ("c", 9), ("a", 2)):
         advice.report(0, reporter, server, ejected=True)
--- a/tests/test_membership_scale.py
+++ b/tests/test_membership_scale.py
@@ -1,9 +1,13 @@
-"""Membership in a large group: cost that doesn't grow with it, joins, comparisons, versions, suspicion."""
+"""Membership in a large group: cost, joins, comparison of views, mixed versions, suspicion."""
 
 import sys
 from collections import Counter
+from collections.abc import Callable
 from dataclasses import replace
+from functools import partial
 from random import Random
+from types import FrameType
+from typing import Any
 
 import pytest
 from hypothesis import given, settings
@@ -25,23 +29,25 @@
 )
 from balancer.fleet.membership.rate_limit import RateLimit
 from balancer.fleet.membership.suspicion import Suspicion
-from balancer.fleet.membership.swim import Swim
+from balancer.fleet.membership.swim import Probe, Swim
 from balancer.fleet.membership.timers import Deadlines
 from balancer.fleet.membership.timing import Timing
 from balancer.fleet.membership.view import ALL_BUCKETS, BUCKETS
 from workbench.explore.members import KEY, Net, measure_join_storm
 
 SEC = 1_000_000
+TraceFunction = Callable[[FrameType, str, Any], Any]
 A, S, D = Status.ALIVE, Status.SUSPECT, Status.DEAD
-OLD_KINDS = (Kind.PING, Kind.ACK, Kind.PING_REQ, Kind.SYNC, Kind.SYNC_ACK)
+PEER = ("10.0.0.9", 1)
 
 
 def member(number: int, names: str = "n") -> Claim:
+    """Returns a claim that another member is alive."""
     return Claim(f"{names}{number}", ("10.0.0.9", number + 1), A, 1)
 
 
 def group_of(count: int, name: str = "me", names: str = "n", first: int = 0) -> Swim:
-    """A member that holds `count` others alive, and has nothing more to pass on."""
+    """Returns a member that knows `count` others and has no updates to disseminate."""
     swim = Swim(name, ("10.0.0.1", 1), 1, [], Random(1), SEC)
     for number in range(first, first + count):
         swim.accept(SEC, member(number, names))
@@ -50,7 +56,7 @@
 
 
 def pump(swims: list[Swim], sends: list[tuple[Swim, OutgoingMessage]], now: int) -> list[OutgoingMessage]:
-    """Delivers datagrams and their answers until none is left; returns all."""
+    """Delivers messages and their answers until none is left; returns all."""
     by_address = {s.me.address: s for s in swims}
     delivered = []
     while sends:
@@ -64,11 +70,17 @@
 # ---- cost --------------------------------------------------------------------------------------------
 
 
-def opcodes(work) -> int:
-    """Python instructions that a call executes."""
+def probe_of(swim: Swim) -> Probe:
+    """Returns a member's present probe, which there must be."""
+    assert swim.probe is not None
+    return swim.probe
+
+
+def opcodes(work: Callable[[], object]) -> int:
+    """Returns the number of Python instructions that a call executes."""
     count = 0
 
-    def trace(frame, event, arg):
+    def trace(frame: FrameType, event: str, arg: object) -> TraceFunction:
         nonlocal count
         frame.f_trace_opcodes = True
         count += event == "opcode"
@@ -83,47 +95,53 @@
     return count
 
 
-def test_a_calm_period_and_a_comparison_cost_no_more_in_a_larger_group():
+def tick_into(swim: Swim, now: int, sends: list[OutgoingMessage]) -> None:
+    """Adds the messages of a tick to a list."""
+    sends += swim.tick(now)
+
+
+def test_cost_of_a_period_without_failures_does_not_grow_with_the_group() -> None:
     costs = []
     for count in (50, 800):
         swim = group_of(count)
         swim.tick(10 * SEC)  # the first shuffles a round of all
-        swim.receive(10 * SEC, ("10.0.0.9", 1), Message(Kind.ACK, "n0", swim.probe.seq))
+        swim.receive(10 * SEC, ("10.0.0.9", 1), Message(Kind.ACK, "n0", probe_of(swim).seq))
         digest = swim.view.digest()
         total = 0
         for period in range(12, 30):
             now = period * SEC
             sends: list[OutgoingMessage] = []
-            total += opcodes(lambda s=swim, n=now, out=sends: out.extend(s.tick(n)))
+            total += opcodes(partial(tick_into, swim, now, sends))
             for send in sends:
                 if send.message.kind == Kind.PING:
                     ack = Message(Kind.ACK, "n0", send.message.seq)
-                    total += opcodes(lambda s=swim, n=now, m=ack: s.receive(n, ("10.0.0.9", 1), m))
+                    total += opcodes(partial(swim.receive, now, PEER, ack))
                 if send.message.kind == Kind.DIGEST:
-                    ack = DigestMessage(Kind.DIGEST_ACK, "n0", digest)
-                    total += opcodes(lambda s=swim, n=now, m=ack, to=send.to: s.receive(n, to, m))
+                    digest_ack = DigestMessage(Kind.DIGEST_ACK, "n0", digest)
+                    total += opcodes(partial(swim.receive, now, send.to, digest_ack))
             ping = Message(Kind.PING, "n0", 1, "", (member(0),))
-            total += opcodes(lambda s=swim, n=now, m=ping: s.receive(n, ("10.0.0.9", 1), m))
+            total += opcodes(partial(swim.receive, now, PEER, ping))
             total += opcodes(swim.due)
         costs.append(total)
     assert costs[1] < 1.2 * costs[0]
 
 
-def test_a_datagram_costs_what_it_carries_however_many_updates_wait():
+def test_cost_of_a_datagram_does_not_grow_with_the_updates_pending() -> None:
     costs = []
     for waiting in (50, 800):
         swim = group_of(0)
         for number in range(waiting):
             swim.accept(SEC, member(number))
         ping = Message(Kind.PING, "n0", 1)
-        costs.append(opcodes(lambda s=swim, m=ping: s.receive(SEC, ("10.0.0.9", 1), m)))
+        costs.append(opcodes(partial(swim.receive, SEC, PEER, ping)))
     assert costs[1] < 1.2 * costs[0]
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.sampled_from("abcd"), st.integers(0, 20), st.booleans()), max_size=60))
-def test_deadlines_come_in_order_and_obsolete_ones_never(steps):
-    deadlines, expected = Deadlines(), {}
+def test_deadlines_expire_in_order_and_obsolete_ones_never(steps: list[tuple[str, int, bool]]) -> None:
+    deadlines = Deadlines()
+    expected: dict[str, int] = {}
     for name, at, set_it in steps:
         if set_it:
             deadlines.set(name, at)
@@ -137,7 +155,7 @@
     assert deadlines.next() == min((at for at in expected.values() if at > 10), default=None)
 
 
-def test_obsolete_deadlines_are_bounded():
+def test_obsolete_deadlines_are_bounded() -> None:
     deadlines = Deadlines()
     deadlines.set("first", 0)
     for at in range(10_000):
@@ -147,8 +165,9 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.sampled_from("abcdef"), st.integers(0, 3)), max_size=60))
-def test_updates_go_least_sent_first_and_end(steps):
-    updates, times = Dissemination(), {}
+def test_updates_are_sent_least_sent_first_and_expire(steps: list[tuple[str, int]]) -> None:
+    updates = Dissemination()
+    times: dict[str, int] = {}
     for name, count in steps:
         updates.add(name)
         times[name] = 0
@@ -167,14 +186,14 @@
 # ---- joining and comparing ---------------------------------------------------------------------------
 
 
-def test_a_storm_of_joins_is_bounded_and_soon_over():
-    """The bound: a datagram for each SYNC that comes in, 50 pages a second, and the calm's few."""
+def test_traffic_and_duration_of_simultaneous_joins_are_bounded() -> None:
+    """The bound: a datagram for each SYNC received, 50 pages a second, and the few of normal operation."""
     found = measure_join_storm(standing=20, joining=250)
     assert found.joined_s <= 15
     assert found.busiest_member <= 250 + 50 + 50
 
 
-def test_what_all_have_from_pages_is_not_passed_on_for_long():
+def test_claims_learned_from_pages_are_not_disseminated_for_long() -> None:
     net = Net(100, 0.0, seed=1)
     net.until(net.complete, 30)
     net.run(10)
@@ -183,7 +202,7 @@
     )  # of 9,900 that were learned
 
 
-def test_pages_beyond_the_limit_are_refused_and_others_are_asked():
+def test_pages_beyond_the_rate_limit_are_requested_from_another_member() -> None:
     limit = RateLimit(per_second=10, burst=3)
     assert [limit.take(0) for _ in range(5)] == [True, True, True, False, False]
     assert sum(limit.take(at) for at in range(0, 2 * SEC, 1000)) == pytest.approx(20, abs=1)
@@ -199,13 +218,13 @@
     assert request.to == ("10.0.0.8", 8) and request.message.kind == Kind.PULL
     other.anti_entropy.next_sync = 99 * SEC
     again = [s for s in other.anti_entropy.tick(2 * SEC) if s.message.kind == Kind.PULL]
-    assert len(again) == 1 and again[0].to[0] == "10.0.0.9"  # nothing came: one that it knows
+    assert len(again) == 1 and again[0].to[0] == "10.0.0.9"  # no page arrived: another member that it knows
     for attempt in range(3, 9):
         other.anti_entropy.tick(attempt * SEC)
     assert other.anti_entropy.transfer is None
 
 
-def test_a_view_goes_over_whole_in_datagrams_of_bounded_size():
+def test_a_view_is_transferred_completely_in_datagrams_of_bounded_size() -> None:
     long = "m" * 59
     full = group_of(300, name="f" * 64, names=long)
     empty = Swim("e" * 64, ("10.0.0.2", 2), 1, [full.me.address], Random(2), SEC)
@@ -219,14 +238,15 @@
     assert 0 < len(answers) <= Timing().sync_ack_pages
 
 
-def test_a_page_cut_short_is_not_the_last():
+def test_a_shortened_page_is_not_the_last() -> None:
     codec, other = Codec([KEY]), Codec([KEY])
     claims = tuple(member(i, names="m" * 60) for i in range(30))
     got = other.decode(codec.encode(Page("n1", 1, True, claims), SEC), SEC)
+    assert isinstance(got, Page)
     assert 0 < len(got.claims) < 30 and got.claims == claims[: len(got.claims)] and not got.last
 
 
-def test_views_that_differ_converge_both_ways_and_only_where_they_differ():
+def test_views_that_differ_converge_both_ways_and_only_where_they_differ() -> None:
     one = group_of(200, name="one")
     two = group_of(200, name="two")
     two.me = replace(two.me, address=("10.0.0.2", 2))
@@ -247,14 +267,14 @@
     assert [s.message.kind for s in again] == [Kind.DIGEST, Kind.DIGEST_ACK]
 
 
-def test_one_datagram_holds_a_small_view_whole_wherever_it_begins():
+def test_one_datagram_holds_a_small_view_completely_wherever_it_begins() -> None:
     swim = group_of(15)
     for _ in range(10):
         claims = swim.anti_entropy.sync(("h", 1)).message.claims
         assert len(claims) == 16 and {c.name for c in claims} == {"me", *swim.alive()}
 
 
-def test_an_answer_by_way_of_a_relay_ends_a_comparison():
+def test_an_answer_through_a_relay_ends_a_comparison() -> None:
     swim = group_of(15)
     sends = swim.anti_entropy.begin(SEC)
     relay = ("10.9.9.9", 9)
@@ -265,7 +285,7 @@
     assert swim.anti_entropy.tick(2 * SEC) == []  # no SYNC: it did answer
 
 
-def test_a_suspicion_or_a_forgotten_member_makes_no_difference_between_views():
+def test_a_suspicion_or_a_forgotten_member_makes_no_difference_between_views() -> None:
     swim = group_of(20)
     before = swim.view.digest()
     swim.accept(SEC, replace(member(3), status=S))
@@ -280,7 +300,7 @@
     assert (3, "n3") not in swim.view.order and len(swim.view.order) == 19
 
 
-def test_a_node_back_with_nothing_knows_all_and_is_known_by_its_new_life():
+def test_a_restarted_member_knows_all_and_is_known_in_its_new_incarnation() -> None:
     net = Net(60, 0.0, seed=4)
     net.until(net.complete, 30)
     net.kill(("10.0.0.1", 40))
@@ -312,7 +332,7 @@
         (Kind.ACCUSATIONS, [[["n", "h", 1, 1, 1]]]),
     ],
 )
-def test_an_impossible_body_is_counted_and_dropped(kind, body):
+def test_an_impossible_payload_is_counted_and_dropped(kind: Kind, body: object) -> None:
     codec = Codec([KEY])
     signed = HEADER.pack(1, key_id(KEY), SEC) + codec.encoder.encode((int(kind), "n1", 1, body))
     assert codec.decode(signed + authentication_tag(KEY, signed), SEC) is None and codec.dropped == {
@@ -320,12 +340,12 @@
     }
 
 
-def test_unasked_and_endless_pages_end():
+def test_unrequested_and_endless_pages_end() -> None:
     swim = group_of(10)
     swim.anti_entropy.next_sync = 99 * SEC
     liar = ("10.0.0.8", 8)
-    unasked = Page("liar", 7, False, (member(1), Claim("x", ("h", 1), A, 1)))
-    assert swim.receive(SEC, liar, unasked) == [] and swim.status("x") == A
+    unrequested = Page("liar", 7, False, (member(1), Claim("x", ("h", 1), A, 1)))
+    assert swim.receive(SEC, liar, unrequested) == [] and swim.status("x") == A
     sends = swim.receive(SEC, liar, DigestMessage(Kind.DIGEST_ACK, "liar", (1,) * BUCKETS))
     for asked in range(50):
         if not sends:
@@ -335,74 +355,10 @@
     assert asked < 4 and swim.anti_entropy.transfer is None
 
 
-# ---- versions side by side ---------------------------------------------------------------------------
-
-
-class OldMember:
-    """Speaks and hears the kinds of the earlier version alone, as far as joining and probes go."""
-
-    def __init__(self, address, seeds):
-        self.me = Claim(f"n{address[1]}", address, A, 1)
-        self.seeds, self.known, self.refused = seeds, {}, 0
-        self.rng = Random(address[1])
-
-    def join(self):
-        return [OutgoingMessage(seed, self.all(Kind.SYNC)) for seed in self.seeds]
-
-    def all(self, kind):
-        claims = list(self.known.values())
-        return Message(kind, self.me.name, 0, "", (self.me, *self.rng.sample(claims, min(23, len(claims)))))
-
-    def receive(self, now, source, message):
-        if message.kind not in OLD_KINDS:
-            self.refused += 1
-            return []
-        for claim in message.claims:
-            if claim.name != self.me.name:
-                self.known[claim.name] = claim
-        if message.kind == Kind.PING:
-            return [OutgoingMessage(source, Message(Kind.ACK, self.me.name, message.seq, "", (self.me,)))]
-        return [OutgoingMessage(source, self.all(Kind.SYNC_ACK))] if message.kind == Kind.SYNC else []
-
-
-def test_an_earlier_version_joins_through_this_one():
-    net = Net(60, 0.0, seed=6)
-    net.until(net.complete, 30)
-    old = OldMember(("10.0.0.1", 61), [("10.0.0.1", 1)])
-    net.members[old.me.address] = old
-    net.transmit(old.me.address, old.join())
-    net.run(1)
-    assert len(old.known) == 60  # from the pages that answer one SYNC
-    net.run(59)
-    assert old.refused > 0 and all(claim.status == A for claim in old.known.values())
-    new = [m for m in net.members.values() if m is not old]
-    assert all(m.status("n61") == A for m in new)
-
-
-def test_this_version_joins_through_an_earlier_one():
-    net = Net(0, 0.0, seed=6)
-    old = OldMember(("10.0.0.1", 61), [])
-    old.known = {f"x{i}": Claim(f"x{i}", ("10.0.0.9", i + 1), A, 1) for i in range(20)}
-    net.members[old.me.address] = old
-    one = net.add(("10.0.0.1", 1), [old.me.address])
-    net.run(0.5)
-    assert len(one.alive()) == 21 and "n1" in old.known
-    two = net.add(("10.0.0.1", 2), [old.me.address])
-    net.run(2)
-    assert two.status("n1") == one.status("n2") == A
-    old.known["late"] = Claim("late", ("10.0.0.9", 99), A, 1)
-    del one.anti_entropy.seeds[:], two.anti_entropy.seeds[:]
-    for swim in (one, two):
-        for i in range(20):  # those that never were leave; what remains to be compared with is the old one
-            swim.accept(net.clock.now, Claim(f"x{i}", ("10.0.0.9", i + 1), Status.LEFT, 1))
-    heard = net.until(lambda: "late" in one.members and "late" in two.members, 60)
-    assert heard < 60  # by SYNC, as the digest that goes first has no answer
-
-
 # ---- suspicion ---------------------------------------------------------------------------------------
 
 
-def test_a_suspicion_shortens_with_distinct_members_and_not_below_the_minimum():
+def test_a_suspicion_shortens_with_distinct_members_and_not_below_the_minimum() -> None:
     suspicion = Suspicion(since=100, maximum=1000, minimum=350, confirmations=3)
     assert suspicion.deadline() == 1100
     assert suspicion.accuse(["a"]) and suspicion.deadline() == 1100  # the first supports, confirms nothing
@@ -418,7 +374,7 @@
     assert alone.deadline() == 1000  # nobody could have confirmed it
 
 
-def test_a_small_group_waits_some_periods_however_many_confirm():
+def test_a_suspicion_in_a_small_group_lasts_some_periods_however_many_confirm() -> None:
     ends = []
     for count in (5, 250):
         swim = group_of(count)
@@ -428,7 +384,7 @@
     assert ends == [6 * SEC, 8 * SEC]  # a quarter of 12 s would be 3
 
 
-def test_only_suspicions_of_the_present_life_are_confirmed():
+def test_only_suspicions_of_the_present_incarnation_are_confirmed() -> None:
     swim = group_of(30)
     swim.receive(
         SEC, ("h", 1), Message(Kind.ACK, "n1", 0, "", (replace(member(3), status=S, incarnation=2),))
@@ -445,7 +401,7 @@
     assert swim.accusations.transmissions == {}
 
 
-def test_a_death_is_known_in_half_the_time_that_an_unconfirmed_suspicion_lasts():
+def test_a_death_is_detected_in_half_the_duration_of_an_unconfirmed_suspicion() -> None:
     net = Net(40, 0.0, seed=8)
     net.until(net.complete, 30)
     net.run(5)
@@ -454,12 +410,12 @@
     assert net.until(lambda: net.knows_gone(gone), 60) < 0.5 * longest
 
 
-def test_a_probe_is_sent_again_before_its_target_is_suspected():
+def test_a_probe_is_sent_again_before_its_target_is_suspected() -> None:
     swim = group_of(10)
     swim.anti_entropy.next_sync = 99 * SEC
     swim.next_period = 3 * SEC
     swim.tick(3 * SEC)
-    probe = swim.probe
+    probe = probe_of(swim)
     sent = [Counter(s.message.kind for s in swim.tick(3 * SEC + at)) for at in (300_000, 600_000, 900_000)]
     assert sent == [{Kind.PING: 1, Kind.PING_REQ: 3}, {Kind.PING: 1}, {}]
     assert swim.status(probe.target) == A
@@ -467,7 +423,7 @@
     assert swim.status(probe.target) == S
 
 
-def test_ten_percent_loss_raises_hardly_a_suspicion():
+def test_ten_percent_loss_causes_few_suspicions() -> None:
     """The version before (076cb15) counted 318 in this run."""
     net = Net(40, 0.1, seed=1)
     net.until(net.complete, 60)
@@ -475,7 +431,7 @@
     assert net.total("suspected") < 50
 
 
-def test_thirty_percent_loss_kills_no_living_member():
+def test_thirty_percent_loss_causes_no_false_death() -> None:
     """The version before (076cb15) held living members dead 3 times in this run."""
     net = Net(80, 0.3, seed=3)
     net.until(net.complete, 60)
--- a/tests/test_replay_guard.py
+++ b/tests/test_replay_guard.py
@@ -1,16 +1,19 @@
 """Replayed datagrams: on a virtual fleet, and the replay guard's decisions one by one."""
 
+from collections import Counter
+
 import pytest
 from virtual_fleet import ATTACKER, HERE, NEW, SEC, STEPS, changes_since, changes_so_far, settled, view
 
 from balancer.fleet.membership import replay_guard
-from balancer.fleet.membership.replay_guard import Received, ReplayGuard, StampWindow, Verdict
+from balancer.fleet.membership.claims import Address
+from balancer.fleet.membership.replay_guard import Admission, Received, ReplayGuard, StampWindow, Verdict
 from balancer.fleet.membership.swim import Claim, Kind, Message, Status
 
 # ---- recorded datagrams on a virtual fleet ---------------------------------------------------------------
 
 
-def test_what_was_recorded_moves_no_view_of_a_running_process():
+def test_what_was_recorded_moves_no_view_of_a_running_process() -> None:
     fleet = settled(NEW, NEW, NEW)
     recorded = list(fleet.recorded)
     fleet.run(60)
@@ -22,12 +25,12 @@
 
 
 @pytest.mark.parametrize("source", [None, ATTACKER])
-def test_what_was_recorded_moves_no_view_of_a_process_that_has_just_started(source):
+def test_what_was_recorded_moves_no_view_of_a_process_that_has_just_started(source: Address | None) -> None:
     """Among the recorded: a member that is gone for long. It does not come back to life."""
     fleet = settled(NEW, NEW, NEW, NEW)
     fleet.kill(4)
     fleet.run(200)
-    recorded = [r for r in fleet.recorded if r[0] < fleet.now - 7 * SEC]
+    recorded = [r for r in fleet.recorded if r.sent_at < fleet.now - 7 * SEC]
     fresh = fleet.start(5)
     fleet.kill(1)
     fleet.kill(2)
@@ -38,7 +41,7 @@
     fleet = settled(NEW, NEW, NEW, NEW)
     fleet.kill(4)
     fleet.run(200)
-    recorded = [r for r in fleet.recorded if r[0] < fleet.now - 7 * SEC]
+    recorded = [r for r in fleet.recorded if r.sent_at < fleet.now - 7 * SEC]
     fresh = fleet.start(5)
     assert fleet.replay(fresh.address, recorded, source) == 0
     for _ in range(20):
@@ -47,10 +50,10 @@
     assert "n4" not in view(fresh) and set(view(fresh)) <= {"n1", "n2", "n3"}
 
 
-def test_a_forgotten_sender_s_datagrams_do_not_bring_it_back():
+def test_a_forgotten_sender_s_datagrams_do_not_bring_it_back() -> None:
     fleet = settled(NEW, NEW, NEW)
     fleet.kill(3)
-    recorded = [r for r in fleet.recorded if r[1] == ("10.0.0.1", 3)]
+    recorded = [r for r in fleet.recorded if r.source == ("10.0.0.1", 3)]
     fleet.run(200)
     target = fleet.processes[HERE]
     assert "n3" not in target.swim.members and "n3" not in target.guard.senders.windows
@@ -60,10 +63,10 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_an_earlier_life_s_datagrams_move_nothing_once_the_next_has_proven_itself(step):
+def test_an_earlier_life_s_datagrams_move_nothing_once_the_next_has_proven_itself(step: int) -> None:
     fleet = settled(NEW, NEW, NEW)
     fleet.kill(3)
-    recorded = [r for r in fleet.recorded if r[1] == ("10.0.0.1", 3)]
+    recorded = [r for r in fleet.recorded if r.source == ("10.0.0.1", 3)]
     fleet.run(40)
     again = fleet.start(3, offset=step)
     assert fleet.until(lambda: fleet.believed(again), 10)
@@ -79,10 +82,16 @@
 # ---- the guard's decisions -------------------------------------------------------------------------------
 
 
-def proven(now=100 * SEC, stamp=5 * SEC, **more):
-    """A guard that knows `a`, by a challenge that took no time."""
-    guard = ReplayGuard("me", 1000, replay_guard.Counter())
-    challenge = guard.admit(now, received("a", stamp, **more)).reply
+def reply_of(admission: Admission) -> Message:
+    """Returns the reply to a datagram, which there must be."""
+    assert admission.reply is not None
+    return admission.reply
+
+
+def proven(now: int = 100 * SEC, stamp: int = 5 * SEC) -> tuple[ReplayGuard, Admission]:
+    """Returns a guard that knows `a`, by a challenge that took no time, and the answer's admission."""
+    guard = ReplayGuard("me", 1000, Counter())
+    challenge = reply_of(guard.admit(now, received("a", stamp)))
     assert challenge.kind == Kind.PING and challenge.claims == ()
     return guard, guard.admit(now, received("a", stamp + 1, Kind.ACK, challenge.seq, claims=()))
 
@@ -90,11 +99,20 @@
 ALIVE = Claim("x", ("10.0.0.7", 7), Status.ALIVE, 1)
 
 
-def received(sender, stamp, kind=Kind.PING, seq=0, claims=(ALIVE,), source=("10.0.0.3", 3), size=100):
+def received(
+    sender: str,
+    stamp: int,
+    kind: Kind = Kind.PING,
+    seq: int = 0,
+    claims: tuple[Claim, ...] = (ALIVE,),
+    source: Address = ("10.0.0.3", 3),
+    size: int = 100,
+) -> Received:
+    """Returns a datagram with a message of membership."""
     return Received(source, stamp, Message(kind, sender, seq, "", claims), size)
 
 
-def test_a_datagram_is_held_until_its_sender_has_answered():
+def test_a_datagram_is_held_until_its_sender_has_answered() -> None:
     guard, admission = proven()
     assert [r.stamp for r in admission.accepted] == [5 * SEC] and admission.reply is None
     assert guard.challenges == {} and guard.challenges_by_source == {} and guard.buffered_bytes == 0
@@ -107,9 +125,9 @@
     ("age", "taken"),
     [(1, True), (replay_guard.MAX_TRANSIT_US, True), (replay_guard.MAX_TRANSIT_US + 2, False)],
 )
-def test_what_was_old_when_its_sender_proved_itself_is_refused(age, taken):
-    guard = ReplayGuard("me", 1000, replay_guard.Counter())
-    challenge = guard.admit(SEC, received("a", 100 * SEC - age)).reply
+def test_what_was_old_when_its_sender_proved_itself_is_refused(age: int, taken: bool) -> None:
+    guard = ReplayGuard("me", 1000, Counter())
+    challenge = reply_of(guard.admit(SEC, received("a", 100 * SEC - age)))
     answer = guard.admit(SEC, received("a", 100 * SEC, Kind.ACK, challenge.seq))
     assert bool(answer.accepted) is taken
     assert guard.admit(SEC, received("a", 100 * SEC - 1 - replay_guard.MAX_TRANSIT_US)).accepted == ()
@@ -123,49 +141,49 @@
         received("a", 6 * SEC, Kind.SYNC, 1001),  # no answer
     ],
 )
-def test_nothing_else_is_proof(answer):
-    guard = ReplayGuard("me", 1000, replay_guard.Counter())
-    assert guard.admit(SEC, received("a", 5 * SEC)).reply.seq == 1001
+def test_nothing_else_is_proof(answer: Received) -> None:
+    guard = ReplayGuard("me", 1000, Counter())
+    assert reply_of(guard.admit(SEC, received("a", 5 * SEC))).seq == 1001
     assert guard.admit(SEC, answer).accepted == () and guard.senders.windows == {}
 
 
-def test_an_ack_of_an_own_ping_is_proof_for_a_while():
+def test_an_ack_of_an_own_ping_is_proof_for_a_while() -> None:
     for passed, taken in ((replay_guard.PROOF_TIMEOUT_US, True), (replay_guard.PROOF_TIMEOUT_US + 1, False)):
-        guard = ReplayGuard("me", 1000, replay_guard.Counter())
+        guard = ReplayGuard("me", 1000, Counter())
         guard.ping_sent(SEC, 77)
         assert bool(guard.admit(SEC + passed, received("a", 9 * SEC, Kind.ACK, 77)).accepted) is taken
 
 
-def test_a_late_answer_is_none():
-    guard = ReplayGuard("me", 1000, replay_guard.Counter())
-    challenge = guard.admit(SEC, received("a", 5 * SEC)).reply
+def test_a_late_answer_is_none() -> None:
+    guard = ReplayGuard("me", 1000, Counter())
+    challenge = reply_of(guard.admit(SEC, received("a", 5 * SEC)))
     late = SEC + replay_guard.PROOF_TIMEOUT_US + 1
     assert guard.admit(late, received("a", 9 * SEC, Kind.ACK, challenge.seq)) == replay_guard.REJECTED
     assert guard.dropped == {"unproven": 2} and guard.senders.windows == {} and guard.buffered_bytes == 0
 
 
-def test_a_challenge_of_another_is_echoed_and_changes_nothing():
-    guard = ReplayGuard("me", 1000, replay_guard.Counter())
+def test_a_challenge_of_another_is_echoed_and_changes_nothing() -> None:
+    guard = ReplayGuard("me", 1000, Counter())
     admission = guard.admit(SEC, received("b", 7, seq=42, claims=()))
     assert admission.reply == Message(Kind.ACK, "me", 42) and admission.accepted == ()
     assert guard.senders.windows == {} and guard.challenges == {}
 
 
-def test_a_process_s_own_datagrams_are_no_news_to_it():
-    guard = ReplayGuard("me", 1000, replay_guard.Counter())
+def test_a_process_s_own_datagrams_are_no_news_to_it() -> None:
+    guard = ReplayGuard("me", 1000, Counter())
     assert guard.admit(SEC, received("me", 5)) == replay_guard.REJECTED and guard.dropped == {"replay": 1}
 
 
-def test_a_challenge_is_repeated_and_what_waits_is_bounded():
-    guard = ReplayGuard("me", 1000, replay_guard.Counter())
+def test_a_challenge_is_repeated_and_what_waits_is_bounded() -> None:
+    guard = ReplayGuard("me", 1000, Counter())
     answers = [guard.admit(SEC + i, received("a", 5 * SEC + i)).reply for i in range(10)]
     assert [a.seq for a in answers if a] == [1001]
-    assert guard.admit(SEC + replay_guard.CHALLENGE_RETRY_US, received("a", 6 * SEC)).reply.seq == 1001
+    assert reply_of(guard.admit(SEC + replay_guard.CHALLENGE_RETRY_US, received("a", 6 * SEC))).seq == 1001
     assert len(
         guard.challenges[1001].buffered
     ) == replay_guard.MAX_BUFFERED_PER_CHALLENGE and guard.dropped == {"unproven": 7}
     # An attacker that sends another's datagrams from its own address keeps nobody from proving itself.
-    assert guard.admit(SEC, received("a", 5 * SEC, source=ATTACKER)).reply.seq == 1002
+    assert reply_of(guard.admit(SEC, received("a", 5 * SEC, source=ATTACKER))).seq == 1002
     for number in range(2000):
         guard.admit(SEC, received(f"made up {number}", 5, size=1200))
     assert len(guard.challenges) == len(guard.challenges_by_source) == replay_guard.MAX_CHALLENGES
@@ -173,13 +191,13 @@
     assert sum(held) == guard.buffered_bytes <= replay_guard.MAX_BUFFERED_BYTES
 
 
-def test_what_is_kept_of_senders_is_bounded(monkeypatch):
+def test_what_is_kept_of_senders_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(replay_guard, "MAX_SENDERS", 3)
     stamps = replay_guard.SenderStamps()
     for number in range(9):
         stamps.begin(f"n{number}", 5, SEC, 0)
     assert list(stamps.windows) == ["n6", "n7", "n8"]
-    guard = ReplayGuard("me", 1, replay_guard.Counter())
+    guard = ReplayGuard("me", 1, Counter())
     for seq in range(replay_guard.MAX_PINGS + 9):
         guard.ping_sent(SEC, seq)
     assert len(guard.pings) == replay_guard.MAX_PINGS and 0 not in guard.pings
@@ -198,13 +216,13 @@
         (110 * SEC - replay_guard.MAX_SKEW_US - 1, Verdict.DISTANT),
     ],
 )
-def test_stamps_are_judged_by_their_sender_s_own(stamp, verdict):
+def test_stamps_are_judged_by_their_sender_s_own(stamp: int, verdict: Verdict) -> None:
     window = StampWindow(99 * SEC, 8 * SEC, floor=90 * SEC)
     window.record(100 * SEC, 10 * SEC)
     assert window.judge(stamp, 20 * SEC) == verdict
 
 
-def test_a_stamp_behind_a_full_window_is_refused():
+def test_a_stamp_behind_a_full_window_is_refused() -> None:
     window = StampWindow(0, 0)
     for stamp in range(1, replay_guard.WINDOW_SIZE + 2):
         window.record(stamp, 0)
