--- a/balancer/fleet/membership/swim.py
+++ b/balancer/fleet/membership/swim.py
@@ -1,4 +1,4 @@
-"""Failure detection and dissemination: SWIM with suspicion and incarnation numbers.
+"""The membership protocol: SWIM with suspicion and incarnation numbers.
 
 A state machine without sockets or clocks, whose caller passes in time and messages.
 
@@ -16,16 +16,22 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
-from dataclasses import dataclass, replace
-from enum import StrEnum
+from collections.abc import Sequence
+from dataclasses import replace
 from math import ceil
 from random import Random
 
 from balancer.fleet.membership.anti_entropy import AntiEntropy
+from balancer.fleet.membership.changes import (
+    CHANGES_BY_STATUS,
+    ChangeSubscriber,
+    MembershipChange,
+    ignore_change,
+)
 from balancer.fleet.membership.claims import Address, Claim, Status, overrides
 from balancer.fleet.membership.counts import Counts
 from balancer.fleet.membership.dissemination import Dissemination
+from balancer.fleet.membership.failure_detector import FailureDetector
 from balancer.fleet.membership.messages import (
     Accusation,
     Accusations,
@@ -57,58 +63,6 @@
 FULL_VIEW_KINDS = (Kind.SYNC_ACK, Kind.PAGE)  # messages with the sender's whole view, new or not
 
 
-@dataclass
-class Probe:
-    """The ping of the present period."""
-
-    target: str
-    seq: int
-    retry_at: int
-    retries: int = 0
-    acked: bool = False
-
-
-@dataclass
-class Relay:
-    """A ping on another member's behalf.
-
-    Attributes:
-        requester: The address that the ack is passed on to.
-        seq: The number of the request, which that ack repeats.
-        expires_at: When the request is forgotten.
-    """
-
-    requester: Address
-    seq: int
-    expires_at: int
-
-
-class MembershipChange(StrEnum):
-    """A change of this instance's view of a member; its values are written to logs and pages."""
-
-    JOIN = "join"
-    ALIVE = "alive"
-    SUSPECT = "suspect"
-    DEAD = "dead"
-    LEFT = "left"
-    REFUTED = "refuted"  # a claim about this instance
-    FORGOTTEN = "forgotten"
-
-
-ChangeSubscriber = Callable[[MembershipChange, Claim], None]
-
-CHANGES_BY_STATUS = {
-    Status.ALIVE: MembershipChange.ALIVE,
-    Status.SUSPECT: MembershipChange.SUSPECT,
-    Status.DEAD: MembershipChange.DEAD,
-    Status.LEFT: MembershipChange.LEFT,
-}
-
-
-def ignore_change(change: MembershipChange, claim: Claim) -> None:
-    """The default subscriber, which ignores all changes."""
-
-
 class Swim:
     """One instance's membership in the group.
 
@@ -144,11 +98,7 @@
         self.timing = timing or Timing()
         self.counts = Counts()
         self.view = View(Claim(name, address, Status.ALIVE, incarnation))
-        self.round: list[str] = []
-        self.probe: Probe | None = None
-        self.next_period = now + int(self.timing.period * rng.random())
-        self.seq = rng.getrandbits(24) if first_seq is None else first_seq
-        self.relays: dict[int, Relay] = {}  # by the seq of this instance's ping
+        self.detector = FailureDetector(self.view, rng, now, self.timing, self.send, first_seq)
         self.updates = Dissemination()
         self.accusations = Dissemination()
         self.suspicions: dict[str, Suspicion] = {}
@@ -195,9 +145,7 @@
 
     def due(self) -> int:
         """Returns when `tick` is to be called next."""
-        due = min(self.next_period, self.anti_entropy.due())
-        if self.probe is not None and self.may_retry(self.probe):
-            due = min(due, self.probe.retry_at)
+        due = min(self.detector.due(), self.anti_entropy.due())
         deadline = self.deadlines.next()
         return due if deadline is None else min(due, deadline)
 
@@ -211,10 +159,8 @@
         out: list[OutgoingMessage] = []
         for name in self.deadlines.pop_due(now):
             self.expire(now, name)
-        probe = self.probe
-        if probe is not None and self.may_retry(probe) and now >= probe.retry_at:
-            out += self.retry(now, probe)
-        if now >= self.next_period:
+        out += self.detector.retry_if_due(now)
+        if now >= self.detector.next_period:
             out += self.begin_period(now)
         return out + self.anti_entropy.tick(now)
 
@@ -230,62 +176,12 @@
         self.publish(MembershipChange.FORGOTTEN, claim)
 
     def begin_period(self, now: int) -> list[OutgoingMessage]:
-        """Ends the present probe and pings the next member."""
-        probe, self.probe = self.probe, None
-        if probe is not None and not probe.acked:
-            self.suspect(now, probe.target)
-        self.next_period = max(self.next_period + self.timing.period, now + self.timing.period // 2)
-        self.relays = {seq: relay for seq, relay in self.relays.items() if relay.expires_at > now}
-        target = self.next_target()
-        if target is None:
-            return []
-        self.seq += 1
-        self.probe = Probe(target, self.seq, now + self.timing.ack_timeout)
-        to = self.members[target].claim.address
-        return [self.send(to, Kind.PING, self.seq, about=target), *self.accusations_for(to)]
-
-    def next_target(self) -> str | None:
-        """Returns the member to ping next; None if there is none.
-
-        Members are taken in shuffled rounds, so that each is pinged within two rounds.
-        """
-        while True:
-            if not self.round:
-                self.round = self.alive()
-                self.rng.shuffle(self.round)
-                if not self.round:
-                    return None
-            name = self.round.pop()
-            member = self.members.get(name)
-            if member is not None and not member.gone:
-                return name
-
-    def may_retry(self, probe: Probe) -> bool:
-        """Returns whether a probe is unacknowledged and has retries left."""
-        return not probe.acked and probe.retries < self.timing.retries
-
-    def retry(self, now: int, probe: Probe) -> list[OutgoingMessage]:
-        """Pings the target of an unacknowledged probe again, and the first time has others ping it too.
-
-        Failure prevented: where three datagrams in ten are lost, one probe in five fails, and the claims and
-        refutations that follow displace each other.
-        """
-        probe.retries += 1
-        probe.retry_at = now + self.timing.ack_timeout
-        member = self.members.get(probe.target)
-        if member is None or member.gone:
-            return []
-        ping = self.send(member.claim.address, Kind.PING, probe.seq, about=probe.target)
-        return [ping] if probe.retries > 1 else [ping, *self.ping_indirectly(probe)]
-
-    def ping_indirectly(self, probe: Probe) -> list[OutgoingMessage]:
-        """Asks some random members to ping the probe's target."""
-        living = self.view.living
-        drawn = self.rng.sample(living, min(self.timing.indirect_probes + 1, len(living)))
-        chosen = [name for name in drawn if name != probe.target][: self.timing.indirect_probes]
-        return [
-            self.send(self.members[n].claim.address, Kind.PING_REQ, probe.seq, probe.target) for n in chosen
-        ]
+        """Suspects the present probe's target unless it has acknowledged, and pings the next member."""
+        unreached = self.detector.end_probe()
+        if unreached is not None:
+            self.suspect(now, unreached)
+        ping = self.detector.begin_period(now)
+        return [] if ping is None else [ping, *self.accusations_for(ping.to)]
 
     # ---- messages ------------------------------------------------------------------------------------
 
@@ -318,33 +214,13 @@
             ack = self.send(source, Kind.ACK, message.seq, about=message.sender)
             return [ack, *self.accusations_for(source)]
         elif message.kind == Kind.PING_REQ:
-            return self.relay(now, source, message)
+            return self.detector.relay(now, source, message)
         elif message.kind == Kind.ACK:
-            return self.receive_ack(message)
+            return self.detector.receive_ack(message)
         elif message.kind == Kind.SYNC:
             return self.anti_entropy.receive(now, source, message)
         return []
 
-    def relay(self, now: int, source: Address, message: Message) -> list[OutgoingMessage]:
-        """Pings a member on another member's behalf."""
-        target = self.members.get(message.target)
-        if target is None:
-            return []
-        self.seq += 1
-        self.relays[self.seq] = Relay(source, message.seq, now + self.timing.period)
-        return [self.send(target.claim.address, Kind.PING, self.seq, about=message.target)]
-
-    def receive_ack(self, message: Message) -> list[OutgoingMessage]:
-        """Completes this instance's probe, or passes on the ack of a relayed ping."""
-        probe = self.probe
-        if probe is not None and message.seq == probe.seq:
-            # Failure prevented: a relayed ack bears the relay's name, and another member's ack must not count
-            # as the target's: this seq is unique, and a relay only passes on what the target has acked.
-            probe.acked = True
-            return []
-        relay = self.relays.pop(message.seq, None)
-        return [self.send(relay.requester, Kind.ACK, relay.seq)] if relay is not None else []
-
     def send(self, to: Address, kind: Kind, seq: int, target: str = "", about: str = "") -> OutgoingMessage:
         """Returns a message with piggybacked claims.
 
@@ -395,8 +271,8 @@
         self.updates.add(claim.name)
         if known is None or known.claim.status != claim.status:
             self.publish(MembershipChange.JOIN if known is None else CHANGES_BY_STATUS[claim.status], claim)
-        if known is None and self.round:
-            self.round.insert(int(self.rng.random() * (len(self.round) + 1)), claim.name)
+        if known is None:
+            self.detector.add_target(claim.name)
 
     def refute(self, claim: Claim) -> None:
         """Overrides a claim that this instance is not alive, or that has a higher incarnation.
--- a/tests/test_membership_scale.py
+++ b/tests/test_membership_scale.py
@@ -16,6 +16,7 @@
 from balancer.fleet.membership.claims import Claim, Status
 from balancer.fleet.membership.codec import HEADER, Codec
 from balancer.fleet.membership.dissemination import Dissemination
+from balancer.fleet.membership.failure_detector import Probe
 from balancer.fleet.membership.keys import authentication_tag, key_id
 from balancer.fleet.membership.messages import (
     Accusation,
@@ -29,7 +30,7 @@
 )
 from balancer.fleet.membership.rate_limit import RateLimit
 from balancer.fleet.membership.suspicion import Suspicion
-from balancer.fleet.membership.swim import Probe, Swim
+from balancer.fleet.membership.swim import Swim
 from balancer.fleet.membership.timers import Deadlines
 from balancer.fleet.membership.timing import Timing
 from balancer.fleet.membership.view import ALL_BUCKETS, BUCKETS
@@ -72,8 +73,8 @@
 
 def probe_of(swim: Swim) -> Probe:
     """Returns a member's present probe, which there must be."""
-    assert swim.probe is not None
-    return swim.probe
+    assert swim.detector.probe is not None
+    return swim.detector.probe
 
 
 def opcodes(work: Callable[[], object]) -> int:
@@ -413,7 +414,7 @@
 def test_a_probe_is_sent_again_before_its_target_is_suspected() -> None:
     swim = group_of(10)
     swim.anti_entropy.next_sync = 99 * SEC
-    swim.next_period = 3 * SEC
+    swim.detector.next_period = 3 * SEC
     swim.tick(3 * SEC)
     probe = probe_of(swim)
     sent = [Counter(s.message.kind for s in swim.tick(3 * SEC + at)) for at in (300_000, 600_000, 900_000)]
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -9,11 +9,12 @@
 from dataclasses import dataclass, replace
 from random import Random
 
+from balancer.fleet.membership.changes import MembershipChange
 from balancer.fleet.membership.claims import Address
 from balancer.fleet.membership.codec import Codec, StampedMessage
 from balancer.fleet.membership.messages import AnyMessage, Message, OutgoingMessage
 from balancer.fleet.membership.replay_guard import Received, ReplayGuard
-from balancer.fleet.membership.swim import Claim, Kind, MembershipChange, Status, Swim
+from balancer.fleet.membership.swim import Claim, Kind, Status, Swim
 from workbench.simulator.heap import HeapClock
 
 SEC = 1_000_000
