--- a/tests/test_fleet_clocks.py
+++ b/tests/test_fleet_clocks.py
@@ -52,49 +52,49 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-@pytest.mark.parametrize("away", [3, 200])  # seconds: not missed yet; forgotten
-def test_a_process_that_restarts_with_a_step_is_believed_at_once(step, away) -> None:
+@pytest.mark.parametrize("away", [3, 200])  # seconds: not suspected yet; forgotten
+def test_a_process_that_restarts_with_a_step_is_accepted_at_once(step, away) -> None:
     fleet = settled(NEW, NEW, NEW, NEW)
     fleet.kill(4)
     fleet.run(away)
-    again = fleet.start(4, offset=step)
+    restarted = fleet.start(4, offset=step)
     before = changes_so_far(fleet)
-    assert fleet.until(lambda: fleet.believed(again), 4)
+    assert fleet.until(lambda: fleet.accepted_by_all(restarted), 4)
     fleet.run(30)
     assert fleet.complete() and not {"suspect", "dead"} & {c for c, _ in changes_since(fleet, before)}
 
 
 @pytest.mark.parametrize("step", [-20 * SEC, -5 * SEC, 5 * SEC, 20 * SEC])
-def test_a_restart_among_earlier_versions_works_as_far_as_their_slack_goes(step) -> None:
+def test_a_restart_among_earlier_versions_works_within_their_clock_tolerance(step) -> None:
     for kind in (NEW, EARLIER):
         fleet = settled(NEW, EARLIER, NEW, EARLIER)
         fleet.kill(4)
         fleet.run(3)
-        again = fleet.start(4, kind, step)
-        assert fleet.until(lambda f=fleet, a=again: f.believed(a), 15)
+        restarted = fleet.start(4, kind, step)
+        assert fleet.until(lambda f=fleet, p=restarted: f.accepted_by_all(p), 15)
 
 
-def test_a_seed_too_comes_back_with_its_clock_in_the_past() -> None:
+def test_a_restarted_seed_rejoins_with_its_clock_in_the_past() -> None:
     fleet = settled(NEW, NEW, NEW, NEW)
     fleet.kill(1)
     fleet.run(3)
-    again = fleet.start(1, offset=-HOUR)
-    assert fleet.until(lambda: fleet.believed(again), 4)
+    restarted = fleet.start(1, offset=-HOUR)
+    assert fleet.until(lambda: fleet.accepted_by_all(restarted), 4)
 
 
-def test_a_fast_life_is_followed_by_a_right_one_again_and_again() -> None:
-    """Failure prevented: each life goes above the last by more, and one day none can."""
+def test_fast_and_correct_clocks_alternate_over_many_restarts() -> None:
+    """Failure prevented: incarnations grow with each restart until they are out of range."""
     fleet = settled(NEW, NEW, NEW)
     highest = fleet.processes[HERE].wall() + HOUR + 120 * SEC
-    for life in range(6):
+    for restart in range(6):
         fleet.kill(3)
         fleet.run(3)
-        again = fleet.start(3, offset=HOUR if life % 2 == 0 else 0)
-        assert fleet.until(lambda again=again: fleet.believed(again), 4), life
-        assert again.swim.me.incarnation < highest
+        restarted = fleet.start(3, offset=HOUR if restart % 2 == 0 else 0)
+        assert fleet.until(lambda restarted=restarted: fleet.accepted_by_all(restarted), 4), restart
+        assert restarted.swim.me.incarnation < highest
 
 
-def test_all_clocks_differ_and_all_members_meet() -> None:
+def test_members_whose_clocks_all_differ_form_a_group() -> None:
     fleet = VirtualFleet()
     for number, offset in enumerate((0, HOUR, -HOUR, 24 * HOUR), start=1):
         fleet.start(number, offset=offset)
@@ -102,8 +102,8 @@
 
 
 @pytest.mark.parametrize("step", [-25 * SEC, 25 * SEC])
-def test_an_earlier_version_s_stepped_clock_is_heard_on(step) -> None:
-    """Its stamps stand still after a step back, and leap after one forward: it proves itself again."""
+def test_an_earlier_version_with_a_stepped_clock_stays_a_member(step) -> None:
+    """Its stamps stand still after a step back and jump after one forward: it proves itself again."""
     fleet = settled(NEW, NEW, EARLIER)
     before = changes_so_far(fleet)
     fleet.processes["10.0.0.1", 3].offset += step
@@ -111,7 +111,7 @@
     assert changes_since(fleet, before) == [] and fleet.complete()
 
 
-def test_stamps_and_incarnations_do_not_step_within_a_life(tmp_path) -> None:
+def test_stamps_and_incarnations_do_not_step_while_the_process_runs(tmp_path) -> None:
     file = tmp_path / "offset"
     file.write_text("0")
     clocks = Clocks(str(file))
@@ -131,28 +131,28 @@
 
 
 @pytest.mark.parametrize("status", list(Status))
-@pytest.mark.parametrize(("told", "becomes"), [(9, 5), (10, 6), (3, None)])
-def test_a_life_goes_just_above_what_is_told_of_an_earlier_one(status, told, becomes) -> None:
+@pytest.mark.parametrize(("reported", "is_adopted"), [(9, True), (10, True), (3, False)])
+def test_a_process_adopts_the_incarnation_above_a_reported_higher_one(status, reported, is_adopted) -> None:
     swim = member("a", 1, 5)
-    swim.accept(SEC, Claim("a", ("10.0.0.1", 1), status, told))
-    assert swim.me.incarnation == (told + 1 if becomes else 5) and swim.me.status == Status.ALIVE
+    swim.accept(SEC, Claim("a", ("10.0.0.1", 1), status, reported))
+    assert swim.me.incarnation == (reported + 1 if is_adopted else 5) and swim.me.status == Status.ALIVE
 
 
 @pytest.mark.parametrize("kind", [Kind.PING, Kind.SYNC, Kind.ACK])
 @pytest.mark.parametrize("status", [Status.ALIVE, Status.DEAD, Status.LEFT])
-def test_whoever_says_less_of_itself_than_is_held_is_told_so(kind, status) -> None:
-    swim, again = member("a", 1, 1), member("b", 2, 5)
+def test_a_sender_with_a_lower_incarnation_than_known_is_notified(kind, status) -> None:
+    swim, restarted = member("a", 1, 1), member("b", 2, 5)
     swim.accept(SEC, Claim("b", ("10.0.0.1", 2), Status.ALIVE, 9))
     swim.accept(SEC, Claim("b", ("10.0.0.1", 2), status, 9))
-    sends = swim.receive(SEC, ("10.0.0.1", 2), Message(kind, "b", 0, "", (again.me,)))
+    sends = swim.receive(SEC, ("10.0.0.1", 2), Message(kind, "b", 0, "", (restarted.me,)))
     for send in sends:
-        again.receive(SEC, ("10.0.0.1", 1), send.message)
-    assert again.me.incarnation == 10
-    swim.receive(SEC, ("10.0.0.1", 2), Message(Kind.PING, "b", 0, "", (again.me,)))
-    assert swim.status("b") == Status.ALIVE and swim.members["b"].claim == again.me
+        restarted.receive(SEC, ("10.0.0.1", 1), send.message)
+    assert restarted.me.incarnation == 10
+    swim.receive(SEC, ("10.0.0.1", 2), Message(Kind.PING, "b", 0, "", (restarted.me,)))
+    assert swim.status("b") == Status.ALIVE and swim.members["b"].claim == restarted.me
 
 
-def test_whoever_says_as_much_of_itself_as_is_held_is_told_nothing() -> None:
+def test_a_sender_with_the_known_or_a_higher_incarnation_is_not_notified() -> None:
     swim = member("a", 1, 1)
     swim.accept(SEC, Claim("b", ("10.0.0.1", 2), Status.ALIVE, 9))
     for incarnation in (9, 10):
@@ -160,7 +160,7 @@
         assert swim.receive(SEC, ("10.0.0.1", 2), Message(Kind.ACK, "b", 0, "", (claim,))) == []
 
 
-def test_suspicions_of_a_stranger_are_no_news() -> None:
+def test_suspicions_of_an_unknown_sender_are_ignored() -> None:
     """Failure prevented: a process of another zone answers a challenge with its zone's suspicions."""
     swim = member("a", 1, 1)
     suspect = Claim("z", ("10.0.0.9", 9), Status.SUSPECT, 3)
@@ -225,7 +225,7 @@
 
 @contextmanager
 def running(folder, name, port, page_port, seeds, offset_ms):
-    """A process of the node on loopback whose wall clock is off; gives a reader of its page."""
+    """Runs a node on loopback whose wall clock has an offset; yields the file that sets the offset."""
     folder = folder / name
     folder.mkdir(exist_ok=True)
     clock = folder / "clock"
@@ -257,21 +257,21 @@
         return {"members": [], "incarnation": 0, "received": {}, "refused": {}}
 
 
-def wait_until(holds):
-    ends = time.monotonic() + PATIENCE
-    while not holds():
-        assert time.monotonic() < ends, holds
+def wait_until(condition):
+    deadline = time.monotonic() + PATIENCE
+    while not condition():
+        assert time.monotonic() < deadline, condition
         time.sleep(0.02)
 
 
-def holds_alive(port, other, at_least=0):
-    """Whether a process holds another alive, in that one's present life."""
-    said = page(other)["incarnation"]
-    held = [(m["state"], m["incarnation"]) for m in page(port)["members"]]
-    return ("alive", said) in held and said > at_least
+def considers_alive(port, other, above=0):
+    """Returns whether a process considers another alive, in its present incarnation beyond `above`."""
+    incarnation = page(other)["incarnation"]
+    members = [(m["state"], m["incarnation"]) for m in page(port)["members"]]
+    return ("alive", incarnation) in members and incarnation > above
 
 
-def pings_heard(port):
+def pings_received(port):
     return page(port)["received"].get("ping", 0)
 
 
@@ -285,18 +285,18 @@
         last = 0
         for offset_ms in (3_600_000, -3_600_000, 5_000, -5_000):
             with second(offset_ms):
-                wait_until(lambda last=last: holds_alive(pages[0], pages[1], last))
-                wait_until(lambda: holds_alive(pages[1], pages[0]))
+                wait_until(lambda last=last: considers_alive(pages[0], pages[1], last))
+                wait_until(lambda: considers_alive(pages[1], pages[0]))
                 last = page(pages[1])["incarnation"]
                 clock.write_text(str(-offset_ms))  # a running process, too
-                heard = pings_heard(pages[0])
-                wait_until(lambda heard=heard: pings_heard(pages[0]) > heard + 3)
-                assert holds_alive(pages[0], pages[1]) and holds_alive(pages[1], pages[0])
+                earlier = pings_received(pages[0])
+                wait_until(lambda earlier=earlier: pings_received(pages[0]) > earlier + 3)
+                assert considers_alive(pages[0], pages[1]) and considers_alive(pages[1], pages[0])
         assert "clock" not in page(pages[0])["refused"]
 
 
 def free_tcp():
-    """A port for connections that was free a moment ago."""
+    """Returns a TCP port that was free a moment ago."""
     with socket.socket() as s:
         s.bind(("127.0.0.1", 0))
         return s.getsockname()[1]
--- a/tests/test_replay_guard.py
+++ b/tests/test_replay_guard.py
@@ -13,7 +13,7 @@
 # ---- recorded datagrams on a virtual fleet ---------------------------------------------------------------
 
 
-def test_what_was_recorded_moves_no_view_of_a_running_process() -> None:
+def test_a_replay_changes_no_view_of_a_running_process() -> None:
     fleet = settled(NEW, NEW, NEW)
     recorded = list(fleet.recorded)
     fleet.run(60)
@@ -25,8 +25,8 @@
 
 
 @pytest.mark.parametrize("source", [None, ATTACKER])
-def test_what_was_recorded_moves_no_view_of_a_process_that_has_just_started(source: Address | None) -> None:
-    """Among the recorded: a member that is gone for long. It does not come back to life."""
+def test_a_replay_changes_no_view_of_a_process_that_has_just_started(source: Address | None) -> None:
+    """Among the senders recorded is a member that is gone for long; it isn't restored."""
     fleet = settled(NEW, NEW, NEW, NEW)
     fleet.kill(4)
     fleet.run(200)
@@ -37,7 +37,7 @@
     fleet.kill(3)
     assert fleet.replay(fresh.address, recorded, source) == 0 and view(fresh) == {}
     assert len(fresh.guard.challenges) <= 4
-    # Now with those alive that can answer its challenges: what is old by their own clocks is refused.
+    # Now those that can answer its challenges are alive: what is old by their own clocks is rejected.
     fleet = settled(NEW, NEW, NEW, NEW)
     fleet.kill(4)
     fleet.run(200)
@@ -50,7 +50,7 @@
     assert "n4" not in view(fresh) and set(view(fresh)) <= {"n1", "n2", "n3"}
 
 
-def test_a_forgotten_sender_s_datagrams_do_not_bring_it_back() -> None:
+def test_a_replay_does_not_restore_a_forgotten_sender() -> None:
     fleet = settled(NEW, NEW, NEW)
     fleet.kill(3)
     recorded = [r for r in fleet.recorded if r.source == ("10.0.0.1", 3)]
@@ -63,20 +63,20 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_an_earlier_life_s_datagrams_move_nothing_once_the_next_has_proven_itself(step: int) -> None:
+def test_a_replay_of_an_earlier_process_changes_nothing_once_the_next_is_proven(step: int) -> None:
     fleet = settled(NEW, NEW, NEW)
     fleet.kill(3)
     recorded = [r for r in fleet.recorded if r.source == ("10.0.0.1", 3)]
     fleet.run(40)
-    again = fleet.start(3, offset=step)
-    assert fleet.until(lambda: fleet.believed(again), 10)
+    restarted = fleet.start(3, offset=step)
+    assert fleet.until(lambda: fleet.accepted_by_all(restarted), 10)
     for source in (None, ATTACKER):
         fleet.replay(HERE, recorded, source)
         fleet.run(1)
     before = changes_so_far(fleet)
     fleet.run(30)
     assert fleet.complete() and changes_since(fleet, before) == []
-    assert fleet.processes[HERE].swim.members["n3"].claim == again.swim.me
+    assert fleet.processes[HERE].swim.members["n3"].claim == restarted.swim.me
 
 
 # ---- the guard's decisions -------------------------------------------------------------------------------
@@ -112,7 +112,7 @@
     return Received(source, stamp, Message(kind, sender, seq, "", claims), size)
 
 
-def test_a_datagram_is_held_until_its_sender_has_answered() -> None:
+def test_a_datagram_is_buffered_until_its_sender_has_answered() -> None:
     guard, admission = proven()
     assert [r.stamp for r in admission.accepted] == [5 * SEC] and admission.reply is None
     assert guard.challenges == {} and guard.challenges_by_source == {} and guard.buffered_bytes == 0
@@ -122,14 +122,14 @@
 
 
 @pytest.mark.parametrize(
-    ("age", "taken"),
+    ("age", "is_accepted"),
     [(1, True), (replay_guard.MAX_TRANSIT_US, True), (replay_guard.MAX_TRANSIT_US + 2, False)],
 )
-def test_what_was_old_when_its_sender_proved_itself_is_refused(age: int, taken: bool) -> None:
+def test_a_datagram_that_was_old_at_its_sender_s_proof_is_rejected(age: int, is_accepted: bool) -> None:
     guard = ReplayGuard("me", 1000, Counter())
     challenge = reply_of(guard.admit(SEC, received("a", 100 * SEC - age)))
     answer = guard.admit(SEC, received("a", 100 * SEC, Kind.ACK, challenge.seq))
-    assert bool(answer.accepted) is taken
+    assert bool(answer.accepted) is is_accepted
     assert guard.admit(SEC, received("a", 100 * SEC - 1 - replay_guard.MAX_TRANSIT_US)).accepted == ()
 
 
@@ -138,23 +138,26 @@
     [
         received("a", 6 * SEC, Kind.ACK, 999),  # not the challenge's number
         received("b", 6 * SEC, Kind.ACK, 1001),  # another's answer
-        received("a", 6 * SEC, Kind.SYNC, 1001),  # no answer
+        received("a", 6 * SEC, Kind.SYNC, 1001),  # not an ACK
     ],
 )
-def test_nothing_else_is_proof(answer: Received) -> None:
+def test_no_other_message_is_proof(answer: Received) -> None:
     guard = ReplayGuard("me", 1000, Counter())
     assert reply_of(guard.admit(SEC, received("a", 5 * SEC))).seq == 1001
     assert guard.admit(SEC, answer).accepted == () and guard.senders.windows == {}
 
 
-def test_an_ack_of_an_own_ping_is_proof_for_a_while() -> None:
-    for passed, taken in ((replay_guard.PROOF_TIMEOUT_US, True), (replay_guard.PROOF_TIMEOUT_US + 1, False)):
+def test_an_ack_of_a_ping_is_proof_for_a_limited_time() -> None:
+    for elapsed, is_accepted in (
+        (replay_guard.PROOF_TIMEOUT_US, True),
+        (replay_guard.PROOF_TIMEOUT_US + 1, False),
+    ):
         guard = ReplayGuard("me", 1000, Counter())
         guard.ping_sent(SEC, 77)
-        assert bool(guard.admit(SEC + passed, received("a", 9 * SEC, Kind.ACK, 77)).accepted) is taken
+        assert bool(guard.admit(SEC + elapsed, received("a", 9 * SEC, Kind.ACK, 77)).accepted) is is_accepted
 
 
-def test_a_late_answer_is_none() -> None:
+def test_a_late_answer_is_no_proof() -> None:
     guard = ReplayGuard("me", 1000, Counter())
     challenge = reply_of(guard.admit(SEC, received("a", 5 * SEC)))
     late = SEC + replay_guard.PROOF_TIMEOUT_US + 1
@@ -162,19 +165,19 @@
     assert guard.dropped == {"unproven": 2} and guard.senders.windows == {} and guard.buffered_bytes == 0
 
 
-def test_a_challenge_of_another_is_echoed_and_changes_nothing() -> None:
+def test_another_process_s_challenge_is_echoed_and_changes_nothing() -> None:
     guard = ReplayGuard("me", 1000, Counter())
     admission = guard.admit(SEC, received("b", 7, seq=42, claims=()))
     assert admission.reply == Message(Kind.ACK, "me", 42) and admission.accepted == ()
     assert guard.senders.windows == {} and guard.challenges == {}
 
 
-def test_a_process_s_own_datagrams_are_no_news_to_it() -> None:
+def test_a_process_s_own_datagrams_are_rejected() -> None:
     guard = ReplayGuard("me", 1000, Counter())
     assert guard.admit(SEC, received("me", 5)) == replay_guard.REJECTED and guard.dropped == {"replay": 1}
 
 
-def test_a_challenge_is_repeated_and_what_waits_is_bounded() -> None:
+def test_a_challenge_is_repeated_and_its_buffer_is_bounded() -> None:
     guard = ReplayGuard("me", 1000, Counter())
     answers = [guard.admit(SEC + i, received("a", 5 * SEC + i)).reply for i in range(10)]
     assert [a.seq for a in answers if a] == [1001]
@@ -182,16 +185,16 @@
     assert len(
         guard.challenges[1001].buffered
     ) == replay_guard.MAX_BUFFERED_PER_CHALLENGE and guard.dropped == {"unproven": 7}
-    # An attacker that sends another's datagrams from its own address keeps nobody from proving itself.
+    # An attacker that sends another's datagrams from its own address prevents no sender's proof.
     assert reply_of(guard.admit(SEC, received("a", 5 * SEC, source=ATTACKER))).seq == 1002
     for number in range(2000):
-        guard.admit(SEC, received(f"made up {number}", 5, size=1200))
+        guard.admit(SEC, received(f"invented {number}", 5, size=1200))
     assert len(guard.challenges) == len(guard.challenges_by_source) == replay_guard.MAX_CHALLENGES
     held = [h.size for c in guard.challenges.values() for h in c.buffered]
     assert sum(held) == guard.buffered_bytes <= replay_guard.MAX_BUFFERED_BYTES
 
 
-def test_what_is_kept_of_senders_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_state_kept_of_senders_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(replay_guard, "MAX_SENDERS", 3)
     stamps = replay_guard.SenderStamps()
     for number in range(9):
@@ -216,13 +219,13 @@
         (110 * SEC - replay_guard.MAX_SKEW_US - 1, Verdict.DISTANT),
     ],
 )
-def test_stamps_are_judged_by_their_sender_s_own(stamp: int, verdict: Verdict) -> None:
+def test_stamps_are_judged_by_their_sender_s_earlier_ones(stamp: int, verdict: Verdict) -> None:
     window = StampWindow(99 * SEC, 8 * SEC, floor=90 * SEC)
     window.record(100 * SEC, 10 * SEC)
     assert window.judge(stamp, 20 * SEC) == verdict
 
 
-def test_a_stamp_behind_a_full_window_is_refused() -> None:
+def test_a_stamp_below_a_full_window_is_rejected() -> None:
     window = StampWindow(0, 0)
     for stamp in range(1, replay_guard.WINDOW_SIZE + 2):
         window.record(stamp, 0)
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -233,9 +233,9 @@
 
     def complete(self) -> bool:
         """Returns whether all consider all others alive, in their present incarnations."""
-        return all(self.believed(p) for p in self.processes.values())
+        return all(self.accepted_by_all(p) for p in self.processes.values())
 
-    def believed(self, process: Process) -> bool:
+    def accepted_by_all(self, process: Process) -> bool:
         """Returns whether all others consider this process alive, in its present incarnation."""
         others = (o for o in self.processes.values() if o is not process)
         mine = replace(process.swim.me, status=Status.ALIVE)
