--- a/balancer/fleet/config_section.py
+++ b/balancer/fleet/config_section.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from balancer.fleet.membership.claims import MAX_NAME_CHARACTERS
-from balancer.fleet.membership.codec import KeyFault, read_key
+from balancer.fleet.membership.keys import InvalidKeyError, read_key
 from balancer.fleet.membership.swim import Address
 
 MAX_PATH_CHARACTERS = 4096
@@ -107,6 +107,6 @@
             return b""
         try:
             return read_key(Path(path))
-        except KeyFault as error:
+        except InvalidKeyError as error:
             self.faults.append(f"{self.path}.{key}: {error}")
             return b""
--- a/balancer/fleet/leases/component.py
+++ b/balancer/fleet/leases/component.py
@@ -9,7 +9,7 @@
 from balancer.fleet.leases.client import LeaseClient
 from balancer.fleet.leases.names import FREQUENT_PREFIXES
 from balancer.fleet.leases.service import LeaseService
-from balancer.fleet.membership.codec import Part
+from balancer.fleet.membership.codec import PayloadCodec
 from balancer.fleet.membership.swim import Address
 
 MICROSECONDS_IN_A_MILLISECOND = 1000
@@ -24,7 +24,7 @@
         self.unix_offset = 0  # from the monotonic clock to Unix time, as it stood when this incarnation began
 
     @property
-    def wires(self) -> Sequence[Part]:
+    def wires(self) -> Sequence[PayloadCodec]:
         """The encoder and decoder of lease messages."""
         return (self.service.wire,)
 
--- a/balancer/fleet/policy_adapter.py
+++ b/balancer/fleet/policy_adapter.py
@@ -12,7 +12,7 @@
 
 from balancer.fleet.component import Outgoing
 from balancer.fleet.config import FleetConfig
-from balancer.fleet.membership.codec import Part
+from balancer.fleet.membership.codec import PayloadCodec
 from balancer.policy.interface import ListKind, Outcome, ServerEntry, Settings
 
 if TYPE_CHECKING:
@@ -72,12 +72,12 @@
                 config, config.zones, settings, now, wall, schedule, log_line, self.publish_shares
             )
 
-    def wires(self) -> list[Part]:
+    def wires(self) -> list[PayloadCodec]:
         """Returns the encoders and decoders of the message kinds.
 
         Health checks' messages are read by all that have voters, whether they check themselves or not.
         """
-        wires: list[Part] = []
+        wires: list[PayloadCodec] = []
         if self.config.voters:
             from balancer.fleet.health_checks.messages import HealthCheckWire
 
--- a/balancer/fleet/policy_component.py
+++ b/balancer/fleet/policy_component.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from balancer.fleet.component import Component, Outgoing, Runtime
-from balancer.fleet.membership.codec import Part
+from balancer.fleet.membership.codec import PayloadCodec
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.policy_adapter import PolicyAdapter
 
@@ -30,7 +30,7 @@
         self.leases = leases
 
     @property
-    def wires(self) -> Sequence[Part]:
+    def wires(self) -> Sequence[PayloadCodec]:
         """The adapter's message kinds."""
         return self.adapter.wires()
 
--- a/balancer/fleet/rolling_update/component.py
+++ b/balancer/fleet/rolling_update/component.py
@@ -9,7 +9,7 @@
 from balancer.fleet.leases.client import LeaseClient
 from balancer.fleet.leases.component import LeaseComponent
 from balancer.fleet.leases.names import REPLACEMENT
-from balancer.fleet.membership.codec import Part
+from balancer.fleet.membership.codec import PayloadCodec
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.rolling_update.decisions import MAX_UNAVAILABLE, RollingUpdate
 from balancer.fleet.rolling_update.messages import RollingUpdateMessage, RollingUpdateWire, UpdateState
@@ -32,7 +32,7 @@
         self.shutdown_started = False
 
     @property
-    def wires(self) -> Sequence[Part]:
+    def wires(self) -> Sequence[PayloadCodec]:
         """The encoder and decoder of rolling update messages."""
         return (RollingUpdateWire(),)
 
--- a/balancer/fleet/zone_membership/component.py
+++ b/balancer/fleet/zone_membership/component.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from balancer.fleet.component import Component, Outgoing, Runtime
-from balancer.fleet.membership.codec import Part
+from balancer.fleet.membership.codec import PayloadCodec
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.zone_membership.decisions import ZoneMembership
 from balancer.fleet.zone_membership.messages import AddressedMessage
@@ -33,7 +33,7 @@
         self.zone_membership: ZoneMembership | None = None
 
     @property
-    def wires(self) -> Sequence[Part]:
+    def wires(self) -> Sequence[PayloadCodec]:
         """The encoder and decoder of the messages."""
         return (ZoneMembershipWire(),)
 
--- a/tests/test_fleet_components.py
+++ b/tests/test_fleet_components.py
@@ -20,7 +20,7 @@
 from balancer.fleet.assembly import FleetComponents, components_for
 from balancer.fleet.component import Component, Outgoing, Runtime
 from balancer.fleet.config import FleetConfig
-from balancer.fleet.membership.codec import Codec, Part
+from balancer.fleet.membership.codec import Codec, PayloadCodec
 from balancer.fleet.membership.swim import Address, Claim, Kind, Status
 from balancer.fleet.operator_pages import whole_number
 from balancer.fleet.registry import DuplicateKindError, Registry
@@ -67,7 +67,7 @@
         self.calls: list[str] = []
 
     @property
-    def wires(self) -> Sequence[Part]:
+    def wires(self) -> Sequence[PayloadCodec]:
         return (ToyWire(),)
 
     def open(self) -> None:
@@ -129,7 +129,7 @@
     """Fails at each call."""
 
     @property
-    def wires(self) -> Sequence[Part]:
+    def wires(self) -> Sequence[PayloadCodec]:
         return (OtherWire(OtherKind.OWNED),)
 
     def fail(self, *args: Any) -> Any:
@@ -283,7 +283,7 @@
         admit_sender(fleet, "two")
         fleet.datagram_received(other.encode(unknown, fleet.stamp()), ("127.0.0.1", 9))
         assert fleet.view()["refused"] == {"kind": 1} and "unknown" not in fleet.view()["received"]
-        fleet.codec.parts[int(OtherKind.UNKNOWN)] = OtherWire(OtherKind.UNKNOWN)
+        fleet.codec.payload_codecs[int(OtherKind.UNKNOWN)] = OtherWire(OtherKind.UNKNOWN)
         fleet.datagram_received(other.encode(unknown, fleet.stamp()), ("127.0.0.1", 9))
         assert fleet.view()["received"]["unknown"] == 1 and fleet.events["unhandled"] == 1
         fleet.close()
@@ -293,7 +293,7 @@
 
 class ComponentWithMembershipKind(ToyComponent):
     @property
-    def wires(self) -> Sequence[Part]:
+    def wires(self) -> Sequence[PayloadCodec]:
         return (OtherWire(Kind.PING),)
 
 
--- a/tests/test_zone_directives.py
+++ b/tests/test_zone_directives.py
@@ -145,7 +145,7 @@
         """Encode and decode a message; the codec itself is tested for clocks that disagree elsewhere."""
         data = self.codec.encode(message, UNIX)
         assert len(data) <= MAX_DATAGRAM_BYTES
-        decoded = self.codec.decode(data, self.codec.stamp)
+        decoded = self.codec.decode(data, self.codec.last_stamp)
         assert decoded == message
         return cast(ZoneMessage, decoded)
 
--- a/workbench/explore/regional.py
+++ b/workbench/explore/regional.py
@@ -13,7 +13,7 @@
 from time import process_time_ns
 from typing import Any
 
-from balancer.fleet.membership.codec import Codec, Part
+from balancer.fleet.membership.codec import Codec, PayloadCodec
 from balancer.fleet.membership.swim import Address
 from workbench.explore.virtual_network import POLL_INTERVAL_S, Delay, LinkFaults, VirtualNetwork
 from workbench.simulator.heap import HeapClock
@@ -61,7 +61,7 @@
         parts: Encoders and decoders of the present version, beside membership's.
     """
 
-    def __init__(self, seed: int, loss: float = 0.0, parts: Sequence[Part] = ()) -> None:
+    def __init__(self, seed: int, loss: float = 0.0, parts: Sequence[PayloadCodec] = ()) -> None:
         self.clock = HeapClock(START)
         self.codec = Codec([KEY], parts)
         self.old_codec = Codec([KEY])
@@ -137,7 +137,7 @@
         endpoint.traffic.bytes_in += len(data)
         # All endpoints share the codec, and nothing arrives twice: one replay window for all receivers would
         # take datagrams that arrive in another order for replays.
-        endpoint.codec.replays.clear()
+        endpoint.codec.senders.clear()
         began = process_time_ns()
         message = endpoint.codec.decode(data, self.clock.now)
         endpoint.cpu_ns += process_time_ns() - began
--- a/workbench/explore/zone_members.py
+++ b/workbench/explore/zone_members.py
@@ -8,7 +8,7 @@
 from time import process_time_ns
 from typing import Any
 
-from balancer.fleet.membership.swim import Address, Claim, Send, Status, Swim
+from balancer.fleet.membership.swim import Address, Claim, OutgoingMessage, Status, Swim
 from balancer.fleet.zone_membership.decisions import ZoneMembership
 from balancer.fleet.zone_membership.group import Group
 from balancer.fleet.zone_membership.messages import AddressedMessage, ZoneMembershipMessage
@@ -143,7 +143,7 @@
         for addressed in messages:
             self.fleet.network.send(self.address, addressed.to, addressed.message)
 
-    def _run_swim(self, call: Callable[..., list[Send]], *arguments: Any) -> None:
+    def _run_swim(self, call: Callable[..., list[OutgoingMessage]], *arguments: Any) -> None:
         began = process_time_ns()
         sends = call(*arguments)
         self.swim_cpu_ns += process_time_ns() - began
--- a/workbench/scale/member.py
+++ b/workbench/scale/member.py
@@ -13,16 +13,19 @@
 from collections.abc import Callable
 from random import Random
 from time import process_time_ns
-from typing import ParamSpec, TypeVar
+from typing import TYPE_CHECKING, ParamSpec, TypeVar
 
 import click
 import msgspec
 
 from balancer.fleet.membership.codec import Codec
-from balancer.fleet.membership.swim import Claim, Kind, Message, Send, Status, Swim
+from balancer.fleet.membership.swim import Claim, Kind, Message, Status, Swim
 from workbench.explore.members import KEY
 from workbench.scale.membership import Row, stop_dissemination
 
+if TYPE_CHECKING:  # earlier revisions, which are measured too, have it under another name
+    from balancer.fleet.membership.messages import OutgoingMessage
+
 PERIOD_US = 1_000_000
 PERIODS = 30
 FIRST_PERIODS = 3  # not measured
@@ -93,7 +96,7 @@
             sent += self.put(sends)
         return sent
 
-    def put(self, sends: list[Send]) -> int:
+    def put(self, sends: list[OutgoingMessage]) -> int:
         """Encodes what the member sends; those pinged answer at once."""
         for send in sends:
             message = send.message
--- a/workbench/scale/membership.py
+++ b/workbench/scale/membership.py
@@ -31,8 +31,8 @@
 import msgspec
 
 from balancer.fleet.membership.codec import Codec
-from balancer.fleet.membership.swim import Address, Claim, Send, Status, Swim
-from workbench.explore.members import DELAY, KEY
+from balancer.fleet.membership.swim import Address, Claim, OutgoingMessage, Status, Swim
+from workbench.explore.members import KEY, MEAN_DELAY_US
 from workbench.explore.virtual_network import Delay, VirtualNetwork, Waited
 from workbench.simulator.heap import HeapClock
 
@@ -71,13 +71,13 @@
 def stop_dissemination(swim: Swim) -> None:
     """Drops all updates and accusations that a member still passes on, as long after the last change."""
     for queue in (swim.updates, swim.accusations):
-        for name in list(queue.times):
+        for name in list(queue.transmissions):
             queue.remove(name)
 
 
 def transmission_delay(source: Address, to: Address) -> Delay:
     """Returns the delay, which is the same between all members."""
-    return Delay(DELAY)
+    return Delay(MEAN_DELAY_US)
 
 
 class MeteredNetwork:
@@ -129,7 +129,7 @@
         self.transmit(address, sends)
         self.clock.call_at(max(self.clock.now + 1, due), self.on_timer, what)
 
-    def transmit(self, source: Address, sends: list[Send]) -> None:
+    def transmit(self, source: Address, sends: list[OutgoingMessage]) -> None:
         """Datagrams go out, each with a delay of its own."""
         for send in sends:
             begun = process_time_ns()
--- a/workbench/scale/program.py
+++ b/workbench/scale/program.py
@@ -10,6 +10,7 @@
 from typing import Any, Protocol
 
 from balancer.fleet.config import FleetConfig
+from balancer.fleet.membership.changes import MembershipChange
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Swim
 from balancer.fleet.runtime import FleetRuntime
@@ -63,7 +64,7 @@
     """Calls `changed` with each change of a member's view, before the runtime's own callback."""
     runtime = swim.publish
 
-    def both(what: str, claim: Any) -> None:
+    def both(what: MembershipChange, claim: Any) -> None:
         changed(what, claim)
         runtime(what, claim)
 
--- a/workbench/scale/run.py
+++ b/workbench/scale/run.py
@@ -15,7 +15,8 @@
 import uvloop
 
 from balancer.fleet.config import FleetConfigError, read_fleet
-from balancer.fleet.membership.codec import Codec, read_key
+from balancer.fleet.membership.codec import Codec
+from balancer.fleet.membership.keys import read_key
 from workbench.emulator.places import Places
 from workbench.scale.group import Group, Place
 from workbench.scale.hollow import list_datagrams
--- a/workbench/scale/worker.py
+++ b/workbench/scale/worker.py
@@ -19,7 +19,8 @@
 
 import uvloop
 
-from balancer.fleet.membership.codec import Codec, read_key
+from balancer.fleet.membership.codec import Codec
+from balancer.fleet.membership.keys import read_key
 from workbench.scale.group import Group, Place
 from workbench.scale.hollow import HollowMember, Network, list_datagrams
 from workbench.scale.machine import resident
