--- a/balancer/fleet/policy_adapter.py
+++ b/balancer/fleet/policy_adapter.py
@@ -127,7 +127,7 @@
 
     # ---- what the policy asks and tells -----------------------------------------------------------------
 
-    def may_pass(self) -> bool:
+    def may_recalculate_min_rtt(self) -> bool:
         remeasure = self.remeasure
         if remeasure is None:
             return True
@@ -142,7 +142,7 @@
             self.schedule()
         return allowed
 
-    def passed(self) -> None:
+    def min_rtt_recalculated(self) -> None:
         remeasure = self.remeasure
         if remeasure is None or remeasure.begun is None:
             return
@@ -150,7 +150,7 @@
         remeasure.passed(self.now())
         self.schedule()
 
-    def may_try(self, server: int) -> bool:
+    def may_run_trial(self, server: int) -> bool:
         if self.zone_traffic is not None and not self.zone_traffic.allows(server):
             return False
         if self.probe is None:
@@ -162,18 +162,18 @@
             self.log_line(f"fleet tries server={server} " + ("alone" if token is None else f"token={token}"))
         return allowed
 
-    def set_aside(self, server: int, wait: int) -> None:
+    def server_ejected(self, server: int, wait: int) -> None:
         if self.zone_traffic is not None:
             self.zone_traffic.set_ejected(server, True)
         if self.probe is not None:
             self.probe.set_aside(self.now(), server, wait)
             self.schedule()
 
-    def back(self, server: int, well: bool) -> None:
+    def server_readmitted(self, server: int, healthy: bool) -> None:
         if self.zone_traffic is not None:
             self.zone_traffic.set_ejected(server, False)
         if self.probe is not None:
-            self.probe.back(self.now(), server, well)
+            self.probe.back(self.now(), server, healthy)
             self.schedule()
 
     # ---- time and messages ------------------------------------------------------------------------------
--- a/balancer/fleet/zone_routing/traffic.py
+++ b/balancer/fleet/zone_routing/traffic.py
@@ -88,8 +88,8 @@
         self.zones = self.zones_class(
             config.zone,
             self.zone_settings,
-            settings.cold_time,
-            settings.cold_share,
+            settings.slow_start_time,
+            settings.slow_start_share,
             now,
             self.rank,
             self.log_line,
@@ -139,7 +139,7 @@
         if self.zones is None or not self.ready_servers:
             return
         names = {number: name for name, number in self.zone_numbers.items()}
-        cold_time, offset = self.settings.cold_time, self.list_clock_offset
+        cold_time, offset = self.settings.slow_start_time, self.list_clock_offset
         self.zones.listed(
             {
                 number: Listed(names[entry.zone], self.starts[number].cold_until(cold_time, offset))
--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -163,7 +163,7 @@
         settings=replace(
             given_settings,
             retry_after=True,
-            list_ask_within=min(given_settings.list_ask_within, LONGEST_SILENCE),
+            max_list_poll_interval=min(given_settings.max_list_poll_interval, LONGEST_SILENCE),
         ),
         classes=tuple(c.text("name") for c in settings.tables("classes")),
         tenants=tuple(t.text("name") for t in settings.tables("tenants", optional=True)),
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -77,7 +77,7 @@
         self.handover = Handover(loop, config.folder, self.share, self.log_lines)
         # What the module does to requests, and what it asks of discovery, their parts do themselves.
         self.send, self.cancel = self.requests.send, self.requests.cancel
-        self.refuse, self.fail = self.requests.refuse, self.requests.fail
+        self.reject, self.fail = self.requests.reject, self.requests.fail
         self.watch, self.fetch = self.discovery.watch, self.discovery.fetch
         adapter = None if self.fleet is None else self.fleet.policy_adapter
         self.balancer = Balancer(config.settings, config.seed, self, adapter)
@@ -106,7 +106,7 @@
         self.log_lines.line(
             f"start tier={c.settings.tier} instances={c.settings.instances} connections={c.connections()}"
             f" idle={c.idle_time} connect_timeout={c.connect_timeout}"
-            f" aims={[k.aim // 1000 for k in c.settings.classes]}"
+            f" aims={[k.latency_objective // 1000 for k in c.settings.classes]}"
         )
         self.turns.post(self.balancer.start)
         if self.config.known is not None:
@@ -275,11 +275,11 @@
 
     def tried(self, server: int, well: bool) -> None:
         """Another node of the fleet has tried a server."""
-        self.turns.post(self.balancer.tried, server, well)
+        self.turns.post(self.balancer.trial_result, server, well)
 
     def spread(self, shares: dict[int, float], trips: dict[int, int]) -> None:
         """The fleet's word on how calls go to the zones."""
-        self.turns.post(self.balancer.zones, shares, trips)
+        self.turns.post(self.balancer.zone_shares, shares, trips)
 
     def failed(self, event: Event, args: tuple[Any, ...]) -> None:
         """The module has failed over an event: a request that it was about gets an answer all the same."""
@@ -288,7 +288,7 @@
 
     # ---- Actions --------------------------------------------------------------------------------------
 
-    def probe(self, server: int) -> None:
+    def check_health(self, server: int) -> None:
         """Asks a server for its load report, or whether it is well where there are no reports."""
         endpoint = self.pool.endpoints.get(server)
         began = self.turns.now()
@@ -297,10 +297,10 @@
         def done(outcome: Outcome, answer: Answer | None) -> None:
             ok = answer is not None and answer.status == 200
             report = self.requests.report(answer.body or answer.report) if answer is not None and ok else ()
-            self.turns.post(self.balancer.probed, server, ok, self.turns.now() - began, report)
+            self.turns.post(self.balancer.health_checked, server, ok, self.turns.now() - began, report)
 
         if endpoint is None or not endpoint.ready:
-            self.turns.post(self.balancer.probed, server, False, 0, ())
+            self.turns.post(self.balancer.health_checked, server, False, 0, ())
             return
         request = b"GET %b HTTP/1.1\r\nHost: %b:%d\r\n\r\n" % (path, endpoint.host.encode(), endpoint.port)
         Exchange(self.pool, endpoint, lambda: request, done).start(self.config.connect_timeout)
@@ -309,7 +309,7 @@
         """Hands `token` back after `delay`."""
         self.loop.call_later(max(0, delay) / 1e6, self.turns.post, self.balancer.timer, token)
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         """Sends a message to a peer, or to all."""
         self.peers.tell(peer, data)
 
--- a/balancer/net/requests.py
+++ b/balancer/net/requests.py
@@ -29,7 +29,7 @@
 FLOW_PAUSE = 0.2  # seconds that a server may pause in an answer that flows, once the request's time is over
 FLOW_LOOK = 0.1  # seconds between two looks at such an answer
 FULL_ADVICE = 500_000  # after so long there may be room again for a client that found none
-METHODS = {Effect.SAFE: b"GET", Effect.KEYED: b"POST", Effect.UNSAFE: b"POST"}
+METHODS = {Effect.IDEMPOTENT: b"GET", Effect.IDEMPOTENCY_KEY: b"POST", Effect.NOT_IDEMPOTENT: b"POST"}
 
 
 class Open:
@@ -174,7 +174,7 @@
             caller.answer(405, headers=b"Allow: %b\r\n" % METHODS[effect])
             return
         budget = message.headers.get(b"x-budget-ms") or b""
-        keyed = effect != Effect.KEYED or message.headers.get(b"idempotency-key")
+        keyed = effect != Effect.IDEMPOTENCY_KEY or message.headers.get(b"idempotency-key")
         tenant = message.headers.get(b"x-caller")
         if not (
             message.headers.get(b"x-call-id")
@@ -248,7 +248,7 @@
 
         Failure prevented: a server that takes a request slowly gets its last byte after its client has gone.
         """
-        self.turns.post(self.module.client_left, request.id)
+        self.turns.post(self.module.client_disconnected, request.id)
         if request.out is not None and (request.flow is not None or request.partly_written()):
             request.out.stop(Outcome.CANCELLED)
 
@@ -275,7 +275,7 @@
     def time_out(self, request: Open) -> None:
         """The request's time is over: its client is told, and nothing more is done for it."""
         self.conclude(request.id, 504)
-        self.turns.post(self.module.client_left, request.id)
+        self.turns.post(self.module.client_disconnected, request.id)
 
     # ---- answers --------------------------------------------------------------------------------------
 
@@ -361,9 +361,9 @@
         the servers that would have dropped it have forgotten the first by then.
         """
         c = self.settings.classes[r.klass]
-        if r.ran_at is None or c.effect == Effect.SAFE:
+        if r.ran_at is None or c.effect == Effect.IDEMPOTENT:
             return True
-        return c.effect == Effect.KEYED and now < r.ran_at + c.window
+        return c.effect == Effect.IDEMPOTENCY_KEY and now < r.ran_at + c.window
 
     def uploaded(self, r: Open, number: int) -> None:
         """The last byte of a long body has gone to the server: only now the request's time begins."""
@@ -443,7 +443,7 @@
         if r is not None and r.out is not None and attempt == r.attempts - 1:
             r.out.stop(Outcome.CANCELLED)
 
-    def refuse(self, request: int, retry_after: int) -> None:
+    def reject(self, request: int, retry_after: int) -> None:
         """Answers 503, with advice when to come back."""
         self.conclude(request, 503, headers=advice(retry_after))
 
--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -20,13 +20,13 @@
 from balancer.policy.interface import (
     NEVER_RAN,
     Actions,
-    Alone,
     Effect,
     Fleet,
     ListKind,
     Outcome,
     ServerEntry,
     Settings,
+    Standalone,
     State,
 )
 from balancer.policy.load_shedding import LoadShedder
@@ -52,18 +52,18 @@
 
     def __init__(self, settings: Settings, seed: int, actions: Actions, fleet: Fleet | None = None) -> None:
         self.settings = s = settings
-        self.fleet = fleet or Alone()
+        self.fleet = fleet or Standalone()
         self.actions = actions
         self.rng = Random(seed)
         self.servers: dict[int, Server] = {}
-        self.trips: Mapping[int, int] = {}  # how much longer the way to a zone is
+        self.additional_rtt: Mapping[int, int] = {}  # how much longer the way to a zone is
         self.requests: dict[int, Request] = {}
         self.streaming: set[int] = set()  # requests whose answers flow: their attempts are booked
         self.waiting: deque[Request] = deque()
         share = AIM_SHARE * (s.tiers - s.tier) / s.tiers
-        allowance = [int(c.aim * share) for c in s.classes]
+        allowance = [int(c.latency_objective * share) for c in s.classes]
         self.controller = GradientController(allowance, s.max_open, self.rng, 0, self.fleet)
-        self.mean_rtt = [c.aim * share / 2 for c in s.classes]  # until measured
+        self.mean_rtt = [c.latency_objective * share / 2 for c in s.classes]  # until measured
         self.rtt = [Average(m, PRIOR, SMOOTH_ALL) for m in self.mean_rtt]
         self.kinds: dict[int, Average] = {}
         self.spillover = ZoneSpillover(s)
@@ -76,7 +76,7 @@
         self.window_start = 0
         self.retry_budget = RetryBudget()
         self.load_shedder = LoadShedder(s, self.rng, self.mean_rtt)
-        self.start_times = StartTimes(s.cold_time)
+        self.start_times = StartTimes(s.slow_start_time)
         self.has_first_lists = False  # beyond the list of before this process
         self.list_failures = 0
         self.blocked = 0  # rq_blocked
@@ -94,8 +94,10 @@
         if kind == ListKind.FAILED:
             # Only asked-for lists fail. Jittered back-off, well inside the longest silence allowed.
             self.list_failures += 1
-            base = max(self.settings.tick, self.settings.list_ask_within // 20)
-            delay = min(base << min(self.list_failures - 1, 3), max(base, self.settings.list_ask_within // 4))
+            base = max(self.settings.tick, self.settings.max_list_poll_interval // 20)
+            delay = min(
+                base << min(self.list_failures - 1, 3), max(base, self.settings.max_list_poll_interval // 4)
+            )
             self.actions.set_timer(int(delay * (0.5 + self.rng.random())), TIMER_LIST << TOKEN_BITS)
             return
         if kind != ListKind.CACHED:
@@ -129,17 +131,19 @@
         self.forget_gone()
         self.refill()
 
-    def request(self, now: int, request: int, klass: int, tenant: int, time_left: int, repeat: bool) -> None:
+    def request(
+        self, now: int, request: int, request_class: int, tenant: int, remaining: int, repeat: bool
+    ) -> None:
         s = self.settings
         # Failure prevented: a request of an unknown class gets the retry rights of some other class.
-        known = klass < len(s.classes)
-        request_class = min(klass, len(s.classes) - 1)
+        known = request_class < len(s.classes)
+        request_class = min(request_class, len(s.classes) - 1)
         c = s.classes[request_class]
-        useful = time_left
-        if c.late_worth <= 0 and c.aim - 2 * s.tick < useful:
+        useful = remaining
+        if c.late_worth <= 0 and c.latency_objective - 2 * s.tick < useful:
             # Late work is waste: an answer after the aim is worth nothing here, so nothing waits for it.
-            useful = max(s.tick, c.aim - 2 * s.tick)
-        r = Request(request, request_class, c.effect if known else Effect.UNSAFE, now, useful)
+            useful = max(s.tick, c.latency_objective - 2 * s.tick)
+        r = Request(request, request_class, c.effect if known else Effect.NOT_IDEMPOTENT, now, useful)
         self.requests[request] = r
         if not repeat:
             self.slow_start.count_request(now)
@@ -223,7 +227,7 @@
         if not srv.uncounted:
             self.controller.record_in_flight(now, -1 if on else 1)
 
-    def client_left(self, now: int, request: int) -> None:
+    def client_disconnected(self, now: int, request: int) -> None:
         r = self.requests.get(request)
         if r is not None and r.uploading:
             self.upload(now, request, r.attempts - 1, False)
@@ -231,21 +235,21 @@
         if r is not None and r.server is not None and self.settings.cancel and not r.responding:
             self.actions.cancel(request, r.attempts - 1)
 
-    def probed(self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]) -> None:
+    def health_checked(self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]) -> None:
         """Not used: half-open trials are real calls."""
 
-    def tried(self, now: int, server: int, well: bool) -> None:
+    def trial_result(self, now: int, server: int, healthy: bool) -> None:
         """Another node has tried a server, which counts for one that is ejected here."""
         srv = self.servers.get(server)
         if srv is not None and srv.ejected and not srv.trial_in_flight:
-            if well:
+            if healthy:
                 self.ejection.readmit(srv)
             else:
                 self.ejection.eject(now, srv, srv.silent)
 
-    def zones(self, now: int, shares: Mapping[int, float], trips: Mapping[int, int]) -> None:
+    def zone_shares(self, now: int, shares: Mapping[int, float], additional_rtt: Mapping[int, int]) -> None:
         """How the calls go to the zones from now on: members are taken from each."""
-        self.subset.shares, self.trips = shares, trips
+        self.subset.shares, self.additional_rtt = shares, additional_rtt
         self.refill()
 
     def timer(self, now: int, token: int) -> None:
@@ -309,7 +313,7 @@
         Failure prevented: an answer that never comes costs the request its whole time.
         """
         remaining = r.useful_until - now
-        if r.effect == Effect.UNSAFE:
+        if r.effect == Effect.NOT_IDEMPOTENT:
             return remaining
         mean = self.mean_rtt[r.request_class]
         if srv.uncounted:  # a trial of an ejected server
@@ -330,7 +334,9 @@
             r.ran_at = r.sent_at
         ran = r.ran_on is not None
         allowed = (
-            not ran or r.effect == Effect.SAFE or (r.effect == Effect.KEYED and now < r.ran_at + c.window)
+            not ran
+            or r.effect == Effect.IDEMPOTENT
+            or (r.effect == Effect.IDEMPOTENCY_KEY and now < r.ran_at + c.window)
         )
         if (
             allowed
@@ -341,7 +347,7 @@
             self.retry_budget.spend()
             self.attempt(now, r)
             return
-        self.finish(r, refuse=not ran or r.effect == Effect.SAFE)
+        self.finish(r, refuse=not ran or r.effect == Effect.IDEMPOTENT)
 
     def finish(self, r: Request, refuse: bool) -> None:
         """The one final answer. `refuse` only where a retry is known to do no harm."""
@@ -352,8 +358,8 @@
             return
         after = 0
         if s.retry_after:
-            after = min(s.max_retry_after, int(s.classes[r.request_class].aim / 8))
-        self.actions.refuse(r.id, after)
+            after = min(s.max_retry_after, int(s.classes[r.request_class].latency_objective / 8))
+        self.actions.reject(r.id, after)
 
     def enqueue(self, now: int, r: Request) -> None:
         """Below the first tier a refusal wastes the work already sunk above: the call waits for a free slot.
@@ -401,7 +407,7 @@
         if r is not None and (ok or outcome == Outcome.TIMEOUT):
             request_class = r.request_class
             if srv.deviation.value < OUTLIER and not srv.ejected:
-                ctl.sample(now, request_class, max(1, latency - self.trips.get(srv.zone, 0)))
+                ctl.sample(now, request_class, max(1, latency - self.additional_rtt.get(srv.zone, 0)))
             ratio = min(latency / self.mean_rtt[request_class], MAX_RTT_RATIO)
             srv.deviation.add(ratio / srv.kind.value)
             srv.kind.add(ratio)
--- a/balancer/policy/ejection.py
+++ b/balancer/policy/ejection.py
@@ -76,7 +76,7 @@
         )
         srv.ejections += 1
         self.next_trial = min(e.trial_at for e in self.ejected)
-        self.fleet.set_aside(srv.id, srv.trial_at - now)
+        self.fleet.server_ejected(srv.id, srv.trial_at - now)
         self.subset.sort()
 
     def readmit(self, srv: Server, well: bool = False) -> None:
@@ -89,7 +89,7 @@
         if self.ejected:
             self.next_trial = min(e.trial_at for e in self.ejected)
         self.actions.log(f"readmit server={srv.id}")
-        self.fleet.back(srv.id, well)
+        self.fleet.server_readmitted(srv.id, well)
         self.subset.sort()
 
     def is_silent(self, now: int, srv: Server) -> bool:
@@ -107,7 +107,7 @@
         if now < self.next_trial:
             return None
         for trial in self.ejected:
-            if trial.trial_at > now or trial.trial_in_flight or not self.fleet.may_try(trial.id):
+            if trial.trial_at > now or trial.trial_in_flight or not self.fleet.may_run_trial(trial.id):
                 continue
             if slow_start.may_send(now, trial):
                 trial.trial_in_flight = True
--- a/balancer/policy/gradient.py
+++ b/balancer/policy/gradient.py
@@ -6,7 +6,7 @@
 from math import ceil, sqrt
 from random import Random
 
-from balancer.policy.interface import Alone, Fleet
+from balancer.policy.interface import Fleet, Standalone
 
 # The source's figures, kept as they are.
 WINDOW = 100_000  # least length of a sampling window
@@ -66,7 +66,7 @@
     def __init__(
         self, allowance: Sequence[int], ceiling: int, rng: Random, now: int, fleet: Fleet | None = None
     ) -> None:
-        self.fleet = fleet or Alone()
+        self.fleet = fleet or Standalone()
         self.allowance = allowance
         self.min_rtt = [0.0] * len(allowance)
         self.target = [float(a) for a in allowance]
@@ -155,7 +155,7 @@
                 target = max(self.min_rtt[request_class] * (1 + BUFFER), self.allowance[request_class])
                 self.target[request_class] = min(target, max_target)
         self.recalculating = False
-        self.fleet.passed()
+        self.fleet.min_rtt_recalculated()
         self.recalculations += 1
         self.next_recalculation = now + int(MIN_RTT_INTERVAL * (1 + MIN_RTT_JITTER * self.rng.random()))
         self.window.restart(now)
@@ -194,7 +194,7 @@
         # Failure prevented: "usual" is met in any overload, and a new start each few seconds closes a copy.
         self.windows_at_floor = self.windows_at_floor + 1 if self.limit <= self.floor else 0
         due = self.windows_at_floor >= WINDOWS_AT_MIN or now >= self.next_recalculation
-        if due and self.fleet.may_pass():
+        if due and self.fleet.may_recalculate_min_rtt():
             self.start_recalculation(now)
 
     def follow_usual(self, age: int, count: int) -> None:
--- a/balancer/policy/interface.py
+++ b/balancer/policy/interface.py
@@ -15,9 +15,9 @@
 class Effect(IntEnum):
     """What a repeat of a request does."""
 
-    SAFE = 0  # may run any number of times
-    KEYED = 1  # a group of servers discards repeats for a while
-    UNSAFE = 2  # must never run twice (also: any effect the host does not recognise)
+    IDEMPOTENT = 0  # may run any number of times
+    IDEMPOTENCY_KEY = 1  # a group of servers discards repeats for a while
+    NOT_IDEMPOTENT = 2  # must never run twice (also: any effect the host does not recognise)
 
 
 class Group(IntEnum):
@@ -67,7 +67,7 @@
     """One class of requests."""
 
     effect: Effect
-    aim: int  # an answer within this time earns the full worth
+    latency_objective: int  # a response within this time earns the full worth
     deadline: int  # the client's whole patience, over all its tries
     worth: float
     late_worth: float = 0.0  # share of the worth for an answer after the aim
@@ -99,15 +99,15 @@
     cancel: bool = False
     probes: bool = False
     peers: bool = False
-    second_copies: bool = False
+    hedging: bool = False
     retry_after: bool = False
     max_retry_after: int = 0
     max_open: int = 20000
     list_on_request: bool = False  # the server list must be asked for
-    list_ask_within: int = 0  # where it must be asked for: the longest silence allowed
+    max_list_poll_interval: int = 0  # where it must be polled: the longest interval allowed
     list_weights: bool = False  # entries carry comparable weights
-    cold_time: int = 0  # a fresh server is warm within this time
-    cold_share: float = 1.0  # and starts at this share of its capacity or more
+    slow_start_time: int = 0  # a server that has started is warm within this time
+    slow_start_share: float = 1.0  # and starts at this share of its capacity or more
     fall_multiple: float = 0.0  # sent more than this multiple of its present capacity
     fall_time: int = 0  # for this long, it falls over
     answer_slack: int = 0
@@ -122,7 +122,7 @@
 
         need(len(self.classes) > 0, "classes")
         for i, c in enumerate(self.classes):
-            need(c.aim > 0, f"classes[{i}].aim")
+            need(c.latency_objective > 0, f"classes[{i}].aim")
             need(c.deadline > 0, f"classes[{i}].deadline")
             need(c.worth >= 0, f"classes[{i}].worth")
             need(c.late_worth >= 0, f"classes[{i}].late_worth")
@@ -134,14 +134,14 @@
         need(self.max_attempts >= 1, "max_attempts")
         need(self.max_open >= 1, "max_open")
         need(self.tick > 0, "tick")
-        need(self.cold_time >= 0, "cold_time")
-        need(0 < self.cold_share <= 1, "cold_share")
+        need(self.slow_start_time >= 0, "cold_time")
+        need(0 < self.slow_start_share <= 1, "cold_share")
         need(self.fall_multiple >= 0, "fall_multiple")
         need(self.fall_time >= 0, "fall_time")
         need(self.index >= 0, "index")
         need(self.zone >= 0, "zone")
         need(self.max_retry_after >= 0, "max_retry_after")
-        need(self.list_ask_within >= 0, "list_ask_within")
+        need(self.max_list_poll_interval >= 0, "list_ask_within")
         need(self.cross_zone_price >= 0, "cross_zone_price")
         need(self.over_share_worth >= 0, "over_share_worth")
 
@@ -168,19 +168,19 @@
     def cancel(self, request: int, attempt: int) -> None:
         """Stop waiting for an attempt; its outcome still follows."""
 
-    def refuse(self, request: int, retry_after: int) -> None:
+    def reject(self, request: int, retry_after: int) -> None:
         """Final answer: not served, a retry does no harm."""
 
     def fail(self, request: int) -> None:
         """Final answer: not served, with no promise about effects."""
 
-    def probe(self, server: int) -> None:
+    def check_health(self, server: int) -> None:
         """Test a server; one `probed` event follows."""
 
     def set_timer(self, delay: int, token: int) -> None:
         """Ask for a `timer` event; timers cannot be withdrawn."""
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         """Send a short message to another instance of this tier (-1: to all)."""
 
     def watch(self, on: bool) -> None:
@@ -197,45 +197,45 @@
 
 
 class Fleet(Protocol):
-    """What the processes of a fleet decide together. A Balancer that stands alone has `Alone`.
+    """What the processes of a fleet decide together. A Balancer that stands alone has `Standalone`.
 
     Called while an event is being handled, as `Actions` are; what a fleet has to say comes as the event
     `tried`.
     """
 
-    def may_pass(self) -> bool:
+    def may_recalculate_min_rtt(self) -> bool:
         """Whether the minRTT pass that is due may begin now. Asked again while the answer is no."""
 
-    def passed(self) -> None:
+    def min_rtt_recalculated(self) -> None:
         """A minRTT pass is over."""
 
-    def may_try(self, server: int) -> bool:
+    def may_run_trial(self, server: int) -> bool:
         """Whether this node tries a server that it has set aside, now that a trial is due."""
 
-    def set_aside(self, server: int, wait: int) -> None:
+    def server_ejected(self, server: int, wait: int) -> None:
         """A server was set aside, or tried in vain; its next trial is due in `wait`."""
 
-    def back(self, server: int, well: bool) -> None:
+    def server_readmitted(self, server: int, healthy: bool) -> None:
         """A server is not set aside any more: this node tried it and found it `well`, or it is gone, new, or
         not a member."""
 
 
-class Alone:
+class Standalone:
     """A Balancer without a fleet: it passes and tries as it sees fit."""
 
-    def may_pass(self) -> bool:
+    def may_recalculate_min_rtt(self) -> bool:
         return True
 
-    def passed(self) -> None:
+    def min_rtt_recalculated(self) -> None:
         pass
 
-    def may_try(self, server: int) -> bool:
+    def may_run_trial(self, server: int) -> bool:
         return True
 
-    def set_aside(self, server: int, wait: int) -> None:
+    def server_ejected(self, server: int, wait: int) -> None:
         pass
 
-    def back(self, server: int, well: bool) -> None:
+    def server_readmitted(self, server: int, healthy: bool) -> None:
         pass
 
 
@@ -256,7 +256,9 @@
         From here on nothing new goes to a server that is not ready, or that a full list leaves out.
         """
 
-    def request(self, now: int, request: int, klass: int, tenant: int, time_left: int, repeat: bool) -> None:
+    def request(
+        self, now: int, request: int, request_class: int, tenant: int, remaining: int, repeat: bool
+    ) -> None:
         """A request with a fresh id. One final answer is owed within `time_left`.
 
         That is `refuse`, `fail` or an outcome that is final. A class that the settings lack gets no right
@@ -293,16 +295,16 @@
         the request's time begins anew at the end.
         """
 
-    def client_left(self, now: int, request: int) -> None:
+    def client_disconnected(self, now: int, request: int) -> None:
         """Nobody waits any more; nothing is owed. Attempts that are out still get their outcomes."""
 
-    def probed(self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]) -> None:
+    def health_checked(self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]) -> None:
         """The answer to a `probe`."""
 
-    def tried(self, now: int, server: int, well: bool) -> None:
+    def trial_result(self, now: int, server: int, healthy: bool) -> None:
         """Another node of the fleet has tried a server that is set aside: it is well again, or not yet."""
 
-    def zones(self, now: int, shares: Mapping[int, float], trips: Mapping[int, int]) -> None:
+    def zone_shares(self, now: int, shares: Mapping[int, float], additional_rtt: Mapping[int, int]) -> None:
         """What part of the calls goes to each zone, in order of preference, and how much longer the way to
         some zones is. A zone that is not among them gets nothing. Without this event the module sees to
         zones itself."""
--- a/balancer/policy/selection.py
+++ b/balancer/policy/selection.py
@@ -48,9 +48,9 @@
         attempt too and turns it away again. The source, too, tries again on another host where it can.
         """
         effect = r.effect
-        if r.ran_on is not None and effect == Effect.KEYED:
+        if r.ran_on is not None and effect == Effect.IDEMPOTENCY_KEY:
             return self.pick_in_group(now, r)
-        if self.ejection.ejected and effect != Effect.UNSAFE:
+        if self.ejection.ejected and effect != Effect.NOT_IDEMPOTENT:
             trial = self.ejection.take_trial(now, self.slow_start)
             if trial is not None:
                 return trial
--- a/balancer/policy/slow_start.py
+++ b/balancer/policy/slow_start.py
@@ -79,7 +79,9 @@
         if srv.cold_until <= now:
             return True
         s = self.settings
-        warmth = s.cold_share + (1 - s.cold_share) * max(0.0, 1 - (srv.cold_until - now) / s.cold_time)
+        warmth = s.slow_start_share + (1 - s.slow_start_share) * max(
+            0.0, 1 - (srv.cold_until - now) / s.slow_start_time
+        )
         srv.tokens = min(1.0, srv.tokens + self.fair_rate(now) * warmth * (now - srv.tokens_at) / 1e6)
         srv.tokens_at = now
         if srv.tokens < 1:
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -6,7 +6,7 @@
 
 from balancer.policy.interface import ClassSettings, Effect, Group, Settings, TenantSettings
 
-EFFECTS = {"free": Effect.SAFE, "guarded": Effect.KEYED, "single_shot": Effect.UNSAFE}
+EFFECTS = {"free": Effect.IDEMPOTENT, "guarded": Effect.IDEMPOTENCY_KEY, "single_shot": Effect.NOT_IDEMPOTENT}
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
 COLUMNS = {
     "concurrent": "inflight",
@@ -109,15 +109,15 @@
         cancel=limits.flag("cancel"),
         probes=limits.flag("probing"),
         peers=limits.flag("peers"),
-        second_copies=limits.flag("second_copies"),
+        hedging=limits.flag("second_copies"),
         retry_after=limits.flag("retry_after"),
         max_retry_after=limits.whole("max_retry_after", 0),
         max_open=limits.whole("max_open", 20000),
         list_on_request=fields.text("discovery", "push") == "ask",
-        list_ask_within=rules.whole("ask_within", 0),
+        max_list_poll_interval=rules.whole("ask_within", 0),
         list_weights=fields.text("weights", "off") != "off",
-        cold_time=rules.whole("cold"),
-        cold_share=rules.number("start_capacity"),
+        slow_start_time=rules.whole("cold"),
+        slow_start_share=rules.number("start_capacity"),
         fall_multiple=rules.number("fall_multiple"),
         fall_time=rules.whole("tip_after"),
         answer_slack=rules.whole("answer_slack", 0),
@@ -130,8 +130,8 @@
 def class_of(c: Fields) -> ClassSettings:
     """A request class. An effect or group that is not known gets the fewest rights there are."""
     return ClassSettings(
-        effect=EFFECTS.get(c.text("effect"), Effect.UNSAFE),
-        aim=c.whole("goal_time"),
+        effect=EFFECTS.get(c.text("effect"), Effect.NOT_IDEMPOTENT),
+        latency_objective=c.whole("goal_time"),
         deadline=c.whole("hard_limit"),
         worth=c.number("worth"),
         late_worth=c.number("late_value", 0.0),
--- a/balancer/simulator_adapter.py
+++ b/balancer/simulator_adapter.py
@@ -87,19 +87,19 @@
     def cancel(self, request: int, attempt: int) -> None:
         self.out += WITHDRAW.pack(68, self.node, request, attempt)
 
-    def refuse(self, request: int, retry_after: int) -> None:
+    def reject(self, request: int, retry_after: int) -> None:
         self.out += BOUNCE.pack(66, self.node, request, min(max(retry_after, 0), 0xFFFFFFFF))
 
     def fail(self, request: int) -> None:
         self.out += END_FAILED.pack(67, self.node, request)
 
-    def probe(self, server: int) -> None:
+    def check_health(self, server: int) -> None:
         self.out += PROBE.pack(70, self.node, server)
 
     def set_timer(self, delay: int, token: int) -> None:
         self.out += NOTIFY_ME.pack(69, self.node, min(max(delay, 0), LONGEST_TIMER), token)
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         self.out += NOTIFY.pack(72, self.node, EVERY_PEER if peer < 0 else peer, len(data)) + data
 
     def watch(self, on: bool) -> None:
@@ -198,13 +198,13 @@
 
     def client_left(self, now: int, body: bytes, pos: int) -> int:
         node, request = CLIENT_LEFT.unpack_from(body, pos)
-        self.tell(node, "client_left", now, request)
+        self.tell(node, "client_disconnected", now, request)
         return pos + CLIENT_LEFT.size
 
     def check_result(self, now: int, body: bytes, pos: int) -> int:
         node, took, status, server, n = CHECK_RESULT.unpack_from(body, pos)
         pos += CHECK_RESULT.size
-        self.tell(node, "probed", now, server, status == 200, took, floats(body, pos, n))
+        self.tell(node, "health_checked", now, server, status == 200, took, floats(body, pos, n))
         return pos + 4 * int(n)
 
     def opened(self, now: int, body: bytes, pos: int) -> int:
--- a/tests/slow_start.py
+++ b/tests/slow_start.py
@@ -37,8 +37,8 @@
     load: float
     burst_factor: float  # the load is multiplied by this from the moment of the cold starts on
     warm_servers_hang: bool = False  # from then on the servers that are warm take requests and answer none
-    cold_time: int = 24 * SEC
-    cold_share: float = 0.12
+    slow_start_time: int = 24 * SEC
+    slow_start_share: float = 0.12
     fall_multiple: float = 2.5
     fall_time: int = 2 * SEC
 
@@ -76,8 +76,8 @@
             classes=(SAFE,),
             instances=workload.copies,
             max_attempts=4,
-            cold_time=workload.cold_time,
-            cold_share=workload.cold_share,
+            slow_start_time=workload.slow_start_time,
+            slow_start_share=workload.slow_start_share,
             fall_multiple=workload.fall_multiple,
             fall_time=workload.fall_time,
         )
@@ -138,7 +138,7 @@
         s = self.settings
         if server not in self.cold or now < RESTART_AT:
             return self.workload.capacity
-        warmth = s.cold_share + (1 - s.cold_share) * (now - RESTART_AT) / s.cold_time
+        warmth = s.slow_start_share + (1 - s.slow_start_share) * (now - RESTART_AT) / s.slow_start_time
         return self.workload.capacity * min(1.0, warmth)
 
     def send(self, copy: int, request: int, server: int, timeout: int) -> None:
@@ -179,7 +179,7 @@
         for server, sent in self.arrivals.items():
             first = 0
             for last, (now, _) in enumerate(sent):
-                if now >= RESTART_AT + self.settings.cold_time:
+                if now >= RESTART_AT + self.settings.slow_start_time:
                     break
                 while sent[first][0] <= now - window:
                     first += 1
@@ -196,6 +196,6 @@
         """What all cold servers should get by the end: their warmth's part of an even share of the load."""
         s = self.settings
         seconds = (END - RESTART_AT) / SEC
-        warmth = s.cold_share + (1 - s.cold_share) * seconds * SEC / s.cold_time / 2
+        warmth = s.slow_start_share + (1 - s.slow_start_share) * seconds * SEC / s.slow_start_time / 2
         load = self.workload.load * self.workload.burst_factor * self.workload.capacity
         return load * warmth * seconds * len(self.cold)
--- a/tests/support.py
+++ b/tests/support.py
@@ -8,19 +8,27 @@
 from balancer.policy.interface import ClassSettings, Effect, Group, ListKind, Outcome, ServerEntry, Settings
 
 SEC = 1_000_000
-SAFE = ClassSettings(Effect.SAFE, aim=1 * SEC, deadline=3 * SEC, worth=1, late_worth=0.2)
+SAFE = ClassSettings(Effect.IDEMPOTENT, latency_objective=1 * SEC, deadline=3 * SEC, worth=1, late_worth=0.2)
 KEYED = ClassSettings(
-    Effect.KEYED, aim=1 * SEC, deadline=3 * SEC, worth=1, late_worth=0.2, group=Group.CELL, window=2 * SEC
+    Effect.IDEMPOTENCY_KEY,
+    latency_objective=1 * SEC,
+    deadline=3 * SEC,
+    worth=1,
+    late_worth=0.2,
+    group=Group.CELL,
+    window=2 * SEC,
+)
+UNSAFE = ClassSettings(
+    Effect.NOT_IDEMPOTENT, latency_objective=1 * SEC, deadline=3 * SEC, worth=1, late_worth=0.2
 )
-UNSAFE = ClassSettings(Effect.UNSAFE, aim=1 * SEC, deadline=3 * SEC, worth=1, late_worth=0.2)
 BASE = Settings(
     classes=(SAFE, KEYED, UNSAFE),
     max_attempts=4,
     cancel=True,
     retry_after=True,
     max_retry_after=2 * SEC,
-    cold_time=4 * SEC,
-    cold_share=0.4,
+    slow_start_time=4 * SEC,
+    slow_start_share=0.4,
     fall_multiple=3.0,
     fall_time=SEC,
 )
@@ -56,7 +64,7 @@
 ) -> tuple:
     """Sends a request in and returns the one action it leads to."""
     node.request(now, request, klass, 0, left, False)
-    (action,) = recorder.take("send", "refuse", "fail")
+    (action,) = recorder.take("send", "reject", "fail")
     return action
 
 
@@ -72,4 +80,4 @@
 ) -> list[tuple]:
     final = outcome == Outcome.OK
     node.outcome(now, request, attempt, server, outcome, latency, final, ())
-    return recorder.take("send", "refuse", "fail")
+    return recorder.take("send", "reject", "fail")
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -685,10 +685,12 @@
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(report), report)
         bench = await Bench(server := Server(always(answer, BUSY))).start()
         heard = []
-        bench.node.balancer.probed = lambda now, server, ok, took, values: heard.append((ok, tuple(values)))
+        bench.node.balancer.health_checked = lambda now, server, ok, took, values: heard.append(
+            (ok, tuple(values))
+        )
         (number,) = bench.node.pool.endpoints
         for count in (1, 2):
-            bench.node.probe(number)
+            bench.node.check_health(number)
             await until(lambda count=count: len(heard) == count)
         assert heard == [(True, (1.5, 7.0)), (False, ())]
         assert server.requests[0].target == "/status/load"
@@ -716,8 +718,8 @@
         await until(lambda: bool(heard))
         assert heard == [(1, b"hello")]
         peer.settimeout(20)
-        bench.node.tell(1, b"x" * 257)
-        bench.node.tell(-1, b"all")
+        bench.node.send_to_peer(1, b"x" * 257)
+        bench.node.send_to_peer(-1, b"all")
         assert peer.recv(300) == b"all"
         mine.close(), peer.close(), stranger.close()
 
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -84,7 +84,7 @@
     sent = [c[2] for c in asked(TwoDraws)[1].take("send")]
     assert max(sent.count(s) for s in range(4)) <= 12  # even, by in-flight
     node, recorder = asked(PublishedGradient, 5)
-    assert [c[0] for c in recorder.take()] == ["send"] * 3 + ["refuse"] * 2
+    assert [c[0] for c in recorder.take()] == ["send"] * 3 + ["reject"] * 2
 
 
 @pytest.mark.parametrize(
@@ -108,7 +108,7 @@
     node.request(0, 7, klass, 0, 3 * SEC, False)
     ((_, _, first, _),) = recorder.take("send")
     node.outcome(1000, 7, 0, first, outcome, 1000, False, ())
-    (call,) = recorder.take("send", "fail", "refuse")
+    (call,) = recorder.take("send", "fail", "reject")
     if klass == 1 and outcome == Outcome.TIMEOUT and first == 3:
         assert call[:3] == ("send", 7, 3)
         return
@@ -202,3 +202,59 @@
     assert module.balancer.GradientController is module.gradient.GradientController
     assert module.gradient.WINDOW == 50_000 and today.WINDOW == 100_000
     assert module.balancer.GradientController is not today.GradientController
+
+
+FORMER_INTERFACE = """
+from dataclasses import dataclass
+class Actions:
+    def refuse(self, request, retry_after): ...
+@dataclass
+class ClassSettings:
+    effect: int
+    aim: int
+@dataclass
+class Settings:
+    classes: tuple
+    cold_time: int
+    second_copies: bool
+"""
+FORMER_BALANCER = """
+from balancer.policy.interface import Settings
+class Balancer:
+    def __init__(self, settings, seed, actions):
+        self.settings, self.actions, self.left = settings, actions, []
+    def request(self, now, request, *rest):
+        self.actions.refuse(request, 5)
+        self.actions.probe(7)
+        self.actions.tell(1, b"x")
+        self.actions.send(request, 2, 3)
+    def client_left(self, now, request):
+        self.left.append(request)
+    def probed(self, now, server, ok, latency, report):
+        self.left.append(server)
+"""
+
+
+def test_a_revision_from_before_the_terms_were_renamed_gets_its_own_names(tmp_path, monkeypatch):
+    files = {
+        "balancer/policy/__init__.py": FORMER_BALANCER,
+        "balancer/policy/interface.py": FORMER_INTERFACE,
+    }
+    commit = committed(tmp_path, files)
+    monkeypatch.setattr(revisions, "ROOT", tmp_path)
+    recorder = Recorder()
+    policy = revisions.policy_of(commit, ())(BASE, 1, recorder, None)
+    assert policy.settings.cold_time == BASE.slow_start_time and not policy.settings.second_copies
+    assert [c.aim for c in policy.settings.classes] == [c.latency_objective for c in BASE.classes]
+    policy.request(0, 1, 0, 0, 3 * SEC, False)
+    assert recorder.take() == [
+        ("reject", 1, 5),
+        ("check_health", 7),
+        ("send_to_peer", 1, b"x"),
+        ("send", 1, 2, 3),
+    ]
+    policy.client_disconnected(0, 1)
+    policy.health_checked(0, 2, True, 5, ())
+    assert policy.left == [1, 2]
+    with pytest.raises(AttributeError):
+        policy.zone_shares(0, {}, {})  # this one has no such event
--- a/tests/test_policy_adapter.py
+++ b/tests/test_policy_adapter.py
@@ -17,7 +17,7 @@
 from balancer.fleet.min_rtt.decisions import Remeasure, RemeasureSettings
 from balancer.fleet.policy_adapter import PolicyAdapter
 from balancer.policy import Balancer
-from balancer.policy.interface import Alone, ListKind, Outcome, ServerEntry
+from balancer.policy.interface import ListKind, Outcome, ServerEntry, Standalone
 
 SEC = 1_000_000
 LIST = Electorate(("v0", "v1", "v2"))
@@ -258,11 +258,16 @@
 
 def test_without_its_keys_an_adapter_holds_nothing_back(tmp_path):
     h, clock, told = adapter(tmp_path)
-    assert h.may_pass() and h.may_try(1) and h.tick(clock[0]) == [] and h.deadline(clock[0]) is None
-    h.set_aside(1, SEC)
+    assert (
+        h.may_recalculate_min_rtt()
+        and h.may_run_trial(1)
+        and h.tick(clock[0]) == []
+        and h.deadline(clock[0]) is None
+    )
+    h.server_ejected(1, SEC)
     h.attempt_ended(1, Outcome.ERROR, 1000, 0.1)
-    h.back(1, True)
-    h.passed()
+    h.server_readmitted(1, True)
+    h.min_rtt_recalculated()
     assert told == [] and h.status(clock[0]) == {}
 
 
@@ -282,40 +287,40 @@
     h.attempt_ended(2, Outcome.OK, 9000, 0.021)
     assert later() == [({1: 1.0, 0: 0.0}, {0: 20_000})]
     for server in (1, 3):  # two of the own zone's three
-        h.set_aside(server, SEC)
+        h.server_ejected(server, SEC)
     ((shares, _),) = later()
-    assert 0 < shares[1] < 1 and h.may_try(1)
+    assert 0 < shares[1] < 1 and h.may_run_trial(1)
     assert h.zone_traffic.orders.say("y", 60 * SEC)
     ((shares, _),) = [t for t in later(1.1) if isinstance(t, tuple)]
-    assert set(shares) == {1} and not h.may_try(2) and h.may_try(1)
+    assert set(shares) == {1} and not h.may_run_trial(2) and h.may_run_trial(1)
     h.close()
-    assert h.may_try(2)
+    assert h.may_run_trial(2)
 
 
 # ---- the module's side ------------------------------------------------------------------------------------
 
 
-class Hook(Alone):
+class Hook(Standalone):
     """Answers as told, and keeps what it was told."""
 
     def __init__(self):
         self.yes = True
         self.heard = []
 
-    def may_try(self, server):
+    def may_run_trial(self, server):
         return self.yes
 
-    def may_pass(self):
+    def may_recalculate_min_rtt(self):
         return self.yes
 
-    def passed(self):
+    def min_rtt_recalculated(self):
         self.heard.append("passed")
 
-    def set_aside(self, server, wait):
+    def server_ejected(self, server, wait):
         self.heard.append(("aside", server, wait))
 
-    def back(self, server, well):
-        self.heard.append(("back", server, well))
+    def server_readmitted(self, server, healthy):
+        self.heard.append(("back", server, healthy))
 
 
 def module(hook):
@@ -350,12 +355,12 @@
     for _ in range(300):  # six seconds: its trial is due after two
         number, now = number + 1, now + 20_000
         assert call(node, now, number, outcome) != bad
-    node.tried(now, bad, False)
+    node.trial_result(now, bad, False)
     assert hook.heard[-1][0] == "aside" and node.servers[bad].trial_at > now
-    node.tried(now, bad, True)
+    node.trial_result(now, bad, True)
     assert hook.heard[-1] == ("back", bad, False) and not node.servers[bad].ejected
-    node.tried(now, bad, True)  # not set aside any more: nothing
-    node.tried(now, 99, True)
+    node.trial_result(now, bad, True)  # not set aside any more: nothing
+    node.trial_result(now, 99, True)
     assert hook.heard[-1] == ("back", bad, False)
 
 
--- a/tests/test_policy_balancer.py
+++ b/tests/test_policy_balancer.py
@@ -21,7 +21,7 @@
     node, rec = balancer(1)
     limit = int(node.controller.allowed())
     answers = [ask(node, rec, 0, i)[0] for i in range(limit + 1)]
-    assert answers == ["send"] * limit + ["refuse"]
+    assert answers == ["send"] * limit + ["reject"]
     node.request(0, 99, 0, 0, 3 * SEC, False)
     ((_, request, retry_after),) = rec.take()
     assert request == 99 and 0 < retry_after <= 2 * SEC
@@ -51,7 +51,7 @@
     ((action, _, other, _),) = end(node, rec, 1000, 1, 0, server, outcome)
     assert action == "send"
     ((action, *_),) = end(node, rec, 2000, 1, 1, other, outcome)
-    assert action == "refuse"
+    assert action == "reject"
 
 
 def test_retries_are_capped_by_a_budget():
@@ -69,7 +69,7 @@
 
 
 def test_time_out_at_the_deadline_gets_the_final_answer():
-    for klass, answer in ((0, "refuse"), (1, "fail"), (2, "fail")):
+    for klass, answer in ((0, "reject"), (1, "fail"), (2, "fail")):
         node, rec = balancer(max_attempts=1)
         _, _, server, timeout = ask(node, rec, 0, 1, klass)
         assert timeout == 3 * SEC
@@ -111,7 +111,7 @@
 
 def test_a_class_without_late_worth_is_not_waited_for_beyond_its_aim():
     """Late work is waste."""
-    klass = ClassSettings(Effect.SAFE, aim=SEC, deadline=3 * SEC, worth=1)
+    klass = ClassSettings(Effect.IDEMPOTENT, latency_objective=SEC, deadline=3 * SEC, worth=1)
     node, rec = balancer(classes=(klass,))
     assert ask(node, rec, 0, 1)[3] < SEC
 
@@ -119,7 +119,7 @@
 def test_no_eligible_server_is_an_answer_at_once():
     for klass in (0, 1, 2):
         node, rec = balancer(0)
-        assert ask(node, rec, 0, 1, klass)[0] == "refuse"
+        assert ask(node, rec, 0, 1, klass)[0] == "reject"
 
 
 def test_nothing_new_goes_to_a_draining_or_gone_server():
@@ -152,26 +152,26 @@
     sent = []
     for i in range(7):
         node.request(0, i, 0, 0, 3 * SEC, False)
-        sent += rec.take("send", "refuse")
+        sent += rec.take("send", "reject")
     assert [a[0] for a in sent] == ["send"] * 6
     ((action, request, *_),) = end(node, rec, 1000, 0, 0, 1, Outcome.OK)
     assert (action, request) == ("send", 6)
     node.request(2000, 9, 0, 0, 3 * SEC, False)
     ((_, delay, token),) = rec.take()
     node.timer(2000 + delay, token)
-    assert rec.take()[0][:2] == ("refuse", 9)
+    assert rec.take()[0][:2] == ("reject", 9)
 
 
 def test_a_client_that_left_is_cancelled_and_gets_no_answer():
     node, rec = balancer()
     _, _, server, _ = ask(node, rec, 0, 1)
-    node.client_left(10, 1)
+    node.client_disconnected(10, 1)
     assert rec.take() == [("cancel", 1, 0)]
     assert end(node, rec, 20, 1, 0, server, Outcome.CANCELLED) == []
     assert node.controller.in_flight == 0
     node, rec = balancer(cancel=False)
     ask(node, rec, 0, 1)
-    node.client_left(10, 1)
+    node.client_disconnected(10, 1)
     assert rec.take() == []
 
 
@@ -184,12 +184,12 @@
 
 def test_odd_events_are_ignored():
     node, rec = balancer()
-    node.client_left(0, 5)
+    node.client_disconnected(0, 5)
     node.outcome(0, 5, 0, 77, Outcome.OK, 1, True, ())
     node.response_started(0, 5, 0, 1, 1)
     node.timer(0, 123)
     node.timer(0, 2 << 56 | 5)
-    node.probed(0, 1, True, 5, ())
+    node.health_checked(0, 1, True, 5, ())
     node.peer_message(0, 1, b"x")
     _, _, server, _ = ask(node, rec, 0, 1)
     end(node, rec, 1, 1, 0, server, Outcome.OK)
@@ -198,7 +198,7 @@
 
 
 def test_an_asked_for_list_is_watched_and_asked_again_with_back_off():
-    node, rec = balancer(list_on_request=True, list_ask_within=10 * SEC)
+    node, rec = balancer(list_on_request=True, max_list_poll_interval=10 * SEC)
     node.start(0)
     assert rec.take("watch") == [("watch", True)]
     delays = []
@@ -211,14 +211,24 @@
     assert max(delays) < 5 * SEC and delays[-1] > delays[0]
 
 
-@pytest.mark.parametrize("key", ["classes", "instances", "max_attempts", "tick", "cold_share", "tier"])
-def test_impossible_settings_name_their_key(key):
+@pytest.mark.parametrize(
+    ("field", "key"),
+    [
+        ("classes", "classes"),
+        ("instances", "instances"),
+        ("max_attempts", "max_attempts"),
+        ("tick", "tick"),
+        ("slow_start_share", "cold_share"),
+        ("tier", "tier"),
+    ],
+)
+def test_impossible_settings_name_their_key(field, key):
     values = {f: getattr(BASE, f) for f in BASE.__dataclass_fields__}
-    values[key] = () if key == "classes" else -1
+    values[field] = () if field == "classes" else -1
     with pytest.raises(ValueError, match=key):
         Settings(**values)
     with pytest.raises(ValueError, match="aim"):
-        Settings(classes=(ClassSettings(Effect.SAFE, aim=0, deadline=1, worth=1),))
+        Settings(classes=(ClassSettings(Effect.IDEMPOTENT, latency_objective=0, deadline=1, worth=1),))
 
 
 def test_support_classes_cover_each_effect():
@@ -271,5 +281,5 @@
     node, rec = balancer()
     server = ask(node, rec, 0, 1)[2]
     end(node, rec, 10_000, 1, 0, server, Outcome.OK)
-    node.client_left(11_000, 1)
+    node.client_disconnected(11_000, 1)
     assert end(node, rec, 12_000, 1, 0, server, Outcome.ERROR) == [] and node.controller.in_flight == 0
--- a/tests/test_policy_ejection.py
+++ b/tests/test_policy_ejection.py
@@ -91,6 +91,6 @@
     node, rec = balancer(4)
     node.ejection.eject(0, node.servers[1], silent=True)
     assert ask(node, rec, 5 * SEC, 1)[2] == 1
-    node.client_left(5 * SEC, 1)
+    node.client_disconnected(5 * SEC, 1)
     end(node, rec, 5 * SEC, 1, 0, 1, outcome)
     assert ask(node, rec, 10 * SEC, 2)[2] == 1
--- a/tests/test_policy_load_shedding.py
+++ b/tests/test_policy_load_shedding.py
@@ -16,7 +16,7 @@
             for j in range(count):
                 request = i * 1000 + tenant * 100 + j
                 node.request(i * 100_000, request, 0, tenant, 3 * SEC, False)
-                (action,) = rec.take("send", "refuse")
+                (action,) = rec.take("send", "reject")
                 if action[0] == "send":
                     served[tenant] += 1
                     end(node, rec, i * 100_000, request, 0, action[2], Outcome.OK, 10_000)
@@ -36,8 +36,8 @@
 
 
 def test_a_class_of_lesser_worth_leaves_room():
-    rich = ClassSettings(Effect.UNSAFE, aim=SEC, deadline=3 * SEC, worth=10)
+    rich = ClassSettings(Effect.NOT_IDEMPOTENT, latency_objective=SEC, deadline=3 * SEC, worth=10)
     node, rec = balancer(8, classes=(SAFE, rich))
     answers = [ask(node, rec, 0, i)[0] for i in range(46)]
-    assert answers[-1] == "refuse"
+    assert answers[-1] == "reject"
     assert ask(node, rec, 0, 99, 1)[0] == "send"
--- a/tests/test_policy_selection.py
+++ b/tests/test_policy_selection.py
@@ -28,7 +28,13 @@
     for group, field in ((Group.CELL, "cell"), (Group.ZONE, "zone")):
         entries = [ServerEntry(i + 1, **{field: i % 2}) for i in range(8)]
         klass = ClassSettings(
-            Effect.KEYED, aim=SEC, deadline=9 * SEC, worth=1, late_worth=0.5, group=group, window=SEC
+            Effect.IDEMPOTENCY_KEY,
+            latency_objective=SEC,
+            deadline=9 * SEC,
+            worth=1,
+            late_worth=0.5,
+            group=group,
+            window=SEC,
         )
         for seed in range(10):
             node, rec = balancer(entries, seed=seed, classes=(klass,))
--- a/tests/test_policy_slow_start.py
+++ b/tests/test_policy_slow_start.py
@@ -42,7 +42,7 @@
     request either. What the last warm members were sent in a crowd is no measure for cold ones.
     """
     cold = [ServerEntry(i, ready_at=1) for i in range(1, 5)]
-    node, recorder = balancer(cold, cold_share=0.1, cold_time=40 * SEC)
+    node, recorder = balancer(cold, slow_start_share=0.1, slow_start_time=40 * SEC)
     node.slow_start.warm_rate = seen
     sent = 0
     for i in range(80):
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -37,7 +37,7 @@
     classes = tuple(
         ClassSettings(
             Effect(rng.randrange(3)),
-            aim=rng.choice([SEC // 2, SEC, 2 * SEC]),
+            latency_objective=rng.choice([SEC // 2, SEC, 2 * SEC]),
             deadline=4 * SEC,
             worth=rng.choice([1, 8, 24]),
             late_worth=rng.choice([0, 0.3]),
@@ -58,7 +58,7 @@
         cancel=rng.random() < 0.5,
         retry_after=rng.random() < 0.5,
         list_on_request=rng.random() < 0.5,
-        list_ask_within=10 * SEC,
+        max_list_poll_interval=10 * SEC,
     )
 
 
@@ -128,7 +128,7 @@
             request = rng.choice(sorted(self.open))
             del self.open[request]
             self.closed.add(request)
-            self.node.client_left(self.now, request)
+            self.node.client_disconnected(self.now, request)
             self.check()
         elif roll < 0.92:
             self.list_event(rng.choice([ListKind.CHANGES, ListKind.FULL]))
@@ -172,24 +172,28 @@
         for action in self.rec.take():
             self.log.append((self.now, *action))
             name, *args = action
-            assert name in {"send", "refuse", "fail", "cancel", "set_timer", "log", "watch"}
+            assert name in {"send", "reject", "fail", "cancel", "set_timer", "log", "watch"}
             if name == "set_timer":
                 self.timers.append((self.now + args[0], args[1]))
             elif name == "cancel":
                 assert self.s.cancel
             elif name == "send":
                 self.sent(*args)
-            elif name in ("refuse", "fail"):
+            elif name in ("reject", "fail"):
                 r = self.open.pop(args[0])  # rule 1: only an open request, once
                 self.closed.add(args[0])
                 assert self.now <= r["until"]
-                if name == "refuse":
+                if name == "reject":
                     self.refused(r, *args)
 
     def refused(self, r: dict, request: int, retry_after: int) -> None:
         c = self.s.classes[r["klass"]]
         assert retry_after == 0 or (self.s.retry_after and retry_after <= self.s.max_retry_after)
-        assert r["ran"] is None or c.effect == Effect.SAFE or (c.effect, c.group) == (Effect.KEYED, Group.ALL)
+        assert (
+            r["ran"] is None
+            or c.effect == Effect.IDEMPOTENT
+            or (c.effect, c.group) == (Effect.IDEMPOTENCY_KEY, Group.ALL)
+        )
         assert not any(a["request"] == request for a in self.out)
 
     def sent(self, request: int, server: int, timeout: int) -> None:
@@ -201,15 +205,15 @@
         assert server in self.entries and server not in self.unsent_after, "rule 3"
         first = r["ran"]
         if first is not None:
-            assert c.effect != Effect.UNSAFE, "rule 2"
-            if c.effect == Effect.KEYED:
+            assert c.effect != Effect.NOT_IDEMPOTENT, "rule 2"
+            if c.effect == Effect.IDEMPOTENCY_KEY:
                 assert self.now <= first["at"] + c.window
                 if c.group == Group.CELL:
                     assert server % 3 == first["server"] % 3
                 elif c.group == Group.ZONE:
                     assert server % 2 == first["server"] % 2
         ready_at = self.entries[server].ready_at
-        if ready_at and self.now < ready_at + self.s.cold_time:
+        if ready_at and self.now < ready_at + self.s.slow_start_time:
             # Rule 4, from one copy: no more in any window than a warm member has had at the most.
             sends = self.cold_sends.setdefault(server, [])
             sends.append(self.now)
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -448,7 +448,7 @@
 @pytest.mark.parametrize(
     "rules",
     [
-        pytest.param({"cold_share": 0.05, "cold_time": 10 * SEC}, id="colder"),
+        pytest.param({"slow_start_share": 0.05, "slow_start_time": 10 * SEC}, id="colder"),
         pytest.param({"fall_multiple": 1.5, "fall_time": SEC}, id="closer"),
         pytest.param({"warm_servers_hang": True}, id="warm servers hang"),
     ],
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -18,7 +18,7 @@
 
 def started(step: int, entries: list[ServerEntry], kind: ListKind = ListKind.CACHED) -> Balancer:
     """A node whose clock was `step` fast as it started at NOW, with its first list."""
-    node = Balancer(replace(BASE, cold_time=COLD_TIME), 1, Recorder())
+    node = Balancer(replace(BASE, slow_start_time=COLD_TIME), 1, Recorder())
     node.start(NOW + step)
     node.server_list(NOW + step, kind, entries)
     return node
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -159,7 +159,7 @@
 
 SAFE, KEYED, UNSAFE = (
     ClassSettings(effect, 1, 2, 1.0, group=Group.CELL, window=100)
-    for effect in (Effect.SAFE, Effect.KEYED, Effect.UNSAFE)
+    for effect in (Effect.IDEMPOTENT, Effect.IDEMPOTENCY_KEY, Effect.NOT_IDEMPOTENT)
 )
 
 
@@ -233,7 +233,7 @@
         module = POLICIES["random"][0](settings, seed, actions, world)
         module.request = lambda now, request, *rest: (
             calls.append((now, request)),
-            actions.refuse(request, 0),
+            actions.reject(request, 0),
         )
         return module
 
@@ -250,7 +250,7 @@
     def deaf(settings, seed, actions, world):
         module = POLICIES["random"][0](settings, seed, actions, world)
         if settings.tier == tier:  # hears of requests, and never answers one
-            module.request = module.client_left = lambda *event: None
+            module.request = module.client_disconnected = lambda *event: None
         return module
 
     run = play(draw(load("quiet", ["length_s=2", "servers=2", "clients.retries=0"]), 1), deaf)
--- a/tests/test_zone_slow_start.py
+++ b/tests/test_zone_slow_start.py
@@ -24,7 +24,7 @@
         self.traffic = ZoneTraffic(
             SimpleNamespace(name="n", zone="a"),
             ZoneSettings(),
-            SimpleNamespace(cold_time=COLD, cold_share=0.2),
+            SimpleNamespace(slow_start_time=COLD, slow_start_share=0.2),
             lambda: self.time,
             lambda: UNIX + self.time + self.step,
             lambda: None,
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -331,7 +331,7 @@
 
 def spread(shares, trips=None, **changes):
     node, rec = balancer([ServerEntry(i, zone=i % 3, cell=i) for i in range(1, 31)], **changes)
-    node.zones(1, shares, trips or {})
+    node.zone_shares(1, shares, trips or {})
     return node, rec
 
 
@@ -341,7 +341,7 @@
     for i in range(count):
         now += 20_000
         node.request(now, i, klass, 0, 3 * SEC, False)
-        actions, attempt = rec.take("send", "refuse", "fail"), 0
+        actions, attempt = rec.take("send", "reject", "fail"), 0
         while actions and actions[0][0] == "send":
             server = actions[0][2]
             out.append(server)
@@ -397,5 +397,5 @@
     assert served(node, rec, 20)
     node.server_list(SEC, ListKind.FULL, [ServerEntry(i, zone=5) for i in range(40, 44)])
     assert served(node, rec, 3) == []  # nobody in a zone that may be called, until the shares follow
-    node.zones(2 * SEC, {5: 1.0}, {})
+    node.zone_shares(2 * SEC, {5: 1.0}, {})
     assert set(served(node, rec, 10)) <= set(range(40, 44))
--- a/workbench/baselines/base.py
+++ b/workbench/baselines/base.py
@@ -92,11 +92,13 @@
                 self.servers.pop(entry.server, None)
         self.ids = sorted(self.servers)
 
-    def request(self, now: int, request: int, klass: int, tenant: int, time_left: int, repeat: bool) -> None:
-        if not self.ids or not self.admits(now, klass, time_left):
-            self.actions.refuse(request, 0)
+    def request(
+        self, now: int, request: int, request_class: int, tenant: int, remaining: int, repeat: bool
+    ) -> None:
+        if not self.ids or not self.admits(now, request_class, remaining):
+            self.actions.reject(request, 0)
             return
-        self.open[request] = Open(klass, now + time_left)
+        self.open[request] = Open(request_class, now + remaining)
         self.attempt(now, request, self.ids)
 
     def outcome(
@@ -133,18 +135,18 @@
     def upload(self, now: int, request: int, attempt: int, on: bool) -> None:
         """Bodies are short here."""
 
-    def client_left(self, now: int, request: int) -> None:
+    def client_disconnected(self, now: int, request: int) -> None:
         r = self.open.pop(request, None)
         if r is not None and r.out >= 0 and self.settings.cancel:
             self.actions.cancel(request, r.attempt - 1)
 
-    def zones(self, now: int, shares: Mapping[int, float], trips: Mapping[int, int]) -> None:
+    def zone_shares(self, now: int, shares: Mapping[int, float], additional_rtt: Mapping[int, int]) -> None:
         """Not used, for the same reason."""
 
-    def tried(self, now: int, server: int, well: bool) -> None:
+    def trial_result(self, now: int, server: int, healthy: bool) -> None:
         """Not used: a baseline has no fleet."""
 
-    def probed(self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]) -> None:
+    def health_checked(self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]) -> None:
         """No baseline probes."""
 
     def timer(self, now: int, token: int) -> None:
@@ -169,16 +171,16 @@
     def allowed(self, now: int, r: Open) -> Sequence[int]:
         """Where the request may go again: anywhere, in its group, or nowhere."""
         klass = self.settings.classes[r.klass]
-        if r.ran is None or klass.effect == Effect.SAFE:
+        if r.ran is None or klass.effect == Effect.IDEMPOTENT:
             return self.ids
-        if klass.effect == Effect.UNSAFE or now > r.ran_at + klass.window:
+        if klass.effect == Effect.NOT_IDEMPOTENT or now > r.ran_at + klass.window:
             return ()
         return [i for i in self.ids if same_group(klass, r.ran, self.servers[i])]
 
     def finish(self, request: int, r: Open) -> None:
         del self.open[request]
         if r.ran is None or repeats_anywhere(self.settings.classes[r.klass]):
-            self.actions.refuse(request, 0)
+            self.actions.reject(request, 0)
         else:
             self.actions.fail(request)
 
--- a/workbench/baselines/revisions.py
+++ b/workbench/baselines/revisions.py
@@ -21,9 +21,10 @@
 from pathlib import Path
 from types import ModuleType
 
-import balancer.policy
+import balancer.policy.interface
 from balancer.policy.interface import Actions, Events, Settings
 from workbench.baselines import Policy
+from workbench.baselines.former_interface import make_former, uses_former_names
 from workbench.model.site import World
 
 ROOT = Path(balancer.policy.__file__).parent.parent.parent
@@ -173,11 +174,19 @@
     return sys.modules[package]
 
 
+def interface_of(module: ModuleType) -> ModuleType:
+    """The interface that a policy loaded by `load` was written for."""
+    return sys.modules.get(f"{module.__name__}_interface", balancer.policy.interface)
+
+
 def policy_of(revision: str, constants: Constants) -> Policy:
     """The module of a revision and constants, as a policy. RevisionError."""
     module = load(revision, constants)
+    interface = interface_of(module)
 
     def make(settings: Settings, seed: int, actions: Actions, world: World) -> Events:
+        if uses_former_names(interface):
+            return make_former(module.Balancer, interface, settings, seed, actions)
         made: Events = module.Balancer(settings, seed, actions)
         return made
 
--- a/workbench/baselines/seeing.py
+++ b/workbench/baselines/seeing.py
@@ -74,5 +74,5 @@
     def admits(self, now: int, klass: int, left: int) -> bool:
         if self.settings.tier:
             return True
-        useful = min(left, self.settings.classes[klass].aim)
+        useful = min(left, self.settings.classes[klass].latency_objective)
         return min(map(self.sight.wait, self.look(self.ids))) < HOPELESS * useful
--- a/workbench/emulator/emulate.py
+++ b/workbench/emulator/emulate.py
@@ -38,7 +38,7 @@
         klass = names.index(named) if named in names else 0
         deadline = classes[klass].deadline
         key = number & 0xFFFFFFFF
-        request = Request(number, key, klass, 0, clock.now, classes[klass].aim, deadline, 1.0)
+        request = Request(number, key, klass, 0, clock.now, classes[klass].latency_objective, deadline, 1.0)
         clock.call_at(clock.now + 2 * deadline, self.forget, number)
         return Call(number, request, key, 0, clock.now + deadline, Nobody())
 
--- a/workbench/explore/runtime_net.py
+++ b/workbench/explore/runtime_net.py
@@ -151,7 +151,9 @@
         config = fleet_config(machine, self.machines, voters)
         life = Lifecycle(Log(machine.name, 0))
         life.stage = Stage.SERVING
-        settings = Settings(classes=(ClassSettings(Effect.SAFE, aim=SECOND, deadline=SECOND, worth=1.0),))
+        settings = Settings(
+            classes=(ClassSettings(Effect.IDEMPOTENT, latency_objective=SECOND, deadline=SECOND, worth=1.0),)
+        )
         loop = cast(asyncio.AbstractEventLoop, self.loop)
         runtime = FleetRuntime(config, loop, seed, QuietLog(machine.name, 0), life, end, settings)
         runtime.clocks = VirtualClocks(self.clock, machine)
--- a/workbench/lab/run.py
+++ b/workbench/lab/run.py
@@ -108,7 +108,8 @@
             made=made(self.day, "lab", []),
             nodes=[[n.name, n.zone] for n in self.site.nodes],
             aims={
-                k.name: [c.aim, c.deadline] for k, c in zip(self.day.klass, self.world.classes, strict=True)
+                k.name: [c.latency_objective, c.deadline]
+                for k, c in zip(self.day.klass, self.world.classes, strict=True)
             },
             slack=self.world.slack,
             stop_sending=self.world.referee.stop_sending,
--- a/workbench/model/clients.py
+++ b/workbench/model/clients.py
@@ -88,7 +88,14 @@
         klass = self.classes[i]
         settings = self.world.classes[klass]
         request = Request(
-            i, self.keys[i], klass, self.zones[i], now, settings.aim, settings.deadline, self.factors[i]
+            i,
+            self.keys[i],
+            klass,
+            self.zones[i],
+            now,
+            settings.latency_objective,
+            settings.deadline,
+            self.factors[i],
         )
         self.world.accounts.asked(request)
         self.attempt(request)
@@ -159,9 +166,11 @@
         klass = self.world.classes[request.klass]
         harmless = (
             answer in (Answer.REFUSED, Answer.UNREACHABLE)
-            or klass.effect == Effect.SAFE
+            or klass.effect == Effect.IDEMPOTENT
             or (
-                klass.effect == Effect.KEYED and klass.group == Group.ALL and now < request.due + klass.window
+                klass.effect == Effect.IDEMPOTENCY_KEY
+                and klass.group == Group.ALL
+                and now < request.due + klass.window
             )
         )
         wait = self.backoff
--- a/workbench/model/referee.py
+++ b/workbench/model/referee.py
@@ -48,7 +48,7 @@
         klass = self.classes[call.root.klass]
         if call.out and not self.second_copies:
             self.broken(now, "duplicate_effects", f"request {call.root.index}: two attempts out at once")
-        if klass.effect == Effect.SAFE:
+        if klass.effect == Effect.IDEMPOTENT:
             return
         first, at = call.ran_on, call.ran_at
         if first is None and call.out:
@@ -56,7 +56,7 @@
             first, at = earlier.server, earlier.sent_at
         if first is None:
             return
-        if klass.effect == Effect.UNSAFE:
+        if klass.effect == Effect.NOT_IDEMPOTENT:
             self.broken(now, "duplicate_effects", f"request {call.root.index}: an unsafe request sent again")
         elif now > at + klass.window or not in_group(klass.group, first, server):
             self.broken(
@@ -86,7 +86,9 @@
 
 def repeats_anywhere(klass: ClassSettings) -> bool:
     """Whether a request of the class that may have run does no harm at any server."""
-    return klass.effect == Effect.SAFE or (klass.effect == Effect.KEYED and klass.group == Group.ALL)
+    return klass.effect == Effect.IDEMPOTENT or (
+        klass.effect == Effect.IDEMPOTENCY_KEY and klass.group == Group.ALL
+    )
 
 
 def in_group(group: Group, first: Any, other: Any) -> bool:
--- a/workbench/model/site.py
+++ b/workbench/model/site.py
@@ -27,7 +27,7 @@
 LEAST_SPEED = 0.3  # of its kind's mean, however wide the spread
 BEGIN = 10_000_000  # the clock begins at no particular value
 
-EFFECTS = {"safe": Effect.SAFE, "keyed": Effect.KEYED, "unsafe": Effect.UNSAFE}
+EFFECTS = {"safe": Effect.IDEMPOTENT, "keyed": Effect.IDEMPOTENCY_KEY, "unsafe": Effect.NOT_IDEMPOTENT}
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
 
 
@@ -222,13 +222,13 @@
             cancel=True,
             probes=day.nodes.probes,
             peers=day.nodes.peers,
-            second_copies=day.nodes.second_copies,
+            hedging=day.nodes.second_copies,
             retry_after=day.nodes.retry_after and tier == 0,
             max_retry_after=int(num(day.clients.max_retry_after_s) * 1e6),
             list_on_request=day.discovery.mode == "ask",
-            list_ask_within=10_000_000 if day.discovery.mode == "ask" else 0,
-            cold_time=max(int(num(k.cold_s) * 1e6) for k in kinds),
-            cold_share=min(num(k.cold_from) for k in kinds),
+            max_list_poll_interval=10_000_000 if day.discovery.mode == "ask" else 0,
+            slow_start_time=max(int(num(k.cold_s) * 1e6) for k in kinds),
+            slow_start_share=min(num(k.cold_from) for k in kinds),
             fall_multiple=num(day.rules.fall_multiple),
             fall_time=self.fall_time,
             answer_slack=self.slack,
--- a/workbench/scale/hollow.py
+++ b/workbench/scale/hollow.py
@@ -29,7 +29,9 @@
 LIST_SENDER = "scale-run"  # no member
 LIST_MAX_AGE = 30_000_000  # microseconds since the list was made
 CLAIMS_A_DATAGRAM = 20  # of the list that members begin with: under 1,200 bytes
-SETTINGS = Settings(classes=(ClassSettings(Effect.SAFE, aim=1_000_000, deadline=2_000_000, worth=1.0),))
+SETTINGS = Settings(
+    classes=(ClassSettings(Effect.IDEMPOTENT, latency_objective=1_000_000, deadline=2_000_000, worth=1.0),)
+)
 
 
 class QuietLog(Log):
--- a/workbench/simulator/fleet.py
+++ b/workbench/simulator/fleet.py
@@ -180,12 +180,12 @@
     def spread(self, shares: dict[int, float], trips: dict[int, int]) -> None:
         node: Any = self.world.nodes[self.index]
         if node.module is not None:
-            node.post(node.module.zones, (shares, {} if self.fleet.uses.together else trips))
+            node.post(node.module.zone_shares, (shares, {} if self.fleet.uses.together else trips))
 
     def verdict(self, server: int, well: bool) -> None:
         node: Any = self.world.nodes[self.index]
         if node.module is not None:
-            node.post(node.module.tried, (server, well))
+            node.post(node.module.trial_result, (server, well))
 
     # ---- time and messages ------------------------------------------------------------------------------
 
--- a/workbench/simulator/host.py
+++ b/workbench/simulator/host.py
@@ -228,7 +228,7 @@
             return
         call.open = False
         if self.module is not None and self.calls.get(call.id) is call:
-            self.post(self.module.client_left, (call.id,))
+            self.post(self.module.client_disconnected, (call.id,))
             self.left.append(call)  # until the module knows, it may still act for the call
 
     def news(self, kind: ListKind, entries: list[ServerEntry]) -> None:
@@ -417,7 +417,7 @@
 
     # ---- the module's other actions -------------------------------------------------------------------
 
-    def refuse(self, request: int, retry_after: int) -> None:
+    def reject(self, request: int, retry_after: int) -> None:
         self.finish(request, Answer.REFUSED, retry_after)
 
     def fail(self, request: int) -> None:
@@ -428,7 +428,7 @@
         if call is not None and number < len(call.sent) and not call.sent[number].ended:
             self.give_up(call.sent[number], Outcome.CANCELLED)
 
-    def probe(self, server_id: int) -> None:
+    def check_health(self, server_id: int) -> None:
         server = self.world.by_id.get(server_id)
         if server is None or server_id not in self.starts or not self.settings.probes:
             self.world.referee.malformed(self.clock.now, f"{self.name}: a probe that is not allowed")
@@ -444,7 +444,7 @@
     def probe_back(self, what: tuple[int, int, bool, int]) -> None:
         life, server, ok, took = what
         if life == self.life and self.module is not None:
-            self.post(self.module.probed, (server, ok, took, ()))
+            self.post(self.module.health_checked, (server, ok, took, ()))
 
     def set_timer(self, delay: int, token: int) -> None:
         self.clock.call_at(self.clock.now + max(1, delay), self.timer_due, (self.life, token))
@@ -454,7 +454,7 @@
         if life == self.life and self.module is not None:
             self.post(self.module.timer, (token,))
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         self.world.referee.malformed(
             self.clock.now, f"{self.name}: a message to a peer, which nobody allowed"
         )
--- a/workbench/simulator/recorder.py
+++ b/workbench/simulator/recorder.py
@@ -19,20 +19,20 @@
     def cancel(self, request: int, attempt: int) -> None:
         self.out.append(("cancel", (request, attempt)))
 
-    def refuse(self, request: int, retry_after: int) -> None:
-        self.out.append(("refuse", (request, retry_after)))
+    def reject(self, request: int, retry_after: int) -> None:
+        self.out.append(("reject", (request, retry_after)))
 
     def fail(self, request: int) -> None:
         self.out.append(("fail", (request,)))
 
-    def probe(self, server: int) -> None:
-        self.out.append(("probe", (server,)))
+    def check_health(self, server: int) -> None:
+        self.out.append(("check_health", (server,)))
 
     def set_timer(self, delay: int, token: int) -> None:
         self.out.append(("set_timer", (delay, token)))
 
-    def tell(self, peer: int, data: bytes) -> None:
-        self.out.append(("tell", (peer, data)))
+    def send_to_peer(self, peer: int, data: bytes) -> None:
+        self.out.append(("send_to_peer", (peer, data)))
 
     def watch(self, on: bool) -> None:
         self.out.append(("watch", (on,)))
