--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -16,7 +16,7 @@
 from random import Random
 
 from balancer.policy.ejection import SILENT_FACTOR, OutlierEjection
-from balancer.policy.gradient import AIM_SHARE, WINDOW, GradientController
+from balancer.policy.gradient import OBJECTIVE_SHARE, WINDOW, GradientController
 from balancer.policy.interface import (
     NEVER_RAN,
     Actions,
@@ -41,7 +41,7 @@
 
 MAX_RTT_RATIO = 8.0  # a round-trip counts as so many times the mean at most
 ATTEMPT_TIMEOUT_FACTOR = 8  # an attempt may take so many mean round-trips while another can follow
-OUTLIER = 2.0  # a member so many times slower than the subset does not speak for it
+OUTLIER_DEVIATION = 2.0  # a member so many times slower than the subset does not speak for it
 
 TIMER_LIST, TIMER_QUEUED = 1, 2  # in a token's top byte
 TOKEN_BITS = 56
@@ -59,13 +59,13 @@
         self.additional_rtt: Mapping[int, int] = {}  # how much longer the way to a zone is
         self.requests: dict[int, Request] = {}
         self.streaming: set[int] = set()  # requests whose answers flow: their attempts are booked
-        self.waiting: deque[Request] = deque()
-        share = AIM_SHARE * (s.tiers - s.tier) / s.tiers
+        self.queue: deque[Request] = deque()
+        share = OBJECTIVE_SHARE * (s.tiers - s.tier) / s.tiers
         allowance = [int(c.latency_objective * share) for c in s.classes]
         self.controller = GradientController(allowance, s.max_open, self.rng, 0, self.fleet)
         self.mean_rtt = [c.latency_objective * share / 2 for c in s.classes]  # until measured
         self.rtt = [Average(m, PRIOR, SMOOTH_ALL) for m in self.mean_rtt]
-        self.kinds: dict[int, Average] = {}
+        self.average_by_kind: dict[int, Average] = {}
         self.spillover = ZoneSpillover(s)
         self.subset = Subset(s, self.servers, self.controller, self.spillover.zoned)
         self.slow_start = SlowStart(s, self.subset)
@@ -77,7 +77,7 @@
         self.retry_budget = RetryBudget()
         self.load_shedder = LoadShedder(s, self.rng, self.mean_rtt)
         self.start_times = StartTimes(s.slow_start_time)
-        self.has_first_lists = False  # beyond the list of before this process
+        self.has_initial_list = False  # beyond the list of before this process
         self.list_failures = 0
         self.blocked = 0  # rq_blocked
 
@@ -117,18 +117,18 @@
                     self.drop(known)
                 continue
             if known is None:
-                average = self.kinds.setdefault(entry.kind, Average(1.0, PRIOR, SMOOTH_ALL))
+                average = self.average_by_kind.setdefault(entry.kind, Average(1.0, PRIOR, SMOOTH_ALL))
                 known = self.servers[entry.server] = Server(entry, average)
-                self.begin_slow_start(now, known, entry)
+                self.start_slow_start(now, known, entry)
             elif known.ready_at != entry.ready_at:
                 if known.ejected:
                     self.ejection.readmit(known)
-                known.renew(entry)
-                self.begin_slow_start(now, known, entry)
+                known.reset(entry)
+                self.start_slow_start(now, known, entry)
             known.in_list = True
             known.cell, known.zone = entry.cell, entry.zone
-        self.has_first_lists |= kind != ListKind.CACHED
-        self.forget_gone()
+        self.has_initial_list |= kind != ListKind.CACHED
+        self.forget_removed()
         self.refill()
 
     def request(
@@ -155,11 +155,11 @@
         if s.tier == 0:
             # Trunk reservation: a class of lesser worth for its time leaves sqrt(limit) slots for
             # what is worth more, a tenant beyond its share twice that.
-            over, clear = self.load_shedder.over_share(now, tenant)
+            over, clear = self.load_shedder.exceeds_quota(now, tenant)
             spare = self.load_shedder.rank[request_class] + 2 * over
-            if clear and self.load_shedder.drops() or not ctl.admits(now, spare):
+            if clear and self.load_shedder.sheds() or not ctl.admits(now, spare):
                 self.blocked += 1
-                self.finish(r, refuse=True)
+                self.finish(r, reject=True)
                 return
         elif not ctl.admits(now, 0):
             self.enqueue(now, r)
@@ -184,7 +184,7 @@
         if request in self.streaming:
             self.streaming.discard(request)
             if srv is not None and outcome not in (Outcome.OK, Outcome.CANCELLED):
-                srv.fail_rate += SMOOTH * (1 - srv.fail_rate)
+                srv.failure_rate += SMOOTH * (1 - srv.failure_rate)
         elif srv is not None and srv.in_flight > 0:
             self.end_attempt(now, srv, r, outcome, latency)
         if r is not None and r.server is not None and attempt == r.attempts - 1:
@@ -192,10 +192,10 @@
             if final or outcome == Outcome.OK:
                 del self.requests[request]
             elif r.responding:
-                self.finish(r, refuse=False)
+                self.finish(r, reject=False)
             else:
                 self.after_failure(now, r, srv, outcome)
-        if self.waiting:
+        if self.queue:
             self.serve_waiting(now)
 
     def response_started(self, now: int, request: int, attempt: int, server: int, latency: int) -> None:
@@ -218,13 +218,13 @@
             return
         srv = r.server
         if not on and srv.in_flight == 0:
-            srv.quiet_since = now
+            srv.last_outcome_at = now
         srv.uploads += 1 if on else -1
         r.uploading = on
         r.sent_at = now
         r.useful_until = now + r.patience
         srv.in_flight += -1 if on else 1
-        if not srv.uncounted:
+        if not srv.outside_limit:
             self.controller.record_in_flight(now, -1 if on else 1)
 
     def client_disconnected(self, now: int, request: int) -> None:
@@ -261,7 +261,7 @@
             if r is not None and r.queued:
                 r.queued = False
                 self.blocked += 1
-                self.finish(r, refuse=True)
+                self.finish(r, reject=True)
 
     def peer_message(self, now: int, peer: int, data: bytes) -> None:
         """Not used: a node decides from its own traffic."""
@@ -282,7 +282,7 @@
             "ejected": len(self.ejection.ejected),
             "spill": self.spillover.spill,
             "shed": self.load_shedder.shed,
-            "lost": c.lost,
+            "lost": c.loss_rate,
         }
 
     # ---- a request's life -----------------------------------------------------------------------------
@@ -291,18 +291,18 @@
         """Sends the request to the server picked for it, or answers it when there is none."""
         srv = self.selection.pick_server(now, r)
         if srv is None:
-            self.finish(r, refuse=r.ran_on is None)
+            self.finish(r, reject=r.first_run_on is None)
             return
         timeout = self.attempt_timeout(now, r, srv)
         if srv.in_flight == 0:
-            srv.quiet_since = now
+            srv.last_outcome_at = now
         srv.in_flight += 1
-        if not srv.uncounted:
+        if not srv.outside_limit:
             self.controller.record_in_flight(now, 1)
-        if srv.cold_until <= now:
+        if srv.slow_start_until <= now:
             self.slow_start.warm_sent += 1
         r.server = srv
-        r.tried_servers.append(srv)
+        r.attempted_servers.append(srv)
         r.sent_at = now
         r.attempts += 1
         self.actions.send(r.id, srv.id, timeout)
@@ -316,7 +316,7 @@
         if r.effect == Effect.NOT_IDEMPOTENT:
             return remaining
         mean = self.mean_rtt[r.request_class]
-        if srv.uncounted:  # a trial of an ejected server
+        if srv.outside_limit:  # a trial of an ejected server
             return min(remaining, max(self.settings.tick, int(SILENT_FACTOR * mean)))
         # Failure prevented: in a crowd every copy aborts calls that are half done, their work is lost at this
         # tier and all behind it, and the next attempts crowd the tier again.
@@ -329,14 +329,14 @@
         """A further attempt where class, time, budget and attempt cap allow it; a final answer otherwise."""
         s = self.settings
         c = s.classes[r.request_class]
-        if outcome not in NEVER_RAN and r.ran_on is None:
-            r.ran_on = srv
-            r.ran_at = r.sent_at
-        ran = r.ran_on is not None
+        if outcome not in NEVER_RAN and r.first_run_on is None:
+            r.first_run_on = srv
+            r.first_run_at = r.sent_at
+        ran = r.first_run_on is not None
         allowed = (
             not ran
             or r.effect == Effect.IDEMPOTENT
-            or (r.effect == Effect.IDEMPOTENCY_KEY and now < r.ran_at + c.window)
+            or (r.effect == Effect.IDEMPOTENCY_KEY and now < r.first_run_at + c.window)
         )
         if (
             allowed
@@ -347,13 +347,13 @@
             self.retry_budget.spend()
             self.attempt(now, r)
             return
-        self.finish(r, refuse=not ran or r.effect == Effect.IDEMPOTENT)
+        self.finish(r, reject=not ran or r.effect == Effect.IDEMPOTENT)
 
-    def finish(self, r: Request, refuse: bool) -> None:
-        """The one final answer. `refuse` only where a retry is known to do no harm."""
+    def finish(self, r: Request, reject: bool) -> None:
+        """The one final answer. `reject` only where a retry is known to do no harm."""
         del self.requests[r.id]
         s = self.settings
-        if not refuse:
+        if not reject:
             self.actions.fail(r.id)
             return
         after = 0
@@ -367,16 +367,16 @@
         Acts only where callers are servers, at the limit, for up to half the time left, for as many calls
         as the limit.
         """
-        if not self.subset.available or len(self.waiting) >= self.controller.limit:
+        if not self.subset.available or len(self.queue) >= self.controller.limit:
             self.blocked += 1
-            self.finish(r, refuse=True)
+            self.finish(r, reject=True)
             return
         r.queued = True
-        self.waiting.append(r)
+        self.queue.append(r)
         self.actions.set_timer(max(1, (r.useful_until - now) // 2), TIMER_QUEUED << TOKEN_BITS | r.id)
 
     def serve_waiting(self, now: int) -> None:
-        waiting = self.waiting
+        waiting = self.queue
         while waiting and (not waiting[0].queued or self.controller.admits(now, 0)):
             r = waiting.popleft()
             if r.queued and r.id in self.requests:
@@ -389,16 +389,16 @@
         self.window_start = now
         self.slow_start.measure_warm_rate(now, span)
         self.load_shedder.rank_classes()
-        if self.spillover.zoned and self.subset.near:
+        if self.spillover.zoned and self.subset.local:
             self.spillover.adjust()
 
     def end_attempt(self, now: int, srv: Server, r: Request | None, outcome: Outcome, latency: int) -> None:
         """Books an attempt's end: in-flight, samples, the server's averages, ejection."""
         srv.in_flight -= 1
         ctl = self.controller
-        if not srv.uncounted:
+        if not srv.outside_limit:
             ctl.record_in_flight(now, -1)
-        srv.quiet_since = now
+        srv.last_outcome_at = now
         if outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
             # Failure prevented: a client leaves during a trial, and no other trial ever follows.
             srv.trial_in_flight = False
@@ -406,7 +406,7 @@
         ok = outcome == Outcome.OK
         if r is not None and (ok or outcome == Outcome.TIMEOUT):
             request_class = r.request_class
-            if srv.deviation.value < OUTLIER and not srv.ejected:
+            if srv.deviation.value < OUTLIER_DEVIATION and not srv.ejected:
                 ctl.sample(now, request_class, max(1, latency - self.additional_rtt.get(srv.zone, 0)))
             ratio = min(latency / self.mean_rtt[request_class], MAX_RTT_RATIO)
             srv.deviation.add(ratio / srv.kind.value)
@@ -419,22 +419,22 @@
             if now - self.window_start >= WINDOW:
                 self.close_window(now)
         if r is not None:
-            away = srv.turned_away.get(r.request_class, 0.0)
-            srv.turned_away[r.request_class] = away + SMOOTH * (float(outcome == Outcome.REJECTED) - away)
+            away = srv.rejection_rates.get(r.request_class, 0.0)
+            srv.rejection_rates[r.request_class] = away + SMOOTH * (float(outcome == Outcome.REJECTED) - away)
         if not srv.ejected and outcome != Outcome.REJECTED:
-            ctl.lost += SMOOTH_ALL * ((0.0 if ok else 1.0) - ctl.lost)
+            ctl.loss_rate += SMOOTH_ALL * ((0.0 if ok else 1.0) - ctl.loss_rate)
         if ok:
-            self.slow_start.warm_served += srv.cold_until <= now
+            self.slow_start.warm_served += srv.slow_start_until <= now
         self.ejection.record(now, srv, outcome)
 
-    def begin_slow_start(self, now: int, srv: Server, entry: ServerEntry) -> None:
+    def start_slow_start(self, now: int, srv: Server, entry: ServerEntry) -> None:
         """Failure prevented: a restarted server looks idle and draws a flood that pushes it over."""
-        srv.start = self.start_times.hear(now, entry, self.has_first_lists)
+        srv.start = self.start_times.record(now, entry, self.has_initial_list)
         srv.tokens_at = now
         self.correct_slow_start(srv)
 
     def correct_slow_start(self, srv: Server) -> None:
-        srv.cold_until = self.start_times.cold_until(srv.start)
+        srv.slow_start_until = self.start_times.slow_start_until(srv.start)
 
     def drop(self, srv: Server) -> None:
         """The server drains or is gone: nothing new goes to it from now on."""
@@ -443,7 +443,7 @@
             self.ejection.readmit(srv)
         srv.member = False
 
-    def forget_gone(self) -> None:
+    def forget_removed(self) -> None:
         for key, srv in list(self.servers.items()):
             if not srv.in_list and srv.in_flight == 0 and srv.uploads == 0:
                 self.start_times.remember(key, srv.start)
--- a/balancer/policy/ejection.py
+++ b/balancer/policy/ejection.py
@@ -10,11 +10,11 @@
 from balancer.policy.subset import Subset
 
 SILENT_FACTOR = 4  # a member is silent after this many mean round-trips without any outcome
-EJECT_SHARE = 0.34  # of the members, at most
-EJECT_FAILS = 3  # least failures in a row, or of recent calls, before ejection
-EJECT_RATE = 0.3  # failure rate above the subset's own that ejects
-EJECT_TIME = 2_000_000  # first ejection; doubles up to 16 times
-EJECT_JITTER = 0.1  # of that time, at most, is added at random
+MAX_EJECTED_SHARE = 0.34  # of the members, at most
+MIN_FAILURES = 3  # least failures in a row, or of recent calls, before ejection
+MIN_EXCESS_FAILURE_RATE = 0.3  # failure rate above the subset's own that ejects
+BASE_EJECTION_TIME = 2_000_000  # first ejection; doubles up to 16 times
+EJECTION_JITTER = 0.1  # of that time, at most, is added at random
 
 
 class OutlierEjection:
@@ -30,29 +30,29 @@
         self.rng = rng
         self.ejected: list[Server] = []
         self.next_trial = 0
-        self.fail_rate = 0.0  # of the whole subset, smoothed
+        self.failure_rate = 0.0  # of the whole subset, smoothed
 
     def record(self, now: int, srv: Server, outcome: Outcome) -> None:
         """Books an attempt's outcome, which may eject its server or end its ejection."""
         ok = outcome == Outcome.OK
         srv.calls += 1
         bad = 0.0 if ok or outcome in (Outcome.TIMEOUT, Outcome.REJECTED) else 1.0
-        srv.fail_rate += SMOOTH * (bad - srv.fail_rate)
-        self.fail_rate += SMOOTH_ALL * (bad - self.fail_rate)
+        srv.failure_rate += SMOOTH * (bad - srv.failure_rate)
+        self.failure_rate += SMOOTH_ALL * (bad - self.failure_rate)
         if ok:
-            srv.fails_in_row = 0
+            srv.consecutive_failures = 0
             if srv.ejected and (srv.trial_in_flight or srv.silent):
                 self.readmit(srv, well=True)
         elif bad:
-            srv.fails_in_row += 1
+            srv.consecutive_failures += 1
             if srv.ejected:
                 if srv.trial_in_flight:
                     self.eject(now, srv, silent=False)
             elif (
-                srv.fails_in_row >= EJECT_FAILS
-                and srv.fail_rate > self.fail_rate * 2
-                or srv.calls >= EJECT_FAILS
-                and srv.fail_rate > EJECT_RATE + self.fail_rate
+                srv.consecutive_failures >= MIN_FAILURES
+                and srv.failure_rate > self.failure_rate * 2
+                or srv.calls >= MIN_FAILURES
+                and srv.failure_rate > MIN_EXCESS_FAILURE_RATE + self.failure_rate
             ):
                 # Failure prevented: a member that fails quickly holds few calls and wins the picks.
                 self.eject(now, srv, silent=False)
@@ -65,14 +65,14 @@
         if not srv.member:
             return
         if not srv.ejected:
-            if len(self.ejected) + 1 > EJECT_SHARE * len(self.subset.members):
+            if len(self.ejected) + 1 > MAX_EJECTED_SHARE * len(self.subset.members):
                 return
             srv.ejected = True
             self.ejected.append(srv)
-            self.actions.log(f"eject server={srv.id} silent={int(silent)} fail_rate={srv.fail_rate:.2f}")
+            self.actions.log(f"eject server={srv.id} silent={int(silent)} fail_rate={srv.failure_rate:.2f}")
         srv.silent = silent
         srv.trial_at = now + int(
-            (EJECT_TIME << min(srv.ejections, 4)) * (1 + EJECT_JITTER * self.rng.random())
+            (BASE_EJECTION_TIME << min(srv.ejections, 4)) * (1 + EJECTION_JITTER * self.rng.random())
         )
         srv.ejections += 1
         self.next_trial = min(e.trial_at for e in self.ejected)
@@ -82,8 +82,8 @@
     def readmit(self, srv: Server, well: bool = False) -> None:
         srv.ejected = False
         srv.silent = False
-        srv.fail_rate = self.fail_rate
-        srv.fails_in_row = 0
+        srv.failure_rate = self.failure_rate
+        srv.consecutive_failures = 0
         srv.ejections = max(0, srv.ejections - 1)
         self.ejected.remove(srv)
         if self.ejected:
@@ -98,7 +98,7 @@
         One call alone may be a long one: it counts only after twice that time.
         """
         patience = SILENT_FACTOR * max(self.mean_rtt) * (2 if srv.in_flight == 1 else 1)
-        if srv.in_flight and now - srv.quiet_since > patience:
+        if srv.in_flight and now - srv.last_outcome_at > patience:
             self.eject(now, srv, silent=True)
         return srv.ejected
 
@@ -111,6 +111,6 @@
                 continue
             if slow_start.may_send(now, trial):
                 trial.trial_in_flight = True
-                trial.trial_at = now + EJECT_TIME
+                trial.trial_at = now + BASE_EJECTION_TIME
                 return trial
         return None
--- a/balancer/policy/gradient.py
+++ b/balancer/policy/gradient.py
@@ -21,15 +21,15 @@
 # What the design leaves open.
 CALLS_PER_MEMBER = 6  # in a recalculation: an idle box holds some that wait for the tiers behind it
 WINDOW_SAMPLES = 80  # a window stays open until it holds so many samples...
-WINDOW_STRETCH = 10  # ...or has lasted so many times its least length
+MAX_WINDOW_MULTIPLE = 10  # ...or has lasted so many times its least length
 FULL_WINDOW = 8  # fewer samples move the limit by their part of this only
-LEVEL_TIME = 1_000_000  # over so long at most, calls in flight are averaged where many copies share servers
+MAX_SMOOTHING_TIME = 1_000_000  # the longest time over which calls in flight are averaged
 BUFFER = 0.25  # least buffer_pct
-AIM_SHARE = 0.5  # the buffer reaches up to this share of a class's aim
+OBJECTIVE_SHARE = 0.5  # the buffer reaches up to this share of a class's aim
 MAX_TARGET_SHARE = 0.75  # min_rtt + B stays within this share of it
 MAX_LOST_SHARE = 0.05  # when more of the whole subset's calls fail, failures count as overload
 USUAL_TIME = 3_000_000  # over so long the usual number of calls in flight is smoothed
-RAMP_RTTS = 2  # ...and, after a start, over so many mean round-trips
+STARTUP_RTTS = 2  # ...and, after a start, over so many mean round-trips
 USUAL_FADE = 12_000_000  # over so long it is given up while calls are lost
 MAX_LIMIT_OVER_USUAL = 2.0  # the limit stays within so many times that number
 
@@ -72,17 +72,17 @@
         self.target = [float(a) for a in allowance]
         self.floor = float(MIN_LIMIT)
         self.members = 1
-        self.copies = 1.0
-        self.shared = 1.0
+        self.instances = 1.0
+        self.instances_per_server = 1.0
         self.min_rtt_limit = float(MIN_LIMIT)
         self.ceiling = ceiling
         self.limit = float(MIN_LIMIT)
         self.in_flight = 0
-        self.level = 0.0  # what the limit is set against
-        self.level_at = now
-        self.ramping = True  # since the start the limit bound, and no window was above target
-        self.lost = 0.0  # share of calls that ended without an answer, smoothed
-        self.usual = 0.0  # calls in flight while latency was good, smoothed
+        self.smoothed_in_flight = 0.0  # what the limit is set against
+        self.smoothed_at = now
+        self.starting_up = True  # since the start the limit bound, and no window was above target
+        self.loss_rate = 0.0  # share of calls that ended without an answer, smoothed
+        self.usual_in_flight = 0.0  # calls in flight while latency was good, smoothed
         self.window = SampleWindow(now)
         self.sample_rtt = 0.0  # relative to min_rtt + B
         self.gradient = 1.0
@@ -91,10 +91,10 @@
         self.recalculations = 0
         self.start_recalculation(now)
 
-    def resize(self, members: int, copies: float) -> None:
+    def resize(self, members: int, instances: float) -> None:
         """Takes note of the subset's size and of the number of copies that share each member."""
         self.members = members
-        self.copies = copies
+        self.instances = instances
         self.update_bounds()
         self.limit = max(self.limit, 2 * self.min_rtt_limit if self.recalculations == 0 else self.floor)
 
@@ -106,34 +106,38 @@
         together too, and so, by the root of their number, is a recalculation's: an idle member adds a
         call without queueing.
         """
-        self.shared = max(1.0, self.copies / (1 + self.usual))
-        self.floor = MIN_LIMIT * self.members / max(1.0, self.copies)
-        self.min_rtt_limit = max(float(MIN_LIMIT), CALLS_PER_MEMBER * self.members / sqrt(self.shared))
+        self.instances_per_server = max(1.0, self.instances / (1 + self.usual_in_flight))
+        self.floor = MIN_LIMIT * self.members / max(1.0, self.instances)
+        self.min_rtt_limit = max(
+            float(MIN_LIMIT), CALLS_PER_MEMBER * self.members / sqrt(self.instances_per_server)
+        )
 
     def headroom(self) -> float:
         """The square root of the limit, for all copies that share the servers: each adds its part."""
-        return sqrt(self.limit / self.shared)
+        return sqrt(self.limit / self.instances_per_server)
 
     def record_in_flight(self, now: int, change: int = 0) -> None:
         """Brings the level up to date and books calls that start (or end).
 
         The level is what the limit is set against. For a copy that has its servers to itself it is its
-        calls in flight. Where many copies share them, it is their mean over a time, up to LEVEL_TIME.
+        calls in flight. Where many copies share them, it is their mean over a time, up to MAX_SMOOTHING_TIME.
         Failure prevented: a copy with less than one call in flight on average has two at times by chance
         alone; all copies together have not, and refusing the second call gives no server any rest.
         """
-        span = LEVEL_TIME * (1 - 1 / self.shared) * min(1.0, (MIN_LIMIT / self.limit) ** 2)
-        part = (now - self.level_at) / span if span > 0 else 1.0
-        self.level += min(1.0, part) * (self.in_flight - self.level)
-        self.level_at = now
+        span = (
+            MAX_SMOOTHING_TIME * (1 - 1 / self.instances_per_server) * min(1.0, (MIN_LIMIT / self.limit) ** 2)
+        )
+        part = (now - self.smoothed_at) / span if span > 0 else 1.0
+        self.smoothed_in_flight += min(1.0, part) * (self.in_flight - self.smoothed_in_flight)
+        self.smoothed_at = now
         self.in_flight += change
         if span == 0:
-            self.level = float(self.in_flight)
+            self.smoothed_in_flight = float(self.in_flight)
 
     def admits(self, now: int, spare: float) -> bool:
         """Whether a call may start, `spare` headrooms below the limit."""
         self.record_in_flight(now)
-        return self.level + spare * self.headroom() < self.allowed()
+        return self.smoothed_in_flight + spare * self.headroom() < self.allowed()
 
     def allowed(self) -> float:
         """The limit in force: the gradient's, or the recalculation's while one is on."""
@@ -143,7 +147,7 @@
         self.recalculating = True
         self.min_rtt_samples: list[list[float]] = [[] for _ in self.allowance]
         self.min_rtt_calls = MIN_RTT_CALLS
-        self.min_rtt_until = now + WINDOW * WINDOW_STRETCH
+        self.min_rtt_until = now + WINDOW * MAX_WINDOW_MULTIPLE
         self.windows_at_floor = 0
 
     def end_recalculation(self, now: int) -> None:
@@ -151,7 +155,7 @@
             if len(samples) >= MIN_LIMIT:
                 self.min_rtt[request_class] = percentile(samples, PERCENTILE)
                 # Failure prevented: a min_rtt measured under load lets queues grow past the aim.
-                max_target = MAX_TARGET_SHARE / AIM_SHARE * self.allowance[request_class]
+                max_target = MAX_TARGET_SHARE / OBJECTIVE_SHARE * self.allowance[request_class]
                 target = max(self.min_rtt[request_class] * (1 + BUFFER), self.allowance[request_class])
                 self.target[request_class] = min(target, max_target)
         self.recalculating = False
@@ -166,7 +170,9 @@
             self.min_rtt_samples[request_class].append(latency)
             self.min_rtt_calls -= 1
             # Failure prevented: a recalculation that ends at its last answer has seen only the short calls.
-            if now >= self.min_rtt_until + (0 if self.min_rtt_calls <= 0 else 2 * WINDOW * WINDOW_STRETCH):
+            if now >= self.min_rtt_until + (
+                0 if self.min_rtt_calls <= 0 else 2 * WINDOW * MAX_WINDOW_MULTIPLE
+            ):
                 self.end_recalculation(now)
             return
         window = self.window
@@ -180,7 +186,7 @@
         window = self.window
         age = now - window.start
         count = len(window.rtts)
-        if age < WINDOW or count == 0 or (count < WINDOW_SAMPLES and age < WINDOW * WINDOW_STRETCH):
+        if age < WINDOW or count == 0 or (count < WINDOW_SAMPLES and age < WINDOW * MAX_WINDOW_MULTIPLE):
             return
         self.sample_rtt = percentile(window.rtts, PERCENTILE)
         self.gradient = min(GRADIENT_HIGH, max(GRADIENT_LOW, 1.0 / max(self.sample_rtt, 1e-9)))
@@ -201,18 +207,18 @@
         """Smooths the calls this copy carries while latency is good.
 
         Failure prevented: a copy that starts into full traffic refuses half of it for five seconds, since
-        "usual" starts at nothing. It follows within RAMP_RTTS, up to the first window that is above target
+        "usual" starts at nothing. It follows within STARTUP_RTTS, up to the first window that is above target
         or in which the limit does not bind.
         """
         carried = self.window.flight_sum / count
         span = USUAL_TIME
         if self.sample_rtt > 1:
-            self.ramping = False
-        elif self.ramping:
-            span = min(span, int(RAMP_RTTS * self.window.latency_sum / count))
-            self.ramping = carried >= 0.5 * self.limit
-        if self.sample_rtt <= 1 and (carried > self.usual or carried < 0.8 * self.limit):
-            self.usual += min(1.0, age / max(span, 1)) * (carried - self.usual)
+            self.starting_up = False
+        elif self.starting_up:
+            span = min(span, int(STARTUP_RTTS * self.window.latency_sum / count))
+            self.starting_up = carried >= 0.5 * self.limit
+        if self.sample_rtt <= 1 and (carried > self.usual_in_flight or carried < 0.8 * self.limit):
+            self.usual_in_flight += min(1.0, age / max(span, 1)) * (carried - self.usual_in_flight)
 
     def max_limit(self) -> float:
         """How far the limit may grow.
@@ -222,8 +228,8 @@
         Failure prevented: what one copy alone could do with idle members, each of many does, and together
         they crowd every server. They burst by chance, so the sum grows with the root of their number.
         """
-        part = CALLS_PER_MEMBER * self.members / sqrt(max(1.0, self.copies))
-        return max(part, MAX_LIMIT_OVER_USUAL * self.usual + MIN_LIMIT)
+        part = CALLS_PER_MEMBER * self.members / sqrt(max(1.0, self.instances))
+        return max(part, MAX_LIMIT_OVER_USUAL * self.usual_in_flight + MIN_LIMIT)
 
     def min_limit(self, age: int) -> float:
         """How far the limit may fall: to what this copy carried while latency was good.
@@ -231,9 +237,9 @@
         Failure prevented: when everything is slow at once no lower limit makes it faster, and the gradient
         would close the fleet.
         """
-        kept = (1 - self.lost) ** 2 if self.lost > MAX_LOST_SHARE else 1.0
-        if self.sample_rtt > 1 and self.lost > MAX_LOST_SHARE:
+        kept = (1 - self.loss_rate) ** 2 if self.loss_rate > MAX_LOST_SHARE else 1.0
+        if self.sample_rtt > 1 and self.loss_rate > MAX_LOST_SHARE:
             # Failure prevented: servers that slow down when crowded stay crowded, and slow, at what they
             # carried before. Where calls are not only late but lost, less in flight gives them rest.
-            self.usual -= min(1.0, age / USUAL_FADE) * self.usual
-        return max(self.floor, self.usual * kept)
+            self.usual_in_flight -= min(1.0, age / USUAL_FADE) * self.usual_in_flight
+        return max(self.floor, self.usual_in_flight * kept)
--- a/balancer/policy/load_shedding.py
+++ b/balancer/policy/load_shedding.py
@@ -7,28 +7,28 @@
 
 from balancer.policy.interface import Settings
 
-TENANT_TIME = 8_000_000  # a tenant's traffic is counted over so long
+TENANT_WINDOW = 8_000_000  # a tenant's traffic is counted over so long
 EXCESS = 1.25  # it is clearly beyond its share at so many times its part...
 EXCESS_NOISE = 1.5  # ...and so many standard deviations of a count
-SHED_AT = 0.6  # clear excess is refused, more and more, while mean latency over target is above this
+SHED_THRESHOLD = 0.6  # clear excess is refused, more and more, while mean latency over target is above this
 SHED_GAIN = 0.06  # by so much for each answer
 
 
 class Tenant:
     """What this copy knows of one tenant: its part of the quota, and what came lately."""
 
-    __slots__ = ("rate", "at", "seen", "due")
+    __slots__ = ("rate", "at", "recent", "entitled")
 
     def __init__(self, rate: float) -> None:
         self.rate = rate  # requests a second
         self.at = 0
-        self.seen = 0.0  # requests of the last TENANT_TIME, fading
-        self.due = 1.0  # the quota's part for the same time, and one to start with
+        self.recent = 0.0  # requests of the last TENANT_WINDOW, fading
+        self.entitled = 1.0  # the quota's part for the same time, and one to start with
 
     def fade(self, now: int) -> None:
-        keep = max(0.0, 1 - (now - self.at) / TENANT_TIME)
-        self.seen *= keep
-        self.due = self.due * keep + self.rate * (now - self.at) / 1e6
+        keep = max(0.0, 1 - (now - self.at) / TENANT_WINDOW)
+        self.recent *= keep
+        self.entitled = self.entitled * keep + self.rate * (now - self.at) / 1e6
         self.at = now
 
 
@@ -49,14 +49,14 @@
 
     def record(self, latency_ratio: float) -> None:
         """Takes in an answer's latency, relative to its class's target."""
-        self.shed += SHED_GAIN * (min(latency_ratio, 3.0) - SHED_AT)
+        self.shed += SHED_GAIN * (min(latency_ratio, 3.0) - SHED_THRESHOLD)
         self.shed = min(1.0, max(0.0, self.shed))
 
-    def drops(self) -> bool:
+    def sheds(self) -> bool:
         """Whether a request that is clear excess is refused."""
         return self.rng.random() < self.shed
 
-    def over_share(self, now: int, tenant: int) -> tuple[bool, bool]:
+    def exceeds_quota(self, now: int, tenant: int) -> tuple[bool, bool]:
         """Whether the request counts as beyond its tenant's quota, and whether that is beyond doubt.
 
         What came of the tenant lately is set against this copy's equal part of the quota. A copy that gets
@@ -67,11 +67,11 @@
         mine = self.tenants[tenant]
         for t in self.tenants:
             t.fade(now)
-        mine.seen += 1
-        parts = sorted((t.seen - sqrt(t.seen)) / t.due for t in self.tenants if t.rate > 0)
-        due = mine.due * max(1.0, parts[(len(parts) - 1) // 2])
-        over = self.rng.random() * mine.seen > due
-        return over, over and mine.seen > EXCESS * due + EXCESS_NOISE * sqrt(due) + 1
+        mine.recent += 1
+        parts = sorted((t.recent - sqrt(t.recent)) / t.entitled for t in self.tenants if t.rate > 0)
+        entitled = mine.entitled * max(1.0, parts[(len(parts) - 1) // 2])
+        over = self.rng.random() * mine.recent > entitled
+        return over, over and mine.recent > EXCESS * entitled + EXCESS_NOISE * sqrt(entitled) + 1
 
     def rank_classes(self) -> None:
         """Rank 1 for classes whose worth for their time is under half the best class's."""
--- a/balancer/policy/request.py
+++ b/balancer/policy/request.py
@@ -18,9 +18,9 @@
         self.uploading = False
         self.attempts = 0
         self.server: Server | None = None
-        self.ran_on: Server | None = None  # the first server that may have run it
-        self.ran_at = 0
+        self.first_run_on: Server | None = None  # the first server that may have run it
+        self.first_run_at = 0
         self.responding = False
         self.queued = False
         self.sent_at = 0
-        self.tried_servers: list[Server] = []
+        self.attempted_servers: list[Server] = []
--- a/balancer/policy/selection.py
+++ b/balancer/policy/selection.py
@@ -12,12 +12,12 @@
 from balancer.policy.spillover import ZoneSpillover
 from balancer.policy.subset import Subset
 
-PICK_TRIES = 10  # so many members may be skipped for being slow
+MAX_SKIPS = 10  # so many members may be skipped for being slow
 
 
-def untried(pool: list[Server], r: Request) -> list[Server]:
+def not_attempted(pool: list[Server], r: Request) -> list[Server]:
     """Those of the pool that the request has not been sent to; all of them if there is no other."""
-    return [m for m in pool if m not in r.tried_servers] or pool if r.tried_servers else pool
+    return [m for m in pool if m not in r.attempted_servers] or pool if r.attempted_servers else pool
 
 
 class Selection:
@@ -48,7 +48,7 @@
         attempt too and turns it away again. The source, too, tries again on another host where it can.
         """
         effect = r.effect
-        if r.ran_on is not None and effect == Effect.IDEMPOTENCY_KEY:
+        if r.first_run_on is not None and effect == Effect.IDEMPOTENCY_KEY:
             return self.pick_in_group(now, r)
         if self.ejection.ejected and effect != Effect.NOT_IDEMPOTENT:
             trial = self.ejection.take_trial(now, self.slow_start)
@@ -57,17 +57,17 @@
         if self.subset.shares:
             drawn = self.rng.choices([*self.subset.shares], [*self.subset.shares.values()])
             # Where a zone is lost, a repeat there is lost too.
-            failed = r.tried_servers[-1].zone if r.tried_servers else -1
+            failed = r.attempted_servers[-1].zone if r.attempted_servers else -1
             for zone in sorted([*drawn, *self.subset.shares], key=lambda zone: zone == failed):
-                srv = self.pick_of_two(now, r.request_class, untried(self.subset.by_zone[zone], r))
+                srv = self.pick_of_two(now, r.request_class, not_attempted(self.subset.by_zone[zone], r))
                 if srv is not None:
                     return srv
             return None
-        if self.spillover.zoned and self.subset.near and self.rng.random() >= self.spillover.spill:
-            srv = self.pick_of_two(now, r.request_class, untried(self.subset.near, r))
+        if self.spillover.zoned and self.subset.local and self.rng.random() >= self.spillover.spill:
+            srv = self.pick_of_two(now, r.request_class, not_attempted(self.subset.local, r))
             if srv is not None:
                 return srv
-        return self.pick_of_two(now, r.request_class, untried(self.subset.available, r))
+        return self.pick_of_two(now, r.request_class, not_attempted(self.subset.available, r))
 
     def pick_of_two(self, now: int, request_class: int, pool: list[Server]) -> Server | None:
         n = len(pool)
@@ -100,7 +100,7 @@
         them gets keeps it crowded. After a few skips whoever comes is taken.
         """
         while True:
-            for _ in range(PICK_TRIES):
+            for _ in range(MAX_SKIPS):
                 srv = pool[int(self.rng.random() * len(pool))]
                 if srv is not other and self.rng.random() * srv.slowness(now, request_class, mean) < 1:
                     return srv
@@ -109,7 +109,7 @@
 
     def pick_in_group(self, now: int, r: Request) -> Server | None:
         """A keyed request that may have run goes only to the servers that would discard its repeat."""
-        first = r.ran_on
+        first = r.first_run_on
         group = self.settings.classes[r.request_class].group
         assert first is not None
         pool = [
@@ -117,7 +117,7 @@
             for _, m in sorted(self.subset.servers.items())
             if m is not first
             and m.in_list
-            and not m.uncounted
+            and not m.outside_limit
             and (
                 group == Group.ALL
                 or group == Group.ZONE
--- a/balancer/policy/server.py
+++ b/balancer/policy/server.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from balancer.policy.interface import ServerEntry
-from balancer.policy.start_times import Start
+from balancer.policy.start_times import ServerStart
 
 SMOOTH = 0.1  # weight of the newest sample in a server's averages
 PRIOR = 3.0  # an average starts as if it had seen so many samples of its first value
@@ -15,16 +15,16 @@
 class Average:
     """A running mean: plain while samples are few, exponential later. `prior` samples of `value` start it."""
 
-    __slots__ = ("value", "weight", "least")
+    __slots__ = ("value", "weight", "min_weight")
 
-    def __init__(self, value: float, prior: float, least: float) -> None:
+    def __init__(self, value: float, prior: float, min_weight: float) -> None:
         self.value = value
         self.weight = prior
-        self.least = least
+        self.min_weight = min_weight
 
     def add(self, sample: float) -> None:
         self.weight += 1
-        self.value += max(self.least, 1 / self.weight) * (sample - self.value)
+        self.value += max(self.min_weight, 1 / self.weight) * (sample - self.value)
 
 
 class Server:
@@ -39,26 +39,26 @@
         self.in_flight = 0
         self.uploads = 0  # attempts whose requests are still on their way
         self.ejected = False
-        self.uncounted = False  # its calls do not count against the limit
+        self.outside_limit = False  # its calls do not count against the limit
         self.trial_in_flight = False
         self.ready_at = -1
-        self.quiet_since = 0
+        self.last_outcome_at = 0
         self.cell = self.zone = 0
-        self.renew(entry)
+        self.reset(entry)
 
-    def renew(self, entry: ServerEntry) -> None:
+    def reset(self, entry: ServerEntry) -> None:
         """A new process: nothing learned of the old one holds."""
         self.ready_at = entry.ready_at
-        self.start = Start(entry.ready_at, 0, running=False, clock_believed=False)
+        self.start = ServerStart(entry.ready_at, 0, running=False, clock_trusted=False)
         self.deviation = Average(1.0, PRIOR, SMOOTH)  # this server's round-trips, relative to its kind's
-        self.fail_rate = 0.0
-        self.turned_away: dict[int, float] = {}  # by class, the share of calls rejected unseen, smoothed
-        self.fails_in_row = 0
+        self.failure_rate = 0.0
+        self.rejection_rates: dict[int, float] = {}  # by class, the share of calls rejected unseen, smoothed
+        self.consecutive_failures = 0
         self.calls = 0
         self.silent = False
         self.trial_at = 0
         self.ejections = 0
-        self.cold_until = 0
+        self.slow_start_until = 0
         self.tokens = 0.0
         self.tokens_at = 0
 
@@ -69,13 +69,13 @@
         What is its own fades while no outcome comes.
         Failure prevented: a member that turns away one class alone holds few of its calls and wins picks.
         """
-        fade = max(0.0, 1 - (now - self.quiet_since) / FADE)
-        failing = self.fail_rate + self.turned_away.get(request_class, 0.0)
+        fade = max(0.0, 1 - (now - self.last_outcome_at) / FADE)
+        failing = self.failure_rate + self.rejection_rates.get(request_class, 0.0)
         own = self.deviation.value * (1 + FAIL_WEIGHT * failing)
         slowness = self.kind.value * (1 + (own - 1) * fade)
-        if self.in_flight and now - self.quiet_since > mean_rtt:
+        if self.in_flight and now - self.last_outcome_at > mean_rtt:
             # Failure prevented: a member that has just turned slow looks as before until its calls come back.
-            slowness *= (now - self.quiet_since) / mean_rtt
+            slowness *= (now - self.last_outcome_at) / mean_rtt
         return slowness
 
     def load(self, now: int, request_class: int, mean_rtt: float) -> float:
--- a/balancer/policy/slow_start.py
+++ b/balancer/policy/slow_start.py
@@ -4,7 +4,7 @@
 
 from math import exp
 
-from balancer.policy.gradient import WINDOW, WINDOW_STRETCH
+from balancer.policy.gradient import MAX_WINDOW_MULTIPLE, WINDOW
 from balancer.policy.interface import Settings
 from balancer.policy.server import Server
 from balancer.policy.subset import Subset
@@ -33,7 +33,7 @@
         """Keeps the rate of requests, the measure of a server's share while no member is warm."""
         self.requests += 1
         span = now - self.counted_since
-        if span >= WINDOW * WINDOW_STRETCH:
+        if span >= WINDOW * MAX_WINDOW_MULTIPLE:
             rate = self.requests * 1e6 / span
             weight = min(1.0, span / 2e6) if self.request_rate else 1.0
             self.request_rate += weight * (rate - self.request_rate)
@@ -43,7 +43,7 @@
         """Takes in what warm members were sent and answered in the window that ends now."""
         warm = 0
         for m in self.subset.members:
-            warm += m.cold_until <= now and not m.ejected
+            warm += m.slow_start_until <= now and not m.ejected
         if warm:
             weight = min(1.0, span / 2e6)
             self.warm_rate += weight * (self.warm_sent * 1e6 / span / warm - self.warm_rate)
@@ -66,7 +66,7 @@
         even = self.request_rate / max(1, len(self.subset.members))
         multiple = max(1.0, MAX_MULTIPLE_SHARE * self.settings.fall_multiple)
         peak = self.peak_served_rate or MAX_EVEN_SHARES * even
-        if any(m.cold_until <= now and not m.ejected for m in self.subset.members):
+        if any(m.slow_start_until <= now and not m.ejected for m in self.subset.members):
             return min(self.warm_rate, max(multiple * self.served_rate, min(even, peak)))
         return min(max(self.warm_rate, even), MAX_EVEN_SHARES * even, multiple * peak)
 
@@ -76,11 +76,11 @@
         Failure prevented: all nodes together push a cold server over. A bucket of one call that starts
         empty keeps this copy's part within any window.
         """
-        if srv.cold_until <= now:
+        if srv.slow_start_until <= now:
             return True
         s = self.settings
         warmth = s.slow_start_share + (1 - s.slow_start_share) * max(
-            0.0, 1 - (srv.cold_until - now) / s.slow_start_time
+            0.0, 1 - (srv.slow_start_until - now) / s.slow_start_time
         )
         srv.tokens = min(1.0, srv.tokens + self.fair_rate(now) * warmth * (now - srv.tokens_at) / 1e6)
         srv.tokens_at = now
--- a/balancer/policy/spillover.py
+++ b/balancer/policy/spillover.py
@@ -10,7 +10,9 @@
 SPILL_GAIN = 0.1  # a window moves the share of calls that may leave the zone by this part of the imbalance
 SPILL_STEP = 0.04  # and by so much at most
 ZONE_PRICE = 0.01  # calls keep to their zone only where a crossing costs this share of a request's worth
-CROSSING = 10  # a call twice as slow is taken to lose a tenth of its worth, set against a crossing's price
+CROSSING_COST = (
+    10  # a call twice as slow is taken to lose a tenth of its worth, set against a crossing's price
+)
 
 
 class ZoneSpillover:
@@ -19,8 +21,8 @@
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.zoned = settings.cross_zone_price >= ZONE_PRICE
-        self.near_ratio = 0.5  # mean latency over what the class can bear, for servers of this zone...
-        self.far_ratio = 0.5  # ...and of the others
+        self.local_ratio = 0.5  # mean latency over what the class can bear, for servers of this zone...
+        self.remote_ratio = 0.5  # ...and of the others
         self.best_ratio = 0.0
         self.spill = 0.0 if self.zoned else 1.0  # share of calls that may leave the zone
         self.min_spill = self.spill
@@ -28,9 +30,9 @@
     def record(self, zone: int, latency_ratio: float) -> None:
         """Takes in an answer's latency, relative to its class's target."""
         if zone == self.settings.zone:
-            self.near_ratio += SMOOTH_ALL * (latency_ratio - self.near_ratio)
+            self.local_ratio += SMOOTH_ALL * (latency_ratio - self.local_ratio)
         else:
-            self.far_ratio += SMOOTH_ALL * (latency_ratio - self.far_ratio)
+            self.remote_ratio += SMOOTH_ALL * (latency_ratio - self.remote_ratio)
 
     def resize(self, members: Sequence[Server]) -> None:
         """Takes note of new members.
@@ -50,12 +52,12 @@
         Failure prevented: one zone's servers drown while another's stand idle. Unvisited, the other zones
         are taken to do as well as this one did at its best.
         """
-        if self.near_ratio < self.best_ratio or self.best_ratio == 0:
-            self.best_ratio = self.near_ratio
+        if self.local_ratio < self.best_ratio or self.best_ratio == 0:
+            self.best_ratio = self.local_ratio
         if self.spill < 0.05:
-            self.far_ratio += SMOOTH * (self.best_ratio - self.far_ratio)
+            self.remote_ratio += SMOOTH * (self.best_ratio - self.remote_ratio)
         self.best_ratio *= 1.001
-        patience = 1 + CROSSING * self.settings.cross_zone_price
-        step = SPILL_GAIN * (self.near_ratio / max(self.far_ratio, 1e-9) - patience)
+        patience = 1 + CROSSING_COST * self.settings.cross_zone_price
+        step = SPILL_GAIN * (self.local_ratio / max(self.remote_ratio, 1e-9) - patience)
         self.spill += min(SPILL_STEP, max(-SPILL_STEP, step))
         self.spill = min(1.0, max(self.min_spill, self.spill))
--- a/balancer/policy/start_times.py
+++ b/balancer/policy/start_times.py
@@ -1,11 +1,11 @@
-"""When servers started, by this process's clock, however wrong the wall clocks are that the times come from.
+"""Estimates when servers started, whatever the wall clocks say that the listed times come from.
 
 A start is listed in Unix time, and the process's clock counts from its own wall clock at its start. Both may
-be wrong by seconds or by an hour. No start lies after the moment at which it is heard of, so the clock is
-fast by at most the least age of any start heard. Taking it for that fast, no server counts as started before
-it was. A start that is heard of at once shows that the clock is right. Where more of a process's first
-servers than `MAX_UNPROVEN` would be cold by this alone, its clock is believed: the others could not carry
-the load while they warm up.
+be wrong by seconds or by an hour. No server can have started after the process was notified of it, so the
+clock is fast by at most the smallest age of any start in the lists. The clock is assumed to be that fast, so
+no server is taken to have started earlier than it did. A start of which the process is notified at once shows
+that the clock is right. Where more than `MAX_UNPROVEN_SHARE` of a process's first servers would be in slow
+start by this assumption alone, the clock is trusted: the others could not carry the load meanwhile.
 """
 
 from __future__ import annotations
@@ -16,30 +16,30 @@
 from balancer.policy.interface import ServerEntry
 
 MAX_CLOCK_ERROR = 3_660_000_000  # a clock is wrong by an hour at most, or by some seconds more
-PROMPT = 1_000_000  # a start that is heard of with no more delay was heard of at once
+MAX_PROMPT_DELAY = 1_000_000  # a start that is heard of with no more delay was heard of at once
 MAX_LIST_DELAY = 10_000_000  # a start heard of while the process runs is no older than this
-MAX_UNPROVEN = 1 / 3  # of the servers in a process's first lists
+MAX_UNPROVEN_SHARE = 1 / 3  # of the servers in a process's first lists
 MAX_REMEMBERED = 1024  # starts of servers that have left the list
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class ServerStart:
     """One start of a server, as heard of."""
 
     ready_at: int  # as listed
-    heard_at: int
+    notified_at: int
     running: bool  # after this process had its first lists
-    clock_believed: bool  # as listed, the start is taken for right
+    clock_trusted: bool  # as listed, the start is taken for right
 
 
 class StartTimes:
     """Corrects listed start times. All times are microseconds."""
 
-    def __init__(self, cold_time: int) -> None:
-        self.cold_time = cold_time
+    def __init__(self, slow_start_time: int) -> None:
+        self.slow_start_time = slow_start_time
         self.clock_error = MAX_CLOCK_ERROR  # the clock is fast by no more than this
-        self.clock_believed = False  # for the servers of the first lists
-        self.remembered: dict[int, Start] = {}
+        self.clock_trusted = False  # for the servers of the first lists
+        self.remembered: dict[int, ServerStart] = {}
 
     def observe(self, now: int, entries: Iterable[ServerEntry], listed: int) -> bool:
         """Takes in the starts that news of the servers names, `listed` of which there are then.
@@ -48,22 +48,22 @@
         """
         ages = [max(0, now - entry.ready_at) for entry in entries if entry.ready_at > 0]
         error = min(ages, default=MAX_CLOCK_ERROR)
-        if error <= PROMPT:
+        if error <= MAX_PROMPT_DELAY:
             error = 0
         corrected = error < self.clock_error
         self.clock_error = min(self.clock_error, error)
-        unproven = sum(self.cold_time <= age < self.clock_error + self.cold_time for age in ages)
-        self.clock_believed = unproven > MAX_UNPROVEN * listed
+        unproven = sum(self.slow_start_time <= age < self.clock_error + self.slow_start_time for age in ages)
+        self.clock_trusted = unproven > MAX_UNPROVEN_SHARE * listed
         return corrected
 
-    def hear(self, now: int, entry: ServerEntry, running: bool) -> Start:
+    def record(self, now: int, entry: ServerEntry, running: bool) -> ServerStart:
         """A server is new in the list, or has started anew. One that was listed before keeps its start."""
         start = self.remembered.pop(entry.server, None)
         if start is not None and start.ready_at == entry.ready_at:
             return start
-        return Start(entry.ready_at, now, running, self.clock_believed and not running)
+        return ServerStart(entry.ready_at, now, running, self.clock_trusted and not running)
 
-    def remember(self, server: int, start: Start) -> None:
+    def remember(self, server: int, start: ServerStart) -> None:
         """The server has left the list, and may come back as it was."""
         if start.ready_at <= 0:
             return
@@ -71,7 +71,7 @@
         if len(self.remembered) > MAX_REMEMBERED:
             del self.remembered[next(iter(self.remembered))]
 
-    def cold_until(self, start: Start) -> int:
+    def slow_start_until(self, start: ServerStart) -> int:
         """The end of the slow start, by the latest time at which the server may have started.
 
         Failure prevented: a server that has just started counts as warm where the clock is fast, and stays
@@ -79,8 +79,8 @@
         """
         if start.ready_at <= 0:
             return 0
-        error = 0 if start.clock_believed else self.clock_error
-        started_at = min(start.heard_at, start.ready_at + error)
-        if start.running and started_at < start.heard_at - MAX_LIST_DELAY:
-            started_at = start.heard_at
-        return started_at + self.cold_time
+        error = 0 if start.clock_trusted else self.clock_error
+        started_at = min(start.notified_at, start.ready_at + error)
+        if start.running and started_at < start.notified_at - MAX_LIST_DELAY:
+            started_at = start.notified_at
+        return started_at + self.slow_start_time
--- a/balancer/policy/subset.py
+++ b/balancer/policy/subset.py
@@ -36,7 +36,7 @@
         self.members: list[Server] = []
         self.size = MIN_SUBSET_SIZE  # wanted when the members were last taken
         self.mean_in_flight = 0.0  # calls in flight, smoothed
-        self.near: list[Server] = []  # members in this zone that may be picked
+        self.local: list[Server] = []  # members in this zone that may be picked
         self.available: list[Server] = []  # all members that may be picked
         self.shares: Mapping[int, float] = {}  # of the calls, by zone, as the fleet has it
         self.by_zone: dict[int, list[Server]] = {}  # those of `available`, where there are shares
@@ -96,9 +96,9 @@
         for m in self.members:
             if not m.ejected:
                 self.available.append(m)
-            if m.ejected != m.uncounted:
+            if m.ejected != m.outside_limit:
                 # Failure prevented: calls stuck on a silent member fill the limit for all the others.
                 self.controller.in_flight += -m.in_flight if m.ejected else m.in_flight
-                m.uncounted = m.ejected
-        self.near = [m for m in self.available if m.zone == self.settings.zone]
+                m.outside_limit = m.ejected
+        self.local = [m for m in self.available if m.zone == self.settings.zone]
         self.by_zone = {zone: [m for m in self.available if m.zone == zone] for zone in self.shares}
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -20,6 +20,7 @@
     c = GradientController([allowance], 1000, Random(1), 0)
     c.resize(members, 1)
     for name, value in state.items():
+        assert hasattr(c, name)
         setattr(c, name, value)
     return c
 
@@ -37,6 +38,7 @@
     run_recalculation(c, rtt, 1000)
     c.window.start = 1000
     for name, value in state.items():
+        assert hasattr(c, name)
         setattr(c, name, value)
     return c
 
@@ -106,7 +108,7 @@
 
 def test_limit_follows_gradient_and_square_root_headroom():
     # min_rtt 100 ms, buffer 25%, window p90 250 ms: gradient 0.5, limit 0.5 x 36 + 6 = 24
-    c = after_recalculation(limit=36.0, in_flight=30, usual=20.0)
+    c = after_recalculation(limit=36.0, in_flight=30, usual_in_flight=20.0)
     fill(c, 250_000)
     assert c.gradient == pytest.approx(0.5)
     assert c.limit == pytest.approx(24.0)
@@ -114,13 +116,13 @@
 
 def test_limit_grows_while_latency_is_good():
     # p90 of 125 ms = min_rtt + B: gradient 1, limit 36 + 6
-    c = after_recalculation(limit=36.0, in_flight=30, usual=20.0)
+    c = after_recalculation(limit=36.0, in_flight=30, usual_in_flight=20.0)
     fill(c, 125_000)
     assert c.limit == pytest.approx(42.0)
 
 
 def test_limit_does_not_outgrow_what_is_in_flight():
-    c = after_recalculation(limit=100.0, in_flight=20, usual=20.0)
+    c = after_recalculation(limit=100.0, in_flight=20, usual_in_flight=20.0)
     fill(c, 125_000)
     assert c.limit == pytest.approx(2 * 20 + MIN_LIMIT)
 
@@ -156,9 +158,9 @@
 
 def test_a_copy_that_carries_many_calls_shares_less():
     """Some busy copies on one fleet each feel the crowding; a shared headroom let them grow too slowly."""
-    c = after_recalculation(limit=16.0, usual=8.0)
+    c = after_recalculation(limit=16.0, usual_in_flight=8.0)
     c.resize(4, 9.0)
-    assert c.shared == 1 and c.headroom() == 4.0 and c.min_rtt_limit == 4 * CALLS_PER_MEMBER
+    assert c.instances_per_server == 1 and c.headroom() == 4.0 and c.min_rtt_limit == 4 * CALLS_PER_MEMBER
 
 
 def test_a_small_shared_limit_is_set_against_the_mean_of_calls_in_flight():
@@ -178,7 +180,7 @@
 
 def test_a_thin_window_moves_the_limit_by_its_part():
     """At a call a second a window's percentile is one call's luck, and would halve the limit."""
-    c = after_recalculation(limit=16.0, in_flight=16, usual=8.0)
+    c = after_recalculation(limit=16.0, in_flight=16, usual_in_flight=8.0)
     c.sample(1000 + 10 * WINDOW, 0, 250_000)
     full = 0.5 * 16 + 4
     assert c.limit == pytest.approx(16 + (full - 16) / 8)
@@ -186,13 +188,13 @@
 
 def test_buffer_reaches_to_the_part_of_the_aim():
     # min_rtt + B = 500 ms: a p90 of 400 ms does not shrink the limit
-    c = after_recalculation(allowance=500_000, limit=36.0, in_flight=30, usual=20.0)
+    c = after_recalculation(allowance=500_000, limit=36.0, in_flight=30, usual_in_flight=20.0)
     fill(c, 400_000)
     assert c.gradient == pytest.approx(1.25)
 
 
 def test_empty_window_changes_nothing_and_a_thin_one_waits():
-    c = after_recalculation(limit=36.0, in_flight=30, usual=20.0)
+    c = after_recalculation(limit=36.0, in_flight=30, usual_in_flight=20.0)
     c.close_window(50 * WINDOW)
     assert c.limit == 36.0
     c.sample(WINDOW // 2, 0, 250_000)
@@ -214,14 +216,14 @@
 
 def test_windows_held_up_by_the_usual_calls_start_no_recalculation():
     """Any overload brings the limit down to the usual calls; a new start each few seconds closes the copy."""
-    c = after_recalculation(limit=50.0, in_flight=40, usual=40.0)
+    c = after_recalculation(limit=50.0, in_flight=40, usual_in_flight=40.0)
     for i in range(20):
         fill(c, 1_000_000, 1000 + i * WINDOW)
     assert c.limit == pytest.approx(40.0) and not c.recalculating
 
 
 def test_pass_recurs_after_a_jittered_interval_and_keeps_the_limit():
-    c = after_recalculation(limit=36.0, in_flight=30, usual=20.0)
+    c = after_recalculation(limit=36.0, in_flight=30, usual_in_flight=20.0)
     assert 60_000_000 <= c.next_recalculation - 1000 <= 66_000_000
     fill(c, 125_000, c.next_recalculation)
     assert c.recalculating and c.allowed() == 5 * CALLS_PER_MEMBER
@@ -244,20 +246,20 @@
 
 def test_limit_keeps_what_was_carried_while_latency_was_good():
     """Shared slowness: no lower limit makes everything faster again."""
-    c = after_recalculation(limit=36.0, in_flight=30, usual=20.0)
+    c = after_recalculation(limit=36.0, in_flight=30, usual_in_flight=20.0)
     start = 1000
     for _ in range(300):
         fill(c, 125_000, start)
         start += WINDOW
         c.in_flight = 30
-    assert c.usual > 28
+    assert c.usual_in_flight > 28
     for _ in range(40):
         if c.recalculating:
             run_recalculation(c, 300_000, start)
             start = c.min_rtt_until
         fill(c, 300_000, start)
         start += WINDOW
-    assert c.limit == pytest.approx(c.usual)
+    assert c.limit == pytest.approx(c.usual_in_flight)
 
 
 def test_a_min_rtt_measured_under_load_does_not_let_queues_grow_past_the_aim():
@@ -269,44 +271,44 @@
     """A copy started into full traffic would refuse half of it for seconds."""
     c = after_recalculation(allowance=200_000, limit=100.0, in_flight=80)
     fill(c, 100_000)  # a window of 100 ms against round-trips of 100 ms: half the way
-    assert c.usual == pytest.approx(40.0)
+    assert c.usual_in_flight == pytest.approx(40.0)
     fill(c, 300_000, start=1000 + WINDOW)
     c.in_flight = 80
     fill(c, 100_000, start=1000 + 2 * WINDOW)  # from here over 3 s
-    assert c.usual == pytest.approx(40 + 40 / 30, rel=0.01)
+    assert c.usual_in_flight == pytest.approx(40 + 40 / 30, rel=0.01)
 
 
 def test_the_quick_start_ends_when_the_limit_does_not_bind():
     c = after_recalculation(allowance=200_000, limit=100.0, in_flight=20)
     fill(c, 100_000)
-    assert not c.ramping and c.usual == pytest.approx(10.0)
+    assert not c.starting_up and c.usual_in_flight == pytest.approx(10.0)
 
 
 @pytest.mark.parametrize(("lost", "usual"), [(0.0, 40.0), (0.2, 40 * (1 - 1 / 120))])
 def test_usual_is_given_up_only_while_calls_are_lost(lost, usual):
     """Servers that slow down when crowded need rest; if calls are only late, a lower limit helps nobody."""
-    c = after_recalculation(limit=40.0, in_flight=39, usual=40.0, lost=lost)
+    c = after_recalculation(limit=40.0, in_flight=39, usual_in_flight=40.0, loss_rate=lost)
     fill(c, 1_000_000)
-    assert c.usual == pytest.approx(usual)
+    assert c.usual_in_flight == pytest.approx(usual)
 
 
 def test_the_floor_falls_with_the_share_of_calls_that_succeed():
     """With servers lost below, what was carried before is far too much from one moment to the next."""
-    c = after_recalculation(limit=40.0, in_flight=39, usual=40.0, lost=0.5)
+    c = after_recalculation(limit=40.0, in_flight=39, usual_in_flight=40.0, loss_rate=0.5)
     fill(c, 1_000_000)
     assert c.limit == pytest.approx(0.5 * 40 + sqrt(40))
 
 
 def test_usual_is_not_lowered_while_the_limit_binds():
-    c = after_recalculation(limit=20.0, in_flight=19, usual=50.0)
+    c = after_recalculation(limit=20.0, in_flight=19, usual_in_flight=50.0)
     fill(c, 50_000)
-    assert c.usual == 50.0
+    assert c.usual_in_flight == 50.0
     c.in_flight = 2
     fill(c, 50_000, start=1000 + WINDOW)
-    assert c.usual < 50.0
+    assert c.usual_in_flight < 50.0
 
 
 def test_one_sample_does_not_make_a_window():
-    c = after_recalculation(limit=20.0, in_flight=5, usual=15.0)
+    c = after_recalculation(limit=20.0, in_flight=5, usual_in_flight=15.0)
     c.sample(1000 + WINDOW, 0, 10_000_000)
     assert c.limit == 20.0 and len(c.window.rtts) == 1
--- a/tests/test_policy_balancer.py
+++ b/tests/test_policy_balancer.py
@@ -240,7 +240,7 @@
     """One member in four fails quickly while the others answer well: the limit must not close for all."""
     node, rec = balancer(4)
     node.controller.end_recalculation(0)
-    node.controller.limit = node.controller.usual = 40.0
+    node.controller.limit = node.controller.usual_in_flight = 40.0
     now = 0
     for i in range(400):
         now += 10_000
--- a/tests/test_policy_ejection.py
+++ b/tests/test_policy_ejection.py
@@ -74,7 +74,7 @@
     node.servers[1].deviation.value = 5.0
     node.server_list(SEC, ListKind.CHANGES, [ServerEntry(1, ready_at=SEC - 1)])
     assert not node.servers[1].ejected and node.servers[1].deviation.value == 1.0
-    assert node.servers[1].cold_until == SEC - 1 + 4 * SEC
+    assert node.servers[1].slow_start_until == SEC - 1 + 4 * SEC
 
 
 def test_a_trial_costs_the_request_little_and_is_never_an_unsafe_one():
--- a/tests/test_policy_selection.py
+++ b/tests/test_policy_selection.py
@@ -54,8 +54,8 @@
     """Its averages still look good: what tells is that its calls have been out for longer than the mean."""
     node, rec = balancer(2)
     slow, quick = node.subset.members
-    slow.in_flight, slow.quiet_since = 1, 0
-    quick.in_flight, quick.quiet_since = 2, 900_000
+    slow.in_flight, slow.last_outcome_at = 1, 0
+    quick.in_flight, quick.last_outcome_at = 2, 900_000
     assert slow.load(300_000, 0, 250_000.0) < quick.load(1_000_000, 0, 250_000.0)
     assert slow.load(1_000_000, 0, 250_000.0) > quick.load(1_000_000, 0, 250_000.0)
 
@@ -74,8 +74,8 @@
 
 def test_a_failing_member_loses_draws_before_it_is_ejected():
     node, rec = balancer(4)
-    node.servers[1].fail_rate = 0.25
-    node.servers[1].quiet_since = 0
+    node.servers[1].failure_rate = 0.25
+    node.servers[1].last_outcome_at = 0
     assert node.servers[1].load(0, 0, 100_000.0) == pytest.approx(3 * node.servers[2].load(0, 0, 100_000.0))
 
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -232,14 +232,14 @@
 
 
 def never_answers(monkeypatch):
-    monkeypatch.setattr(Balancer, "finish", lambda self, r, refuse: None)
+    monkeypatch.setattr(Balancer, "finish", lambda self, r, reject: None)
 
 
 def answers_twice(monkeypatch):
     finish = Balancer.finish
 
-    def twice(self, r, refuse):
-        finish(self, r, refuse)
+    def twice(self, r, reject):
+        finish(self, r, reject)
         self.actions.fail(r.id)
 
     monkeypatch.setattr(Balancer, "finish", twice)
@@ -251,7 +251,7 @@
 
 def refuses_what_may_have_run(monkeypatch):
     finish = Balancer.finish
-    monkeypatch.setattr(Balancer, "finish", lambda self, r, refuse: finish(self, r, True))
+    monkeypatch.setattr(Balancer, "finish", lambda self, r, reject: finish(self, r, True))
 
 
 def repeats_outside_the_group(monkeypatch):
@@ -384,5 +384,5 @@
         node.request(now, i, 0, 0, 2 * SEC, False)
         for action in rec.take("send"):
             node.outcome(now + 20_000, i, 0, action[2], Outcome.OK, 20_000, True, ())
-    assert not node.requests and not node.waiting and len(node.servers) <= 12
+    assert not node.requests and not node.queue and len(node.servers) <= 12
     assert node.controller.in_flight == 0 and len(node.ejection.ejected) <= len(node.subset.members)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -30,7 +30,7 @@
     """Measured before: warm at once where the clock is an hour fast, cold for 3,610 s where it is slow."""
     entries = [ServerEntry(1, ready_at=NOW - 2 * SEC), *(ServerEntry(i) for i in (2, 3, 4))]
     server = started(step, entries, kind).servers[1]
-    assert NOW + 8 * SEC <= server.cold_until - step <= NOW + COLD_TIME
+    assert NOW + 8 * SEC <= server.slow_start_until - step <= NOW + COLD_TIME
 
 
 @STEPS
@@ -38,10 +38,10 @@
 def test_a_start_heard_of_while_the_node_runs_is_bounded_by_when_it_was(delay, step):
     """`delay`: from the start until the node hears of it."""
     node = started(step, [ServerEntry(i) for i in range(1, 5)])
-    heard_at = NOW + 60 * SEC
-    node.server_list(heard_at + step, ListKind.CHANGES, [ServerEntry(1, ready_at=heard_at - delay)])
-    cold_until = node.servers[1].cold_until - step
-    assert heard_at - delay + COLD_TIME <= cold_until <= heard_at + COLD_TIME
+    notified_at = NOW + 60 * SEC
+    node.server_list(notified_at + step, ListKind.CHANGES, [ServerEntry(1, ready_at=notified_at - delay)])
+    slow_start_until = node.servers[1].slow_start_until - step
+    assert notified_at - delay + COLD_TIME <= slow_start_until <= notified_at + COLD_TIME
 
 
 @pytest.mark.parametrize("error", [-HOUR, HOUR])
@@ -49,10 +49,10 @@
     """The others' starts show that this node's clock is right; they stay as they were."""
     node = started(0, [ServerEntry(i) for i in range(1, 5)])
     node.server_list(NOW + SEC, ListKind.CHANGES, [ServerEntry(2, ready_at=NOW + SEC)])
-    heard_at = NOW + 3 * SEC
-    node.server_list(heard_at, ListKind.CHANGES, [ServerEntry(1, ready_at=heard_at + error)])
-    assert node.servers[1].cold_until == heard_at + COLD_TIME
-    assert node.servers[2].cold_until == NOW + SEC + COLD_TIME
+    notified_at = NOW + 3 * SEC
+    node.server_list(notified_at, ListKind.CHANGES, [ServerEntry(1, ready_at=notified_at + error)])
+    assert node.servers[1].slow_start_until == notified_at + COLD_TIME
+    assert node.servers[2].slow_start_until == NOW + SEC + COLD_TIME
 
 
 @STEPS
@@ -63,42 +63,42 @@
         ServerEntry(3),
     ]
     node = started(step, entries)
-    assert node.servers[1].cold_until > NOW + step
-    assert node.servers[3].cold_until == 0
+    assert node.servers[1].slow_start_until > NOW + step
+    assert node.servers[3].slow_start_until == 0
     if step >= 0:
-        assert node.servers[2].cold_until <= NOW + step
+        assert node.servers[2].slow_start_until <= NOW + step
 
 
 def test_a_start_heard_of_at_once_shows_that_the_clock_is_right():
     """The servers of the first list, which may have just started, are known to be warm from then on."""
     entries = [ServerEntry(1, ready_at=NOW - 600 * SEC), *(ServerEntry(i) for i in (2, 3))]
     node = started(0, entries)
-    assert node.servers[1].cold_until == NOW + COLD_TIME
+    assert node.servers[1].slow_start_until == NOW + COLD_TIME
     node.server_list(NOW + SEC, ListKind.CHANGES, [ServerEntry(4, ready_at=NOW + SEC - 300_000)])
-    assert node.servers[1].cold_until < NOW
-    assert node.servers[4].cold_until == NOW + SEC - 300_000 + COLD_TIME
+    assert node.servers[1].slow_start_until < NOW
+    assert node.servers[4].slow_start_until == NOW + SEC - 300_000 + COLD_TIME
 
 
 def test_a_server_that_comes_back_into_the_list_as_it_was_is_not_cold_again():
     node, recorder = balancer(4)
     node.server_list(SEC, ListKind.CHANGES, [ServerEntry(1, ready_at=SEC)])
-    before = node.servers[1].cold_until
+    before = node.servers[1].slow_start_until
     rest = [ServerEntry(i) for i in (2, 3, 4)]
     node.server_list(60 * SEC, ListKind.FULL, rest)
     assert 1 not in node.servers
     node.server_list(90 * SEC, ListKind.FULL, [ServerEntry(1, ready_at=SEC), *rest])
-    assert node.servers[1].cold_until == before
+    assert node.servers[1].slow_start_until == before
     assert ask(node, recorder, 90 * SEC, 1)[0] == "send"
 
 
 def test_a_clock_is_believed_where_most_servers_started_together_some_time_ago():
     """Failure prevented: nodes restarted within an hour of a release find hardly any server warm."""
     node = started(0, [ServerEntry(i, ready_at=NOW - 600 * SEC) for i in (1, 2, 3)])
-    assert all(server.cold_until < NOW for server in node.servers.values())
+    assert all(server.slow_start_until < NOW for server in node.servers.values())
 
 
 def test_a_clock_that_is_believed_for_the_first_servers_is_not_for_later_ones():
     entries = [ServerEntry(i, ready_at=NOW - 600 * SEC) for i in (1, 2, 3)]
     node = started(5 * SEC, entries)
     node.server_list(NOW + 65 * SEC, ListKind.CHANGES, [ServerEntry(1, ready_at=NOW + 60 * SEC)])
-    assert node.servers[1].cold_until == NOW + 65 * SEC + COLD_TIME
+    assert node.servers[1].slow_start_until == NOW + 65 * SEC + COLD_TIME
--- a/workbench/lab/mischief.py
+++ b/workbench/lab/mischief.py
@@ -222,7 +222,7 @@
 
 def pushy() -> None:
     """Tries servers that are set aside, and often, whoever else does."""
-    ejection.EJECT_TIME = 200_000
+    ejection.BASE_EJECTION_TIME = 200_000
     wrap(Probe, "may_try", lambda go, self, now, server: True)
 
 
--- a/workbench/simulator/fleet.py
+++ b/workbench/simulator/fleet.py
@@ -105,16 +105,16 @@
             self.hook.attempt_ended(server, outcome, latency, 2 * way / 1e6 if request % DIALS == 0 else 0.0)
 
     def attempt_timeout(self, now: int, r: Request, srv: Server) -> int:
-        if srv.uncounted:
+        if srv.outside_limit:
             self.notes.trials[srv.id] += 1
         return super().attempt_timeout(now, r, srv)
 
-    def finish(self, r: Request, refuse: bool) -> None:
-        if refuse and not r.attempts and self.controller.recalculating and self.controller.recalculations:
+    def finish(self, r: Request, reject: bool) -> None:
+        if reject and not r.attempts and self.controller.recalculating and self.controller.recalculations:
             self.notes.refused_in_pass += 1
             on = sum(m.controller.recalculating and m.controller.recalculations > 0 for m in self.all)
             self.notes.most_in_pass = max(self.notes.most_in_pass, on)
-        super().finish(r, refuse)
+        super().finish(r, reject)
 
 
 class Process:
