--- a/balancer/policy/ejection.py
+++ b/balancer/policy/ejection.py
@@ -77,7 +77,7 @@
         srv.ejections += 1
         self.next_trial = min(e.trial_at for e in self.ejected)
         self.fleet.server_ejected(srv.id, srv.trial_at - now)
-        self.subset.sort()
+        self.subset.update_available()
 
     def readmit(self, srv: Server, well: bool = False) -> None:
         srv.ejected = False
@@ -90,7 +90,7 @@
             self.next_trial = min(e.trial_at for e in self.ejected)
         self.actions.log(f"readmit server={srv.id}")
         self.fleet.server_readmitted(srv.id, well)
-        self.subset.sort()
+        self.subset.update_available()
 
     def is_silent(self, now: int, srv: Server) -> bool:
         """Ejects a member that holds calls and has answered none for several mean round-trips.
--- a/balancer/policy/subset.py
+++ b/balancer/policy/subset.py
@@ -91,7 +91,8 @@
         for srv in self.members:
             srv.member = True
 
-    def sort(self) -> None:
+    def update_available(self) -> None:
+        """Sorts the members into those that may be picked, by zone, and those that are ejected."""
         self.available = []
         for m in self.members:
             if not m.ejected:
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -59,7 +59,7 @@
 
 
 def test_constants_and_revisions_are_loaded_beside_todays_module():
-    from balancer.policy import balancer as today
+    from balancer.policy import request_lifecycle as today
 
     policy_of("", (("ATTEMPT_TIMEOUT_FACTOR", 4.0),))
     assert today.ATTEMPT_TIMEOUT_FACTOR == 8
--- a/tests/test_policy_balancer.py
+++ b/tests/test_policy_balancer.py
@@ -75,7 +75,7 @@
         assert timeout == 3 * SEC
         ((action, *_),) = end(node, rec, timeout, 1, 0, server, Outcome.TIMEOUT, timeout)
         assert action == answer
-        assert not node.requests
+        assert not node.lifecycle.requests
 
 
 def test_many_copies_do_not_cut_the_calls_of_a_crowded_member():
@@ -102,9 +102,9 @@
 def test_an_attempt_has_the_whole_time_where_no_other_can_follow_or_calls_are_long():
     node, rec = balancer()
     assert ask(node, rec, 0, 1, 2)[3] == 3 * SEC  # unsafe: never sent again once it may have run
-    node.retry_budget.tokens = 0.0
+    node.lifecycle.retry_budget.tokens = 0.0
     assert ask(node, rec, 0, 2)[3] == 3 * SEC  # the budget is spent
-    node.retry_budget.tokens = 3.0
+    node.lifecycle.retry_budget.tokens = 3.0
     node.mean_rtt[0] = 350_000.0
     assert ask(node, rec, 0, 3)[3] == 2_800_000  # eight means: it may well be on its way
 
--- a/tests/test_policy_spillover.py
+++ b/tests/test_policy_spillover.py
@@ -60,5 +60,5 @@
     node, rec = balancer(entries, cross_zone_price=0.04, instances=12)
     node.spillover.remote_ratio, node.spillover.best_ratio, node.spillover.local_ratio = 5.0, 0.2, 0.6
     for i in range(1, 60):
-        node.close_window(i * 100_000)
+        node.metrics.close_window(i * 100_000)
     assert node.spillover.remote_ratio < 3.0 and node.spillover.spill > 0
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -26,7 +26,9 @@
     State,
     TenantSettings,
 )
+from balancer.policy.request_lifecycle import RequestLifecycle
 from balancer.policy.selection import Selection
+from balancer.policy.server_list import ServerList
 from balancer.policy.slow_start import SlowStart
 
 ROOT = Path(__file__).parent.parent
@@ -232,26 +234,28 @@
 
 
 def never_answers(monkeypatch):
-    monkeypatch.setattr(Balancer, "finish", lambda self, r, reject: None)
+    monkeypatch.setattr(RequestLifecycle, "finish", lambda self, r, reject: None)
 
 
 def answers_twice(monkeypatch):
-    finish = Balancer.finish
+    finish = RequestLifecycle.finish
 
     def twice(self, r, reject):
         finish(self, r, reject)
         self.actions.fail(r.id)
 
-    monkeypatch.setattr(Balancer, "finish", twice)
+    monkeypatch.setattr(RequestLifecycle, "finish", twice)
 
 
 def repeats_anything(monkeypatch):
-    monkeypatch.setattr(Balancer, "after_failure", lambda self, now, r, srv, outcome: self.attempt(now, r))
+    monkeypatch.setattr(
+        RequestLifecycle, "after_failure", lambda self, now, r, srv, outcome: self.attempt(now, r)
+    )
 
 
 def refuses_what_may_have_run(monkeypatch):
-    finish = Balancer.finish
-    monkeypatch.setattr(Balancer, "finish", lambda self, r, reject: finish(self, r, True))
+    finish = RequestLifecycle.finish
+    monkeypatch.setattr(RequestLifecycle, "finish", lambda self, r, reject: finish(self, r, True))
 
 
 def repeats_outside_the_group(monkeypatch):
@@ -261,7 +265,7 @@
 
 
 def ignores_drains(monkeypatch):
-    monkeypatch.setattr(Balancer, "drop", lambda self, srv: None)
+    monkeypatch.setattr(ServerList, "remove", lambda self, srv: None)
 
 
 def floods_cold_servers(monkeypatch):
@@ -375,7 +379,7 @@
 def test_state_is_given_up_when_its_cause_is_gone():
     """A long life with churning servers: nothing of ended requests, gone servers or old timers stays."""
     node, rec = World(3, 0).node, Recorder()
-    node.actions = rec
+    node.actions = node.lifecycle.actions = rec
     for i in range(3000):
         now = 10 * SEC + i * 50_000
         if i % 10 == 0:
@@ -384,5 +388,5 @@
         node.request(now, i, 0, 0, 2 * SEC, False)
         for action in rec.take("send"):
             node.outcome(now + 20_000, i, 0, action[2], Outcome.OK, 20_000, True, ())
-    assert not node.requests and not node.queue and len(node.servers) <= 12
+    assert not node.lifecycle.requests and not node.lifecycle.queue and len(node.servers) <= 12
     assert node.controller.in_flight == 0 and len(node.ejection.ejected) <= len(node.subset.members)
--- a/workbench/simulator/fleet.py
+++ b/workbench/simulator/fleet.py
@@ -77,6 +77,10 @@
         self.home = settings.zone
         self.readmit = self.ejection.readmit
         self.ejection.readmit = self.count_readmitted  # type: ignore[method-assign]
+        self.attempt_timeout = self.lifecycle.attempt_timeout
+        self.lifecycle.attempt_timeout = self.count_trial  # type: ignore[method-assign]
+        self.finish = self.lifecycle.finish
+        self.lifecycle.finish = self.count_rejected  # type: ignore[method-assign]
 
     def count_readmitted(self, srv: Server, well: bool = False) -> None:
         self.notes.readmitted.append(self.clock.now)
@@ -104,17 +108,22 @@
             way = self.world.network.between(self.home, self.world.by_id[server].zone, request)
             self.hook.attempt_ended(server, outcome, latency, 2 * way / 1e6 if request % DIALS == 0 else 0.0)
 
-    def attempt_timeout(self, now: int, r: Request, srv: Server) -> int:
-        if srv.outside_limit:
-            self.notes.trials[srv.id] += 1
-        return super().attempt_timeout(now, r, srv)
-
-    def finish(self, r: Request, reject: bool) -> None:
-        if reject and not r.attempts and self.controller.recalculating and self.controller.recalculations:
+    def count_trial(self, now: int, request: Request, server: Server) -> int:
+        if server.outside_limit:
+            self.notes.trials[server.id] += 1
+        return self.attempt_timeout(now, request, server)
+
+    def count_rejected(self, request: Request, reject: bool) -> None:
+        if (
+            reject
+            and not request.attempts
+            and self.controller.recalculating
+            and self.controller.recalculations
+        ):
             self.notes.refused_in_pass += 1
             on = sum(m.controller.recalculating and m.controller.recalculations > 0 for m in self.all)
             self.notes.most_in_pass = max(self.notes.most_in_pass, on)
-        super().finish(r, reject)
+        self.finish(request, reject)
 
 
 class Process:
