--- a/balancer/policy/__init__.py
+++ b/balancer/policy/__init__.py
@@ -1,4 +1,4 @@
-"""Every decision of balancer, a part a module. The types are in balancer/policy/interface.py."""
+"""The policy: every decision of a node, one concern a module. `interface` is what a host must know of it."""
 
 from balancer.policy.balancer import Balancer
 
--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -90,7 +90,7 @@
             self.actions.watch(True)
 
     def server_list(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
-        """Takes in a server list; see `interface.Events`."""
+        """Records a server list; see `interface.Events`."""
         self.listed_servers.update(now, kind, entries)
 
     def request(
@@ -199,7 +199,7 @@
         """Not used: half-open trials are real requests."""
 
     def trial_result(self, now: int, server: int, healthy: bool) -> None:
-        """Takes in another node's trial of a server, which counts for one that is ejected here."""
+        """Records another node's trial of a server, which counts for one that is ejected here."""
         srv = self.servers.get(server)
         if srv is not None and srv.ejected and not srv.trial_in_flight:
             if healthy:
--- a/balancer/policy/ejection.py
+++ b/balancer/policy/ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: members that fail or fall silent get no calls but single trials."""
+"""Outlier ejection: members that fail or fall silent get no requests but single trials."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 SILENT_FACTOR = 4  # a member is silent after this many mean round-trips without any outcome
 MAX_EJECTED_SHARE = 0.34  # of the members, at most
-MIN_FAILURES = 3  # least failures in a row, or of recent calls, before ejection
+MIN_FAILURES = 3  # minimum number of failures in a row, or of recent requests, before ejection
 MIN_EXCESS_FAILURE_RATE = 0.3  # failure rate above the subset's own that ejects
 BASE_EJECTION_TIME = 2_000_000  # first ejection; doubles up to 16 times
 EJECTION_JITTER = 0.1  # of that time, at most, is added at random
@@ -30,38 +30,36 @@
         self.rng = rng
         self.ejected: list[Server] = []
         self.next_trial = 0
-        self.failure_rate = 0.0  # of the whole subset, smoothed
+        self.failure_rate = 0.0  # of the entire subset, smoothed
 
     def record(self, now: int, srv: Server, outcome: Outcome) -> None:
-        """Books an attempt's outcome, which may eject its server or end its ejection."""
+        """Records an attempt's outcome, which may eject its server or end its ejection."""
         ok = outcome == Outcome.OK
         srv.calls += 1
-        bad = 0.0 if ok or outcome in (Outcome.TIMEOUT, Outcome.REJECTED) else 1.0
-        srv.failure_rate += SMOOTH * (bad - srv.failure_rate)
-        self.failure_rate += SMOOTH_ALL * (bad - self.failure_rate)
+        failed = 0.0 if ok or outcome in (Outcome.TIMEOUT, Outcome.REJECTED) else 1.0
+        srv.failure_rate += SMOOTH * (failed - srv.failure_rate)
+        self.failure_rate += SMOOTH_ALL * (failed - self.failure_rate)
         if ok:
             srv.consecutive_failures = 0
             if srv.ejected and (srv.trial_in_flight or srv.silent):
-                self.readmit(srv, well=True)
-        elif bad:
+                self.readmit(srv, healthy=True)
+        elif failed:
             srv.consecutive_failures += 1
             if srv.ejected:
                 if srv.trial_in_flight:
                     self.eject(now, srv, silent=False)
-            elif (
-                srv.consecutive_failures >= MIN_FAILURES
-                and srv.failure_rate > self.failure_rate * 2
-                or srv.calls >= MIN_FAILURES
-                and srv.failure_rate > MIN_EXCESS_FAILURE_RATE + self.failure_rate
+            elif (srv.consecutive_failures >= MIN_FAILURES and srv.failure_rate > self.failure_rate * 2) or (
+                srv.calls >= MIN_FAILURES and srv.failure_rate > MIN_EXCESS_FAILURE_RATE + self.failure_rate
             ):
-                # Failure prevented: a member that fails quickly holds few calls and wins the picks.
+                # Failure prevented: a member that fails quickly has little in flight and is picked often.
                 self.eject(now, srv, silent=False)
         elif srv.trial_in_flight:
             self.eject(now, srv, silent=srv.silent)
         srv.trial_in_flight = False
 
     def eject(self, now: int, srv: Server, silent: bool) -> None:
-        # Failure prevented: a drained server's last calls fail, it is ejected and later gets a trial call.
+        """Ejects a member, or extends its ejection, unless too many members are ejected already."""
+        # Failure prevented: a drained server's last requests fail, it is ejected and later gets a trial.
         if not srv.member:
             return
         if not srv.ejected:
@@ -79,7 +77,8 @@
         self.fleet.server_ejected(srv.id, srv.trial_at - now)
         self.subset.update_available()
 
-    def readmit(self, srv: Server, well: bool = False) -> None:
+    def readmit(self, srv: Server, healthy: bool = False) -> None:
+        """Ends an ejection. `healthy`: because a trial of this instance has shown the server healthy."""
         srv.ejected = False
         srv.silent = False
         srv.failure_rate = self.failure_rate
@@ -89,13 +88,13 @@
         if self.ejected:
             self.next_trial = min(e.trial_at for e in self.ejected)
         self.actions.log(f"readmit server={srv.id}")
-        self.fleet.server_readmitted(srv.id, well)
+        self.fleet.server_readmitted(srv.id, healthy)
         self.subset.update_available()
 
     def is_silent(self, now: int, srv: Server) -> bool:
-        """Ejects a member that holds calls and has answered none for several mean round-trips.
+        """Ejects a member that has attempts in flight and ended none for several mean round-trips.
 
-        One call alone may be a long one: it counts only after twice that time.
+        One request alone may be a long one: it counts only after twice that time.
         """
         patience = SILENT_FACTOR * max(self.mean_rtt) * (2 if srv.in_flight == 1 else 1)
         if srv.in_flight and now - srv.last_outcome_at > patience:
@@ -103,7 +102,7 @@
         return srv.ejected
 
     def take_trial(self, now: int, slow_start: SlowStart) -> Server | None:
-        """An ejected server whose trial is due, for one call. Some are ejected."""
+        """Returns an ejected server whose trial is due, for one request. Some are ejected."""
         if now < self.next_trial:
             return None
         for trial in self.ejected:
--- a/balancer/policy/gradient.py
+++ b/balancer/policy/gradient.py
@@ -1,4 +1,4 @@
-"""The gradient controller: an adaptive limit on the calls in flight of this copy."""
+"""The gradient controller: an adaptive limit on the attempts in flight of this instance."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 from balancer.policy.interface import Fleet, Standalone
 
 # The source's figures, kept as they are.
-WINDOW = 100_000  # least length of a sampling window
+WINDOW = 100_000  # minimum length of a sampling window
 PERCENTILE = 0.9  # of a window's samples, and of a recalculation's
-MIN_LIMIT = 3  # the least limit, in a recalculation too; in calls a member, the floor over all nodes
+MIN_LIMIT = 3  # of the limit, in a recalculation too; for all nodes together, requests a member
 MIN_RTT_INTERVAL = 60_000_000
 MIN_RTT_JITTER = 0.1
 WINDOWS_AT_MIN = 5  # so many windows at the floor start a minRTT recalculation
-MIN_RTT_CALLS = 50  # so many calls make a recalculation
+MIN_RTT_CALLS = 50  # so many requests make a recalculation
 GRADIENT_LOW, GRADIENT_HIGH = 0.5, 2.0  # one window moves the limit by this much at most
 
 # What the design leaves open.
-CALLS_PER_MEMBER = 6  # in a recalculation: an idle box holds some that wait for the tiers behind it
+CALLS_PER_MEMBER = 6  # in a recalculation: an idle server holds some that wait for the tiers behind it
 WINDOW_SAMPLES = 80  # a window stays open until it holds so many samples...
-MAX_WINDOW_MULTIPLE = 10  # ...or has lasted so many times its least length
+MAX_WINDOW_MULTIPLE = 10  # ...or has lasted so many times its minimum length
 FULL_WINDOW = 8  # fewer samples move the limit by their part of this only
-MAX_SMOOTHING_TIME = 1_000_000  # the longest time over which calls in flight are averaged
-BUFFER = 0.25  # least buffer_pct
-OBJECTIVE_SHARE = 0.5  # the buffer reaches up to this share of a class's aim
+MAX_SMOOTHING_TIME = 1_000_000  # the longest time over which attempts in flight are averaged
+BUFFER = 0.25  # minimum buffer_pct
+OBJECTIVE_SHARE = 0.5  # the buffer reaches up to this share of a class's latency objective
 MAX_TARGET_SHARE = 0.75  # min_rtt + B stays within this share of it
-MAX_LOST_SHARE = 0.05  # when more of the whole subset's calls fail, failures count as overload
-USUAL_TIME = 3_000_000  # over so long the usual number of calls in flight is smoothed
+MAX_LOST_SHARE = 0.05  # when more of the entire subset's requests fail, failures count as overload
+USUAL_TIME = 3_000_000  # over so long the usual number of attempts in flight is smoothed
 STARTUP_RTTS = 2  # ...and, after a start, over so many mean round-trips
-USUAL_FADE = 12_000_000  # over so long it is given up while calls are lost
+USUAL_FADE = 12_000_000  # over so long it is given up while requests are lost
 MAX_LIMIT_OVER_USUAL = 2.0  # the limit stays within so many times that number
 
 
@@ -48,19 +48,20 @@
         self.restart(now)
 
     def restart(self, now: int) -> None:
+        """Opens a new window."""
         self.rtts.clear()
         self.start = now
         self.flight_sum = self.latency_sum = 0
 
 
 class GradientController:
-    """The adaptive limit on this copy's calls in flight, over its whole subset.
+    """The adaptive limit on this instance's attempts in flight, over its entire subset.
 
     A sample counts relative to what its class can bear, min_rtt + B. With one class this is the source's
-    gradient (min_rtt + B) / sample_rtt; with several, a shift of their mix no longer looks like overload.
-    B = min_rtt x buffer_pct, where buffer_pct is BUFFER or more: as much as lets min_rtt + B reach
-    `allowance`, the part of the class's aim that a round-trip may use up, since an answer within the aim
-    has its full worth.
+    gradient (min_rtt + B) / sample_rtt; with several, a shift of their mix no longer looks like overload. B =
+    min_rtt x buffer_pct, where buffer_pct is BUFFER or more: as much as lets min_rtt + B reach `allowance`,
+    the part of the class's latency objective that a round-trip may use up, since a response within the
+    latency objective has its full worth.
     """
 
     def __init__(
@@ -81,8 +82,8 @@
         self.smoothed_in_flight = 0.0  # what the limit is set against
         self.smoothed_at = now
         self.starting_up = True  # since the start the limit bound, and no window was above target
-        self.loss_rate = 0.0  # share of calls that ended without an answer, smoothed
-        self.usual_in_flight = 0.0  # calls in flight while latency was good, smoothed
+        self.loss_rate = 0.0  # share of requests that ended without a response, smoothed
+        self.usual_in_flight = 0.0  # attempts in flight while latency was good, smoothed
         self.window = SampleWindow(now)
         self.sample_rtt = 0.0  # relative to min_rtt + B
         self.gradient = 1.0
@@ -92,19 +93,19 @@
         self.start_recalculation(now)
 
     def resize(self, members: int, instances: float) -> None:
-        """Takes note of the subset's size and of the number of copies that share each member."""
+        """Updates the bounds for the subset's size and of the number of instances that share each member."""
         self.members = members
         self.instances = instances
         self.update_bounds()
         self.limit = max(self.limit, 2 * self.min_rtt_limit if self.recalculations == 0 else self.floor)
 
     def update_bounds(self) -> None:
-        """How many copies share what this one may do: fewer, the more calls it carries itself.
+        """How many instances share what this one may do: fewer, the more requests it carries itself.
 
-        The floor is that of all copies together. A copy that carries many calls feels the crowding it
-        makes, as the source has it. Where each carries hardly one, the headroom is that of all copies
-        together too, and so, by the root of their number, is a recalculation's: an idle member adds a
-        call without queueing.
+        The floor is that of all instances together. An instance that carries many requests feels the overload
+        it makes, as the source has it. Where each carries hardly one, the headroom is that of all instances
+        together too, and so, by the root of their number, is a recalculation's: an idle member adds a request
+        without queueing.
         """
         self.instances_per_server = max(1.0, self.instances / (1 + self.usual_in_flight))
         self.floor = MIN_LIMIT * self.members / max(1.0, self.instances)
@@ -113,16 +114,18 @@
         )
 
     def headroom(self) -> float:
-        """The square root of the limit, for all copies that share the servers: each adds its part."""
+        """The square root of the limit, for all instances that share the servers: each adds its part."""
         return sqrt(self.limit / self.instances_per_server)
 
     def record_in_flight(self, now: int, change: int = 0) -> None:
-        """Brings the level up to date and books calls that start (or end).
-
-        The level is what the limit is set against. For a copy that has its servers to itself it is its
-        calls in flight. Where many copies share them, it is their mean over a time, up to MAX_SMOOTHING_TIME.
-        Failure prevented: a copy with less than one call in flight on average has two at times by chance
-        alone; all copies together have not, and refusing the second call gives no server any rest.
+        """Brings the level up to date and records requests that start (or end).
+
+        The level is what the limit is set against. For an instance that has its servers to itself it is its
+        attempts in flight. Where many instances share them, it is their mean over a time, up to
+        MAX_SMOOTHING_TIME.
+        Failure prevented: an instance with less than one attempt in flight on average has two at times by
+        chance alone; all instances together have not, and rejecting the second request gives no server any
+        rest.
         """
         span = (
             MAX_SMOOTHING_TIME * (1 - 1 / self.instances_per_server) * min(1.0, (MIN_LIMIT / self.limit) ** 2)
@@ -135,7 +138,7 @@
             self.smoothed_in_flight = float(self.in_flight)
 
     def admits(self, now: int, spare: float) -> bool:
-        """Whether a call may start, `spare` headrooms below the limit."""
+        """Whether a request may start, `spare` headrooms below the limit."""
         self.record_in_flight(now)
         return self.smoothed_in_flight + spare * self.headroom() < self.allowed()
 
@@ -144,6 +147,7 @@
         return min(self.limit, self.min_rtt_limit) if self.recalculating else self.limit
 
     def start_recalculation(self, now: int) -> None:
+        """Begins to measure minRTT anew, with the limit held low."""
         self.recalculating = True
         self.min_rtt_samples: list[list[float]] = [[] for _ in self.allowance]
         self.min_rtt_calls = MIN_RTT_CALLS
@@ -151,10 +155,11 @@
         self.windows_at_floor = 0
 
     def end_recalculation(self, now: int) -> None:
+        """Takes the minRTT measured for each class that has enough samples, and sets its target."""
         for request_class, samples in enumerate(self.min_rtt_samples):
             if len(samples) >= MIN_LIMIT:
                 self.min_rtt[request_class] = percentile(samples, PERCENTILE)
-                # Failure prevented: a min_rtt measured under load lets queues grow past the aim.
+                # Failure prevented: a min_rtt measured under load lets queues outgrow the objective.
                 max_target = MAX_TARGET_SHARE / OBJECTIVE_SHARE * self.allowance[request_class]
                 target = max(self.min_rtt[request_class] * (1 + BUFFER), self.allowance[request_class])
                 self.target[request_class] = min(target, max_target)
@@ -165,11 +170,11 @@
         self.window.restart(now)
 
     def sample(self, now: int, request_class: int, latency: int) -> None:
-        """A served call's latency, or the time-out of one that timed out."""
+        """A served request's latency, or the timeout of one that timed out."""
         if self.recalculating:
             self.min_rtt_samples[request_class].append(latency)
             self.min_rtt_calls -= 1
-            # Failure prevented: a recalculation that ends at its last answer has seen only the short calls.
+            # Failure prevented: a recalculation that ends at its last response has seen the short ones only.
             if now >= self.min_rtt_until + (
                 0 if self.min_rtt_calls <= 0 else 2 * WINDOW * MAX_WINDOW_MULTIPLE
             ):
@@ -191,24 +196,24 @@
         self.sample_rtt = percentile(window.rtts, PERCENTILE)
         self.gradient = min(GRADIENT_HIGH, max(GRADIENT_LOW, 1.0 / max(self.sample_rtt, 1e-9)))
         limit = self.gradient * self.limit + self.headroom()
-        # Failure prevented: at thin traffic a window's percentile is one call's luck, and halves the limit.
+        # Failure prevented: in thin traffic a window's percentile is one request's, and halves the limit.
         limit = self.limit + min(1.0, count / FULL_WINDOW) * (limit - self.limit)
         self.follow_usual(age, count)
         window.restart(now)
         self.update_bounds()
         self.limit = max(min(limit, self.max_limit(), self.ceiling), self.min_limit(age))
-        # Failure prevented: "usual" is met in any overload, and a new start each few seconds closes a copy.
+        # Failure prevented: any overload lowers the limit to the usual; recalculations follow one another.
         self.windows_at_floor = self.windows_at_floor + 1 if self.limit <= self.floor else 0
         due = self.windows_at_floor >= WINDOWS_AT_MIN or now >= self.next_recalculation
         if due and self.fleet.may_recalculate_min_rtt():
             self.start_recalculation(now)
 
     def follow_usual(self, age: int, count: int) -> None:
-        """Smooths the calls this copy carries while latency is good.
+        """Smooths the requests this instance carries while latency is good.
 
-        Failure prevented: a copy that starts into full traffic refuses half of it for five seconds, since
-        "usual" starts at nothing. It follows within STARTUP_RTTS, up to the first window that is above target
-        or in which the limit does not bind.
+        Failure prevented: an instance that starts into full traffic rejects half of it for five seconds,
+        since "usual" starts at nothing. It follows within STARTUP_RTTS, up to the first window that is above
+        target or in which the limit does not bind.
         """
         carried = self.window.flight_sum / count
         span = USUAL_TIME
@@ -223,23 +228,23 @@
     def max_limit(self) -> float:
         """How far the limit may grow.
 
-        Failure prevented: a limit that calls never reach is not measured by their latency; it grows without
-        end in quiet times, and a burst then meets no limit. It stays near twice the usual calls.
-        Failure prevented: what one copy alone could do with idle members, each of many does, and together
-        they crowd every server. They burst by chance, so the sum grows with the root of their number.
+        Failure prevented: a limit that requests never reach is not measured by their latency; it grows
+        without end in quiet times, and a burst then meets no limit. It stays near twice the usual requests.
+        Failure prevented: what one instance alone could do with idle members, each of many does, and together
+        they overload every server. They burst by chance, so the sum grows with the root of their number.
         """
         part = CALLS_PER_MEMBER * self.members / sqrt(max(1.0, self.instances))
         return max(part, MAX_LIMIT_OVER_USUAL * self.usual_in_flight + MIN_LIMIT)
 
     def min_limit(self, age: int) -> float:
-        """How far the limit may fall: to what this copy carried while latency was good.
+        """How far the limit may fall: to what this instance carried while latency was good.
 
         Failure prevented: when everything is slow at once no lower limit makes it faster, and the gradient
         would close the fleet.
         """
         kept = (1 - self.loss_rate) ** 2 if self.loss_rate > MAX_LOST_SHARE else 1.0
         if self.sample_rtt > 1 and self.loss_rate > MAX_LOST_SHARE:
-            # Failure prevented: servers that slow down when crowded stay crowded, and slow, at what they
-            # carried before. Where calls are not only late but lost, less in flight gives them rest.
+            # Failure prevented: servers that slow down under overload stay overloaded, and slow, at what
+            # they carried before. Where requests are not only late but lost, less in flight gives them rest.
             self.usual_in_flight -= min(1.0, age / USUAL_FADE) * self.usual_in_flight
         return max(self.floor, self.usual_in_flight * kept)
--- a/balancer/policy/interface.py
+++ b/balancer/policy/interface.py
@@ -1,7 +1,7 @@
-"""The decision module's interface: settings, servers, outcomes, actions and events.
+"""The policy's interface: settings, servers, outcomes, actions and events.
 
 Times are integer microseconds of one monotonic clock that the host passes in as `now`.
-Everything a host must know to embed `balancer.policy.Balancer` stands in this file.
+Everything a host must know to embed `balancer.policy.Balancer` is in this file.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Group(IntEnum):
-    """Which servers discard the repeats of a keyed request."""
+    """Which servers discard the repeats of a request with an idempotency key."""
 
     ALL = 0
     ZONE = 1
@@ -31,7 +31,7 @@
 class Outcome(IntEnum):
     """How an attempt ended. The first three prove that the server never ran it."""
 
-    REJECTED = 0  # turned away unseen: queue full or draining
+    REJECTED = 0  # rejected before it was processed: queue full or draining
     CONNECT_FAILED = 1
     NOT_SENT = 2
     OK = 3
@@ -68,11 +68,11 @@
 
     effect: Effect
     latency_objective: int  # a response within this time earns the full worth
-    deadline: int  # the client's whole patience, over all its tries
-    worth: float
-    late_worth: float = 0.0  # share of the worth for an answer after the aim
+    deadline: int  # the client's timeout, over all its attempts
+    worth: float  # the priority weight: what a response in time is worth
+    late_worth: float = 0.0  # share of the worth for a response after the latency objective
     group: Group = Group.ALL
-    window: int = 0  # how long a keyed request's group remembers it
+    window: int = 0  # how long a group remembers an idempotency key
     stream: bool = False
 
 
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """What an instance is told at its start."""
+    """The settings of one instance."""
 
     classes: Sequence[ClassSettings]
     tenants: Sequence[TenantSettings] = ()
@@ -94,7 +94,7 @@
     zone: int = 0
     instances: int = 1  # instances that send to this tier, this one included
     index: int = 0
-    tick: int = 1000  # least time between two batches of events
+    tick: int = 1000  # minimum time between two batches of events
     max_attempts: int = 1
     cancel: bool = False
     probes: bool = False
@@ -103,7 +103,7 @@
     retry_after: bool = False
     max_retry_after: int = 0
     max_open: int = 20000
-    list_on_request: bool = False  # the server list must be asked for
+    list_on_request: bool = False  # the server list must be polled
     max_list_poll_interval: int = 0  # where it must be polled: the longest interval allowed
     list_weights: bool = False  # entries carry comparable weights
     slow_start_time: int = 0  # a server that has started is warm within this time
@@ -116,6 +116,8 @@
     report_fields: Sequence[str] = ()
 
     def __post_init__(self) -> None:
+        """Raises a ValueError that names the first setting with an impossible value."""
+
         def need(ok: bool, key: str) -> None:
             if not ok:  # comparisons with a NaN are false as well
                 raise ValueError(f"settings: impossible value for {key}")
@@ -160,10 +162,10 @@
 
 
 class Actions(Protocol):
-    """What a Balancer asks of its host. Calls take effect at the `now` of the event being handled."""
+    """What a Balancer requests of its host. Actions take effect at the `now` of the event being handled."""
 
     def send(self, request: int, server: int, timeout: int) -> None:
-        """Start the request's next attempt; exactly one `outcome` follows, by the time-out."""
+        """Start the request's next attempt; exactly one `outcome` follows, by the timeout."""
 
     def cancel(self, request: int, attempt: int) -> None:
         """Stop waiting for an attempt; its outcome still follows."""
@@ -175,10 +177,10 @@
         """Final answer: not served, with no promise about effects."""
 
     def check_health(self, server: int) -> None:
-        """Test a server; one `probed` event follows."""
+        """Check a server's health; one `health_checked` event follows."""
 
     def set_timer(self, delay: int, token: int) -> None:
-        """Ask for a `timer` event; timers cannot be withdrawn."""
+        """Request a `timer` event; timers cannot be cancelled."""
 
     def send_to_peer(self, peer: int, data: bytes) -> None:
         """Send a short message to another instance of this tier (-1: to all)."""
@@ -187,7 +189,7 @@
         """Subscribe to changes of the server list."""
 
     def fetch(self) -> None:
-        """Ask for the whole server list once."""
+        """Poll the complete server list once."""
 
     def close(self, server: int) -> None:
         """Close idle connections to a server."""
@@ -199,59 +201,63 @@
 class Fleet(Protocol):
     """What the processes of a fleet decide together. A Balancer that stands alone has `Standalone`.
 
-    Called while an event is being handled, as `Actions` are; what a fleet has to say comes as the event
-    `tried`.
+    Called while an event is being handled, as `Actions` are. What other nodes find comes by the events
+    `trial_result` and `zone_shares`.
     """
 
     def may_recalculate_min_rtt(self) -> bool:
-        """Whether the minRTT pass that is due may begin now. Asked again while the answer is no."""
+        """Whether the minRTT recalculation that is due may begin now. Called again while it may not."""
 
     def min_rtt_recalculated(self) -> None:
-        """A minRTT pass is over."""
+        """A minRTT recalculation has ended."""
 
     def may_run_trial(self, server: int) -> bool:
-        """Whether this node tries a server that it has set aside, now that a trial is due."""
+        """Whether this node runs the trial that is due for a server that it has ejected."""
 
     def server_ejected(self, server: int, wait: int) -> None:
-        """A server was set aside, or tried in vain; its next trial is due in `wait`."""
+        """A server was ejected, or its trial failed; the next trial is due in `wait`."""
 
     def server_readmitted(self, server: int, healthy: bool) -> None:
-        """A server is not set aside any more: this node tried it and found it `well`, or it is gone, new, or
-        not a member."""
+        """A server is no longer ejected.
+
+        `healthy`: a trial of this node succeeded. Otherwise the server is gone, new, or not a member.
+        """
 
 
 class Standalone:
-    """A Balancer without a fleet: it passes and tries as it sees fit."""
+    """A Balancer without a fleet: recalculations and trials begin when they are due."""
 
     def may_recalculate_min_rtt(self) -> bool:
+        """Always."""
         return True
 
     def min_rtt_recalculated(self) -> None:
-        pass
+        """Nobody needs to know."""
 
     def may_run_trial(self, server: int) -> bool:
+        """Always."""
         return True
 
     def server_ejected(self, server: int, wait: int) -> None:
-        pass
+        """Nobody needs to know."""
 
     def server_readmitted(self, server: int, healthy: bool) -> None:
-        pass
+        """Nobody needs to know."""
 
 
 class Events(Protocol):
-    """What a host tells a Balancer. A Balancer implements all of these.
+    """What a host notifies a Balancer of. A Balancer implements all of these.
 
     `now` never goes back. `start` comes first and once; then a server list, so that requests find servers.
-    Actions are asked for while an event is being handled, never later. An event about a request, attempt
-    or server that is no longer known is passed over.
+    Actions are requested while an event is being handled, never later. An event about a request, attempt
+    or server that is no longer known is ignored.
     """
 
     def start(self, now: int) -> None:
-        """The instance begins to run. Where the list must be asked for, it asks."""
+        """The instance begins to run. Where the list must be polled, it polls."""
 
     def server_list(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
-        """News of the servers, in order of version; a failed ask carries no entries.
+        """The endpoint list or its changes, in order of version; a failed poll carries no entries.
 
         From here on nothing new goes to a server that is not ready, or that a full list leaves out.
         """
@@ -259,9 +265,9 @@
     def request(
         self, now: int, request: int, request_class: int, tenant: int, remaining: int, repeat: bool
     ) -> None:
-        """A request with a fresh id. One final answer is owed within `time_left`.
+        """A request with a fresh id. One final answer is owed within `remaining`.
 
-        That is `refuse`, `fail` or an outcome that is final. A class that the settings lack gets no right
+        That is `reject`, `fail` or an outcome that is final. A class that the settings lack gets no right
         to a repeat, a tenant that they lack has no quota.
         """
 
@@ -278,39 +284,45 @@
     ) -> None:
         """An attempt ended; exactly one for each `send`, also after its request's end.
 
-        `final` says that nothing more is owed for the request, as after an answer that was passed on. If
-        it is false and the request is open, an answer or a further attempt follows at once.
+        `final` says that nothing more is owed for the request, as after a response that was forwarded. If
+        it is false and the request is open, a response or a retry follows at once.
         """
 
     def response_started(self, now: int, request: int, attempt: int, server: int, latency: int) -> None:
-        """An answer began to flow: the request is bound to this attempt, which still gets its outcome.
+        """A response has begun to stream: the request is bound to this attempt, which still gets its outcome.
 
         From here on the client sets the pace: the attempt takes no slot and its end no sample of time.
         """
 
     def upload(self, now: int, request: int, attempt: int, on: bool) -> None:
-        """The request's body is still on its way to the server, or has come there whole.
+        """The request's body is still on its way to the server, or is complete there.
 
-        Until then the server has nothing to answer, so neither limit nor silence counts the attempt, and
+        Until then the server cannot respond, so neither limit nor silence counts the attempt, and
         the request's time begins anew at the end.
         """
 
     def client_disconnected(self, now: int, request: int) -> None:
-        """Nobody waits any more; nothing is owed. Attempts that are out still get their outcomes."""
+        """The client is gone; nothing is owed. Attempts in flight still get their outcomes."""
 
     def health_checked(self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]) -> None:
-        """The answer to a `probe`."""
+        """The result of a `check_health`."""
 
     def trial_result(self, now: int, server: int, healthy: bool) -> None:
-        """Another node of the fleet has tried a server that is set aside: it is well again, or not yet."""
+        """Another node of the fleet has run a trial of an ejected server."""
 
     def zone_shares(self, now: int, shares: Mapping[int, float], additional_rtt: Mapping[int, int]) -> None:
-        """What part of the calls goes to each zone, in order of preference, and how much longer the way to
-        some zones is. A zone that is not among them gets nothing. Without this event the module sees to
-        zones itself."""
+        """How requests are spread over the zones from now on.
+
+        Args:
+            now: The time.
+            shares: Each zone's share of the requests, in order of preference; other zones get none.
+            additional_rtt: How much longer a round-trip to a zone is, for those where it is.
+
+        Without this event the policy spreads requests over zones itself.
+        """
 
     def timer(self, now: int, token: int) -> None:
         """A timer that was set is due, `token` as it was given. Never during the event that set it."""
 
     def peer_message(self, now: int, peer: int, data: bytes) -> None:
-        """Another instance of this tier has sent bytes by `tell`."""
+        """Another instance of this tier has sent bytes by `send_to_peer`."""
--- a/balancer/policy/request.py
+++ b/balancer/policy/request.py
@@ -7,7 +7,7 @@
 
 
 class Request:
-    """An open request. At most one attempt is out at a time."""
+    """An open request. At most one attempt is in flight at a time."""
 
     def __init__(self, request: int, request_class: int, effect: Effect, now: int, patience: int) -> None:
         self.id = request
--- a/balancer/policy/retry_budget.py
+++ b/balancer/policy/retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: further attempts are a share of the first ones."""
+"""The retry budget: retries are a share of the first attempts."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from balancer.policy.gradient import MIN_LIMIT
 
-RETRY_RATIO = 0.1  # further attempts allowed for each first attempt
+RETRY_RATIO = 0.1  # retries allowed for each first attempt
 
 
 class RetryBudget:
@@ -16,11 +16,13 @@
         self.tokens = float(MIN_LIMIT)
 
     def refill(self, limit: float) -> None:
-        """Adds a request's share; the square root of the limit is the most that is kept."""
+        """Adds a request's share; the square root of the limit is the maximum that is kept."""
         self.tokens = min(self.tokens + RETRY_RATIO, max(float(MIN_LIMIT), sqrt(limit)))
 
     def allows(self) -> bool:
+        """Whether a retry may be made."""
         return self.tokens >= 1
 
     def spend(self) -> None:
+        """Takes the token for a retry."""
         self.tokens -= 1
--- a/balancer/policy/selection.py
+++ b/balancer/policy/selection.py
@@ -1,4 +1,4 @@
-"""Selection: which server takes a call."""
+"""Selection: which server takes a request."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def not_attempted(pool: list[Server], r: Request) -> list[Server]:
-    """Those of the pool that the request has not been sent to; all of them if there is no other."""
+    """Returns those of the pool that the request has not been sent to; all of them if there is no other."""
     return [m for m in pool if m not in r.attempted_servers] or pool if r.attempted_servers else pool
 
 
@@ -42,10 +42,13 @@
         self.ejection = ejection
 
     def pick_server(self, now: int, r: Request) -> Server | None:
-        """Two random members; the one with less in flight takes the call, a further attempt as well.
+        """Picks a server for an attempt: the one of two random members with less in flight.
 
-        Failure prevented: a member that has just turned a call away holds few, wins the pick for its next
-        attempt too and turns it away again. The source, too, tries again on another host where it can.
+        A retry is picked in the same way.
+
+        Failure prevented: a member that has just rejected a request has few attempts in flight, wins the pick
+        for its next attempt too and rejects it again. The source, too, tries again on another host where it
+        can.
         """
         effect = r.effect
         if r.first_run_on is not None and effect == Effect.IDEMPOTENCY_KEY:
@@ -55,10 +58,10 @@
             if trial is not None:
                 return trial
         if self.subset.shares:
-            drawn = self.rng.choices([*self.subset.shares], [*self.subset.shares.values()])
-            # Where a zone is lost, a repeat there is lost too.
+            picked = self.rng.choices([*self.subset.shares], [*self.subset.shares.values()])
+            # Where a zone is down, a retry there fails too.
             failed = r.attempted_servers[-1].zone if r.attempted_servers else -1
-            for zone in sorted([*drawn, *self.subset.shares], key=lambda zone: zone == failed):
+            for zone in sorted([*picked, *self.subset.shares], key=lambda zone: zone == failed):
                 srv = self.pick_of_two(now, r.request_class, not_attempted(self.subset.by_zone[zone], r))
                 if srv is not None:
                     return srv
@@ -70,6 +73,7 @@
         return self.pick_of_two(now, r.request_class, not_attempted(self.subset.available, r))
 
     def pick_of_two(self, now: int, request_class: int, pool: list[Server]) -> Server | None:
+        """Picks the one of two random servers of the pool that has less in flight, in expected time."""
         n = len(pool)
         if n == 0:
             return None
@@ -96,8 +100,8 @@
     ) -> Server:
         """A random member but `other`. One slower than the mean is skipped as often as it is slower.
 
-        Failure prevented: of few members two slow ones are picked together each few calls, and what one of
-        them gets keeps it crowded. After a few skips whoever comes is taken.
+        Failure prevented: of few members two slow ones are picked together each few requests, and what one of
+        them gets keeps it overloaded. After a few skips whoever comes is taken.
         """
         while True:
             for _ in range(MAX_SKIPS):
@@ -108,7 +112,7 @@
                 return srv
 
     def pick_in_group(self, now: int, r: Request) -> Server | None:
-        """A keyed request that may have run goes only to the servers that would discard its repeat."""
+        """Picks a server that would discard the repeat of a request that may have run."""
         first = r.first_run_on
         group = self.settings.classes[r.request_class].group
         assert first is not None
@@ -120,10 +124,8 @@
             and not m.outside_limit
             and (
                 group == Group.ALL
-                or group == Group.ZONE
-                and m.zone == first.zone
-                or group == Group.CELL
-                and m.cell == first.cell
+                or (group == Group.ZONE and m.zone == first.zone)
+                or (group == Group.CELL and m.cell == first.cell)
             )
         ]
         return self.pick_of_two(now, r.request_class, pool)
--- a/balancer/policy/server.py
+++ b/balancer/policy/server.py
@@ -7,15 +7,15 @@
 
 SMOOTH = 0.1  # weight of the newest sample in a server's averages
 PRIOR = 3.0  # an average starts as if it had seen so many samples of its first value
-SMOOTH_ALL = 0.02  # the same for averages over the whole subset
+SMOOTH_ALL = 0.02  # the same for averages over the entire subset
 FADE = 5_000_000  # what is known of a member's speed is forgotten after so long without an outcome
-FAIL_WEIGHT = 8  # a member that fails all its calls counts as so many times slower
+FAIL_WEIGHT = 8  # a member that fails all its requests counts as so many times slower
 
 
 class Average:
     """A running mean: plain while samples are few, exponential later. `prior` samples of `value` start it."""
 
-    __slots__ = ("value", "weight", "min_weight")
+    __slots__ = ("min_weight", "value", "weight")
 
     def __init__(self, value: float, prior: float, min_weight: float) -> None:
         self.value = value
@@ -23,12 +23,13 @@
         self.min_weight = min_weight
 
     def add(self, sample: float) -> None:
+        """Adds a sample."""
         self.weight += 1
         self.value += max(self.min_weight, 1 / self.weight) * (sample - self.value)
 
 
 class Server:
-    """What this copy knows of one server."""
+    """What this instance knows of one server."""
 
     def __init__(self, entry: ServerEntry, kind: Average) -> None:
         self.id = entry.server
@@ -37,9 +38,9 @@
         self.in_list = False
         self.member = False
         self.in_flight = 0
-        self.uploads = 0  # attempts whose requests are still on their way
+        self.uploads = 0  # attempts whose request bodies are still on their way
         self.ejected = False
-        self.outside_limit = False  # its calls do not count against the limit
+        self.outside_limit = False  # its requests do not count against the limit
         self.trial_in_flight = False
         self.ready_at = -1
         self.last_outcome_at = 0
@@ -47,12 +48,12 @@
         self.reset(entry)
 
     def reset(self, entry: ServerEntry) -> None:
-        """A new process: nothing learned of the old one holds."""
+        """Forgets what was learned of the server's former process."""
         self.ready_at = entry.ready_at
         self.start = ServerStart(entry.ready_at, 0, running=False, clock_trusted=False)
         self.deviation = Average(1.0, PRIOR, SMOOTH)  # this server's round-trips, relative to its kind's
         self.failure_rate = 0.0
-        self.rejection_rates: dict[int, float] = {}  # by class, the share of calls rejected unseen, smoothed
+        self.rejection_rates: dict[int, float] = {}  # by class: share of requests rejected, smoothed
         self.consecutive_failures = 0
         self.calls = 0
         self.silent = False
@@ -67,17 +68,18 @@
 
         Failure prevented: a member once found slow is never picked again, so its estimate is never renewed.
         What is its own fades while no outcome comes.
-        Failure prevented: a member that turns away one class alone holds few of its calls and wins picks.
+        Failure prevented: a member that rejects one class alone has few of its attempts in flight and wins
+        picks.
         """
         fade = max(0.0, 1 - (now - self.last_outcome_at) / FADE)
         failing = self.failure_rate + self.rejection_rates.get(request_class, 0.0)
         own = self.deviation.value * (1 + FAIL_WEIGHT * failing)
         slowness = self.kind.value * (1 + (own - 1) * fade)
         if self.in_flight and now - self.last_outcome_at > mean_rtt:
-            # Failure prevented: a member that has just turned slow looks as before until its calls come back.
+            # Failure prevented: a member that has just slowed down looks as before until its attempts end.
             slowness *= (now - self.last_outcome_at) / mean_rtt
         return slowness
 
     def load(self, now: int, request_class: int, mean_rtt: float) -> float:
-        """Calls in flight, this one included, in expected time: the measure of a pick."""
+        """Attempts in flight, this one included, in expected time: the measure of a pick."""
         return (self.in_flight + 1) * self.slowness(now, request_class, mean_rtt)
--- a/balancer/policy/server_list.py
+++ b/balancer/policy/server_list.py
@@ -58,7 +58,7 @@
         self.poll_failures = 0
 
     def update(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
-        """Takes in a list, a part of one, or the news that a poll has failed."""
+        """Records a list, a part of one, or that a poll has failed."""
         if kind == ListKind.FAILED:
             self.retry_poll()
             return
@@ -92,7 +92,7 @@
                 self.remove(server)
 
     def apply(self, now: int, entry: ServerEntry) -> None:
-        """Takes in one entry of a list."""
+        """Records one entry of a list."""
         server = self.servers.get(entry.server)
         if entry.state != State.READY:
             if server is not None:
--- a/balancer/policy/slow_start.py
+++ b/balancer/policy/slow_start.py
@@ -9,21 +9,21 @@
 from balancer.policy.server import Server
 from balancer.policy.subset import Subset
 
-MAX_EVEN_SHARES = 2.5  # with no warm member, a cold one takes its share of so many even parts
-PEAK_FADE = 30.0  # seconds in which the most that a warm member answered fades to a third
-MAX_MULTIPLE_SHARE = 0.8  # a cold one takes its share of so much of the rules' multiple of warm ones' answers
+MAX_EVEN_SHARES = 2.5  # with no warm member, a warming one takes its share of so many even parts
+PEAK_FADE = 30.0  # seconds in which the maximum that a warm member answered fades to a third
+MAX_MULTIPLE_SHARE = 0.8  # of the multiple of warm members' responses beyond which a server is overloaded
 
 
 class SlowStart:
-    """Measures what a warm member gets of this copy, and keeps cold ones to their part of it."""
+    """Measures what a warm member gets of this instance, and limits warming ones to a part of it."""
 
     def __init__(self, settings: Settings, subset: Subset) -> None:
         self.settings = settings
         self.subset = subset
         self.warm_rate = 0.0  # sends a second to a warm member, smoothed
         self.warm_sent = 0
-        self.served_rate = 0.0  # answers a second from a warm member, smoothed
-        self.peak_served_rate = 0.0  # the most of that; it fades
+        self.served_rate = 0.0  # responses a second from a warm member, smoothed
+        self.peak_served_rate = 0.0  # the maximum of that; it fades
         self.warm_served = 0
         self.requests = 0  # requests, without clients' repeats, since `counted_since`
         self.counted_since = 0
@@ -40,7 +40,7 @@
             self.requests, self.counted_since = 0, now
 
     def measure_warm_rate(self, now: int, span: int) -> None:
-        """Takes in what warm members were sent and answered in the window that ends now."""
+        """Records what warm members were sent and answered in the window that ends now."""
         warm = 0
         for m in self.subset.members:
             warm += m.slow_start_until <= now and not m.ejected
@@ -53,15 +53,16 @@
         self.warm_sent = self.warm_served = 0
 
     def fair_rate(self, now: int) -> float:
-        """What a warm member gets of this copy, in calls a second; or would get, where none is warm.
+        """What a warm member gets of this instance, in requests a second; or would get, where none is warm.
 
-        Failure prevented: a node that starts among servers that all are cold has seen no warm one, takes
-        their share of nothing, and sends nothing until the first is warm.
-        Failure prevented: the last warm members take all calls; what they got then pushes cold ones over.
-        Failure prevented: in a crowd they are sent several times what they can do, and what they turn away
-        sets the pace of cold ones. A multiple of what they answer bounds it, or an even part where they hang.
-        Failure prevented: the even part of a crowd is more than a warm member can do. The most that one
-        answered bounds it in turn.
+        Failure prevented: a node that starts among servers that are all warming up has seen no warm one,
+        takes their share of nothing, and sends nothing until the first is warm.
+        Failure prevented: the last warm members get all requests; their rate then overloads warming ones.
+        Failure prevented: under overload they are sent several times what they can do, and what they reject
+        sets the pace of warming ones. A multiple of what they answer bounds it, or an even part where they
+        hang.
+        Failure prevented: the even part under overload is more than a warm member can do. The maximum of what
+        one answered bounds it in turn.
         """
         even = self.request_rate / max(1, len(self.subset.members))
         multiple = max(1.0, MAX_MULTIPLE_SHARE * self.settings.fall_multiple)
@@ -71,10 +72,12 @@
         return min(max(self.warm_rate, even), MAX_EVEN_SHARES * even, multiple * peak)
 
     def may_send(self, now: int, srv: Server) -> bool:
-        """Slow start: a cold server takes its present share of what a warm member gets from this copy.
+        """Whether a server may get a request now, which in slow start costs one of its tokens.
 
-        Failure prevented: all nodes together push a cold server over. A bucket of one call that starts
-        empty keeps this copy's part within any window.
+        A warming server gets its present share of what a warm member gets of this instance.
+
+        Failure prevented: all nodes together overload a warming server. A bucket of one request that starts
+        empty keeps this instance's part within any window.
         """
         if srv.slow_start_until <= now:
             return True
--- a/balancer/policy/start_times.py
+++ b/balancer/policy/start_times.py
@@ -16,15 +16,15 @@
 from balancer.policy.interface import ServerEntry
 
 MAX_CLOCK_ERROR = 3_660_000_000  # a clock is wrong by an hour at most, or by some seconds more
-MAX_PROMPT_DELAY = 1_000_000  # a start that is heard of with no more delay was heard of at once
-MAX_LIST_DELAY = 10_000_000  # a start heard of while the process runs is no older than this
+MAX_PROMPT_DELAY = 1_000_000  # a start that is learned of with no more delay was learned of at once
+MAX_LIST_DELAY = 10_000_000  # a start learned of while the process runs is no older than this
 MAX_UNPROVEN_SHARE = 1 / 3  # of the servers in a process's first lists
 MAX_REMEMBERED = 1024  # starts of servers that have left the list
 
 
 @dataclass(frozen=True, slots=True)
 class ServerStart:
-    """One start of a server, as heard of."""
+    """One start of a server, as the process was notified of it."""
 
     ready_at: int  # as listed
     notified_at: int
@@ -42,7 +42,7 @@
         self.remembered: dict[int, ServerStart] = {}
 
     def observe(self, now: int, entries: Iterable[ServerEntry], listed: int) -> bool:
-        """Takes in the starts that news of the servers names, `listed` of which there are then.
+        """Records the starts that a list of the servers names, `listed` of which there are then.
 
         True if starts corrected before are to be corrected anew.
         """
@@ -74,8 +74,8 @@
     def slow_start_until(self, start: ServerStart) -> int:
         """The end of the slow start, by the latest time at which the server may have started.
 
-        Failure prevented: a server that has just started counts as warm where the clock is fast, and stays
-        cold for as long as the clock is slow.
+        Failure prevented: a server that has just started counts as warm where the clock is fast, and stays in
+        slow start for as long as the clock is slow.
         """
         if start.ready_at <= 0:
             return 0
--- a/balancer/simulator_adapter.py
+++ b/balancer/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: the simulator's wire on standard input and output, and the hosting of instances. No decision.
+"""Serves the policy in the simulator's wire format on standard input and output; decides nothing itself.
 
 A frame that cannot be read ends the process with status 2 and one line on standard error.
 """
@@ -6,9 +6,10 @@
 from __future__ import annotations
 
 import json
+import struct
 import sys
+from collections.abc import Callable
 from struct import Struct
-from struct import error as StructError
 from typing import Any, BinaryIO
 
 from balancer.policy import Balancer
@@ -53,18 +54,26 @@
     444: Outcome.CANCELLED,
     409: Outcome.NOT_SENT,
 }
+LIST_KINDS = (ListKind.CHANGES, ListKind.FULL, ListKind.CACHED, ListKind.FAILED)
 STATES = {0: State.GONE, 1: State.READY, 2: State.DRAINING}
 REPEAT_FLAG = 2
-LONGEST_TIMER = 4_260_000_000
-EVERY_PEER = 0xFFFF
+HEALTHY = 200  # the status of a health check that succeeded
+MAX_REPORT_VALUES = 255
+MAX_TIMER_US = 4_260_000_000
+ALL_PEERS = 0xFFFF
 
 
 class WireError(Exception):
-    """Input that is not a frame of the wire."""
+    """Input that is not a valid frame."""
 
 
 def read_settings(text: bytes) -> Settings:
-    """The settings of a CREATE event. A missing or impossible value is a ValueError that names the key."""
+    """Reads the settings of a CREATE event.
+
+    Raises:
+        WireError: The text is not JSON.
+        ValueError: A value is missing or impossible; the message names its key.
+    """
     try:
         env = json.loads(text)
     except (ValueError, RecursionError) as e:
@@ -73,64 +82,76 @@
 
 
 class WireActions:
-    """One instance's actions, packed into the process's reply."""
+    """One instance's actions, packed into the process's reply; implements `interface.Actions`."""
 
-    __slots__ = ("out", "node")
+    __slots__ = ("node", "reply")
 
-    def __init__(self, out: bytearray, node: int) -> None:
-        self.out = out
+    def __init__(self, reply: bytearray, node: int) -> None:
+        self.reply = reply
         self.node = node
 
     def send(self, request: int, server: int, timeout: int) -> None:
-        self.out += RELAY.pack(65, self.node, request, server, min(max(timeout, 1), 0xFFFFFFFF))
+        """Writes RELAY."""
+        self.reply += RELAY.pack(65, self.node, request, server, min(max(timeout, 1), 0xFFFFFFFF))
 
     def cancel(self, request: int, attempt: int) -> None:
-        self.out += WITHDRAW.pack(68, self.node, request, attempt)
+        """Writes WITHDRAW."""
+        self.reply += WITHDRAW.pack(68, self.node, request, attempt)
 
     def reject(self, request: int, retry_after: int) -> None:
-        self.out += BOUNCE.pack(66, self.node, request, min(max(retry_after, 0), 0xFFFFFFFF))
+        """Writes BOUNCE."""
+        self.reply += BOUNCE.pack(66, self.node, request, min(max(retry_after, 0), 0xFFFFFFFF))
 
     def fail(self, request: int) -> None:
-        self.out += END_FAILED.pack(67, self.node, request)
+        """Writes END_FAILED."""
+        self.reply += END_FAILED.pack(67, self.node, request)
 
     def check_health(self, server: int) -> None:
-        self.out += PROBE.pack(70, self.node, server)
+        """Writes PROBE."""
+        self.reply += PROBE.pack(70, self.node, server)
 
     def set_timer(self, delay: int, token: int) -> None:
-        self.out += NOTIFY_ME.pack(69, self.node, min(max(delay, 0), LONGEST_TIMER), token)
+        """Writes NOTIFY_ME."""
+        self.reply += NOTIFY_ME.pack(69, self.node, min(max(delay, 0), MAX_TIMER_US), token)
 
     def send_to_peer(self, peer: int, data: bytes) -> None:
-        self.out += NOTIFY.pack(72, self.node, EVERY_PEER if peer < 0 else peer, len(data)) + data
+        """Writes NOTIFY; to all peers where `peer` is negative."""
+        self.reply += NOTIFY.pack(72, self.node, ALL_PEERS if peer < 0 else peer, len(data)) + data
 
     def watch(self, on: bool) -> None:
-        self.out += LISTEN.pack(75, self.node, on)
+        """Writes LISTEN."""
+        self.reply += LISTEN.pack(75, self.node, on)
 
     def fetch(self) -> None:
-        self.out += QUERY_ALL.pack(76, self.node)
+        """Writes QUERY_ALL."""
+        self.reply += QUERY_ALL.pack(76, self.node)
 
     def close(self, server: int) -> None:
-        self.out += RELEASE.pack(71, self.node, server)
+        """Writes RELEASE."""
+        self.reply += RELEASE.pack(71, self.node, server)
 
     def log(self, text: str) -> None:
+        """Writes JOURNAL_LINE."""
         data = text.encode()[:0xFFFF]
-        self.out += JOURNAL_LINE.pack(73, self.node, len(data)) + data
+        self.reply += JOURNAL_LINE.pack(73, self.node, len(data)) + data
 
     def fault(self, text: str) -> None:
+        """Writes BAIL_OUT: the instance has failed, and gets no more events."""
         data = text.encode()[:0xFFFF]
-        self.out += BAIL_OUT.pack(74, self.node, len(data)) + data
+        self.reply += BAIL_OUT.pack(74, self.node, len(data)) + data
 
 
 class Host:
-    """The instances of one process. Nothing passes between them but the numbered lists of the wire."""
+    """The instances of one process. They share nothing but the numbered server lists."""
 
     def __init__(self) -> None:
-        self.out = bytearray()
+        self.reply = bytearray()
         self.nodes: dict[int, Balancer] = {}
-        self.banks: dict[int, list[ServerEntry]] = {}
+        self.lists: dict[int, list[ServerEntry]] = {}
 
     def batch(self, count: int, body: bytes, now: int) -> bytes:
-        """Handles one batch and returns the framed reply."""
-        self.out.clear()
+        """Handles one batch of `count` records and returns the framed reply."""
+        self.reply.clear()
         pos = 0
         for record in range(count):
             try:
@@ -142,96 +163,111 @@
                 raise WireError(f"record {record} at byte {pos}: unknown event code {body[pos]}") from None
             try:
                 pos = reader(self, now, body, pos + 1)
-            except StructError:
+            except struct.error:
                 raise WireError(f"record {record} at byte {pos}: event {code} is cut short") from None
         if pos != len(body):
             raise WireError(f"{len(body) - pos} bytes after the last record")
-        return LENGTH.pack(len(self.out)) + self.out
+        return LENGTH.pack(len(self.reply)) + self.reply
 
-    def tell(self, node: int, event: str, *args: Any) -> None:
-        """Passes an event on; an exception in the module becomes the wire's fault action."""
+    def dispatch(self, node: int, event: str, *args: Any) -> None:
+        """Calls an instance's event; an exception there ends the instance and becomes a fault action."""
         balancer = self.nodes.get(node)
         if balancer is None:
             return
         try:
             getattr(balancer, event)(*args)
-        except Exception as e:  # the wire wants any failure of the module reported, whatever it is
+        except Exception as e:  # any failure of the policy is to be reported, whatever it is
             del self.nodes[node]
-            WireActions(self.out, node).fault(f"{event}: {type(e).__name__}: {e}")
+            WireActions(self.reply, node).fault(f"{event}: {type(e).__name__}: {e}")
 
     def create(self, now: int, body: bytes, pos: int) -> int:
+        """CREATE: a new instance, which starts at once."""
         node, seed, size = CREATE.unpack_from(body, pos)
         pos += CREATE.size
         text = take(body, pos, size)
-        balancer = Balancer(read_settings(text), seed, WireActions(self.out, node))
+        balancer = Balancer(read_settings(text), seed, WireActions(self.reply, node))
         self.nodes[node] = balancer
-        self.tell(node, "start", now)
+        self.dispatch(node, "start", now)
         return pos + int(size)
 
     def directory(self, now: int, body: bytes, pos: int) -> int:
-        bank, count = DIRECTORY.unpack_from(body, pos)
+        """DIRECTORY: a numbered server list, for the TARGETS that follow."""
+        number, count = DIRECTORY.unpack_from(body, pos)
         pos += DIRECTORY.size
         raw = take(body, pos, count * ENTRY.size)
-        self.banks[bank] = [
+        self.lists[number] = [
             ServerEntry(server, STATES.get(state, State.DRAINING), cell, zone, kind, weight, ready_at)
             for server, cell, ready_at, zone, weight, state, kind in ENTRY.iter_unpack(raw)
         ]
         return pos + int(count) * ENTRY.size
 
     def targets(self, now: int, body: bytes, pos: int) -> int:
-        node, kind, _, bank = TARGETS.unpack_from(body, pos)
-        if kind > 3:
+        """TARGETS: an instance gets the server list of this number."""
+        node, kind, _, number = TARGETS.unpack_from(body, pos)
+        if kind >= len(LIST_KINDS):
             raise WireError(f"unknown list kind {kind}")
-        list_kind = (ListKind.CHANGES, ListKind.FULL, ListKind.CACHED, ListKind.FAILED)[kind]
+        list_kind = LIST_KINDS[kind]
         entries: list[ServerEntry] = []
         if list_kind != ListKind.FAILED:
-            if bank not in self.banks:
-                raise WireError(f"list {bank} was never sent")
-            entries = self.banks[bank]
-        self.tell(node, "server_list", now, list_kind, entries)
+            if number not in self.lists:
+                raise WireError(f"list {number} was never sent")
+            entries = self.lists[number]
+        self.dispatch(node, "server_list", now, list_kind, entries)
         return pos + TARGETS.size
 
     def accept(self, now: int, body: bytes, pos: int) -> int:
-        node, request, _, tenant, flags, left, _, klass = ACCEPT.unpack_from(body, pos)
-        self.tell(node, "request", now, request, klass, tenant, left, bool(flags & REPEAT_FLAG))
+        """ACCEPT: a request."""
+        node, request, _, tenant, flags, remaining, _, request_class = ACCEPT.unpack_from(body, pos)
+        self.dispatch(
+            node, "request", now, request, request_class, tenant, remaining, bool(flags & REPEAT_FLAG)
+        )
         return pos + ACCEPT.size
 
     def client_left(self, now: int, body: bytes, pos: int) -> int:
+        """CLIENT_LEFT: a client has disconnected."""
         node, request = CLIENT_LEFT.unpack_from(body, pos)
-        self.tell(node, "client_disconnected", now, request)
+        self.dispatch(node, "client_disconnected", now, request)
         return pos + CLIENT_LEFT.size
 
     def check_result(self, now: int, body: bytes, pos: int) -> int:
-        node, took, status, server, n = CHECK_RESULT.unpack_from(body, pos)
+        """CHECK_RESULT: a health check has ended."""
+        node, latency, status, server, count = CHECK_RESULT.unpack_from(body, pos)
         pos += CHECK_RESULT.size
-        self.tell(node, "health_checked", now, server, status == 200, took, floats(body, pos, n))
-        return pos + 4 * int(n)
+        self.dispatch(
+            node, "health_checked", now, server, status == HEALTHY, latency, floats(body, pos, count)
+        )
+        return pos + 4 * int(count)
 
     def opened(self, now: int, body: bytes, pos: int) -> int:
-        node, request, attempt, server, took = OPENED.unpack_from(body, pos)
-        self.tell(node, "response_started", now, request, attempt, server, took)
+        """OPENED: a response has begun."""
+        node, request, attempt, server, latency = OPENED.unpack_from(body, pos)
+        self.dispatch(node, "response_started", now, request, attempt, server, latency)
         return pos + OPENED.size
 
     def wake(self, now: int, body: bytes, pos: int) -> int:
+        """WAKE: a timer is due."""
         node, token = WAKE.unpack_from(body, pos)
-        self.tell(node, "timer", now, token)
+        self.dispatch(node, "timer", now, token)
         return pos + WAKE.size
 
     def shutdown(self, now: int, body: bytes, pos: int) -> int:
+        """SHUTDOWN: an instance ends."""
         (node,) = SHUTDOWN.unpack_from(body, pos)
         self.nodes.pop(node, None)
         return pos + SHUTDOWN.size
 
     def peer_data(self, now: int, body: bytes, pos: int) -> int:
+        """PEER_DATA: a message from another instance."""
         node, peer, size = PEER_DATA.unpack_from(body, pos)
         pos += PEER_DATA.size
-        self.tell(node, "peer_message", now, peer, take(body, pos, size))
+        self.dispatch(node, "peer_message", now, peer, take(body, pos, size))
         return pos + int(size)
 
     def verdict(self, now: int, body: bytes, pos: int) -> int:
-        node, request, attempt, took, server, final, status, n = VERDICT.unpack_from(body, pos)
+        """VERDICT: an attempt has ended."""
+        node, request, attempt, latency, server, final, status, count = VERDICT.unpack_from(body, pos)
         pos += VERDICT.size
-        self.tell(
+        self.dispatch(
             node,
             "outcome",
             now,
@@ -239,14 +275,15 @@
             attempt,
             server,
             OUTCOMES.get(status, Outcome.UNKNOWN),
-            took,
+            latency,
             bool(final),
-            floats(body, pos, n) if n else (),
+            floats(body, pos, count) if count else (),
         )
-        return pos + 4 * int(n)
+        return pos + 4 * int(count)
 
 
-READERS = {
+# Each handles one record, whose body begins at a position, and returns the position after it.
+READERS: dict[int, Callable[[Host, int, bytes, int], int]] = {
     1: Host.directory,
     2: Host.wake,
     3: Host.accept,
@@ -259,20 +296,23 @@
     10: Host.opened,
     11: Host.client_left,
 }
-FLOATS = [Struct(f"<{n}f") for n in range(256)]
+FLOATS = [Struct(f"<{n}f") for n in range(MAX_REPORT_VALUES + 1)]
 
 
 def take(body: bytes, pos: int, size: int) -> bytes:
+    """Returns `size` bytes of a record; struct.error where it is cut short."""
     if pos + size > len(body):
-        raise StructError("cut short")
+        raise struct.error("cut short")
     return body[pos : pos + size]
 
 
-def floats(body: bytes, pos: int, n: int) -> tuple[float, ...]:
-    return FLOATS[n].unpack_from(body, pos)
+def floats(body: bytes, pos: int, count: int) -> tuple[float, ...]:
+    """Returns `count` little-endian floats."""
+    return FLOATS[count].unpack_from(body, pos)
 
 
 def read_exactly(stream: BinaryIO, size: int, what: str) -> bytes:
+    """Reads `size` bytes of `what`; WireError where the input ends before."""
     data = stream.read(size)
     if len(data) != size:
         raise WireError(f"{what}: input ends after {len(data)} of {size} bytes")
@@ -280,7 +320,12 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers batches until the input ends."""
+    """Replies to batches until the input ends.
+
+    Raises:
+        WireError: A frame cannot be read; the message says which.
+        ValueError: Settings are missing or impossible.
+    """
     host = Host()
     batch = 0
     while True:
@@ -302,6 +347,7 @@
 
 
 def main() -> int:
+    """Runs the adapter until its input ends, and returns the exit status."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, ValueError) as e:
