--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -142,16 +142,16 @@
     ) -> None:
         """Records an attempt's end, and retries or answers its request where that is still open."""
         lifecycle = self.lifecycle
-        srv = self.servers.get(server)
+        target = self.servers.get(server)
         opened = lifecycle.requests.get(request)
         if opened is not None and opened.uploading:
             lifecycle.set_uploading(now, opened, attempt, False)
         if request in self.streaming:
             self.streaming.discard(request)
-            if srv is not None and outcome not in (Outcome.OK, Outcome.CANCELLED):
-                srv.failure_rate += SMOOTH * (1 - srv.failure_rate)
-        elif srv is not None and srv.in_flight > 0:
-            self.metrics.end_attempt(now, srv, opened, outcome, latency)
+            if target is not None and outcome not in (Outcome.OK, Outcome.CANCELLED):
+                target.failure_rate += SMOOTH * (1 - target.failure_rate)
+        elif target is not None and target.in_flight > 0:
+            self.metrics.end_attempt(now, target, opened, outcome, latency)
         if opened is not None and opened.server is not None and attempt == opened.attempts - 1:
             opened.server = None
             if final or outcome == Outcome.OK:
@@ -159,7 +159,7 @@
             elif opened.responding:
                 lifecycle.finish(opened, reject=False)
             else:
-                lifecycle.after_failure(now, opened, srv, outcome)
+                lifecycle.after_failure(now, opened, target, outcome)
         if lifecycle.queue:
             lifecycle.serve_queue(now)
 
@@ -200,12 +200,12 @@
 
     def trial_result(self, now: int, server: int, healthy: bool) -> None:
         """Records another node's trial of a server, which counts for one that is ejected here."""
-        srv = self.servers.get(server)
-        if srv is not None and srv.ejected and not srv.trial_in_flight:
+        target = self.servers.get(server)
+        if target is not None and target.ejected and not target.trial_in_flight:
             if healthy:
-                self.ejection.readmit(srv)
+                self.ejection.readmit(target)
             else:
-                self.ejection.eject(now, srv, srv.silent)
+                self.ejection.eject(now, target, target.silent)
 
     def zone_shares(self, now: int, shares: Mapping[int, float], additional_rtt: Mapping[int, int]) -> None:
         """Sets each zone's share of the requests; members are taken from each of these zones."""
--- a/balancer/policy/ejection.py
+++ b/balancer/policy/ejection.py
@@ -32,74 +32,79 @@
         self.next_trial = 0
         self.failure_rate = 0.0  # of the entire subset, smoothed
 
-    def record(self, now: int, srv: Server, outcome: Outcome) -> None:
+    def record(self, now: int, server: Server, outcome: Outcome) -> None:
         """Records an attempt's outcome, which may eject its server or end its ejection."""
         ok = outcome == Outcome.OK
-        srv.calls += 1
+        server.calls += 1
         failed = 0.0 if ok or outcome in (Outcome.TIMEOUT, Outcome.REJECTED) else 1.0
-        srv.failure_rate += SMOOTH * (failed - srv.failure_rate)
+        server.failure_rate += SMOOTH * (failed - server.failure_rate)
         self.failure_rate += SMOOTH_ALL * (failed - self.failure_rate)
         if ok:
-            srv.consecutive_failures = 0
-            if srv.ejected and (srv.trial_in_flight or srv.silent):
-                self.readmit(srv, healthy=True)
+            server.consecutive_failures = 0
+            if server.ejected and (server.trial_in_flight or server.silent):
+                self.readmit(server, healthy=True)
         elif failed:
-            srv.consecutive_failures += 1
-            if srv.ejected:
-                if srv.trial_in_flight:
-                    self.eject(now, srv, silent=False)
-            elif (srv.consecutive_failures >= MIN_FAILURES and srv.failure_rate > self.failure_rate * 2) or (
-                srv.calls >= MIN_FAILURES and srv.failure_rate > MIN_EXCESS_FAILURE_RATE + self.failure_rate
+            server.consecutive_failures += 1
+            if server.ejected:
+                if server.trial_in_flight:
+                    self.eject(now, server, silent=False)
+            elif (
+                server.consecutive_failures >= MIN_FAILURES and server.failure_rate > self.failure_rate * 2
+            ) or (
+                server.calls >= MIN_FAILURES
+                and server.failure_rate > MIN_EXCESS_FAILURE_RATE + self.failure_rate
             ):
                 # Failure prevented: a member that fails quickly has little in flight and is picked often.
-                self.eject(now, srv, silent=False)
-        elif srv.trial_in_flight:
-            self.eject(now, srv, silent=srv.silent)
-        srv.trial_in_flight = False
+                self.eject(now, server, silent=False)
+        elif server.trial_in_flight:
+            self.eject(now, server, silent=server.silent)
+        server.trial_in_flight = False
 
-    def eject(self, now: int, srv: Server, silent: bool) -> None:
+    def eject(self, now: int, server: Server, silent: bool) -> None:
         """Ejects a member, or extends its ejection, unless too many members are ejected already."""
         # Failure prevented: a drained server's last requests fail, it is ejected and later gets a trial.
-        if not srv.member:
+        if not server.member:
             return
-        if not srv.ejected:
+        if not server.ejected:
             if len(self.ejected) + 1 > MAX_EJECTED_SHARE * len(self.subset.members):
                 return
-            srv.ejected = True
-            self.ejected.append(srv)
-            self.actions.log(f"eject server={srv.id} silent={int(silent)} fail_rate={srv.failure_rate:.2f}")
-        srv.silent = silent
-        srv.trial_at = now + int(
-            (BASE_EJECTION_TIME << min(srv.ejections, 4)) * (1 + EJECTION_JITTER * self.rng.random())
+            server.ejected = True
+            self.ejected.append(server)
+            self.actions.log(
+                f"eject server={server.id} silent={int(silent)} fail_rate={server.failure_rate:.2f}"
+            )
+        server.silent = silent
+        server.trial_at = now + int(
+            (BASE_EJECTION_TIME << min(server.ejections, 4)) * (1 + EJECTION_JITTER * self.rng.random())
         )
-        srv.ejections += 1
+        server.ejections += 1
         self.next_trial = min(e.trial_at for e in self.ejected)
-        self.fleet.server_ejected(srv.id, srv.trial_at - now)
+        self.fleet.server_ejected(server.id, server.trial_at - now)
         self.subset.update_available()
 
-    def readmit(self, srv: Server, healthy: bool = False) -> None:
+    def readmit(self, server: Server, healthy: bool = False) -> None:
         """Ends an ejection. `healthy`: because a trial of this instance has shown the server healthy."""
-        srv.ejected = False
-        srv.silent = False
-        srv.failure_rate = self.failure_rate
-        srv.consecutive_failures = 0
-        srv.ejections = max(0, srv.ejections - 1)
-        self.ejected.remove(srv)
+        server.ejected = False
+        server.silent = False
+        server.failure_rate = self.failure_rate
+        server.consecutive_failures = 0
+        server.ejections = max(0, server.ejections - 1)
+        self.ejected.remove(server)
         if self.ejected:
             self.next_trial = min(e.trial_at for e in self.ejected)
-        self.actions.log(f"readmit server={srv.id}")
-        self.fleet.server_readmitted(srv.id, healthy)
+        self.actions.log(f"readmit server={server.id}")
+        self.fleet.server_readmitted(server.id, healthy)
         self.subset.update_available()
 
-    def is_silent(self, now: int, srv: Server) -> bool:
+    def is_silent(self, now: int, server: Server) -> bool:
         """Ejects a member that has attempts in flight and ended none for several mean round-trips.
 
         One request alone may be a long one: it counts only after twice that time.
         """
-        patience = SILENT_FACTOR * max(self.mean_rtt) * (2 if srv.in_flight == 1 else 1)
-        if srv.in_flight and now - srv.last_outcome_at > patience:
-            self.eject(now, srv, silent=True)
-        return srv.ejected
+        patience = SILENT_FACTOR * max(self.mean_rtt) * (2 if server.in_flight == 1 else 1)
+        if server.in_flight and now - server.last_outcome_at > patience:
+            self.eject(now, server, silent=True)
+        return server.ejected
 
     def take_trial(self, now: int, slow_start: SlowStart) -> Server | None:
         """Returns an ejected server whose trial is due, for one request. Some are ejected."""
--- a/balancer/policy/selection.py
+++ b/balancer/policy/selection.py
@@ -15,9 +15,11 @@
 MAX_SKIPS = 10  # so many members may be skipped for being slow
 
 
-def not_attempted(pool: list[Server], r: Request) -> list[Server]:
+def not_attempted(pool: list[Server], request: Request) -> list[Server]:
     """Returns those of the pool that the request has not been sent to; all of them if there is no other."""
-    return [m for m in pool if m not in r.attempted_servers] or pool if r.attempted_servers else pool
+    return (
+        [m for m in pool if m not in request.attempted_servers] or pool if request.attempted_servers else pool
+    )
 
 
 class Selection:
@@ -41,7 +43,7 @@
         self.spillover = spillover
         self.ejection = ejection
 
-    def pick_server(self, now: int, r: Request) -> Server | None:
+    def pick_server(self, now: int, request: Request) -> Server | None:
         """Picks a server for an attempt: the one of two random members with less in flight.
 
         A retry is picked in the same way.
@@ -50,9 +52,9 @@
         for its next attempt too and rejects it again. The source, too, tries again on another host where it
         can.
         """
-        effect = r.effect
-        if r.first_run_on is not None and effect == Effect.IDEMPOTENCY_KEY:
-            return self.pick_in_group(now, r)
+        effect = request.effect
+        if request.first_run_on is not None and effect == Effect.IDEMPOTENCY_KEY:
+            return self.pick_in_group(now, request)
         if self.ejection.ejected and effect != Effect.NOT_IDEMPOTENT:
             trial = self.ejection.take_trial(now, self.slow_start)
             if trial is not None:
@@ -60,17 +62,19 @@
         if self.subset.shares:
             picked = self.rng.choices([*self.subset.shares], [*self.subset.shares.values()])
             # Where a zone is down, a retry there fails too.
-            failed = r.attempted_servers[-1].zone if r.attempted_servers else -1
+            failed = request.attempted_servers[-1].zone if request.attempted_servers else -1
             for zone in sorted([*picked, *self.subset.shares], key=lambda zone: zone == failed):
-                srv = self.pick_of_two(now, r.request_class, not_attempted(self.subset.by_zone[zone], r))
-                if srv is not None:
-                    return srv
+                server = self.pick_of_two(
+                    now, request.request_class, not_attempted(self.subset.by_zone[zone], request)
+                )
+                if server is not None:
+                    return server
             return None
         if self.spillover.zoned and self.subset.local and self.rng.random() >= self.spillover.spill:
-            srv = self.pick_of_two(now, r.request_class, not_attempted(self.subset.local, r))
-            if srv is not None:
-                return srv
-        return self.pick_of_two(now, r.request_class, not_attempted(self.subset.available, r))
+            server = self.pick_of_two(now, request.request_class, not_attempted(self.subset.local, request))
+            if server is not None:
+                return server
+        return self.pick_of_two(now, request.request_class, not_attempted(self.subset.available, request))
 
     def pick_of_two(self, now: int, request_class: int, pool: list[Server]) -> Server | None:
         """Picks the one of two random servers of the pool that has less in flight, in expected time."""
@@ -105,16 +109,16 @@
         """
         while True:
             for _ in range(MAX_SKIPS):
-                srv = pool[int(self.rng.random() * len(pool))]
-                if srv is not other and self.rng.random() * srv.slowness(now, request_class, mean) < 1:
-                    return srv
-            if srv is not other:
-                return srv
+                server = pool[int(self.rng.random() * len(pool))]
+                if server is not other and self.rng.random() * server.slowness(now, request_class, mean) < 1:
+                    return server
+            if server is not other:
+                return server
 
-    def pick_in_group(self, now: int, r: Request) -> Server | None:
+    def pick_in_group(self, now: int, request: Request) -> Server | None:
         """Picks a server that would discard the repeat of a request that may have run."""
-        first = r.first_run_on
-        group = self.settings.classes[r.request_class].group
+        first = request.first_run_on
+        group = self.settings.classes[request.request_class].group
         assert first is not None
         pool = [
             m
@@ -128,4 +132,4 @@
                 or (group == Group.CELL and m.cell == first.cell)
             )
         ]
-        return self.pick_of_two(now, r.request_class, pool)
+        return self.pick_of_two(now, request.request_class, pool)
--- a/balancer/policy/slow_start.py
+++ b/balancer/policy/slow_start.py
@@ -71,7 +71,7 @@
             return min(self.warm_rate, max(multiple * self.served_rate, min(even, peak)))
         return min(max(self.warm_rate, even), MAX_EVEN_SHARES * even, multiple * peak)
 
-    def may_send(self, now: int, srv: Server) -> bool:
+    def may_send(self, now: int, server: Server) -> bool:
         """Whether a server may get a request now, which in slow start costs one of its tokens.
 
         A warming server gets its present share of what a warm member gets of this instance.
@@ -79,15 +79,17 @@
         Failure prevented: all nodes together overload a warming server. A bucket of one request that starts
         empty keeps this instance's part within any window.
         """
-        if srv.slow_start_until <= now:
+        if server.slow_start_until <= now:
             return True
         s = self.settings
         warmth = s.slow_start_share + (1 - s.slow_start_share) * max(
-            0.0, 1 - (srv.slow_start_until - now) / s.slow_start_time
+            0.0, 1 - (server.slow_start_until - now) / s.slow_start_time
         )
-        srv.tokens = min(1.0, srv.tokens + self.fair_rate(now) * warmth * (now - srv.tokens_at) / 1e6)
-        srv.tokens_at = now
-        if srv.tokens < 1:
+        server.tokens = min(
+            1.0, server.tokens + self.fair_rate(now) * warmth * (now - server.tokens_at) / 1e6
+        )
+        server.tokens_at = now
+        if server.tokens < 1:
             return False
-        srv.tokens -= 1
+        server.tokens -= 1
         return True
--- a/balancer/policy/subset.py
+++ b/balancer/policy/subset.py
@@ -59,15 +59,15 @@
         n = len(servers)
         parts = max(1, n // MIN_SUBSET_SIZE)
         round_number, part = divmod(self.settings.index, parts)
-        servers.sort(key=lambda srv: (mix(srv.id, round_number), srv.id))
+        servers.sort(key=lambda server: (mix(server.id, round_number), server.id))
         kinds: dict[int, list[Server]] = {}
-        for srv in servers:
-            kinds.setdefault(srv.kind_id, []).append(srv)
+        for server in servers:
+            kinds.setdefault(server.kind_id, []).append(server)
         positions = []
         for kind, alike in sorted(kinds.items()):
             shift = mix(kind, round_number) / 2**64
-            positions += [((i + shift) / len(alike), srv.id, srv) for i, srv in enumerate(alike)]
-        order = [srv for _, _, srv in sorted(positions, key=lambda position: position[:2])]
+            positions += [((i + shift) / len(alike), server.id, server) for i, server in enumerate(alike)]
+        order = [server for _, _, server in sorted(positions, key=lambda position: position[:2])]
         start, end = part * n // parts, (part + 1) * n // parts
         return [order[i % n] for i in range(start, min(max(end, start + self.size), start + n))]
 
@@ -78,19 +78,19 @@
         next ones go by another shuffle. So each server belongs to equally many instances, without a message,
         a new server gets its part as soon as it is listed, and a change of the list moves few members.
         """
-        listed = [srv for srv in self.servers.values() if srv.in_list]
+        listed = [server for server in self.servers.values() if server.in_list]
         self.size = self.wanted_size()
-        for srv in self.members:
-            srv.member = False
+        for server in self.members:
+            server.member = False
         self.members = []
         if self.zoned or self.shares:
             # Failure prevented: a subset over all zones has one member or none where requests should stay.
-            for zone in sorted({srv.zone for srv in listed}):
-                self.members += self.slice([srv for srv in listed if srv.zone == zone])
+            for zone in sorted({server.zone for server in listed}):
+                self.members += self.slice([server for server in listed if server.zone == zone])
         else:
             self.members = self.slice(listed)
-        for srv in self.members:
-            srv.member = True
+        for server in self.members:
+            server.member = True
 
     def update_available(self) -> None:
         """Sorts the members into those that may be picked, by zone, and those that are ejected."""
--- a/workbench/simulator/fleet.py
+++ b/workbench/simulator/fleet.py
@@ -82,9 +82,9 @@
         self.finish = self.lifecycle.finish
         self.lifecycle.finish = self.count_rejected  # type: ignore[method-assign]
 
-    def count_readmitted(self, srv: Server, healthy: bool = False) -> None:
+    def count_readmitted(self, server: Server, healthy: bool = False) -> None:
         self.notes.readmitted.append(self.clock.now)
-        self.readmit(srv, healthy)
+        self.readmit(server, healthy)
 
     def server_list(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
         super().server_list(now, kind, entries)
