--- a/tests/slow_start.py
+++ b/tests/slow_start.py
@@ -1,4 +1,4 @@
-"""A fleet of copies of the module before servers that start cold, on a clock that a test feeds."""
+"""A fleet of instances of the module before servers that start cold, on a clock that a test feeds."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 
 SEC = 1_000_000
 START = 1_000 * SEC
-RESTART_AT = START + 12 * SEC  # by then the copies know what a warm server gets
+RESTART_AT = START + 12 * SEC  # by then the instances know what a warm server gets
 END = START + 30 * SEC
 MAX_QUEUE_TIME = 400_000  # a server turns away what would wait for longer
 REJECT_TIME = 2_000
 ROUND_TRIP = 60_000
-TRAFFIC_SKEW = 3.0  # standard deviation of the copies' shares of the traffic, as a factor
-IDLE_REQUESTS, IDLE_TIME = 15, 4 * SEC  # with no attempt in between a copy counts as idle
-NOTIFY_SPREAD = 400_000  # between the first copy that is notified of a start and the last
+TRAFFIC_SKEW = 3.0  # standard deviation of the instances' shares of the traffic, as a factor
+IDLE_REQUESTS, IDLE_TIME = 15, 4 * SEC  # with no attempt in between an instance counts as idle
+NOTIFY_SPREAD = 400_000  # between the first instance that is notified of a start and the last
 
 
 @dataclass(frozen=True)
 class Workload:
     """The traffic and the cold starts of one run. Loads are relative to the capacity of all servers, warm."""
 
-    copies: int
+    instances: int
     servers: int
     restarted: int  # of the servers, all at once
     new: int  # new and cold, at the same time
-    rate: float  # requests a second that a copy gets on average
+    rate: float  # requests a second that an instance gets on average
     load: float
     burst_factor: float  # the load is multiplied by this from the moment of the cold starts on
     warm_servers_hang: bool = False  # from then on the servers that are warm take requests and answer none
@@ -45,18 +45,18 @@
     @property
     def capacity(self) -> float:
         """Requests a second that a warm server can do."""
-        return self.copies * self.rate / (self.load * self.servers)
+        return self.instances * self.rate / (self.load * self.servers)
 
 
-class CopyActions:
-    """One copy's actions: attempts go to the fleet's servers, all else goes nowhere."""
+class InstanceActions:
+    """One instance's actions: attempts go to the fleet's servers, all else goes nowhere."""
 
-    def __init__(self, fleet: Fleet, copy: int) -> None:
+    def __init__(self, fleet: Fleet, instance: int) -> None:
         self.fleet = fleet
-        self.copy = copy
+        self.instance = instance
 
     def send(self, request: int, server: int, timeout: int) -> None:
-        self.fleet.send(self.copy, request, server, timeout)
+        self.fleet.send(self.instance, request, server, timeout)
 
     def __getattr__(self, name: str) -> Any:
         return lambda *args: None
@@ -74,7 +74,7 @@
         self.rng = Random(seed)
         self.settings = Settings(
             classes=(SAFE,),
-            instances=workload.copies,
+            instances=workload.instances,
             max_attempts=4,
             slow_start_time=workload.slow_start_time,
             slow_start_share=workload.slow_start_share,
@@ -90,15 +90,15 @@
         self.known = names[: workload.servers]
         self.cold = {*names[: workload.restarted], *names[workload.servers :]}
         self.arrivals: dict[int, list[tuple[int, bool]]] = {server: [] for server in self.cold}
-        self.notified: set[int] = set()  # copies that know of the cold starts
-        self.last_sent = [START] * workload.copies
-        self.refused_in_row = [0] * workload.copies  # requests since then
-        self.idle_copies: set[int] = set()  # copies that refused everything for IDLE_TIME
-        shares = [exp(self.rng.gauss(0, log(TRAFFIC_SKEW) / 2)) for _ in range(workload.copies)]
-        self.rates = [workload.copies * workload.rate * share / sum(shares) for share in shares]
-        self.copies = [
-            Balancer(replace(self.settings, index=i), seed * workload.copies + i, CopyActions(self, i))
-            for i in range(workload.copies)
+        self.notified: set[int] = set()  # instances that know of the cold starts
+        self.last_sent = [START] * workload.instances
+        self.rejected_in_row = [0] * workload.instances  # requests since then
+        self.idle_instances: set[int] = set()  # instances that rejected everything for IDLE_TIME
+        shares = [exp(self.rng.gauss(0, log(TRAFFIC_SKEW) / 2)) for _ in range(workload.instances)]
+        self.rates = [workload.instances * workload.rate * share / sum(shares) for share in shares]
+        self.instances = [
+            Balancer(replace(self.settings, index=i), seed * workload.instances + i, InstanceActions(self, i))
+            for i in range(workload.instances)
         ]
 
     def schedule(self, when: int, event: Any, *args: Any) -> None:
@@ -106,32 +106,35 @@
         heappush(self.events, (when, self.number, event, args))
 
     def run(self) -> None:
-        for i, copy in enumerate(self.copies):
-            copy.start(self.now)
-            copy.server_list(self.now, ListKind.CACHED, [ServerEntry(server) for server in self.known])
+        for i, instance in enumerate(self.instances):
+            instance.start(self.now)
+            instance.server_list(self.now, ListKind.CACHED, [ServerEntry(server) for server in self.known])
             self.schedule(self.now + self.next_arrival(i), self.arrive, i)
             self.schedule(RESTART_AT + int(self.rng.random() * NOTIFY_SPREAD), self.notify, i)
         while self.events[0][0] < END:
             self.now, _, event, args = heappop(self.events)
             event(*args)
 
-    def next_arrival(self, copy: int) -> int:
-        """Until a copy's next request."""
+    def next_arrival(self, instance: int) -> int:
+        """Until an instance's next request."""
         burst_factor = self.workload.burst_factor if self.now >= RESTART_AT else 1.0
-        return int(self.rng.expovariate(self.rates[copy] * burst_factor) * SEC)
+        return int(self.rng.expovariate(self.rates[instance] * burst_factor) * SEC)
 
-    def arrive(self, copy: int) -> None:
+    def arrive(self, instance: int) -> None:
         self.number += 1
-        self.refused_in_row[copy] += 1
-        if self.refused_in_row[copy] >= IDLE_REQUESTS and self.now - self.last_sent[copy] >= IDLE_TIME:
-            self.idle_copies.add(copy)
-        self.copies[copy].request(self.now, self.number, 0, 0, 3 * SEC, False)
-        self.schedule(self.now + self.next_arrival(copy), self.arrive, copy)
-
-    def notify(self, copy: int) -> None:
-        self.notified.add(copy)
+        self.rejected_in_row[instance] += 1
+        if (
+            self.rejected_in_row[instance] >= IDLE_REQUESTS
+            and self.now - self.last_sent[instance] >= IDLE_TIME
+        ):
+            self.idle_instances.add(instance)
+        self.instances[instance].request(self.now, self.number, 0, 0, 3 * SEC, False)
+        self.schedule(self.now + self.next_arrival(instance), self.arrive, instance)
+
+    def notify(self, instance: int) -> None:
+        self.notified.add(instance)
         entries = [ServerEntry(server, ready_at=RESTART_AT) for server in sorted(self.cold)]
-        self.copies[copy].server_list(self.now, ListKind.CHANGES, entries)
+        self.instances[instance].server_list(self.now, ListKind.CHANGES, entries)
 
     def capacity(self, server: int, now: int) -> float:
         """Requests a second that a server can do now: it warms evenly."""
@@ -141,12 +144,12 @@
         warmth = s.slow_start_share + (1 - s.slow_start_share) * (now - RESTART_AT) / s.slow_start_time
         return self.workload.capacity * min(1.0, warmth)
 
-    def send(self, copy: int, request: int, server: int, timeout: int) -> None:
-        """An attempt: it waits for those before it, is turned away, or runs out of time."""
-        self.last_sent[copy], self.refused_in_row[copy] = self.now, 0
+    def send(self, instance: int, request: int, server: int, timeout: int) -> None:
+        """An attempt: it waits for those before it, is rejected, or runs out of time."""
+        self.last_sent[instance], self.rejected_in_row[instance] = self.now, 0
         attempt = self.attempts[request] = self.attempts.get(request, -1) + 1
         if server in self.cold and self.now >= RESTART_AT:
-            self.arrivals[server].append((self.now, copy in self.notified))
+            self.arrivals[server].append((self.now, instance in self.notified))
         wait = max(0, self.busy_until.get(server, 0) - self.now)
         outcome, latency = Outcome.REJECTED, REJECT_TIME
         if wait <= MAX_QUEUE_TIME:
@@ -155,7 +158,7 @@
             outcome, latency = Outcome.OK, wait + work + ROUND_TRIP
         if latency > timeout or self.hangs(server):
             outcome, latency = Outcome.TIMEOUT, timeout
-        self.schedule(self.now + latency, self.finish, copy, request, attempt, server, outcome, latency)
+        self.schedule(self.now + latency, self.finish, instance, request, attempt, server, outcome, latency)
 
     def hangs(self, server: int) -> bool:
         """Whether the server takes requests and answers none."""
@@ -163,15 +166,15 @@
         return self.workload.warm_servers_hang and warm and self.now >= RESTART_AT
 
     def finish(
-        self, copy: int, request: int, attempt: int, server: int, outcome: Outcome, latency: int
+        self, instance: int, request: int, attempt: int, server: int, outcome: Outcome, latency: int
     ) -> None:
         final = outcome == Outcome.OK
-        self.copies[copy].outcome(self.now, request, attempt, server, outcome, latency, final, ())
+        self.instances[instance].outcome(self.now, request, attempt, server, outcome, latency, final, ())
 
     def largest_excess(self) -> float:
         """The largest number of requests in a window beyond its budget of N and 2 x root of N + 2.
 
-        A window counts if it ends before the slow start does, and over two thirds of it came from copies
+        A window counts if it ends before the slow start does, and over two thirds of it came from instances
         that had been notified of the start.
         """
         largest = -1e9
--- a/tests/support.py
+++ b/tests/support.py
@@ -60,10 +60,15 @@
 
 
 def ask(
-    node: Balancer, recorder: Recorder, now: int, request: int, klass: int = 0, left: int = 3 * SEC
+    node: Balancer,
+    recorder: Recorder,
+    now: int,
+    request: int,
+    request_class: int = 0,
+    remaining: int = 3 * SEC,
 ) -> tuple:
     """Sends a request in and returns the one action it leads to."""
-    node.request(now, request, klass, 0, left, False)
+    node.request(now, request, request_class, 0, remaining, False)
     (action,) = recorder.take("send", "reject", "fail")
     return action
 
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -59,15 +59,15 @@
     assert controller(members=1).allowed() == CALLS_PER_MEMBER
 
 
-def test_a_copy_started_into_full_traffic_refuses_little_during_its_pass():
-    """A box of an upper tier holds calls that wait below: at three a box, 40% were refused for three seconds.
+def test_an_instance_started_into_full_traffic_rejects_little_in_its_recalculation():
+    """A server of an upper tier holds calls that wait below: at three each, 40% were rejected for 3 seconds.
 
-    Two copies on four boxes, 20 calls a second each, round-trips of 700 ms: 14 in flight without a limit.
+    Two instances on four servers, 20 calls a second each, 700 ms a round-trip: 14 in flight without a limit.
     """
     c = controller(allowance=1_250_000, members=4)
     c.resize(4, 2)
     ends: list[int] = []
-    refused = 0
+    rejected = 0
     for now in range(1_000_000, 3_000_000, 50_000):
         while ends and ends[0] <= now:
             c.record_in_flight(ends[0], -1)
@@ -76,8 +76,8 @@
             c.record_in_flight(now, 1)
             ends.append(now + 700_000)
         else:
-            refused += 1
-    assert c.recalculating and refused <= 2
+            rejected += 1
+    assert c.recalculating and rejected <= 2
 
 
 def test_pass_sets_min_rtt_to_the_p90_of_its_calls():
@@ -127,19 +127,19 @@
     assert c.limit == pytest.approx(2 * 20 + MIN_LIMIT)
 
 
-@pytest.mark.parametrize("copies", [7, 40])
-def test_the_limits_of_many_copies_do_not_add_up_to_a_crowd(copies):
+@pytest.mark.parametrize("instances", [7, 40])
+def test_the_limits_of_many_instances_do_not_add_up_to_overload(instances):
     """Failure prevented: latency is good for some seconds, and then forty calls a server are let in."""
-    fleet = [controller(1000 * WINDOW, members=10) for _ in range(copies)]
-    usual = 120 / copies  # calls in flight that each carries: twelve a server, all together
+    fleet = [controller(1000 * WINDOW, members=10) for _ in range(instances)]
+    usual = 120 / instances  # calls in flight that each carries: twelve a server, all together
     for c in fleet:
-        c.resize(10, copies)
+        c.resize(10, instances)
         run_recalculation(c, WINDOW, 1000)
         c.in_flight = int(usual)
         for window in range(40):
             fill(c, WINDOW, start=c.min_rtt_until + window * WINDOW)
     together = sum(c.limit for c in fleet)
-    assert 120 < together < 1 + max(10 * CALLS_PER_MEMBER * sqrt(copies), 2 * 120 + MIN_LIMIT * copies)
+    assert 120 < together < 1 + max(10 * CALLS_PER_MEMBER * sqrt(instances), 2 * 120 + MIN_LIMIT * instances)
     alone = controller(1000 * WINDOW, members=10)
     run_recalculation(alone, WINDOW, 1000)
     for window in range(40):
@@ -147,8 +147,8 @@
     assert alone.limit == 10 * CALLS_PER_MEMBER
 
 
-def test_copies_that_share_servers_share_floor_and_headroom():
-    """A floor of three calls a copy lets hundreds of copies keep every server crowded."""
+def test_instances_that_share_servers_share_floor_and_headroom():
+    """A floor of three calls an instance lets hundreds of instances keep every server overloaded."""
     c = after_recalculation(limit=4.0)
     c.resize(4, 36.0)
     assert c.floor == pytest.approx(4 * MIN_LIMIT / 36) and c.headroom() == pytest.approx(2 / 6)
@@ -156,8 +156,8 @@
     assert c.min_rtt_limit == 4 * CALLS_PER_MEMBER / 3
 
 
-def test_a_copy_that_carries_many_calls_shares_less():
-    """Some busy copies on one fleet each feel the crowding; a shared headroom let them grow too slowly."""
+def test_an_instance_that_carries_many_requests_shares_less():
+    """Some busy instances on one fleet each feel the overload; a shared headroom let them grow too slowly."""
     c = after_recalculation(limit=16.0, usual_in_flight=8.0)
     c.resize(4, 9.0)
     assert c.instances_per_server == 1 and c.headroom() == 4.0 and c.min_rtt_limit == 4 * CALLS_PER_MEMBER
@@ -203,7 +203,7 @@
     assert c.limit == pytest.approx(36 + (24 - 36) * 2 / 8)
 
 
-def test_five_windows_at_the_floor_start_a_pass():
+def test_five_windows_at_the_floor_start_a_recalculation():
     c = after_recalculation(limit=6.0, in_flight=3)
     start = 1000
     for _ in range(20):
@@ -215,7 +215,7 @@
 
 
 def test_windows_held_up_by_the_usual_calls_start_no_recalculation():
-    """Any overload brings the limit down to the usual calls; a new start each few seconds closes the copy."""
+    """Any overload brings the limit down to the usual calls; recalculations follow one another."""
     c = after_recalculation(limit=50.0, in_flight=40, usual_in_flight=40.0)
     for i in range(20):
         fill(c, 1_000_000, 1000 + i * WINDOW)
@@ -268,7 +268,7 @@
 
 
 def test_after_a_start_usual_follows_within_two_round_trips_until_a_window_above_target():
-    """A copy started into full traffic would refuse half of it for seconds."""
+    """An instance started into full traffic would reject half of it for seconds."""
     c = after_recalculation(allowance=200_000, limit=100.0, in_flight=80)
     fill(c, 100_000)  # a window of 100 ms against round-trips of 100 ms: half the way
     assert c.usual_in_flight == pytest.approx(40.0)
@@ -286,7 +286,7 @@
 
 @pytest.mark.parametrize(("lost", "usual"), [(0.0, 40.0), (0.2, 40 * (1 - 1 / 120))])
 def test_usual_is_given_up_only_while_calls_are_lost(lost, usual):
-    """Servers that slow down when crowded need rest; if calls are only late, a lower limit helps nobody."""
+    """Overloaded servers that slow down need rest; if calls are only late, a lower limit helps nobody."""
     c = after_recalculation(limit=40.0, in_flight=39, usual_in_flight=40.0, loss_rate=lost)
     fill(c, 1_000_000)
     assert c.usual_in_flight == pytest.approx(usual)
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize(
-    ("klass", "outcome", "answer"),
+    ("request_class", "outcome", "answer"),
     [
         (0, Outcome.TIMEOUT, "send"),
         (0, Outcome.REJECTED, "send"),
@@ -98,18 +98,18 @@
         (2, Outcome.TIMEOUT, "fail"),
     ],
 )
-def test_baselines_repeat_only_what_may_be_repeated(klass, outcome, answer):
+def test_baselines_repeat_only_what_may_be_repeated(request_class, outcome, answer):
     recorder = Recorder()
     node = RandomChoice(BASE, 1, recorder)
     node.server_list(
         0, ListKind.FULL, [ServerEntry(1, cell=1), ServerEntry(2, cell=1), ServerEntry(3, cell=2)]
     )
-    node.server_list(0, ListKind.CHANGES, [ServerEntry(3, State.GONE)] if klass != 1 else [])
-    node.request(0, 7, klass, 0, 3 * SEC, False)
+    node.server_list(0, ListKind.CHANGES, [ServerEntry(3, State.GONE)] if request_class != 1 else [])
+    node.request(0, 7, request_class, 0, 3 * SEC, False)
     ((_, _, first, _),) = recorder.take("send")
     node.outcome(1000, 7, 0, first, outcome, 1000, False, ())
     (call,) = recorder.take("send", "fail", "reject")
-    if klass == 1 and outcome == Outcome.TIMEOUT and first == 3:
+    if request_class == 1 and outcome == Outcome.TIMEOUT and first == 3:
         assert call[:3] == ("send", 7, 3)
         return
     assert call[0] == answer and (answer != "send" or call[2] != first)
@@ -222,16 +222,16 @@
 from balancer.policy.interface import Settings
 class Balancer:
     def __init__(self, settings, seed, actions):
-        self.settings, self.actions, self.left = settings, actions, []
+        self.settings, self.actions, self.notified = settings, actions, []
     def request(self, now, request, *rest):
         self.actions.refuse(request, 5)
         self.actions.probe(7)
         self.actions.tell(1, b"x")
         self.actions.send(request, 2, 3)
     def client_left(self, now, request):
-        self.left.append(request)
+        self.notified.append(request)
     def probed(self, now, server, ok, latency, report):
-        self.left.append(server)
+        self.notified.append(server)
 """
 
 
@@ -255,6 +255,6 @@
     ]
     policy.client_disconnected(0, 1)
     policy.health_checked(0, 2, True, 5, ())
-    assert policy.left == [1, 2]
+    assert policy.notified == [1, 2]
     with pytest.raises(AttributeError):
         policy.zone_shares(0, {}, {})  # this one has no such event
--- a/tests/test_policy_balancer.py
+++ b/tests/test_policy_balancer.py
@@ -17,7 +17,7 @@
 MAY_HAVE_RUN = [o for o in Outcome if o not in NEVER_RAN and o != Outcome.OK]
 
 
-def test_refused_at_the_limit_at_once_with_back_off():
+def test_rejected_at_the_limit_at_once_with_retry_after():
     node, rec = balancer(1)
     limit = int(node.controller.allowed())
     answers = [ask(node, rec, 0, i)[0] for i in range(limit + 1)]
@@ -29,10 +29,10 @@
 
 
 @pytest.mark.parametrize("outcome", sorted(NEVER_RAN))
-@pytest.mark.parametrize("klass", [0, 1, 2])
-def test_an_attempt_that_never_ran_goes_to_another_try(outcome, klass):
+@pytest.mark.parametrize("request_class", [0, 1, 2])
+def test_an_attempt_that_never_ran_is_retried(outcome, request_class):
     node, rec = balancer()
-    _, _, server, _ = ask(node, rec, 0, 1, klass)
+    _, _, server, _ = ask(node, rec, 0, 1, request_class)
     ((action, *_),) = end(node, rec, 1000, 1, 0, server, outcome)
     assert action == "send"
 
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
-def test_safe_is_tried_again_then_refused_at_the_attempt_cap(outcome):
+def test_an_idempotent_request_is_retried_then_rejected_at_the_attempt_cap(outcome):
     node, rec = balancer(max_attempts=2)
     _, _, server, _ = ask(node, rec, 0, 1, 0)
     ((action, _, other, _),) = end(node, rec, 1000, 1, 0, server, outcome)
@@ -69,31 +69,31 @@
 
 
 def test_time_out_at_the_deadline_gets_the_final_answer():
-    for klass, answer in ((0, "reject"), (1, "fail"), (2, "fail")):
+    for request_class, answer in ((0, "reject"), (1, "fail"), (2, "fail")):
         node, rec = balancer(max_attempts=1)
-        _, _, server, timeout = ask(node, rec, 0, 1, klass)
+        _, _, server, timeout = ask(node, rec, 0, 1, request_class)
         assert timeout == 3 * SEC
         ((action, *_),) = end(node, rec, timeout, 1, 0, server, Outcome.TIMEOUT, timeout)
         assert action == answer
         assert not node.lifecycle.requests
 
 
-def test_many_copies_do_not_cut_the_calls_of_a_crowded_member():
-    """Failure prevented: all copies cut what is half done at a crowd's pace, and its work is done anew."""
+def test_many_instances_do_not_abort_the_attempts_of_an_overloaded_member():
+    """Failure prevented: all instances abort what is half done under overload, and its work is done anew."""
     for seed in range(7):
         node, rec = balancer(seed=seed, instances=7)
         node.mean_rtt[:] = [SEC // 4] * 3
-        for klass in (0, 1):
-            _, _, _, timeout = ask(node, rec, 0, klass, klass)
+        for request_class in (0, 1):
+            _, _, _, timeout = ask(node, rec, 0, request_class, request_class)
             assert 1_900_000 < timeout < 3 * SEC  # an answer after seven mean round-trips is still taken
 
 
 def test_an_answer_that_never_comes_leaves_time_for_another_attempt():
     """Answers that stall on an open connection cost a request its whole time, and then it is failed."""
-    for klass in (0, 1):
+    for request_class in (0, 1):
         node, rec = balancer()
         node.mean_rtt[:] = [SEC // 10] * 3
-        _, _, first, timeout = ask(node, rec, 0, 1, klass)
+        _, _, first, timeout = ask(node, rec, 0, 1, request_class)
         assert timeout == 3 * SEC // 2
         ((_, _, second, rest),) = end(node, rec, timeout, 1, 0, first, Outcome.TIMEOUT, timeout)
         assert second != first and rest == 3 * SEC - timeout
@@ -111,15 +111,15 @@
 
 def test_a_class_without_late_worth_is_not_waited_for_beyond_its_aim():
     """Late work is waste."""
-    klass = ClassSettings(Effect.IDEMPOTENT, latency_objective=SEC, deadline=3 * SEC, worth=1)
-    node, rec = balancer(classes=(klass,))
+    request_class = ClassSettings(Effect.IDEMPOTENT, latency_objective=SEC, deadline=3 * SEC, worth=1)
+    node, rec = balancer(classes=(request_class,))
     assert ask(node, rec, 0, 1)[3] < SEC
 
 
 def test_no_eligible_server_is_an_answer_at_once():
-    for klass in (0, 1, 2):
+    for request_class in (0, 1, 2):
         node, rec = balancer(0)
-        assert ask(node, rec, 0, 1, klass)[0] == "reject"
+        assert ask(node, rec, 0, 1, request_class)[0] == "reject"
 
 
 def test_nothing_new_goes_to_a_draining_or_gone_server():
@@ -146,7 +146,7 @@
     assert len(node.subset.members) == 2
 
 
-def test_lower_tier_holds_at_the_limit_instead_of_refusing():
+def test_lower_tier_queues_at_the_limit_instead_of_rejecting():
     """A refusal below the first tier throws away the work already done above."""
     node, rec = balancer(1, tier=1, tiers=2)
     sent = []
@@ -273,7 +273,7 @@
 def test_an_unknown_class_gets_no_right_to_a_repeat():
     """It was treated as the last class of the settings, whatever that one may."""
     node, rec = balancer(classes=(UNSAFE, SAFE))
-    server = ask(node, rec, 0, 1, klass=9)[2]
+    server = ask(node, rec, 0, 1, request_class=9)[2]
     assert [a[0] for a in end(node, rec, 10_000, 1, 0, server, Outcome.ERROR)] == ["fail"]
 
 
--- a/tests/test_policy_ejection.py
+++ b/tests/test_policy_ejection.py
@@ -80,8 +80,8 @@
 def test_a_trial_costs_the_request_little_and_is_never_an_unsafe_one():
     node, rec = balancer(4)
     node.ejection.eject(0, node.servers[1], silent=True)
-    assert ask(node, rec, 5 * SEC, 1, klass=2)[2] != 1
-    action = ask(node, rec, 5 * SEC, 2, klass=0, left=3 * SEC)
+    assert ask(node, rec, 5 * SEC, 1, request_class=2)[2] != 1
+    action = ask(node, rec, 5 * SEC, 2, request_class=0, remaining=3 * SEC)
     assert action[2] == 1 and action[3] < 3 * SEC
 
 
--- a/tests/test_policy_load_shedding.py
+++ b/tests/test_policy_load_shedding.py
@@ -24,13 +24,13 @@
 
 
 def test_a_tenant_far_beyond_its_share_is_shed_while_the_fleet_is_pressed():
-    """One tenant's excess takes the servers from the others, and no copy's limit ever binds."""
+    """One tenant's excess takes the servers from the others, and no instance's limit ever binds."""
     greedy, *others = tenants_served(1.0, (3, 1, 1))
     assert greedy < 0.45 and min(others) > 0.95
     assert min(tenants_served(0.0, (3, 1, 1))) > 0.95
 
 
-def test_a_copy_with_much_more_than_its_part_of_the_traffic_sheds_no_tenant_for_it():
+def test_an_instance_with_much_more_than_its_share_of_the_traffic_sheds_no_tenant_for_it():
     """The quotas' equal parts say that all tenants of a node in favour are in excess."""
     assert min(tenants_served(1.0, (9, 10, 9))) > 0.85
 
--- a/tests/test_policy_selection.py
+++ b/tests/test_policy_selection.py
@@ -24,10 +24,10 @@
     assert end(node, rec, 1000, 1, 0, server, Outcome.REJECTED)[0][2] == server
 
 
-def test_keyed_repeats_stay_in_the_group_and_window():
+def test_retries_with_an_idempotency_key_stay_in_the_group_and_window():
     for group, field in ((Group.CELL, "cell"), (Group.ZONE, "zone")):
         entries = [ServerEntry(i + 1, **{field: i % 2}) for i in range(8)]
-        klass = ClassSettings(
+        request_class = ClassSettings(
             Effect.IDEMPOTENCY_KEY,
             latency_objective=SEC,
             deadline=9 * SEC,
@@ -37,20 +37,20 @@
             window=SEC,
         )
         for seed in range(10):
-            node, rec = balancer(entries, seed=seed, classes=(klass,))
+            node, rec = balancer(entries, seed=seed, classes=(request_class,))
             _, _, server, _ = ask(node, rec, 0, 1)
             ((action, _, other, _),) = end(node, rec, 1000, 1, 0, server, Outcome.ERROR)
             assert action == "send" and other % 2 == server % 2 and other != server
             assert end(node, rec, SEC + 1, 1, 1, other, Outcome.ERROR) == [("fail", 1)]
 
 
-def test_keyed_is_failed_when_its_group_has_no_other_server():
+def test_a_request_with_an_idempotency_key_fails_when_its_group_has_no_other_server():
     node, rec = balancer([ServerEntry(1, cell=1), ServerEntry(2, cell=2)])
     _, _, server, _ = ask(node, rec, 0, 1, 1)
     assert end(node, rec, 1000, 1, 0, server, Outcome.RESET) == [("fail", 1)]
 
 
-def test_a_member_that_has_just_turned_slow_loses_draws_before_its_calls_return():
+def test_a_member_that_has_just_slowed_down_loses_picks_before_its_attempts_end():
     """Its averages still look good: what tells is that its calls have been out for longer than the mean."""
     node, rec = balancer(2)
     slow, quick = node.subset.members
@@ -61,7 +61,7 @@
 
 
 def test_a_slow_member_is_drawn_less_often():
-    """Equal calls in flight hide a slow machine where a copy has hardly any in flight."""
+    """Equal calls in flight hide a slow machine where an instance has hardly any in flight."""
     node, rec = balancer(4)
     now, hits = 0, 0
     for i in range(400):
@@ -84,15 +84,15 @@
     node, rec = balancer(4)
     hits = [0, 0]
     for i in range(600):
-        now, klass = i * 10_000, i % 2
-        _, _, server, _ = ask(node, rec, now, i, klass)
-        if server == 1 and klass == 1:
+        now, request_class = i * 10_000, i % 2
+        _, _, server, _ = ask(node, rec, now, i, request_class)
+        if server == 1 and request_class == 1:
             for action in end(node, rec, now + 100, i, 0, 1, Outcome.REJECTED):
                 if action[0] == "send":
                     end(node, rec, now + 5_000, i, 1, action[2], Outcome.OK, 250_000)
         else:
             end(node, rec, now + 5_000, i, 0, server, Outcome.OK, 250_000)
-        hits[klass] += server == 1 and i >= 100
+        hits[request_class] += server == 1 and i >= 100
     assert hits[1] < 15 and hits[0] > 45  # of 250 each; an equal part is 62
 
 
@@ -105,7 +105,7 @@
 
 @pytest.mark.usefixtures("wide")
 def test_a_server_is_known_by_its_kind_before_it_is_called():
-    """At a call a second a copy would take a minute to find out each slow machine by itself."""
+    """At a call a second an instance would take a minute to find out each slow machine by itself."""
     node, rec = balancer([ServerEntry(i + 1, kind=i % 2) for i in range(8)])
     now = 0
     for i in range(60):
@@ -116,7 +116,7 @@
     assert node.servers[10].load(now, 0, 1e6) > 1.5 * node.servers[9].load(now, 0, 1e6)
 
 
-def test_a_keyed_repeat_finds_its_group_beyond_the_subset():
+def test_a_retry_with_an_idempotency_key_finds_its_group_beyond_the_subset():
     entries = [ServerEntry(i + 1, cell=i % 30) for i in range(60)]
     node, rec = balancer(entries, instances=50)
     first = ask(node, rec, 0, 1, 1)[2]
@@ -126,7 +126,7 @@
 
 @pytest.mark.usefixtures("wide")
 def test_slow_members_together_get_little_of_the_traffic():
-    """Of few members two slow ones are drawn together each few calls, which keeps them crowded."""
+    """Of few members two slow ones are drawn together each few calls, which keeps them overloaded."""
     node, rec = balancer(4)
     now, slow = 0, 0
     for i in range(600):
--- a/tests/test_policy_slow_start.py
+++ b/tests/test_policy_slow_start.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    ("seen", "least", "most"), [(0.0, 3, 14), (1000.0, 12, 40)], ids=["fresh", "crowded"]
+    ("seen", "least", "most"), [(0.0, 3, 14), (1000.0, 12, 40)], ids=["fresh", "overloaded"]
 )
 def test_cold_members_alone_take_their_share_of_the_requests(seen, least, most):
     """40 requests a second over 4 cold members, some 12 % warm: 5 a second are their even share.
--- a/tests/test_policy_spillover.py
+++ b/tests/test_policy_spillover.py
@@ -25,7 +25,7 @@
     assert 0.35 < near_share(0.005) < 0.65
 
 
-def test_a_crowded_zone_spills():
+def test_an_overloaded_zone_spills():
     """One zone's servers drown while another's stand idle."""
     entries = [ServerEntry(i + 1, zone=i % 2) for i in range(12)]
     node, rec = balancer(entries, cross_zone_price=0.04)
@@ -34,8 +34,8 @@
         now += 10_000
         server = ask(node, rec, now, i, 2)[2]
         far += i >= 1000 and server % 2 == 0
-        crowded = i >= 500 and server % 2 == 1
-        end(node, rec, now, i, 0, server, Outcome.OK, 800_000 if crowded else 200_000)
+        overloaded = i >= 500 and server % 2 == 1
+        end(node, rec, now, i, 0, server, Outcome.OK, 800_000 if overloaded else 200_000)
     assert node.spillover.spill > 0.5 and far > 300
 
 
--- a/tests/test_policy_subset.py
+++ b/tests/test_policy_subset.py
@@ -1,4 +1,4 @@
-"""The subset: its size, and how copies share the servers."""
+"""The subset: its size, and how instances share the servers."""
 
 from collections import Counter
 
@@ -17,19 +17,19 @@
     assert len(node.subset.members) == size and first not in {m.id for m in node.subset.members}
 
 
-def copies(count: int, servers: int, **changes) -> list[Balancer]:
+def instances(count: int, servers: int, **changes) -> list[Balancer]:
     return [balancer(servers, seed=i, instances=count, index=i, **changes)[0] for i in range(count)]
 
 
-def test_each_server_belongs_to_equally_many_copies():
-    """Subsets drawn apart leave some servers to many copies and some to few."""
-    belongs = Counter(m.id for node in copies(70, 60) for m in node.subset.members)
+def test_each_server_belongs_to_equally_many_instances():
+    """Subsets drawn apart leave some servers to many instances and some to few."""
+    belongs = Counter(m.id for node in instances(70, 60) for m in node.subset.members)
     assert len(belongs) == 60 and max(belongs.values()) - min(belongs.values()) <= 1
 
 
 def test_a_change_of_the_list_moves_few_members_and_new_servers_get_their_part():
     """A full subset that takes in nobody leaves the machines of a grown fleet idle."""
-    nodes = copies(70, 60)
+    nodes = instances(70, 60)
     before = [{m.id for m in node.subset.members} for node in nodes]
     for node in nodes:
         node.server_list(1, ListKind.CHANGES, [ServerEntry(61)])
@@ -49,7 +49,7 @@
     assert small < 12 and len(node.subset.members) == 24
 
 
-def test_the_kinds_lie_evenly_in_every_copy_s_part():
+def test_the_kinds_lie_evenly_in_every_instance_s_slice():
     entries = [ServerEntry(i + 1, kind=i % 4 // 3) for i in range(64)]  # a quarter of kind 1
     for index in range(32):
         node, _ = balancer(entries, instances=32, index=index)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -89,7 +89,7 @@
             self.step(i)
         while self.out or self.open:
             before = len(self.out) + len(self.open) + len(self.timers)
-            assert before, "a request was left without an answer"
+            assert before, "a request got no answer"
             self.advance(SEC)
 
     def list_event(self, kind: ListKind) -> None:
@@ -118,10 +118,15 @@
         rng = self.rng
         roll = rng.random()
         if roll < 0.5:
-            left = rng.choice([SEC // 10, SEC, 4 * SEC])
-            klass = rng.randrange(len(self.s.classes))
-            self.open[i] = {"klass": klass, "until": self.now + left, "attempts": [], "ran": None}
-            self.node.request(self.now, i, klass, rng.randrange(2), left, False)
+            remaining = rng.choice([SEC // 10, SEC, 4 * SEC])
+            request_class = rng.randrange(len(self.s.classes))
+            self.open[i] = {
+                "request_class": request_class,
+                "until": self.now + remaining,
+                "attempts": [],
+                "ran": None,
+            }
+            self.node.request(self.now, i, request_class, rng.randrange(2), remaining, False)
             self.check()
         elif roll < 0.85 and self.out:
             a = self.out.pop(rng.randrange(len(self.out)))
@@ -186,10 +191,10 @@
                 self.closed.add(args[0])
                 assert self.now <= r["until"]
                 if name == "reject":
-                    self.refused(r, *args)
+                    self.rejected(r, *args)
 
-    def refused(self, r: dict, request: int, retry_after: int) -> None:
-        c = self.s.classes[r["klass"]]
+    def rejected(self, r: dict, request: int, retry_after: int) -> None:
+        c = self.s.classes[r["request_class"]]
         assert retry_after == 0 or (self.s.retry_after and retry_after <= self.s.max_retry_after)
         assert (
             r["ran"] is None
@@ -200,7 +205,7 @@
 
     def sent(self, request: int, server: int, timeout: int) -> None:
         r = self.open[request]  # rule 1: nothing is sent after the end
-        c = self.s.classes[r["klass"]]
+        c = self.s.classes[r["request_class"]]
         assert timeout > 0 and self.now + timeout <= r["until"]
         assert len(r["attempts"]) < self.s.max_attempts
         assert not any(a["request"] == request for a in self.out), "two attempts out at once"
@@ -216,7 +221,7 @@
                     assert server % 2 == first["server"] % 2
         ready_at = self.entries[server].ready_at
         if ready_at and self.now < ready_at + self.s.slow_start_time:
-            # Rule 4, from one copy: no more in any window than a warm member has had at the most.
+            # Rule 4, from one instance: no more in any window than a warm member has had at the most.
             sends = self.cold_sends.setdefault(server, [])
             sends.append(self.now)
             recent = [t for t in sends if t > self.now - self.s.fall_time]
@@ -234,28 +239,30 @@
 
 
 def never_answers(monkeypatch):
-    monkeypatch.setattr(RequestLifecycle, "finish", lambda self, r, reject: None)
+    monkeypatch.setattr(RequestLifecycle, "finish", lambda self, request, reject: None)
 
 
 def answers_twice(monkeypatch):
     finish = RequestLifecycle.finish
 
-    def twice(self, r, reject):
-        finish(self, r, reject)
-        self.actions.fail(r.id)
+    def twice(self, request, reject):
+        finish(self, request, reject)
+        self.actions.fail(request.id)
 
     monkeypatch.setattr(RequestLifecycle, "finish", twice)
 
 
 def repeats_anything(monkeypatch):
     monkeypatch.setattr(
-        RequestLifecycle, "after_failure", lambda self, now, r, srv, outcome: self.attempt(now, r)
+        RequestLifecycle,
+        "after_failure",
+        lambda self, now, request, server, outcome: self.attempt(now, request),
     )
 
 
-def refuses_what_may_have_run(monkeypatch):
+def rejects_what_may_have_run(monkeypatch):
     finish = RequestLifecycle.finish
-    monkeypatch.setattr(RequestLifecycle, "finish", lambda self, r, reject: finish(self, r, True))
+    monkeypatch.setattr(RequestLifecycle, "finish", lambda self, request, reject: finish(self, request, True))
 
 
 def repeats_outside_the_group(monkeypatch):
@@ -265,11 +272,11 @@
 
 
 def ignores_drains(monkeypatch):
-    monkeypatch.setattr(ServerList, "remove", lambda self, srv: None)
+    monkeypatch.setattr(ServerList, "remove", lambda self, server: None)
 
 
 def floods_cold_servers(monkeypatch):
-    monkeypatch.setattr(SlowStart, "may_send", lambda self, now, srv: True)
+    monkeypatch.setattr(SlowStart, "may_send", lambda self, now, server: True)
 
 
 @pytest.mark.parametrize(
@@ -278,7 +285,7 @@
         never_answers,
         answers_twice,
         repeats_anything,
-        refuses_what_may_have_run,
+        rejects_what_may_have_run,
         repeats_outside_the_group,
         ignores_drains,
         floods_cold_servers,
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -396,17 +396,23 @@
 # ---- cold servers under the sum of what all processes send ------------------------------------------------
 
 WORKLOADS = {
-    "thin": Workload(copies=30, servers=8, restarted=2, new=0, rate=1, load=0.6, burst_factor=1.5),
+    "thin": Workload(instances=30, servers=8, restarted=2, new=0, rate=1, load=0.6, burst_factor=1.5),
     "three in ten back": Workload(
-        copies=30, servers=10, restarted=3, new=0, rate=10, load=0.9, burst_factor=1.5
+        instances=30, servers=10, restarted=3, new=0, rate=10, load=0.9, burst_factor=1.5
+    ),
+    "as many join": Workload(
+        instances=30, servers=8, restarted=3, new=3, rate=10, load=1.2, burst_factor=1.6
+    ),
+    "half of them": Workload(
+        instances=30, servers=12, restarted=6, new=0, rate=10, load=1.2, burst_factor=1.6
+    ),
+    "most of them": Workload(
+        instances=30, servers=12, restarted=8, new=0, rate=10, load=1.2, burst_factor=1.6
     ),
-    "as many join": Workload(copies=30, servers=8, restarted=3, new=3, rate=10, load=1.2, burst_factor=1.6),
-    "half of them": Workload(copies=30, servers=12, restarted=6, new=0, rate=10, load=1.2, burst_factor=1.6),
-    "most of them": Workload(copies=30, servers=12, restarted=8, new=0, rate=10, load=1.2, burst_factor=1.6),
     "most of them, thin": Workload(
-        copies=20, servers=12, restarted=8, new=0, rate=3, load=1.2, burst_factor=1.6
+        instances=20, servers=12, restarted=8, new=0, rate=3, load=1.2, burst_factor=1.6
     ),
-    "all of them": Workload(copies=30, servers=8, restarted=8, new=0, rate=10, load=0.9, burst_factor=1.5),
+    "all of them": Workload(instances=30, servers=8, restarted=8, new=0, rate=10, load=0.9, burst_factor=1.5),
 }
 
 
@@ -419,7 +425,7 @@
     assert fleet.largest_excess() <= 0
     assert all(fleet.arrivals.values())  # it ramps up all the same
     if 2 * workload.restarted <= workload.servers:  # as on the days on which idle processes count
-        assert not fleet.idle_copies
+        assert not fleet.idle_instances
 
 
 @pytest.mark.parametrize("copies", [1, 2, 3, 5, 10, 20])
@@ -479,7 +485,7 @@
     """
     fleet = Fleet(
         Workload(
-            copies=30,
+            instances=30,
             servers=10,
             restarted=5,
             new=0,
@@ -501,10 +507,10 @@
 def test_no_process_of_a_quiet_fleet_turns_everything_away(rate, servers, load):
     """Where traffic is thin and many processes share few servers, no limit falls so low that none passes."""
     fleet = Fleet(
-        Workload(copies=30, servers=servers, restarted=0, new=0, rate=rate, load=load, burst_factor=1.5), 1
+        Workload(instances=30, servers=servers, restarted=0, new=0, rate=rate, load=load, burst_factor=1.5), 1
     )
     fleet.run()
-    assert not fleet.idle_copies
+    assert not fleet.idle_instances
 
 
 # ---- a process that starts is ready -----------------------------------------------------------------------
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -40,8 +40,8 @@
     return struct.pack("<BII", 1, 0, len(servers)) + entries + struct.pack("<BHBII", 7, node, kind, 1, 0)
 
 
-def accept(node=3, request=1, klass=0, left=5000000):
-    return struct.pack("<BHQQHBIIH", 3, node, request, 0, 0, 0, left, 0, klass)
+def accept(node=3, request=1, request_class=0, remaining=5000000):
+    return struct.pack("<BHQQHBIIH", 3, node, request, 0, 0, 0, remaining, 0, request_class)
 
 
 def frame(*records, now=1000):
@@ -67,7 +67,7 @@
     verdict = struct.pack("<BHQBIIBHB2f", 8, 3, 1, 0, 900, 11, 0, 502, 2, 1.0, 2.0)
     host = Host()
     host.batch(3, create() + members(servers=(11,)), 0)
-    host.batch(1, accept(klass=1), 0)
+    host.batch(1, accept(request_class=1), 0)
     assert host.batch(1, verdict, 900)[4] == 67  # an unknown effect counts as unsafe: failed
 
 
@@ -215,7 +215,7 @@
         replies.append(host.batch(3, create(env, node) + members(node, servers=(11, 12, 13)), 0))
     for i in range(60):
         for node in nodes:
-            reply = host.batch(1, accept(node, i, klass=i % 2), 1000 * i)
+            reply = host.batch(1, accept(node, i, request_class=i % 2), 1000 * i)
             replies.append(reply)
             if reply[4:5] == b"\x41":
                 server = struct.unpack_from("<I", reply, 15)[0]
