--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -260,13 +260,13 @@
         monkeypatch.setattr(GradientController, "admits", lambda self, now, spare: False)
         client = Leaver(bench)
         client.socket.sendall(call())
-        await until(lambda: len(balancer.waiting) == 1)
+        await until(lambda: len(balancer.lifecycle.queue) == 1)
         caller = await only_caller(bench)
         client.go(how)
         if order == "seen":
             await until(lambda: caller.lost)
         monkeypatch.setattr(GradientController, "admits", admits)
-        balancer.serve_waiting(bench.node.turns.now())
+        balancer.lifecycle.serve_queue(bench.node.turns.now())
         await nothing_came(bench, (server, 1))
 
     play(scene)
