--- a/balancer/fleet/policy_adapter.py
+++ b/balancer/fleet/policy_adapter.py
@@ -157,7 +157,7 @@
 
     # ---- interface.Fleet --------------------------------------------------------------------------------
 
-    def may_pass(self) -> bool:
+    def may_recalculate_min_rtt(self) -> bool:
         """Whether a minRTT recalculation may begin now."""
         slots = self.min_rtt_slots
         if slots is None:
@@ -173,7 +173,7 @@
             self.schedule()
         return allowed
 
-    def passed(self) -> None:
+    def min_rtt_recalculated(self) -> None:
         """A minRTT recalculation is over."""
         slots = self.min_rtt_slots
         if slots is None or slots.started_at is None:
@@ -182,7 +182,7 @@
         slots.finished()
         self.schedule()
 
-    def may_try(self, server: int) -> bool:
+    def may_run_trial(self, server: int) -> bool:
         """Whether an ejected server may be checked now, or a server of its zone may get calls at all."""
         if self.zone_traffic is not None and not self.zone_traffic.allows(server):
             return False
@@ -195,7 +195,7 @@
             self.log_line(f"fleet tries server={server} " + ("alone" if token is None else f"token={token}"))
         return allowed
 
-    def set_aside(self, server: int, wait: int) -> None:
+    def server_ejected(self, server: int, wait: int) -> None:
         """The policy has ejected a server, for so many microseconds until its next check."""
         if self.zone_traffic is not None:
             self.zone_traffic.set_ejected(server, True)
@@ -203,12 +203,12 @@
             self.health_checks.server_ejected(self.now(), server, wait)
             self.schedule()
 
-    def back(self, server: int, well: bool) -> None:
-        """The policy ejects a server no longer; `well`: since a check of its own succeeded."""
+    def server_readmitted(self, server: int, healthy: bool) -> None:
+        """The policy ejects a server no longer; `healthy`: since a check of its own succeeded."""
         if self.zone_traffic is not None:
             self.zone_traffic.set_ejected(server, False)
         if self.health_checks is not None:
-            self.health_checks.server_readmitted(self.now(), server, well)
+            self.health_checks.server_readmitted(self.now(), server, healthy)
             self.schedule()
 
     # ---- time and messages ------------------------------------------------------------------------------
--- a/balancer/fleet/zone_routing/traffic.py
+++ b/balancer/fleet/zone_routing/traffic.py
@@ -65,7 +65,7 @@
         self.directives: ZoneDirectives | None = None
         self.alive: Callable[[], Sequence[str]] = tuple
         self.ready_servers: dict[int, ServerEntry] = {}
-        self.starts = ServerStarts(settings.cold_time, now)
+        self.starts = ServerStarts(settings.slow_start_time, now)
         self.zone_numbers: Mapping[str, int] = {}
 
     def open(self, alive: Callable[[], Sequence[str]], rng: Random) -> None:
@@ -79,8 +79,8 @@
         self.router = self.router_class(
             self.config.zone,
             self.zone_settings,
-            self.settings.cold_time,
-            self.settings.cold_share,
+            self.settings.slow_start_time,
+            self.settings.slow_start_share,
             self.now(),
             self.rank,
             self.log_line,
--- a/balancer/policy/ejection.py
+++ b/balancer/policy/ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: members that fail or fall silent get no calls but single trials."""
+"""Outlier ejection: members that fail or fall silent get no requests but single trials."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from balancer.policy.subset import Subset
 
 SILENT_FACTOR = 4  # a member is silent after this many mean round-trips without any outcome
-EJECT_SHARE = 0.34  # of the members, at most
-EJECT_FAILS = 3  # least failures in a row, or of recent calls, before ejection
-EJECT_RATE = 0.3  # failure rate above the subset's own that ejects
-EJECT_TIME = 2_000_000  # first ejection; doubles up to 16 times
-EJECT_JITTER = 0.1  # of that time, at most, is added at random
+MAX_EJECTED_SHARE = 0.34  # of the members, at most
+MIN_FAILURES = 3  # minimum number of failures in a row, or of recent requests, before ejection
+MIN_EXCESS_FAILURE_RATE = 0.3  # failure rate above the subset's own that ejects
+BASE_EJECTION_TIME = 2_000_000  # first ejection; doubles up to 16 times
+EJECTION_JITTER = 0.1  # of that time, at most, is added at random
 
 
 class OutlierEjection:
@@ -30,87 +30,91 @@
         self.rng = rng
         self.ejected: list[Server] = []
         self.next_trial = 0
-        self.fail_rate = 0.0  # of the whole subset, smoothed
+        self.failure_rate = 0.0  # of the entire subset, smoothed
 
-    def record(self, now: int, srv: Server, outcome: Outcome) -> None:
-        """Books an attempt's outcome, which may eject its server or end its ejection."""
+    def record(self, now: int, server: Server, outcome: Outcome) -> None:
+        """Records an attempt's outcome, which may eject its server or end its ejection."""
         ok = outcome == Outcome.OK
-        srv.calls += 1
-        bad = 0.0 if ok or outcome in (Outcome.TIMEOUT, Outcome.REJECTED) else 1.0
-        srv.fail_rate += SMOOTH * (bad - srv.fail_rate)
-        self.fail_rate += SMOOTH_ALL * (bad - self.fail_rate)
+        server.calls += 1
+        failed = 0.0 if ok or outcome in (Outcome.TIMEOUT, Outcome.REJECTED) else 1.0
+        server.failure_rate += SMOOTH * (failed - server.failure_rate)
+        self.failure_rate += SMOOTH_ALL * (failed - self.failure_rate)
         if ok:
-            srv.fails_in_row = 0
-            if srv.ejected and (srv.trial_in_flight or srv.silent):
-                self.readmit(srv, well=True)
-        elif bad:
-            srv.fails_in_row += 1
-            if srv.ejected:
-                if srv.trial_in_flight:
-                    self.eject(now, srv, silent=False)
+            server.consecutive_failures = 0
+            if server.ejected and (server.trial_in_flight or server.silent):
+                self.readmit(server, healthy=True)
+        elif failed:
+            server.consecutive_failures += 1
+            if server.ejected:
+                if server.trial_in_flight:
+                    self.eject(now, server, silent=False)
             elif (
-                srv.fails_in_row >= EJECT_FAILS
-                and srv.fail_rate > self.fail_rate * 2
-                or srv.calls >= EJECT_FAILS
-                and srv.fail_rate > EJECT_RATE + self.fail_rate
+                server.consecutive_failures >= MIN_FAILURES and server.failure_rate > self.failure_rate * 2
+            ) or (
+                server.calls >= MIN_FAILURES
+                and server.failure_rate > MIN_EXCESS_FAILURE_RATE + self.failure_rate
             ):
-                # Failure prevented: a member that fails quickly holds few calls and wins the picks.
-                self.eject(now, srv, silent=False)
-        elif srv.trial_in_flight:
-            self.eject(now, srv, silent=srv.silent)
-        srv.trial_in_flight = False
+                # Failure prevented: a member that fails quickly has little in flight and is picked often.
+                self.eject(now, server, silent=False)
+        elif server.trial_in_flight:
+            self.eject(now, server, silent=server.silent)
+        server.trial_in_flight = False
 
-    def eject(self, now: int, srv: Server, silent: bool) -> None:
-        # Failure prevented: a drained server's last calls fail, it is ejected and later gets a trial call.
-        if not srv.member:
+    def eject(self, now: int, server: Server, silent: bool) -> None:
+        """Ejects a member, or extends its ejection, unless too many members are ejected already."""
+        # Failure prevented: a drained server's last requests fail, it is ejected and later gets a trial.
+        if not server.member:
             return
-        if not srv.ejected:
-            if len(self.ejected) + 1 > EJECT_SHARE * len(self.subset.members):
+        if not server.ejected:
+            if len(self.ejected) + 1 > MAX_EJECTED_SHARE * len(self.subset.members):
                 return
-            srv.ejected = True
-            self.ejected.append(srv)
-            self.actions.log(f"eject server={srv.id} silent={int(silent)} fail_rate={srv.fail_rate:.2f}")
-        srv.silent = silent
-        srv.trial_at = now + int(
-            (EJECT_TIME << min(srv.ejections, 4)) * (1 + EJECT_JITTER * self.rng.random())
+            server.ejected = True
+            self.ejected.append(server)
+            self.actions.log(
+                f"eject server={server.id} silent={int(silent)} fail_rate={server.failure_rate:.2f}"
+            )
+        server.silent = silent
+        server.trial_at = now + int(
+            (BASE_EJECTION_TIME << min(server.ejections, 4)) * (1 + EJECTION_JITTER * self.rng.random())
         )
-        srv.ejections += 1
+        server.ejections += 1
         self.next_trial = min(e.trial_at for e in self.ejected)
-        self.fleet.set_aside(srv.id, srv.trial_at - now)
-        self.subset.sort()
+        self.fleet.server_ejected(server.id, server.trial_at - now)
+        self.subset.update_available()
 
-    def readmit(self, srv: Server, well: bool = False) -> None:
-        srv.ejected = False
-        srv.silent = False
-        srv.fail_rate = self.fail_rate
-        srv.fails_in_row = 0
-        srv.ejections = max(0, srv.ejections - 1)
-        self.ejected.remove(srv)
+    def readmit(self, server: Server, healthy: bool = False) -> None:
+        """Ends an ejection. `healthy`: because a trial of this instance has shown the server healthy."""
+        server.ejected = False
+        server.silent = False
+        server.failure_rate = self.failure_rate
+        server.consecutive_failures = 0
+        server.ejections = max(0, server.ejections - 1)
+        self.ejected.remove(server)
         if self.ejected:
             self.next_trial = min(e.trial_at for e in self.ejected)
-        self.actions.log(f"readmit server={srv.id}")
-        self.fleet.back(srv.id, well)
-        self.subset.sort()
+        self.actions.log(f"readmit server={server.id}")
+        self.fleet.server_readmitted(server.id, healthy)
+        self.subset.update_available()
 
-    def is_silent(self, now: int, srv: Server) -> bool:
-        """Ejects a member that holds calls and has answered none for several mean round-trips.
+    def is_silent(self, now: int, server: Server) -> bool:
+        """Ejects a member that has attempts in flight and ended none for several mean round-trips.
 
-        One call alone may be a long one: it counts only after twice that time.
+        One request alone may be a long one: it counts only after twice that time.
         """
-        patience = SILENT_FACTOR * max(self.mean_rtt) * (2 if srv.in_flight == 1 else 1)
-        if srv.in_flight and now - srv.quiet_since > patience:
-            self.eject(now, srv, silent=True)
-        return srv.ejected
+        patience = SILENT_FACTOR * max(self.mean_rtt) * (2 if server.in_flight == 1 else 1)
+        if server.in_flight and now - server.last_outcome_at > patience:
+            self.eject(now, server, silent=True)
+        return server.ejected
 
     def take_trial(self, now: int, slow_start: SlowStart) -> Server | None:
-        """An ejected server whose trial is due, for one call. Some are ejected."""
+        """Returns an ejected server whose trial is due, for one request. Some are ejected."""
         if now < self.next_trial:
             return None
         for trial in self.ejected:
-            if trial.trial_at > now or trial.trial_in_flight or not self.fleet.may_try(trial.id):
+            if trial.trial_at > now or trial.trial_in_flight or not self.fleet.may_run_trial(trial.id):
                 continue
             if slow_start.may_send(now, trial):
                 trial.trial_in_flight = True
-                trial.trial_at = now + EJECT_TIME
+                trial.trial_at = now + BASE_EJECTION_TIME
                 return trial
         return None
--- a/balancer/policy/selection.py
+++ b/balancer/policy/selection.py
@@ -1,4 +1,4 @@
-"""Selection: which server takes a call."""
+"""Selection: which server takes a request."""
 
 from __future__ import annotations
 
@@ -12,12 +12,14 @@
 from balancer.policy.spillover import ZoneSpillover
 from balancer.policy.subset import Subset
 
-PICK_TRIES = 10  # so many members may be skipped for being slow
+MAX_SKIPS = 10  # so many members may be skipped for being slow
 
 
-def untried(pool: list[Server], r: Request) -> list[Server]:
-    """Those of the pool that the request has not been sent to; all of them if there is no other."""
-    return [m for m in pool if m not in r.tried_servers] or pool if r.tried_servers else pool
+def not_attempted(pool: list[Server], request: Request) -> list[Server]:
+    """Returns those of the pool that the request has not been sent to; all of them if there is no other."""
+    return (
+        [m for m in pool if m not in request.attempted_servers] or pool if request.attempted_servers else pool
+    )
 
 
 class Selection:
@@ -41,35 +43,41 @@
         self.spillover = spillover
         self.ejection = ejection
 
-    def pick_server(self, now: int, r: Request) -> Server | None:
-        """Two random members; the one with less in flight takes the call, a further attempt as well.
+    def pick_server(self, now: int, request: Request) -> Server | None:
+        """Picks a server for an attempt: the one of two random members with less in flight.
 
-        Failure prevented: a member that has just turned a call away holds few, wins the pick for its next
-        attempt too and turns it away again. The source, too, tries again on another host where it can.
+        A retry is picked in the same way.
+
+        Failure prevented: a member that has just rejected a request has few attempts in flight, wins the pick
+        for its next attempt too and rejects it again. The source, too, tries again on another host where it
+        can.
         """
-        effect = r.effect
-        if r.ran_on is not None and effect == Effect.KEYED:
-            return self.pick_in_group(now, r)
-        if self.ejection.ejected and effect != Effect.UNSAFE:
+        effect = request.effect
+        if request.first_run_on is not None and effect == Effect.IDEMPOTENCY_KEY:
+            return self.pick_in_group(now, request)
+        if self.ejection.ejected and effect != Effect.NOT_IDEMPOTENT:
             trial = self.ejection.take_trial(now, self.slow_start)
             if trial is not None:
                 return trial
         if self.subset.shares:
-            drawn = self.rng.choices([*self.subset.shares], [*self.subset.shares.values()])
-            # Where a zone is lost, a repeat there is lost too.
-            failed = r.tried_servers[-1].zone if r.tried_servers else -1
-            for zone in sorted([*drawn, *self.subset.shares], key=lambda zone: zone == failed):
-                srv = self.pick_of_two(now, r.request_class, untried(self.subset.by_zone[zone], r))
-                if srv is not None:
-                    return srv
+            picked = self.rng.choices([*self.subset.shares], [*self.subset.shares.values()])
+            # Where a zone is down, a retry there fails too.
+            failed = request.attempted_servers[-1].zone if request.attempted_servers else -1
+            for zone in sorted([*picked, *self.subset.shares], key=lambda zone: zone == failed):
+                server = self.pick_of_two(
+                    now, request.request_class, not_attempted(self.subset.by_zone[zone], request)
+                )
+                if server is not None:
+                    return server
             return None
-        if self.spillover.zoned and self.subset.near and self.rng.random() >= self.spillover.spill:
-            srv = self.pick_of_two(now, r.request_class, untried(self.subset.near, r))
-            if srv is not None:
-                return srv
-        return self.pick_of_two(now, r.request_class, untried(self.subset.available, r))
+        if self.spillover.zoned and self.subset.local and self.rng.random() >= self.spillover.spill:
+            server = self.pick_of_two(now, request.request_class, not_attempted(self.subset.local, request))
+            if server is not None:
+                return server
+        return self.pick_of_two(now, request.request_class, not_attempted(self.subset.available, request))
 
     def pick_of_two(self, now: int, request_class: int, pool: list[Server]) -> Server | None:
+        """Picks the one of two random servers of the pool that has less in flight, in expected time."""
         n = len(pool)
         if n == 0:
             return None
@@ -96,34 +104,32 @@
     ) -> Server:
         """A random member but `other`. One slower than the mean is skipped as often as it is slower.
 
-        Failure prevented: of few members two slow ones are picked together each few calls, and what one of
-        them gets keeps it crowded. After a few skips whoever comes is taken.
+        Failure prevented: of few members two slow ones are picked together each few requests, and what one of
+        them gets keeps it overloaded. After a few skips whoever comes is taken.
         """
         while True:
-            for _ in range(PICK_TRIES):
-                srv = pool[int(self.rng.random() * len(pool))]
-                if srv is not other and self.rng.random() * srv.slowness(now, request_class, mean) < 1:
-                    return srv
-            if srv is not other:
-                return srv
-
-    def pick_in_group(self, now: int, r: Request) -> Server | None:
-        """A keyed request that may have run goes only to the servers that would discard its repeat."""
-        first = r.ran_on
-        group = self.settings.classes[r.request_class].group
+            for _ in range(MAX_SKIPS):
+                server = pool[int(self.rng.random() * len(pool))]
+                if server is not other and self.rng.random() * server.slowness(now, request_class, mean) < 1:
+                    return server
+            if server is not other:
+                return server
+
+    def pick_in_group(self, now: int, request: Request) -> Server | None:
+        """Picks a server that would discard the repeat of a request that may have run."""
+        first = request.first_run_on
+        group = self.settings.classes[request.request_class].group
         assert first is not None
         pool = [
             m
             for _, m in sorted(self.subset.servers.items())
             if m is not first
             and m.in_list
-            and not m.uncounted
+            and not m.outside_limit
             and (
                 group == Group.ALL
-                or group == Group.ZONE
-                and m.zone == first.zone
-                or group == Group.CELL
-                and m.cell == first.cell
+                or (group == Group.ZONE and m.zone == first.zone)
+                or (group == Group.CELL and m.cell == first.cell)
             )
         ]
-        return self.pick_of_two(now, r.request_class, pool)
+        return self.pick_of_two(now, request.request_class, pool)
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -8,7 +8,7 @@
 
 MAX_NUMBER = 1e300  # no setting is near it; infinities and numbers that are none are refused
 
-EFFECTS = {"free": Effect.SAFE, "guarded": Effect.KEYED, "single_shot": Effect.UNSAFE}
+EFFECTS = {"free": Effect.IDEMPOTENT, "guarded": Effect.IDEMPOTENCY_KEY, "single_shot": Effect.NOT_IDEMPOTENT}
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
 REPORT_COLUMNS = {
     "concurrent": "inflight",
@@ -137,15 +137,15 @@
         cancel=limits.flag("cancel"),
         probes=limits.flag("probing"),
         peers=limits.flag("peers"),
-        second_copies=limits.flag("second_copies"),
+        hedging=limits.flag("second_copies"),
         retry_after=limits.flag("retry_after"),
         max_retry_after=limits.whole("max_retry_after", 0),
         max_open=limits.whole("max_open", 20000),
         list_on_request=fields.text("discovery", "push") == "ask",
-        list_ask_within=rules.whole("ask_within", 0),
+        max_list_poll_interval=rules.whole("ask_within", 0),
         list_weights=fields.text("weights", "off") != "off",
-        cold_time=rules.whole("cold"),
-        cold_share=rules.number("start_capacity"),
+        slow_start_time=rules.whole("cold"),
+        slow_start_share=rules.number("start_capacity"),
         fall_multiple=rules.number("fall_multiple"),
         fall_time=rules.whole("tip_after"),
         answer_slack=rules.whole("answer_slack", 0),
@@ -163,8 +163,8 @@
 def read_class(fields: Fields) -> ClassSettings:
     """Returns a request class. An effect or group that is not known gets the fewest rights there are."""
     return ClassSettings(
-        effect=EFFECTS.get(fields.text("effect"), Effect.UNSAFE),
-        aim=fields.whole("goal_time"),
+        effect=EFFECTS.get(fields.text("effect"), Effect.NOT_IDEMPOTENT),
+        latency_objective=fields.whole("goal_time"),
         deadline=fields.whole("hard_limit"),
         worth=fields.number("worth"),
         late_worth=fields.number("late_value", 0.0),
--- a/tests/test_policy_adapter.py
+++ b/tests/test_policy_adapter.py
@@ -13,7 +13,7 @@
 from balancer.fleet.config import read_fleet
 from balancer.fleet.policy_adapter import PolicyAdapter
 from balancer.policy import Balancer
-from balancer.policy.interface import Alone, ListKind, Outcome, ServerEntry
+from balancer.policy.interface import ListKind, Outcome, ServerEntry, Standalone
 
 SEC = 1_000_000
 
@@ -46,12 +46,12 @@
 
 def test_an_adapter_without_configuration_restrains_nothing(tmp_path: Path) -> None:
     adapter, clock, published = make_adapter(tmp_path)
-    assert adapter.may_pass() and adapter.may_try(1)
+    assert adapter.may_recalculate_min_rtt() and adapter.may_run_trial(1)
     assert adapter.tick(clock[0]) == [] and adapter.deadline(clock[0]) is None
-    adapter.set_aside(1, SEC)
+    adapter.server_ejected(1, SEC)
     adapter.attempt_ended(1, Outcome.ERROR, 1000, 0.1)
-    adapter.back(1, True)
-    adapter.passed()
+    adapter.server_readmitted(1, True)
+    adapter.min_rtt_recalculated()
     assert published == [] and adapter.status(clock[0]) == {}
 
 
@@ -71,42 +71,42 @@
     adapter.attempt_ended(2, Outcome.OK, 9000, 0.021)
     assert later() == [({1: 1.0, 0: 0.0}, {0: 20_000})]
     for server in (1, 3):  # two of the own zone's three
-        adapter.set_aside(server, SEC)
+        adapter.server_ejected(server, SEC)
     ((shares, _),) = later()
-    assert 0 < shares[1] < 1 and adapter.may_try(1)
+    assert 0 < shares[1] < 1 and adapter.may_run_trial(1)
     traffic = adapter.zone_traffic
     assert traffic is not None and traffic.directives is not None
     assert traffic.directives.issue("y", 60 * SEC)
     ((shares, _),) = [entry for entry in later(1.1) if isinstance(entry, tuple)]
-    assert set(shares) == {1} and not adapter.may_try(2) and adapter.may_try(1)
+    assert set(shares) == {1} and not adapter.may_run_trial(2) and adapter.may_run_trial(1)
     adapter.close()
-    assert adapter.may_try(2)
+    assert adapter.may_run_trial(2)
 
 
 # ---- the policy's side -----------------------------------------------------------------------------------
 
 
-class RecordingFleet(Alone):
+class RecordingFleet(Standalone):
     """Allows as set, and records calls."""
 
     def __init__(self) -> None:
         self.allows = True
         self.calls: list[Any] = []
 
-    def may_try(self, server: int) -> bool:
+    def may_run_trial(self, server: int) -> bool:
         return self.allows
 
-    def may_pass(self) -> bool:
+    def may_recalculate_min_rtt(self) -> bool:
         return self.allows
 
-    def passed(self) -> None:
+    def min_rtt_recalculated(self) -> None:
         self.calls.append("passed")
 
-    def set_aside(self, server: int, wait: int) -> None:
+    def server_ejected(self, server: int, wait: int) -> None:
         self.calls.append(("aside", server, wait))
 
-    def back(self, server: int, well: bool) -> None:
-        self.calls.append(("back", server, well))
+    def server_readmitted(self, server: int, healthy: bool) -> None:
+        self.calls.append(("back", server, healthy))
 
 
 def make_balancer(fleet: RecordingFleet) -> Balancer:
@@ -145,12 +145,12 @@
     for _ in range(300):  # six seconds: its check is due after two
         number, now = number + 1, now + 20_000
         assert send_request(node, now, number, outcome) != bad
-    node.tried(now, bad, False)
+    node.trial_result(now, bad, False)
     assert fleet.calls[-1][0] == "aside" and node.servers[bad].trial_at > now
-    node.tried(now, bad, True)
+    node.trial_result(now, bad, True)
     assert fleet.calls[-1] == ("back", bad, False) and not node.servers[bad].ejected
-    node.tried(now, bad, True)  # not ejected any more: no effect
-    node.tried(now, 99, True)
+    node.trial_result(now, bad, True)  # not ejected any more: no effect
+    node.trial_result(now, 99, True)
     assert fleet.calls[-1] == ("back", bad, False)
 
 
--- a/tests/test_policy_ejection.py
+++ b/tests/test_policy_ejection.py
@@ -74,14 +74,14 @@
     node.servers[1].deviation.value = 5.0
     node.server_list(SEC, ListKind.CHANGES, [ServerEntry(1, ready_at=SEC - 1)])
     assert not node.servers[1].ejected and node.servers[1].deviation.value == 1.0
-    assert node.servers[1].cold_until == SEC - 1 + 4 * SEC
+    assert node.servers[1].slow_start_until == SEC - 1 + 4 * SEC
 
 
 def test_a_trial_costs_the_request_little_and_is_never_an_unsafe_one():
     node, rec = balancer(4)
     node.ejection.eject(0, node.servers[1], silent=True)
-    assert ask(node, rec, 5 * SEC, 1, klass=2)[2] != 1
-    action = ask(node, rec, 5 * SEC, 2, klass=0, left=3 * SEC)
+    assert ask(node, rec, 5 * SEC, 1, request_class=2)[2] != 1
+    action = ask(node, rec, 5 * SEC, 2, request_class=0, remaining=3 * SEC)
     assert action[2] == 1 and action[3] < 3 * SEC
 
 
@@ -91,6 +91,6 @@
     node, rec = balancer(4)
     node.ejection.eject(0, node.servers[1], silent=True)
     assert ask(node, rec, 5 * SEC, 1)[2] == 1
-    node.client_left(5 * SEC, 1)
+    node.client_disconnected(5 * SEC, 1)
     end(node, rec, 5 * SEC, 1, 0, 1, outcome)
     assert ask(node, rec, 10 * SEC, 2)[2] == 1
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -26,7 +26,9 @@
     State,
     TenantSettings,
 )
+from balancer.policy.request_lifecycle import RequestLifecycle
 from balancer.policy.selection import Selection
+from balancer.policy.server_list import ServerList
 from balancer.policy.slow_start import SlowStart
 
 ROOT = Path(__file__).parent.parent
@@ -37,7 +39,7 @@
     classes = tuple(
         ClassSettings(
             Effect(rng.randrange(3)),
-            aim=rng.choice([SEC // 2, SEC, 2 * SEC]),
+            latency_objective=rng.choice([SEC // 2, SEC, 2 * SEC]),
             deadline=4 * SEC,
             worth=rng.choice([1, 8, 24]),
             late_worth=rng.choice([0, 0.3]),
@@ -58,7 +60,7 @@
         cancel=rng.random() < 0.5,
         retry_after=rng.random() < 0.5,
         list_on_request=rng.random() < 0.5,
-        list_ask_within=10 * SEC,
+        max_list_poll_interval=10 * SEC,
     )
 
 
@@ -87,7 +89,7 @@
             self.step(i)
         while self.out or self.open:
             before = len(self.out) + len(self.open) + len(self.timers)
-            assert before, "a request was left without an answer"
+            assert before, "a request got no answer"
             self.advance(SEC)
 
     def list_event(self, kind: ListKind) -> None:
@@ -116,10 +118,15 @@
         rng = self.rng
         roll = rng.random()
         if roll < 0.5:
-            left = rng.choice([SEC // 10, SEC, 4 * SEC])
-            klass = rng.randrange(len(self.s.classes))
-            self.open[i] = {"klass": klass, "until": self.now + left, "attempts": [], "ran": None}
-            self.node.request(self.now, i, klass, rng.randrange(2), left, False)
+            remaining = rng.choice([SEC // 10, SEC, 4 * SEC])
+            request_class = rng.randrange(len(self.s.classes))
+            self.open[i] = {
+                "request_class": request_class,
+                "until": self.now + remaining,
+                "attempts": [],
+                "ran": None,
+            }
+            self.node.request(self.now, i, request_class, rng.randrange(2), remaining, False)
             self.check()
         elif roll < 0.85 and self.out:
             a = self.out.pop(rng.randrange(len(self.out)))
@@ -128,7 +135,7 @@
             request = rng.choice(sorted(self.open))
             del self.open[request]
             self.closed.add(request)
-            self.node.client_left(self.now, request)
+            self.node.client_disconnected(self.now, request)
             self.check()
         elif roll < 0.92:
             self.list_event(rng.choice([ListKind.CHANGES, ListKind.FULL]))
@@ -172,45 +179,49 @@
         for action in self.rec.take():
             self.log.append((self.now, *action))
             name, *args = action
-            assert name in {"send", "refuse", "fail", "cancel", "set_timer", "log", "watch"}
+            assert name in {"send", "reject", "fail", "cancel", "set_timer", "log", "watch"}
             if name == "set_timer":
                 self.timers.append((self.now + args[0], args[1]))
             elif name == "cancel":
                 assert self.s.cancel
             elif name == "send":
                 self.sent(*args)
-            elif name in ("refuse", "fail"):
+            elif name in ("reject", "fail"):
                 r = self.open.pop(args[0])  # rule 1: only an open request, once
                 self.closed.add(args[0])
                 assert self.now <= r["until"]
-                if name == "refuse":
-                    self.refused(r, *args)
+                if name == "reject":
+                    self.rejected(r, *args)
 
-    def refused(self, r: dict, request: int, retry_after: int) -> None:
-        c = self.s.classes[r["klass"]]
+    def rejected(self, r: dict, request: int, retry_after: int) -> None:
+        c = self.s.classes[r["request_class"]]
         assert retry_after == 0 or (self.s.retry_after and retry_after <= self.s.max_retry_after)
-        assert r["ran"] is None or c.effect == Effect.SAFE or (c.effect, c.group) == (Effect.KEYED, Group.ALL)
+        assert (
+            r["ran"] is None
+            or c.effect == Effect.IDEMPOTENT
+            or (c.effect, c.group) == (Effect.IDEMPOTENCY_KEY, Group.ALL)
+        )
         assert not any(a["request"] == request for a in self.out)
 
     def sent(self, request: int, server: int, timeout: int) -> None:
         r = self.open[request]  # rule 1: nothing is sent after the end
-        c = self.s.classes[r["klass"]]
+        c = self.s.classes[r["request_class"]]
         assert timeout > 0 and self.now + timeout <= r["until"]
         assert len(r["attempts"]) < self.s.max_attempts
         assert not any(a["request"] == request for a in self.out), "two attempts out at once"
         assert server in self.entries and server not in self.unsent_after, "rule 3"
         first = r["ran"]
         if first is not None:
-            assert c.effect != Effect.UNSAFE, "rule 2"
-            if c.effect == Effect.KEYED:
+            assert c.effect != Effect.NOT_IDEMPOTENT, "rule 2"
+            if c.effect == Effect.IDEMPOTENCY_KEY:
                 assert self.now <= first["at"] + c.window
                 if c.group == Group.CELL:
                     assert server % 3 == first["server"] % 3
                 elif c.group == Group.ZONE:
                     assert server % 2 == first["server"] % 2
         ready_at = self.entries[server].ready_at
-        if ready_at and self.now < ready_at + self.s.cold_time:
-            # Rule 4, from one copy: no more in any window than a warm member has had at the most.
+        if ready_at and self.now < ready_at + self.s.slow_start_time:
+            # Rule 4, from one instance: no more in any window than a warm member has had at the most.
             sends = self.cold_sends.setdefault(server, [])
             sends.append(self.now)
             recent = [t for t in sends if t > self.now - self.s.fall_time]
@@ -228,26 +239,30 @@
 
 
 def never_answers(monkeypatch):
-    monkeypatch.setattr(Balancer, "finish", lambda self, r, refuse: None)
+    monkeypatch.setattr(RequestLifecycle, "finish", lambda self, request, reject: None)
 
 
 def answers_twice(monkeypatch):
-    finish = Balancer.finish
+    finish = RequestLifecycle.finish
 
-    def twice(self, r, refuse):
-        finish(self, r, refuse)
-        self.actions.fail(r.id)
+    def twice(self, request, reject):
+        finish(self, request, reject)
+        self.actions.fail(request.id)
 
-    monkeypatch.setattr(Balancer, "finish", twice)
+    monkeypatch.setattr(RequestLifecycle, "finish", twice)
 
 
 def repeats_anything(monkeypatch):
-    monkeypatch.setattr(Balancer, "after_failure", lambda self, now, r, srv, outcome: self.attempt(now, r))
+    monkeypatch.setattr(
+        RequestLifecycle,
+        "after_failure",
+        lambda self, now, request, server, outcome: self.attempt(now, request),
+    )
 
 
-def refuses_what_may_have_run(monkeypatch):
-    finish = Balancer.finish
-    monkeypatch.setattr(Balancer, "finish", lambda self, r, refuse: finish(self, r, True))
+def rejects_what_may_have_run(monkeypatch):
+    finish = RequestLifecycle.finish
+    monkeypatch.setattr(RequestLifecycle, "finish", lambda self, request, reject: finish(self, request, True))
 
 
 def repeats_outside_the_group(monkeypatch):
@@ -257,11 +272,11 @@
 
 
 def ignores_drains(monkeypatch):
-    monkeypatch.setattr(Balancer, "drop", lambda self, srv: None)
+    monkeypatch.setattr(ServerList, "remove", lambda self, server: None)
 
 
 def floods_cold_servers(monkeypatch):
-    monkeypatch.setattr(SlowStart, "may_send", lambda self, now, srv: True)
+    monkeypatch.setattr(SlowStart, "may_send", lambda self, now, server: True)
 
 
 @pytest.mark.parametrize(
@@ -270,7 +285,7 @@
         never_answers,
         answers_twice,
         repeats_anything,
-        refuses_what_may_have_run,
+        rejects_what_may_have_run,
         repeats_outside_the_group,
         ignores_drains,
         floods_cold_servers,
@@ -371,7 +386,7 @@
 def test_state_is_given_up_when_its_cause_is_gone():
     """A long life with churning servers: nothing of ended requests, gone servers or old timers stays."""
     node, rec = World(3, 0).node, Recorder()
-    node.actions = rec
+    node.actions = node.lifecycle.actions = rec
     for i in range(3000):
         now = 10 * SEC + i * 50_000
         if i % 10 == 0:
@@ -380,5 +395,5 @@
         node.request(now, i, 0, 0, 2 * SEC, False)
         for action in rec.take("send"):
             node.outcome(now + 20_000, i, 0, action[2], Outcome.OK, 20_000, True, ())
-    assert not node.requests and not node.waiting and len(node.servers) <= 12
+    assert not node.lifecycle.requests and not node.lifecycle.queue and len(node.servers) <= 12
     assert node.controller.in_flight == 0 and len(node.ejection.ejected) <= len(node.subset.members)
--- a/tests/test_zone_routing.py
+++ b/tests/test_zone_routing.py
@@ -414,7 +414,7 @@
 ) -> tuple[Balancer, Recorder]:
     """A policy before thirty servers in zones 0, 1 and 2, and what records its actions."""
     node, recorder = balancer([ServerEntry(i, zone=i % 3, cell=i) for i in range(1, 31)], **changes)
-    node.zones(1, shares, extra_round_trips or {})
+    node.zone_shares(1, shares, extra_round_trips or {})
     return node, recorder
 
 
@@ -497,5 +497,5 @@
     assert attempted_servers(node, recorder, 20)
     node.server_list(SEC, ListKind.FULL, [ServerEntry(i, zone=5) for i in range(40, 44)])
     assert attempted_servers(node, recorder, 3) == []  # no zone may be called until the shares follow
-    node.zones(2 * SEC, {5: 1.0}, {})
+    node.zone_shares(2 * SEC, {5: 1.0}, {})
     assert set(attempted_servers(node, recorder, 10)) <= set(range(40, 44))
--- a/tests/test_zone_slow_start.py
+++ b/tests/test_zone_slow_start.py
@@ -29,7 +29,7 @@
         self.traffic = ZoneTraffic(
             config=cast(FleetConfig, SimpleNamespace(name="n", zone="a")),
             zone_settings=ZoneSettings(),
-            settings=replace(BASE, cold_time=SLOW_START, cold_share=0.2),
+            settings=replace(BASE, slow_start_time=SLOW_START, slow_start_share=0.2),
             now=lambda: self.time,
             wall=self.wall,
             schedule=lambda: None,
--- a/workbench/lab/mischief.py
+++ b/workbench/lab/mischief.py
@@ -223,7 +223,7 @@
 
 def pushy() -> None:
     """Probes ejected servers, and often, whoever else does."""
-    ejection.EJECT_TIME = 200_000
+    ejection.BASE_EJECTION_TIME = 200_000
     wrap(HealthChecks, "may_probe", lambda go, self, now, server: True)
 
 
--- a/workbench/simulator/fleet.py
+++ b/workbench/simulator/fleet.py
@@ -78,10 +78,14 @@
         self.home = settings.zone
         self.readmit = self.ejection.readmit
         self.ejection.readmit = self.count_readmitted  # type: ignore[method-assign]
+        self.attempt_timeout = self.lifecycle.attempt_timeout
+        self.lifecycle.attempt_timeout = self.count_trial  # type: ignore[method-assign]
+        self.finish = self.lifecycle.finish
+        self.lifecycle.finish = self.count_rejected  # type: ignore[method-assign]
 
-    def count_readmitted(self, srv: Server, well: bool = False) -> None:
+    def count_readmitted(self, server: Server, healthy: bool = False) -> None:
         self.notes.readmitted.append(self.clock.now)
-        self.readmit(srv, well)
+        self.readmit(server, healthy)
 
     def server_list(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
         super().server_list(now, kind, entries)
@@ -105,17 +109,22 @@
             way = self.world.network.between(self.home, self.world.by_id[server].zone, request)
             self.hook.attempt_ended(server, outcome, latency, 2 * way / 1e6 if request % DIALS == 0 else 0.0)
 
-    def attempt_timeout(self, now: int, r: Request, srv: Server) -> int:
-        if srv.uncounted:
-            self.notes.trials[srv.id] += 1
-        return super().attempt_timeout(now, r, srv)
-
-    def finish(self, r: Request, refuse: bool) -> None:
-        if refuse and not r.attempts and self.controller.recalculating and self.controller.recalculations:
+    def count_trial(self, now: int, request: Request, server: Server) -> int:
+        if server.outside_limit:
+            self.notes.trials[server.id] += 1
+        return self.attempt_timeout(now, request, server)
+
+    def count_rejected(self, request: Request, reject: bool) -> None:
+        if (
+            reject
+            and not request.attempts
+            and self.controller.recalculating
+            and self.controller.recalculations
+        ):
             self.notes.refused_in_pass += 1
             on = sum(m.controller.recalculating and m.controller.recalculations > 0 for m in self.all)
             self.notes.most_in_pass = max(self.notes.most_in_pass, on)
-        super().finish(r, refuse)
+        self.finish(request, reject)
 
 
 class Process:
@@ -183,12 +192,12 @@
     def spread(self, shares: dict[int, float], trips: dict[int, int]) -> None:
         node: Any = self.world.nodes[self.index]
         if node.module is not None:
-            node.post(node.module.zones, (shares, {} if self.fleet.uses.together else trips))
+            node.post(node.module.zone_shares, (shares, {} if self.fleet.uses.together else trips))
 
     def verdict(self, server: int, well: bool) -> None:
         node: Any = self.world.nodes[self.index]
         if node.module is not None:
-            node.post(node.module.tried, (server, well))
+            node.post(node.module.trial_result, (server, well))
 
     # ---- time and messages ------------------------------------------------------------------------------
 
