--- a/balancer/fleet/component.py
+++ b/balancer/fleet/component.py
@@ -19,8 +19,8 @@
 from balancer.fleet.config import FleetConfig
 from balancer.fleet.membership.codec import Part
 from balancer.fleet.membership.swim import Address, Swim
-from balancer.net.lifecycle import Lifecycle
-from balancer.net.log import Log
+from balancer.net.process.lifecycle import Lifecycle
+from balancer.net.process.log import Log
 from balancer.policy.interface import Settings
 
 
--- a/balancer/fleet/leases/part.py
+++ b/balancer/fleet/leases/part.py
@@ -13,7 +13,7 @@
 from balancer.fleet.leases.settings import DutySettings, Electorate
 from balancer.fleet.leases.store import VoteStore
 from balancer.fleet.leases.voter import Out, Voter
-from balancer.net.log import Log
+from balancer.net.process.log import Log
 
 SCRIPTS_MOST = 64  # duties held for scripts at once
 
--- a/balancer/fleet/rolling_update/component.py
+++ b/balancer/fleet/rolling_update/component.py
@@ -12,7 +12,7 @@
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.rolling_update.decisions import MOST, Replacement
 from balancer.fleet.rolling_update.messages import ReplaceWire, State
-from balancer.net.lifecycle import Stage
+from balancer.net.process.lifecycle import Stage
 
 COMMANDS = {"pause": State.PAUSED, "resume": State.RUNS, "stop": State.STOPPED}
 
--- a/balancer/fleet/runtime.py
+++ b/balancer/fleet/runtime.py
@@ -24,8 +24,8 @@
 from balancer.fleet.membership.swim import Address, Claim, Send, Swim, Timing
 from balancer.fleet.operator_pages import OperatorPages
 from balancer.fleet.registry import MEMBERSHIP_KINDS, Registry
-from balancer.net.lifecycle import Lifecycle
-from balancer.net.log import Log
+from balancer.net.process.lifecycle import Lifecycle
+from balancer.net.process.log import Log
 from balancer.policy.interface import Settings
 
 LOGGED_CHANGES = ("join", "suspect", "dead", "left", "alive", "refuted")
--- a/balancer/net/caller.py
+++ b/balancer/net/caller.py
@@ -12,8 +12,8 @@
 
 from balancer.net.message import REASONS, Message
 from balancer.net.passing import LARGEST, WHOLE, Source, Upload
+from balancer.net.process.sockets import CAME, ENDED, shows
 from balancer.net.roles import Crowd
-from balancer.net.sockets import CAME, ENDED, shows
 from balancer.net.unparsed import Unparsed
 
 LARGEST_HEAD = 32768
--- a/balancer/net/callers.py
+++ b/balancer/net/callers.py
@@ -8,11 +8,11 @@
 from collections.abc import Callable
 
 from balancer.net.caller import SLOW, Caller
-from balancer.net.descriptors import Descriptors
-from balancer.net.lifecycle import Lifecycle, Stage
-from balancer.net.listener import Listener
+from balancer.net.process.descriptor_budget import Descriptors
+from balancer.net.process.lifecycle import Lifecycle, Stage
+from balancer.net.process.listener import Listener
+from balancer.net.process.memory_budget import Room
 from balancer.net.roles import Handler
-from balancer.net.room import Room
 
 REFUSING = (
     16  # connections at most, a sixteenth of the budget, that are open only to be told that it is spent
--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING, Any
 
-from balancer.net import management
-from balancer.net.listener import Address
 from balancer.net.listing import Listing, read_listing
+from balancer.net.process import management
+from balancer.net.process.listener import Address
 from balancer.policy.interface import ListKind, Settings
 from balancer.settings import COLUMNS, Fields, settings_of
 
--- a/balancer/net/connection.py
+++ b/balancer/net/connection.py
@@ -12,8 +12,8 @@
 import httptools
 
 from balancer.net.passing import LARGEST, WHOLE, Flow, Upload
-from balancer.net.room import Room
-from balancer.net.sockets import CAME, shows
+from balancer.net.process.memory_budget import Room
+from balancer.net.process.sockets import CAME, shows
 from balancer.policy.interface import Outcome
 
 LARGEST_BARE = 128 << 10  # bytes of an answer without any of its body, above all its head
--- a/balancer/net/discovery.py
+++ b/balancer/net/discovery.py
@@ -11,7 +11,7 @@
 import httptools
 
 from balancer.net.listing import Listing, read_listing
-from balancer.net.log import Log
+from balancer.net.process.log import Log
 from balancer.policy.interface import ListKind
 
 WAIT_MS = 1_000  # a watch with no news lasts so long at most...
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -1,7 +1,8 @@
 """One node: hosts a Balancer on sockets.
 
 It wires the parts together, starts them and ends them, and makes no decision. Requests and their attempts
-are in `requests.py`, news of the servers in `roster.py`, the clock and the module's events in `turns.py`.
+are in `requests.py`, news of the servers in `roster.py`, the clock and the module's events in
+`process/event_queue.py`.
 """
 
 from __future__ import annotations
@@ -16,20 +17,20 @@
 from balancer.net.callers import Callers
 from balancer.net.config import Config, ConfigError, load_discovery
 from balancer.net.connection import Answer
-from balancer.net.counters import Counters
-from balancer.net.descriptors import Descriptors
-from balancer.net.handover import Handover, adopted
-from balancer.net.lifecycle import Lifecycle, Stage
-from balancer.net.listener import Address, listening
-from balancer.net.log import LINES_A_SECOND, STRAYS_A_SECOND, Log
-from balancer.net.management import JSON, Management, Page, Paths
 from balancer.net.peers import Peers
+from balancer.net.process.counters import Counters
+from balancer.net.process.descriptor_budget import Descriptors
+from balancer.net.process.event_queue import Event, Turns
+from balancer.net.process.handover import Handover, adopted
+from balancer.net.process.lifecycle import Lifecycle, Stage
+from balancer.net.process.listener import Address, listening
+from balancer.net.process.log import LINES_A_SECOND, STRAYS_A_SECOND, Log
+from balancer.net.process.management import JSON, Management, Page, Paths
+from balancer.net.process.memory_budget import Room
+from balancer.net.process.system_faults import is_shortage, retry_shortage
 from balancer.net.requests import Requests
-from balancer.net.room import Room
 from balancer.net.roster import Roster
 from balancer.net.servers import Exchange, Pool
-from balancer.net.system_faults import is_shortage, retry_shortage
-from balancer.net.turns import Event, Turns
 from balancer.policy import Balancer
 from balancer.policy.interface import Outcome, State
 
--- a/balancer/net/peers.py
+++ b/balancer/net/peers.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any, cast
 
-from balancer.net.log import Log
+from balancer.net.process.log import Log
 
 LARGEST = 256  # bytes in one message
 
--- a/balancer/net/turns.py
+++ b/balancer/net/process/event_queue.py
@@ -7,7 +7,7 @@
 from time import monotonic_ns, time_ns
 from typing import Any
 
-from balancer.net.log import Log
+from balancer.net.process.log import Log
 
 Event = Callable[..., None]
 
--- a/balancer/net/handover.py
+++ b/balancer/net/process/handover.py
@@ -13,8 +13,8 @@
 from contextlib import suppress
 from time import monotonic_ns
 
-from balancer.net.log import Log
-from balancer.net.system_faults import retry_shortage
+from balancer.net.process.log import Log
+from balancer.net.process.system_faults import retry_shortage
 
 PREFIX = "brackenladder-"
 LOOK = 0.1  # seconds between two looks for another process
--- a/balancer/net/lifecycle.py
+++ b/balancer/net/process/lifecycle.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-from balancer.net.log import Log
+from balancer.net.process.log import Log
 
 
 class Stage(Enum):
--- a/balancer/net/listener.py
+++ b/balancer/net/process/listener.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Callable
 
-from balancer.net.system_faults import RETRY_INTERVAL, is_shortage
+from balancer.net.process.system_faults import RETRY_INTERVAL, is_shortage
 
 Address = tuple[str, int]
 
--- a/balancer/net/management.py
+++ b/balancer/net/process/management.py
@@ -9,7 +9,7 @@
 
 import httptools
 
-from balancer.net.listener import Listener
+from balancer.net.process.listener import Listener
 
 MOST = 8  # connections at once
 ACCEPTS = 4  # taken in one go: so many more may be open until those that gave way have closed
--- a/balancer/net/requests.py
+++ b/balancer/net/requests.py
@@ -14,14 +14,14 @@
 from balancer.net.caller import Caller
 from balancer.net.config import Config
 from balancer.net.connection import Answer
-from balancer.net.counters import Counters
 from balancer.net.forwarding import head_of, told_time
-from balancer.net.lifecycle import Lifecycle
-from balancer.net.log import Log
 from balancer.net.message import Message
 from balancer.net.passing import Source, Upload
+from balancer.net.process.counters import Counters
+from balancer.net.process.event_queue import Turns
+from balancer.net.process.lifecycle import Lifecycle
+from balancer.net.process.log import Log
 from balancer.net.servers import Exchange, Pool
-from balancer.net.turns import Turns
 from balancer.policy import Balancer
 from balancer.policy.interface import NEVER_RAN, Effect, Outcome
 
--- a/balancer/net/roles.py
+++ b/balancer/net/roles.py
@@ -5,10 +5,10 @@
 import asyncio
 from typing import TYPE_CHECKING, Protocol
 
-from balancer.net.descriptors import Descriptors
-from balancer.net.lifecycle import Lifecycle
 from balancer.net.message import Message
-from balancer.net.room import Room
+from balancer.net.process.descriptor_budget import Descriptors
+from balancer.net.process.lifecycle import Lifecycle
+from balancer.net.process.memory_budget import Room
 
 if TYPE_CHECKING:
     from balancer.net.caller import Caller
--- a/balancer/net/roster.py
+++ b/balancer/net/roster.py
@@ -11,11 +11,11 @@
 from balancer.net.config import Config
 from balancer.net.connection import Endpoint
 from balancer.net.discovery import Discovery
-from balancer.net.lifecycle import Lifecycle
 from balancer.net.listing import Line, Listing
-from balancer.net.log import Log
+from balancer.net.process.event_queue import Turns
+from balancer.net.process.lifecycle import Lifecycle
+from balancer.net.process.log import Log
 from balancer.net.servers import Pool
-from balancer.net.turns import Turns
 from balancer.policy import Balancer
 from balancer.policy.interface import ListKind, ServerEntry, State
 
--- a/balancer/net/servers.py
+++ b/balancer/net/servers.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable
 
 from balancer.net.connection import Answer, Connection, Endpoint
-from balancer.net.descriptors import Descriptors
 from balancer.net.passing import Flow, Source, Upload
-from balancer.net.room import Room
-from balancer.net.system_faults import RETRY_INTERVAL, never_left_machine
+from balancer.net.process.descriptor_budget import Descriptors
+from balancer.net.process.memory_budget import Room
+from balancer.net.process.system_faults import RETRY_INTERVAL, never_left_machine
 from balancer.policy.interface import Outcome
 
 IDLE_MARGIN = 0.3  # seconds before the server would close an idle connection
--- a/tests/system_call_faults.py
+++ b/tests/system_call_faults.py
@@ -34,7 +34,7 @@
 import pytest
 import uvloop
 
-from balancer.net.listener import Listener
+from balancer.net.process.listener import Listener
 
 SHORTAGES = (EMFILE, ENFILE, ENOBUFS, ENOMEM)
 # accept(2): errors of the new connection itself come out of the call on Linux.
--- a/tests/test_crossings_ends.py
+++ b/tests/test_crossings_ends.py
@@ -25,7 +25,7 @@
     until,
 )
 
-from balancer.net.handover import FITS, PREFIX, Handover
+from balancer.net.process.handover import FITS, PREFIX, Handover
 
 READY = b"GET /ready HTTP/1.1\r\n\r\n"
 
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -4,7 +4,7 @@
 from loopback import OK, Bench, Client, Clock, Server, always, call, play, until
 
 from balancer.net.caller import WRITES
-from balancer.net.descriptors import Descriptors
+from balancer.net.process.descriptor_budget import Descriptors
 
 HALF = b"GET /view HTTP/1.1\r\nX-Call-Id: 1\r\n"
 SMALL = {"limits": {"sockets": 48}}
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -13,7 +13,7 @@
 import pytest
 from failing_calls import fail_calls, in_child
 
-from balancer.net.handover import FITS, MOST_FAILED_LOOKS, PREFIX, Handover
+from balancer.net.process.handover import FITS, MOST_FAILED_LOOKS, PREFIX, Handover
 from workbench.cli import cli
 from workbench.cli.errors import Bad, write_whole
 from workbench.experiment.plan import Task, plan_of, tasks
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -27,8 +27,8 @@
 )
 from support import BEFORE_RENAMING
 
-from balancer.net import handover
-from balancer.net.handover import FITS, PREFIX, Handover, adopted
+from balancer.net.process import handover
+from balancer.net.process.handover import FITS, PREFIX, Handover, adopted
 from workbench.lab.earlier import unpack
 
 READY = b"GET /control/ready HTTP/1.1\r\n\r\n"
--- a/tests/test_lab_clock.py
+++ b/tests/test_lab_clock.py
@@ -7,7 +7,7 @@
 import pytest
 
 from balancer.fleet.clocks import Clocks
-from balancer.net.turns import Turns
+from balancer.net.process.event_queue import Turns
 from workbench.lab import stepped
 from workbench.lab.faults import Faults
 from workbench.lab.fleet import Member
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -22,8 +22,8 @@
     until,
 )
 
-from balancer.net import management
 from balancer.net.config import ConfigError, read
+from balancer.net.process import management
 
 READY = b"GET /ready HTTP/1.1\r\n\r\n"
 OPERATED = {"management": "127.0.0.1:0"}
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -9,7 +9,7 @@
 from balancer.net import servers as node_servers
 from balancer.net.caller import LINGER, SLOW
 from balancer.net.passing import WHOLE
-from balancer.net.room import LEAST, PIECE_LEAST, PIECE_MOST, Room
+from balancer.net.process.memory_budget import LEAST, PIECE_LEAST, PIECE_MOST, Room
 from balancer.policy.interface import Outcome
 
 LONG = bytes(range(256)) * 4096  # 1 MiB
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -48,13 +48,14 @@
 from test_fleet import free_udp, section
 
 from balancer.fleet.membership.messages import Kind, Message
-from balancer.net import callers, handover, listener, node, roster, servers, system_faults
+from balancer.net import callers, node, roster, servers
 from balancer.net.caller import Caller
 from balancer.net.connection import Connection
 from balancer.net.discovery import Call
-from balancer.net.handover import Handover
-from balancer.net.listener import Listener
-from balancer.net.management import Operator
+from balancer.net.process import handover, listener, system_faults
+from balancer.net.process.handover import Handover
+from balancer.net.process.listener import Listener
+from balancer.net.process.management import Operator
 from balancer.policy.interface import Outcome
 
 OPERATED = {"management": "127.0.0.1:0"}
--- a/workbench/emulator/agent.py
+++ b/workbench/emulator/agent.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from balancer.net.listener import Listener, listening
+from balancer.net.process.listener import Listener, listening
 from balancer.policy.interface import ListKind, ServerEntry, State
 from workbench.emulator.http import ServerSide, answer_bytes
 
--- a/workbench/emulator/servers.py
+++ b/workbench/emulator/servers.py
@@ -11,7 +11,7 @@
 from contextlib import suppress
 from typing import Protocol
 
-from balancer.net.listener import Listener, listening
+from balancer.net.process.listener import Listener, listening
 from balancer.policy.interface import Outcome
 from workbench.emulator.clock import LiveClock
 from workbench.emulator.http import ServerSide, answer_bytes
--- a/workbench/explore/runtime_net.py
+++ b/workbench/explore/runtime_net.py
@@ -17,8 +17,8 @@
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.runtime import FleetRuntime
 from balancer.fleet.zone_routing.settings import ZoneSettings
-from balancer.net.lifecycle import Lifecycle, Stage
-from balancer.net.log import Log
+from balancer.net.process.lifecycle import Lifecycle, Stage
+from balancer.net.process.log import Log
 from balancer.policy.interface import ClassSettings, Effect, Settings
 from workbench.simulator.heap import HeapClock
 
--- a/workbench/lab/mischief.py
+++ b/workbench/lab/mischief.py
@@ -25,7 +25,7 @@
 from balancer.fleet.runtime import FleetRuntime
 from balancer.fleet.zone_routing.decisions import Zones
 from balancer.net.forwarding import head_of
-from balancer.net.lifecycle import Lifecycle
+from balancer.net.process.lifecycle import Lifecycle
 from balancer.net.requests import Requests
 from balancer.net.roster import Roster
 from balancer.net.servers import Exchange
--- a/workbench/lab/stepped.py
+++ b/workbench/lab/stepped.py
@@ -2,8 +2,8 @@
 
 `python -m workbench.lab.stepped FILE [MISCHIEF]`, where FILE holds the offset in milliseconds. The fleet
 reads its wall clock through the lab's `clock_file`. The rest of the node reads Unix time once, as it starts
-(`net/turns.py`), and dates the starts of servers by it; that reading gets the same offset here. The product
-has no such switch. A step while the process runs does not reach that reading, as on a machine.
+(`net/process/event_queue.py`), and dates the starts of servers by it; that reading gets the same offset here.
+The product has no such switch. A step while the process runs does not reach that reading, as on a machine.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from typing import Any
 
 import balancer.__main__ as program
-from balancer.net.turns import Turns
+from balancer.net.process.event_queue import Turns
 from workbench.lab import mischief
 
 NANOSECONDS = 1_000_000  # in a millisecond
--- a/workbench/scale/hollow.py
+++ b/workbench/scale/hollow.py
@@ -16,8 +16,8 @@
 from balancer.fleet.config import read_fleet
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Address, Claim, Kind, Message, Status, Swim
-from balancer.net.lifecycle import Lifecycle, Stage
-from balancer.net.log import Log
+from balancer.net.process.lifecycle import Lifecycle, Stage
+from balancer.net.process.log import Log
 from balancer.policy.interface import ClassSettings, Effect, Settings
 from workbench.scale.group import Group, Place
 from workbench.scale.messages import Traffic
--- a/workbench/scale/program.py
+++ b/workbench/scale/program.py
@@ -15,8 +15,8 @@
 from balancer.fleet.config import FleetConfig
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Swim
-from balancer.net.lifecycle import Lifecycle
-from balancer.net.log import Log
+from balancer.net.process.lifecycle import Lifecycle
+from balancer.net.process.log import Log
 from balancer.policy.interface import Settings
 
 RUNTIMES = (("balancer.fleet.runtime", "FleetRuntime"), ("balancer.fleet.host", "Host"))
