--- a/balancer/net/caller.py
+++ b/balancer/net/caller.py
@@ -64,16 +64,16 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=self.owner.room.piece)
+        self.transport.set_write_buffer_limits(high=self.owner.memory_budget.chunk_bytes)
 
     def get_buffer(self, sizehint: int) -> bytearray:
-        return self.owner.room.buffer
+        return self.owner.memory_budget.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
         self.active = self.owner.loop.time()
         if self.deaf:
             return
-        self.rest.append(bytes(memoryview(self.owner.room.buffer)[:nbytes]), self.active)
+        self.rest.append(bytes(memoryview(self.owner.memory_budget.read_buffer)[:nbytes]), self.active)
         self.parse()
         if len(self.rest) > AHEAD and not self.stopped():
             # Failure prevented: the client's end stands behind bytes that nobody reads, and what it has left
@@ -224,12 +224,12 @@
 
     def queue(self, message: Message) -> None:
         """A request has come: whole, or with an upload."""
-        if not self.owner.room.fits(message.size):
+        if not self.owner.memory_budget.fits(message.size):
             # Failure prevented: many clients that send large requests ahead end the process for its memory.
             message.error, message.keep = 503, False
             message.upload, message.body, message.size = None, b"", 0
             self.deaf = True
-        self.owner.room.take(message.size)
+        self.owner.memory_budget.reserve(message.size)
         message.came = self.read_at
         self.waiting.append(message)
 
@@ -298,7 +298,7 @@
         """The open request has had its answer."""
         self.open = None
         self.kept = True
-        self.owner.room.give(message.size)
+        self.owner.memory_budget.release(message.size)
         if self.transport.is_closing():
             return
         if close:
@@ -396,7 +396,7 @@
 
     def owe(self, size: int) -> None:
         """So many bytes of whole answers are held that the client does not read."""
-        self.owner.room.take(size - self.owed)
+        self.owner.memory_budget.reserve(size - self.owed)
         self.owed = size
 
     # ---- ends -----------------------------------------------------------------------------------------
@@ -404,7 +404,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.leave()
         self.owner.callers.discard(self)
-        self.owner.budget.client(-1)
+        self.owner.descriptor_budget.remove_client()
         self.owe(0)
 
     def eof_received(self) -> bool:
@@ -425,7 +425,7 @@
         self.partial = None
         self.forget()
         if self.open is not None:
-            self.owner.room.give(self.open.size)
+            self.owner.memory_budget.release(self.open.size)
             self.open = None
             self.owner.handler.left(self)
         self.source = None
@@ -442,7 +442,7 @@
 
     def forget(self) -> None:
         """Throws away the requests that wait: they get no answer."""
-        self.owner.room.give(sum(message.size for message in self.waiting))
+        self.owner.memory_budget.release(sum(message.size for message in self.waiting))
         self.waiting.clear()
 
     def turn(self, now: float) -> tuple[int, float] | None:
--- a/balancer/net/callers.py
+++ b/balancer/net/callers.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 
 from balancer.net.caller import SLOW, Caller
-from balancer.net.process.descriptor_budget import Descriptors
+from balancer.net.process.descriptor_budget import DescriptorBudget
 from balancer.net.process.lifecycle import Lifecycle, Stage
 from balancer.net.process.listener import Listener
-from balancer.net.process.memory_budget import Room
+from balancer.net.process.memory_budget import MemoryBudget
 from balancer.net.roles import Handler
 
 REFUSING = (
@@ -29,14 +29,14 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        budget: Descriptors,
+        descriptor_budget: DescriptorBudget,
         handler: Handler,
         life: Lifecycle,
-        room: Room,
+        memory_budget: MemoryBudget,
     ) -> None:
         self.loop = loop
-        self.budget = budget
-        self.room = room
+        self.descriptor_budget = descriptor_budget
+        self.memory_budget = memory_budget
         self.counts: Counter[str] = Counter()  # connections that were ended for want of room or of a request
         self.handler = handler
         self.life = life
@@ -45,13 +45,13 @@
         self.shared = False
         self.relief: Callable[[], bool] = lambda: False  # ends a connection to a server that is not needed
         self.listener = Listener(loop, self.take, self.has_room, ACCEPTS)
-        budget.freed = self.listener.look
+        descriptor_budget.on_released = self.listener.look
         self.stop_at = 0.0  # when an ending node stops listening...
         self.close_at = 0.0  # ...and when it closes the connections that carry no request, new ones too
 
     def most(self) -> int:
         """So many connections are served; a few more are open only to be refused."""
-        allowed = self.budget.for_clients()
+        allowed = self.descriptor_budget.max_clients()
         return allowed - min(REFUSING, max(1, allowed // 16))
 
     def shrink(self) -> None:
@@ -67,12 +67,15 @@
 
     def has_room(self) -> bool:
         """Whether one more connection fits the budget."""
-        return self.budget.clients < self.budget.for_clients() and not self.budget.full()
+        return (
+            self.descriptor_budget.clients < self.descriptor_budget.max_clients()
+            and not self.descriptor_budget.exhausted()
+        )
 
     def take(self, connection: socket.socket) -> None:
         """Makes a connection one of ours."""
         connection.setblocking(False)
-        self.budget.client(1)
+        self.descriptor_budget.add_client()
         most = self.most()
         if len(self.callers) >= most:
             self.make_room()
@@ -86,7 +89,7 @@
         except OSError:  # gone already
             connection.close()
             self.callers.discard(caller)
-            self.budget.client(-1)
+            self.descriptor_budget.remove_client()
 
     def make_room(self) -> bool:
         """Ends the connection whose turn it is, if any has no request; its client may open another."""
@@ -104,10 +107,10 @@
 
     def keep_few(self) -> None:
         """Ends the connection that has been idle longest if clients hold all that they may."""
-        if len(self.callers) <= self.budget.kept:
+        if len(self.callers) <= self.descriptor_budget.max_idle_clients:
             return
         held = [c for c in self.callers if c.kept or c.open is not None]
-        idle = [c for c in held if c.idle()] if len(held) > self.budget.kept else []
+        idle = [c for c in held if c.idle()] if len(held) > self.descriptor_budget.max_idle_clients else []
         if idle:
             longest = min(idle, key=lambda c: c.active)
             self.counts["gave_way_idle"] += 1
--- a/balancer/net/connection.py
+++ b/balancer/net/connection.py
@@ -12,7 +12,7 @@
 import httptools
 
 from balancer.net.passing import LARGEST, WHOLE, Flow, Upload
-from balancer.net.process.memory_budget import Room
+from balancer.net.process.memory_budget import MemoryBudget
 from balancer.net.process.sockets import CAME, shows
 from balancer.policy.interface import Outcome
 
@@ -53,7 +53,7 @@
     """What a connection needs of the pool that it belongs to."""
 
     loop: asyncio.AbstractEventLoop
-    room: Room
+    memory_budget: MemoryBudget
 
     def keep(self, connection: Connection) -> None:
         """It carries nothing and may be used again."""
@@ -151,7 +151,7 @@
             self.written()
 
     def full(self) -> bool:
-        return self.transport.get_write_buffer_size() >= self.pool.room.piece
+        return self.transport.get_write_buffer_size() >= self.pool.memory_budget.chunk_bytes
 
     # ---- an exchange ------------------------------------------------------------------------------------
 
@@ -187,10 +187,10 @@
         self.length: int | None = None
 
     def get_buffer(self, sizehint: int) -> bytearray:
-        return self.pool.room.buffer
+        return self.pool.memory_budget.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        data = memoryview(self.pool.room.buffer)[:nbytes]
+        data = memoryview(self.pool.memory_budget.read_buffer)[:nbytes]
         if self.exchange is None:
             # Failure prevented: bytes that nobody asked for would be taken for the next answer.
             self.close()
@@ -237,7 +237,7 @@
     def holds(self) -> bool:
         """Whether the answer is one that is taken whole."""
         most = max(len(self.body), self.length or 0)
-        return most <= WHOLE and self.pool.room.fits(0)
+        return most <= WHOLE and self.pool.memory_budget.fits(0)
 
     def open_flow(self) -> None:
         """Lets an answer that is not taken whole pass through, if it is one for the client."""
@@ -255,7 +255,7 @@
         self.forget_body()
 
     def forget_body(self) -> None:
-        self.pool.room.give(len(self.body))
+        self.pool.memory_budget.release(len(self.body))
         self.body = b""
 
     def hold(self) -> None:
@@ -303,7 +303,7 @@
                 self.flow.piece(body)
         else:
             self.body += body
-            self.pool.room.take(len(body))
+            self.pool.memory_budget.reserve(len(body))
 
     def on_message_complete(self) -> None:
         status = self.parser.get_status_code()
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -19,14 +19,14 @@
 from balancer.net.connection import Answer
 from balancer.net.peers import Peers
 from balancer.net.process.counters import Counters
-from balancer.net.process.descriptor_budget import Descriptors
-from balancer.net.process.event_queue import Event, Turns
+from balancer.net.process.descriptor_budget import DescriptorBudget
+from balancer.net.process.event_queue import Event, EventQueue
 from balancer.net.process.handover import Handover, adopted
 from balancer.net.process.lifecycle import Lifecycle, Stage
 from balancer.net.process.listener import Address, listening
 from balancer.net.process.log import LINES_A_SECOND, STRAYS_A_SECOND, Log
 from balancer.net.process.management import JSON, Management, Page, Paths
-from balancer.net.process.memory_budget import Room
+from balancer.net.process.memory_budget import MemoryBudget
 from balancer.net.process.system_faults import is_shortage, retry_shortage
 from balancer.net.requests import Requests
 from balancer.net.roster import Roster
@@ -56,21 +56,23 @@
         # Apart, so that whoever sends garbage cannot use up the lines that tell of faults.
         strays = Log(config.name, STRAYS_A_SECOND)
         connections = config.connections()
-        self.budget = Descriptors(connections, config.sockets)
-        self.room = Room(config.memory, connections)
-        self.pool = Pool(loop, self.budget, config.connect_timeout, config.idle_time, self.room)
+        self.descriptor_budget = DescriptorBudget(connections, config.sockets)
+        self.memory_budget = MemoryBudget(config.memory, connections)
+        self.pool = Pool(
+            loop, self.descriptor_budget, config.connect_timeout, config.idle_time, self.memory_budget
+        )
         self.life = Lifecycle(self.log_lines)
         self.counters = Counters(config.classes)
-        self.turns = Turns(self.log_lines, self.failed)
+        self.event_queue = EventQueue(self.log_lines, self.failed)
         self.requests = Requests(
-            config, loop, self.pool, self.life, self.log_lines, self.counters, self.turns
+            config, loop, self.pool, self.life, self.log_lines, self.counters, self.event_queue
         )
-        self.callers = Callers(loop, self.budget, self.requests, self.life, self.room)
+        self.callers = Callers(loop, self.descriptor_budget, self.requests, self.life, self.memory_budget)
         self.pool.spare = self.callers.make_room
         self.callers.relief = self.pool.relieve
         self.fleet = self.fleet_part()
         self.management = Management(loop, self.paths(), self.log_lines.line)
-        self.roster = Roster(config, loop, self.pool, self.life, self.log_lines, strays, self.turns)
+        self.roster = Roster(config, loop, self.pool, self.life, self.log_lines, strays, self.event_queue)
         self.discovery = self.roster.discovery
         self.peers = Peers(config.peers, config.peers_all, self.heard, strays)
         self.started = False
@@ -109,7 +111,7 @@
             f" idle={c.idle_time} connect_timeout={c.connect_timeout}"
             f" aims={[k.aim // 1000 for k in c.settings.classes]}"
         )
-        self.turns.post(self.balancer.start)
+        self.event_queue.post(self.balancer.start)
         if self.config.known is not None:
             self.roster.told(self.config.known)
         if not self.config.settings.list_on_request:
@@ -170,8 +172,8 @@
     def share(self, shared: bool) -> None:
         """Another process of this node has come, and both get half; or it has gone."""
         parts = 2 if shared else 1
-        self.budget.resize(self.config.connections(parts), self.config.sockets // parts)
-        self.room.resize(self.config.memory // parts)
+        self.descriptor_budget.resize(self.config.connections(parts), self.config.sockets // parts)
+        self.memory_budget.resize(self.config.memory // parts)
         self.pool.shrink()
         self.callers.shrink()
         if self.handover.elder:
@@ -184,12 +186,12 @@
 
     def fits(self) -> bool:
         """Whether this process keeps to its half."""
-        return self.budget.clients + self.budget.servers <= self.budget.total
+        return self.descriptor_budget.clients + self.descriptor_budget.servers <= self.descriptor_budget.total
 
     def write_stats(self) -> None:
         """One line of figures: the module's as they stand, the node's counted since the start."""
         figures = self.balancer.stats() | self.requests.counts | self.callers.counts
-        figures |= {"dialled": self.pool.dialled, "clients": self.budget.clients}
+        figures |= {"dialled": self.pool.dialled, "clients": self.descriptor_budget.clients}
         self.log_lines.line("stats " + " ".join(f"{name}={value:.4g}" for name, value in figures.items()))
         self.loop.call_later(STATS_EVERY, self.write_stats)
 
@@ -254,7 +256,7 @@
         self.life.end()
         longest = max(c.deadline for c in self.config.settings.classes)
         grace = min(longest, LONGEST) + LAST
-        self.requests.answer_by(self.turns.now() + grace)
+        self.requests.answer_by(self.event_queue.now() + grace)
         self.peers.close()
         if self.fleet is not None:
             self.fleet.leave()
@@ -272,15 +274,15 @@
 
     def heard(self, peer: int, data: bytes) -> None:
         """A peer's message."""
-        self.turns.post(self.balancer.peer_message, peer, data)
+        self.event_queue.post(self.balancer.peer_message, peer, data)
 
     def tried(self, server: int, well: bool) -> None:
         """Another node of the fleet has tried a server."""
-        self.turns.post(self.balancer.tried, server, well)
+        self.event_queue.post(self.balancer.tried, server, well)
 
     def spread(self, shares: dict[int, float], trips: dict[int, int]) -> None:
         """The fleet's word on how calls go to the zones."""
-        self.turns.post(self.balancer.zones, shares, trips)
+        self.event_queue.post(self.balancer.zones, shares, trips)
 
     def failed(self, event: Event, args: tuple[Any, ...]) -> None:
         """The module has failed over an event: a request that it was about gets an answer all the same."""
@@ -292,23 +294,23 @@
     def probe(self, server: int) -> None:
         """Asks a server for its load report, or whether it is well where there are no reports."""
         endpoint = self.pool.endpoints.get(server)
-        began = self.turns.now()
+        began = self.event_queue.now()
         path = b"/status/load" if self.config.report_names else b"/health"
 
         def done(outcome: Outcome, answer: Answer | None) -> None:
             ok = answer is not None and answer.status == 200
             report = self.requests.report(answer.body or answer.report) if answer is not None and ok else ()
-            self.turns.post(self.balancer.probed, server, ok, self.turns.now() - began, report)
+            self.event_queue.post(self.balancer.probed, server, ok, self.event_queue.now() - began, report)
 
         if endpoint is None or not endpoint.ready:
-            self.turns.post(self.balancer.probed, server, False, 0, ())
+            self.event_queue.post(self.balancer.probed, server, False, 0, ())
             return
         request = b"GET %b HTTP/1.1\r\nHost: %b:%d\r\n\r\n" % (path, endpoint.host.encode(), endpoint.port)
         Exchange(self.pool, endpoint, lambda: request, done).start(self.config.connect_timeout)
 
     def set_timer(self, delay: int, token: int) -> None:
         """Hands `token` back after `delay`."""
-        self.loop.call_later(max(0, delay) / 1e6, self.turns.post, self.balancer.timer, token)
+        self.loop.call_later(max(0, delay) / 1e6, self.event_queue.post, self.balancer.timer, token)
 
     def tell(self, peer: int, data: bytes) -> None:
         """Sends a message to a peer, or to all."""
--- a/balancer/net/process/descriptor_budget.py
+++ b/balancer/net/process/descriptor_budget.py
@@ -4,45 +4,56 @@
 
 from collections.abc import Callable
 
-MARGIN = 4  # clients who hold their third of the descriptors have a few to open a new connection with
+SPARE_CLIENTS = 4  # clients who hold their third of the descriptors have a few to open a new connection with
 
 
-class Descriptors:
-    """How many connections each side has and may have. What is just being closed counts until it is."""
+class DescriptorBudget:
+    """How many connections each side has and may have; one that is just being closed counts until it is.
 
-    def __init__(self, total: int, all_there_are: int) -> None:
-        self.resize(total, all_there_are)
+    Args:
+        total: descriptors for connections of both sides.
+        process_total: all descriptors that the process may have.
+    """
+
+    def __init__(self, total: int, process_total: int) -> None:
+        self.resize(total, process_total)
         self.clients = 0
         self.servers = 0
-        self.freed: Callable[[], None] = lambda: None  # called when there may be room again
+        self.on_released: Callable[[], None] = lambda: None  # called when a descriptor has come free
 
-    def resize(self, total: int, all_there_are: int) -> None:
-        """So many are for connections, of all that this process may have."""
+    def resize(self, total: int, process_total: int) -> None:
+        """Sets how many descriptors there are for connections, and for the whole process."""
         self.total = total
         # Clients may hold a third of all. Failure prevented: connections that stand idle here are their
         # whole third, and they cannot open the next.
-        self.kept = max(1, all_there_are // 3 - MARGIN)
+        self.max_idle_clients = max(1, process_total // 3 - SPARE_CLIENTS)
 
-    def for_clients(self) -> int:
-        """So many connections clients may have now: a quarter is always the servers'."""
+    def max_clients(self) -> int:
+        """How many connections clients may have now: a quarter is always the servers'."""
         return self.total - max(self.servers, self.total // 4)
 
-    def for_servers(self) -> int:
-        """So many the servers may have: half at most, or clients would be shut out by their own requests."""
+    def max_servers(self) -> int:
+        """How many connections to servers there may be: half, or requests would shut out new clients."""
         return self.total // 2
 
-    def full(self) -> bool:
-        """Whether there is no room for one more of either."""
+    def exhausted(self) -> bool:
+        """Whether there is no descriptor for one more connection of either side."""
         return self.clients + self.servers >= self.total
 
-    def client(self, change: int) -> None:
-        """A client's connection has come or ended."""
-        self.clients += change
-        if change < 0:
-            self.freed()
-
-    def server(self, change: int) -> None:
-        """A connection to a server has been begun or has ended."""
-        self.servers += change
-        if change < 0:
-            self.freed()
+    def add_client(self) -> None:
+        """Counts a client's connection that has come."""
+        self.clients += 1
+
+    def remove_client(self) -> None:
+        """Counts a client's connection that has ended."""
+        self.clients -= 1
+        self.on_released()
+
+    def add_server(self) -> None:
+        """Counts a connection to a server that has been begun."""
+        self.servers += 1
+
+    def remove_server(self) -> None:
+        """Counts a connection to a server that has ended."""
+        self.servers -= 1
+        self.on_released()
--- a/balancer/net/process/event_queue.py
+++ b/balancer/net/process/event_queue.py
@@ -1,4 +1,4 @@
-"""The node's clock, and the module's events one after the other."""
+"""The node's clock, and the policy's events one after the other."""
 
 from __future__ import annotations
 
@@ -12,33 +12,38 @@
 Event = Callable[..., None]
 
 
-class Turns:
-    """Hands the module its events. `failed` hears of an event that raised, with its arguments."""
+class EventQueue:
+    """Hands events to the policy in the order they came, none before the one before it has been handled.
 
-    def __init__(self, log: Log, failed: Callable[[Event, tuple[Any, ...]], None]) -> None:
+    Args:
+        log: gets a line for each event that raised an exception.
+        on_failed: called with an event that raised and its arguments, without the time.
+    """
+
+    def __init__(self, log: Log, on_failed: Callable[[Event, tuple[Any, ...]], None]) -> None:
         self.log = log
-        self.failed = failed
-        self.origin = time_ns() - monotonic_ns()
+        self.on_failed = on_failed
+        self.origin = time_ns() - monotonic_ns()  # Unix time at the zero of the monotonic clock
         self.events: deque[tuple[Event, tuple[Any, ...]]] = deque()
-        self.busy = False
+        self.is_running = False
 
     def now(self) -> int:
         """Unix time at the start plus what has passed since, in microseconds: it never goes back."""
         return (self.origin + monotonic_ns()) // 1000
 
     def post(self, event: Event, *args: Any) -> None:
-        """Hands the module an event, after the one it is handling, if any."""
+        """Calls `event(now, *args)`, after the event that is being handled, if any."""
         self.events.append((event, args))
-        if self.busy:
+        if self.is_running:
             return
-        self.busy = True
+        self.is_running = True
         try:
             while self.events:
                 event, args = self.events.popleft()
                 try:
                     event(self.now(), *args)
-                except Exception as e:  # one event's failure must not end the node or other requests
-                    self.log.line(f"{event.__name__}: {type(e).__name__}: {e}")
-                    self.failed(event, args)
+                except Exception as error:  # one event's failure must not end the node or other requests
+                    self.log.line(f"{event.__name__}: {type(error).__name__}: {error}")
+                    self.on_failed(event, args)
         finally:
-            self.busy = False
+            self.is_running = False
--- a/balancer/net/process/listener.py
+++ b/balancer/net/process/listener.py
@@ -28,18 +28,18 @@
 
 
 class Listener:
-    """Hands each connection it takes to `take`, so many in one go at most, while `room` says yes."""
+    """Hands each connection it takes to `take`, so many in one go at most, while `has_capacity` says so."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         take: Callable[[socket.socket], None],
-        room: Callable[[], bool],
+        has_capacity: Callable[[], bool],
         at_once: int,
     ) -> None:
         self.loop = loop
         self.take = take
-        self.room = room
+        self.has_capacity = has_capacity
         self.at_once = at_once
         self.socket: socket.socket | None = None
         self.reading = False
@@ -53,12 +53,12 @@
 
     def look(self) -> None:
         """Listens while there is room, and only then."""
-        room = self.socket is not None and self.resting is None and self.room()
-        if room and not self.reading:
+        accepts = self.socket is not None and self.resting is None and self.has_capacity()
+        if accepts and not self.reading:
             assert self.socket is not None
             self.reading = True
             self.loop.add_reader(self.socket.fileno(), self.accept)
-        elif not room:
+        elif not accepts:
             self.pause()
 
     def pause(self) -> None:
@@ -77,7 +77,7 @@
         taken = 0
         fault: OSError | None = None
         for _ in range(self.at_once):
-            if self.socket is None or not self.room():
+            if self.socket is None or not self.has_capacity():
                 break
             try:
                 connection, _ = self.socket.accept()
@@ -125,7 +125,7 @@
         """
         assert self.socket is not None
         try:
-            while self.room():
+            while self.has_capacity():
                 self.take(self.socket.accept()[0])
         except BlockingIOError:  # none waits any more
             self.release()
--- a/balancer/net/process/memory_budget.py
+++ b/balancer/net/process/memory_budget.py
@@ -1,36 +1,43 @@
-"""How many bytes the process may hold, from the limits in its configuration."""
+"""How many bytes of messages the process may hold, from the limits in its configuration."""
 
 from __future__ import annotations
 
-BASE = 16 << 20  # bytes that a process takes with nothing to do
-SHARE = 4  # a byte held costs some more on its way from one form to another
-LEAST = 1 << 20
-PIECE_LEAST, PIECE_MOST = 4 << 10, 64 << 10
+BASE_BYTES = 16 << 20  # that a process takes with nothing to do
+BYTES_PER_HELD_BYTE = 4  # a byte held costs some more on its way from one form to another
+MIN_HELD_BYTES = 1 << 20  # what may be held at least, however low the limit
+MIN_CHUNK_BYTES, MAX_CHUNK_BYTES = 4 << 10, 64 << 10
 
 
-class Room:
-    """Counts the bytes of the requests and answers that are held whole.
+class MemoryBudget:
+    """Counts the bytes of the requests and responses that are held whole.
 
-    What passes through is bounded apart: `piece` bytes at most are read in one go, and about as many
-    are buffered for each connection, which over all of them is another quarter of the room at most.
+    Streamed bodies are bounded apart: at most `chunk_bytes` are read in one go, and about as many are
+    buffered for each connection, which over all of them is at most another quarter of the budget.
+
+    Args:
+        memory: the limit of the whole process, in bytes.
+        connections: how many connections the process may have.
     """
 
     def __init__(self, memory: int, connections: int) -> None:
-        self.held = 0
+        self.held_bytes = 0
         self.resize(memory)
-        self.piece = min(PIECE_MOST, max(PIECE_LEAST, self.most // (4 * connections)))
-        self.buffer = bytearray(self.piece)  # each read is used up before the next one begins
+        fair_bytes = self.max_held_bytes // (4 * connections)
+        self.chunk_bytes = min(MAX_CHUNK_BYTES, max(MIN_CHUNK_BYTES, fair_bytes))
+        self.read_buffer = bytearray(self.chunk_bytes)  # each read is used up before the next one begins
 
     def resize(self, memory: int) -> None:
-        """The process may take so many bytes in all from now on."""
-        self.most = max(LEAST, (memory - BASE) // SHARE)
+        """Sets the limit of the whole process, in bytes."""
+        self.max_held_bytes = max(MIN_HELD_BYTES, (memory - BASE_BYTES) // BYTES_PER_HELD_BYTE)
 
     def fits(self, size: int) -> bool:
         """Whether so many bytes more may be held."""
-        return self.held + size <= self.most
+        return self.held_bytes + size <= self.max_held_bytes
 
-    def take(self, size: int) -> None:
-        self.held += size
+    def reserve(self, size: int) -> None:
+        """Counts so many bytes as held."""
+        self.held_bytes += size
 
-    def give(self, size: int) -> None:
-        self.held -= size
+    def release(self, size: int) -> None:
+        """Counts so many bytes as held no more."""
+        self.held_bytes -= size
--- a/balancer/net/requests.py
+++ b/balancer/net/requests.py
@@ -18,7 +18,7 @@
 from balancer.net.message import Message
 from balancer.net.passing import Source, Upload
 from balancer.net.process.counters import Counters
-from balancer.net.process.event_queue import Turns
+from balancer.net.process.event_queue import EventQueue
 from balancer.net.process.lifecycle import Lifecycle
 from balancer.net.process.log import Log
 from balancer.net.servers import Exchange, Pool
@@ -120,7 +120,7 @@
         life: Lifecycle,
         log: Log,
         counters: Counters,
-        turns: Turns,
+        event_queue: EventQueue,
     ) -> None:
         self.config = config
         self.settings = config.settings
@@ -129,7 +129,7 @@
         self.life = life
         self.log = log
         self.counters = counters
-        self.turns = turns
+        self.event_queue = event_queue
         self.module: Balancer  # what decides; it is made with these actions, and set then
         self.heard: Heard | None = None  # hears of each attempt's end, where the fleet has zones
         self.open: dict[int, Open] = {}
@@ -159,7 +159,7 @@
 
     def accept(self, caller: Caller, message: Message) -> None:
         """Checks a request and hands it to the module."""
-        now = self.turns.now()
+        now = self.event_queue.now()
         klass = self.class_of(message)
         if klass is None:
             if message.target.partition(b"?")[0] != b"/ready":
@@ -199,7 +199,7 @@
             self.watch_over(request)
         repeat = message.headers.get(b"x-again") == b"1"
         number = self.tenants.get(tenant or b"", len(self.tenants))
-        self.turns.post(self.module.request, request.id, klass, number, left, repeat)
+        self.event_queue.post(self.module.request, request.id, klass, number, left, repeat)
 
     def before_the_end(self, now: int, left: int) -> int:
         """What is left of a request's time, cut at the last answer of a node that ends.
@@ -248,7 +248,7 @@
 
         Failure prevented: a server that takes a request slowly gets its last byte after its client has gone.
         """
-        self.turns.post(self.module.client_left, request.id)
+        self.event_queue.post(self.module.client_left, request.id)
         if request.out is not None and (request.flow is not None or request.partly_written()):
             request.out.stop(Outcome.CANCELLED)
 
@@ -263,7 +263,7 @@
             if waits and request.guard is not None and request.deadline > last_answer:
                 request.deadline = last_answer
                 request.guard.cancel()
-                delay = (last_answer - self.turns.now()) / 1e6
+                delay = (last_answer - self.event_queue.now()) / 1e6
                 request.guard = self.loop.call_later(delay, self.time_out, request)
 
     def expire(self, request: Open) -> None:
@@ -275,7 +275,7 @@
     def time_out(self, request: Open) -> None:
         """The request's time is over: its client is told, and nothing more is done for it."""
         self.conclude(request.id, 504)
-        self.turns.post(self.module.client_left, request.id)
+        self.event_queue.post(self.module.client_left, request.id)
 
     # ---- answers --------------------------------------------------------------------------------------
 
@@ -321,14 +321,16 @@
             or not endpoint.ready
             or (r.message.upload is not None and r.message.upload.spent)
         ):
-            self.turns.post(self.module.outcome, request, number, server, Outcome.NOT_SENT, 0, False, ())
+            self.event_queue.post(
+                self.module.outcome, request, number, server, Outcome.NOT_SENT, 0, False, ()
+            )
             return
-        now = self.turns.now()
+        now = self.event_queue.now()
         coming = r.coming() is not None
         expires = min(now + timeout, r.deadline)
 
         def compose() -> bytes | None:
-            r.written_at = self.turns.now()
+            r.written_at = self.event_queue.now()
             left = expires - r.written_at
             if r.caller is None or not r.caller.stays() or left <= 0 or not self.may_go(r, r.written_at):
                 return None
@@ -351,7 +353,7 @@
         exchange = Exchange(self.pool, endpoint, compose, done, sent, begin, r.message.upload)
         r.out, r.written_at = exchange, None
         if coming:
-            self.turns.post(self.module.upload, request, number, True)
+            self.event_queue.post(self.module.upload, request, number, True)
         exchange.start(max(0, expires - now) / 1e6)
 
     def may_go(self, r: Open, now: int) -> bool:
@@ -368,12 +370,12 @@
     def uploaded(self, r: Open, number: int) -> None:
         """The last byte of a long body has gone to the server: only now the request's time begins."""
         if r.caller is not None:
-            now = self.turns.now()
+            now = self.event_queue.now()
             r.left = self.before_the_end(now, r.left)
             r.deadline = now + r.left
             if r.flow is None:
                 self.watch_over(r)
-        self.turns.post(self.module.upload, r.id, number, False)
+        self.event_queue.post(self.module.upload, r.id, number, False)
 
     def begin_flow(
         self, r: Open, number: int, server: int, sent: int, answer: Answer, source: Source
@@ -381,7 +383,7 @@
         """A long answer begins: its client gets it as it comes, past its time while the server goes on."""
         if r.caller is None or r.out is None:
             return None
-        now = self.turns.now()
+        now = self.event_queue.now()
         r.flow = Passage(self, r, r.caller, now)
         if r.guard is not None:
             r.guard.cancel()
@@ -389,7 +391,7 @@
             r.guard = self.loop.call_later(delay, self.watch_flow, r, r.flow)
         kind = answer.content_type
         r.caller.begin(source, answer.length, b"Content-Type: %b\r\n" % kind if kind else b"")
-        self.turns.post(self.module.response_started, r.id, number, server, now - sent)
+        self.event_queue.post(self.module.response_started, r.id, number, server, now - sent)
         return r.flow
 
     def watch_flow(self, r: Open, flow: Passage) -> None:
@@ -414,7 +416,7 @@
         if outcome not in NEVER_RAN and r.ran_at is None:
             r.ran_at = r.written_at
         if r.written_at is not None and r.coming() is not None:
-            r.deadline = self.turns.now() + r.left
+            r.deadline = self.event_queue.now() + r.left
         self.counts[f"attempts_{outcome.name.lower()}"] += 1
         report: tuple[float, ...] = ()
         if answer is not None:
@@ -432,10 +434,10 @@
         final = r.caller is None
         if final:
             self.open.pop(r.id, None)
-        latency = (self.turns.now() if r.flow is None else r.flow.began) - began
+        latency = (self.event_queue.now() if r.flow is None else r.flow.began) - began
         if self.heard is not None:
             self.heard(server, outcome, latency, dial)
-        self.turns.post(self.module.outcome, r.id, number, server, outcome, latency, final, report)
+        self.event_queue.post(self.module.outcome, r.id, number, server, outcome, latency, final, report)
 
     def cancel(self, request: int, attempt: int) -> None:
         """Gives an attempt up; its outcome follows after this event."""
--- a/balancer/net/roles.py
+++ b/balancer/net/roles.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING, Protocol
 
 from balancer.net.message import Message
-from balancer.net.process.descriptor_budget import Descriptors
+from balancer.net.process.descriptor_budget import DescriptorBudget
 from balancer.net.process.lifecycle import Lifecycle
-from balancer.net.process.memory_budget import Room
+from balancer.net.process.memory_budget import MemoryBudget
 
 if TYPE_CHECKING:
     from balancer.net.caller import Caller
@@ -34,8 +34,8 @@
     """What a connection needs of the crowd that it is one of."""
 
     loop: asyncio.AbstractEventLoop
-    room: Room
-    budget: Descriptors
+    memory_budget: MemoryBudget
+    descriptor_budget: DescriptorBudget
     life: Lifecycle
     callers: set[Caller]
     handler: Handler
--- a/balancer/net/roster.py
+++ b/balancer/net/roster.py
@@ -12,7 +12,7 @@
 from balancer.net.connection import Endpoint
 from balancer.net.discovery import Discovery
 from balancer.net.listing import Line, Listing
-from balancer.net.process.event_queue import Turns
+from balancer.net.process.event_queue import EventQueue
 from balancer.net.process.lifecycle import Lifecycle
 from balancer.net.process.log import Log
 from balancer.net.servers import Pool
@@ -35,14 +35,14 @@
         life: Lifecycle,
         log: Log,
         strays: Log,
-        turns: Turns,
+        event_queue: EventQueue,
     ) -> None:
         self.config = config
         self.loop = loop
         self.pool = pool
         self.life = life
         self.log = log
-        self.turns = turns
+        self.event_queue = event_queue
         self.module: Balancer  # set once it is made
         self.heard: Heard | None = None  # hears what the module hears of servers, where there is a fleet
         self.rng = Random(f"node {config.seed}")  # apart from the module's
@@ -56,7 +56,7 @@
         """News from discovery, or a call to it that failed."""
         if listing is None:
             if self.config.settings.list_on_request:
-                self.turns.post(self.module.server_list, ListKind.FAILED, ())
+                self.event_queue.post(self.module.server_list, ListKind.FAILED, ())
             else:
                 wait = PUSH_RETRY * (0.5 + self.rng.random())
                 self.loop.call_later(wait, self.discovery.watch, True)
@@ -79,9 +79,9 @@
             told = " ".join(f"{state}={count}" for state, count in states.items())
             self.log.line(f"list {listing.kind.name.lower()} version={listing.version} {told}")
         entries = [self.entry(number, line) for number, line in latest.items()]
-        self.turns.post(self.module.server_list, listing.kind, entries)
+        self.event_queue.post(self.module.server_list, listing.kind, entries)
         if self.heard is not None:
-            self.heard(self.turns.now(), listing.kind, entries, self.zones)
+            self.heard(self.event_queue.now(), listing.kind, entries, self.zones)
 
     def place(self, number: int, line: Line) -> None:
         """Takes note of a server's address and state; connections to an old process are of no use."""
--- a/balancer/net/servers.py
+++ b/balancer/net/servers.py
@@ -10,8 +10,8 @@
 
 from balancer.net.connection import Answer, Connection, Endpoint
 from balancer.net.passing import Flow, Source, Upload
-from balancer.net.process.descriptor_budget import Descriptors
-from balancer.net.process.memory_budget import Room
+from balancer.net.process.descriptor_budget import DescriptorBudget
+from balancer.net.process.memory_budget import MemoryBudget
 from balancer.net.process.system_faults import RETRY_INTERVAL, never_left_machine
 from balancer.policy.interface import Outcome
 
@@ -218,15 +218,15 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        budget: Descriptors,
+        descriptor_budget: DescriptorBudget,
         connect_timeout: float,
         idle_time: float,
-        room: Room,
+        memory_budget: MemoryBudget,
     ) -> None:
         self.loop = loop
-        self.budget = budget
+        self.descriptor_budget = descriptor_budget
         self.spare: Callable[[], bool] = lambda: False  # makes a client without a request give way
-        self.room = room
+        self.memory_budget = memory_budget
         self.connect_timeout = connect_timeout
         self.idle_time = max(idle_time - IDLE_MARGIN, idle_time / 2)
         self.dialled = 0  # connections opened in all
@@ -270,14 +270,14 @@
 
     def shrink(self) -> None:
         """The budget has shrunk: idle connections beyond it are closed."""
-        for _ in range(self.budget.servers - self.budget.for_servers()):
+        for _ in range(self.descriptor_budget.servers - self.descriptor_budget.max_servers()):
             self.make_room()
 
     def has_room(self) -> bool:
         """Whether one more connection fits the budget; one that carries nothing makes room."""
-        if self.budget.servers >= self.budget.for_servers():
+        if self.descriptor_budget.servers >= self.descriptor_budget.max_servers():
             return self.make_room()
-        return not self.budget.full() or self.spare() or self.make_room()
+        return not self.descriptor_budget.exhausted() or self.spare() or self.make_room()
 
     def relieve(self) -> bool:
         """Closes the connection that was idle longest if it has been so for long."""
@@ -295,13 +295,13 @@
     def opened(self, connection: Connection) -> None:
         """Counts a connection that is being opened."""
         connection.counted = True
-        self.budget.server(1)
+        self.descriptor_budget.add_server()
         self.dialled += 1
 
     def lost(self, connection: Connection) -> None:
         """Counts a connection's end, once."""
         if connection.counted:
             connection.counted = False
-            self.budget.server(-1)
+            self.descriptor_budget.remove_server()
         if connection in connection.endpoint.idle:
             connection.endpoint.idle.remove(connection)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -69,15 +69,15 @@
         bench = await Bench(Server(gated(release)), Server(gated(release))).start()
         pool = bench.node.pool
         outcomes = record_outcomes(bench)
-        pool.budget.resize(40, 40)
-        pool.budget.server(pool.budget.for_servers() - 1)  # one place is left
+        pool.descriptor_budget.resize(40, 40)
+        pool.descriptor_budget.servers += pool.descriptor_budget.max_servers() - 1  # one place is left
         clients = [await bench.client() for _ in range(count)]
         await until(lambda: len([c for c in bench.node.callers.callers if c.transport]) == count)
         for caller in list(bench.node.callers.callers):
             data = call("view")
-            bench.node.room.buffer[: len(data)] = data
+            bench.node.memory_budget.read_buffer[: len(data)] = data
             caller.buffer_updated(len(data))
-        assert pool.budget.servers <= pool.budget.for_servers()
+        assert pool.descriptor_budget.servers <= pool.descriptor_budget.max_servers()
         release.set()
         for client in clients:
             await client.receive()
@@ -249,14 +249,14 @@
         monkeypatch.setattr("balancer.net.callers.TAKING", 0.0)
         bench = await Bench(Server()).start()
         listener = bench.node.callers.listener
-        room, listener.room = listener.room, lambda: False
+        room, listener.has_capacity = listener.has_capacity, lambda: False
         listener.look()
         client = await bench.client()  # the system has taken it, the node has not
         client.send(call())
         drain = asyncio.create_task(bench.node.drain())
         await until(lambda: bench.node.callers.emptying)
         listener.stop()
-        listener.room = room
+        listener.has_capacity = room
         assert (await client.receive())[0] == 200
         assert await client.ended()
         client.writer.close()
--- a/tests/test_crossings_ends.py
+++ b/tests/test_crossings_ends.py
@@ -93,7 +93,7 @@
         assert await client.ended()
         client.writer.close()
         await asyncio.wait_for(drain, 20)
-        assert bench.node.requests.guarded == 0 and bench.node.budget.clients == 0
+        assert bench.node.requests.guarded == 0 and bench.node.descriptor_budget.clients == 0
 
     play(scene)
 
--- a/tests/test_crossings_repeats.py
+++ b/tests/test_crossings_repeats.py
@@ -47,7 +47,7 @@
         release.set()
         await late.asked.wait()
         if order == "window first":
-            node.turns.origin += WINDOW * 1000
+            node.event_queue.origin += WINDOW * 1000
         for server in servers:
             server.handle = always(OK)
         late.up.set()
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -40,7 +40,7 @@
 def counted_once(bench: Bench) -> bool:
     """Whether the connections that are counted are those that stand idle."""
     idle = [c for e in bench.node.pool.endpoints.values() for c in e.idle]
-    return bench.node.budget.servers == len(idle) and all(c.counted for c in idle)
+    return bench.node.descriptor_budget.servers == len(idle) and all(c.counted for c in idle)
 
 
 # ---- has it run? ----------------------------------------------------------------------------------
@@ -142,7 +142,7 @@
         serving = asyncio.ensure_future(serve())
         assert (await bench.once(call("invite")))[0] == 200
         connection = await serving
-        await until(lambda: counted_once(bench) and bench.node.budget.servers == 1)
+        await until(lambda: counted_once(bench) and bench.node.descriptor_budget.servers == 1)
 
         def end() -> None:
             if how == "bytes":
@@ -218,7 +218,7 @@
         for count in (1, 2):
             status, _, body = await bench.once(call("invite"))
             assert (status, body, server.connections) == (200, b"ok", count)
-        await until(lambda: bench.node.budget.servers == 0)
+        await until(lambda: bench.node.descriptor_budget.servers == 0)
 
     play(scene)
 
@@ -276,7 +276,7 @@
         await bench.once(call("invite"))
         assert set(outcomes) == {Outcome.CONNECT_FAILED}
         await until(lambda: server.closed == server.connections == len(outcomes))
-        assert bench.node.budget.servers == 0 and not server.requests
+        assert bench.node.descriptor_budget.servers == 0 and not server.requests
 
     play(scene)
 
@@ -290,13 +290,13 @@
         await until(lambda: all(c.transport for c in bench.node.callers.callers))
         (caller,) = bench.node.callers.callers
         data = call()
-        bench.node.room.buffer[: len(data)] = data
+        bench.node.memory_budget.read_buffer[: len(data)] = data
         caller.buffer_updated(len(data))
         (request,) = bench.node.requests.open.values()
-        assert request.out is not None and bench.node.budget.servers == 1
+        assert request.out is not None and bench.node.descriptor_budget.servers == 1
         request.out.stop(Outcome.TIMEOUT)
         await client.receive()
-        await until(lambda: bench.node.budget.servers == 0)
+        await until(lambda: bench.node.descriptor_budget.servers == 0)
 
     play(scene)
 
@@ -395,8 +395,8 @@
         outcomes = record_outcomes(bench)
         assert (await bench.once(call("invite")))[0] == 502
         assert outcomes == [Outcome.RESET]
-        await until(lambda: bench.node.budget.servers == 0)
-        assert bench.node.room.held == 0 and not bench.node.requests.open
+        await until(lambda: bench.node.descriptor_budget.servers == 0)
+        assert bench.node.memory_budget.held_bytes == 0 and not bench.node.requests.open
 
     play(scene)
 
@@ -424,6 +424,6 @@
         assert status == 431 and headers["connection"] == "close"
         client.writer.close()
         await until(lambda: not bench.node.callers.callers)
-        assert not server.requests and bench.node.room.held == 0
+        assert not server.requests and bench.node.memory_budget.held_bytes == 0
 
     play(scene)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -4,7 +4,7 @@
 from loopback import OK, Bench, Client, Clock, Server, always, call, play, until
 
 from balancer.net.caller import WRITES
-from balancer.net.process.descriptor_budget import Descriptors
+from balancer.net.process.descriptor_budget import DescriptorBudget
 
 HALF = b"GET /view HTTP/1.1\r\nX-Call-Id: 1\r\n"
 SMALL = {"limits": {"sockets": 48}}
@@ -52,7 +52,7 @@
         for _ in range(100):
             stayed.append(await bench.client())
             assert (await stayed[-1].ask(call()))[0] == 200
-        assert bench.node.budget.clients <= bench.node.budget.total
+        assert bench.node.descriptor_budget.clients <= bench.node.descriptor_budget.total
 
     play(scene)
 
@@ -110,15 +110,15 @@
 
     async def scene():
         bench = await Bench(Server(), Server()).start()
-        budget = bench.node.budget
+        budget = bench.node.descriptor_budget
         crowd = [await one(bench, HALF, 0, count + 1) for count in range(6)]
         budget.total = 8
-        assert budget.for_clients() == 6 and budget.for_servers() == 4
+        assert budget.max_clients() == 6 and budget.max_servers() == 4
         client = crowd[-1]
         client.send(call().partition(b"\r\n")[2])
         assert (await client.receive())[0] == 200
         budget.servers += 2  # as if others were out
-        assert budget.full()
+        assert budget.exhausted()
         assert bench.node.pool.has_room()
         assert await client.ended()  # its answer it has had
         assert bench.node.pool.has_room()
@@ -130,17 +130,17 @@
 
 @pytest.mark.parametrize("total", [8, 30, 75, 300, 950])
 def test_both_sides_fit_the_budget_together(total):
-    budget = Descriptors(total, total + 39)
-    for _ in range(budget.for_clients()):
-        budget.client(1)
-    assert not budget.full()  # a quarter is the servers'
+    budget = DescriptorBudget(total, total + 39)
+    for _ in range(budget.max_clients()):
+        budget.add_client()
+    assert not budget.exhausted()  # a quarter is the servers'
     freed = []
-    budget.freed = lambda: freed.append(1)
-    while not budget.full() and budget.servers < budget.for_servers():
-        budget.server(1)
+    budget.on_released = lambda: freed.append(1)
+    while not budget.exhausted() and budget.servers < budget.max_servers():
+        budget.add_server()
     assert budget.clients + budget.servers <= total
-    budget.client(-1)
-    budget.server(-1)
+    budget.remove_client()
+    budget.remove_server()
     assert len(freed) == 2
 
 
@@ -164,14 +164,14 @@
 
     async def scene():
         bench = await Bench(Server(), config={"limits": {"sockets": 64}}).start()
-        budget = bench.node.budget
-        assert budget.kept < 64 // 3 < budget.for_clients()
+        budget = bench.node.descriptor_budget
+        assert budget.max_idle_clients < 64 // 3 < budget.max_clients()
         clients = []
-        for _ in range(budget.for_clients()):
+        for _ in range(budget.max_clients()):
             clients.append(await bench.client())
             assert (await clients[-1].ask(call()))[0] == 200
-        assert len(bench.node.callers.callers) == budget.kept
-        assert bench.node.callers.counts["gave_way_idle"] == len(clients) - budget.kept
+        assert len(bench.node.callers.callers) == budget.max_idle_clients
+        assert bench.node.callers.counts["gave_way_idle"] == len(clients) - budget.max_idle_clients
 
     play(scene)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -274,7 +274,7 @@
         config |= {"listen": "127.0.0.1:1", "peer_listen": f"127.0.0.1:{peers}", "peers": []}
         (first := Bench(Server(), config=config)).port = listener.getsockname()[1]
         await first.start()
-        whole = first.node.budget.total
+        whole = first.node.descriptor_budget.total
         held = [await first.client() for _ in range(2)]
         for client in held:
             assert (await client.ask(call()))[0] == 200
@@ -282,13 +282,13 @@
         second = await Bench(Server(), config=config).start()
         nodes = first.node, second.node
         for node in nodes:
-            assert node.budget.total <= whole // 2
+            assert node.descriptor_budget.total <= whole // 2
         assert first.node.peers.transport is None
         await until(lambda: second.node.peers.transport is not None)
         await asyncio.wait_for(first.node.drain(), 20)
         assert all([await client.ended() for client in held])
         await until(lambda: not second.node.handover.shared)
-        assert second.node.budget.total == whole
+        assert second.node.descriptor_budget.total == whole
         assert (await second.once(call()))[0] == 200
 
     play(scene)
@@ -301,13 +301,13 @@
         for client in clients:
             assert (await client.ask(call()))[0] == 200
         node = bench.node
-        assert node.budget.servers == 1
-        node.budget.total = 0
+        assert node.descriptor_budget.servers == 1
+        node.descriptor_budget.total = 0
         node.pool.shrink()
-        node.budget.total = 5
+        node.descriptor_budget.total = 5
         node.callers.shrink()
         assert len(node.callers.callers) == node.callers.most() == 3
-        await until(lambda: node.budget.servers == 0 and node.fits())
+        await until(lambda: node.descriptor_budget.servers == 0 and node.fits())
         ended = [asyncio.create_task(client.ended()) for client in clients]
         await until(lambda: sum(task.done() for task in ended) == 3)
 
@@ -320,7 +320,7 @@
         client = await bench.client()
         client.send(call())
         await until(lambda: len(server.requests) == 1)
-        bench.node.budget.total = 1
+        bench.node.descriptor_budget.total = 1
         assert not bench.node.fits()
 
     play(scene)
--- a/tests/test_lab_clock.py
+++ b/tests/test_lab_clock.py
@@ -7,7 +7,7 @@
 import pytest
 
 from balancer.fleet.clocks import Clocks
-from balancer.net.process.event_queue import Turns
+from balancer.net.process.event_queue import EventQueue
 from workbench.lab import stepped
 from workbench.lab.faults import Faults
 from workbench.lab.fleet import Member
@@ -108,8 +108,8 @@
     """Failure prevented: the fleet alone sees the step, and nobody tries how servers' starts are dated."""
     file = tmp_path / "clock"
     file.write_text(str(step))
-    monkeypatch.setattr(Turns, "__init__", Turns.__init__)
+    monkeypatch.setattr(EventQueue, "__init__", EventQueue.__init__)
     before = time_ns() // 1000
     stepped.step_start_clock(file)
-    found = Turns(None, None).now()
+    found = EventQueue(None, None).now()
     assert before <= found - step * 1000 <= time_ns() // 1000 + 1
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -61,8 +61,8 @@
     assert (await bench.once(call()))[0] == 200
     await until(lambda: not node.callers.callers and not node.requests.open)
     assert sum(len(s.requests) for s, _ in sent) == sum(n for _, n in sent) + 1
-    assert node.budget.clients == 0 and node.room.held == 0
-    assert node.budget.servers == sum(len(e.idle) for e in node.pool.endpoints.values())
+    assert node.descriptor_budget.clients == 0 and node.memory_budget.held_bytes == 0
+    assert node.descriptor_budget.servers == sum(len(e.idle) for e in node.pool.endpoints.values())
 
 
 @HOW
@@ -130,7 +130,7 @@
         assert len(server.requests) == len(statuses) - 1 >= node_caller.PIPELINED
         client.writer.close()
         await until(lambda: not bench.node.callers.callers)
-        assert bench.node.room.held == 0
+        assert bench.node.memory_budget.held_bytes == 0
 
     play(scene)
 
@@ -167,7 +167,7 @@
         client, caller = await full_client(bench, server)
         client.socket.shutdown(socket.SHUT_WR)
         await until(lambda: not bench.node.callers.callers)
-        assert bench.node.budget.clients == 0 and bench.node.room.held == 0
+        assert bench.node.descriptor_budget.clients == 0 and bench.node.memory_budget.held_bytes == 0
 
     play(scene)
 
@@ -266,7 +266,7 @@
         if order == "seen":
             await until(lambda: caller.lost)
         monkeypatch.setattr(GradientController, "admits", admits)
-        balancer.serve_waiting(bench.node.turns.now())
+        balancer.serve_waiting(bench.node.event_queue.now())
         await nothing_came(bench, (server, 1))
 
     play(scene)
@@ -279,12 +279,12 @@
     async def scene():
         bench = await Bench(server := Server()).start()
         listener = bench.node.callers.listener
-        room, listener.room = listener.room, lambda: False
+        room, listener.has_capacity = listener.has_capacity, lambda: False
         listener.look()
         client = Leaver(bench)
         client.socket.sendall(call())
         client.go(how)
-        listener.room = room
+        listener.has_capacity = room
         listener.look()
         await nothing_came(bench, (server, 0))
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -76,7 +76,7 @@
         bench = await Bench(Server(), config=OPERATED | {"limits": {"sockets": 64}}).start()
         callers, operators = bench.node.callers, bench.node.management
         crowd = []
-        for _ in range(callers.budget.for_clients()):
+        for _ in range(callers.descriptor_budget.max_clients()):
             crowd.append(await bench.client())
             crowd[-1].send(b"GET /ready HTTP/1.1\r\n")
         await until(lambda: len(callers.callers) >= callers.most())
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -108,22 +108,22 @@
         release = asyncio.Event()
 
         bench = await Bench(server := Server(gated(release))).start()
-        room = bench.node.room
-        room.most = 150_000
+        memory_budget = bench.node.memory_budget
+        memory_budget.max_held_bytes = 150_000
         large = call("invite", body=b"x" * 60000)
         (first := await bench.client()).send(large)
         await until(lambda: len(server.requests) == 1)
         (second := await bench.client()).send(large)
-        await until(lambda: room.held > 120_000)
+        await until(lambda: memory_budget.held_bytes > 120_000)
         status, headers, _ = await bench.once(large)
         assert status == 503 and float(headers["retry-after"]) > 0
         second.writer.transport.abort()
-        await until(lambda: room.held < 120_000)
+        await until(lambda: memory_budget.held_bytes < 120_000)
         first.send(large)  # waits behind its first
-        await until(lambda: room.held > 120_000)
+        await until(lambda: memory_budget.held_bytes > 120_000)
         release.set()
         assert (await first.receive())[0] == 200 and (await first.receive())[0] == 200
-        assert room.held == 0
+        assert memory_budget.held_bytes == 0
 
     play(scene)
 
@@ -254,7 +254,7 @@
             assert len(alive.requests) == outcomes.count(Outcome.OK)
             endpoints = bench.node.pool.endpoints.values()
             idle = sum(len(e.idle) for e in endpoints)
-            assert bench.node.budget.servers == idle  # none is counted for ever
+            assert bench.node.descriptor_budget.servers == idle  # none is counted for ever
 
     play(scene)
 
@@ -406,7 +406,7 @@
         connection = Connection(pool, endpoint)
         await loop.create_connection(lambda: connection, "127.0.0.1", server.port)
         lost = loop.create_future()
-        connection.pool = SimpleNamespace(lost=lost.set_result, room=pool.room)
+        connection.pool = SimpleNamespace(lost=lost.set_result, memory_budget=pool.memory_budget)
         connection.close()
         await lost
         outcomes = []
@@ -816,10 +816,10 @@
 def test_connects_beyond_the_budget_fail_and_idle_ones_make_room():
     async def scene():
         bench = await Bench(first := Server(), second := Server()).start()
-        bench.node.budget.for_servers = lambda: 1
+        bench.node.descriptor_budget.max_servers = lambda: 1
         while not (first.requests and second.requests):
             assert (await bench.once(call()))[0] == 200
-        bench.node.budget.for_servers = lambda: 0
+        bench.node.descriptor_budget.max_servers = lambda: 0
         for endpoint in bench.node.pool.endpoints.values():
             endpoint.close_idle()
         assert (await bench.once(call("invite")))[0] == 503
@@ -1125,7 +1125,7 @@
 def test_now_never_goes_back_and_is_unix_time():
     async def scene():
         bench = await Bench().start()
-        times = [bench.node.turns.now() for _ in range(1000)]
+        times = [bench.node.event_queue.now() for _ in range(1000)]
         assert times == sorted(times)
         assert abs(times[0] - time.time_ns() // 1000) < 60 * MOMENT
 
--- a/tests/test_operator_terms.py
+++ b/tests/test_operator_terms.py
@@ -25,8 +25,8 @@
     node = bench.node
     clock = Clock(node.loop, node.loop.time())
     monkeypatch.setattr(node.callers, "loop", clock)
-    start, origin = clock.now, node.turns.now()
-    monkeypatch.setattr(node.turns, "now", lambda: origin + int((clock.now - start) * MOMENT))
+    start, origin = clock.now, node.event_queue.now()
+    monkeypatch.setattr(node.event_queue, "now", lambda: origin + int((clock.now - start) * MOMENT))
     return clock
 
 
@@ -77,7 +77,7 @@
         assert await client.ended()
         client.writer.close()
         await asyncio.wait_for(drain, 20)
-        assert bench.node.budget.clients == 0 and bench.node.room.held == 0
+        assert bench.node.descriptor_budget.clients == 0 and bench.node.memory_budget.held_bytes == 0
 
     play(scene)
 
--- a/tests/test_operator_terms_answers.py
+++ b/tests/test_operator_terms_answers.py
@@ -96,7 +96,7 @@
         (request,) = requests.open.values()
         guard, flow = request.guard, request.flow
         assert guard is not None and flow is not None
-        over = bench.node.loop.time() + (request.deadline - bench.node.turns.now()) / MOMENT
+        over = bench.node.loop.time() + (request.deadline - bench.node.event_queue.now()) / MOMENT
         assert abs(guard.when() - over) < 0.5 - FLOW_LOOK  # what is later than half a second is lost
         flow.moved += FLOW_PAUSE  # as if a piece had just come
         requests.watch_flow(request, flow)
--- a/tests/test_operator_terms_deadline.py
+++ b/tests/test_operator_terms_deadline.py
@@ -30,7 +30,7 @@
         self.held_up_after = 0  # the reading after which the process is held up
         monkeypatch.setattr(bench.node.callers, "loop", self)
         monkeypatch.setattr(node_requests, "monotonic", self.read)
-        monkeypatch.setattr(bench.node.turns, "now", lambda: int(self.read() * 1e6))
+        monkeypatch.setattr(bench.node.event_queue, "now", lambda: int(self.read() * 1e6))
         self.begun: list[float] = []  # when each attempt's first byte was written
         begin = Connection.begin
 
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -9,7 +9,7 @@
 from balancer.net import servers as node_servers
 from balancer.net.caller import LINGER, SLOW
 from balancer.net.passing import WHOLE
-from balancer.net.process.memory_budget import LEAST, PIECE_LEAST, PIECE_MOST, Room
+from balancer.net.process.memory_budget import MAX_CHUNK_BYTES, MIN_CHUNK_BYTES, MIN_HELD_BYTES, MemoryBudget
 from balancer.policy.interface import Outcome
 
 LONG = bytes(range(256)) * 4096  # 1 MiB
@@ -106,7 +106,7 @@
             head, body = await receive(client)
             assert head.startswith(b"HTTP/1.1 200 ") and (expected is None or body == expected)
             assert body and b"chunked" not in body
-        assert bench.node.room.held == 0 and not bench.node.requests.open
+        assert bench.node.memory_budget.held_bytes == 0 and not bench.node.requests.open
         assert bench.node.counters.ended[0] == {"answered": 3, "deferred": 0, "errored": 0}
 
     play(scene)
@@ -148,7 +148,7 @@
         (request,) = node.requests.open.values()
         await until(lambda: request.out.connection.held)
         (caller,) = (c for c in node.callers.callers if c.open is not None)
-        assert caller.transport.get_write_buffer_size() <= 3 * node.room.piece
+        assert caller.transport.get_write_buffer_size() <= 3 * node.memory_budget.chunk_bytes
         assert (await bench.once(call("invite")))[0] == 200
         slow.writer.transport.resume_reading()
         async with asyncio.timeout(60):
@@ -176,7 +176,7 @@
         (request,) = bench.node.requests.open.values()
         head = await client.reader.readuntil(b"\r\n\r\n")
         assert await client.reader.readexactly(100) == LONG[:100]  # not held back for the rest
-        await until(lambda: bench.node.turns.now() > request.deadline + 100_000)
+        await until(lambda: bench.node.event_queue.now() > request.deadline + 100_000)
         release.set()
         assert head and await client.reader.readexactly(len(LONG) - 100) == LONG[100:]
         await until(lambda: not bench.node.requests.open)
@@ -286,7 +286,7 @@
         body = LONG[:30000]
         answer = HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body
         bench = await Bench(server := Server(always(answer[:20000]))).start()
-        bench.node.room.most = 10000
+        bench.node.memory_budget.max_held_bytes = 10000
         client = await bench.client()
         client.send(call())
         await until(lambda: any(r.flow for r in bench.node.requests.open.values()))
@@ -316,7 +316,7 @@
             assert (await receive(client))[1] == b"ok"
         assert server.bodies == [LONG, b"next", LONG]
         assert all(b"other" not in head for head in server.heads)  # a trailer ends at this hop
-        assert bench.node.room.held == 0 and bench.node.counters.sends == 3
+        assert bench.node.memory_budget.held_bytes == 0 and bench.node.counters.sends == 3
         assert not any(s.in_flight or s.uploads for s in bench.node.balancer.servers.values())
 
     play(scene)
@@ -347,7 +347,7 @@
         (caller,) = node.callers.callers
         (request,) = node.requests.open.values()
         await until(lambda: caller.paused and request.out.connection.full())
-        assert request.out.connection.transport.get_write_buffer_size() <= 3 * node.room.piece
+        assert request.out.connection.transport.get_write_buffer_size() <= 3 * node.memory_budget.chunk_bytes
         assert caller.due is None  # it is not the client that is late
         server.read.set()
         assert (await receive(client))[1] == b"ok"
@@ -415,8 +415,8 @@
         client.send(data[:-1])
         await until(lambda: bool(server.heads))
         (request,) = bench.node.requests.open.values()
-        began = bench.node.turns.now()
-        await until(lambda: bench.node.turns.now() > began + 800_000)
+        began = bench.node.event_queue.now()
+        await until(lambda: bench.node.event_queue.now() > began + 800_000)
         assert request.guard is None
         client.send(data[-1:])
         assert (await receive(client))[1] == b"ok"
@@ -585,7 +585,7 @@
 
 @pytest.mark.parametrize(("memory", "sockets"), [(16, 64), (32, 256), (80, 384), (192, 1024)])
 def test_what_may_be_held_follows_from_the_limits(memory, sockets):
-    room = Room(memory << 20, sockets)
-    assert LEAST <= room.most <= max(LEAST, memory << 18)
-    assert PIECE_LEAST <= room.piece <= PIECE_MOST
-    assert room.piece * sockets <= max(room.most, PIECE_LEAST * sockets)
+    memory_budget = MemoryBudget(memory << 20, sockets)
+    assert MIN_HELD_BYTES <= memory_budget.max_held_bytes <= max(MIN_HELD_BYTES, memory << 18)
+    assert MIN_CHUNK_BYTES <= memory_budget.chunk_bytes <= MAX_CHUNK_BYTES
+    assert memory_budget.chunk_bytes * sockets <= max(memory_budget.max_held_bytes, MIN_CHUNK_BYTES * sockets)
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -56,7 +56,7 @@
     table = node_table(1, settings(discovery=mode, rules=rules))
     table["known"] = table["known"] | {"version": 41} if known else None
     node = Node(read(table | {"discovery": "10.0.0.9:1"}), loop)
-    node.turns.post(node.balancer.start)
+    node.event_queue.post(node.balancer.start)
     if node.config.known is not None:
         node.roster.told(node.config.known)
     if mode == "push":
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -265,7 +265,7 @@
         assert bench.node.balancer.stats()["ejected"] == 0
         fault.passes()
         assert (await client.ask(call("invite")))[0] == 200
-        assert len(one.requests + two.requests) == 1 and bench.node.budget.servers == 1
+        assert len(one.requests + two.requests) == 1 and bench.node.descriptor_budget.servers == 1
 
     play_on(run, scene)
 
@@ -305,7 +305,9 @@
         assert outcomes == [Outcome.RESET, Outcome.OK][:attempts] and fault.met == 1
         assert len(one.requests + two.requests) == attempts
         assert (await client.ask(call(klass)))[0] == 200
-        assert bench.node.budget.servers == sum(len(e.idle) for e in bench.node.pool.endpoints.values())
+        assert bench.node.descriptor_budget.servers == sum(
+            len(e.idle) for e in bench.node.pool.endpoints.values()
+        )
 
     play_on(run, scene)
 
@@ -338,7 +340,7 @@
         assert (await client.ask(call("invite")))[0] == 200
         fault.comes(1)
         server.writers[0].write(b"x")
-        await until(lambda: fault.met == 1 and bench.node.budget.servers == 0)
+        await until(lambda: fault.met == 1 and bench.node.descriptor_budget.servers == 0)
         assert (await client.ask(call("invite")))[0] == 200
         assert server.connections == 2 and len(server.requests) == 2
 
@@ -369,7 +371,7 @@
         assert outcomes == [Outcome.CANCELLED]
         release.set()
         assert (await well.receive())[0] == 200
-        await until(lambda: bench.node.budget.clients == 1)
+        await until(lambda: bench.node.descriptor_budget.clients == 1)
 
     play_on(run, scene)
 
@@ -385,7 +387,7 @@
         fail_socket_calls(monkeypatch, "send", fault, accepted_at(bench.port))
         client.send(call())
         assert await client.ended() and fault.met == 1
-        await until(lambda: bench.node.budget.clients == 0 and not bench.node.requests.open)
+        await until(lambda: bench.node.descriptor_budget.clients == 0 and not bench.node.requests.open)
         assert (await bench.once(call()))[0] == 200
 
     play_on(asyncio.run, scene)
@@ -404,7 +406,7 @@
 
     async def scene():
         bench = await Bench(server := Server(echo)).start()
-        bench.node.room.buffer = bytearray(1)
+        bench.node.memory_budget.read_buffer = bytearray(1)
         if not is_uvloop():
             send = socket.socket.send
             monkeypatch.setattr(
--- a/workbench/lab/stepped.py
+++ b/workbench/lab/stepped.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import balancer.__main__ as program
-from balancer.net.process.event_queue import Turns
+from balancer.net.process.event_queue import EventQueue
 from workbench.lab import mischief
 
 NANOSECONDS = 1_000_000  # in a millisecond
@@ -23,11 +23,11 @@
     """Shifts the Unix time that the node's own clock starts from by the file's milliseconds."""
     offset = int(clock_file.read_text()) * NANOSECONDS
 
-    def begin(original: Any, turns: Any, *args: Any) -> None:
-        original(turns, *args)
-        turns.origin += offset
+    def begin(original: Any, event_queue: Any, *args: Any) -> None:
+        original(event_queue, *args)
+        event_queue.origin += offset
 
-    mischief.wrap(Turns, "__init__", begin)
+    mischief.wrap(EventQueue, "__init__", begin)
 
 
 def main() -> int:
