--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING, Any
 
-from balancer.net.listing import Listing, read_listing
+from balancer.net.discovery.server_list import Listing, read_listing
 from balancer.net.process import management
 from balancer.net.process.listener import Address
 from balancer.policy.interface import ListKind, Settings
--- a/balancer/net/discovery.py
+++ b/balancer/net/discovery/client.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from balancer.net.listing import Listing, read_listing
+from balancer.net.discovery.server_list import Listing, read_listing
 from balancer.net.process.log import Log
 from balancer.policy.interface import ListKind
 
--- a/balancer/net/roster.py
+++ b/balancer/net/discovery/registry.py
@@ -10,8 +10,8 @@
 
 from balancer.net.config import Config
 from balancer.net.connection import Endpoint
-from balancer.net.discovery import Discovery
-from balancer.net.listing import Line, Listing
+from balancer.net.discovery.client import Discovery
+from balancer.net.discovery.server_list import Line, Listing
 from balancer.net.process.event_queue import EventQueue
 from balancer.net.process.lifecycle import Lifecycle
 from balancer.net.process.log import Log
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -1,7 +1,7 @@
 """One node: hosts a Balancer on sockets.
 
 It wires the parts together, starts them and ends them, and makes no decision. Requests and their attempts
-are in `requests.py`, news of the servers in `roster.py`, the clock and the module's events in
+are in `requests.py`, news of the servers in `discovery/registry.py`, the clock and the module's events in
 `process/event_queue.py`.
 """
 
@@ -17,6 +17,7 @@
 from balancer.net.callers import Callers
 from balancer.net.config import Config, ConfigError, load_discovery
 from balancer.net.connection import Answer
+from balancer.net.discovery.registry import Roster
 from balancer.net.peers import Peers
 from balancer.net.process.counters import Counters
 from balancer.net.process.descriptor_budget import DescriptorBudget
@@ -29,7 +30,6 @@
 from balancer.net.process.memory_budget import MemoryBudget
 from balancer.net.process.system_faults import is_shortage, retry_shortage
 from balancer.net.requests import Requests
-from balancer.net.roster import Roster
 from balancer.net.servers import Exchange, Pool
 from balancer.policy import Balancer
 from balancer.policy.interface import Outcome, State
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,7 +3,7 @@
 import pytest
 from known_red import pytest_collection_modifyitems, pytest_terminal_summary
 
-from balancer.net import discovery
+from balancer.net.discovery import client
 from balancer.policy import subset
 
 __all__ = ["pytest_collection_modifyitems", "pytest_terminal_summary"]
@@ -12,8 +12,8 @@
 @pytest.fixture(autouse=True)
 def patient_watch(monkeypatch) -> int:
     """Discovery's stand-in may be silent for as long as a test takes. The value is the wait in service."""
-    served = discovery.WAIT_MS
-    monkeypatch.setattr(discovery, "WAIT_MS", 20_000)
+    served = client.WAIT_MS
+    monkeypatch.setattr(client, "WAIT_MS", 20_000)
     return served
 
 
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -4,8 +4,8 @@
 from prometheus_client.parser import text_string_to_metric_families
 from test_management import OPERATED, operate
 
+from balancer.net.discovery.registry import number_of
 from balancer.net.process.counters import Counters
-from balancer.net.roster import number_of
 
 FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 BROKEN = b"HTTP/1.1 500 Oops\r\nContent-Length: 4\r\n\r\noops"
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -36,10 +36,10 @@
     until,
 )
 
-from balancer.net import discovery as node_discovery
 from balancer.net.caller import SLOW
 from balancer.net.config import ConfigError, load, read
 from balancer.net.connection import Connection
+from balancer.net.discovery import client as node_discovery
 from balancer.net.servers import Exchange
 from balancer.policy.interface import ListKind, Outcome
 
@@ -615,9 +615,9 @@
     """Failure prevented: a call that is never answered is waited for, and the list stays as it was."""
 
     async def scene():
-        monkeypatch.setattr("balancer.net.discovery.CONNECT_TIMEOUT", 0.2)
-        monkeypatch.setattr("balancer.net.discovery.WAIT_MS", 200)
-        monkeypatch.setattr("balancer.net.discovery.ANSWER_TIME", 0.2)
+        monkeypatch.setattr("balancer.net.discovery.client.CONNECT_TIMEOUT", 0.2)
+        monkeypatch.setattr("balancer.net.discovery.client.WAIT_MS", 200)
+        monkeypatch.setattr("balancer.net.discovery.client.ANSWER_TIME", 0.2)
         rules = settings()["rules"] | {"ask_within": MOMENT}  # asks again soon
         bench = await Bench(old := Server(), rules=rules).start()
         await Server.start(new := Server())
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -32,8 +32,8 @@
 from support import balancer
 from virtual_time import FAULTS, REQUEST_FAULTS, FakeDiscovery, VirtualTimeLoop, list_response
 
-from balancer.net import discovery as node_discovery
 from balancer.net.config import read
+from balancer.net.discovery import client as node_discovery
 from balancer.net.node import Node
 from balancer.policy.interface import Outcome
 
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -48,10 +48,11 @@
 from test_fleet import free_udp, section
 
 from balancer.fleet.membership.messages import Kind, Message
-from balancer.net import callers, node, roster, servers
+from balancer.net import callers, node, servers
 from balancer.net.caller import Caller
 from balancer.net.connection import Connection
-from balancer.net.discovery import Call
+from balancer.net.discovery import registry
+from balancer.net.discovery.client import Call
 from balancer.net.process import handover, listener, system_faults
 from balancer.net.process.handover import Handover
 from balancer.net.process.listener import Listener
@@ -70,7 +71,7 @@
     """What is tried again is tried again soon, so that many faults can be played."""
     for module in (listener, servers, system_faults):
         monkeypatch.setattr(module, "RETRY_INTERVAL", INTERVAL)
-    monkeypatch.setattr(roster, "PUSH_RETRY", INTERVAL)
+    monkeypatch.setattr(registry, "PUSH_RETRY", INTERVAL)
     monkeypatch.setattr(node, "PEERS_RETRY", INTERVAL)
 
 
--- a/workbench/lab/mischief.py
+++ b/workbench/lab/mischief.py
@@ -24,10 +24,10 @@
 from balancer.fleet.rolling_update.decisions import Replacement
 from balancer.fleet.runtime import FleetRuntime
 from balancer.fleet.zone_routing.decisions import Zones
+from balancer.net.discovery.registry import Roster
 from balancer.net.forwarding import head_of
 from balancer.net.process.lifecycle import Lifecycle
 from balancer.net.requests import Requests
-from balancer.net.roster import Roster
 from balancer.net.servers import Exchange
 from balancer.policy import ejection, gradient
 from balancer.policy.interface import State
