--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING, Any
 
-from balancer.net.discovery.server_list import Listing, read_listing
+from balancer.net.discovery.server_list import ServerList, parse_server_list
 from balancer.net.process import management
 from balancer.net.process.listener import Address
 from balancer.policy.interface import ListKind, Settings
@@ -45,7 +45,7 @@
     peer_listen: Address | None
     peers: tuple[Address, ...]
     peers_all: Address | None
-    known: Listing | None
+    known: ServerList | None
     settings: Settings
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
@@ -162,7 +162,7 @@
         peer_listen=read_address(peer_listen, "peer_listen") if peer_listen else None,
         peers=tuple(read_address(p, "peers") for p in fields.items("peers")),
         peers_all=read_address(peers_all, "peers_all") if peers_all else None,
-        known=read_listing(known, ListKind.CACHED) if known else None,
+        known=parse_server_list(known, ListKind.CACHED) if known else None,
         # `retry_after` is about the simulator's clients: a 503 on a socket may always carry the header.
         settings=replace(
             given_settings,
--- a/balancer/net/discovery/server_list.py
+++ b/balancer/net/discovery/server_list.py
@@ -1,4 +1,4 @@
-"""Discovery's form of the server list, read and checked."""
+"""Discovery's form of the server list, parsed and validated."""
 
 from __future__ import annotations
 
@@ -10,9 +10,13 @@
 STATES = {"ready": State.READY, "draining": State.DRAINING, "gone": State.GONE}
 
 
+class ServerListError(ValueError):
+    """A server list that is no list at all; a field that is wrong is a ValueError of `Fields`."""
+
+
 @dataclass(frozen=True)
-class Line:
-    """One server as discovery names it."""
+class ServerRecord:
+    """One server as discovery describes it."""
 
     id: str
     host: str
@@ -26,42 +30,49 @@
 
 
 @dataclass(frozen=True)
-class Listing:
+class ServerList:
     """A list or its changes, with the version they lead to."""
 
     kind: ListKind
     version: int
-    lines: tuple[Line, ...]
+    servers: tuple[ServerRecord, ...]
+
+
+def parse_server_list(table: object, kind: ListKind | None = None) -> ServerList:
+    """A server list from decoded JSON.
 
+    Failure prevented: skipping one bad entry of a full list would remove a server that runs, so the whole
+    list is refused, and the list in hand stays.
 
-def read_listing(table: object, kind: ListKind | None = None) -> Listing:
-    """A Listing from decoded JSON, of the `kind` it states itself if none is given.
+    Args:
+        table: the decoded JSON.
+        kind: of the list; None where the list states it itself.
 
-    Failure prevented: skipping one bad line of a full list would remove a server that runs. Anything
-    wrong is a ValueError for the whole list, and the list in hand stays.
+    Raises:
+        ValueError: anything in the list is wrong; names the field.
     """
     if not isinstance(table, dict):
-        raise ValueError("list: not an object")
+        raise ServerListError("list: not an object")
     fields = Fields(table, "list.")
     if kind is None:
         kind = ListKind.FULL if fields.flag("full") else ListKind.CHANGES
-    lines = tuple(read_line(line) for line in fields.tables("servers"))
-    return Listing(kind, fields.whole("version"), lines)
+    servers = tuple(parse_server(entry) for entry in fields.tables("servers"))
+    return ServerList(kind, fields.whole("version"), servers)
 
 
-def read_line(line: Fields) -> Line:
-    """One server. A state that is not known counts as draining: nothing new goes there."""
-    host, _, port = line.text("addr").rpartition(":")
+def parse_server(entry: Fields) -> ServerRecord:
+    """One server. A state that is not known counts as draining: no new requests go there."""
+    host, _, port = entry.text("addr").rpartition(":")
     if not (host and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-        raise line.bad("addr")
-    return Line(
-        id=line.text("id"),
+        raise entry.bad("addr")
+    return ServerRecord(
+        id=entry.text("id"),
         host=host.strip("[]"),
         port=int(port),
-        zone=line.text("zone", ""),
-        kind=line.text("kind", ""),
-        cell=line.whole("cell", 0),
-        state=STATES.get(line.text("state"), State.DRAINING),
-        weight=line.number("weight", 1.0),
-        started=line.whole("started_ms", 0) * 1000,
+        zone=entry.text("zone", ""),
+        kind=entry.text("kind", ""),
+        cell=entry.whole("cell", 0),
+        state=STATES.get(entry.text("state"), State.DRAINING),
+        weight=entry.number("weight", 1.0),
+        started=entry.whole("started_ms", 0) * 1000,
     )
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -17,7 +17,7 @@
 from balancer.net.callers import Callers
 from balancer.net.config import Config, ConfigError, load_discovery
 from balancer.net.connection import Answer
-from balancer.net.discovery.registry import Roster
+from balancer.net.discovery.registry import ServerRegistry
 from balancer.net.peers import Peers
 from balancer.net.process.counters import Counters
 from balancer.net.process.descriptor_budget import DescriptorBudget
@@ -72,8 +72,10 @@
         self.callers.relief = self.pool.relieve
         self.fleet = self.fleet_part()
         self.management = Management(loop, self.paths(), self.log_lines.line)
-        self.roster = Roster(config, loop, self.pool, self.life, self.log_lines, strays, self.event_queue)
-        self.discovery = self.roster.discovery
+        self.server_registry = ServerRegistry(
+            config, loop, self.pool, self.life, self.log_lines, strays, self.event_queue
+        )
+        self.discovery = self.server_registry.discovery
         self.peers = Peers(config.peers, config.peers_all, self.heard, strays)
         self.started = False
         self.reloading: asyncio.TimerHandle | None = None  # a configuration that could not be read yet
@@ -86,10 +88,10 @@
         self.balancer = Balancer(config.settings, config.seed, self, adapter)
         if adapter is not None:
             adapter.on_probe_result, adapter.on_shares = self.tried, self.spread
-            self.roster.heard = adapter.server_list
+            self.server_registry.on_servers = adapter.server_list
             if config.fleet is not None and config.fleet.zones is not None:
                 self.requests.heard = adapter.attempt_ended
-        self.requests.module = self.roster.module = self.balancer
+        self.requests.module = self.server_registry.balancer = self.balancer
 
     async def start(self) -> None:
         """Begins to serve. An OSError if an address cannot be had."""
@@ -113,7 +115,7 @@
         )
         self.event_queue.post(self.balancer.start)
         if self.config.known is not None:
-            self.roster.told(self.config.known)
+            self.server_registry.on_list(self.config.known)
         if not self.config.settings.list_on_request:
             self.discovery.watch(True)
         self.loop.call_later(STATS_EVERY, self.write_stats)
@@ -213,7 +215,7 @@
                 self.reloading = self.loop.call_later(RELOAD_AGAIN, self.reload, environ, again + 1)
             return
         self.log_lines.line(f"reload discovery={address[0]}:{address[1]}")
-        self.discovery.move(address)
+        self.discovery.change_address(address)
 
     def paths(self) -> Pages:
         """What operators may call."""
@@ -237,9 +239,9 @@
 
     def figures(self) -> PageResponse:
         """The counters, and what holds now."""
-        draining = sum(state != State.READY for state in self.roster.states.values())
+        draining = sum(state != State.READY for state in self.server_registry.states.values())
         avoided = draining + int(self.balancer.stats()["ejected"])
-        body = self.counters.render(len(self.requests.by_caller), len(self.roster.states), avoided)
+        body = self.counters.render(len(self.requests.by_caller), len(self.server_registry.states), avoided)
         return PageResponse(200, body)
 
     def take_out(self) -> PageResponse:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,8 +12,8 @@
 @pytest.fixture(autouse=True)
 def patient_watch(monkeypatch) -> int:
     """Discovery's stand-in may be silent for as long as a test takes. The value is the wait in service."""
-    served = client.WAIT_MS
-    monkeypatch.setattr(client, "WAIT_MS", 20_000)
+    served = client.MAX_WATCH_MS
+    monkeypatch.setattr(client, "MAX_WATCH_MS", 20_000)
     return served
 
 
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -4,7 +4,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 from test_management import OPERATED, operate
 
-from balancer.net.discovery.registry import number_of
+from balancer.net.discovery.registry import server_number
 from balancer.net.process.counters import Counters
 
 FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
@@ -95,7 +95,7 @@
         await until(lambda: bench.node.discovery.version == 43)
         found = await figures(bench)
         assert (found["lb_cluster_size"], found["lb_cluster_unhealthy"]) == (5, 1)
-        staying = number_of("s3")
+        staying = server_number("s3")
         server = next(s for s in bench.node.balancer.subset.members if s.id != staying)
         bench.node.balancer.ejection.eject(0, server, silent=True)
         assert (await figures(bench))["lb_cluster_unhealthy"] == 2
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -150,7 +150,7 @@
         await until(lambda: bench.node.discovery.version == 52)
         assert await served(bench) == {"s1"}
         await until(lambda: len(told.requests) == 4 + 2 * between)
-        assert bench.node.discovery.fetching is None
+        assert bench.node.discovery.fetch_call is None
 
     play(scene)
     lines = [line for line in capsys.readouterr().err.splitlines() if "older than the list" in line]
@@ -182,18 +182,18 @@
         told.say(50, True, *(s.entry(f"s{i}") for i, s in enumerate(bench.servers)))
         told.say(2, False)
         told.say(2, False)
-        await until(lambda: node.discovery.fetching is not None and node.discovery.watching is not None)
+        await until(lambda: node.discovery.fetch_call is not None and node.discovery.watch_call is not None)
         whole = json.dumps({"version": 2, "full": True, "servers": [stays.entry("s1")]}).encode()
         change = json.dumps({"version": 3, "full": False, "servers": []}).encode()
-        fetching, watching = node.discovery.fetching, node.discovery.watching
+        fetching, watching = node.discovery.fetch_call, node.discovery.watch_call
         assert fetching is not None and watching is not None
         if order == "a change first":
-            node.discovery.watched(watching, change)
-            node.discovery.fetched(fetching, whole)
-            node.discovery.watched(node.discovery.watching, change)
+            node.discovery.on_watch_response(watching, change)
+            node.discovery.on_fetch_response(fetching, whole)
+            node.discovery.on_watch_response(node.discovery.watch_call, change)
         else:
-            node.discovery.fetched(fetching, whole)
-            node.discovery.watched(watching, change)
+            node.discovery.on_fetch_response(fetching, whole)
+            node.discovery.on_watch_response(watching, change)
         assert await served(bench) == {"s1"} and node.discovery.version == 3
 
     play(scene)
@@ -334,12 +334,12 @@
         told, node = bench.discovery, bench.node
         told.say(50, True, server.entry("s0"))
         await until(lambda: node.discovery.version == 50 and len(told.requests) == 2)
-        watch = node.discovery.watching
+        watch = node.discovery.watch_call
         assert watch is not None
         for data in [answer] if at == "once" else [answer[i : i + 1] for i in range(len(answer))]:
-            if not watch.over:
+            if not watch.ended:
                 watch.data_received(data)
-        if not watch.over:  # the rest never comes: its time runs out
+        if not watch.ended:  # the rest never comes: its time runs out
             watch.fail()
         watch.data_received(answer)  # and comes late
         assert watch.transport is None and node.discovery.version == 50 and await served(bench) == {"s0"}
@@ -368,12 +368,12 @@
         await (second := Discovery()).start()
         if watch != "connecting":
             await until(lambda: len(told.requests) == 1)
-        old = discovery.watching
+        old = discovery.watch_call
         assert old is not None
         if watch == "between two":
             discovery.watch(False)
         for _ in range(times):
-            discovery.move(("127.0.0.1", second.port))
+            discovery.change_address(("127.0.0.1", second.port))
         listing = json.dumps({"version": 99, "full": True, "servers": []}).encode()
         old.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(listing), listing))
         discovery.watch(True)
@@ -396,18 +396,18 @@
         bench = await Bench(server := Server(), discovery=mode).start()
         node, told, timers = bench.node, bench.discovery, []
         node.set_timer = lambda delay, token: timers.append(token)
-        node.roster.loop = SimpleNamespace(call_later=lambda delay, *call: timers.append(call))
+        node.server_registry.loop = SimpleNamespace(call_later=lambda delay, *call: timers.append(call))
         await (second := Discovery()).start()
         await until(lambda: len(told.requests) == 1)
         there = ("127.0.0.1", second.port)
         if order == "move first":
-            node.discovery.move(there)
+            node.discovery.change_address(there)
             told.answers.put_nowait(None)
             await until(lambda: told.closed == 1)
         else:
             told.answers.put_nowait(None)
             await until(lambda: len(timers) == 1)
-            node.discovery.move(there)
+            node.discovery.change_address(there)
         await until(lambda: len(second.requests) == 1)
         second.say(60, False, server.entry("s0", "draining"))
         await until(lambda: node.discovery.version == 60 and len(second.requests) == 2)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -560,7 +560,7 @@
         def request(*args):
             start(*args)  # a connection is being opened; then the news comes
             body = {"version": 43, "full": True, "servers": [staying.entry("s1")]}
-            bench.node.discovery.watched(bench.node.discovery.watching, json.dumps(body).encode())
+            bench.node.discovery.on_watch_response(bench.node.discovery.watch_call, json.dumps(body).encode())
 
         bench.node.balancer.request = request
         assert (await bench.once(call("invite")))[0] == 200
@@ -615,9 +615,9 @@
     """Failure prevented: a call that is never answered is waited for, and the list stays as it was."""
 
     async def scene():
-        monkeypatch.setattr("balancer.net.discovery.client.CONNECT_TIMEOUT", 0.2)
-        monkeypatch.setattr("balancer.net.discovery.client.WAIT_MS", 200)
-        monkeypatch.setattr("balancer.net.discovery.client.ANSWER_TIME", 0.2)
+        monkeypatch.setattr("balancer.net.discovery.call.CONNECT_TIMEOUT_S", 0.2)
+        monkeypatch.setattr("balancer.net.discovery.client.MAX_WATCH_MS", 200)
+        monkeypatch.setattr("balancer.net.discovery.client.RESPONSE_TIMEOUT_S", 0.2)
         rules = settings()["rules"] | {"ask_within": MOMENT}  # asks again soon
         bench = await Bench(old := Server(), rules=rules).start()
         await Server.start(new := Server())
@@ -648,14 +648,14 @@
 
 def test_watches_are_short_and_no_two_nodes_watch_in_step(monkeypatch, patient_watch):
     """Failure prevented: a watch that has fallen silent holds up the list for most of a minute."""
-    monkeypatch.setattr(node_discovery, "WAIT_MS", patient_watch)
+    monkeypatch.setattr(node_discovery, "MAX_WATCH_MS", patient_watch)
 
     def waits(seed):
         calls = []
-        discovery = node_discovery.Discovery(None, ("", 0), 41, None, None, Random(seed))
-        call = SimpleNamespace(ask=lambda path, time: calls.append((int(path.rpartition("=")[2]), time)))
+        discovery = node_discovery.DiscoveryClient(None, ("", 0), 41, None, None, Random(seed))
+        call = SimpleNamespace(get=lambda path, time: calls.append((int(path.rpartition("=")[2]), time)))
         for _ in range(5):
-            discovery.renew(call)
+            discovery.send_watch(call)
         # Given up well before what it should have told counts as told, 2 s after the wait.
         assert all(500 <= wait <= 1000 and wait / 1000 < time < wait / 1000 + 1.5 for wait, time in calls)
         return [wait for wait, _ in calls]
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -47,7 +47,7 @@
 @pytest.fixture
 def production_watch(monkeypatch, patient_watch):
     """Watches wait as long as they do in service, which `conftest.py` has made longer."""
-    monkeypatch.setattr(node_discovery, "WAIT_MS", patient_watch)
+    monkeypatch.setattr(node_discovery, "MAX_WATCH_MS", patient_watch)
 
 
 def start_node(loop, mode, known=True):
@@ -58,7 +58,7 @@
     node = Node(read(table | {"discovery": "10.0.0.9:1"}), loop)
     node.event_queue.post(node.balancer.start)
     if node.config.known is not None:
-        node.roster.told(node.config.known)
+        node.server_registry.on_list(node.config.known)
     if mode == "push":
         node.discovery.watch(True)
     return node
@@ -139,7 +139,7 @@
         node = start_node(loop, mode)
         loop.run_until_complete(asyncio.sleep(8 * Random(seed).random()))
         reloaded_at = loop.time()
-        node.discovery.move(("10.0.0.9", 2))
+        node.discovery.change_address(("10.0.0.9", 2))
         assert time_of_version(loop, node, 42, reloaded_at + 60) - reloaded_at <= MAX_DELAY_AFTER_RELOAD
         loop.close()
 
@@ -260,7 +260,7 @@
         bench.discovery.handle = to_the_end
         await bench.start()
         failed = []
-        bench.node.roster.log.line = lambda text: failed.append(text) if "failed" in text else None
+        bench.node.server_registry.log.line = lambda text: failed.append(text) if "failed" in text else None
         await until(lambda: bench.node.discovery.version >= 60)
         assert not failed
         bench.node.discovery.close()
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -52,7 +52,7 @@
 from balancer.net.caller import Caller
 from balancer.net.connection import Connection
 from balancer.net.discovery import registry
-from balancer.net.discovery.client import Call
+from balancer.net.discovery.call import DiscoveryCall
 from balancer.net.process import handover, listener, system_faults
 from balancer.net.process.handover import Handover
 from balancer.net.process.listener import Listener
@@ -71,7 +71,7 @@
     """What is tried again is tried again soon, so that many faults can be played."""
     for module in (listener, servers, system_faults):
         monkeypatch.setattr(module, "RETRY_INTERVAL", INTERVAL)
-    monkeypatch.setattr(registry, "PUSH_RETRY", INTERVAL)
+    monkeypatch.setattr(registry, "PUSH_RETRY_S", INTERVAL)
     monkeypatch.setattr(node, "PEERS_RETRY", INTERVAL)
 
 
@@ -477,7 +477,7 @@
     async def scene():
         bench = Bench(server := Server(), discovery="push")
         fault = Fault(error, times=0)
-        fail_reads(monkeypatch, Call, fault, lambda s, *_: towards(bench.discovery.port)(s))
+        fail_reads(monkeypatch, DiscoveryCall, fault, lambda s, *_: towards(bench.discovery.port)(s))
         await bench.start()
         await until(lambda: bool(bench.discovery.requests))
         fault.comes(1)
--- a/workbench/lab/mischief.py
+++ b/workbench/lab/mischief.py
@@ -24,7 +24,7 @@
 from balancer.fleet.rolling_update.decisions import Replacement
 from balancer.fleet.runtime import FleetRuntime
 from balancer.fleet.zone_routing.decisions import Zones
-from balancer.net.discovery.registry import Roster
+from balancer.net.discovery.registry import ServerRegistry
 from balancer.net.forwarding import head_of
 from balancer.net.process.lifecycle import Lifecycle
 from balancer.net.requests import Requests
@@ -89,13 +89,13 @@
 def deaf() -> None:
     """News that a server drains or is gone is passed over."""
 
-    def told(go: Any, self: Any, listing: Any) -> None:
-        if listing is not None:
-            lines = tuple(x for x in listing.lines if x.state == State.READY)
-            listing = dataclasses.replace(listing, lines=lines)
-        go(self, listing)
+    def on_list(go: Any, self: Any, server_list: Any) -> None:
+        if server_list is not None:
+            ready = tuple(x for x in server_list.servers if x.state == State.READY)
+            server_list = dataclasses.replace(server_list, servers=ready)
+        go(self, server_list)
 
-    wrap(Roster, "told", told)
+    wrap(ServerRegistry, "on_list", on_list)
 
 
 def pile() -> None:
