--- a/balancer/net/caller.py
+++ b/balancer/net/caller.py
@@ -11,10 +11,10 @@
 import httptools
 
 from balancer.net.message import REASONS, Message
-from balancer.net.passing import LARGEST, WHOLE, Source, Upload
 from balancer.net.process.sockets import PEER_CLOSED, READABLE, has_event
 from balancer.net.roles import Crowd
 from balancer.net.unparsed import Unparsed
+from balancer.net.upstream.body_streaming import LARGEST, WHOLE, Source, Upload
 
 LARGEST_HEAD = 32768
 SLICE = 8192  # bytes parsed in one go
--- a/balancer/net/discovery/registry.py
+++ b/balancer/net/discovery/registry.py
@@ -9,13 +9,13 @@
 from random import Random
 
 from balancer.net.config import Config
-from balancer.net.connection import Endpoint
 from balancer.net.discovery.client import DiscoveryClient
 from balancer.net.discovery.server_list import ServerList, ServerRecord
 from balancer.net.process.event_queue import EventQueue
 from balancer.net.process.lifecycle import Lifecycle
 from balancer.net.process.log import Log
-from balancer.net.servers import Pool
+from balancer.net.upstream.connection import Endpoint
+from balancer.net.upstream.pool import Pool
 from balancer.policy import Balancer
 from balancer.policy.interface import ListKind, ServerEntry, State
 
--- a/balancer/net/message.py
+++ b/balancer/net/message.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from balancer.net.passing import Upload
+from balancer.net.upstream.body_streaming import Upload
 
 REASONS = {
     200: b"OK",
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -16,7 +16,6 @@
 
 from balancer.net.callers import Callers
 from balancer.net.config import Config, ConfigError, load_discovery
-from balancer.net.connection import Answer
 from balancer.net.discovery.registry import ServerRegistry
 from balancer.net.peers import Peers
 from balancer.net.process.counters import Counters
@@ -30,7 +29,8 @@
 from balancer.net.process.memory_budget import MemoryBudget
 from balancer.net.process.system_faults import is_shortage, retry_shortage
 from balancer.net.requests import Requests
-from balancer.net.servers import Exchange, Pool
+from balancer.net.upstream.connection import Answer
+from balancer.net.upstream.pool import Exchange, Pool
 from balancer.policy import Balancer
 from balancer.policy.interface import Outcome, State
 
--- a/balancer/net/requests.py
+++ b/balancer/net/requests.py
@@ -13,15 +13,15 @@
 
 from balancer.net.caller import Caller
 from balancer.net.config import Config
-from balancer.net.connection import Answer
 from balancer.net.forwarding import head_of, told_time
 from balancer.net.message import Message
-from balancer.net.passing import Source, Upload
 from balancer.net.process.counters import Counters
 from balancer.net.process.event_queue import EventQueue
 from balancer.net.process.lifecycle import Lifecycle
 from balancer.net.process.log import Log
-from balancer.net.servers import Exchange, Pool
+from balancer.net.upstream.body_streaming import Source, Upload
+from balancer.net.upstream.connection import Answer
+from balancer.net.upstream.pool import Exchange, Pool
 from balancer.policy import Balancer
 from balancer.policy.interface import NEVER_RAN, Effect, Outcome
 
--- a/balancer/net/connection.py
+++ b/balancer/net/upstream/connection.py
@@ -11,9 +11,9 @@
 
 import httptools
 
-from balancer.net.passing import LARGEST, WHOLE, Flow, Upload
 from balancer.net.process.memory_budget import MemoryBudget
 from balancer.net.process.sockets import READABLE, has_event
+from balancer.net.upstream.body_streaming import LARGEST, WHOLE, Flow, Upload
 from balancer.policy.interface import Outcome
 
 LARGEST_BARE = 128 << 10  # bytes of an answer without any of its body, above all its head
--- a/balancer/net/servers.py
+++ b/balancer/net/upstream/pool.py
@@ -8,11 +8,11 @@
 import asyncio
 from collections.abc import Callable
 
-from balancer.net.connection import Answer, Connection, Endpoint
-from balancer.net.passing import Flow, Source, Upload
 from balancer.net.process.descriptor_budget import DescriptorBudget
 from balancer.net.process.memory_budget import MemoryBudget
 from balancer.net.process.system_faults import RETRY_INTERVAL, never_left_machine
+from balancer.net.upstream.body_streaming import Flow, Source, Upload
+from balancer.net.upstream.connection import Answer, Connection, Endpoint
 from balancer.policy.interface import Outcome
 
 IDLE_MARGIN = 0.3  # seconds before the server would close an idle connection
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,8 +15,8 @@
 import uvloop
 
 from balancer.net.config import read
-from balancer.net.connection import Connection
 from balancer.net.node import Node
+from balancer.net.upstream.connection import Connection
 
 PATIENCE = 20.0  # seconds; only a failure waits so long
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,7 +23,7 @@
 
 from balancer.net import node as node_module
 from balancer.net.caller import Caller
-from balancer.net.passing import WHOLE
+from balancer.net.upstream.body_streaming import WHOLE
 from balancer.policy.interface import Outcome
 
 LONG = bytes(4 * WHOLE)
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -23,7 +23,7 @@
     until,
 )
 
-from balancer.net.connection import Connection
+from balancer.net.upstream.connection import Connection
 from balancer.policy.interface import Outcome
 
 FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -12,7 +12,7 @@
 from loopback import OK, Bench, Late, Server, always, call, gated, play, until
 
 from balancer.net import caller as node_caller
-from balancer.net.passing import WHOLE
+from balancer.net.upstream.body_streaming import WHOLE
 from balancer.policy.gradient import GradientController
 from balancer.policy.interface import Outcome
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -38,9 +38,9 @@
 
 from balancer.net.caller import SLOW
 from balancer.net.config import ConfigError, load, read
-from balancer.net.connection import Connection
 from balancer.net.discovery import client as node_discovery
-from balancer.net.servers import Exchange
+from balancer.net.upstream.connection import Connection
+from balancer.net.upstream.pool import Exchange
 from balancer.policy.interface import ListKind, Outcome
 
 FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
--- a/tests/test_operator_terms.py
+++ b/tests/test_operator_terms.py
@@ -7,7 +7,7 @@
 
 from balancer.net import callers as node_callers
 from balancer.net.node import LAST, LONGEST
-from balancer.net.passing import WHOLE
+from balancer.net.upstream.body_streaming import WHOLE
 
 KILLED = 0.7  # seconds beyond the longest deadline after which the process may be killed
 
--- a/tests/test_operator_terms_answers.py
+++ b/tests/test_operator_terms_answers.py
@@ -6,8 +6,8 @@
 import pytest
 from loopback import MOMENT, Bench, Server, always, call, play, until
 
-from balancer.net.passing import WHOLE
 from balancer.net.requests import FLOW_LOOK, FLOW_PAUSE
+from balancer.net.upstream.body_streaming import WHOLE
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (WHOLE, bytes(WHOLE))
 
--- a/tests/test_operator_terms_deadline.py
+++ b/tests/test_operator_terms_deadline.py
@@ -10,8 +10,8 @@
 
 from balancer.net import requests as node_requests
 from balancer.net.caller import PIPELINED
-from balancer.net.connection import Connection
-from balancer.net.passing import WHOLE
+from balancer.net.upstream.body_streaming import WHOLE
+from balancer.net.upstream.connection import Connection
 
 SLACK = 0.15
 HELD_UP = 0.15  # seconds between the process's reading of a clock and what it does next
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -6,10 +6,10 @@
 import pytest
 from loopback import OK, Bench, Client, Clock, Server, always, call, gated, play, record_outcomes, until
 
-from balancer.net import servers as node_servers
 from balancer.net.caller import LINGER, SLOW
-from balancer.net.passing import WHOLE
 from balancer.net.process.memory_budget import MAX_CHUNK_BYTES, MIN_CHUNK_BYTES, MIN_HELD_BYTES, MemoryBudget
+from balancer.net.upstream import pool as node_pool
+from balancer.net.upstream.body_streaming import WHOLE
 from balancer.policy.interface import Outcome
 
 LONG = bytes(range(256)) * 4096  # 1 MiB
@@ -206,7 +206,7 @@
 
 
 def test_a_server_that_falls_silent_under_way_is_given_up(monkeypatch):
-    monkeypatch.setattr(node_servers, "SILENT", 0.0)
+    monkeypatch.setattr(node_pool, "SILENT", 0.0)
 
     async def scene():
         silent = HEAD + b"Content-Length: %d\r\n\r\n" % len(LONG) + LONG[:100]
@@ -261,7 +261,7 @@
 
 def test_what_grows_longer_than_any_is_cut(monkeypatch):
     """Failure prevented: chunks without end keep a server, a client and their connections for good."""
-    for module in ("caller", "connection"):
+    for module in ("caller", "upstream.connection"):
         monkeypatch.setattr(f"balancer.net.{module}.LARGEST", 200_000)
 
     async def scene():
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -48,15 +48,16 @@
 from test_fleet import free_udp, section
 
 from balancer.fleet.membership.messages import Kind, Message
-from balancer.net import callers, node, servers
+from balancer.net import callers, node
 from balancer.net.caller import Caller
-from balancer.net.connection import Connection
 from balancer.net.discovery import registry
 from balancer.net.discovery.call import DiscoveryCall
 from balancer.net.process import handover, listener, system_faults
 from balancer.net.process.handover import Handover
 from balancer.net.process.listener import Listener
 from balancer.net.process.management import ManagementConnection
+from balancer.net.upstream import pool
+from balancer.net.upstream.connection import Connection
 from balancer.policy.interface import Outcome
 
 OPERATED = {"management": "127.0.0.1:0"}
@@ -69,7 +70,7 @@
 @pytest.fixture(autouse=True)
 def frequent_tries(monkeypatch) -> None:
     """What is tried again is tried again soon, so that many faults can be played."""
-    for module in (listener, servers, system_faults):
+    for module in (listener, pool, system_faults):
         monkeypatch.setattr(module, "RETRY_INTERVAL", INTERVAL)
     monkeypatch.setattr(registry, "PUSH_RETRY_S", INTERVAL)
     monkeypatch.setattr(node, "PEERS_RETRY", INTERVAL)
