--- a/balancer/net/caller.py
+++ b/balancer/net/caller.py
@@ -14,7 +14,12 @@
 from balancer.net.process.sockets import PEER_CLOSED, READABLE, has_event
 from balancer.net.roles import Crowd
 from balancer.net.unparsed import Unparsed
-from balancer.net.upstream.body_streaming import LARGEST, WHOLE, Source, Upload
+from balancer.net.upstream.body_streaming import (
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BYTES,
+    RequestBodyStream,
+    ResponseSource,
+)
 
 LARGEST_HEAD = 32768
 SLICE = 8192  # bytes parsed in one go
@@ -46,7 +51,7 @@
         self.bare = 0  # bytes of it that have come in a row and were none of its body
         self.waiting: deque[Message] = deque()
         self.open: Message | None = None
-        self.source: Source | None = None  # where the open request's answer flows from
+        self.source: ResponseSource | None = None  # where the open request's answer flows from
         self.chunked = False  # it flows to the client in chunks
         self.deaf = False  # nothing further is read from this client
         self.full = False  # it does not read its answers...
@@ -102,7 +107,9 @@
 
     def stopped(self) -> bool:
         """Whether the client is to send no more of a body for now."""
-        return self.partial is not None and self.partial.upload is not None and self.partial.upload.full()
+        return (
+            self.partial is not None and self.partial.upload is not None and self.partial.upload.is_blocked()
+        )
 
     def read_on(self) -> None:
         """Reads, or leaves it to the client to wait."""
@@ -171,9 +178,9 @@
         message.size = len(message.target) + sum(len(n) + len(v) for _, n, v in message.lines)
         self.begin_body()
         length = message.headers.get(b"content-length", b"")
-        if length.isdigit() and int(length) > LARGEST:
+        if length.isdigit() and int(length) > MAX_BODY_BYTES:
             self.reject(413)
-        elif length.isdigit() and int(length) > WHOLE:
+        elif length.isdigit() and int(length) > MAX_BUFFERED_BYTES:
             self.pass_on(message, int(length))
         elif self.open is None and not self.waiting:
             self.go_ahead(message)
@@ -191,7 +198,7 @@
             self.go_ahead(message)
             self.parse()
 
-        message.upload = Upload(length, more)
+        message.upload = RequestBodyStream(length, more)
         if message.body:
             message.upload.feed(message.body)
             message.body = b""
@@ -204,11 +211,11 @@
         self.moved += len(body)
         if message.upload is not None:
             message.upload.feed(body)
-            if message.upload.size > LARGEST:
+            if message.upload.size > MAX_BODY_BYTES:
                 self.reject(413)
             return
         message.body += body
-        if len(message.body) > WHOLE:
+        if len(message.body) > MAX_BUFFERED_BYTES:
             self.pass_on(message, None)
 
     def on_message_complete(self) -> None:
@@ -284,7 +291,7 @@
 
         Failure prevented: requests that came behind it, whole, are thrown away as the node leaves.
         """
-        still = message.upload is not None and not message.upload.whole
+        still = message.upload is not None and not message.upload.is_complete
         begun = self.waiting or self.rest or self.partial not in (None, message)
         leaving = self.owner.life.draining and not begun and not self.unread()
         return not message.keep or self.refusing or still or leaving
@@ -306,7 +313,7 @@
         elif self.waiting or self.rest or self.partial is not None:
             self.owner.loop.call_soon(self.parse)
 
-    def begin(self, source: Source, length: int | None, headers: bytes) -> None:
+    def begin(self, source: ResponseSource, length: int | None, headers: bytes) -> None:
         """Begins an answer that flows; `piece` and then `end` or `cut` follow.
 
         Without a length it goes in chunks, or to a client that knows none to the connection's end.
@@ -383,7 +390,7 @@
     def pause_writing(self) -> None:
         self.full = True
         if self.source is not None:
-            self.source.hold()
+            self.source.pause_reading()
         else:
             self.owe(self.transport.get_write_buffer_size())
 
@@ -391,7 +398,7 @@
         self.full = False
         self.owe(0)
         if self.source is not None:
-            self.source.go_on()
+            self.source.resume_reading()
         self.parse()
 
     def owe(self, size: int) -> None:
--- a/balancer/net/discovery/registry.py
+++ b/balancer/net/discovery/registry.py
@@ -15,7 +15,7 @@
 from balancer.net.process.lifecycle import Lifecycle
 from balancer.net.process.log import Log
 from balancer.net.upstream.connection import Endpoint
-from balancer.net.upstream.pool import Pool
+from balancer.net.upstream.pool import ConnectionPool
 from balancer.policy import Balancer
 from balancer.policy.interface import ListKind, ServerEntry, State
 
@@ -41,7 +41,7 @@
         self,
         config: Config,
         loop: asyncio.AbstractEventLoop,
-        pool: Pool,
+        pool: ConnectionPool,
         life: Lifecycle,
         log: Log,
         strays: Log,
--- a/balancer/net/message.py
+++ b/balancer/net/message.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from balancer.net.upstream.body_streaming import Upload
+from balancer.net.upstream.body_streaming import RequestBodyStream
 
 REASONS = {
     200: b"OK",
@@ -46,7 +46,7 @@
         self.lines: list[tuple[bytes, bytes, bytes]] = []  # headers: lower-case name, name, value
         self.headers: dict[bytes, bytes] = {}  # by lower-case name; of several the first
         self.body = b""
-        self.upload: Upload | None = None  # the body, if it is long and passes through
+        self.upload: RequestBodyStream | None = None  # the body, if it is long and passes through
         self.expects = False  # the client waits for a word before it sends the body
         self.keep = error == 0
         self.came = 0.0  # when its last byte was read, or its head's where the body passes through
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -29,8 +29,9 @@
 from balancer.net.process.memory_budget import MemoryBudget
 from balancer.net.process.system_faults import is_shortage, retry_shortage
 from balancer.net.requests import Requests
-from balancer.net.upstream.connection import Answer
-from balancer.net.upstream.pool import Exchange, Pool
+from balancer.net.upstream.connection import Response
+from balancer.net.upstream.exchange import Exchange
+from balancer.net.upstream.pool import ConnectionPool
 from balancer.policy import Balancer
 from balancer.policy.interface import Outcome, State
 
@@ -58,7 +59,7 @@
         connections = config.connections()
         self.descriptor_budget = DescriptorBudget(connections, config.sockets)
         self.memory_budget = MemoryBudget(config.memory, connections)
-        self.pool = Pool(
+        self.pool = ConnectionPool(
             loop, self.descriptor_budget, config.connect_timeout, config.idle_time, self.memory_budget
         )
         self.life = Lifecycle(self.log_lines)
@@ -68,8 +69,8 @@
             config, loop, self.pool, self.life, self.log_lines, self.counters, self.event_queue
         )
         self.callers = Callers(loop, self.descriptor_budget, self.requests, self.life, self.memory_budget)
-        self.pool.spare = self.callers.make_room
-        self.callers.relief = self.pool.relieve
+        self.pool.free_client = self.callers.make_room
+        self.callers.relief = self.pool.close_unused
         self.fleet = self.fleet_part()
         self.management = Management(loop, self.paths(), self.log_lines.line)
         self.server_registry = ServerRegistry(
@@ -193,7 +194,7 @@
     def write_stats(self) -> None:
         """One line of figures: the module's as they stand, the node's counted since the start."""
         figures = self.balancer.stats() | self.requests.counts | self.callers.counts
-        figures |= {"dialled": self.pool.dialled, "clients": self.descriptor_budget.clients}
+        figures |= {"dialled": self.pool.opened_count, "clients": self.descriptor_budget.clients}
         self.log_lines.line("stats " + " ".join(f"{name}={value:.4g}" for name, value in figures.items()))
         self.loop.call_later(STATS_EVERY, self.write_stats)
 
@@ -301,9 +302,11 @@
         began = self.event_queue.now()
         path = b"/status/load" if self.config.report_names else b"/health"
 
-        def done(outcome: Outcome, answer: Answer | None) -> None:
-            ok = answer is not None and answer.status == 200
-            report = self.requests.report(answer.body or answer.report) if answer is not None and ok else ()
+        def done(outcome: Outcome, response: Response | None) -> None:
+            ok = response is not None and response.status == 200
+            report = (
+                self.requests.report(response.body or response.report) if response is not None and ok else ()
+            )
             self.event_queue.post(self.balancer.probed, server, ok, self.event_queue.now() - began, report)
 
         if endpoint is None or not endpoint.ready:
--- a/balancer/net/requests.py
+++ b/balancer/net/requests.py
@@ -19,9 +19,10 @@
 from balancer.net.process.event_queue import EventQueue
 from balancer.net.process.lifecycle import Lifecycle
 from balancer.net.process.log import Log
-from balancer.net.upstream.body_streaming import Source, Upload
-from balancer.net.upstream.connection import Answer
-from balancer.net.upstream.pool import Exchange, Pool
+from balancer.net.upstream.body_streaming import RequestBodyStream, ResponseSource
+from balancer.net.upstream.connection import Response
+from balancer.net.upstream.exchange import Exchange
+from balancer.net.upstream.pool import ConnectionPool
 from balancer.policy import Balancer
 from balancer.policy.interface import NEVER_RAN, Effect, Outcome
 
@@ -66,10 +67,10 @@
         self.guard: asyncio.TimerHandle | None = None
         self.flow: Passage | None = None  # its answer, once it flows
 
-    def coming(self) -> Upload | None:
+    def coming(self) -> RequestBodyStream | None:
         """Its body, if that is still on its way from the client."""
         upload = self.message.upload
-        return upload if upload is not None and not upload.whole else None
+        return upload if upload is not None and not upload.is_complete else None
 
     def partly_written(self) -> bool:
         """Whether its attempt has begun, and its last byte has not left this process: it never ran."""
@@ -81,7 +82,7 @@
 
 
 class Passage:
-    """An answer on its way from a server to a client: the `Flow` of one request."""
+    """An answer on its way from a server to a client: the `ResponseStream` of one request."""
 
     def __init__(self, owner: Requests, request: Open, caller: Caller, began: int) -> None:
         self.owner = owner
@@ -90,7 +91,7 @@
         self.began = began  # when its first byte came
         self.moved = owner.loop.time()  # when its last piece came
 
-    def piece(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         self.moved = self.owner.loop.time()
         self.caller.piece(data)
 
@@ -103,7 +104,7 @@
             self.owner.close_request(self.request, 200)
             self.caller.end()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         if self.request.caller is not None:
             self.owner.close_request(self.request, 502)
             self.caller.cut()
@@ -116,7 +117,7 @@
         self,
         config: Config,
         loop: asyncio.AbstractEventLoop,
-        pool: Pool,
+        pool: ConnectionPool,
         life: Lifecycle,
         log: Log,
         counters: Counters,
@@ -232,7 +233,7 @@
         if request is not None:
             if request.flow is not None:
                 # Failure prevented: its answer, given up here, has no end, and its client waits for one.
-                request.flow.cut()
+                request.flow.abort()
             self.conclude(request.id, status)
             self.give_up(request)
 
@@ -250,7 +251,7 @@
         """
         self.event_queue.post(self.module.client_left, request.id)
         if request.out is not None and (request.flow is not None or request.partly_written()):
-            request.out.stop(Outcome.CANCELLED)
+            request.out.abort(Outcome.CANCELLED)
 
     def answer_by(self, last_answer: int) -> None:
         """Every request, open or still to come, has its answer by this time: the node ends.
@@ -319,7 +320,7 @@
             or number >= self.settings.max_attempts
             or endpoint is None
             or not endpoint.ready
-            or (r.message.upload is not None and r.message.upload.spent)
+            or (r.message.upload is not None and r.message.upload.is_discarded)
         ):
             self.event_queue.post(
                 self.module.outcome, request, number, server, Outcome.NOT_SENT, 0, False, ()
@@ -344,10 +345,10 @@
             if coming:
                 self.uploaded(r, number)
 
-        def begin(answer: Answer, source: Source) -> Passage | None:
+        def begin(answer: Response, source: ResponseSource) -> Passage | None:
             return self.begin_flow(r, number, server, now, answer, source)
 
-        def done(outcome: Outcome, answer: Answer | None) -> None:
+        def done(outcome: Outcome, answer: Response | None) -> None:
             self.ended(r, number, server, now, outcome, answer)
 
         exchange = Exchange(self.pool, endpoint, compose, done, sent, begin, r.message.upload)
@@ -378,7 +379,7 @@
         self.event_queue.post(self.module.upload, r.id, number, False)
 
     def begin_flow(
-        self, r: Open, number: int, server: int, sent: int, answer: Answer, source: Source
+        self, r: Open, number: int, server: int, sent: int, answer: Response, source: ResponseSource
     ) -> Passage | None:
         """A long answer begins: its client gets it as it comes, past its time while the server goes on."""
         if r.caller is None or r.out is None:
@@ -402,16 +403,16 @@
         if r.caller is None or r.out is None:
             return
         if flow.stalled():
-            flow.cut()
-            r.out.stop(Outcome.RESET)
+            flow.abort()
+            r.out.abort(Outcome.RESET)
         else:
             r.guard = self.loop.call_later(FLOW_LOOK, self.watch_flow, r, flow)
 
     def ended(
-        self, r: Open, number: int, server: int, began: int, outcome: Outcome, answer: Answer | None
+        self, r: Open, number: int, server: int, began: int, outcome: Outcome, answer: Response | None
     ) -> None:
         """An attempt's end: an answer goes to the client at once, then the module hears of it."""
-        dial = r.out.dial if r.out is not None else 0.0
+        dial = r.out.connect_time if r.out is not None else 0.0
         r.out = None
         if outcome not in NEVER_RAN and r.ran_at is None:
             r.ran_at = r.written_at
@@ -425,7 +426,7 @@
             if outcome == Outcome.OK and r.caller is not None:
                 kind = answer.content_type
                 self.conclude(r.id, 200, answer.body, b"Content-Type: %b\r\n" % kind if kind else b"")
-        if r.message.upload is not None and r.message.upload.spent:
+        if r.message.upload is not None and r.message.upload.is_discarded:
             # What was thrown away can go to no other server. Before its last byte nothing has run.
             if outcome in NEVER_RAN:
                 self.conclude(r.id, 503, headers=self.full_advice())
@@ -443,7 +444,7 @@
         """Gives an attempt up; its outcome follows after this event."""
         r = self.open.get(request)
         if r is not None and r.out is not None and attempt == r.attempts - 1:
-            r.out.stop(Outcome.CANCELLED)
+            r.out.abort(Outcome.CANCELLED)
 
     def refuse(self, request: int, retry_after: int) -> None:
         """Answers 503, with advice when to come back."""
--- a/balancer/net/upstream/body_streaming.py
+++ b/balancer/net/upstream/body_streaming.py
@@ -1,97 +1,102 @@
-"""Bodies that pass through: a long request on its way to a server, a long answer on its way to a client."""
+"""Streaming of long bodies: a request on its way to a server, a response on its way to a client."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Protocol
 
-WHOLE = 65536  # bytes; what is no longer is taken whole and can be tried again
-LARGEST = 32 << 20  # and what is longer than this is none of this service's
+MAX_BUFFERED_BYTES = 65536  # a body that is no longer is buffered whole, and its request can be retried
+MAX_BODY_BYTES = 32 << 20  # a longer body is rejected
 
 
-class Sink(Protocol):
+class RequestBodySink(Protocol):
     """A connection to a server that takes a request's body."""
 
-    def piece(self, data: bytes) -> None:
-        """Writes a piece of it."""
+    def write_body(self, data: bytes) -> None:
+        """Writes a piece of the body."""
 
-    def last(self) -> None:
-        """That was all of it."""
+    def end_body(self) -> None:
+        """Ends the body."""
 
-    def full(self) -> bool:
-        """Whether it should get no more for now; `Upload.drained` is called when it may."""
+    def is_write_blocked(self) -> bool:
+        """Whether it should get no more for now; `RequestBodyStream.on_drained` is called when it may."""
 
 
-class Flow(Protocol):
-    """A client that takes a long answer."""
+class ResponseStream(Protocol):
+    """A client that a long response is streamed to."""
 
-    def piece(self, data: bytes) -> None:
-        """Writes a piece of it."""
+    def write(self, data: bytes) -> None:
+        """Writes a piece of the body."""
 
     def end(self) -> None:
-        """That was all of it."""
+        """Ends the response."""
 
-    def cut(self) -> None:
-        """It broke off: the client must be able to tell."""
+    def abort(self) -> None:
+        """Breaks the response off, so that the client can tell."""
 
 
-class Source(Protocol):
-    """A connection to a server that an answer comes from."""
+class ResponseSource(Protocol):
+    """A connection to a server that a response is streamed from."""
 
-    def hold(self) -> None:
-        """The client takes no more for now."""
+    def pause_reading(self) -> None:
+        """Reads no more: the client takes no more for now."""
 
-    def go_on(self) -> None:
-        """It takes more."""
+    def resume_reading(self) -> None:
+        """Reads on: the client takes more."""
 
 
-class Upload:
-    """A request's body that comes in pieces. `more` lets the client send on."""
+class RequestBodyStream:
+    """A request's body that comes in pieces.
 
-    def __init__(self, length: int | None, more: Callable[[], None]) -> None:
-        self.length = length  # None: it comes in chunks, and ends when it ends
-        self.more = more
+    Args:
+        length: in bytes; None where it comes in chunks, and ends when it ends.
+        on_writable: lets the client send on.
+    """
+
+    def __init__(self, length: int | None, on_writable: Callable[[], None]) -> None:
+        self.length = length
+        self.on_writable = on_writable
         self.size = 0
-        self.kept: list[bytes] = []  # what has come since the start, until some of it is thrown away
-        self.whole = False
-        self.spent = False  # some was thrown away: no other server can have it whole
-        self.sink: Sink | None = None
+        self.buffered: list[bytes] = []  # all that has come, until some of it is discarded
+        self.is_complete = False
+        self.is_discarded = False  # some was discarded: no other server can have it all
+        self.sink: RequestBodySink | None = None
 
     def feed(self, data: bytes) -> None:
-        """A piece has come."""
+        """Takes a piece of the body from the client."""
         self.size += len(data)
-        if not self.spent:
-            self.kept.append(data)
+        if not self.is_discarded:
+            self.buffered.append(data)
         if self.sink is not None:
-            self.sink.piece(data)
+            self.sink.write_body(data)
 
     def end(self) -> None:
-        """The last piece has come."""
-        self.whole = True
+        """Takes note that the body is complete."""
+        self.is_complete = True
         if self.sink is not None:
-            self.sink.last()
+            self.sink.end_body()
 
-    def full(self) -> bool:
-        """Whether the client must wait."""
-        return self.sink is None or not self.spent or self.sink.full()
+    def is_blocked(self) -> bool:
+        """Whether the client must wait before it sends on."""
+        return self.sink is None or not self.is_discarded or self.sink.is_write_blocked()
 
-    def attach(self, sink: Sink) -> None:
-        """A server takes it from now on."""
+    def attach(self, sink: RequestBodySink) -> None:
+        """Hands the body to a server from now on."""
         self.sink = sink
-        for data in self.kept:
-            sink.piece(data)
-        if self.whole:
-            sink.last()
-        elif not sink.full():
-            self.drained()
-
-    def drained(self) -> None:
-        """The sink can take more."""
-        if not self.whole:
-            self.spent = True
-            self.kept.clear()
-            self.more()
+        for data in self.buffered:
+            sink.write_body(data)
+        if self.is_complete:
+            sink.end_body()
+        elif not sink.is_write_blocked():
+            self.on_drained()
+
+    def on_drained(self) -> None:
+        """Called when the sink can take more."""
+        if not self.is_complete:
+            self.is_discarded = True
+            self.buffered.clear()
+            self.on_writable()
 
     def detach(self) -> None:
-        """The attempt has ended."""
+        """Hands the body to nobody: the attempt has ended."""
         self.sink = None
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,10 +23,10 @@
 
 from balancer.net import node as node_module
 from balancer.net.caller import Caller
-from balancer.net.upstream.body_streaming import WHOLE
+from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
 from balancer.policy.interface import Outcome
 
-LONG = bytes(4 * WHOLE)
+LONG = bytes(4 * MAX_BUFFERED_BYTES)
 FLOWS = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(LONG), LONG)
 
 
@@ -81,7 +81,7 @@
         release.set()
         for client in clients:
             await client.receive()
-        assert Outcome.CONNECT_FAILED in outcomes and pool.dialled == 1
+        assert Outcome.CONNECT_FAILED in outcomes and pool.opened_count == 1
 
     play(scene)
 
@@ -294,11 +294,13 @@
         bench = await Bench(server := Server(always(None))).start()
         node = bench.node
         client = await bench.client()
-        size = 2 * WHOLE
+        size = 2 * MAX_BUFFERED_BYTES
         data = call("offer", budget=600_000).partition(b"Content-Length")[0]
         client.send(data + b"Content-Length: %d\r\n\r\n" % size + bytes(size - 1))
         await until(
-            lambda: any(r.message.upload and r.message.upload.spent for r in node.requests.open.values())
+            lambda: any(
+                r.message.upload and r.message.upload.is_discarded for r in node.requests.open.values()
+            )
         )
         (request,) = node.requests.open.values()
         if order == "whole first":
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -40,7 +40,7 @@
 def counted_once(bench: Bench) -> bool:
     """Whether the connections that are counted are those that stand idle."""
     idle = [c for e in bench.node.pool.endpoints.values() for c in e.idle]
-    return bench.node.descriptor_budget.servers == len(idle) and all(c.counted for c in idle)
+    return bench.node.descriptor_budget.servers == len(idle) and all(c.is_counted for c in idle)
 
 
 # ---- has it run? ----------------------------------------------------------------------------------
@@ -82,9 +82,9 @@
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             connection.close()
         elif end == "time-out":
-            exchange.expire()
+            exchange.on_timeout()
         else:
-            exchange.stop(Outcome.CANCELLED)
+            exchange.abort(Outcome.CANCELLED)
         listener.close()
         await until(lambda: bool(outcomes))
         if outcomes[0] == Outcome.CONNECT_FAILED:
@@ -154,7 +154,7 @@
                 connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, on)
                 connection.close()
 
-        look = Connection.spoken_to
+        look = Connection.has_unread_data
 
         def looked(connection: Connection) -> bool:
             if order == "before the look":
@@ -164,7 +164,7 @@
                 end()
             return seen
 
-        monkeypatch.setattr(Connection, "spoken_to", looked)
+        monkeypatch.setattr(Connection, "has_unread_data", looked)
         outcomes = record_outcomes(bench)
         serving = asyncio.ensure_future(serve())
         status = (await bench.once(call("invite")))[0]
@@ -248,7 +248,7 @@
         def then() -> None:
             (request,) = requests.open.values()
             if request.out is not None:
-                request.out.stop(outcome)
+                request.out.abort(outcome)
 
         bench.node.pool.loop = Crossed(asyncio.get_running_loop(), then)
         asked = asyncio.ensure_future(bench.once(call("invite")))
@@ -294,7 +294,7 @@
         caller.buffer_updated(len(data))
         (request,) = bench.node.requests.open.values()
         assert request.out is not None and bench.node.descriptor_budget.servers == 1
-        request.out.stop(Outcome.TIMEOUT)
+        request.out.abort(Outcome.TIMEOUT)
         await client.receive()
         await until(lambda: bench.node.descriptor_budget.servers == 0)
 
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -119,9 +119,9 @@
         assert (await client.receive())[0] == 200
         budget.servers += 2  # as if others were out
         assert budget.exhausted()
-        assert bench.node.pool.has_room()
+        assert bench.node.pool.has_capacity()
         assert await client.ended()  # its answer it has had
-        assert bench.node.pool.has_room()
+        assert bench.node.pool.has_capacity()
         assert bench.node.callers.counts == {"gave_way_idle": 1, "gave_way_headless": 1}
         budget.servers -= 2
 
@@ -188,6 +188,6 @@
         assert not bench.node.callers.counts
         writing.send(call().partition(b"\r\n")[2])
         assert (await writing.receive())[0] == 200
-        assert bench.node.pool.relieve() is False  # just used
+        assert bench.node.pool.close_unused() is False  # just used
 
     play(scene)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -12,7 +12,7 @@
 from loopback import OK, Bench, Late, Server, always, call, gated, play, until
 
 from balancer.net import caller as node_caller
-from balancer.net.upstream.body_streaming import WHOLE
+from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
 from balancer.policy.gradient import GradientController
 from balancer.policy.interface import Outcome
 
@@ -22,7 +22,7 @@
 EVERYWHERE = pytest.mark.parametrize(
     "where", [{}, FORBIDDEN, LATER], ids=["usual", "no cancel", "later tier"]
 )
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (WHOLE, bytes(WHOLE))
+ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (MAX_BUFFERED_BYTES, bytes(MAX_BUFFERED_BYTES))
 REJECTED = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 
 
@@ -192,7 +192,7 @@
         if order == "seen":
             await until(lambda: caller.lost)
         if request.out is not None:
-            request.out.stop(failure)
+            request.out.abort(failure)
         release.set()
         await nothing_came(bench, (server, 1), (other, 0))
 
@@ -294,7 +294,13 @@
 @HOW
 @pytest.mark.parametrize(
     ("order", "size"),
-    [("seen", 10), ("seen", WHOLE), ("up first", 10), ("up first", WHOLE), ("up first", 4 * WHOLE)],
+    [
+        ("seen", 10),
+        ("seen", MAX_BUFFERED_BYTES),
+        ("up first", 10),
+        ("up first", MAX_BUFFERED_BYTES),
+        ("up first", 4 * MAX_BUFFERED_BYTES),
+    ],
 )
 def test_for_its_own_body(how, order, size):
     """A part of the body has come; of a long one so much that nothing more is read before a server takes it.
@@ -310,7 +316,7 @@
         client.socket.sendall(head + b"Content-Length: %d\r\n\r\n" % (size + 1) + bytes(size))
         caller = await only_caller(bench)
         await until(lambda: caller.partial is not None)
-        if size >= WHOLE:
+        if size >= MAX_BUFFERED_BYTES:
             await late.asked.wait()
             await until(lambda: caller.paused)
         client.go(how)
@@ -338,7 +344,7 @@
         client.go(how)
         bench.node.requests.conclude(request.id, 504)  # as its guard does
         assert request.out is not None
-        request.out.stop(Outcome.TIMEOUT)
+        request.out.abort(Outcome.TIMEOUT)
         server.handle = always(OK)
         await nothing_came(bench, (server, 1))
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -40,7 +40,7 @@
 from balancer.net.config import ConfigError, load, read
 from balancer.net.discovery import client as node_discovery
 from balancer.net.upstream.connection import Connection
-from balancer.net.upstream.pool import Exchange
+from balancer.net.upstream.exchange import Exchange
 from balancer.policy.interface import ListKind, Outcome
 
 FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
@@ -376,7 +376,7 @@
         (writer,) = server.writers
         with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as end:
             end.shutdown(socket.SHUT_WR)  # the node's loop has no turn from here on
-            assert bench.node.pool.take(endpoint) is None
+            assert bench.node.pool.acquire(endpoint) is None
         assert (await client.ask(call("invite")))[0] == 200
 
     play(scene)
@@ -406,13 +406,15 @@
         connection = Connection(pool, endpoint)
         await loop.create_connection(lambda: connection, "127.0.0.1", server.port)
         lost = loop.create_future()
-        connection.pool = SimpleNamespace(lost=lost.set_result, memory_budget=pool.memory_budget)
+        connection.pool = SimpleNamespace(
+            on_connection_lost=lost.set_result, memory_budget=pool.memory_budget
+        )
         connection.close()
         await lost
         outcomes = []
         sent = asyncio.Event()
         exchange = Exchange(pool, endpoint, call, lambda outcome, answer: outcomes.append(outcome), sent.set)
-        exchange.use(connection)
+        exchange.send(connection)
         assert outcomes == [Outcome.CONNECT_FAILED] and not sent.is_set()
 
     play(scene)
--- a/tests/test_operator_terms.py
+++ b/tests/test_operator_terms.py
@@ -7,7 +7,7 @@
 
 from balancer.net import callers as node_callers
 from balancer.net.node import LAST, LONGEST
-from balancer.net.upstream.body_streaming import WHOLE
+from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
 
 KILLED = 0.7  # seconds beyond the longest deadline after which the process may be killed
 
@@ -32,7 +32,9 @@
 
 # ---- the process is killed soon after SIGTERM -----------------------------------------------------------
 
-LONG_HEAD = call("offer").partition(b"Content-Length")[0] + b"Content-Length: %d\r\n\r\n" % (4 * WHOLE)
+LONG_HEAD = call("offer").partition(b"Content-Length")[0] + b"Content-Length: %d\r\n\r\n" % (
+    4 * MAX_BUFFERED_BYTES
+)
 UNFINISHED = {
     "nothing": b"",
     "half a head": call()[:40],
@@ -42,7 +44,7 @@
 
 
 READ_NO_FURTHER = pytest.param(
-    12.0, LONG_HEAD + bytes(2 * WHOLE), id="12.0-half a long body, read no further"
+    12.0, LONG_HEAD + bytes(2 * MAX_BUFFERED_BYTES), id="12.0-half a long body, read no further"
 )
 CASES = [
     pytest.param(deadline, sent, id=f"{deadline}-{name}")
@@ -67,7 +69,9 @@
         (caller,) = callers.callers
         await until(lambda: bool(caller.transport))
         if sent:
-            await until(lambda: caller.partial is not None and (len(sent) < WHOLE or caller.paused))
+            await until(
+                lambda: caller.partial is not None and (len(sent) < MAX_BUFFERED_BYTES or caller.paused)
+            )
         drain = asyncio.create_task(bench.node.drain())
         await until(lambda: callers.emptying)
         clock.now += min(deadline, LONGEST / MOMENT) + LAST / MOMENT
--- a/tests/test_operator_terms_answers.py
+++ b/tests/test_operator_terms_answers.py
@@ -7,9 +7,9 @@
 from loopback import MOMENT, Bench, Server, always, call, play, until
 
 from balancer.net.requests import FLOW_LOOK, FLOW_PAUSE
-from balancer.net.upstream.body_streaming import WHOLE
+from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
 
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (WHOLE, bytes(WHOLE))
+ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (MAX_BUFFERED_BYTES, bytes(MAX_BUFFERED_BYTES))
 
 
 def test_a_crowd_cuts_short_no_last_answer_that_its_client_still_reads():
@@ -33,7 +33,7 @@
         data = b""
         while more := await asyncio.get_running_loop().sock_recv(client, 1 << 20):
             data += more
-        assert data.partition(b"\r\n\r\n")[2] == bytes(WHOLE)
+        assert data.partition(b"\r\n\r\n")[2] == bytes(MAX_BUFFERED_BYTES)
         client.close()
 
     play(scene)
@@ -46,7 +46,7 @@
     """Failure prevented: the attempt is given up, and the answer that has begun is neither ended nor cut."""
 
     async def scene():
-        piece = bytes(2 * WHOLE)
+        piece = bytes(2 * MAX_BUFFERED_BYTES)
         if b"chunked" in framing:
             piece = b"%x\r\n%b\r\n" % (len(piece), piece)
 
@@ -62,7 +62,7 @@
         bench.discovery.say(42, True, other.entry("early", addr=address))
         await until(lambda: bench.node.life.serving)
         client = await bench.client()
-        client.send(call("offer", body=bytes(4 * WHOLE))[: -2 * WHOLE])
+        client.send(call("offer", body=bytes(4 * MAX_BUFFERED_BYTES))[: -2 * MAX_BUFFERED_BYTES])
         requests = bench.node.requests
         await until(lambda: any(r.flow is not None for r in requests.open.values()))
         (caller,) = bench.node.callers.callers
@@ -72,7 +72,7 @@
         bench.node.callers.sweep()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
             await client.receive()
-            await client.reader.readexactly(4 * WHOLE)
+            await client.reader.readexactly(4 * MAX_BUFFERED_BYTES)
         await until(lambda: not requests.open and not bench.node.callers.callers)
         client.writer.close()
 
@@ -85,7 +85,7 @@
 
     async def scene():
         async def hang(request, writer):
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + bytes(2 * WHOLE))
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + bytes(2 * MAX_BUFFERED_BYTES))
             return None
 
         bench = await Bench(Server(hang)).start()
--- a/tests/test_operator_terms_deadline.py
+++ b/tests/test_operator_terms_deadline.py
@@ -10,7 +10,7 @@
 
 from balancer.net import requests as node_requests
 from balancer.net.caller import PIPELINED
-from balancer.net.upstream.body_streaming import WHOLE
+from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
 from balancer.net.upstream.connection import Connection
 
 SLACK = 0.15
@@ -32,13 +32,13 @@
         monkeypatch.setattr(node_requests, "monotonic", self.read)
         monkeypatch.setattr(bench.node.event_queue, "now", lambda: int(self.read() * 1e6))
         self.begun: list[float] = []  # when each attempt's first byte was written
-        begin = Connection.begin
+        begin = Connection.send_request
 
         def record(connection, exchange, data, upload):
             self.begun.append(self.now)
             begin(connection, exchange, data, upload)
 
-        monkeypatch.setattr(Connection, "begin", record)
+        monkeypatch.setattr(Connection, "send_request", record)
 
     def __getattr__(self, name):
         return getattr(self.loop, name)
@@ -118,7 +118,9 @@
 
 
 @pytest.mark.parametrize("late", [0.0, 0.25, 1.5])
-@pytest.mark.parametrize("body", [b"", bytes(100), bytes(2 * WHOLE)], ids=["none", "short", "long"])
+@pytest.mark.parametrize(
+    "body", [b"", bytes(100), bytes(2 * MAX_BUFFERED_BYTES)], ids=["none", "short", "long"]
+)
 def test_a_connection_that_comes_up_late_tells_no_more_than_is_left(body, late, monkeypatch):
     async def scene():
         bench = await Bench(server := Server()).start()
@@ -147,7 +149,7 @@
         bench.node.pool.loop = loop = Late(asyncio.get_running_loop())
         client = await bench.client()
         sent_at = clock.now
-        client.send(call("offer", budget=int(BUDGET * 1000), body=bytes(2 * WHOLE)))
+        client.send(call("offer", budget=int(BUDGET * 1000), body=bytes(2 * MAX_BUFFERED_BYTES)))
         await loop.asked.wait()
         (request,) = bench.node.requests.open.values()
         clock.advance(late)
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -8,8 +8,8 @@
 
 from balancer.net.caller import LINGER, SLOW
 from balancer.net.process.memory_budget import MAX_CHUNK_BYTES, MIN_CHUNK_BYTES, MIN_HELD_BYTES, MemoryBudget
-from balancer.net.upstream import pool as node_pool
-from balancer.net.upstream.body_streaming import WHOLE
+from balancer.net.upstream import exchange as node_exchange
+from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
 from balancer.policy.interface import Outcome
 
 LONG = bytes(range(256)) * 4096  # 1 MiB
@@ -91,7 +91,7 @@
         (HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(LONG, 3000, b";x=1", b"X-T: 1\r\n"), False),
         (HEAD + b"\r\n" + LONG, True),
         (HEAD + b"\r\nshort, to the connection's end", True),
-        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(LONG[:WHOLE], 100), False),
+        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(LONG[:MAX_BUFFERED_BYTES], 100), False),
         (b"HTTP/1.1 103 Early Hints\r\nX-Rejected: 1\r\n\r\n" + OK, False),
         (HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(b"ok", 1, b"", b"X-Rejected: 1\r\n"), False),
     ],
@@ -146,7 +146,7 @@
         slow.send(call())
         await until(lambda: any(r.flow for r in node.requests.open.values()))
         (request,) = node.requests.open.values()
-        await until(lambda: request.out.connection.held)
+        await until(lambda: request.out.connection.reading_paused)
         (caller,) = (c for c in node.callers.callers if c.open is not None)
         assert caller.transport.get_write_buffer_size() <= 3 * node.memory_budget.chunk_bytes
         assert (await bench.once(call("invite")))[0] == 200
@@ -206,7 +206,7 @@
 
 
 def test_a_server_that_falls_silent_under_way_is_given_up(monkeypatch):
-    monkeypatch.setattr(node_pool, "SILENT", 0.0)
+    monkeypatch.setattr(node_exchange, "SERVER_SILENCE_S", 0.0)
 
     async def scene():
         silent = HEAD + b"Content-Length: %d\r\n\r\n" % len(LONG) + LONG[:100]
@@ -262,7 +262,7 @@
 def test_what_grows_longer_than_any_is_cut(monkeypatch):
     """Failure prevented: chunks without end keep a server, a client and their connections for good."""
     for module in ("caller", "upstream.connection"):
-        monkeypatch.setattr(f"balancer.net.{module}.LARGEST", 200_000)
+        monkeypatch.setattr(f"balancer.net.{module}.MAX_BODY_BYTES", 200_000)
 
     async def scene():
         endless = HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(LONG, 9000)[:-5]
@@ -346,7 +346,7 @@
         await until(lambda: bool(server.heads))
         (caller,) = node.callers.callers
         (request,) = node.requests.open.values()
-        await until(lambda: caller.paused and request.out.connection.full())
+        await until(lambda: caller.paused and request.out.connection.is_write_blocked())
         assert request.out.connection.transport.get_write_buffer_size() <= 3 * node.memory_budget.chunk_bytes
         assert caller.due is None  # it is not the client that is late
         server.read.set()
@@ -381,7 +381,7 @@
         client.send(upload(LONG, b"Content-Length: %d" % (len(LONG) + 1)))
         await until(lambda: any(s.heads for s in bench.servers))
         (request,) = bench.node.requests.open.values()
-        await until(lambda: request.message.upload.spent)
+        await until(lambda: request.message.upload.is_discarded)
         next(s for s in bench.servers if s.heads).writers[0].transport.abort()
         head, _ = await receive(client)
         assert head.startswith(b"HTTP/1.1 503 ") and b"Retry-After" in head and b"Connection: close" in head
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -297,7 +297,7 @@
         if how == "rst":
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         client.close()
-        request.out.stop(outcome)  # the module answers it with a further attempt
+        request.out.abort(outcome)  # the module answers it with a further attempt
         release.set()
         await until(lambda: not bench.node.callers.callers and not bench.node.requests.open)
         assert (await bench.once(call()))[0] == 200  # whatever was sent before has come by now
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -56,7 +56,7 @@
 from balancer.net.process.handover import Handover
 from balancer.net.process.listener import Listener
 from balancer.net.process.management import ManagementConnection
-from balancer.net.upstream import pool
+from balancer.net.upstream import exchange
 from balancer.net.upstream.connection import Connection
 from balancer.policy.interface import Outcome
 
@@ -70,7 +70,7 @@
 @pytest.fixture(autouse=True)
 def frequent_tries(monkeypatch) -> None:
     """What is tried again is tried again soon, so that many faults can be played."""
-    for module in (listener, pool, system_faults):
+    for module in (listener, exchange, system_faults):
         monkeypatch.setattr(module, "RETRY_INTERVAL", INTERVAL)
     monkeypatch.setattr(registry, "PUSH_RETRY_S", INTERVAL)
     monkeypatch.setattr(node, "PEERS_RETRY", INTERVAL)
--- a/workbench/lab/mischief.py
+++ b/workbench/lab/mischief.py
@@ -28,7 +28,7 @@
 from balancer.net.forwarding import head_of
 from balancer.net.process.lifecycle import Lifecycle
 from balancer.net.requests import Requests
-from balancer.net.upstream.pool import Exchange
+from balancer.net.upstream.exchange import Exchange
 from balancer.policy import ejection, gradient
 from balancer.policy.interface import State
 
