--- a/balancer/net/caller.py
+++ b/balancer/net/downstream/client_connection.py
@@ -10,10 +10,10 @@
 
 import httptools
 
-from balancer.net.message import REASONS, Message
+from balancer.net.downstream.message import REASONS, Message
+from balancer.net.downstream.protocols import Crowd
+from balancer.net.downstream.read_queue import Unparsed
 from balancer.net.process.sockets import PEER_CLOSED, READABLE, has_event
-from balancer.net.roles import Crowd
-from balancer.net.unparsed import Unparsed
 from balancer.net.upstream.body_streaming import (
     MAX_BODY_BYTES,
     MAX_BUFFERED_BYTES,
--- a/balancer/net/callers.py
+++ b/balancer/net/downstream/client_connections.py
@@ -7,12 +7,12 @@
 from collections import Counter
 from collections.abc import Callable
 
-from balancer.net.caller import SLOW, Caller
+from balancer.net.downstream.client_connection import SLOW, Caller
+from balancer.net.downstream.protocols import Handler
 from balancer.net.process.descriptor_budget import DescriptorBudget
 from balancer.net.process.lifecycle import Lifecycle, Stage
 from balancer.net.process.listener import Listener
 from balancer.net.process.memory_budget import MemoryBudget
-from balancer.net.roles import Handler
 
 REFUSING = (
     16  # connections at most, a sixteenth of the budget, that are open only to be told that it is spent
--- a/balancer/net/forwarding.py
+++ b/balancer/net/downstream/forwarding.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from balancer.net.message import Message
+from balancer.net.downstream.message import Message
 
 READ_DELAY = 10_000  # a request may lie in its socket so long before the process comes to read it
 # Headers that end at this hop or are written anew for the next.
--- a/balancer/net/roles.py
+++ b/balancer/net/downstream/protocols.py
@@ -5,13 +5,13 @@
 import asyncio
 from typing import TYPE_CHECKING, Protocol
 
-from balancer.net.message import Message
+from balancer.net.downstream.message import Message
 from balancer.net.process.descriptor_budget import DescriptorBudget
 from balancer.net.process.lifecycle import Lifecycle
 from balancer.net.process.memory_budget import MemoryBudget
 
 if TYPE_CHECKING:
-    from balancer.net.caller import Caller
+    from balancer.net.downstream.client_connection import Caller
 
 
 class Handler(Protocol):
--- a/balancer/net/requests.py
+++ b/balancer/net/downstream/requests.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable
 from time import monotonic
 
-from balancer.net.caller import Caller
 from balancer.net.config import Config
-from balancer.net.forwarding import head_of, told_time
-from balancer.net.message import Message
+from balancer.net.downstream.client_connection import Caller
+from balancer.net.downstream.forwarding import head_of, told_time
+from balancer.net.downstream.message import Message
 from balancer.net.process.counters import Counters
 from balancer.net.process.event_queue import EventQueue
 from balancer.net.process.lifecycle import Lifecycle
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -1,8 +1,8 @@
 """One node: hosts a Balancer on sockets.
 
 It wires the parts together, starts them and ends them, and makes no decision. Requests and their attempts
-are in `requests.py`, news of the servers in `discovery/registry.py`, the clock and the module's events in
-`process/event_queue.py`.
+are in `downstream/requests.py`, news of the servers in `discovery/registry.py`, the clock and the module's
+events in `process/event_queue.py`.
 """
 
 from __future__ import annotations
@@ -14,9 +14,10 @@
 from collections.abc import Callable, Coroutine, Mapping
 from typing import TYPE_CHECKING, Any
 
-from balancer.net.callers import Callers
 from balancer.net.config import Config, ConfigError, load_discovery
 from balancer.net.discovery.registry import ServerRegistry
+from balancer.net.downstream.client_connections import Callers
+from balancer.net.downstream.requests import Requests
 from balancer.net.peers import Peers
 from balancer.net.process.counters import Counters
 from balancer.net.process.descriptor_budget import DescriptorBudget
@@ -28,7 +29,6 @@
 from balancer.net.process.management import JSON, Management, Page, PageResponse, Pages
 from balancer.net.process.memory_budget import MemoryBudget
 from balancer.net.process.system_faults import is_shortage, retry_shortage
-from balancer.net.requests import Requests
 from balancer.net.upstream.connection import Response
 from balancer.net.upstream.exchange import Exchange
 from balancer.net.upstream.pool import ConnectionPool
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,7 +22,7 @@
 )
 
 from balancer.net import node as node_module
-from balancer.net.caller import Caller
+from balancer.net.downstream.client_connection import Caller
 from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
 from balancer.policy.interface import Outcome
 
@@ -246,7 +246,7 @@
     """Failure prevented: at SIGTERM all room is taken, and who waits in the queue is reset by the close."""
 
     async def scene():
-        monkeypatch.setattr("balancer.net.callers.TAKING", 0.0)
+        monkeypatch.setattr("balancer.net.downstream.client_connections.TAKING", 0.0)
         bench = await Bench(Server()).start()
         listener = bench.node.callers.listener
         room, listener.has_capacity = listener.has_capacity, lambda: False
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -3,7 +3,7 @@
 import pytest
 from loopback import OK, Bench, Client, Clock, Server, always, call, play, until
 
-from balancer.net.caller import WRITES
+from balancer.net.downstream.client_connection import WRITES
 from balancer.net.process.descriptor_budget import DescriptorBudget
 
 HALF = b"GET /view HTTP/1.1\r\nX-Call-Id: 1\r\n"
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -11,7 +11,7 @@
 import pytest
 from loopback import OK, Bench, Late, Server, always, call, gated, play, until
 
-from balancer.net import caller as node_caller
+from balancer.net.downstream import client_connection as node_caller
 from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
 from balancer.policy.gradient import GradientController
 from balancer.policy.interface import Outcome
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -191,7 +191,7 @@
 
 def test_a_drain_does_not_cut_an_answer_that_its_client_still_reads(monkeypatch):
     """Failure prevented: a client that reads slowly stands idle for the node, and loses half its answer."""
-    monkeypatch.setattr("balancer.net.callers.SETTLE", 0.0)
+    monkeypatch.setattr("balancer.net.downstream.client_connections.SETTLE", 0.0)
 
     async def scene():
         body = b"x" * 60000
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -36,9 +36,9 @@
     until,
 )
 
-from balancer.net.caller import SLOW
 from balancer.net.config import ConfigError, load, read
 from balancer.net.discovery import client as node_discovery
+from balancer.net.downstream.client_connection import SLOW
 from balancer.net.upstream.connection import Connection
 from balancer.net.upstream.exchange import Exchange
 from balancer.policy.interface import ListKind, Outcome
@@ -967,7 +967,8 @@
     async def scene():
         release = asyncio.Event()
 
-        monkeypatch.setattr("balancer.net.callers.TAKING", 600.0)  # until the test says so
+        # New ones are taken until the test says so.
+        monkeypatch.setattr("balancer.net.downstream.client_connections.TAKING", 600.0)
         bench = await Bench(server := Server(gated(release))).start()
         callers = bench.node.callers
         idle, early = await bench.client(), await bench.client()
@@ -976,7 +977,7 @@
         await until(lambda: len(server.requests) == 1)
         drain = asyncio.create_task(bench.node.drain())
         assert await idle.ended()  # idle ones end while new ones are still taken
-        monkeypatch.setattr("balancer.net.callers.SETTLE", 600.0)
+        monkeypatch.setattr("balancer.net.downstream.client_connections.SETTLE", 600.0)
         late = await bench.client()
         late.send(call("invite"))
         await until(lambda: len(server.requests) == 2)
@@ -1005,8 +1006,8 @@
 
     async def scene():
         # Nobody here is idle, however slow the machine, and new ones are taken until the test says so.
-        monkeypatch.setattr("balancer.net.callers.TAKING", 600.0)
-        monkeypatch.setattr("balancer.net.callers.SETTLE", 600.0)
+        monkeypatch.setattr("balancer.net.downstream.client_connections.TAKING", 600.0)
+        monkeypatch.setattr("balancer.net.downstream.client_connections.SETTLE", 600.0)
         bench = await Bench(Server()).start()
         answers = 0
         last = 0
--- a/tests/test_operator_terms.py
+++ b/tests/test_operator_terms.py
@@ -5,7 +5,7 @@
 import pytest
 from loopback import MOMENT, Bench, Clock, Late, Server, always, call, play, settings, until
 
-from balancer.net import callers as node_callers
+from balancer.net.downstream import client_connections as node_callers
 from balancer.net.node import LAST, LONGEST
 from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
 
--- a/tests/test_operator_terms_answers.py
+++ b/tests/test_operator_terms_answers.py
@@ -6,7 +6,7 @@
 import pytest
 from loopback import MOMENT, Bench, Server, always, call, play, until
 
-from balancer.net.requests import FLOW_LOOK, FLOW_PAUSE
+from balancer.net.downstream.requests import FLOW_LOOK, FLOW_PAUSE
 from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (MAX_BUFFERED_BYTES, bytes(MAX_BUFFERED_BYTES))
--- a/tests/test_operator_terms_deadline.py
+++ b/tests/test_operator_terms_deadline.py
@@ -8,8 +8,8 @@
 import pytest
 from loopback import OK, Bench, Late, Server, always, call, play, until
 
-from balancer.net import requests as node_requests
-from balancer.net.caller import PIPELINED
+from balancer.net.downstream import requests as node_requests
+from balancer.net.downstream.client_connection import PIPELINED
 from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
 from balancer.net.upstream.connection import Connection
 
--- a/tests/test_operator_terms_stopping.py
+++ b/tests/test_operator_terms_stopping.py
@@ -3,7 +3,7 @@
 import pytest
 from loopback import Bench, Clock, Server, call, play, until
 
-from balancer.net.caller import SLOW
+from balancer.net.downstream.client_connection import SLOW
 
 OWED = 3.0  # seconds from its connecting in which a bad client gets its error
 SWEEP = SLOW / 8
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -6,7 +6,7 @@
 import pytest
 from loopback import OK, Bench, Client, Clock, Server, always, call, gated, play, record_outcomes, until
 
-from balancer.net.caller import LINGER, SLOW
+from balancer.net.downstream.client_connection import LINGER, SLOW
 from balancer.net.process.memory_budget import MAX_CHUNK_BYTES, MIN_CHUNK_BYTES, MIN_HELD_BYTES, MemoryBudget
 from balancer.net.upstream import exchange as node_exchange
 from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
@@ -261,7 +261,7 @@
 
 def test_what_grows_longer_than_any_is_cut(monkeypatch):
     """Failure prevented: chunks without end keep a server, a client and their connections for good."""
-    for module in ("caller", "upstream.connection"):
+    for module in ("downstream.client_connection", "upstream.connection"):
         monkeypatch.setattr(f"balancer.net.{module}.MAX_BODY_BYTES", 200_000)
 
     async def scene():
@@ -520,7 +520,7 @@
 
 def test_a_client_that_reads_its_last_answer_slowly_gets_all_of_it(monkeypatch):
     """Failure prevented: the connection is ended while a part of the answer is still in the process."""
-    monkeypatch.setattr("balancer.net.caller.LINGER", 0.0)
+    monkeypatch.setattr("balancer.net.downstream.client_connection.LINGER", 0.0)
 
     async def scene():
         body = LONG * 16
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -48,10 +48,11 @@
 from test_fleet import free_udp, section
 
 from balancer.fleet.membership.messages import Kind, Message
-from balancer.net import callers, node
-from balancer.net.caller import Caller
+from balancer.net import node
 from balancer.net.discovery import registry
 from balancer.net.discovery.call import DiscoveryCall
+from balancer.net.downstream import client_connections
+from balancer.net.downstream.client_connection import Caller
 from balancer.net.process import handover, listener, system_faults
 from balancer.net.process.handover import Handover
 from balancer.net.process.listener import Listener
@@ -140,7 +141,7 @@
 @with_each(ACCEPT)
 def test_accepts_fail_as_the_node_stops_listening(run, error, monkeypatch):
     """Failure prevented: the last look at the queue fails, and who waits there is reset by the close."""
-    monkeypatch.setattr(callers, "TAKING", 2 * INTERVAL)
+    monkeypatch.setattr(client_connections, "TAKING", 2 * INTERVAL)
 
     async def scene():
         loop = asyncio.get_running_loop()
--- a/workbench/lab/mischief.py
+++ b/workbench/lab/mischief.py
@@ -25,9 +25,9 @@
 from balancer.fleet.runtime import FleetRuntime
 from balancer.fleet.zone_routing.decisions import Zones
 from balancer.net.discovery.registry import ServerRegistry
-from balancer.net.forwarding import head_of
+from balancer.net.downstream.forwarding import head_of
+from balancer.net.downstream.requests import Requests
 from balancer.net.process.lifecycle import Lifecycle
-from balancer.net.requests import Requests
 from balancer.net.upstream.exchange import Exchange
 from balancer.policy import ejection, gradient
 from balancer.policy.interface import State
