--- a/balancer/net/downstream/client_connections.py
+++ b/balancer/net/downstream/client_connections.py
@@ -1,4 +1,4 @@
-"""The crowd of clients: the listener and its connections, within a budget of descriptors."""
+"""All connections of clients: their listener, eviction and draining, within a budget of descriptors."""
 
 from __future__ import annotations
 
@@ -7,30 +7,36 @@
 from collections import Counter
 from collections.abc import Callable
 
-from balancer.net.downstream.client_connection import SLOW, Caller
-from balancer.net.downstream.protocols import Handler
+from balancer.net.downstream.client_connection import HEAD_TIMEOUT_S, ClientConnection
+from balancer.net.downstream.protocols import RequestHandler
 from balancer.net.process.descriptor_budget import DescriptorBudget
 from balancer.net.process.lifecycle import Lifecycle, Stage
 from balancer.net.process.listener import Listener
 from balancer.net.process.memory_budget import MemoryBudget
 
-REFUSING = (
-    16  # connections at most, a sixteenth of the budget, that are open only to be told that it is spent
-)
-ACCEPTS = 64  # connections taken in one go
-TAKING = 0.5  # seconds after SIGTERM in which new connections are still taken
-SETTLE = 0.2  # seconds in which a kept connection that was just used may bring its next request
-LOOK = 0.02
+MAX_REJECTING = 16  # connections, a sixteenth of the budget at most, that are open only to be rejected
+MAX_ACCEPTS = 64  # connections taken in one go
+ACCEPT_AFTER_TERM_S = 0.5  # after SIGTERM, in which new connections are still taken
+SETTLE_S = 0.2  # in which a connection that was just used may bring its next request
+DRAIN_CHECK_S = 0.02  # between two checks as the node drains
 
 
-class Callers:
-    """The listener and its connections, within a budget of descriptors."""
+class ClientConnections:
+    """The listener and its connections, within a budget of descriptors.
+
+    Args:
+        loop: the event loop.
+        descriptor_budget: bounds the connections.
+        handler: what requests are handed to.
+        life: the stage of the node.
+        memory_budget: bounds what is held of requests and responses.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         descriptor_budget: DescriptorBudget,
-        handler: Handler,
+        handler: RequestHandler,
         life: Lifecycle,
         memory_budget: MemoryBudget,
     ) -> None:
@@ -40,81 +46,87 @@
         self.counts: Counter[str] = Counter()  # connections that were ended for want of room or of a request
         self.handler = handler
         self.life = life
-        self.callers: set[Caller] = set()
-        self.emptying = False
+        self.connections: set[ClientConnection] = set()
+        self.is_draining = False
         self.shared = False
-        self.relief: Callable[[], bool] = lambda: False  # ends a connection to a server that is not needed
-        self.listener = Listener(loop, self.take, self.has_room, ACCEPTS)
+        # Closes a connection to a server that is not needed.
+        self.free_server_connection: Callable[[], bool] = lambda: False
+        self.listener = Listener(loop, self.accept, self.has_capacity, MAX_ACCEPTS)
         descriptor_budget.on_released = self.listener.update
         self.stop_at = 0.0  # when an ending node stops listening...
         self.close_at = 0.0  # ...and when it closes the connections that carry no request, new ones too
 
-    def most(self) -> int:
-        """So many connections are served; a few more are open only to be refused."""
+    def max_served(self) -> int:
+        """How many connections are served; a few more are open only to be rejected."""
         allowed = self.descriptor_budget.max_clients()
-        return allowed - min(REFUSING, max(1, allowed // 16))
+        return allowed - min(MAX_REJECTING, max(1, allowed // 16))
 
     def shrink(self) -> None:
-        """The budget has shrunk: who has no request beyond it gives way."""
-        while len(self.callers) > self.most() and self.make_room():
+        """Evicts connections without a request beyond the budget, which has shrunk."""
+        while len(self.connections) > self.max_served() and self.evict_one():
             pass
 
     def start(self, listener: socket.socket, shared: bool) -> None:
         """Takes clients from this socket, which other processes may listen on too."""
         self.shared = shared
         self.listener.start(listener)
-        self.loop.call_later(SLOW / 8, self.sweep)
+        self.loop.call_later(HEAD_TIMEOUT_S / 8, self.sweep)
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether one more connection fits the budget."""
         return (
             self.descriptor_budget.clients < self.descriptor_budget.max_clients()
             and not self.descriptor_budget.exhausted()
         )
 
-    def take(self, connection: socket.socket) -> None:
-        """Makes a connection one of ours."""
+    def accept(self, connection: socket.socket) -> None:
+        """Takes over a connection; beyond the limit another is evicted, or its requests are rejected."""
         connection.setblocking(False)
         self.descriptor_budget.add_client()
-        most = self.most()
-        if len(self.callers) >= most:
-            self.make_room()
-        caller = Caller(self, refusing=len(self.callers) >= most)
-        self.callers.add(caller)
-        self.loop.create_task(self.attach(caller, connection))
-
-    async def attach(self, caller: Caller, connection: socket.socket) -> None:
+        max_served = self.max_served()
+        if len(self.connections) >= max_served:
+            self.evict_one()
+        client = ClientConnection(self, rejecting=len(self.connections) >= max_served)
+        self.connections.add(client)
+        self.loop.create_task(self.attach(client, connection))
+
+    async def attach(self, client: ClientConnection, connection: socket.socket) -> None:
+        """Puts the accepted socket into the event loop."""
         try:
-            await self.loop.connect_accepted_socket(lambda: caller, connection)
+            await self.loop.connect_accepted_socket(lambda: client, connection)
         except OSError:  # gone already
             connection.close()
-            self.callers.discard(caller)
+            self.connections.discard(client)
             self.descriptor_budget.remove_client()
 
-    def make_room(self) -> bool:
-        """Ends the connection whose turn it is, if any has no request; its client may open another."""
+    def evict_one(self) -> bool:
+        """Evicts a connection, if any has no request; its client may open another."""
         now = self.loop.time()
-        turns = [(turn, id(c), c) for c in self.callers if (turn := c.turn(now)) is not None]
-        for (kind, _), _, caller in sorted(turns):
-            if kind == 2 and self.relief():
+        candidates = [
+            (priority, id(c), c)
+            for c in self.connections
+            if (priority := c.eviction_priority(now)) is not None
+        ]
+        for (kind, _), _, client in sorted(candidates):
+            if kind == 2 and self.free_server_connection():
                 return True
-            if not caller.unread():
+            if not client.has_unread_data():
                 self.counts["gave_way_idle" if kind == 1 else "gave_way_headless"] += 1
-                self.callers.discard(caller)
-                caller.transport.abort()
+                self.connections.discard(client)
+                client.transport.abort()
                 return True
         return False
 
-    def keep_few(self) -> None:
-        """Ends the connection that has been idle longest if clients hold all that they may."""
-        if len(self.callers) <= self.descriptor_budget.max_idle_clients:
+    def evict_idle(self) -> None:
+        """Evicts the connection that has been idle longest if clients hold all that they may."""
+        if len(self.connections) <= self.descriptor_budget.max_idle_clients:
             return
-        held = [c for c in self.callers if c.kept or c.open is not None]
-        idle = [c for c in held if c.idle()] if len(held) > self.descriptor_budget.max_idle_clients else []
+        held = [c for c in self.connections if c.has_served or c.current is not None]
+        idle = [c for c in held if c.is_idle()] if len(held) > self.descriptor_budget.max_idle_clients else []
         if idle:
-            longest = min(idle, key=lambda c: c.active)
+            longest = min(idle, key=lambda c: c.last_active_at)
             self.counts["gave_way_idle"] += 1
-            self.callers.discard(longest)
+            self.connections.discard(longest)
             longest.transport.abort()
 
     def sweep(self) -> None:
@@ -123,52 +135,52 @@
         Failure prevented: peers that send nothing, or a request byte by byte, hold descriptors for good.
         """
         now = self.loop.time()
-        for caller in list(self.callers):
-            if caller.paused and not caller.stays():
+        for client in list(self.connections):
+            if client.reading_paused and not client.is_connected():
                 continue
-            if caller.due is None or now < caller.due or caller.deaf:
+            if client.read_deadline is None or now < client.read_deadline or client.reading_stopped:
                 continue
-            if caller.open is not None and caller.open is not caller.partial:
+            if client.current is not None and client.current is not client.partial:
                 continue  # what is ahead may wait
-            if caller.partial is not None:
-                if caller.body_comes(now):
+            if client.partial is not None:
+                if client.extend_body_deadline(now):
                     continue
                 self.counts["late"] += 1
-                caller.reject(408)
-                caller.next()
-            elif caller.transport is not None and caller.idle():
+                client.reject(408)
+                client.start_next_request()
+            elif client.transport is not None and client.is_idle():
                 self.counts["silent"] += 1
-                caller.transport.abort()
-        self.loop.call_later(SLOW / 8, self.sweep)
+                client.transport.abort()
+        self.loop.call_later(HEAD_TIMEOUT_S / 8, self.sweep)
 
-    def leave(self) -> None:
-        """The node is leaving: until it is back, no kept connection outlives its answer."""
-        if not self.emptying:
-            self.emptying = True
-            self.empty()
+    def start_draining(self) -> None:
+        """Starts draining: until the node is back in service, no connection outlives its response."""
+        if not self.is_draining:
+            self.is_draining = True
+            self.close_idle()
 
-    def empty(self) -> None:
-        """Closes the kept connections that stand idle, and looks again soon.
+    def close_idle(self) -> None:
+        """Closes connections that have served and stand idle, and checks again soon.
 
         A new one keeps its time: its client may have connected before it could know, and be writing yet.
         """
         if not self.life.draining:
-            self.emptying = False
+            self.is_draining = False
             return
         now = self.loop.time()
         ending = self.life.stage == Stage.ENDING and self.listener.socket is not None
         if ending and now >= self.stop_at:
             self.listener.stop()
         last = self.life.stage == Stage.ENDING and now >= self.close_at
-        for caller in list(self.callers):
+        for client in list(self.connections):
             if last:
-                caller.turn_away()
-            elif caller.kept and now - caller.active > SETTLE and caller.idle():
-                caller.transport.abort()
-        self.loop.call_later(LOOK, self.empty)
+                client.close_without_request()
+            elif client.has_served and now - client.last_active_at > SETTLE_S and client.is_idle():
+                client.transport.abort()
+        self.loop.call_later(DRAIN_CHECK_S, self.close_idle)
 
     async def drain(self, grace: float) -> None:
-        """Ends the service: all that was taken is answered, and no connection outlives its answer.
+        """Ends the service: all that was accepted gets its response, and no connection outlives it.
 
         After `grace` seconds nothing more is taken on any connection.
         Failure prevented: a request comes on a connection that is still open as the process is killed.
@@ -176,7 +188,7 @@
         if self.shared:
             self.listener.release()
         now = self.loop.time()
-        self.stop_at, self.close_at = now + TAKING, now + grace
-        self.leave()
-        while self.listener.socket is not None or self.callers:
-            await asyncio.sleep(LOOK)
+        self.stop_at, self.close_at = now + ACCEPT_AFTER_TERM_S, now + grace
+        self.start_draining()
+        while self.listener.socket is not None or self.connections:
+            await asyncio.sleep(DRAIN_CHECK_S)
--- a/balancer/net/downstream/forwarding.py
+++ b/balancer/net/downstream/forwarding.py
@@ -1,40 +1,42 @@
-"""A client's request as it is written to a server: its headers, and the time that it is told."""
+"""A client's request as it is forwarded to a server: its headers, and the time budget."""
 
 from __future__ import annotations
 
-from balancer.net.downstream.message import Message
+from balancer.net.downstream.message import ClientRequest
 
-READ_DELAY = 10_000  # a request may lie in its socket so long before the process comes to read it
+MAX_READ_DELAY_US = 10_000  # a request may lie in its socket so long before the process comes to read it
 # Headers that end at this hop or are written anew for the next.
-HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     b"connection keep-alive proxy-connection proxy-authorization te trailer transfer-encoding upgrade expect"
     b" content-length x-budget-ms".split()
 )
-KEPT = frozenset((b"host", b"x-call-id", b"idempotency-key"))  # go on, whatever `Connection` names
+# Forwarded whatever `Connection` names.
+END_TO_END_HEADERS = frozenset((b"host", b"x-call-id", b"idempotency-key"))
 
 
-def hop_headers(message: Message) -> frozenset[bytes]:
-    """The headers that end here: the usual ones and those that the client's `Connection` names."""
+def hop_headers(message: ClientRequest) -> frozenset[bytes]:
+    """The headers that are not forwarded: the usual ones and those that `Connection` names."""
     if b"connection" not in message.headers:
-        return HOP
+        return HOP_BY_HOP_HEADERS
     named = [value for key, _, value in message.lines if key == b"connection"]
-    return HOP | {name.strip().lower() for name in b",".join(named).split(b",")} - KEPT
+    hop_by_hop = {name.strip().lower() for name in b",".join(named).split(b",")}
+    return HOP_BY_HOP_HEADERS | hop_by_hop - END_TO_END_HEADERS
 
 
-def told_time(left: int) -> int:
-    """What a server is told of the time that is left, in whole milliseconds.
+def forwarded_budget_ms(remaining: int) -> int:
+    """The time budget that is forwarded to a server, in whole milliseconds.
 
     Failure prevented: it is told more than its client has, by what a request lay unread in its socket.
     """
-    return (left - min(READ_DELAY, left // 2)) // 1000
+    return (remaining - min(MAX_READ_DELAY_US, remaining // 2)) // 1000
 
 
-def head_of(message: Message, budget: int) -> bytes:
-    """The request as it goes on to a server."""
+def encode_request(message: ClientRequest, budget_ms: int) -> bytes:
+    """The request as it is forwarded to a server: its head, and its body unless that is streamed."""
     lines = [b"%b %b HTTP/1.1" % (message.method, message.target)]
     hop = hop_headers(message)
     lines += [b"%b: %b" % (name, value) for key, name, value in message.lines if key not in hop]
-    lines.append(b"X-Budget-Ms: %d" % budget)
+    lines.append(b"X-Budget-Ms: %d" % budget_ms)
     upload = message.upload
     if upload is not None:
         length = upload.length
--- a/balancer/net/downstream/message.py
+++ b/balancer/net/downstream/message.py
@@ -1,4 +1,4 @@
-"""A client's request as it was read, and the words of answers."""
+"""A client's request as it was parsed, and the reason phrases of responses."""
 
 from __future__ import annotations
 
@@ -20,22 +20,26 @@
 }
 
 
-class Message:
-    """A request as it came, or why it could not be read (`error`, a status)."""
+class ClientRequest:
+    """A request as it came, or why it could not be parsed.
+
+    Args:
+        error: the status that tells why it could not be parsed; 0 for one that was.
+    """
 
     __slots__ = (
+        "body",
         "error",
+        "expects_continue",
+        "headers",
+        "keep_alive",
+        "lines",
         "method",
+        "received_at",
+        "size",
         "target",
-        "version",
-        "lines",
-        "headers",
-        "body",
         "upload",
-        "expects",
-        "keep",
-        "size",
-        "came",
+        "version",
     )
 
     def __init__(self, error: int = 0) -> None:
@@ -46,8 +50,8 @@
         self.lines: list[tuple[bytes, bytes, bytes]] = []  # headers: lower-case name, name, value
         self.headers: dict[bytes, bytes] = {}  # by lower-case name; of several the first
         self.body = b""
-        self.upload: RequestBodyStream | None = None  # the body, if it is long and passes through
-        self.expects = False  # the client waits for a word before it sends the body
-        self.keep = error == 0
-        self.came = 0.0  # when its last byte was read, or its head's where the body passes through
+        self.upload: RequestBodyStream | None = None  # the body, if it is long and streamed
+        self.expects_continue = False  # the client waits for `100 Continue` before it sends the body
+        self.keep_alive = error == 0
+        self.received_at = 0.0  # when its last byte was read, or its head's where the body is streamed
         self.size = 0  # bytes that count as held while it waits or is open
--- a/balancer/net/downstream/protocols.py
+++ b/balancer/net/downstream/protocols.py
@@ -5,40 +5,46 @@
 import asyncio
 from typing import TYPE_CHECKING, Protocol
 
-from balancer.net.downstream.message import Message
+from balancer.net.downstream.message import ClientRequest
 from balancer.net.process.descriptor_budget import DescriptorBudget
 from balancer.net.process.lifecycle import Lifecycle
 from balancer.net.process.memory_budget import MemoryBudget
 
 if TYPE_CHECKING:
-    from balancer.net.downstream.client_connection import Caller
+    from balancer.net.downstream.client_connection import ClientConnection
 
 
-class Handler(Protocol):
+class RequestHandler(Protocol):
     """What a connection hands its requests to."""
 
-    def message(self, caller: Caller, message: Message) -> None:
-        """A request, whole or with an upload; one `caller.answer` or `caller.begin` must follow."""
+    def on_request(self, client: ClientConnection, message: ClientRequest) -> None:
+        """Takes a request, complete or with a streamed body.
 
-    def beyond(self, caller: Caller, message: Message) -> None:
-        """A request for which there is no room; `caller.answer` must be called once for it."""
+        One `client.respond` or `client.begin_stream` must follow.
+        """
 
-    def spoilt(self, caller: Caller, status: int) -> None:
-        """The open request's upload will not go on; `caller.answer` must be called unless it has been."""
+    def reject_over_capacity(self, client: ClientConnection, message: ClientRequest) -> None:
+        """Takes a request for which there is no capacity; `client.respond` must be called once for it."""
 
-    def left(self, caller: Caller) -> None:
-        """The client went away while its request was open."""
+    def request_malformed(self, client: ClientConnection, status: int) -> None:
+        """Called when the body of the current request will not go on.
 
+        `client.respond` must be called unless it has been.
+        """
 
-class Crowd(Protocol):
-    """What a connection needs of the crowd that it is one of."""
+    def client_disconnected(self, client: ClientConnection) -> None:
+        """Called when the client has gone while its request was in flight."""
+
+
+class ClientConnectionsProtocol(Protocol):
+    """What a connection needs of the connections that it is one of."""
 
     loop: asyncio.AbstractEventLoop
     memory_budget: MemoryBudget
     descriptor_budget: DescriptorBudget
     life: Lifecycle
-    callers: set[Caller]
-    handler: Handler
+    connections: set[ClientConnection]
+    handler: RequestHandler
 
-    def keep_few(self) -> None:
-        """Looks whether an idle connection has to give way."""
+    def evict_idle(self) -> None:
+        """Evicts an idle connection if clients hold all that they may."""
--- a/balancer/net/downstream/read_queue.py
+++ b/balancer/net/downstream/read_queue.py
@@ -5,7 +5,7 @@
 from collections import deque
 
 
-class Unparsed:
+class ReadQueue:
     """A queue of bytes. `len` is the number of bytes, not of reads."""
 
     def __init__(self) -> None:
@@ -13,6 +13,7 @@
         self.size = 0
 
     def __len__(self) -> int:
+        """The number of bytes."""
         return self.size
 
     def append(self, data: bytes, read_at: float) -> None:
@@ -20,16 +21,16 @@
         self.reads.append((data, read_at))
         self.size += len(data)
 
-    def take(self, most: int) -> tuple[bytes, float]:
-        """The first bytes, so many at most and all of one read, and when they were read."""
+    def take(self, max_bytes: int) -> tuple[bytes, float]:
+        """The first bytes, at most `max_bytes` and all of one read, and when they were read."""
         data, read_at = self.reads.popleft()
-        if len(data) > most:
-            self.reads.appendleft((data[most:], read_at))
-            data = data[:most]
+        if len(data) > max_bytes:
+            self.reads.appendleft((data[max_bytes:], read_at))
+            data = data[:max_bytes]
         self.size -= len(data)
         return data, read_at
 
     def clear(self) -> None:
-        """Throws the bytes away."""
+        """Drops all bytes."""
         self.reads.clear()
         self.size = 0
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -16,7 +16,7 @@
 
 from balancer.net.config import Config, ConfigError, load_discovery
 from balancer.net.discovery.registry import ServerRegistry
-from balancer.net.downstream.client_connections import Callers
+from balancer.net.downstream.client_connections import ClientConnections
 from balancer.net.downstream.requests import Requests
 from balancer.net.peers import Peers
 from balancer.net.process.counters import Counters
@@ -68,9 +68,11 @@
         self.requests = Requests(
             config, loop, self.pool, self.life, self.log_lines, self.counters, self.event_queue
         )
-        self.callers = Callers(loop, self.descriptor_budget, self.requests, self.life, self.memory_budget)
-        self.pool.free_client = self.callers.make_room
-        self.callers.relief = self.pool.close_unused
+        self.client_connections = ClientConnections(
+            loop, self.descriptor_budget, self.requests, self.life, self.memory_budget
+        )
+        self.pool.free_client = self.client_connections.evict_one
+        self.client_connections.free_server_connection = self.pool.close_unused
         self.fleet = self.fleet_part()
         self.management = Management(loop, self.paths(), self.log_lines.line)
         self.server_registry = ServerRegistry(
@@ -91,7 +93,7 @@
             adapter.on_probe_result, adapter.on_shares = self.tried, self.spread
             self.server_registry.on_servers = adapter.server_list
             if config.fleet is not None and config.fleet.zones is not None:
-                self.requests.heard = adapter.attempt_ended
+                self.requests.on_outcome = adapter.attempt_ended
         self.requests.module = self.server_registry.balancer = self.balancer
 
     async def start(self) -> None:
@@ -107,7 +109,7 @@
         if c.management is not None:
             self.management.start(await self.open_listener(c.management))
         listener = inherited or await self.open_listener(c.listen)
-        self.callers.start(listener, shared=inherited is not None)
+        self.client_connections.start(listener, shared=inherited is not None)
         self.started = True
         self.log_lines.line(
             f"start tier={c.settings.tier} instances={c.settings.instances} connections={c.connections()}"
@@ -178,7 +180,7 @@
         self.descriptor_budget.resize(self.config.connections(parts), self.config.sockets // parts)
         self.memory_budget.resize(self.config.memory // parts)
         self.pool.shrink()
-        self.callers.shrink()
+        self.client_connections.shrink()
         if self.handover.is_older:
             self.peers.close()
             if self.fleet is not None:
@@ -193,7 +195,7 @@
 
     def write_stats(self) -> None:
         """One line of figures: the module's as they stand, the node's counted since the start."""
-        figures = self.balancer.stats() | self.requests.counts | self.callers.counts
+        figures = self.balancer.stats() | self.requests.counts | self.client_connections.counts
         figures |= {"dialled": self.pool.opened_count, "clients": self.descriptor_budget.clients}
         self.log_lines.line("stats " + " ".join(f"{name}={value:.4g}" for name, value in figures.items()))
         self.loop.call_later(STATS_EVERY, self.write_stats)
@@ -242,13 +244,13 @@
         """The counters, and what holds now."""
         draining = sum(state != State.READY for state in self.server_registry.states.values())
         avoided = draining + int(self.balancer.stats()["ejected"])
-        body = self.counters.render(len(self.requests.by_caller), len(self.server_registry.states), avoided)
+        body = self.counters.render(len(self.requests.by_client), len(self.server_registry.states), avoided)
         return PageResponse(200, body)
 
     def take_out(self) -> PageResponse:
         """Empties the node; it runs on."""
         self.life.take_out_of_service()
-        self.callers.leave()
+        self.client_connections.start_draining()
         return PageResponse(200, self.life.stage.value.encode() + b"\n")
 
     def take_back(self) -> PageResponse:
@@ -261,11 +263,11 @@
         self.life.shut_down()
         longest = max(c.deadline for c in self.config.settings.classes)
         grace = min(longest, LONGEST) + LAST
-        self.requests.answer_by(self.event_queue.now() + grace)
+        self.requests.limit_deadlines(self.event_queue.now() + grace)
         self.peers.close()
         if self.fleet is not None:
             self.fleet.leave()
-        await self.callers.drain(grace / 1e6)
+        await self.client_connections.drain(grace / 1e6)
         if self.reloading is not None:
             self.reloading.cancel()
         self.discovery.close()
@@ -292,7 +294,7 @@
     def failed(self, event: Event, args: tuple[Any, ...]) -> None:
         """The module has failed over an event: a request that it was about gets an answer all the same."""
         if event in (self.balancer.request, self.balancer.outcome):
-            self.requests.conclude(args[0], 500)
+            self.requests.respond(args[0], 500)
 
     # ---- Actions --------------------------------------------------------------------------------------
 
@@ -305,7 +307,9 @@
         def done(outcome: Outcome, response: Response | None) -> None:
             ok = response is not None and response.status == 200
             report = (
-                self.requests.report(response.body or response.report) if response is not None and ok else ()
+                self.requests.parse_report(response.body or response.report)
+                if response is not None and ok
+                else ()
             )
             self.event_queue.post(self.balancer.probed, server, ok, self.event_queue.now() - began, report)
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -221,8 +221,8 @@
         }
         self.node = Node(read(table | self.config), asyncio.get_running_loop())
         await self.node.start()
-        assert self.node.callers.listener.socket is not None
-        self.port = self.node.callers.listener.socket.getsockname()[1]
+        assert self.node.client_connections.listener.socket is not None
+        self.port = self.node.client_connections.listener.socket.getsockname()[1]
         return self
 
     async def client(self) -> Client:
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -56,7 +56,7 @@
         assert ended == {"view/answered": 1, "invite/errored": 1, "offer/deferred": 1}
         assert (found["lb_sends"], found["lb_current"]) == (4, 1)
         open_one.writer.close()
-        await until(lambda: not bench.node.requests.by_caller)
+        await until(lambda: not bench.node.requests.by_client)
         assert (await figures(bench))["lb_current"] == 0
 
     play(scene)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,7 +22,7 @@
 )
 
 from balancer.net import node as node_module
-from balancer.net.downstream.client_connection import Caller
+from balancer.net.downstream.client_connection import ClientConnection
 from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
 from balancer.policy.interface import Outcome
 
@@ -39,7 +39,7 @@
     async def scene():
         bench = await Bench(server := Server(always(FLOWS))).start()
         passed = 0
-        piece = Caller.piece
+        piece = ClientConnection.write_stream
 
         def last_fills(caller, data):
             nonlocal passed
@@ -48,10 +48,10 @@
             if passed == len(LONG):
                 caller.pause_writing()  # as the transport does within this very write
 
-        monkeypatch.setattr(Caller, "piece", last_fills)
+        monkeypatch.setattr(ClientConnection, "write_stream", last_fills)
         client = await bench.client()
         assert (await client.ask(call()))[2] == LONG
-        (caller,) = bench.node.callers.callers
+        (caller,) = bench.node.client_connections.connections
         caller.resume_writing()
         server.handle = always(OK)
         assert (await client.ask(call("invite", budget=5000)))[0] == 200
@@ -72,8 +72,10 @@
         pool.descriptor_budget.resize(40, 40)
         pool.descriptor_budget.servers += pool.descriptor_budget.max_servers() - 1  # one place is left
         clients = [await bench.client() for _ in range(count)]
-        await until(lambda: len([c for c in bench.node.callers.callers if c.transport]) == count)
-        for caller in list(bench.node.callers.callers):
+        await until(
+            lambda: len([c for c in bench.node.client_connections.connections if c.transport]) == count
+        )
+        for caller in list(bench.node.client_connections.connections):
             data = call("view")
             bench.node.memory_budget.read_buffer[: len(data)] = data
             caller.buffer_updated(len(data))
@@ -214,17 +216,17 @@
         client.setblocking(False)
         client.send(call())
         await until(lambda: len(server.requests) == 1)
-        (request,) = node.requests.open.values()
-        caller = request.caller
+        (request,) = node.requests.pending.values()
+        caller = request.client
         assert caller is not None
         if leaving:
             drain = asyncio.create_task(node.drain())
-            await until(lambda: node.callers.emptying)
+            await until(lambda: node.client_connections.is_draining)
         half = len(call()) // 2
         client.send(call()[:half])
         if read:
             await until(lambda: caller.partial is not None)
-        node.requests.conclude(request.id, 504)
+        node.requests.respond(request.id, 504)
         server.handle = always(OK)
         client.send(call()[half:])
         answers = b""
@@ -246,15 +248,15 @@
     """Failure prevented: at SIGTERM all room is taken, and who waits in the queue is reset by the close."""
 
     async def scene():
-        monkeypatch.setattr("balancer.net.downstream.client_connections.TAKING", 0.0)
+        monkeypatch.setattr("balancer.net.downstream.client_connections.ACCEPT_AFTER_TERM_S", 0.0)
         bench = await Bench(Server()).start()
-        listener = bench.node.callers.listener
+        listener = bench.node.client_connections.listener
         room, listener.has_capacity = listener.has_capacity, lambda: False
         listener.update()
         client = await bench.client()  # the system has taken it, the node has not
         client.send(call())
         drain = asyncio.create_task(bench.node.drain())
-        await until(lambda: bench.node.callers.emptying)
+        await until(lambda: bench.node.client_connections.is_draining)
         listener.stop()
         listener.has_capacity = room
         assert (await client.receive())[0] == 200
@@ -275,9 +277,9 @@
         bench = await Bench(server := Server(gated(release))).start()
         client = await bench.client()
         client.send(call() + call(budget=15000))
-        await until(lambda: any(c.waiting for c in bench.node.callers.callers))
-        (caller,) = bench.node.callers.callers
-        caller.waiting[0].came -= waited
+        await until(lambda: any(c.pipelined for c in bench.node.client_connections.connections))
+        (caller,) = bench.node.client_connections.connections
+        caller.pipelined[0].received_at -= waited
         release.set()
         assert (await client.receive())[0] == 200
         status = (await client.receive())[0]
@@ -299,10 +301,10 @@
         client.send(data + b"Content-Length: %d\r\n\r\n" % size + bytes(size - 1))
         await until(
             lambda: any(
-                r.message.upload and r.message.upload.is_discarded for r in node.requests.open.values()
+                r.message.upload and r.message.upload.is_discarded for r in node.requests.pending.values()
             )
         )
-        (request,) = node.requests.open.values()
+        (request,) = node.requests.pending.values()
         if order == "whole first":
             client.send(b"x")
             await until(lambda: len(server.requests) == 1 and request.guard is not None)
--- a/tests/test_crossings_ends.py
+++ b/tests/test_crossings_ends.py
@@ -86,7 +86,7 @@
             drain = asyncio.create_task(bench.node.drain())
             await until(lambda: bench.node.requests.last_answer is not None)
         client.send(call(effect, budget=200))
-        await until(lambda: bool(bench.node.requests.by_caller))
+        await until(lambda: bool(bench.node.requests.by_client))
         drain = drain or asyncio.create_task(bench.node.drain())
         status, headers, _ = await client.receive()
         assert status in (502, 503, 504) and headers["connection"] == "close"
@@ -199,7 +199,7 @@
         bench = await Bench(Server(gated(release)), Server(always(OK))).start()
         client = await bench.client()
         client.send(call("invite"))
-        await until(lambda: bool(bench.node.requests.by_caller))
+        await until(lambda: bool(bench.node.requests.by_client))
         release.set()
         drain = asyncio.create_task(bench.node.drain())
         assert (await client.receive())[2] == b"ok"
--- a/tests/test_crossings_repeats.py
+++ b/tests/test_crossings_repeats.py
@@ -55,7 +55,7 @@
         kept = order == "up first" or klass == "view"
         assert (status, sum(len(s.requests) for s in servers)) == ((200, 2) if kept else (502, 1))
         assert outcomes == [Outcome.ERROR, Outcome.OK if kept else Outcome.NOT_SENT]
-        assert not node.requests.open
+        assert not node.requests.pending
 
     play(scene)
 
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -69,9 +69,11 @@
         client.send(data)
         connection, _ = await asyncio.get_running_loop().sock_accept(listener)
         connection.setblocking(False)
-        await until(lambda: any(r.out and r.out.connection for r in bench.node.requests.open.values()))
-        (request,) = bench.node.requests.open.values()
-        exchange = request.out
+        await until(
+            lambda: any(r.exchange and r.exchange.connection for r in bench.node.requests.pending.values())
+        )
+        (request,) = bench.node.requests.pending.values()
+        exchange = request.exchange
         assert exchange is not None
         got = b""
         goal = {"nothing": 0, "a part": size // 2, "all": size + data.index(b"\r\n\r\n")}[taken]
@@ -246,13 +248,13 @@
         requests = bench.node.requests
 
         def then() -> None:
-            (request,) = requests.open.values()
-            if request.out is not None:
-                request.out.abort(outcome)
+            (request,) = requests.pending.values()
+            if request.exchange is not None:
+                request.exchange.abort(outcome)
 
         bench.node.pool.loop = Crossed(asyncio.get_running_loop(), then)
         asked = asyncio.ensure_future(bench.once(call("invite")))
-        await until(lambda: server.connections == 1 and not requests.by_caller or asked.done())
+        await until(lambda: server.connections == 1 and not requests.by_client or asked.done())
         bench.node.pool.loop = asyncio.get_running_loop()
         assert (await bench.once(call("invite")))[0] == 200
         assert len(server.requests) == 1
@@ -287,14 +289,14 @@
     async def scene():
         bench = await Bench(Server(), policy_limits={"max_attempts": 1}).start()
         client = await bench.client()
-        await until(lambda: all(c.transport for c in bench.node.callers.callers))
-        (caller,) = bench.node.callers.callers
+        await until(lambda: all(c.transport for c in bench.node.client_connections.connections))
+        (caller,) = bench.node.client_connections.connections
         data = call()
         bench.node.memory_budget.read_buffer[: len(data)] = data
         caller.buffer_updated(len(data))
-        (request,) = bench.node.requests.open.values()
-        assert request.out is not None and bench.node.descriptor_budget.servers == 1
-        request.out.abort(Outcome.TIMEOUT)
+        (request,) = bench.node.requests.pending.values()
+        assert request.exchange is not None and bench.node.descriptor_budget.servers == 1
+        request.exchange.abort(Outcome.TIMEOUT)
         await client.receive()
         await until(lambda: bench.node.descriptor_budget.servers == 0)
 
@@ -348,7 +350,7 @@
         send = node.balancer.actions.send
 
         def gone_first(request, server, timeout):
-            if node.requests.open[request].attempts == 1:
+            if node.requests.pending[request].attempts == 1:
                 node.pool.endpoints[server].retire()
             send(request, server, timeout)
 
@@ -396,7 +398,7 @@
         assert (await bench.once(call("invite")))[0] == 502
         assert outcomes == [Outcome.RESET]
         await until(lambda: bench.node.descriptor_budget.servers == 0)
-        assert bench.node.memory_budget.held_bytes == 0 and not bench.node.requests.open
+        assert bench.node.memory_budget.held_bytes == 0 and not bench.node.requests.pending
 
     play(scene)
 
@@ -423,7 +425,7 @@
         status, headers, _ = await client.receive()
         assert status == 431 and headers["connection"] == "close"
         client.writer.close()
-        await until(lambda: not bench.node.callers.callers)
+        await until(lambda: not bench.node.client_connections.connections)
         assert not server.requests and bench.node.memory_budget.held_bytes == 0
 
     play(scene)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -3,7 +3,7 @@
 import pytest
 from loopback import OK, Bench, Client, Clock, Server, always, call, play, until
 
-from balancer.net.downstream.client_connection import WRITES
+from balancer.net.downstream.client_connection import HEAD_WRITE_TIME_S
 from balancer.net.process.descriptor_budget import DescriptorBudget
 
 HALF = b"GET /view HTTP/1.1\r\nX-Call-Id: 1\r\n"
@@ -12,20 +12,20 @@
 
 async def settled(bench: Bench, count: int) -> None:
     """Waits until so many clients' connections are up."""
-    callers = bench.node.callers.callers
+    callers = bench.node.client_connections.connections
     await until(lambda: len(callers) == count and all(c.transport for c in callers))
 
 
 async def one(bench: Bench, data: bytes, age: float, count: int) -> Client:
     """A client that has sent this much, and for so long nothing more."""
-    before = set(bench.node.callers.callers)
+    before = set(bench.node.client_connections.connections)
     client = await bench.client()
     await settled(bench, count)
-    (caller,) = set(bench.node.callers.callers) - before
+    (caller,) = set(bench.node.client_connections.connections) - before
     if data:
         client.send(data)
         await until(lambda: caller.partial is not None)
-    caller.active -= age
+    caller.last_active_at -= age
     return client
 
 
@@ -40,7 +40,7 @@
             crowd[-1].send(HALF)
         for _ in range(10):
             assert (await bench.once(call()))[0] == 200
-        assert bench.node.callers.counts["gave_way_headless"] > 50
+        assert bench.node.client_connections.counts["gave_way_headless"] > 50
 
     play(scene)
 
@@ -62,14 +62,14 @@
 
     async def scene():
         bench = await Bench(Server()).start()
-        writing = await one(bench, HALF, WRITES - 0.5, 1)
+        writing = await one(bench, HALF, HEAD_WRITE_TIME_S - 0.5, 1)
         kept = await one(bench, b"", 0, 2)
         assert (await kept.ask(call()))[0] == 200
-        overdue = await one(bench, HALF, WRITES, 3)
-        silent = await one(bench, b"", 2 * WRITES, 4)
-        callers = bench.node.callers
+        overdue = await one(bench, HALF, HEAD_WRITE_TIME_S, 3)
+        silent = await one(bench, b"", 2 * HEAD_WRITE_TIME_S, 4)
+        callers = bench.node.client_connections
         for client in (silent, overdue, kept):
-            assert callers.make_room()
+            assert callers.evict_one()
             assert await client.ended()
         writing.send(call().partition(b"\r\n")[2])
         assert (await writing.receive())[0] == 200
@@ -84,11 +84,15 @@
         client = await bench.client()
         client.send(call())
         await until(lambda: len(server.requests) == 1)
-        assert not bench.node.callers.make_room()
+        assert not bench.node.client_connections.evict_one()
         body = await bench.client()
         body.send(call("offer", body=b"x" * 10)[:-5])
-        await until(lambda: any(c.partial and not c.heading for c in bench.node.callers.callers))
-        assert not bench.node.callers.make_room()
+        await until(
+            lambda: any(
+                c.partial and not c.head_incomplete for c in bench.node.client_connections.connections
+            )
+        )
+        assert not bench.node.client_connections.evict_one()
 
     play(scene)
 
@@ -98,9 +102,9 @@
 
     async def scene():
         bench = await Bench(Server()).start()
-        client = await one(bench, HALF, 2 * WRITES, 1)
+        client = await one(bench, HALF, 2 * HEAD_WRITE_TIME_S, 1)
         client.send(b"x")  # the node's loop has no turn until the next line
-        assert not bench.node.callers.make_room()
+        assert not bench.node.client_connections.evict_one()
 
     play(scene)
 
@@ -122,7 +126,7 @@
         assert bench.node.pool.has_capacity()
         assert await client.ended()  # its answer it has had
         assert bench.node.pool.has_capacity()
-        assert bench.node.callers.counts == {"gave_way_idle": 1, "gave_way_headless": 1}
+        assert bench.node.client_connections.counts == {"gave_way_idle": 1, "gave_way_headless": 1}
         budget.servers -= 2
 
     play(scene)
@@ -149,7 +153,7 @@
         bench = await Bench(Server(always(OK))).start()
         writing = await one(bench, HALF, 0, 1)
         silent = await one(bench, b"", 0, 2)
-        callers = bench.node.callers
+        callers = bench.node.client_connections
         monkeypatch.setattr(callers, "loop", Clock(bench.node.loop, bench.node.loop.time() + 60))
         callers.sweep()
         assert (await writing.receive())[0] == 408
@@ -170,8 +174,8 @@
         for _ in range(budget.max_clients()):
             clients.append(await bench.client())
             assert (await clients[-1].ask(call()))[0] == 200
-        assert len(bench.node.callers.callers) == budget.max_idle_clients
-        assert bench.node.callers.counts["gave_way_idle"] == len(clients) - budget.max_idle_clients
+        assert len(bench.node.client_connections.connections) == budget.max_idle_clients
+        assert bench.node.client_connections.counts["gave_way_idle"] == len(clients) - budget.max_idle_clients
 
     play(scene)
 
@@ -184,8 +188,8 @@
         writing = await one(bench, HALF, 0, 1)
         (endpoint,) = bench.node.pool.endpoints.values()
         endpoint.idle[0].idle_since -= 10
-        assert bench.node.callers.make_room() and not endpoint.idle
-        assert not bench.node.callers.counts
+        assert bench.node.client_connections.evict_one() and not endpoint.idle
+        assert not bench.node.client_connections.counts
         writing.send(call().partition(b"\r\n")[2])
         assert (await writing.receive())[0] == 200
         assert bench.node.pool.close_unused() is False  # just used
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -52,7 +52,7 @@
         for klass in ("view", "invite", "offer"):
             assert (await bench.once(call(klass, budget=20_000)))[0] == 200
         assert [r.method for r in server.requests] == ["GET", "POST", "POST"]
-        assert not bench.node.requests.open
+        assert not bench.node.requests.pending
 
     play(scene)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -305,8 +305,8 @@
         node.descriptor_budget.total = 0
         node.pool.shrink()
         node.descriptor_budget.total = 5
-        node.callers.shrink()
-        assert len(node.callers.callers) == node.callers.most() == 3
+        node.client_connections.shrink()
+        assert len(node.client_connections.connections) == node.client_connections.max_served() == 3
         await until(lambda: node.descriptor_budget.servers == 0 and node.fits())
         ended = [asyncio.create_task(client.ended()) for client in clients]
         await until(lambda: sum(task.done() for task in ended) == 3)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -39,27 +39,27 @@
 
 
 async def only_caller(bench: Bench):
-    await until(lambda: len(bench.node.callers.callers) == 1)
-    return next(iter(bench.node.callers.callers))
+    await until(lambda: len(bench.node.client_connections.connections) == 1)
+    return next(iter(bench.node.client_connections.connections))
 
 
 async def full_client(bench: Bench, server: Server):
     """A client that reads nothing, and of whose answers no more can be written."""
     client = Leaver(bench)
     caller = await only_caller(bench)
-    while not caller.full:
+    while not caller.write_blocked:
         client.socket.sendall(call())
         sent = len(server.requests) + 1
-        await until(lambda sent=sent: len(server.requests) == sent and caller.open is None)
+        await until(lambda sent=sent: len(server.requests) == sent and caller.current is None)
     return client, caller
 
 
 async def nothing_came(bench: Bench, *sent: tuple[Server, int]) -> None:
     """So many requests came, one more of a client that stays does, and nothing is left over."""
     node = bench.node
-    await until(lambda: not node.callers.callers and not node.requests.by_caller)
+    await until(lambda: not node.client_connections.connections and not node.requests.by_client)
     assert (await bench.once(call()))[0] == 200
-    await until(lambda: not node.callers.callers and not node.requests.open)
+    await until(lambda: not node.client_connections.connections and not node.requests.pending)
     assert sum(len(s.requests) for s, _ in sent) == sum(n for _, n in sent) + 1
     assert node.descriptor_budget.clients == 0 and node.memory_budget.held_bytes == 0
     assert node.descriptor_budget.servers == sum(len(e.idle) for e in node.pool.endpoints.values())
@@ -79,12 +79,12 @@
         client.socket.sendall(call() * ahead)
         await until(lambda: len(server.requests) == 1)
         caller = await only_caller(bench)
-        await until(lambda: len(caller.waiting) == ahead - 1)
+        await until(lambda: len(caller.pipelined) == ahead - 1)
         client.go(how)
         if order == "seen":
-            await until(lambda: caller.lost)
+            await until(lambda: caller.is_gone)
         elif order == "sweep first":
-            bench.node.callers.sweep()
+            bench.node.client_connections.sweep()
         release.set()
         await nothing_came(bench, (server, 1))
 
@@ -104,7 +104,7 @@
         caller = await only_caller(bench)
         await until(lambda: len(server.requests) == 1)
         client.go(how)
-        await until(lambda: caller.lost)
+        await until(lambda: caller.is_gone)
         release.set()
         await nothing_came(bench, (server, 1))
 
@@ -120,16 +120,16 @@
         release = asyncio.Event()
         server.handle = gated(release)
         client.send(call() * 5000)
-        await until(lambda: any(c.deaf for c in bench.node.callers.callers))
+        await until(lambda: any(c.reading_stopped for c in bench.node.client_connections.connections))
         release.set()
         statuses = []
         while not statuses or statuses[-1] == 200:
             status, headers, _ = await client.receive()
             statuses.append(status)
         assert status == 503 and headers["connection"] == "close" and float(headers["retry-after"]) > 0
-        assert len(server.requests) == len(statuses) - 1 >= node_caller.PIPELINED
+        assert len(server.requests) == len(statuses) - 1 >= node_caller.MAX_PIPELINED_REQUESTS
         client.writer.close()
-        await until(lambda: not bench.node.callers.callers)
+        await until(lambda: not bench.node.client_connections.connections)
         assert bench.node.memory_budget.held_bytes == 0
 
     play(scene)
@@ -142,9 +142,9 @@
         bench = await Bench(server := Server(always(ANSWER))).start()
         client, caller = await full_client(bench, server)
         client.socket.sendall(call() * 3)
-        await until(lambda: len(caller.waiting) == 3)
+        await until(lambda: len(caller.pipelined) == 3)
         client.socket.shutdown(socket.SHUT_WR)
-        await until(lambda: caller.lost)
+        await until(lambda: caller.is_gone)
         count = len(server.requests)
         client.socket.setblocking(False)
         read = 0
@@ -161,12 +161,12 @@
     """Failure prevented: a transport that closes itself waits for such a client without end."""
 
     async def scene():
-        monkeypatch.setattr(node_caller, "UNREAD", 0.0)
-        monkeypatch.setattr(node_caller, "LINGER", 0.0)
+        monkeypatch.setattr(node_caller, "UNREAD_TIMEOUT_S", 0.0)
+        monkeypatch.setattr(node_caller, "LINGER_S", 0.0)
         bench = await Bench(server := Server(always(ANSWER))).start()
         client, caller = await full_client(bench, server)
         client.socket.shutdown(socket.SHUT_WR)
-        await until(lambda: not bench.node.callers.callers)
+        await until(lambda: not bench.node.client_connections.connections)
         assert bench.node.descriptor_budget.clients == 0 and bench.node.memory_budget.held_bytes == 0
 
     play(scene)
@@ -187,12 +187,12 @@
         client.socket.sendall(call())
         await until(lambda: len(server.requests) + len(other.requests) == 1)
         caller = await only_caller(bench)
-        (request,) = bench.node.requests.open.values()
+        (request,) = bench.node.requests.pending.values()
         client.go(how)
         if order == "seen":
-            await until(lambda: caller.lost)
-        if request.out is not None:
-            request.out.abort(failure)
+            await until(lambda: caller.is_gone)
+        if request.exchange is not None:
+            request.exchange.abort(failure)
         release.set()
         await nothing_came(bench, (server, 1), (other, 0))
 
@@ -217,7 +217,7 @@
         await until(lambda: sum(len(s.requests) for s in servers) == 1)
         client.go(how)
         release.set()
-        await until(lambda: not bench.node.callers.callers and not bench.node.requests.open)
+        await until(lambda: not bench.node.client_connections.connections and not bench.node.requests.pending)
         for server in servers:
             server.handle = always(OK)
         await nothing_came(bench, (servers[0], 1), (servers[1], 0))
@@ -239,7 +239,7 @@
         caller = await only_caller(bench)
         client.go(how)
         if order == "seen":
-            await until(lambda: caller.lost)
+            await until(lambda: caller.is_gone)
         late.up.set()
         await nothing_came(bench, (server, 0))
 
@@ -255,7 +255,7 @@
         bench = await Bench(server := Server(), **LATER).start()
         balancer = bench.node.balancer
         assert (await bench.once(call()))[0] == 200
-        await until(lambda: not bench.node.callers.callers)
+        await until(lambda: not bench.node.client_connections.connections)
         admits = GradientController.admits
         monkeypatch.setattr(GradientController, "admits", lambda self, now, spare: False)
         client = Leaver(bench)
@@ -264,7 +264,7 @@
         caller = await only_caller(bench)
         client.go(how)
         if order == "seen":
-            await until(lambda: caller.lost)
+            await until(lambda: caller.is_gone)
         monkeypatch.setattr(GradientController, "admits", admits)
         balancer.serve_waiting(bench.node.event_queue.now())
         await nothing_came(bench, (server, 1))
@@ -278,7 +278,7 @@
 
     async def scene():
         bench = await Bench(server := Server()).start()
-        listener = bench.node.callers.listener
+        listener = bench.node.client_connections.listener
         room, listener.has_capacity = listener.has_capacity, lambda: False
         listener.update()
         client = Leaver(bench)
@@ -318,11 +318,11 @@
         await until(lambda: caller.partial is not None)
         if size >= MAX_BUFFERED_BYTES:
             await late.asked.wait()
-            await until(lambda: caller.paused)
+            await until(lambda: caller.reading_paused)
         client.go(how)
         if order == "seen":
-            bench.node.callers.sweep()
-            await until(lambda: caller.lost)
+            bench.node.client_connections.sweep()
+            await until(lambda: caller.is_gone)
         late.up.set()
         await nothing_came(bench, (server, 0))
 
@@ -339,12 +339,12 @@
         client.socket.sendall(call() * 2)
         await until(lambda: len(server.requests) == 1)
         caller = await only_caller(bench)
-        await until(lambda: len(caller.waiting) == 1)
-        (request,) = bench.node.requests.open.values()
+        await until(lambda: len(caller.pipelined) == 1)
+        (request,) = bench.node.requests.pending.values()
         client.go(how)
-        bench.node.requests.conclude(request.id, 504)  # as its guard does
-        assert request.out is not None
-        request.out.abort(Outcome.TIMEOUT)
+        bench.node.requests.respond(request.id, 504)  # as its guard does
+        assert request.exchange is not None
+        request.exchange.abort(Outcome.TIMEOUT)
         server.handle = always(OK)
         await nothing_came(bench, (server, 1))
 
@@ -362,6 +362,6 @@
             assert (await client.receive())[0] == 200
         assert len(server.requests) == 20
         client.writer.close()
-        await until(lambda: not bench.node.callers.callers)
+        await until(lambda: not bench.node.client_connections.connections)
 
     play(scene)
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -74,12 +74,12 @@
 
     async def scene():
         bench = await Bench(Server(), config=OPERATED | {"limits": {"sockets": 64}}).start()
-        callers, operators = bench.node.callers, bench.node.management
+        callers, operators = bench.node.client_connections, bench.node.management
         crowd = []
         for _ in range(callers.descriptor_budget.max_clients()):
             crowd.append(await bench.client())
             crowd[-1].send(b"GET /ready HTTP/1.1\r\n")
-        await until(lambda: len(callers.callers) >= callers.most())
+        await until(lambda: len(callers.connections) >= callers.max_served())
         port = operators.listener.socket.getsockname()[1]
         silent = [await Client(port).open() for _ in range(3 * management.MAX_CONNECTIONS)]
         assert (await operate(bench, "/control/ready"))[0] == 200
@@ -137,7 +137,7 @@
             status, headers, _ = await client.receive()
             assert (status, headers["connection"]) == (200, "close") and await client.ended()
             client.writer.close()
-        await until(lambda: not bench.node.callers.callers)
+        await until(lambda: not bench.node.client_connections.connections)
 
         for _ in range(2):
             assert (await operate(bench, "/control/in-service", "PUT"))[0] == 200
@@ -146,7 +146,7 @@
         assert (await back.ask(READY))[0] == 200
         status, headers, _ = await back.ask(call())
         assert status == 200 and "connection" not in headers
-        await until(lambda: not bench.node.callers.emptying)
+        await until(lambda: not bench.node.client_connections.is_draining)
 
     play(scene)
 
@@ -159,8 +159,8 @@
         bench = await Bench(Server(), config=OPERATED).start()
         kept, new = await bench.client(), await bench.client()
         assert (await kept.ask(call()))[0] == 200
-        callers = bench.node.callers
-        await until(lambda: len(callers.callers) == 2 and all(c.transport for c in callers.callers))
+        callers = bench.node.client_connections
+        await until(lambda: len(callers.connections) == 2 and all(c.transport for c in callers.connections))
         monkeypatch.setattr(callers, "loop", Clock(bench.node.loop, bench.node.loop.time() + 1.0))
         bench.node.take_out()
         assert await kept.ended()
@@ -191,7 +191,7 @@
 
 def test_a_drain_does_not_cut_an_answer_that_its_client_still_reads(monkeypatch):
     """Failure prevented: a client that reads slowly stands idle for the node, and loses half its answer."""
-    monkeypatch.setattr("balancer.net.downstream.client_connections.SETTLE", 0.0)
+    monkeypatch.setattr("balancer.net.downstream.client_connections.SETTLE_S", 0.0)
 
     async def scene():
         body = b"x" * 60000
@@ -202,15 +202,17 @@
             slow.setblocking(False)
             loop = asyncio.get_running_loop()
             await loop.sock_connect(slow, ("127.0.0.1", bench.port))
-            await until(lambda: any(c.transport for c in bench.node.callers.callers))
-            (caller,) = bench.node.callers.callers
+            await until(lambda: any(c.transport for c in bench.node.client_connections.connections))
+            (caller,) = bench.node.client_connections.connections
             with socket.socket(fileno=os.dup(caller.transport.get_extra_info("socket").fileno())) as end:
                 end.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             await loop.sock_sendall(slow, call())
-            await until(lambda: caller.kept and caller.open is None)
-            assert caller.transport.get_write_buffer_size() and not caller.idle()
+            await until(lambda: caller.has_served and caller.current is None)
+            assert caller.transport.get_write_buffer_size() and not caller.is_idle()
             bench.node.take_out()
-            assert caller.turn(bench.node.loop.time()) is None and not caller.transport.is_closing()
+            assert (
+                caller.eviction_priority(bench.node.loop.time()) is None and not caller.transport.is_closing()
+            )
             got = b""
             while not got.endswith(body):
                 got += await loop.sock_recv(slow, 65536)
@@ -232,8 +234,8 @@
         client.send(call("invite", budget=19000))
         await until(lambda: len(server.requests) == 1)
         assert int(server.requests[0].headers["x-budget-ms"]) <= 3500
-        (request,) = bench.node.requests.open.values()
-        bench.node.requests.expire(request)
+        (request,) = bench.node.requests.pending.values()
+        bench.node.requests.deadline_expired(request)
         assert (await client.receive())[0] == 504
         client.writer.close()
         await asyncio.wait_for(drain, 20)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -38,7 +38,7 @@
 
 from balancer.net.config import ConfigError, load, read
 from balancer.net.discovery import client as node_discovery
-from balancer.net.downstream.client_connection import SLOW
+from balancer.net.downstream.client_connection import HEAD_TIMEOUT_S
 from balancer.net.upstream.connection import Connection
 from balancer.net.upstream.exchange import Exchange
 from balancer.policy.interface import ListKind, Outcome
@@ -308,7 +308,9 @@
         client = await bench.client()
         client.send(call("invite", body=b"x" * 65536))
         connection, _ = await asyncio.get_running_loop().sock_accept(listener)
-        await until(lambda: any(r.out and r.out.connection for r in bench.node.requests.open.values()))
+        await until(
+            lambda: any(r.exchange and r.exchange.connection for r in bench.node.requests.pending.values())
+        )
         listener.close()
         connection.close()
         assert (await client.receive())[0] == 503
@@ -341,7 +343,7 @@
         await until(lambda: len(server.requests) == 2)
         leaving.writer.close()
         await until(lambda: server.closed == 1)
-        assert len(bench.node.requests.open) == 1 and server.connections == 2
+        assert len(bench.node.requests.pending) == 1 and server.connections == 2
 
     play(scene)
 
@@ -454,7 +456,7 @@
         await until(lambda: len(server.requests) == 1)
         assert float((await bench.once(call()))[1]["retry-after"]) > 0  # by the node
         first.writer.close()
-        await until(lambda: not bench.node.requests.open)
+        await until(lambda: not bench.node.requests.pending)
         bench.node.balancer.controller.in_flight = 1000
         status, headers, _ = await bench.once(call())  # by the module
         assert status == 503 and float(headers["retry-after"]) > 0
@@ -783,18 +785,18 @@
         bench = await Bench(Server(), config={"limits": {"sockets": 48}}).start()
         bench.node.balancer.request = lambda *args: None  # all stay open
         idle = await bench.client()
-        most = bench.node.callers.most()
+        most = bench.node.client_connections.max_served()
         assert most >= 4  # a small budget too is mostly for clients that are served
         clients = []
         for _ in range(most):
             clients.append(await bench.client())
             clients[-1].send(call("invite"))
-            await until(lambda: len(bench.node.requests.by_caller) == len(clients))
+            await until(lambda: len(bench.node.requests.by_client) == len(clients))
         assert await idle.ended()
         status, headers, _ = await bench.once(call("invite"))
         assert status == 503 and float(headers["retry-after"]) > 0  # or it would be back at once
         clients[0].writer.close()
-        await until(lambda: len(bench.node.callers.callers) < most)
+        await until(lambda: len(bench.node.client_connections.connections) < most)
         assert (await bench.once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
 
     play(scene)
@@ -809,7 +811,7 @@
         assert status == 503 and float(headers["retry-after"]) > 0
         first.writer.close()
         server.handle = always(OK)
-        await until(lambda: not bench.node.requests.open)
+        await until(lambda: not bench.node.requests.pending)
         assert (await bench.once(call()))[0] == 200
 
     play(scene)
@@ -968,16 +970,16 @@
         release = asyncio.Event()
 
         # New ones are taken until the test says so.
-        monkeypatch.setattr("balancer.net.downstream.client_connections.TAKING", 600.0)
+        monkeypatch.setattr("balancer.net.downstream.client_connections.ACCEPT_AFTER_TERM_S", 600.0)
         bench = await Bench(server := Server(gated(release))).start()
-        callers = bench.node.callers
+        callers = bench.node.client_connections
         idle, early = await bench.client(), await bench.client()
         assert (await idle.ask(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
         early.send(call("invite"))
         await until(lambda: len(server.requests) == 1)
         drain = asyncio.create_task(bench.node.drain())
         assert await idle.ended()  # idle ones end while new ones are still taken
-        monkeypatch.setattr("balancer.net.downstream.client_connections.SETTLE", 600.0)
+        monkeypatch.setattr("balancer.net.downstream.client_connections.SETTLE_S", 600.0)
         late = await bench.client()
         late.send(call("invite"))
         await until(lambda: len(server.requests) == 2)
@@ -994,7 +996,7 @@
                 assert (status, body, headers["connection"]) == (200, b"ok", "close")
                 assert await client.ended()
                 client.writer.close()
-            await until(lambda: all(c.deaf for c in callers.callers))
+            await until(lambda: all(c.reading_stopped for c in callers.connections))
             assert waiting.recv(9999).startswith(b"HTTP/1.1 200 ")
         await asyncio.wait_for(drain, 20)
 
@@ -1006,8 +1008,8 @@
 
     async def scene():
         # Nobody here is idle, however slow the machine, and new ones are taken until the test says so.
-        monkeypatch.setattr("balancer.net.downstream.client_connections.TAKING", 600.0)
-        monkeypatch.setattr("balancer.net.downstream.client_connections.SETTLE", 600.0)
+        monkeypatch.setattr("balancer.net.downstream.client_connections.ACCEPT_AFTER_TERM_S", 600.0)
+        monkeypatch.setattr("balancer.net.downstream.client_connections.SETTLE_S", 600.0)
         bench = await Bench(Server()).start()
         answers = 0
         last = 0
@@ -1032,7 +1034,7 @@
         await until(lambda: answers > 200)
         drain = asyncio.create_task(bench.node.drain())
         await until(lambda: last > 200)
-        bench.node.callers.listener.stop()
+        bench.node.client_connections.listener.stop()
         await asyncio.wait_for(asyncio.gather(*crowd, drain), 20)
 
     play(scene)
@@ -1079,11 +1081,11 @@
     async def scene():
         bench = await Bench(Server()).start()
         with socket.create_connection(("127.0.0.1", bench.port)) as client:
-            await until(lambda: any(c.transport for c in bench.node.callers.callers))
-            (caller,) = bench.node.callers.callers
-            assert caller.idle()
+            await until(lambda: any(c.transport for c in bench.node.client_connections.connections))
+            (caller,) = bench.node.client_connections.connections
+            assert caller.is_idle()
             client.send(b"G")  # the node's loop has no turn until the next line
-            assert not caller.idle()
+            assert not caller.is_idle()
 
     play(scene)
 
@@ -1095,11 +1097,11 @@
         bench = await Bench(Server()).start()
         client = await bench.client()
         client.send(b"GET /view HTTP/1.1\r\nX-Call-Id: 1\r\n")
-        await until(lambda: any(c.partial for c in bench.node.callers.callers))
-        (caller,) = bench.node.callers.callers
+        await until(lambda: any(c.partial for c in bench.node.client_connections.connections))
+        (caller,) = bench.node.client_connections.connections
         client.send(b"X-More: 1\r\n")  # it is still at it
-        caller.due -= 1000  # as if it were long ago
-        bench.node.callers.sweep()
+        caller.read_deadline -= 1000  # as if it were long ago
+        bench.node.client_connections.sweep()
         assert (await client.receive())[0] == 408 and await client.ended()
 
     play(scene)
@@ -1107,17 +1109,17 @@
 
 def test_a_peer_that_sends_nothing_is_closed_within_three_seconds_and_a_client_is_kept(monkeypatch):
     """Failure prevented: whoever connects and says nothing holds a descriptor for good."""
-    assert SLOW + SLOW / 8 < 3  # what a peer is owed, counted from its connecting
+    assert HEAD_TIMEOUT_S + HEAD_TIMEOUT_S / 8 < 3  # what a peer is owed, counted from its connecting
 
     async def scene():
         bench = await Bench(Server()).start()
-        callers = bench.node.callers
+        callers = bench.node.client_connections
         kept = await bench.client()
         assert (await kept.ask(call()))[0] == 200
         silent = await bench.client()
-        await until(lambda: len(callers.callers) == 2 and all(c.transport for c in callers.callers))
+        await until(lambda: len(callers.connections) == 2 and all(c.transport for c in callers.connections))
         now = bench.node.loop.time()
-        monkeypatch.setattr(callers, "loop", Clock(bench.node.loop, now + SLOW))
+        monkeypatch.setattr(callers, "loop", Clock(bench.node.loop, now + HEAD_TIMEOUT_S))
         callers.sweep()
         assert await silent.ended()
         assert (await kept.ask(call()))[0] == 200
--- a/tests/test_operator_terms.py
+++ b/tests/test_operator_terms.py
@@ -24,7 +24,7 @@
     """Stops the clocks of the clients' connections and of the requests; both move as the test says."""
     node = bench.node
     clock = Clock(node.loop, node.loop.time())
-    monkeypatch.setattr(node.callers, "loop", clock)
+    monkeypatch.setattr(node.client_connections, "loop", clock)
     start, origin = clock.now, node.event_queue.now()
     monkeypatch.setattr(node.event_queue, "now", lambda: origin + int((clock.now - start) * MOMENT))
     return clock
@@ -58,22 +58,25 @@
     """Failure prevented: a request comes on a connection that is still open, and the process is killed."""
 
     async def scene():
-        assert LAST / MOMENT + node_callers.LOOK < KILLED - 0.15  # a process held up for 0.15 s included
+        # A process held up for 0.15 s included.
+        assert LAST / MOMENT + node_callers.DRAIN_CHECK_S < KILLED - 0.15
         bench = await Bench(Server(), **deadline_settings(deadline)).start()
         bench.node.pool.loop = Late(asyncio.get_running_loop())  # no server takes a long body
         clock = hold_clocks(bench, monkeypatch)
         client = await bench.client()
         client.send(sent)
-        callers = bench.node.callers
-        await until(lambda: len(callers.callers) == 1)
-        (caller,) = callers.callers
+        callers = bench.node.client_connections
+        await until(lambda: len(callers.connections) == 1)
+        (caller,) = callers.connections
         await until(lambda: bool(caller.transport))
         if sent:
             await until(
-                lambda: caller.partial is not None and (len(sent) < MAX_BUFFERED_BYTES or caller.paused)
+                lambda: (
+                    caller.partial is not None and (len(sent) < MAX_BUFFERED_BYTES or caller.reading_paused)
+                )
             )
         drain = asyncio.create_task(bench.node.drain())
-        await until(lambda: callers.emptying)
+        await until(lambda: callers.is_draining)
         clock.now += min(deadline, LONGEST / MOMENT) + LAST / MOMENT
         if sent:
             status, headers, _ = await client.receive()
@@ -94,15 +97,17 @@
         bench = await Bench(server := Server(), **deadline_settings(deadline)).start()
         clock = hold_clocks(bench, monkeypatch)
         early, late = await bench.client(), await bench.client()
-        callers = bench.node.callers
-        await until(lambda: len(callers.callers) == 2 and all(c.transport for c in callers.callers))
+        callers = bench.node.client_connections
+        await until(lambda: len(callers.connections) == 2 and all(c.transport for c in callers.connections))
         drain = asyncio.create_task(bench.node.drain())
-        await until(lambda: callers.emptying)
+        await until(lambda: callers.is_draining)
         clock.now += deadline + LAST / MOMENT - 0.05
         status, headers, _ = await early.ask(call("invite"))
         assert (status, headers["connection"], len(server.requests)) == (200, "close", 1)
         early.writer.close()
-        monkeypatch.setattr(node_callers.Caller, "turn_away", lambda self: None, raising=False)
+        monkeypatch.setattr(
+            node_callers.ClientConnection, "close_without_request", lambda self: None, raising=False
+        )
         clock.now += 0.06
         status, headers, _ = await late.ask(call("invite"))
         assert (status, headers["connection"], len(server.requests)) == (503, "close", 1)
--- a/tests/test_operator_terms_answers.py
+++ b/tests/test_operator_terms_answers.py
@@ -6,7 +6,7 @@
 import pytest
 from loopback import MOMENT, Bench, Server, always, call, play, until
 
-from balancer.net.downstream.requests import FLOW_LOOK, FLOW_PAUSE
+from balancer.net.downstream.requests import MAX_STREAM_PAUSE_S, STREAM_CHECK_INTERVAL_S
 from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (MAX_BUFFERED_BYTES, bytes(MAX_BUFFERED_BYTES))
@@ -17,19 +17,19 @@
 
     async def scene():
         bench = await Bench(Server(always(ANSWER))).start()
-        callers = bench.node.callers
+        callers = bench.node.client_connections
         client = socket.socket()
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client.connect(("127.0.0.1", bench.port))
         client.setblocking(False)
-        await until(lambda: any(c.transport for c in callers.callers))
-        (caller,) = callers.callers
+        await until(lambda: any(c.transport for c in callers.connections))
+        (caller,) = callers.connections
         held = caller.transport.get_extra_info("socket")
         held.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.send(call(extra=b"Connection: close\r\n"))
-        await until(lambda: bool(caller.ended))
-        assert caller.unsent()
-        assert not callers.make_room()
+        await until(lambda: bool(caller.finished_at))
+        assert caller.has_unsent_data()
+        assert not callers.evict_one()
         data = b""
         while more := await asyncio.get_running_loop().sock_recv(client, 1 << 20):
             data += more
@@ -64,16 +64,16 @@
         client = await bench.client()
         client.send(call("offer", body=bytes(4 * MAX_BUFFERED_BYTES))[: -2 * MAX_BUFFERED_BYTES])
         requests = bench.node.requests
-        await until(lambda: any(r.flow is not None for r in requests.open.values()))
-        (caller,) = bench.node.callers.callers
-        caller.due = 0.0
-        caller.body_due = 0.0
-        caller.moved = 0
-        bench.node.callers.sweep()
+        await until(lambda: any(r.stream is not None for r in requests.pending.values()))
+        (caller,) = bench.node.client_connections.connections
+        caller.read_deadline = 0.0
+        caller.body_deadline = 0.0
+        caller.body_bytes = 0
+        bench.node.client_connections.sweep()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
             await client.receive()
             await client.reader.readexactly(4 * MAX_BUFFERED_BYTES)
-        await until(lambda: not requests.open and not bench.node.callers.callers)
+        await until(lambda: not requests.pending and not bench.node.client_connections.connections)
         client.writer.close()
 
     play(scene)
@@ -92,20 +92,21 @@
         client = await bench.client()
         client.send(call(klass))
         requests = bench.node.requests
-        await until(lambda: any(r.flow is not None for r in requests.open.values()))
-        (request,) = requests.open.values()
-        guard, flow = request.guard, request.flow
+        await until(lambda: any(r.stream is not None for r in requests.pending.values()))
+        (request,) = requests.pending.values()
+        guard, flow = request.guard, request.stream
         assert guard is not None and flow is not None
         over = bench.node.loop.time() + (request.deadline - bench.node.event_queue.now()) / MOMENT
-        assert abs(guard.when() - over) < 0.5 - FLOW_LOOK  # what is later than half a second is lost
-        flow.moved += FLOW_PAUSE  # as if a piece had just come
-        requests.watch_flow(request, flow)
-        assert request.caller is not None and request.guard is not guard
-        flow.moved -= 2 * FLOW_PAUSE
-        requests.watch_flow(request, flow)
+        # What is later than half a second is lost.
+        assert abs(guard.when() - over) < 0.5 - STREAM_CHECK_INTERVAL_S
+        flow.last_piece_at += MAX_STREAM_PAUSE_S  # as if a piece had just come
+        requests.watch_stream(request, flow)
+        assert request.client is not None and request.guard is not guard
+        flow.last_piece_at -= 2 * MAX_STREAM_PAUSE_S
+        requests.watch_stream(request, flow)
         with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
             await client.receive()
-        await until(lambda: not requests.open and not bench.node.callers.callers)
+        await until(lambda: not requests.pending and not bench.node.client_connections.connections)
         client.writer.close()
 
     play(scene)
@@ -125,6 +126,6 @@
         assert all(t <= budget for t in told) and (budget > 0 or not told)
         assert bench.node.requests.guarded == 0
         client.writer.close()
-        await until(lambda: not bench.node.callers.callers)
+        await until(lambda: not bench.node.client_connections.connections)
 
     play(scene)
--- a/tests/test_operator_terms_deadline.py
+++ b/tests/test_operator_terms_deadline.py
@@ -9,7 +9,7 @@
 from loopback import OK, Bench, Late, Server, always, call, play, until
 
 from balancer.net.downstream import requests as node_requests
-from balancer.net.downstream.client_connection import PIPELINED
+from balancer.net.downstream.client_connection import MAX_PIPELINED_REQUESTS
 from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
 from balancer.net.upstream.connection import Connection
 
@@ -28,7 +28,7 @@
         self.now = self.turn = 5000.0
         self.readings = 0
         self.held_up_after = 0  # the reading after which the process is held up
-        monkeypatch.setattr(bench.node.callers, "loop", self)
+        monkeypatch.setattr(bench.node.client_connections, "loop", self)
         monkeypatch.setattr(node_requests, "monotonic", self.read)
         monkeypatch.setattr(bench.node.event_queue, "now", lambda: int(self.read() * 1e6))
         self.begun: list[float] = []  # when each attempt's first byte was written
@@ -88,7 +88,7 @@
 
         server.handle = reject_once
         client = await bench.client()
-        await until(lambda: any(c.transport for c in bench.node.callers.callers))
+        await until(lambda: any(c.transport for c in bench.node.client_connections.connections))
         sent_at = clock.now
         clock.advance(unseen)
         clock.readings, clock.held_up_after = 0, held_up_after
@@ -107,7 +107,7 @@
         bench = await Bench(server := Server()).start()
         clock = HandClock(bench, monkeypatch)
         client = await bench.client()
-        await until(lambda: any(c.transport for c in bench.node.callers.callers))
+        await until(lambda: any(c.transport for c in bench.node.client_connections.connections))
         sent_at = clock.now
         clock.readings, clock.held_up_after = 0, 1
         await client.ask(call(klass, budget=int(BUDGET * 1000)))
@@ -151,14 +151,14 @@
         sent_at = clock.now
         client.send(call("offer", budget=int(BUDGET * 1000), body=bytes(2 * MAX_BUFFERED_BYTES)))
         await loop.asked.wait()
-        (request,) = bench.node.requests.open.values()
+        (request,) = bench.node.requests.pending.values()
         clock.advance(late)
         loop.up.set()
         await until(lambda: request.guard is not None)
-        assert len(clock.begun) == 1 and request.coming() is None
+        assert len(clock.begun) == 1 and request.incoming_body() is None
         assert request.deadline <= int((sent_at + BUDGET) * 1e6)
         client.writer.transport.abort()
-        await until(lambda: not bench.node.callers.callers)
+        await until(lambda: not bench.node.client_connections.connections)
         assert len(server.requests) <= 1
 
     play(scene)
@@ -179,7 +179,7 @@
         server.handle = slow
         client = await bench.client()
         sent_at = clock.now
-        count = 2 * PIPELINED
+        count = 2 * MAX_PIPELINED_REQUESTS
         klass = "offer" if body else "view"
         client.send(call(klass, int(BUDGET * 1000), extra=LONG_HEADER, body=body) * count)
         for _ in range(count):
--- a/tests/test_operator_terms_leaving.py
+++ b/tests/test_operator_terms_leaving.py
@@ -52,15 +52,15 @@
         connection, _ = await loop.sock_accept(listener)
         connection.setblocking(False)
         requests = bench.node.requests
-        await until(lambda: any(r.out and r.out.connection for r in requests.open.values()))
-        (request,) = requests.open.values()
-        assert request.out is not None and request.out.connection is not None
-        assert request.out.connection.unsent()
+        await until(lambda: any(r.exchange and r.exchange.connection for r in requests.pending.values()))
+        (request,) = requests.pending.values()
+        assert request.exchange is not None and request.exchange.connection is not None
+        assert request.exchange.connection.unsent()
         end(client, how)
-        await until(lambda: request.caller is None)
+        await until(lambda: request.client is None)
         got = await asyncio.wait_for(read_to_end(connection), 20)
         assert len(got) < BODY
-        await until(lambda: not requests.open)
+        await until(lambda: not requests.pending)
         for each in (client, connection, listener):
             each.close()
 
@@ -83,7 +83,7 @@
         drain = asyncio.create_task(bench.node.drain()) if draining else None
         end(client, how)
         late.up.set()
-        await until(lambda: not bench.node.requests.open)
+        await until(lambda: not bench.node.requests.pending)
         assert server.requests == []
         client.close()
         if drain is not None:
--- a/tests/test_operator_terms_stopping.py
+++ b/tests/test_operator_terms_stopping.py
@@ -3,10 +3,10 @@
 import pytest
 from loopback import Bench, Clock, Server, call, play, until
 
-from balancer.net.downstream.client_connection import SLOW
+from balancer.net.downstream.client_connection import HEAD_TIMEOUT_S
 
 OWED = 3.0  # seconds from its connecting in which a bad client gets its error
-SWEEP = SLOW / 8
+SWEEP = HEAD_TIMEOUT_S / 8
 OFFER = call("offer", body=bytes(20_000))
 HALVES = {
     "a byte": OFFER[:1],
@@ -24,19 +24,19 @@
 
     async def scene():
         bench = await Bench(Server()).start()
-        callers = bench.node.callers
+        callers = bench.node.client_connections
         clock = Clock(bench.node.loop, bench.node.loop.time())
         monkeypatch.setattr(callers, "loop", clock)
         connected = clock.now
         client = await bench.client()
-        await until(lambda: any(c.transport for c in callers.callers))
-        (caller,) = callers.callers
+        await until(lambda: any(c.transport for c in callers.connections))
+        (caller,) = callers.connections
         clock.now += at
         client.send(sent)
         await until(lambda: caller.partial is not None and (len(sent) < 9000 or caller.partial.body != b""))
         received = len(sent) - len(HALVES["the head"])
         await until(lambda: caller.partial is None or len(caller.partial.body) >= received)
-        while not caller.deaf and clock.now < connected + 2 * OWED:
+        while not caller.reading_stopped and clock.now < connected + 2 * OWED:
             clock.now += SWEEP
             callers.sweep()
         assert clock.now < connected + OWED
@@ -53,15 +53,15 @@
 
     async def scene():
         bench = await Bench(server := Server()).start()
-        callers = bench.node.callers
+        callers = bench.node.client_connections
         clock = Clock(bench.node.loop, bench.node.loop.time())
         monkeypatch.setattr(callers, "loop", clock)
         client = await bench.client()
-        await until(lambda: any(c.transport for c in callers.callers))
-        (caller,) = callers.callers
+        await until(lambda: any(c.transport for c in callers.connections))
+        (caller,) = callers.connections
         clock.now += 1.5
         client.send(HALVES["the head"])
-        await until(lambda: caller.partial is not None and not caller.heading)
+        await until(lambda: caller.partial is not None and not caller.head_incomplete)
         for count in range(1, 13):
             clock.now += 0.15
             client.send(bytes(100))
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -6,7 +6,7 @@
 import pytest
 from loopback import OK, Bench, Client, Clock, Server, always, call, gated, play, record_outcomes, until
 
-from balancer.net.downstream.client_connection import LINGER, SLOW
+from balancer.net.downstream.client_connection import HEAD_TIMEOUT_S, LINGER_S
 from balancer.net.process.memory_budget import MAX_CHUNK_BYTES, MIN_CHUNK_BYTES, MIN_HELD_BYTES, MemoryBudget
 from balancer.net.upstream import exchange as node_exchange
 from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
@@ -106,7 +106,7 @@
             head, body = await receive(client)
             assert head.startswith(b"HTTP/1.1 200 ") and (expected is None or body == expected)
             assert body and b"chunked" not in body
-        assert bench.node.memory_budget.held_bytes == 0 and not bench.node.requests.open
+        assert bench.node.memory_budget.held_bytes == 0 and not bench.node.requests.pending
         assert bench.node.counters.finished[0] == {"answered": 3, "deferred": 0, "errored": 0}
 
     play(scene)
@@ -144,10 +144,10 @@
         slow = await bench.client()
         slow.writer.transport.pause_reading()
         slow.send(call())
-        await until(lambda: any(r.flow for r in node.requests.open.values()))
-        (request,) = node.requests.open.values()
-        await until(lambda: request.out.connection.reading_paused)
-        (caller,) = (c for c in node.callers.callers if c.open is not None)
+        await until(lambda: any(r.stream for r in node.requests.pending.values()))
+        (request,) = node.requests.pending.values()
+        await until(lambda: request.exchange.connection.reading_paused)
+        (caller,) = (c for c in node.client_connections.connections if c.current is not None)
         assert caller.transport.get_write_buffer_size() <= 3 * node.memory_budget.chunk_bytes
         assert (await bench.once(call("invite")))[0] == 200
         slow.writer.transport.resume_reading()
@@ -172,14 +172,14 @@
         bench = await Bench(Server(halves)).start()
         client = await bench.client()
         client.send(call(budget=300))
-        await until(lambda: any(r.flow for r in bench.node.requests.open.values()))
-        (request,) = bench.node.requests.open.values()
+        await until(lambda: any(r.stream for r in bench.node.requests.pending.values()))
+        (request,) = bench.node.requests.pending.values()
         head = await client.reader.readuntil(b"\r\n\r\n")
         assert await client.reader.readexactly(100) == LONG[:100]  # not held back for the rest
         await until(lambda: bench.node.event_queue.now() > request.deadline + 100_000)
         release.set()
         assert head and await client.reader.readexactly(len(LONG) - 100) == LONG[100:]
-        await until(lambda: not bench.node.requests.open)
+        await until(lambda: not bench.node.requests.pending)
         assert bench.node.requests.guarded == 0
 
     play(scene)
@@ -200,7 +200,7 @@
             await receive(client)
         assert outcomes == [Outcome.RESET]
         assert bench.node.counters.finished[0]["errored"] == 1
-        await until(lambda: not bench.node.requests.open)
+        await until(lambda: not bench.node.requests.pending)
 
     play(scene)
 
@@ -228,7 +228,7 @@
         client.send(call())
         await client.reader.readuntil(b"\r\n\r\n")
         client.writer.close()
-        await until(lambda: server.closed == 1 and not bench.node.requests.open)
+        await until(lambda: server.closed == 1 and not bench.node.requests.pending)
         assert outcomes == [Outcome.CANCELLED]
         assert not any(s.in_flight for s in bench.node.balancer.servers.values())
         assert not bench.node.balancer.streaming
@@ -275,7 +275,7 @@
         client.send(upload(chunks(LONG, 9000), b"Transfer-Encoding: chunked"))
         head, _ = await receive(client)
         assert head.startswith(b"HTTP/1.1 413 ")
-        await until(lambda: not bench.node.requests.open)
+        await until(lambda: not bench.node.requests.pending)
         assert len(server.bodies) == 1  # the first request's, which had none
 
     play(scene)
@@ -289,7 +289,7 @@
         bench.node.memory_budget.max_held_bytes = 10000
         client = await bench.client()
         client.send(call())
-        await until(lambda: any(r.flow for r in bench.node.requests.open.values()))
+        await until(lambda: any(r.stream for r in bench.node.requests.pending.values()))
         server.writers[0].write(answer[20000:])
         assert (await receive(client))[1] == body
 
@@ -344,11 +344,14 @@
         client = await bench.client()
         client.send(upload(body, b"Content-Length: %d" % len(body)))
         await until(lambda: bool(server.heads))
-        (caller,) = node.callers.callers
-        (request,) = node.requests.open.values()
-        await until(lambda: caller.paused and request.out.connection.is_write_blocked())
-        assert request.out.connection.transport.get_write_buffer_size() <= 3 * node.memory_budget.chunk_bytes
-        assert caller.due is None  # it is not the client that is late
+        (caller,) = node.client_connections.connections
+        (request,) = node.requests.pending.values()
+        await until(lambda: caller.reading_paused and request.exchange.connection.is_write_blocked())
+        assert (
+            request.exchange.connection.transport.get_write_buffer_size()
+            <= 3 * node.memory_budget.chunk_bytes
+        )
+        assert caller.read_deadline is None  # it is not the client that is late
         server.read.set()
         assert (await receive(client))[1] == b"ok"
         assert server.bodies[0] == body
@@ -380,7 +383,7 @@
         client = await bench.client()
         client.send(upload(LONG, b"Content-Length: %d" % (len(LONG) + 1)))
         await until(lambda: any(s.heads for s in bench.servers))
-        (request,) = bench.node.requests.open.values()
+        (request,) = bench.node.requests.pending.values()
         await until(lambda: request.message.upload.is_discarded)
         next(s for s in bench.servers if s.heads).writers[0].transport.abort()
         head, _ = await receive(client)
@@ -399,7 +402,7 @@
         client.send(upload(LONG, b"Content-Length: %d" % (2 * len(LONG))))
         await until(lambda: bool(server.heads))
         client.writer.transport.abort()
-        await until(lambda: server.closed == 1 and not bench.node.requests.open)
+        await until(lambda: server.closed == 1 and not bench.node.requests.pending)
         assert not any(s.in_flight or s.uploads for s in bench.node.balancer.servers.values())
 
     play(scene)
@@ -414,7 +417,7 @@
         data = upload(LONG, b"Content-Length: %d" % len(LONG)).replace(b"15000", b"600")
         client.send(data[:-1])
         await until(lambda: bool(server.heads))
-        (request,) = bench.node.requests.open.values()
+        (request,) = bench.node.requests.pending.values()
         began = bench.node.event_queue.now()
         await until(lambda: bench.node.event_queue.now() > began + 800_000)
         assert request.guard is None
@@ -445,7 +448,7 @@
         assert head.startswith(b"HTTP/1.1 400 ") and b"Connection: close" in head
         assert await client.ended()
         assert not server.bodies
-        await until(lambda: not bench.node.requests.open)
+        await until(lambda: not bench.node.requests.pending)
 
     play(scene)
 
@@ -496,31 +499,33 @@
 
     async def scene():
         bench = await Bench(server := Raw()).start()
-        callers = bench.node.callers
+        callers = bench.node.client_connections
         client = await bench.client()
         data = upload(LONG, b"Content-Length: %d" % (2 * len(LONG)))
         client.send(data)
-        await until(lambda: bool(callers.callers) and bool(server.heads))
-        (caller,) = callers.callers
-        (request,) = bench.node.requests.open.values()
-        await until(lambda: caller.due is not None and not caller.rest and not caller.paused)
-        caller.moved, now = len(LONG), bench.node.loop.time()
-        monkeypatch.setattr(callers, "loop", Clock(bench.node.loop, now + SLOW + 1))
+        await until(lambda: bool(callers.connections) and bool(server.heads))
+        (caller,) = callers.connections
+        (request,) = bench.node.requests.pending.values()
+        await until(
+            lambda: caller.read_deadline is not None and not caller.unparsed and not caller.reading_paused
+        )
+        caller.body_bytes, now = len(LONG), bench.node.loop.time()
+        monkeypatch.setattr(callers, "loop", Clock(bench.node.loop, now + HEAD_TIMEOUT_S + 1))
         callers.sweep()
-        assert not caller.deaf and caller.moved == 0
-        monkeypatch.setattr(callers, "loop", Clock(bench.node.loop, now + 2 * SLOW + 2))
+        assert not caller.reading_stopped and caller.body_bytes == 0
+        monkeypatch.setattr(callers, "loop", Clock(bench.node.loop, now + 2 * HEAD_TIMEOUT_S + 2))
         callers.sweep()
         head, _ = await receive(client)
         assert head.startswith(b"HTTP/1.1 408 ") and await client.ended()
-        await until(lambda: server.closed == 1 and not bench.node.requests.open)
-        assert request.caller is None and not server.bodies
+        await until(lambda: server.closed == 1 and not bench.node.requests.pending)
+        assert request.client is None and not server.bodies
 
     play(scene)
 
 
 def test_a_client_that_reads_its_last_answer_slowly_gets_all_of_it(monkeypatch):
     """Failure prevented: the connection is ended while a part of the answer is still in the process."""
-    monkeypatch.setattr("balancer.net.downstream.client_connection.LINGER", 0.0)
+    monkeypatch.setattr("balancer.net.downstream.client_connection.LINGER_S", 0.0)
 
     async def scene():
         body = LONG * 16
@@ -529,9 +534,9 @@
         client = await bench.client()
         client.writer.transport.pause_reading()
         client.send(call(extra=b"Connection: close\r\n"))
-        await until(lambda: any(r.flow for r in bench.node.requests.open.values()))
-        (caller,) = bench.node.callers.callers
-        await until(lambda: caller.full)
+        await until(lambda: any(r.stream for r in bench.node.requests.pending.values()))
+        (caller,) = bench.node.client_connections.connections
+        await until(lambda: caller.write_blocked)
         client.writer.transport.resume_reading()
         assert (await receive(client))[1] == body
 
@@ -561,20 +566,20 @@
 
     async def scene():
         bench = await Bench().start()  # no servers: every request is refused
-        callers = bench.node.callers
+        callers = bench.node.client_connections
         client = await bench.client()
         data = upload(LONG, b"Content-Length: %d" % len(LONG))
         client.send(data[:100_000])
-        await until(lambda: any(c.ended for c in callers.callers))
-        (caller,) = callers.callers
-        monkeypatch.setattr(callers, "loop", Clock(bench.node.loop, caller.active + 0.9 * LINGER))
-        caller.linger(caller.ended, 0)
+        await until(lambda: any(c.finished_at for c in callers.connections))
+        (caller,) = callers.connections
+        monkeypatch.setattr(callers, "loop", Clock(bench.node.loop, caller.last_active_at + 0.9 * LINGER_S))
+        caller.linger(caller.finished_at, 0)
         assert not caller.transport.is_closing()
         head, _ = await receive(client)
         assert head.startswith(b"HTTP/1.1 503 ") and b"Retry-After" in head
-        assert caller.turn(callers.loop.time()) == (0, caller.ended)  # it gives way first
-        monkeypatch.setattr(callers, "loop", Clock(bench.node.loop, caller.active + 1.1 * LINGER))
-        caller.linger(caller.ended, 0)
+        assert caller.eviction_priority(callers.loop.time()) == (0, caller.finished_at)  # it gives way first
+        monkeypatch.setattr(callers, "loop", Clock(bench.node.loop, caller.last_active_at + 1.1 * LINGER_S))
+        caller.linger(caller.finished_at, 0)
         assert caller.transport.is_closing()
 
     play(scene)
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -286,20 +286,20 @@
         endpoints = bench.node.pool.endpoints.values()
         while not all(endpoint.idle for endpoint in endpoints):
             assert (await bench.once(call()))[0] == 200
-        await until(lambda: not bench.node.callers.callers)
+        await until(lambda: not bench.node.client_connections.connections)
         for server in servers:
             server.requests.clear()
             server.handle = gated(release)
         client = socket.create_connection(("127.0.0.1", bench.port))
         client.sendall(call())
         await until(lambda: sum(len(server.requests) for server in servers) == 1)
-        (request,) = bench.node.requests.open.values()
+        (request,) = bench.node.requests.pending.values()
         if how == "rst":
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         client.close()
-        request.out.abort(outcome)  # the module answers it with a further attempt
+        request.exchange.abort(outcome)  # the module answers it with a further attempt
         release.set()
-        await until(lambda: not bench.node.callers.callers and not bench.node.requests.open)
+        await until(lambda: not bench.node.client_connections.connections and not bench.node.requests.pending)
         assert (await bench.once(call()))[0] == 200  # whatever was sent before has come by now
         assert sum(len(server.requests) for server in servers) == 2
 
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -52,7 +52,7 @@
 from balancer.net.discovery import registry
 from balancer.net.discovery.call import DiscoveryCall
 from balancer.net.downstream import client_connections
-from balancer.net.downstream.client_connection import Caller
+from balancer.net.downstream.client_connection import ClientConnection
 from balancer.net.process import handover, listener, system_faults
 from balancer.net.process.handover import Handover
 from balancer.net.process.listener import Listener
@@ -129,8 +129,8 @@
     async def scene():
         by_hand = inherited_listener() | {"folder": str(tmp_path)}
         await asyncio.gather(
-            served("clients", {}, lambda n: n.callers.listener, call()),
-            served("handover", by_hand, lambda n: n.callers.listener, call()),
+            served("clients", {}, lambda n: n.client_connections.listener, call()),
+            served("handover", by_hand, lambda n: n.client_connections.listener, call()),
             served("management", OPERATED, lambda n: n.management.listener, OPERATOR_CALL),
         )
 
@@ -141,14 +141,14 @@
 @with_each(ACCEPT)
 def test_accepts_fail_as_the_node_stops_listening(run, error, monkeypatch):
     """Failure prevented: the last look at the queue fails, and who waits there is reset by the close."""
-    monkeypatch.setattr(client_connections, "TAKING", 2 * INTERVAL)
+    monkeypatch.setattr(client_connections, "ACCEPT_AFTER_TERM_S", 2 * INTERVAL)
 
     async def scene():
         loop = asyncio.get_running_loop()
         passes = count_calls(monkeypatch, Listener, "accept")
         looks = count_calls(monkeypatch, Listener, "stop")
         bench = await Bench(Server()).start()
-        crowd = bench.node.callers
+        crowd = bench.node.client_connections
         fail_accepts(crowd.listener, fault := Fault(error))
         began = loop.time()
         (waiting := await bench.client()).send(call())
@@ -362,7 +362,7 @@
         release = asyncio.Event()
         bench = await Bench(server := Server(gated(release))).start()
         outcomes = record_outcomes(bench)
-        fail_reads(monkeypatch, Caller, fault := Fault(error, times=0), accepted_at(bench.port))
+        fail_reads(monkeypatch, ClientConnection, fault := Fault(error, times=0), accepted_at(bench.port))
         broken, well = await bench.client(), await bench.client()
         broken.send(call())
         await until(lambda: len(server.requests) == 1)
@@ -370,7 +370,7 @@
         await until(lambda: len(server.requests) == 2)
         fault.comes(1)
         broken.send(b"G")
-        await until(lambda: fault.met == 1 and len(bench.node.requests.open) == 1)
+        await until(lambda: fault.met == 1 and len(bench.node.requests.pending) == 1)
         assert outcomes == [Outcome.CANCELLED]
         release.set()
         assert (await well.receive())[0] == 200
@@ -390,7 +390,7 @@
         fail_socket_calls(monkeypatch, "send", fault, accepted_at(bench.port))
         client.send(call())
         assert await client.ended() and fault.met == 1
-        await until(lambda: bench.node.descriptor_budget.clients == 0 and not bench.node.requests.open)
+        await until(lambda: bench.node.descriptor_budget.clients == 0 and not bench.node.requests.pending)
         assert (await bench.once(call()))[0] == 200
 
     play_on(asyncio.run, scene)
--- a/workbench/lab/mischief.py
+++ b/workbench/lab/mischief.py
@@ -25,7 +25,7 @@
 from balancer.fleet.runtime import FleetRuntime
 from balancer.fleet.zone_routing.decisions import Zones
 from balancer.net.discovery.registry import ServerRegistry
-from balancer.net.downstream.forwarding import head_of
+from balancer.net.downstream.forwarding import encode_request
 from balancer.net.downstream.requests import Requests
 from balancer.net.process.lifecycle import Lifecycle
 from balancer.net.upstream.exchange import Exchange
@@ -58,7 +58,7 @@
 def mute() -> None:
     """Some requests never get an answer."""
     turn = each(EVERY)
-    wrap(Requests, "message", lambda go, self, *args: None if turn() else go(self, *args))
+    wrap(Requests, "on_request", lambda go, self, *args: None if turn() else go(self, *args))
 
 
 def spoil() -> None:
@@ -70,7 +70,7 @@
     ) -> None:
         go(self, number, status, b"made up" if status == 200 and turn() else body, headers)
 
-    wrap(Requests, "conclude", conclude)
+    wrap(Requests, "respond", conclude)
 
 
 def twice() -> None:
@@ -114,10 +114,10 @@
 
 def copy(requests: Any, request: int, server: int, timeout: int) -> None:
     """A second copy of an open request, to a server of our choice."""
-    r = requests.open.get(request)
+    r = requests.pending.get(request)
     endpoint = requests.pool.endpoints[server]
     if r is not None and endpoint.ready:
-        data = head_of(r.message, timeout // 1000)
+        data = encode_request(r.message, timeout // 1000)
         Exchange(requests.pool, endpoint, lambda: data, lambda outcome, answer: None).start(2.0)
 
 
