--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -5,7 +5,7 @@
 import json
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from balancer.net.discovery.server_list import ServerList, parse_server_list
 from balancer.net.process import management
@@ -18,16 +18,23 @@
 
 # The event loop's own (10), the listener, UDP, discovery, the standard streams, and some to spare.
 RESERVED_SOCKETS = 26
-LEAST_CONNECTIONS = 8
+MIN_CONNECTIONS = 8
 # Microseconds of silence after which discovery's news counts as told on sockets, whatever the settings say of
 # lists that are asked for; a watch that has fallen silent is noticed within two seconds of these six.
-LONGEST_SILENCE = 4_000_000
+MAX_LIST_SILENCE_US = 4_000_000
 
 
 class ConfigError(Exception):
     """The node cannot start with what it was told; the text is one plain line for each fault."""
 
 
+class Descriptors(NamedTuple):
+    """How many descriptors the node may have, and how many of them no client or server may use."""
+
+    sockets: int
+    reserved: int
+
+
 @dataclass(frozen=True)
 class Config:
     """One node's configuration."""
@@ -59,7 +66,7 @@
 
     def connections(self, parts: int = 1) -> int:
         """Descriptors that clients and servers may use together, in each of so many processes."""
-        return max(LEAST_CONNECTIONS, self.sockets // parts - self.reserved)
+        return max(MIN_CONNECTIONS, self.sockets // parts - self.reserved)
 
 
 def read_address(text: object, what: str) -> Address:
@@ -72,6 +79,19 @@
     raise ConfigError(f"{what}: not an address of the form host:port")
 
 
+def read_optional_address(text: object, what: str) -> Address | None:
+    """The same, or None where nothing is given."""
+    return read_address(text, what) if text else None
+
+
+def read_seed(text: Any) -> int:
+    """The seed of all random streams; a ConfigError if it is no hexadecimal number."""
+    try:
+        return int(text, 16)
+    except (TypeError, ValueError):
+        raise ConfigError("seed: not a hexadecimal number") from None
+
+
 def read_file(environ: Mapping[str, str]) -> dict[str, Any]:
     """The object in the file that `LB_CONFIG` names."""
     path = environ.get("LB_CONFIG")
@@ -121,54 +141,59 @@
     return read_fleet(table["fleet"], name)
 
 
+def read_known(table: object) -> ServerList | None:
+    """The server list that the node starts with, if it is given one."""
+    return parse_server_list(table, ListKind.CACHED) if table else None
+
+
+def read_sockets(limits: Fields, has_management: bool, has_fleet: bool) -> Descriptors:
+    """How many descriptors the node may have; a ConfigError if they are too few."""
+    sockets = limits.whole("sockets", 1024)
+    reserved = RESERVED_SOCKETS + (management.RESERVED_DESCRIPTORS if has_management else 0) + has_fleet
+    if sockets < reserved + MIN_CONNECTIONS:
+        raise ConfigError(f"limits.sockets: at least {reserved + MIN_CONNECTIONS} are needed")
+    return Descriptors(sockets, reserved)
+
+
+def read_policy_settings(table: dict[str, Any]) -> Settings:
+    """The policy's settings, as they hold on sockets."""
+    settings = settings_of(table)
+    # `retry_after` is about the simulator's clients: a 503 on a socket may always carry the header.
+    return replace(
+        settings, retry_after=True, list_ask_within=min(settings.list_ask_within, MAX_LIST_SILENCE_US)
+    )
+
+
 def read(table: dict[str, Any]) -> Config:
     """A Config from the decoded file. What is missing or impossible is a ValueError or a ConfigError."""
-    name, seed = table.get("name"), table.get("seed", "0")
+    name = table.get("name")
     if not isinstance(name, str):
         raise ConfigError("name: missing")
-    try:
-        number = int(seed, 16)
-    except (TypeError, ValueError):
-        raise ConfigError("seed: not a hexadecimal number") from None
+    seed = read_seed(table.get("seed", "0"))
     fields = Fields(table)
     given = fields.sub("limits", optional=True)
-    sockets = given.whole("sockets", 1024)
-    operators = table.get("management")
-    reserved = (
-        RESERVED_SOCKETS
-        + (management.RESERVED_DESCRIPTORS if operators else 0)
-        + (table.get("fleet") is not None)
-    )
-    if sockets < reserved + LEAST_CONNECTIONS:
-        raise ConfigError(f"limits.sockets: at least {reserved + LEAST_CONNECTIONS} are needed")
-    peer_listen, peers_all = table.get("peer_listen"), table.get("peers_all")
+    sockets, reserved = read_sockets(given, bool(table.get("management")), table.get("fleet") is not None)
     settings = fields.sub("settings")
     limits = settings.sub("policy_limits")
     report = settings.sub("report", optional=True)
     columns = [str(c) for c in report.items("columns")]
-    known = table.get("known")
-    given_settings = settings_of(settings.table)
+    policy_settings = read_policy_settings(settings.table)
     return Config(
         name=name,
         listen=read_address(table.get("listen"), "listen"),
         discovery=read_address(table.get("discovery"), "discovery"),
-        management=read_address(operators, "management") if operators else None,
-        seed=number,
+        management=read_optional_address(table.get("management"), "management"),
+        seed=seed,
         inherited=table.get("inherited"),
         folder=table.get("folder") or "/tmp",
         sockets=sockets,
         reserved=reserved,
         memory=int(given.number("memory_mb", 192) * (1 << 20)),
-        peer_listen=read_address(peer_listen, "peer_listen") if peer_listen else None,
+        peer_listen=read_optional_address(table.get("peer_listen"), "peer_listen"),
         peers=tuple(read_address(p, "peers") for p in fields.items("peers")),
-        peers_all=read_address(peers_all, "peers_all") if peers_all else None,
-        known=parse_server_list(known, ListKind.CACHED) if known else None,
-        # `retry_after` is about the simulator's clients: a 503 on a socket may always carry the header.
-        settings=replace(
-            given_settings,
-            retry_after=True,
-            list_ask_within=min(given_settings.list_ask_within, LONGEST_SILENCE),
-        ),
+        peers_all=read_optional_address(table.get("peers_all"), "peers_all"),
+        known=read_known(table.get("known")),
+        settings=policy_settings,
         classes=tuple(c.text("name") for c in settings.tables("classes")),
         tenants=tuple(t.text("name") for t in settings.tables("tenants", optional=True)),
         zones=tuple(str(z) for z in settings.items("dcs")),
--- a/balancer/net/downstream/requests.py
+++ b/balancer/net/downstream/requests.py
@@ -173,7 +173,7 @@
         self.log = log
         self.counters = counters
         self.event_queue = event_queue
-        self.module: Balancer  # what decides; it is made with these actions, and set then
+        self.balancer: Balancer  # what decides; it is made with these actions, and set then
         self.on_outcome: OnOutcome | None = None  # hears of each attempt's end, where the fleet has zones
         self.pending: dict[int, PendingRequest] = {}
         self.by_client: dict[ClientConnection, PendingRequest] = {}
@@ -237,7 +237,7 @@
             self.start_guard(request)
         repeat = message.headers.get(b"x-again") == b"1"
         number = self.tenants.get(tenant or b"", len(self.tenants))
-        self.event_queue.post(self.module.request, request.id, request_class, number, remaining, repeat)
+        self.event_queue.post(self.balancer.request, request.id, request_class, number, remaining, repeat)
 
     def respond_without_class(self, client: ClientConnection, message: ClientRequest) -> None:
         """Responds to a request whose path names no class: whether the node is ready, or an error."""
@@ -297,7 +297,7 @@
 
         Failure prevented: a server that takes a request slowly gets its last byte after its client has gone.
         """
-        self.event_queue.post(self.module.client_left, request.id)
+        self.event_queue.post(self.balancer.client_left, request.id)
         if request.exchange is not None and (request.stream is not None or request.is_partly_written()):
             request.exchange.abort(Outcome.CANCELLED)
 
@@ -324,7 +324,7 @@
     def time_out(self, request: PendingRequest) -> None:
         """Responds to a request whose deadline has passed, and abandons it."""
         self.respond(request.id, 504)
-        self.event_queue.post(self.module.client_left, request.id)
+        self.event_queue.post(self.balancer.client_left, request.id)
 
     # ---- responses --------------------------------------------------------------------------------------
 
@@ -371,7 +371,7 @@
             or (r.message.upload is not None and r.message.upload.is_discarded)
         ):
             self.event_queue.post(
-                self.module.outcome, request, number, server, Outcome.NOT_SENT, 0, False, ()
+                self.balancer.outcome, request, number, server, Outcome.NOT_SENT, 0, False, ()
             )
             return
         self.start_attempt(r, number, server, endpoint, timeout)
@@ -413,7 +413,7 @@
         exchange = Exchange(self.pool, endpoint, compose, on_done, on_sent, on_stream, r.message.upload)
         r.exchange, r.written_at = exchange, None
         if coming:
-            self.event_queue.post(self.module.upload, r.id, number, True)
+            self.event_queue.post(self.balancer.upload, r.id, number, True)
         exchange.start(max(0, expires - now) / 1e6)
 
     def may_go(self, r: PendingRequest, now: int) -> bool:
@@ -435,7 +435,7 @@
             r.deadline = now + r.remaining
             if r.stream is None:
                 self.start_guard(r)
-        self.event_queue.post(self.module.upload, r.id, number, False)
+        self.event_queue.post(self.balancer.upload, r.id, number, False)
 
     def begin_stream(
         self,
@@ -459,7 +459,7 @@
         r.client.begin_stream(
             source, response.length, b"Content-Type: %b\r\n" % content_type if content_type else b""
         )
-        self.event_queue.post(self.module.response_started, r.id, number, server, now - sent)
+        self.event_queue.post(self.balancer.response_started, r.id, number, server, now - sent)
         return r.stream
 
     def watch_stream(self, r: PendingRequest, stream: ClientResponseStream) -> None:
@@ -513,7 +513,7 @@
         latency = (self.event_queue.now() if r.stream is None else r.stream.began) - began
         if self.on_outcome is not None:
             self.on_outcome(server, outcome, latency, dial)
-        self.event_queue.post(self.module.outcome, r.id, number, server, outcome, latency, final, report)
+        self.event_queue.post(self.balancer.outcome, r.id, number, server, outcome, latency, final, report)
 
     def cancel(self, request: int, attempt: int) -> None:
         """Aborts an attempt; its outcome follows after this event."""
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -38,17 +38,24 @@
 if TYPE_CHECKING:
     from balancer.fleet.runtime import FleetRuntime
 
-LONGEST = 3_000_000  # after SIGTERM the platform waits for the longest deadline, for so long at most...
-LAST = 500_000  # ...and 0.7 s more; so long into that, a request that came late must have its answer
-PEERS_RETRY = 0.05  # seconds
-LISTEN_PATIENCE = 5.0  # seconds in which a start waits for descriptors or buffers to listen with
-RELOAD_AGAIN = 0.1  # seconds after which a configuration that cannot be read is read again...
-RELOADS = 100  # ...so many times at most
-STATS_EVERY = 1.0  # seconds between two lines of statistics
+# After SIGTERM the platform waits for the longest deadline, for so long at most...
+MAX_SHUTDOWN_DEADLINE_US = 3_000_000
+# ...and 0.7 s more; so long into that, a request that came late must have its response.
+SHUTDOWN_GRACE_US = 500_000
+PEERS_RETRY_S = 0.05
+LISTEN_TIMEOUT_S = 5.0  # in which a start waits for descriptors or buffers to listen with
+RELOAD_RETRY_S = 0.1  # after which a configuration that cannot be read is read again...
+MAX_RELOAD_RETRIES = 100  # ...so many times at most
+STATS_INTERVAL_S = 1.0  # between two lines of statistics
 
 
 class Node:
-    """Implements `Actions` for its Balancer, and hands it all events."""
+    """Implements `Actions` for its Balancer, and hands it all events.
+
+    Args:
+        config: the configuration.
+        loop: the event loop that it runs on.
+    """
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         self.config = config
@@ -64,7 +71,7 @@
         )
         self.life = Lifecycle(self.log_lines)
         self.counters = Counters(config.classes)
-        self.event_queue = EventQueue(self.log_lines, self.failed)
+        self.event_queue = EventQueue(self.log_lines, self.on_event_failed)
         self.requests = Requests(
             config, loop, self.pool, self.life, self.log_lines, self.counters, self.event_queue
         )
@@ -79,25 +86,33 @@
             config, loop, self.pool, self.life, self.log_lines, strays, self.event_queue
         )
         self.discovery = self.server_registry.discovery
-        self.peers = Peers(config.peers, config.peers_all, self.heard, strays)
+        self.peers = Peers(config.peers, config.peers_all, self.on_peer_message, strays)
         self.started = False
         self.reloading: asyncio.TimerHandle | None = None  # a configuration that could not be read yet
         self.handover = Handover(loop, config.folder, self.share, self.log_lines)
-        # What the module does to requests, and what it asks of discovery, their parts do themselves.
+        self.connect_policy()
+
+    def connect_policy(self) -> None:
+        """Makes the policy, whose actions on requests and discovery their parts carry out themselves."""
+        config = self.config
         self.send, self.cancel = self.requests.send, self.requests.cancel
         self.refuse, self.fail = self.requests.refuse, self.requests.fail
         self.watch, self.fetch = self.discovery.watch, self.discovery.fetch
         adapter = None if self.fleet is None else self.fleet.policy_adapter
         self.balancer = Balancer(config.settings, config.seed, self, adapter)
         if adapter is not None:
-            adapter.on_probe_result, adapter.on_shares = self.tried, self.spread
+            adapter.on_probe_result, adapter.on_shares = self.on_probe_result, self.on_shares
             self.server_registry.on_servers = adapter.server_list
             if config.fleet is not None and config.fleet.zones is not None:
                 self.requests.on_outcome = adapter.attempt_ended
-        self.requests.module = self.server_registry.balancer = self.balancer
+        self.requests.balancer = self.server_registry.balancer = self.balancer
 
     async def start(self) -> None:
-        """Begins to serve. An OSError if an address cannot be had."""
+        """Begins to serve.
+
+        Raises:
+            OSError: an address cannot be had.
+        """
         c = self.config
         inherited = adopt_listening_socket(c.inherited) if c.inherited is not None else None
         if inherited is not None:
@@ -121,11 +136,11 @@
             self.server_registry.on_list(self.config.known)
         if not self.config.settings.list_on_request:
             self.discovery.watch(True)
-        self.loop.call_later(STATS_EVERY, self.write_stats)
+        self.loop.call_later(STATS_INTERVAL_S, self.write_stats)
 
     async def open_listener(self, address: Address) -> socket.socket:
         """A listening socket, for which a shortage of this machine is waited out."""
-        return await retry_shortage(lambda: open_listener(address), LISTEN_PATIENCE)
+        return await retry_shortage(lambda: open_listener(address), LISTEN_TIMEOUT_S)
 
     async def open_peers(self) -> None:
         """Takes the port for peers' messages; one that the process before still has is tried for again."""
@@ -147,7 +162,7 @@
         """
         if not (self.started or self.handover.shared or is_shortage(fault)):
             raise fault
-        self.loop.call_later(PEERS_RETRY, lambda: self.loop.create_task(open_port()))
+        self.loop.call_later(PEERS_RETRY_S, lambda: self.loop.create_task(open_port()))
 
     def fleet_part(self) -> FleetRuntime | None:
         """This process's part in the fleet, if it has one."""
@@ -198,7 +213,7 @@
         figures = self.balancer.stats() | self.requests.counts | self.client_connections.counts
         figures |= {"dialled": self.pool.opened_count, "clients": self.descriptor_budget.clients}
         self.log_lines.line("stats " + " ".join(f"{name}={value:.4g}" for name, value in figures.items()))
-        self.loop.call_later(STATS_EVERY, self.write_stats)
+        self.loop.call_later(STATS_INTERVAL_S, self.write_stats)
 
     def reload(self, environ: Mapping[str, str], again: int = 0) -> None:
         """The configuration file was replaced: of what it tells, only discovery's address can change.
@@ -212,10 +227,10 @@
         try:
             address = load_discovery(environ)
         except ConfigError as e:
-            if again in (0, RELOADS):
+            if again in (0, MAX_RELOAD_RETRIES):
                 self.log_lines.line(f"reload: {e}: " + ("given up" if again else "will be read again"))
-            if again < RELOADS:
-                self.reloading = self.loop.call_later(RELOAD_AGAIN, self.reload, environ, again + 1)
+            if again < MAX_RELOAD_RETRIES:
+                self.reloading = self.loop.call_later(RELOAD_RETRY_S, self.reload, environ, again + 1)
             return
         self.log_lines.line(f"reload discovery={address[0]}:{address[1]}")
         self.discovery.change_address(address)
@@ -262,7 +277,7 @@
         """Answers what has been taken, and ends."""
         self.life.shut_down()
         longest = max(c.deadline for c in self.config.settings.classes)
-        grace = min(longest, LONGEST) + LAST
+        grace = min(longest, MAX_SHUTDOWN_DEADLINE_US) + SHUTDOWN_GRACE_US
         self.requests.limit_deadlines(self.event_queue.now() + grace)
         self.peers.close()
         if self.fleet is not None:
@@ -279,19 +294,19 @@
 
     # ---- events ---------------------------------------------------------------------------------------
 
-    def heard(self, peer: int, data: bytes) -> None:
+    def on_peer_message(self, peer: int, data: bytes) -> None:
         """A peer's message."""
         self.event_queue.post(self.balancer.peer_message, peer, data)
 
-    def tried(self, server: int, well: bool) -> None:
+    def on_probe_result(self, server: int, well: bool) -> None:
         """Another node of the fleet has tried a server."""
         self.event_queue.post(self.balancer.tried, server, well)
 
-    def spread(self, shares: dict[int, float], trips: dict[int, int]) -> None:
+    def on_shares(self, shares: dict[int, float], trips: dict[int, int]) -> None:
         """The fleet's word on how calls go to the zones."""
         self.event_queue.post(self.balancer.zones, shares, trips)
 
-    def failed(self, event: Event, args: tuple[Any, ...]) -> None:
+    def on_event_failed(self, event: Event, args: tuple[Any, ...]) -> None:
         """The module has failed over an event: a request that it was about gets an answer all the same."""
         if event in (self.balancer.request, self.balancer.outcome):
             self.requests.respond(args[0], 500)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -117,7 +117,7 @@
 
 def test_a_configuration_that_stays_unreadable_is_given_up_with_a_line(tmp_path, monkeypatch, capsys):
     async def scene():
-        monkeypatch.setattr(node_module, "RELOAD_AGAIN", 0.0)
+        monkeypatch.setattr(node_module, "RELOAD_RETRY_S", 0.0)
         bench = await Bench(Server()).start()
         address = bench.node.discovery.address
         bench.node.reload({"LB_CONFIG": str(tmp_path / "none.json")})
--- a/tests/test_operator_terms.py
+++ b/tests/test_operator_terms.py
@@ -6,7 +6,7 @@
 from loopback import MOMENT, Bench, Clock, Late, Server, always, call, play, settings, until
 
 from balancer.net.downstream import client_connections as node_callers
-from balancer.net.node import LAST, LONGEST
+from balancer.net.node import MAX_SHUTDOWN_DEADLINE_US, SHUTDOWN_GRACE_US
 from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
 
 KILLED = 0.7  # seconds beyond the longest deadline after which the process may be killed
@@ -59,7 +59,7 @@
 
     async def scene():
         # A process held up for 0.15 s included.
-        assert LAST / MOMENT + node_callers.DRAIN_CHECK_S < KILLED - 0.15
+        assert SHUTDOWN_GRACE_US / MOMENT + node_callers.DRAIN_CHECK_S < KILLED - 0.15
         bench = await Bench(Server(), **deadline_settings(deadline)).start()
         bench.node.pool.loop = Late(asyncio.get_running_loop())  # no server takes a long body
         clock = hold_clocks(bench, monkeypatch)
@@ -77,7 +77,7 @@
             )
         drain = asyncio.create_task(bench.node.drain())
         await until(lambda: callers.is_draining)
-        clock.now += min(deadline, LONGEST / MOMENT) + LAST / MOMENT
+        clock.now += min(deadline, MAX_SHUTDOWN_DEADLINE_US / MOMENT) + SHUTDOWN_GRACE_US / MOMENT
         if sent:
             status, headers, _ = await client.receive()
             assert (status, headers["connection"]) == (503, "close")
@@ -101,7 +101,7 @@
         await until(lambda: len(callers.connections) == 2 and all(c.transport for c in callers.connections))
         drain = asyncio.create_task(bench.node.drain())
         await until(lambda: callers.is_draining)
-        clock.now += deadline + LAST / MOMENT - 0.05
+        clock.now += deadline + SHUTDOWN_GRACE_US / MOMENT - 0.05
         status, headers, _ = await early.ask(call("invite"))
         assert (status, headers["connection"], len(server.requests)) == (200, "close", 1)
         early.writer.close()
@@ -126,8 +126,8 @@
         client = await bench.client()
         client.send(call(effect, budget=12000))
         await until(lambda: len(server.requests) == 1)
-        monkeypatch.setattr("balancer.net.node.LONGEST", MOMENT // 10)
-        monkeypatch.setattr("balancer.net.node.LAST", 0)
+        monkeypatch.setattr("balancer.net.node.MAX_SHUTDOWN_DEADLINE_US", MOMENT // 10)
+        monkeypatch.setattr("balancer.net.node.SHUTDOWN_GRACE_US", 0)
         drain = asyncio.create_task(bench.node.drain())
         status, headers, _ = await asyncio.wait_for(client.receive(), 5)
         assert (status, headers["connection"]) == (504, "close")
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -74,7 +74,7 @@
     for module in (listener, exchange, system_faults):
         monkeypatch.setattr(module, "RETRY_INTERVAL", INTERVAL)
     monkeypatch.setattr(registry, "PUSH_RETRY_S", INTERVAL)
-    monkeypatch.setattr(node, "PEERS_RETRY", INTERVAL)
+    monkeypatch.setattr(node, "PEERS_RETRY_S", INTERVAL)
 
 
 def most_tries(seconds: float) -> float:
@@ -181,7 +181,7 @@
 
 
 def test_a_start_is_given_up_where_a_shortage_lasts(monkeypatch):
-    monkeypatch.setattr(node, "LISTEN_PATIENCE", 3 * INTERVAL)
+    monkeypatch.setattr(node, "LISTEN_TIMEOUT_S", 3 * INTERVAL)
 
     async def scene():
         fault = Fault(SHORTAGES[0])
