--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -137,7 +137,7 @@
         two = await Bench(config=table(ports[1], []), peers=False).start()
         await until(lambda: one.node.fleet.swim.alive() and two.node.fleet.swim.alive())
         one.node.fleet.datagram_received(b"x" * 100, ("127.0.0.1", 9))
-        page = json.loads(one.node.paths()[b"/fleet"].act()[1])
+        page = json.loads(one.node.paths()[b"/fleet"].handler()[1])
         assert page["refused"] == {"version": 1} and page["events"]["join"] == 1
         assert [(m["name"], m["state"]) for m in page["members"]] == [(f"n{ports[1]}", "alive")]
         two.node.fleet.leave()
@@ -213,9 +213,9 @@
             (b"/fleet/zone", b"do=leave&zone=here&for_s=5", 200),
             (b"/fleet/zone", b"do=return&zone=here", 200),
         ):
-            assert bench.node.paths()[path].act(query)[0] == status, (path, query)
+            assert bench.node.paths()[path].handler(query)[0] == status, (path, query)
         fleet.close()
         for path in (b"/fleet/replace", b"/fleet/zone"):
-            assert bench.node.paths()[path].act(b"do=begin")[0] == 503
+            assert bench.node.paths()[path].handler(b"do=begin")[0] == 503
 
     play(scene)
