--- a/balancer/fleet/leases/external.py
+++ b/balancer/fleet/leases/external.py
@@ -12,7 +12,7 @@
 
 from balancer.fleet.leases.client import LeaseClient
 from balancer.fleet.leases.messages import OutgoingLeaseMessage
-from balancer.net.log import Log
+from balancer.net.process.log import Log
 
 MAX_EXTERNAL_LEASES = 64  # held for external holders at once
 
--- a/balancer/fleet/leases/service.py
+++ b/balancer/fleet/leases/service.py
@@ -17,7 +17,7 @@
 from balancer.fleet.leases.settings import Electorate, LeaseSettings
 from balancer.fleet.leases.vote_store import VoteStore
 from balancer.fleet.leases.voter import Voter
-from balancer.net.log import Log
+from balancer.net.process.log import Log
 
 MICROSECONDS = 1e6  # in a second
 
--- a/balancer/fleet/rolling_update/component.py
+++ b/balancer/fleet/rolling_update/component.py
@@ -13,7 +13,7 @@
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.rolling_update.decisions import MAX_UNAVAILABLE, RollingUpdate
 from balancer.fleet.rolling_update.messages import RollingUpdateMessage, RollingUpdateWire, UpdateState
-from balancer.net.lifecycle import Stage
+from balancer.net.process.lifecycle import Stage
 
 STATE_OF_COMMAND = {
     "pause": UpdateState.PAUSED,
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -1,7 +1,8 @@
 """One node: hosts a Balancer on sockets.
 
 It wires the parts together, starts them and ends them, and makes no decision. Requests and their attempts
-are in `requests.py`, news of the servers in `roster.py`, the clock and the module's events in `turns.py`.
+are in `downstream/requests.py`, news of the servers in `discovery/registry.py`, the clock and the module's
+events in `process/event_queue.py`.
 """
 
 from __future__ import annotations
@@ -13,85 +14,107 @@
 from collections.abc import Callable, Coroutine, Mapping
 from typing import TYPE_CHECKING, Any
 
-from balancer.net.callers import Callers
 from balancer.net.config import Config, ConfigError, load_discovery
-from balancer.net.connection import Answer
-from balancer.net.counters import Counters
-from balancer.net.descriptors import Descriptors
-from balancer.net.handover import Handover, adopted
-from balancer.net.lifecycle import Lifecycle, Stage
-from balancer.net.listener import Address, listening
-from balancer.net.log import LINES_A_SECOND, STRAYS_A_SECOND, Log
-from balancer.net.management import JSON, Management, Page, Paths
+from balancer.net.discovery.registry import ServerRegistry
+from balancer.net.downstream.client_connections import ClientConnections
+from balancer.net.downstream.requests import Requests
 from balancer.net.peers import Peers
-from balancer.net.requests import Requests
-from balancer.net.room import Room
-from balancer.net.roster import Roster
-from balancer.net.servers import Exchange, Pool
-from balancer.net.system_faults import is_shortage, retry_shortage
-from balancer.net.turns import Event, Turns
+from balancer.net.process.counters import Counters
+from balancer.net.process.descriptor_budget import DescriptorBudget
+from balancer.net.process.event_queue import Event, EventQueue
+from balancer.net.process.handover import Handover, adopt_listening_socket
+from balancer.net.process.lifecycle import Lifecycle, Stage
+from balancer.net.process.listener import Address, open_listener
+from balancer.net.process.log import MAX_LINES_PER_SECOND, MAX_STRAY_LINES_PER_SECOND, Log
+from balancer.net.process.management import JSON, Management, Page, PageResponse, Pages
+from balancer.net.process.memory_budget import MemoryBudget
+from balancer.net.process.system_faults import is_shortage, retry_shortage
+from balancer.net.upstream.connection import Response
+from balancer.net.upstream.exchange import Exchange
+from balancer.net.upstream.pool import ConnectionPool
 from balancer.policy import Balancer
 from balancer.policy.interface import Outcome, State
 
 if TYPE_CHECKING:
     from balancer.fleet.runtime import FleetRuntime
 
-LONGEST = 3_000_000  # after SIGTERM the platform waits for the longest deadline, for so long at most...
-LAST = 500_000  # ...and 0.7 s more; so long into that, a request that came late must have its answer
-PEERS_RETRY = 0.05  # seconds
-LISTEN_PATIENCE = 5.0  # seconds in which a start waits for descriptors or buffers to listen with
-RELOAD_AGAIN = 0.1  # seconds after which a configuration that cannot be read is read again...
-RELOADS = 100  # ...so many times at most
-STATS_EVERY = 1.0  # seconds between two lines of statistics
+# After SIGTERM the platform waits for the longest deadline, for so long at most...
+MAX_SHUTDOWN_DEADLINE_US = 3_000_000
+# ...and 0.7 s more; so long into that, a request that came late must have its response.
+SHUTDOWN_GRACE_US = 500_000
+PEERS_RETRY_S = 0.05
+LISTEN_TIMEOUT_S = 5.0  # in which a start waits for descriptors or buffers to listen with
+RELOAD_RETRY_S = 0.1  # after which a configuration that cannot be read is read again...
+MAX_RELOAD_RETRIES = 100  # ...so many times at most
+STATS_INTERVAL_S = 1.0  # between two lines of statistics
 
 
 class Node:
-    """Implements `Actions` for its Balancer, and hands it all events."""
+    """Implements `Actions` for its Balancer, and hands it all events.
+
+    Args:
+        config: the configuration.
+        loop: the event loop that it runs on.
+    """
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         self.config = config
         self.loop = loop
-        self.log_lines = Log(config.name, LINES_A_SECOND)
+        self.log_lines = Log(config.name, MAX_LINES_PER_SECOND)
         # Apart, so that whoever sends garbage cannot use up the lines that tell of faults.
-        strays = Log(config.name, STRAYS_A_SECOND)
+        strays = Log(config.name, MAX_STRAY_LINES_PER_SECOND)
         connections = config.connections()
-        self.budget = Descriptors(connections, config.sockets)
-        self.room = Room(config.memory, connections)
-        self.pool = Pool(loop, self.budget, config.connect_timeout, config.idle_time, self.room)
+        self.descriptor_budget = DescriptorBudget(connections, config.sockets)
+        self.memory_budget = MemoryBudget(config.memory, connections)
+        self.pool = ConnectionPool(
+            loop, self.descriptor_budget, config.connect_timeout, config.idle_time, self.memory_budget
+        )
         self.life = Lifecycle(self.log_lines)
         self.counters = Counters(config.classes)
-        self.turns = Turns(self.log_lines, self.failed)
+        self.event_queue = EventQueue(self.log_lines, self.on_event_failed)
         self.requests = Requests(
-            config, loop, self.pool, self.life, self.log_lines, self.counters, self.turns
+            config, loop, self.pool, self.life, self.log_lines, self.counters, self.event_queue
+        )
+        self.client_connections = ClientConnections(
+            loop, self.descriptor_budget, self.requests, self.life, self.memory_budget
         )
-        self.callers = Callers(loop, self.budget, self.requests, self.life, self.room)
-        self.pool.spare = self.callers.make_room
-        self.callers.relief = self.pool.relieve
+        self.pool.free_client = self.client_connections.evict_one
+        self.client_connections.free_server_connection = self.pool.close_unused
         self.fleet = self.fleet_part()
         self.management = Management(loop, self.paths(), self.log_lines.line)
-        self.roster = Roster(config, loop, self.pool, self.life, self.log_lines, strays, self.turns)
-        self.discovery = self.roster.discovery
-        self.peers = Peers(config.peers, config.peers_all, self.heard, strays)
+        self.server_registry = ServerRegistry(
+            config, loop, self.pool, self.life, self.log_lines, strays, self.event_queue
+        )
+        self.discovery = self.server_registry.discovery
+        self.peers = Peers(config.peers, config.peers_all, self.on_peer_message, strays)
         self.started = False
         self.reloading: asyncio.TimerHandle | None = None  # a configuration that could not be read yet
         self.handover = Handover(loop, config.folder, self.share, self.log_lines)
-        # What the module does to requests, and what it asks of discovery, their parts do themselves.
+        self.connect_policy()
+
+    def connect_policy(self) -> None:
+        """Makes the policy, whose actions on requests and discovery their parts carry out themselves."""
+        config = self.config
         self.send, self.cancel = self.requests.send, self.requests.cancel
         self.reject, self.fail = self.requests.reject, self.requests.fail
         self.watch, self.fetch = self.discovery.watch, self.discovery.fetch
         adapter = None if self.fleet is None else self.fleet.policy_adapter
         self.balancer = Balancer(config.settings, config.seed, self, adapter)
         if adapter is not None:
-            adapter.on_health_check_result, adapter.on_shares = self.tried, self.spread
-            self.roster.heard = adapter.server_list
+            adapter.on_health_check_result, adapter.on_shares = self.on_probe_result, self.on_shares
+            self.server_registry.on_servers = adapter.server_list
             if config.fleet is not None and config.fleet.zones is not None:
-                self.requests.heard = adapter.attempt_ended
-        self.requests.module = self.roster.module = self.balancer
+                self.requests.on_outcome = adapter.attempt_ended
+        self.requests.balancer = self.server_registry.balancer = self.balancer
 
     async def start(self) -> None:
-        """Begins to serve. An OSError if an address cannot be had."""
+        """Begins to serve.
+
+        Raises:
+            OSError: an address cannot be had.
+        """
         c = self.config
-        inherited = adopted(c.inherited) if c.inherited is not None else None
+        inherited = adopt_listening_socket(c.inherited) if c.inherited is not None else None
         if inherited is not None:
             await self.handover.start(self.fits)
         elif c.inherited is not None:
@@ -99,32 +122,32 @@
         await self.open_peers()
         await self.open_fleet()
         if c.management is not None:
-            self.management.start(await self.listening(c.management))
-        listener = inherited or await self.listening(c.listen)
-        self.callers.start(listener, shared=inherited is not None)
+            self.management.start(await self.open_listener(c.management))
+        listener = inherited or await self.open_listener(c.listen)
+        self.client_connections.start(listener, shared=inherited is not None)
         self.started = True
         self.log_lines.line(
             f"start tier={c.settings.tier} instances={c.settings.instances} connections={c.connections()}"
             f" idle={c.idle_time} connect_timeout={c.connect_timeout}"
             f" aims={[k.latency_objective // 1000 for k in c.settings.classes]}"
         )
-        self.turns.post(self.balancer.start)
+        self.event_queue.post(self.balancer.start)
         if self.config.known is not None:
-            self.roster.told(self.config.known)
+            self.server_registry.on_list(self.config.known)
         if not self.config.settings.list_on_request:
             self.discovery.watch(True)
-        self.loop.call_later(STATS_EVERY, self.write_stats)
+        self.loop.call_later(STATS_INTERVAL_S, self.write_stats)
 
-    async def listening(self, address: Address) -> socket.socket:
+    async def open_listener(self, address: Address) -> socket.socket:
         """A listening socket, for which a shortage of this machine is waited out."""
-        return await retry_shortage(lambda: listening(address), LISTEN_PATIENCE)
+        return await retry_shortage(lambda: open_listener(address), LISTEN_TIMEOUT_S)
 
     async def open_peers(self) -> None:
         """Takes the port for peers' messages; one that the process before still has is tried for again."""
         c = self.config
         if not c.settings.peers or c.peer_listen is None or self.peers.transport is not None:
             return
-        if self.handover.elder or self.life.stage == Stage.ENDING:
+        if self.handover.is_older or self.life.stage == Stage.ENDING:
             return
         try:
             await self.loop.create_datagram_endpoint(lambda: self.peers, local_addr=c.peer_listen)
@@ -139,7 +162,7 @@
         """
         if not (self.started or self.handover.shared or is_shortage(fault)):
             raise fault
-        self.loop.call_later(PEERS_RETRY, lambda: self.loop.create_task(open_port()))
+        self.loop.call_later(PEERS_RETRY_S, lambda: self.loop.create_task(open_port()))
 
     def fleet_part(self) -> FleetRuntime | None:
         """This process's part in the fleet, if it has one."""
@@ -159,7 +182,7 @@
         fleet = self.fleet
         if fleet is None or fleet.transport is not None:
             return
-        if self.handover.elder or self.life.stage == Stage.ENDING:
+        if self.handover.is_older or self.life.stage == Stage.ENDING:
             return
         try:
             await fleet.open()
@@ -169,11 +192,11 @@
     def share(self, shared: bool) -> None:
         """Another process of this node has come, and both get half; or it has gone."""
         parts = 2 if shared else 1
-        self.budget.resize(self.config.connections(parts), self.config.sockets // parts)
-        self.room.resize(self.config.memory // parts)
+        self.descriptor_budget.resize(self.config.connections(parts), self.config.sockets // parts)
+        self.memory_budget.resize(self.config.memory // parts)
         self.pool.shrink()
-        self.callers.shrink()
-        if self.handover.elder:
+        self.client_connections.shrink()
+        if self.handover.is_older:
             self.peers.close()
             if self.fleet is not None:
                 self.fleet.close()
@@ -183,14 +206,14 @@
 
     def fits(self) -> bool:
         """Whether this process keeps to its half."""
-        return self.budget.clients + self.budget.servers <= self.budget.total
+        return self.descriptor_budget.clients + self.descriptor_budget.servers <= self.descriptor_budget.total
 
     def write_stats(self) -> None:
         """One line of figures: the module's as they stand, the node's counted since the start."""
-        figures = self.balancer.stats() | self.requests.counts | self.callers.counts
-        figures |= {"dialled": self.pool.dialled, "clients": self.budget.clients}
+        figures = self.balancer.stats() | self.requests.counts | self.client_connections.counts
+        figures |= {"dialled": self.pool.opened_count, "clients": self.descriptor_budget.clients}
         self.log_lines.line("stats " + " ".join(f"{name}={value:.4g}" for name, value in figures.items()))
-        self.loop.call_later(STATS_EVERY, self.write_stats)
+        self.loop.call_later(STATS_INTERVAL_S, self.write_stats)
 
     def reload(self, environ: Mapping[str, str], again: int = 0) -> None:
         """The configuration file was replaced: of what it tells, only discovery's address can change.
@@ -204,15 +227,15 @@
         try:
             address = load_discovery(environ)
         except ConfigError as e:
-            if again in (0, RELOADS):
+            if again in (0, MAX_RELOAD_RETRIES):
                 self.log_lines.line(f"reload: {e}: " + ("given up" if again else "will be read again"))
-            if again < RELOADS:
-                self.reloading = self.loop.call_later(RELOAD_AGAIN, self.reload, environ, again + 1)
+            if again < MAX_RELOAD_RETRIES:
+                self.reloading = self.loop.call_later(RELOAD_RETRY_S, self.reload, environ, again + 1)
             return
         self.log_lines.line(f"reload discovery={address[0]}:{address[1]}")
-        self.discovery.move(address)
+        self.discovery.change_address(address)
 
-    def paths(self) -> Paths:
+    def paths(self) -> Pages:
         """What operators may call."""
         paths = {
             b"/control/ready": Page(b"GET", self.ready),
@@ -223,42 +246,44 @@
         if self.fleet is not None:
             pages = self.fleet.pages
             paths[b"/fleet"] = Page(b"GET", pages.show_fleet, JSON)
-            paths[b"/fleet/replace"] = Page(b"PUT", pages.control_rolling_update, JSON, asks=True)
-            paths[b"/fleet/hold"] = Page(b"PUT", pages.acquire_lease, JSON, asks=True)
-            paths[b"/fleet/zone"] = Page(b"PUT", pages.direct_zone, JSON, asks=True)
-            paths[b"/fleet/give"] = Page(b"PUT", pages.release_lease, JSON, asks=True)
+            paths[b"/fleet/replace"] = Page(b"PUT", pages.control_rolling_update, JSON, takes_query=True)
+            paths[b"/fleet/hold"] = Page(b"PUT", pages.acquire_lease, JSON, takes_query=True)
+            paths[b"/fleet/zone"] = Page(b"PUT", pages.direct_zone, JSON, takes_query=True)
+            paths[b"/fleet/give"] = Page(b"PUT", pages.release_lease, JSON, takes_query=True)
         return paths
 
-    def ready(self) -> tuple[int, bytes]:
+    def ready(self) -> PageResponse:
         """Whether this process takes clients."""
-        return 200 if self.life.serving else 503, self.life.stage.value.encode() + b"\n"
+        return PageResponse(200 if self.life.serving else 503, self.life.stage.value.encode() + b"\n")
 
-    def figures(self) -> tuple[int, bytes]:
+    def figures(self) -> PageResponse:
         """The counters, and what holds now."""
-        draining = sum(state != State.READY for state in self.roster.states.values())
+        draining = sum(state != State.READY for state in self.server_registry.states.values())
         avoided = draining + int(self.balancer.stats()["ejected"])
-        return 200, self.counters.text(len(self.requests.by_caller), len(self.roster.states), avoided)
+        body = self.counters.render(len(self.requests.by_client), len(self.server_registry.states), avoided)
+        return PageResponse(200, body)
 
-    def take_out(self) -> tuple[int, bytes]:
+    def take_out(self) -> PageResponse:
         """Empties the node; it runs on."""
-        self.life.take_out()
-        self.callers.leave()
-        return 200, self.life.stage.value.encode() + b"\n"
+        self.life.take_out_of_service()
+        self.client_connections.start_draining()
+        return PageResponse(200, self.life.stage.value.encode() + b"\n")
 
-    def take_back(self) -> tuple[int, bytes]:
+    def take_back(self) -> PageResponse:
         """Takes clients again. A node that ends has no way back."""
-        return 200 if self.life.take_back() else 409, self.life.stage.value.encode() + b"\n"
+        status = 200 if self.life.return_to_service() else 409
+        return PageResponse(status, self.life.stage.value.encode() + b"\n")
 
     async def drain(self) -> None:
         """Answers what has been taken, and ends."""
-        self.life.end()
+        self.life.shut_down()
         longest = max(c.deadline for c in self.config.settings.classes)
-        grace = min(longest, LONGEST) + LAST
-        self.requests.answer_by(self.turns.now() + grace)
+        grace = min(longest, MAX_SHUTDOWN_DEADLINE_US) + SHUTDOWN_GRACE_US
+        self.requests.limit_deadlines(self.event_queue.now() + grace)
         self.peers.close()
         if self.fleet is not None:
             self.fleet.leave()
-        await self.callers.drain(grace / 1e6)
+        await self.client_connections.drain(grace / 1e6)
         if self.reloading is not None:
             self.reloading.cancel()
         self.discovery.close()
@@ -270,45 +295,51 @@
 
     # ---- events ---------------------------------------------------------------------------------------
 
-    def heard(self, peer: int, data: bytes) -> None:
+    def on_peer_message(self, peer: int, data: bytes) -> None:
         """A peer's message."""
-        self.turns.post(self.balancer.peer_message, peer, data)
+        self.event_queue.post(self.balancer.peer_message, peer, data)
 
-    def tried(self, server: int, well: bool) -> None:
+    def on_probe_result(self, server: int, well: bool) -> None:
         """Another node of the fleet has tried a server."""
-        self.turns.post(self.balancer.trial_result, server, well)
+        self.event_queue.post(self.balancer.trial_result, server, well)
 
-    def spread(self, shares: dict[int, float], trips: dict[int, int]) -> None:
+    def on_shares(self, shares: dict[int, float], trips: dict[int, int]) -> None:
         """The fleet's word on how calls go to the zones."""
-        self.turns.post(self.balancer.zone_shares, shares, trips)
+        self.event_queue.post(self.balancer.zone_shares, shares, trips)
 
-    def failed(self, event: Event, args: tuple[Any, ...]) -> None:
+    def on_event_failed(self, event: Event, args: tuple[Any, ...]) -> None:
         """The module has failed over an event: a request that it was about gets an answer all the same."""
         if event in (self.balancer.request, self.balancer.outcome):
-            self.requests.conclude(args[0], 500)
+            self.requests.respond(args[0], 500)
 
     # ---- Actions --------------------------------------------------------------------------------------
 
     def check_health(self, server: int) -> None:
         """Asks a server for its load report, or whether it is well where there are no reports."""
         endpoint = self.pool.endpoints.get(server)
-        began = self.turns.now()
+        began = self.event_queue.now()
         path = b"/status/load" if self.config.report_names else b"/health"
 
-        def done(outcome: Outcome, answer: Answer | None) -> None:
-            ok = answer is not None and answer.status == 200
-            report = self.requests.report(answer.body or answer.report) if answer is not None and ok else ()
-            self.turns.post(self.balancer.health_checked, server, ok, self.turns.now() - began, report)
+        def done(outcome: Outcome, response: Response | None) -> None:
+            ok = response is not None and response.status == 200
+            report = (
+                self.requests.parse_report(response.body or response.report)
+                if response is not None and ok
+                else ()
+            )
+            self.event_queue.post(
+                self.balancer.health_checked, server, ok, self.event_queue.now() - began, report
+            )
 
         if endpoint is None or not endpoint.ready:
-            self.turns.post(self.balancer.health_checked, server, False, 0, ())
+            self.event_queue.post(self.balancer.health_checked, server, False, 0, ())
             return
         request = b"GET %b HTTP/1.1\r\nHost: %b:%d\r\n\r\n" % (path, endpoint.host.encode(), endpoint.port)
         Exchange(self.pool, endpoint, lambda: request, done).start(self.config.connect_timeout)
 
     def set_timer(self, delay: int, token: int) -> None:
         """Hands `token` back after `delay`."""
-        self.loop.call_later(max(0, delay) / 1e6, self.turns.post, self.balancer.timer, token)
+        self.loop.call_later(max(0, delay) / 1e6, self.event_queue.post, self.balancer.timer, token)
 
     def send_to_peer(self, peer: int, data: bytes) -> None:
         """Sends a message to a peer, or to all."""
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,8 +15,8 @@
 import uvloop
 
 from balancer.net.config import read
-from balancer.net.connection import Connection
 from balancer.net.node import Node
+from balancer.net.upstream.connection import Connection
 
 PATIENCE = 20.0  # seconds; only a failure waits so long
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -221,8 +221,8 @@
         }
         self.node = Node(read(table | self.config), asyncio.get_running_loop())
         await self.node.start()
-        assert self.node.callers.listener.socket is not None
-        self.port = self.node.callers.listener.socket.getsockname()[1]
+        assert self.node.client_connections.listener.socket is not None
+        self.port = self.node.client_connections.listener.socket.getsockname()[1]
         return self
 
     async def client(self) -> Client:
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -4,8 +4,8 @@
 from prometheus_client.parser import text_string_to_metric_families
 from test_management import OPERATED, operate
 
-from balancer.net.counters import Counters
-from balancer.net.roster import number_of
+from balancer.net.discovery.registry import server_number
+from balancer.net.process.counters import Counters
 
 FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 BROKEN = b"HTTP/1.1 500 Oops\r\nContent-Length: 4\r\n\r\noops"
@@ -56,7 +56,7 @@
         assert ended == {"view/answered": 1, "invite/errored": 1, "offer/deferred": 1}
         assert (found["lb_sends"], found["lb_current"]) == (4, 1)
         open_one.writer.close()
-        await until(lambda: not bench.node.requests.by_caller)
+        await until(lambda: not bench.node.requests.by_client)
         assert (await figures(bench))["lb_current"] == 0
 
     play(scene)
@@ -68,7 +68,7 @@
         (first := await bench.client()).send(call())
         await until(lambda: len(server.requests) == 1)
         assert (await bench.once(call()))[0] == 503
-        assert bench.node.counters.ended[0]["deferred"] == 1
+        assert bench.node.counters.finished[0]["deferred"] == 1
         first.writer.close()
 
     play(scene)
@@ -95,7 +95,7 @@
         await until(lambda: bench.node.discovery.version == 43)
         found = await figures(bench)
         assert (found["lb_cluster_size"], found["lb_cluster_unhealthy"]) == (5, 1)
-        staying = number_of("s3")
+        staying = server_number("s3")
         server = next(s for s in bench.node.balancer.subset.members if s.id != staying)
         bench.node.balancer.ejection.eject(0, server, silent=True)
         assert (await figures(bench))["lb_cluster_unhealthy"] == 2
@@ -109,5 +109,5 @@
 
 def test_a_class_with_an_odd_name_is_still_read():
     counters = Counters(['a"b\\c\nd'])
-    counters.end(0, 200)
-    assert read(counters.text(0, 0, 0))['a"b\\c\nd/answered'] == 1
+    counters.count_finished(0, 200)
+    assert read(counters.render(0, 0, 0))['a"b\\c\nd/answered'] == 1
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,11 +22,11 @@
 )
 
 from balancer.net import node as node_module
-from balancer.net.caller import Caller
-from balancer.net.passing import WHOLE
+from balancer.net.downstream.client_connection import ClientConnection
+from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
 from balancer.policy.interface import Outcome
 
-LONG = bytes(4 * WHOLE)
+LONG = bytes(4 * MAX_BUFFERED_BYTES)
 FLOWS = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(LONG), LONG)
 
 
@@ -39,7 +39,7 @@
     async def scene():
         bench = await Bench(server := Server(always(FLOWS))).start()
         passed = 0
-        piece = Caller.piece
+        piece = ClientConnection.write_stream
 
         def last_fills(caller, data):
             nonlocal passed
@@ -48,10 +48,10 @@
             if passed == len(LONG):
                 caller.pause_writing()  # as the transport does within this very write
 
-        monkeypatch.setattr(Caller, "piece", last_fills)
+        monkeypatch.setattr(ClientConnection, "write_stream", last_fills)
         client = await bench.client()
         assert (await client.ask(call()))[2] == LONG
-        (caller,) = bench.node.callers.callers
+        (caller,) = bench.node.client_connections.connections
         caller.resume_writing()
         server.handle = always(OK)
         assert (await client.ask(call("invite", budget=5000)))[0] == 200
@@ -69,19 +69,21 @@
         bench = await Bench(Server(gated(release)), Server(gated(release))).start()
         pool = bench.node.pool
         outcomes = record_outcomes(bench)
-        pool.budget.resize(40, 40)
-        pool.budget.server(pool.budget.for_servers() - 1)  # one place is left
+        pool.descriptor_budget.resize(40, 40)
+        pool.descriptor_budget.servers += pool.descriptor_budget.max_servers() - 1  # one place is left
         clients = [await bench.client() for _ in range(count)]
-        await until(lambda: len([c for c in bench.node.callers.callers if c.transport]) == count)
-        for caller in list(bench.node.callers.callers):
+        await until(
+            lambda: len([c for c in bench.node.client_connections.connections if c.transport]) == count
+        )
+        for caller in list(bench.node.client_connections.connections):
             data = call("view")
-            bench.node.room.buffer[: len(data)] = data
+            bench.node.memory_budget.read_buffer[: len(data)] = data
             caller.buffer_updated(len(data))
-        assert pool.budget.servers <= pool.budget.for_servers()
+        assert pool.descriptor_budget.servers <= pool.descriptor_budget.max_servers()
         release.set()
         for client in clients:
             await client.receive()
-        assert Outcome.CONNECT_FAILED in outcomes and pool.dialled == 1
+        assert Outcome.CONNECT_FAILED in outcomes and pool.opened_count == 1
 
     play(scene)
 
@@ -115,7 +117,7 @@
 
 def test_a_configuration_that_stays_unreadable_is_given_up_with_a_line(tmp_path, monkeypatch, capsys):
     async def scene():
-        monkeypatch.setattr(node_module, "RELOAD_AGAIN", 0.0)
+        monkeypatch.setattr(node_module, "RELOAD_RETRY_S", 0.0)
         bench = await Bench(Server()).start()
         address = bench.node.discovery.address
         bench.node.reload({"LB_CONFIG": str(tmp_path / "none.json")})
@@ -150,7 +152,7 @@
         await until(lambda: bench.node.discovery.version == 52)
         assert await served(bench) == {"s1"}
         await until(lambda: len(told.requests) == 4 + 2 * between)
-        assert bench.node.discovery.fetching is None
+        assert bench.node.discovery.fetch_call is None
 
     play(scene)
     lines = [line for line in capsys.readouterr().err.splitlines() if "older than the list" in line]
@@ -182,18 +184,18 @@
         told.say(50, True, *(s.entry(f"s{i}") for i, s in enumerate(bench.servers)))
         told.say(2, False)
         told.say(2, False)
-        await until(lambda: node.discovery.fetching is not None and node.discovery.watching is not None)
+        await until(lambda: node.discovery.fetch_call is not None and node.discovery.watch_call is not None)
         whole = json.dumps({"version": 2, "full": True, "servers": [stays.entry("s1")]}).encode()
         change = json.dumps({"version": 3, "full": False, "servers": []}).encode()
-        fetching, watching = node.discovery.fetching, node.discovery.watching
+        fetching, watching = node.discovery.fetch_call, node.discovery.watch_call
         assert fetching is not None and watching is not None
         if order == "a change first":
-            node.discovery.watched(watching, change)
-            node.discovery.fetched(fetching, whole)
-            node.discovery.watched(node.discovery.watching, change)
+            node.discovery.on_watch_response(watching, change)
+            node.discovery.on_fetch_response(fetching, whole)
+            node.discovery.on_watch_response(node.discovery.watch_call, change)
         else:
-            node.discovery.fetched(fetching, whole)
-            node.discovery.watched(watching, change)
+            node.discovery.on_fetch_response(fetching, whole)
+            node.discovery.on_watch_response(watching, change)
         assert await served(bench) == {"s1"} and node.discovery.version == 3
 
     play(scene)
@@ -214,17 +216,17 @@
         client.setblocking(False)
         client.send(call())
         await until(lambda: len(server.requests) == 1)
-        (request,) = node.requests.open.values()
-        caller = request.caller
+        (request,) = node.requests.pending.values()
+        caller = request.client
         assert caller is not None
         if leaving:
             drain = asyncio.create_task(node.drain())
-            await until(lambda: node.callers.emptying)
+            await until(lambda: node.client_connections.is_draining)
         half = len(call()) // 2
         client.send(call()[:half])
         if read:
             await until(lambda: caller.partial is not None)
-        node.requests.conclude(request.id, 504)
+        node.requests.respond(request.id, 504)
         server.handle = always(OK)
         client.send(call()[half:])
         answers = b""
@@ -246,17 +248,17 @@
     """Failure prevented: at SIGTERM all room is taken, and who waits in the queue is reset by the close."""
 
     async def scene():
-        monkeypatch.setattr("balancer.net.callers.TAKING", 0.0)
+        monkeypatch.setattr("balancer.net.downstream.client_connections.ACCEPT_AFTER_TERM_S", 0.0)
         bench = await Bench(Server()).start()
-        listener = bench.node.callers.listener
-        room, listener.room = listener.room, lambda: False
-        listener.look()
+        listener = bench.node.client_connections.listener
+        room, listener.has_capacity = listener.has_capacity, lambda: False
+        listener.update()
         client = await bench.client()  # the system has taken it, the node has not
         client.send(call())
         drain = asyncio.create_task(bench.node.drain())
-        await until(lambda: bench.node.callers.emptying)
+        await until(lambda: bench.node.client_connections.is_draining)
         listener.stop()
-        listener.room = room
+        listener.has_capacity = room
         assert (await client.receive())[0] == 200
         assert await client.ended()
         client.writer.close()
@@ -275,9 +277,9 @@
         bench = await Bench(server := Server(gated(release))).start()
         client = await bench.client()
         client.send(call() + call(budget=15000))
-        await until(lambda: any(c.waiting for c in bench.node.callers.callers))
-        (caller,) = bench.node.callers.callers
-        caller.waiting[0].came -= waited
+        await until(lambda: any(c.pipelined for c in bench.node.client_connections.connections))
+        (caller,) = bench.node.client_connections.connections
+        caller.pipelined[0].received_at -= waited
         release.set()
         assert (await client.receive())[0] == 200
         status = (await client.receive())[0]
@@ -294,13 +296,15 @@
         bench = await Bench(server := Server(always(None))).start()
         node = bench.node
         client = await bench.client()
-        size = 2 * WHOLE
+        size = 2 * MAX_BUFFERED_BYTES
         data = call("offer", budget=600_000).partition(b"Content-Length")[0]
         client.send(data + b"Content-Length: %d\r\n\r\n" % size + bytes(size - 1))
         await until(
-            lambda: any(r.message.upload and r.message.upload.spent for r in node.requests.open.values())
+            lambda: any(
+                r.message.upload and r.message.upload.is_discarded for r in node.requests.pending.values()
+            )
         )
-        (request,) = node.requests.open.values()
+        (request,) = node.requests.pending.values()
         if order == "whole first":
             client.send(b"x")
             await until(lambda: len(server.requests) == 1 and request.guard is not None)
@@ -334,12 +338,12 @@
         told, node = bench.discovery, bench.node
         told.say(50, True, server.entry("s0"))
         await until(lambda: node.discovery.version == 50 and len(told.requests) == 2)
-        watch = node.discovery.watching
+        watch = node.discovery.watch_call
         assert watch is not None
         for data in [answer] if at == "once" else [answer[i : i + 1] for i in range(len(answer))]:
-            if not watch.over:
+            if not watch.ended:
                 watch.data_received(data)
-        if not watch.over:  # the rest never comes: its time runs out
+        if not watch.ended:  # the rest never comes: its time runs out
             watch.fail()
         watch.data_received(answer)  # and comes late
         assert watch.transport is None and node.discovery.version == 50 and await served(bench) == {"s0"}
@@ -368,12 +372,12 @@
         await (second := Discovery()).start()
         if watch != "connecting":
             await until(lambda: len(told.requests) == 1)
-        old = discovery.watching
+        old = discovery.watch_call
         assert old is not None
         if watch == "between two":
             discovery.watch(False)
         for _ in range(times):
-            discovery.move(("127.0.0.1", second.port))
+            discovery.change_address(("127.0.0.1", second.port))
         listing = json.dumps({"version": 99, "full": True, "servers": []}).encode()
         old.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(listing), listing))
         discovery.watch(True)
@@ -396,18 +400,18 @@
         bench = await Bench(server := Server(), discovery=mode).start()
         node, told, timers = bench.node, bench.discovery, []
         node.set_timer = lambda delay, token: timers.append(token)
-        node.roster.loop = SimpleNamespace(call_later=lambda delay, *call: timers.append(call))
+        node.server_registry.loop = SimpleNamespace(call_later=lambda delay, *call: timers.append(call))
         await (second := Discovery()).start()
         await until(lambda: len(told.requests) == 1)
         there = ("127.0.0.1", second.port)
         if order == "move first":
-            node.discovery.move(there)
+            node.discovery.change_address(there)
             told.answers.put_nowait(None)
             await until(lambda: told.closed == 1)
         else:
             told.answers.put_nowait(None)
             await until(lambda: len(timers) == 1)
-            node.discovery.move(there)
+            node.discovery.change_address(there)
         await until(lambda: len(second.requests) == 1)
         second.say(60, False, server.entry("s0", "draining"))
         await until(lambda: node.discovery.version == 60 and len(second.requests) == 2)
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -23,7 +23,7 @@
     until,
 )
 
-from balancer.net.connection import Connection
+from balancer.net.upstream.connection import Connection
 from balancer.policy.interface import Outcome
 
 FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
@@ -40,7 +40,7 @@
 def counted_once(bench: Bench) -> bool:
     """Whether the connections that are counted are those that stand idle."""
     idle = [c for e in bench.node.pool.endpoints.values() for c in e.idle]
-    return bench.node.budget.servers == len(idle) and all(c.counted for c in idle)
+    return bench.node.descriptor_budget.servers == len(idle) and all(c.is_counted for c in idle)
 
 
 # ---- has it run? ----------------------------------------------------------------------------------
@@ -69,9 +69,11 @@
         client.send(data)
         connection, _ = await asyncio.get_running_loop().sock_accept(listener)
         connection.setblocking(False)
-        await until(lambda: any(r.out and r.out.connection for r in bench.node.requests.open.values()))
-        (request,) = bench.node.requests.open.values()
-        exchange = request.out
+        await until(
+            lambda: any(r.exchange and r.exchange.connection for r in bench.node.requests.pending.values())
+        )
+        (request,) = bench.node.requests.pending.values()
+        exchange = request.exchange
         assert exchange is not None
         got = b""
         goal = {"nothing": 0, "a part": size // 2, "all": size + data.index(b"\r\n\r\n")}[taken]
@@ -82,9 +84,9 @@
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             connection.close()
         elif end == "time-out":
-            exchange.expire()
+            exchange.on_timeout()
         else:
-            exchange.stop(Outcome.CANCELLED)
+            exchange.abort(Outcome.CANCELLED)
         listener.close()
         await until(lambda: bool(outcomes))
         if outcomes[0] == Outcome.CONNECT_FAILED:
@@ -142,7 +144,7 @@
         serving = asyncio.ensure_future(serve())
         assert (await bench.once(call("invite")))[0] == 200
         connection = await serving
-        await until(lambda: counted_once(bench) and bench.node.budget.servers == 1)
+        await until(lambda: counted_once(bench) and bench.node.descriptor_budget.servers == 1)
 
         def end() -> None:
             if how == "bytes":
@@ -154,7 +156,7 @@
                 connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, on)
                 connection.close()
 
-        look = Connection.spoken_to
+        look = Connection.has_unread_data
 
         def looked(connection: Connection) -> bool:
             if order == "before the look":
@@ -164,7 +166,7 @@
                 end()
             return seen
 
-        monkeypatch.setattr(Connection, "spoken_to", looked)
+        monkeypatch.setattr(Connection, "has_unread_data", looked)
         outcomes = record_outcomes(bench)
         serving = asyncio.ensure_future(serve())
         status = (await bench.once(call("invite")))[0]
@@ -218,7 +220,7 @@
         for count in (1, 2):
             status, _, body = await bench.once(call("invite"))
             assert (status, body, server.connections) == (200, b"ok", count)
-        await until(lambda: bench.node.budget.servers == 0)
+        await until(lambda: bench.node.descriptor_budget.servers == 0)
 
     play(scene)
 
@@ -246,13 +248,13 @@
         requests = bench.node.requests
 
         def then() -> None:
-            (request,) = requests.open.values()
-            if request.out is not None:
-                request.out.stop(outcome)
+            (request,) = requests.pending.values()
+            if request.exchange is not None:
+                request.exchange.abort(outcome)
 
         bench.node.pool.loop = Crossed(asyncio.get_running_loop(), then)
         asked = asyncio.ensure_future(bench.once(call("invite")))
-        await until(lambda: server.connections == 1 and not requests.by_caller or asked.done())
+        await until(lambda: server.connections == 1 and not requests.by_client or asked.done())
         bench.node.pool.loop = asyncio.get_running_loop()
         assert (await bench.once(call("invite")))[0] == 200
         assert len(server.requests) == 1
@@ -276,7 +278,7 @@
         await bench.once(call("invite"))
         assert set(outcomes) == {Outcome.CONNECT_FAILED}
         await until(lambda: server.closed == server.connections == len(outcomes))
-        assert bench.node.budget.servers == 0 and not server.requests
+        assert bench.node.descriptor_budget.servers == 0 and not server.requests
 
     play(scene)
 
@@ -287,16 +289,16 @@
     async def scene():
         bench = await Bench(Server(), policy_limits={"max_attempts": 1}).start()
         client = await bench.client()
-        await until(lambda: all(c.transport for c in bench.node.callers.callers))
-        (caller,) = bench.node.callers.callers
+        await until(lambda: all(c.transport for c in bench.node.client_connections.connections))
+        (caller,) = bench.node.client_connections.connections
         data = call()
-        bench.node.room.buffer[: len(data)] = data
+        bench.node.memory_budget.read_buffer[: len(data)] = data
         caller.buffer_updated(len(data))
-        (request,) = bench.node.requests.open.values()
-        assert request.out is not None and bench.node.budget.servers == 1
-        request.out.stop(Outcome.TIMEOUT)
+        (request,) = bench.node.requests.pending.values()
+        assert request.exchange is not None and bench.node.descriptor_budget.servers == 1
+        request.exchange.abort(Outcome.TIMEOUT)
         await client.receive()
-        await until(lambda: bench.node.budget.servers == 0)
+        await until(lambda: bench.node.descriptor_budget.servers == 0)
 
     play(scene)
 
@@ -348,7 +350,7 @@
         send = node.balancer.actions.send
 
         def gone_first(request, server, timeout):
-            if node.requests.open[request].attempts == 1:
+            if node.requests.pending[request].attempts == 1:
                 node.pool.endpoints[server].retire()
             send(request, server, timeout)
 
@@ -395,8 +397,8 @@
         outcomes = record_outcomes(bench)
         assert (await bench.once(call("invite")))[0] == 502
         assert outcomes == [Outcome.RESET]
-        await until(lambda: bench.node.budget.servers == 0)
-        assert bench.node.room.held == 0 and not bench.node.requests.open
+        await until(lambda: bench.node.descriptor_budget.servers == 0)
+        assert bench.node.memory_budget.held_bytes == 0 and not bench.node.requests.pending
 
     play(scene)
 
@@ -423,7 +425,7 @@
         status, headers, _ = await client.receive()
         assert status == 431 and headers["connection"] == "close"
         client.writer.close()
-        await until(lambda: not bench.node.callers.callers)
-        assert not server.requests and bench.node.room.held == 0
+        await until(lambda: not bench.node.client_connections.connections)
+        assert not server.requests and bench.node.memory_budget.held_bytes == 0
 
     play(scene)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -124,7 +124,7 @@
         two = await Bench(config=table(ports[1], []), peers=False).start()
         await until(lambda: bool(fleet_of(one).membership.alive() and fleet_of(two).membership.alive()))
         fleet_of(one).datagram_received(b"x" * 100, ("127.0.0.1", 9))
-        page = json.loads(one.node.paths()[b"/fleet"].act()[1])
+        page = json.loads(one.node.paths()[b"/fleet"].handler()[1])
         assert page["refused"] == {"version": 1} and page["events"]["join"] == 1
         assert [(m["name"], m["state"]) for m in page["members"]] == [(f"n{ports[1]}", "alive")]
         fleet_of(two).leave()
@@ -148,7 +148,7 @@
         second.node.handover.shared = True
         await second.node.open_fleet()
         assert fleet_of(second).transport is None
-        first.node.handover.elder = True
+        first.node.handover.is_older = True
         first.node.share(True)
         await until(lambda: fleet_of(second).swim is not None)
         assert fleet_of(second).membership.me.incarnation > fleet_of(first).membership.me.incarnation
@@ -195,9 +195,9 @@
             (b"/fleet/zone", b"do=leave&zone=here&for_s=5", 200),
             (b"/fleet/zone", b"do=return&zone=here", 200),
         ):
-            assert bench.node.paths()[path].act(query)[0] == status, (path, query)
+            assert bench.node.paths()[path].handler(query)[0] == status, (path, query)
         fleet.close()
         for path in (b"/fleet/replace", b"/fleet/zone"):
-            assert bench.node.paths()[path].act(b"do=begin")[0] == 503
+            assert bench.node.paths()[path].handler(b"do=begin")[0] == 503
 
     play(scene)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -11,8 +11,8 @@
 import pytest
 from loopback import OK, Bench, Late, Server, always, call, gated, play, until
 
-from balancer.net import caller as node_caller
-from balancer.net.passing import WHOLE
+from balancer.net.downstream import client_connection as node_caller
+from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
 from balancer.policy.gradient import GradientController
 from balancer.policy.interface import Outcome
 
@@ -22,7 +22,7 @@
 EVERYWHERE = pytest.mark.parametrize(
     "where", [{}, FORBIDDEN, LATER], ids=["usual", "no cancel", "later tier"]
 )
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (WHOLE, bytes(WHOLE))
+ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (MAX_BUFFERED_BYTES, bytes(MAX_BUFFERED_BYTES))
 REJECTED = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 
 
@@ -39,30 +39,30 @@
 
 
 async def only_caller(bench: Bench):
-    await until(lambda: len(bench.node.callers.callers) == 1)
-    return next(iter(bench.node.callers.callers))
+    await until(lambda: len(bench.node.client_connections.connections) == 1)
+    return next(iter(bench.node.client_connections.connections))
 
 
 async def full_client(bench: Bench, server: Server):
     """A client that reads nothing, and of whose answers no more can be written."""
     client = Leaver(bench)
     caller = await only_caller(bench)
-    while not caller.full:
+    while not caller.write_blocked:
         client.socket.sendall(call())
         sent = len(server.requests) + 1
-        await until(lambda sent=sent: len(server.requests) == sent and caller.open is None)
+        await until(lambda sent=sent: len(server.requests) == sent and caller.current is None)
     return client, caller
 
 
 async def nothing_came(bench: Bench, *sent: tuple[Server, int]) -> None:
     """So many requests came, one more of a client that stays does, and nothing is left over."""
     node = bench.node
-    await until(lambda: not node.callers.callers and not node.requests.by_caller)
+    await until(lambda: not node.client_connections.connections and not node.requests.by_client)
     assert (await bench.once(call()))[0] == 200
-    await until(lambda: not node.callers.callers and not node.requests.open)
+    await until(lambda: not node.client_connections.connections and not node.requests.pending)
     assert sum(len(s.requests) for s, _ in sent) == sum(n for _, n in sent) + 1
-    assert node.budget.clients == 0 and node.room.held == 0
-    assert node.budget.servers == sum(len(e.idle) for e in node.pool.endpoints.values())
+    assert node.descriptor_budget.clients == 0 and node.memory_budget.held_bytes == 0
+    assert node.descriptor_budget.servers == sum(len(e.idle) for e in node.pool.endpoints.values())
 
 
 @HOW
@@ -79,12 +79,12 @@
         client.socket.sendall(call() * ahead)
         await until(lambda: len(server.requests) == 1)
         caller = await only_caller(bench)
-        await until(lambda: len(caller.waiting) == ahead - 1)
+        await until(lambda: len(caller.pipelined) == ahead - 1)
         client.go(how)
         if order == "seen":
-            await until(lambda: caller.lost)
+            await until(lambda: caller.is_gone)
         elif order == "sweep first":
-            bench.node.callers.sweep()
+            bench.node.client_connections.sweep()
         release.set()
         await nothing_came(bench, (server, 1))
 
@@ -104,7 +104,7 @@
         caller = await only_caller(bench)
         await until(lambda: len(server.requests) == 1)
         client.go(how)
-        await until(lambda: caller.lost)
+        await until(lambda: caller.is_gone)
         release.set()
         await nothing_came(bench, (server, 1))
 
@@ -120,17 +120,17 @@
         release = asyncio.Event()
         server.handle = gated(release)
         client.send(call() * 5000)
-        await until(lambda: any(c.deaf for c in bench.node.callers.callers))
+        await until(lambda: any(c.reading_stopped for c in bench.node.client_connections.connections))
         release.set()
         statuses = []
         while not statuses or statuses[-1] == 200:
             status, headers, _ = await client.receive()
             statuses.append(status)
         assert status == 503 and headers["connection"] == "close" and float(headers["retry-after"]) > 0
-        assert len(server.requests) == len(statuses) - 1 >= node_caller.PIPELINED
+        assert len(server.requests) == len(statuses) - 1 >= node_caller.MAX_PIPELINED_REQUESTS
         client.writer.close()
-        await until(lambda: not bench.node.callers.callers)
-        assert bench.node.room.held == 0
+        await until(lambda: not bench.node.client_connections.connections)
+        assert bench.node.memory_budget.held_bytes == 0
 
     play(scene)
 
@@ -142,9 +142,9 @@
         bench = await Bench(server := Server(always(ANSWER))).start()
         client, caller = await full_client(bench, server)
         client.socket.sendall(call() * 3)
-        await until(lambda: len(caller.waiting) == 3)
+        await until(lambda: len(caller.pipelined) == 3)
         client.socket.shutdown(socket.SHUT_WR)
-        await until(lambda: caller.lost)
+        await until(lambda: caller.is_gone)
         count = len(server.requests)
         client.socket.setblocking(False)
         read = 0
@@ -161,13 +161,13 @@
     """Failure prevented: a transport that closes itself waits for such a client without end."""
 
     async def scene():
-        monkeypatch.setattr(node_caller, "UNREAD", 0.0)
-        monkeypatch.setattr(node_caller, "LINGER", 0.0)
+        monkeypatch.setattr(node_caller, "UNREAD_TIMEOUT_S", 0.0)
+        monkeypatch.setattr(node_caller, "LINGER_S", 0.0)
         bench = await Bench(server := Server(always(ANSWER))).start()
         client, caller = await full_client(bench, server)
         client.socket.shutdown(socket.SHUT_WR)
-        await until(lambda: not bench.node.callers.callers)
-        assert bench.node.budget.clients == 0 and bench.node.room.held == 0
+        await until(lambda: not bench.node.client_connections.connections)
+        assert bench.node.descriptor_budget.clients == 0 and bench.node.memory_budget.held_bytes == 0
 
     play(scene)
 
@@ -187,12 +187,12 @@
         client.socket.sendall(call())
         await until(lambda: len(server.requests) + len(other.requests) == 1)
         caller = await only_caller(bench)
-        (request,) = bench.node.requests.open.values()
+        (request,) = bench.node.requests.pending.values()
         client.go(how)
         if order == "seen":
-            await until(lambda: caller.lost)
-        if request.out is not None:
-            request.out.stop(failure)
+            await until(lambda: caller.is_gone)
+        if request.exchange is not None:
+            request.exchange.abort(failure)
         release.set()
         await nothing_came(bench, (server, 1), (other, 0))
 
@@ -217,7 +217,7 @@
         await until(lambda: sum(len(s.requests) for s in servers) == 1)
         client.go(how)
         release.set()
-        await until(lambda: not bench.node.callers.callers and not bench.node.requests.open)
+        await until(lambda: not bench.node.client_connections.connections and not bench.node.requests.pending)
         for server in servers:
             server.handle = always(OK)
         await nothing_came(bench, (servers[0], 1), (servers[1], 0))
@@ -239,7 +239,7 @@
         caller = await only_caller(bench)
         client.go(how)
         if order == "seen":
-            await until(lambda: caller.lost)
+            await until(lambda: caller.is_gone)
         late.up.set()
         await nothing_came(bench, (server, 0))
 
@@ -255,7 +255,7 @@
         bench = await Bench(server := Server(), **LATER).start()
         balancer = bench.node.balancer
         assert (await bench.once(call()))[0] == 200
-        await until(lambda: not bench.node.callers.callers)
+        await until(lambda: not bench.node.client_connections.connections)
         admits = GradientController.admits
         monkeypatch.setattr(GradientController, "admits", lambda self, now, spare: False)
         client = Leaver(bench)
@@ -264,9 +264,9 @@
         caller = await only_caller(bench)
         client.go(how)
         if order == "seen":
-            await until(lambda: caller.lost)
+            await until(lambda: caller.is_gone)
         monkeypatch.setattr(GradientController, "admits", admits)
-        balancer.lifecycle.serve_queue(bench.node.turns.now())
+        balancer.lifecycle.serve_queue(bench.node.event_queue.now())
         await nothing_came(bench, (server, 1))
 
     play(scene)
@@ -278,14 +278,14 @@
 
     async def scene():
         bench = await Bench(server := Server()).start()
-        listener = bench.node.callers.listener
-        room, listener.room = listener.room, lambda: False
-        listener.look()
+        listener = bench.node.client_connections.listener
+        room, listener.has_capacity = listener.has_capacity, lambda: False
+        listener.update()
         client = Leaver(bench)
         client.socket.sendall(call())
         client.go(how)
-        listener.room = room
-        listener.look()
+        listener.has_capacity = room
+        listener.update()
         await nothing_came(bench, (server, 0))
 
     play(scene)
@@ -294,7 +294,13 @@
 @HOW
 @pytest.mark.parametrize(
     ("order", "size"),
-    [("seen", 10), ("seen", WHOLE), ("up first", 10), ("up first", WHOLE), ("up first", 4 * WHOLE)],
+    [
+        ("seen", 10),
+        ("seen", MAX_BUFFERED_BYTES),
+        ("up first", 10),
+        ("up first", MAX_BUFFERED_BYTES),
+        ("up first", 4 * MAX_BUFFERED_BYTES),
+    ],
 )
 def test_for_its_own_body(how, order, size):
     """A part of the body has come; of a long one so much that nothing more is read before a server takes it.
@@ -310,13 +316,13 @@
         client.socket.sendall(head + b"Content-Length: %d\r\n\r\n" % (size + 1) + bytes(size))
         caller = await only_caller(bench)
         await until(lambda: caller.partial is not None)
-        if size >= WHOLE:
+        if size >= MAX_BUFFERED_BYTES:
             await late.asked.wait()
-            await until(lambda: caller.paused)
+            await until(lambda: caller.reading_paused)
         client.go(how)
         if order == "seen":
-            bench.node.callers.sweep()
-            await until(lambda: caller.lost)
+            bench.node.client_connections.sweep()
+            await until(lambda: caller.is_gone)
         late.up.set()
         await nothing_came(bench, (server, 0))
 
@@ -333,12 +339,12 @@
         client.socket.sendall(call() * 2)
         await until(lambda: len(server.requests) == 1)
         caller = await only_caller(bench)
-        await until(lambda: len(caller.waiting) == 1)
-        (request,) = bench.node.requests.open.values()
+        await until(lambda: len(caller.pipelined) == 1)
+        (request,) = bench.node.requests.pending.values()
         client.go(how)
-        bench.node.requests.conclude(request.id, 504)  # as its guard does
-        assert request.out is not None
-        request.out.stop(Outcome.TIMEOUT)
+        bench.node.requests.respond(request.id, 504)  # as its guard does
+        assert request.exchange is not None
+        request.exchange.abort(Outcome.TIMEOUT)
         server.handle = always(OK)
         await nothing_came(bench, (server, 1))
 
@@ -356,6 +362,6 @@
             assert (await client.receive())[0] == 200
         assert len(server.requests) == 20
         client.writer.close()
-        await until(lambda: not bench.node.callers.callers)
+        await until(lambda: not bench.node.client_connections.connections)
 
     play(scene)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -36,11 +36,11 @@
     until,
 )
 
-from balancer.net import discovery as node_discovery
-from balancer.net.caller import SLOW
 from balancer.net.config import ConfigError, load, read
-from balancer.net.connection import Connection
-from balancer.net.servers import Exchange
+from balancer.net.discovery import client as node_discovery
+from balancer.net.downstream.client_connection import HEAD_TIMEOUT_S
+from balancer.net.upstream.connection import Connection
+from balancer.net.upstream.exchange import Exchange
 from balancer.policy.interface import ListKind, Outcome
 
 FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
@@ -108,22 +108,22 @@
         release = asyncio.Event()
 
         bench = await Bench(server := Server(gated(release))).start()
-        room = bench.node.room
-        room.most = 150_000
+        memory_budget = bench.node.memory_budget
+        memory_budget.max_held_bytes = 150_000
         large = call("invite", body=b"x" * 60000)
         (first := await bench.client()).send(large)
         await until(lambda: len(server.requests) == 1)
         (second := await bench.client()).send(large)
-        await until(lambda: room.held > 120_000)
+        await until(lambda: memory_budget.held_bytes > 120_000)
         status, headers, _ = await bench.once(large)
         assert status == 503 and float(headers["retry-after"]) > 0
         second.writer.transport.abort()
-        await until(lambda: room.held < 120_000)
+        await until(lambda: memory_budget.held_bytes < 120_000)
         first.send(large)  # waits behind its first
-        await until(lambda: room.held > 120_000)
+        await until(lambda: memory_budget.held_bytes > 120_000)
         release.set()
         assert (await first.receive())[0] == 200 and (await first.receive())[0] == 200
-        assert room.held == 0
+        assert memory_budget.held_bytes == 0
 
     play(scene)
 
@@ -254,7 +254,7 @@
             assert len(alive.requests) == outcomes.count(Outcome.OK)
             endpoints = bench.node.pool.endpoints.values()
             idle = sum(len(e.idle) for e in endpoints)
-            assert bench.node.budget.servers == idle  # none is counted for ever
+            assert bench.node.descriptor_budget.servers == idle  # none is counted for ever
 
     play(scene)
 
@@ -308,7 +308,9 @@
         client = await bench.client()
         client.send(call("invite", body=b"x" * 65536))
         connection, _ = await asyncio.get_running_loop().sock_accept(listener)
-        await until(lambda: any(r.out and r.out.connection for r in bench.node.requests.open.values()))
+        await until(
+            lambda: any(r.exchange and r.exchange.connection for r in bench.node.requests.pending.values())
+        )
         listener.close()
         connection.close()
         assert (await client.receive())[0] == 503
@@ -341,7 +343,7 @@
         await until(lambda: len(server.requests) == 2)
         leaving.writer.close()
         await until(lambda: server.closed == 1)
-        assert len(bench.node.requests.open) == 1 and server.connections == 2
+        assert len(bench.node.requests.pending) == 1 and server.connections == 2
 
     play(scene)
 
@@ -376,7 +378,7 @@
         (writer,) = server.writers
         with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as end:
             end.shutdown(socket.SHUT_WR)  # the node's loop has no turn from here on
-            assert bench.node.pool.take(endpoint) is None
+            assert bench.node.pool.acquire(endpoint) is None
         assert (await client.ask(call("invite")))[0] == 200
 
     play(scene)
@@ -406,13 +408,15 @@
         connection = Connection(pool, endpoint)
         await loop.create_connection(lambda: connection, "127.0.0.1", server.port)
         lost = loop.create_future()
-        connection.pool = SimpleNamespace(lost=lost.set_result, room=pool.room)
+        connection.pool = SimpleNamespace(
+            on_connection_lost=lost.set_result, memory_budget=pool.memory_budget
+        )
         connection.close()
         await lost
         outcomes = []
         sent = asyncio.Event()
         exchange = Exchange(pool, endpoint, call, lambda outcome, answer: outcomes.append(outcome), sent.set)
-        exchange.use(connection)
+        exchange.send(connection)
         assert outcomes == [Outcome.CONNECT_FAILED] and not sent.is_set()
 
     play(scene)
@@ -452,7 +456,7 @@
         await until(lambda: len(server.requests) == 1)
         assert float((await bench.once(call()))[1]["retry-after"]) > 0  # by the node
         first.writer.close()
-        await until(lambda: not bench.node.requests.open)
+        await until(lambda: not bench.node.requests.pending)
         bench.node.balancer.controller.in_flight = 1000
         status, headers, _ = await bench.once(call())  # by the module
         assert status == 503 and float(headers["retry-after"]) > 0
@@ -560,7 +564,7 @@
         def request(*args):
             start(*args)  # a connection is being opened; then the news comes
             body = {"version": 43, "full": True, "servers": [staying.entry("s1")]}
-            bench.node.discovery.watched(bench.node.discovery.watching, json.dumps(body).encode())
+            bench.node.discovery.on_watch_response(bench.node.discovery.watch_call, json.dumps(body).encode())
 
         bench.node.balancer.request = request
         assert (await bench.once(call("invite")))[0] == 200
@@ -615,9 +619,9 @@
     """Failure prevented: a call that is never answered is waited for, and the list stays as it was."""
 
     async def scene():
-        monkeypatch.setattr("balancer.net.discovery.CONNECT_TIMEOUT", 0.2)
-        monkeypatch.setattr("balancer.net.discovery.WAIT_MS", 200)
-        monkeypatch.setattr("balancer.net.discovery.ANSWER_TIME", 0.2)
+        monkeypatch.setattr("balancer.net.discovery.call.CONNECT_TIMEOUT_S", 0.2)
+        monkeypatch.setattr("balancer.net.discovery.client.MAX_WATCH_MS", 200)
+        monkeypatch.setattr("balancer.net.discovery.client.RESPONSE_TIMEOUT_S", 0.2)
         rules = settings()["rules"] | {"ask_within": MOMENT}  # asks again soon
         bench = await Bench(old := Server(), rules=rules).start()
         await Server.start(new := Server())
@@ -648,14 +652,14 @@
 
 def test_watches_are_short_and_no_two_nodes_watch_in_step(monkeypatch, patient_watch):
     """Failure prevented: a watch that has fallen silent holds up the list for most of a minute."""
-    monkeypatch.setattr(node_discovery, "WAIT_MS", patient_watch)
+    monkeypatch.setattr(node_discovery, "MAX_WATCH_MS", patient_watch)
 
     def waits(seed):
         calls = []
-        discovery = node_discovery.Discovery(None, ("", 0), 41, None, None, Random(seed))
-        call = SimpleNamespace(ask=lambda path, time: calls.append((int(path.rpartition("=")[2]), time)))
+        discovery = node_discovery.DiscoveryClient(None, ("", 0), 41, None, None, Random(seed))
+        call = SimpleNamespace(get=lambda path, time: calls.append((int(path.rpartition("=")[2]), time)))
         for _ in range(5):
-            discovery.renew(call)
+            discovery.send_watch(call)
         # Given up well before what it should have told counts as told, 2 s after the wait.
         assert all(500 <= wait <= 1000 and wait / 1000 < time < wait / 1000 + 1.5 for wait, time in calls)
         return [wait for wait, _ in calls]
@@ -783,18 +787,18 @@
         bench = await Bench(Server(), config={"limits": {"sockets": 48}}).start()
         bench.node.balancer.request = lambda *args: None  # all stay open
         idle = await bench.client()
-        most = bench.node.callers.most()
+        most = bench.node.client_connections.max_served()
         assert most >= 4  # a small budget too is mostly for clients that are served
         clients = []
         for _ in range(most):
             clients.append(await bench.client())
             clients[-1].send(call("invite"))
-            await until(lambda: len(bench.node.requests.by_caller) == len(clients))
+            await until(lambda: len(bench.node.requests.by_client) == len(clients))
         assert await idle.ended()
         status, headers, _ = await bench.once(call("invite"))
         assert status == 503 and float(headers["retry-after"]) > 0  # or it would be back at once
         clients[0].writer.close()
-        await until(lambda: len(bench.node.callers.callers) < most)
+        await until(lambda: len(bench.node.client_connections.connections) < most)
         assert (await bench.once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
 
     play(scene)
@@ -809,7 +813,7 @@
         assert status == 503 and float(headers["retry-after"]) > 0
         first.writer.close()
         server.handle = always(OK)
-        await until(lambda: not bench.node.requests.open)
+        await until(lambda: not bench.node.requests.pending)
         assert (await bench.once(call()))[0] == 200
 
     play(scene)
@@ -818,10 +822,10 @@
 def test_connects_beyond_the_budget_fail_and_idle_ones_make_room():
     async def scene():
         bench = await Bench(first := Server(), second := Server()).start()
-        bench.node.budget.for_servers = lambda: 1
+        bench.node.descriptor_budget.max_servers = lambda: 1
         while not (first.requests and second.requests):
             assert (await bench.once(call()))[0] == 200
-        bench.node.budget.for_servers = lambda: 0
+        bench.node.descriptor_budget.max_servers = lambda: 0
         for endpoint in bench.node.pool.endpoints.values():
             endpoint.close_idle()
         assert (await bench.once(call("invite")))[0] == 503
@@ -967,16 +971,17 @@
     async def scene():
         release = asyncio.Event()
 
-        monkeypatch.setattr("balancer.net.callers.TAKING", 600.0)  # until the test says so
+        # New ones are taken until the test says so.
+        monkeypatch.setattr("balancer.net.downstream.client_connections.ACCEPT_AFTER_TERM_S", 600.0)
         bench = await Bench(server := Server(gated(release))).start()
-        callers = bench.node.callers
+        callers = bench.node.client_connections
         idle, early = await bench.client(), await bench.client()
         assert (await idle.ask(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
         early.send(call("invite"))
         await until(lambda: len(server.requests) == 1)
         drain = asyncio.create_task(bench.node.drain())
         assert await idle.ended()  # idle ones end while new ones are still taken
-        monkeypatch.setattr("balancer.net.callers.SETTLE", 600.0)
+        monkeypatch.setattr("balancer.net.downstream.client_connections.SETTLE_S", 600.0)
         late = await bench.client()
         late.send(call("invite"))
         await until(lambda: len(server.requests) == 2)
@@ -993,7 +998,7 @@
                 assert (status, body, headers["connection"]) == (200, b"ok", "close")
                 assert await client.ended()
                 client.writer.close()
-            await until(lambda: all(c.deaf for c in callers.callers))
+            await until(lambda: all(c.reading_stopped for c in callers.connections))
             assert waiting.recv(9999).startswith(b"HTTP/1.1 200 ")
         await asyncio.wait_for(drain, 20)
 
@@ -1005,8 +1010,8 @@
 
     async def scene():
         # Nobody here is idle, however slow the machine, and new ones are taken until the test says so.
-        monkeypatch.setattr("balancer.net.callers.TAKING", 600.0)
-        monkeypatch.setattr("balancer.net.callers.SETTLE", 600.0)
+        monkeypatch.setattr("balancer.net.downstream.client_connections.ACCEPT_AFTER_TERM_S", 600.0)
+        monkeypatch.setattr("balancer.net.downstream.client_connections.SETTLE_S", 600.0)
         bench = await Bench(Server()).start()
         answers = 0
         last = 0
@@ -1031,7 +1036,7 @@
         await until(lambda: answers > 200)
         drain = asyncio.create_task(bench.node.drain())
         await until(lambda: last > 200)
-        bench.node.callers.listener.stop()
+        bench.node.client_connections.listener.stop()
         await asyncio.wait_for(asyncio.gather(*crowd, drain), 20)
 
     play(scene)
@@ -1078,11 +1083,11 @@
     async def scene():
         bench = await Bench(Server()).start()
         with socket.create_connection(("127.0.0.1", bench.port)) as client:
-            await until(lambda: any(c.transport for c in bench.node.callers.callers))
-            (caller,) = bench.node.callers.callers
-            assert caller.idle()
+            await until(lambda: any(c.transport for c in bench.node.client_connections.connections))
+            (caller,) = bench.node.client_connections.connections
+            assert caller.is_idle()
             client.send(b"G")  # the node's loop has no turn until the next line
-            assert not caller.idle()
+            assert not caller.is_idle()
 
     play(scene)
 
@@ -1094,11 +1099,11 @@
         bench = await Bench(Server()).start()
         client = await bench.client()
         client.send(b"GET /view HTTP/1.1\r\nX-Call-Id: 1\r\n")
-        await until(lambda: any(c.partial for c in bench.node.callers.callers))
-        (caller,) = bench.node.callers.callers
+        await until(lambda: any(c.partial for c in bench.node.client_connections.connections))
+        (caller,) = bench.node.client_connections.connections
         client.send(b"X-More: 1\r\n")  # it is still at it
-        caller.due -= 1000  # as if it were long ago
-        bench.node.callers.sweep()
+        caller.read_deadline -= 1000  # as if it were long ago
+        bench.node.client_connections.sweep()
         assert (await client.receive())[0] == 408 and await client.ended()
 
     play(scene)
@@ -1106,17 +1111,17 @@
 
 def test_a_peer_that_sends_nothing_is_closed_within_three_seconds_and_a_client_is_kept(monkeypatch):
     """Failure prevented: whoever connects and says nothing holds a descriptor for good."""
-    assert SLOW + SLOW / 8 < 3  # what a peer is owed, counted from its connecting
+    assert HEAD_TIMEOUT_S + HEAD_TIMEOUT_S / 8 < 3  # what a peer is owed, counted from its connecting
 
     async def scene():
         bench = await Bench(Server()).start()
-        callers = bench.node.callers
+        callers = bench.node.client_connections
         kept = await bench.client()
         assert (await kept.ask(call()))[0] == 200
         silent = await bench.client()
-        await until(lambda: len(callers.callers) == 2 and all(c.transport for c in callers.callers))
+        await until(lambda: len(callers.connections) == 2 and all(c.transport for c in callers.connections))
         now = bench.node.loop.time()
-        monkeypatch.setattr(callers, "loop", Clock(bench.node.loop, now + SLOW))
+        monkeypatch.setattr(callers, "loop", Clock(bench.node.loop, now + HEAD_TIMEOUT_S))
         callers.sweep()
         assert await silent.ended()
         assert (await kept.ask(call()))[0] == 200
@@ -1127,7 +1132,7 @@
 def test_now_never_goes_back_and_is_unix_time():
     async def scene():
         bench = await Bench().start()
-        times = [bench.node.turns.now() for _ in range(1000)]
+        times = [bench.node.event_queue.now() for _ in range(1000)]
         assert times == sorted(times)
         assert abs(times[0] - time.time_ns() // 1000) < 60 * MOMENT
 
--- a/tests/test_operator_terms.py
+++ b/tests/test_operator_terms.py
@@ -5,9 +5,9 @@
 import pytest
 from loopback import MOMENT, Bench, Clock, Late, Server, always, call, play, settings, until
 
-from balancer.net import callers as node_callers
-from balancer.net.node import LAST, LONGEST
-from balancer.net.passing import WHOLE
+from balancer.net.downstream import client_connections as node_callers
+from balancer.net.node import MAX_SHUTDOWN_DEADLINE_US, SHUTDOWN_GRACE_US
+from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
 
 KILLED = 0.7  # seconds beyond the longest deadline after which the process may be killed
 
@@ -24,15 +24,17 @@
     """Stops the clocks of the clients' connections and of the requests; both move as the test says."""
     node = bench.node
     clock = Clock(node.loop, node.loop.time())
-    monkeypatch.setattr(node.callers, "loop", clock)
-    start, origin = clock.now, node.turns.now()
-    monkeypatch.setattr(node.turns, "now", lambda: origin + int((clock.now - start) * MOMENT))
+    monkeypatch.setattr(node.client_connections, "loop", clock)
+    start, origin = clock.now, node.event_queue.now()
+    monkeypatch.setattr(node.event_queue, "now", lambda: origin + int((clock.now - start) * MOMENT))
     return clock
 
 
 # ---- the process is killed soon after SIGTERM -----------------------------------------------------------
 
-LONG_HEAD = call("offer").partition(b"Content-Length")[0] + b"Content-Length: %d\r\n\r\n" % (4 * WHOLE)
+LONG_HEAD = call("offer").partition(b"Content-Length")[0] + b"Content-Length: %d\r\n\r\n" % (
+    4 * MAX_BUFFERED_BYTES
+)
 UNFINISHED = {
     "nothing": b"",
     "half a head": call()[:40],
@@ -42,7 +44,7 @@
 
 
 READ_NO_FURTHER = pytest.param(
-    12.0, LONG_HEAD + bytes(2 * WHOLE), id="12.0-half a long body, read no further"
+    12.0, LONG_HEAD + bytes(2 * MAX_BUFFERED_BYTES), id="12.0-half a long body, read no further"
 )
 CASES = [
     pytest.param(deadline, sent, id=f"{deadline}-{name}")
@@ -56,28 +58,33 @@
     """Failure prevented: a request comes on a connection that is still open, and the process is killed."""
 
     async def scene():
-        assert LAST / MOMENT + node_callers.LOOK < KILLED - 0.15  # a process held up for 0.15 s included
+        # A process held up for 0.15 s included.
+        assert SHUTDOWN_GRACE_US / MOMENT + node_callers.DRAIN_CHECK_S < KILLED - 0.15
         bench = await Bench(Server(), **deadline_settings(deadline)).start()
         bench.node.pool.loop = Late(asyncio.get_running_loop())  # no server takes a long body
         clock = hold_clocks(bench, monkeypatch)
         client = await bench.client()
         client.send(sent)
-        callers = bench.node.callers
-        await until(lambda: len(callers.callers) == 1)
-        (caller,) = callers.callers
+        callers = bench.node.client_connections
+        await until(lambda: len(callers.connections) == 1)
+        (caller,) = callers.connections
         await until(lambda: bool(caller.transport))
         if sent:
-            await until(lambda: caller.partial is not None and (len(sent) < WHOLE or caller.paused))
+            await until(
+                lambda: (
+                    caller.partial is not None and (len(sent) < MAX_BUFFERED_BYTES or caller.reading_paused)
+                )
+            )
         drain = asyncio.create_task(bench.node.drain())
-        await until(lambda: callers.emptying)
-        clock.now += min(deadline, LONGEST / MOMENT) + LAST / MOMENT
+        await until(lambda: callers.is_draining)
+        clock.now += min(deadline, MAX_SHUTDOWN_DEADLINE_US / MOMENT) + SHUTDOWN_GRACE_US / MOMENT
         if sent:
             status, headers, _ = await client.receive()
             assert (status, headers["connection"]) == (503, "close")
         assert await client.ended()
         client.writer.close()
         await asyncio.wait_for(drain, 20)
-        assert bench.node.budget.clients == 0 and bench.node.room.held == 0
+        assert bench.node.descriptor_budget.clients == 0 and bench.node.memory_budget.held_bytes == 0
 
     play(scene)
 
@@ -90,15 +97,17 @@
         bench = await Bench(server := Server(), **deadline_settings(deadline)).start()
         clock = hold_clocks(bench, monkeypatch)
         early, late = await bench.client(), await bench.client()
-        callers = bench.node.callers
-        await until(lambda: len(callers.callers) == 2 and all(c.transport for c in callers.callers))
+        callers = bench.node.client_connections
+        await until(lambda: len(callers.connections) == 2 and all(c.transport for c in callers.connections))
         drain = asyncio.create_task(bench.node.drain())
-        await until(lambda: callers.emptying)
-        clock.now += deadline + LAST / MOMENT - 0.05
+        await until(lambda: callers.is_draining)
+        clock.now += deadline + SHUTDOWN_GRACE_US / MOMENT - 0.05
         status, headers, _ = await early.ask(call("invite"))
         assert (status, headers["connection"], len(server.requests)) == (200, "close", 1)
         early.writer.close()
-        monkeypatch.setattr(node_callers.Caller, "turn_away", lambda self: None, raising=False)
+        monkeypatch.setattr(
+            node_callers.ClientConnection, "close_without_request", lambda self: None, raising=False
+        )
         clock.now += 0.06
         status, headers, _ = await late.ask(call("invite"))
         assert (status, headers["connection"], len(server.requests)) == (503, "close", 1)
@@ -117,8 +126,8 @@
         client = await bench.client()
         client.send(call(effect, budget=12000))
         await until(lambda: len(server.requests) == 1)
-        monkeypatch.setattr("balancer.net.node.LONGEST", MOMENT // 10)
-        monkeypatch.setattr("balancer.net.node.LAST", 0)
+        monkeypatch.setattr("balancer.net.node.MAX_SHUTDOWN_DEADLINE_US", MOMENT // 10)
+        monkeypatch.setattr("balancer.net.node.SHUTDOWN_GRACE_US", 0)
         drain = asyncio.create_task(bench.node.drain())
         status, headers, _ = await asyncio.wait_for(client.receive(), 5)
         assert (status, headers["connection"]) == (504, "close")
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -32,8 +32,8 @@
 from support import balancer
 from virtual_time import FAULTS, REQUEST_FAULTS, FakeDiscovery, VirtualTimeLoop, list_response
 
-from balancer.net import discovery as node_discovery
 from balancer.net.config import read
+from balancer.net.discovery import client as node_discovery
 from balancer.net.node import Node
 from balancer.policy.interface import Outcome
 
@@ -47,7 +47,7 @@
 @pytest.fixture
 def production_watch(monkeypatch, patient_watch):
     """Watches wait as long as they do in service, which `conftest.py` has made longer."""
-    monkeypatch.setattr(node_discovery, "WAIT_MS", patient_watch)
+    monkeypatch.setattr(node_discovery, "MAX_WATCH_MS", patient_watch)
 
 
 def start_node(loop, mode, known=True):
@@ -56,9 +56,9 @@
     table = node_table(1, settings(discovery=mode, rules=rules))
     table["known"] = table["known"] | {"version": 41} if known else None
     node = Node(read(table | {"discovery": "10.0.0.9:1"}), loop)
-    node.turns.post(node.balancer.start)
+    node.event_queue.post(node.balancer.start)
     if node.config.known is not None:
-        node.roster.told(node.config.known)
+        node.server_registry.on_list(node.config.known)
     if mode == "push":
         node.discovery.watch(True)
     return node
@@ -139,7 +139,7 @@
         node = start_node(loop, mode)
         loop.run_until_complete(asyncio.sleep(8 * Random(seed).random()))
         reloaded_at = loop.time()
-        node.discovery.move(("10.0.0.9", 2))
+        node.discovery.change_address(("10.0.0.9", 2))
         assert time_of_version(loop, node, 42, reloaded_at + 60) - reloaded_at <= MAX_DELAY_AFTER_RELOAD
         loop.close()
 
@@ -260,7 +260,7 @@
         bench.discovery.handle = to_the_end
         await bench.start()
         failed = []
-        bench.node.roster.log.line = lambda text: failed.append(text) if "failed" in text else None
+        bench.node.server_registry.log.line = lambda text: failed.append(text) if "failed" in text else None
         await until(lambda: bench.node.discovery.version >= 60)
         assert not failed
         bench.node.discovery.close()
@@ -286,20 +286,20 @@
         endpoints = bench.node.pool.endpoints.values()
         while not all(endpoint.idle for endpoint in endpoints):
             assert (await bench.once(call()))[0] == 200
-        await until(lambda: not bench.node.callers.callers)
+        await until(lambda: not bench.node.client_connections.connections)
         for server in servers:
             server.requests.clear()
             server.handle = gated(release)
         client = socket.create_connection(("127.0.0.1", bench.port))
         client.sendall(call())
         await until(lambda: sum(len(server.requests) for server in servers) == 1)
-        (request,) = bench.node.requests.open.values()
+        (request,) = bench.node.requests.pending.values()
         if how == "rst":
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         client.close()
-        request.out.stop(outcome)  # the module answers it with a further attempt
+        request.exchange.abort(outcome)  # the module answers it with a further attempt
         release.set()
-        await until(lambda: not bench.node.callers.callers and not bench.node.requests.open)
+        await until(lambda: not bench.node.client_connections.connections and not bench.node.requests.pending)
         assert (await bench.once(call()))[0] == 200  # whatever was sent before has come by now
         assert sum(len(server.requests) for server in servers) == 2
 
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -48,13 +48,17 @@
 )
 
 from balancer.fleet.membership.messages import Kind, Message
-from balancer.net import callers, handover, listener, node, roster, servers, system_faults
-from balancer.net.caller import Caller
-from balancer.net.connection import Connection
-from balancer.net.discovery import Call
-from balancer.net.handover import Handover
-from balancer.net.listener import Listener
-from balancer.net.management import Operator
+from balancer.net import node
+from balancer.net.discovery import registry
+from balancer.net.discovery.call import DiscoveryCall
+from balancer.net.downstream import client_connections
+from balancer.net.downstream.client_connection import ClientConnection
+from balancer.net.process import handover, listener, system_faults
+from balancer.net.process.handover import Handover
+from balancer.net.process.listener import Listener
+from balancer.net.process.management import ManagementConnection
+from balancer.net.upstream import exchange
+from balancer.net.upstream.connection import Connection
 from balancer.policy.interface import Outcome
 
 OPERATED = {"management": "127.0.0.1:0"}
@@ -67,10 +71,10 @@
 @pytest.fixture(autouse=True)
 def frequent_tries(monkeypatch) -> None:
     """What is tried again is tried again soon, so that many faults can be played."""
-    for module in (listener, servers, system_faults):
+    for module in (listener, exchange, system_faults):
         monkeypatch.setattr(module, "RETRY_INTERVAL", INTERVAL)
-    monkeypatch.setattr(roster, "PUSH_RETRY", INTERVAL)
-    monkeypatch.setattr(node, "PEERS_RETRY", INTERVAL)
+    monkeypatch.setattr(registry, "PUSH_RETRY_S", INTERVAL)
+    monkeypatch.setattr(node, "PEERS_RETRY_S", INTERVAL)
 
 
 def most_tries(seconds: float) -> float:
@@ -125,8 +129,8 @@
     async def scene():
         by_hand = inherited_listener() | {"folder": str(tmp_path)}
         await asyncio.gather(
-            served("clients", {}, lambda n: n.callers.listener, call()),
-            served("handover", by_hand, lambda n: n.callers.listener, call()),
+            served("clients", {}, lambda n: n.client_connections.listener, call()),
+            served("handover", by_hand, lambda n: n.client_connections.listener, call()),
             served("management", OPERATED, lambda n: n.management.listener, OPERATOR_CALL),
         )
 
@@ -137,14 +141,14 @@
 @with_each(ACCEPT)
 def test_accepts_fail_as_the_node_stops_listening(run, error, monkeypatch):
     """Failure prevented: the last look at the queue fails, and who waits there is reset by the close."""
-    monkeypatch.setattr(callers, "TAKING", 2 * INTERVAL)
+    monkeypatch.setattr(client_connections, "ACCEPT_AFTER_TERM_S", 2 * INTERVAL)
 
     async def scene():
         loop = asyncio.get_running_loop()
         passes = count_calls(monkeypatch, Listener, "accept")
         looks = count_calls(monkeypatch, Listener, "stop")
         bench = await Bench(Server()).start()
-        crowd = bench.node.callers
+        crowd = bench.node.client_connections
         fail_accepts(crowd.listener, fault := Fault(error))
         began = loop.time()
         (waiting := await bench.client()).send(call())
@@ -177,7 +181,7 @@
 
 
 def test_a_start_is_given_up_where_a_shortage_lasts(monkeypatch):
-    monkeypatch.setattr(node, "LISTEN_PATIENCE", 3 * INTERVAL)
+    monkeypatch.setattr(node, "LISTEN_TIMEOUT_S", 3 * INTERVAL)
 
     async def scene():
         fault = Fault(SHORTAGES[0])
@@ -264,7 +268,7 @@
         assert bench.node.balancer.stats()["ejected"] == 0
         fault.passes()
         assert (await client.ask(call("invite")))[0] == 200
-        assert len(one.requests + two.requests) == 1 and bench.node.budget.servers == 1
+        assert len(one.requests + two.requests) == 1 and bench.node.descriptor_budget.servers == 1
 
     play_on(run, scene)
 
@@ -304,7 +308,9 @@
         assert outcomes == [Outcome.RESET, Outcome.OK][:attempts] and fault.met == 1
         assert len(one.requests + two.requests) == attempts
         assert (await client.ask(call(klass)))[0] == 200
-        assert bench.node.budget.servers == sum(len(e.idle) for e in bench.node.pool.endpoints.values())
+        assert bench.node.descriptor_budget.servers == sum(
+            len(e.idle) for e in bench.node.pool.endpoints.values()
+        )
 
     play_on(run, scene)
 
@@ -337,7 +343,7 @@
         assert (await client.ask(call("invite")))[0] == 200
         fault.comes(1)
         server.writers[0].write(b"x")
-        await until(lambda: fault.met == 1 and bench.node.budget.servers == 0)
+        await until(lambda: fault.met == 1 and bench.node.descriptor_budget.servers == 0)
         assert (await client.ask(call("invite")))[0] == 200
         assert server.connections == 2 and len(server.requests) == 2
 
@@ -356,7 +362,7 @@
         release = asyncio.Event()
         bench = await Bench(server := Server(gated(release))).start()
         outcomes = record_outcomes(bench)
-        fail_reads(monkeypatch, Caller, fault := Fault(error, times=0), accepted_at(bench.port))
+        fail_reads(monkeypatch, ClientConnection, fault := Fault(error, times=0), accepted_at(bench.port))
         broken, well = await bench.client(), await bench.client()
         broken.send(call())
         await until(lambda: len(server.requests) == 1)
@@ -364,11 +370,11 @@
         await until(lambda: len(server.requests) == 2)
         fault.comes(1)
         broken.send(b"G")
-        await until(lambda: fault.met == 1 and len(bench.node.requests.open) == 1)
+        await until(lambda: fault.met == 1 and len(bench.node.requests.pending) == 1)
         assert outcomes == [Outcome.CANCELLED]
         release.set()
         assert (await well.receive())[0] == 200
-        await until(lambda: bench.node.budget.clients == 1)
+        await until(lambda: bench.node.descriptor_budget.clients == 1)
 
     play_on(run, scene)
 
@@ -384,7 +390,7 @@
         fail_socket_calls(monkeypatch, "send", fault, accepted_at(bench.port))
         client.send(call())
         assert await client.ended() and fault.met == 1
-        await until(lambda: bench.node.budget.clients == 0 and not bench.node.requests.open)
+        await until(lambda: bench.node.descriptor_budget.clients == 0 and not bench.node.requests.pending)
         assert (await bench.once(call()))[0] == 200
 
     play_on(asyncio.run, scene)
@@ -403,7 +409,7 @@
 
     async def scene():
         bench = await Bench(server := Server(echo)).start()
-        bench.node.room.buffer = bytearray(1)
+        bench.node.memory_budget.read_buffer = bytearray(1)
         if not is_uvloop():
             send = socket.socket.send
             monkeypatch.setattr(
@@ -473,7 +479,7 @@
     async def scene():
         bench = Bench(server := Server(), discovery="push")
         fault = Fault(error, times=0)
-        fail_reads(monkeypatch, Call, fault, lambda s, *_: towards(bench.discovery.port)(s))
+        fail_reads(monkeypatch, DiscoveryCall, fault, lambda s, *_: towards(bench.discovery.port)(s))
         await bench.start()
         await until(lambda: bool(bench.discovery.requests))
         fault.comes(1)
@@ -496,9 +502,9 @@
         bench = await Bench(Server(), config=OPERATED).start()
         management = bench.node.management
         port = management.listener.socket.getsockname()[1]
-        fail_reads(monkeypatch, Operator, fault := Fault(error, times=1), accepted_at(port))
+        fail_reads(monkeypatch, ManagementConnection, fault := Fault(error, times=1), accepted_at(port))
         (broken := await Client(port).open()).send(OPERATOR_CALL)
-        await until(lambda: fault.met == 1 and management.open == 0)
+        await until(lambda: fault.met == 1 and management.open_connections == 0)
         assert (await (await Client(port).open()).ask(OPERATOR_CALL))[0] == 200
         assert (await bench.once(call()))[0] == 200
         broken.writer.close()
@@ -663,7 +669,7 @@
 
 
 def test_a_process_that_cannot_join_for_long_keeps_to_half_until_it_can(tmp_path, monkeypatch):
-    monkeypatch.setattr(handover, "PATIENCE", 3 * INTERVAL)
+    monkeypatch.setattr(handover, "MAKE_ROOM_TIMEOUT_S", 3 * INTERVAL)
 
     async def scene():
         shares = []
@@ -687,20 +693,20 @@
 )
 def test_a_look_that_fails_is_no_sign_of_being_alone(run, name, error, tmp_path, monkeypatch):
     """Failure prevented: both processes take the whole of the limits while the system is short."""
-    monkeypatch.setattr(handover, "LOOK", 0.005)
+    monkeypatch.setattr(handover, "POLL_INTERVAL_S", 0.005)
 
     async def scene():
         shares = [], []
         elder, younger = process(tmp_path, shares[0]), process(tmp_path, shares[1])
         await elder.start(lambda: True)
         await younger.start(lambda: True)
-        await until(lambda: elder.shared and younger.shared and elder.elder)
+        await until(lambda: elder.shared and younger.shared and elder.is_older)
         module = handover.fcntl if name == "flock" else os
         fault = Fault(error)
         faulty = Replaced(module, **{name: fault.before(getattr(module, name))})
         monkeypatch.setattr(handover, module.__name__, faulty)
         await until(lambda: fault.met >= 6)
-        assert shares == ([True], [True]) and elder.elder
+        assert shares == ([True], [True]) and elder.is_older
         fault.passes()
         elder.close()
         await until(lambda: shares[1] == [True, False])
@@ -711,7 +717,7 @@
 
 @with_each((*SHORTAGES, ENOSPC))
 def test_an_elder_says_later_that_it_fits(error, tmp_path, monkeypatch):
-    monkeypatch.setattr(handover, "LOOK", 0.005)
+    monkeypatch.setattr(handover, "POLL_INTERVAL_S", 0.005)
 
     async def scene():
         elder, younger = process(tmp_path, []), process(tmp_path, [])
@@ -719,7 +725,7 @@
         fault = Fault(error, times=3)
         monkeypatch.setattr(handover, "os", Replaced(os, pwrite=fault.before(os.pwrite)))
         await younger.start(lambda: True)
-        assert fault.met == 3 and elder.told
+        assert fault.met == 3 and elder.fit_reported
         elder.close(), younger.close()
 
     play_on(uvloop.run, scene)
--- a/tests/test_vote_store.py
+++ b/tests/test_vote_store.py
@@ -18,7 +18,7 @@
 from balancer.fleet.leases.service import LeaseService
 from balancer.fleet.leases.settings import Electorate, LeaseSettings, granted_duration
 from balancer.fleet.leases.voter import Voter
-from balancer.net.log import Log
+from balancer.net.process.log import Log
 
 SEC = 1_000_000
 SETTINGS = LeaseSettings(lease=3 * SEC, max_lease=10 * SEC)
--- a/workbench/lab/mischief.py
+++ b/workbench/lab/mischief.py
@@ -25,11 +25,11 @@
 from balancer.fleet.runtime import FleetRuntime
 from balancer.fleet.zone_routing.router import ZoneRouter
 from balancer.fleet.zone_routing.zone_states import ZoneStates
-from balancer.net.forwarding import head_of
-from balancer.net.lifecycle import Lifecycle
-from balancer.net.requests import Requests
-from balancer.net.roster import Roster
-from balancer.net.servers import Exchange
+from balancer.net.discovery.registry import ServerRegistry
+from balancer.net.downstream.forwarding import encode_request
+from balancer.net.downstream.requests import Requests
+from balancer.net.process.lifecycle import Lifecycle
+from balancer.net.upstream.exchange import Exchange
 from balancer.policy import ejection, gradient
 from balancer.policy.interface import State
 
@@ -59,7 +59,7 @@
 def mute() -> None:
     """Some requests never get an answer."""
     turn = each(EVERY)
-    wrap(Requests, "message", lambda go, self, *args: None if turn() else go(self, *args))
+    wrap(Requests, "on_request", lambda go, self, *args: None if turn() else go(self, *args))
 
 
 def spoil() -> None:
@@ -71,7 +71,7 @@
     ) -> None:
         go(self, number, status, b"made up" if status == 200 and turn() else body, headers)
 
-    wrap(Requests, "conclude", conclude)
+    wrap(Requests, "respond", conclude)
 
 
 def twice() -> None:
@@ -90,13 +90,13 @@
 def deaf() -> None:
     """News that a server drains or is gone is passed over."""
 
-    def told(go: Any, self: Any, listing: Any) -> None:
-        if listing is not None:
-            lines = tuple(x for x in listing.lines if x.state == State.READY)
-            listing = dataclasses.replace(listing, lines=lines)
-        go(self, listing)
+    def on_list(go: Any, self: Any, server_list: Any) -> None:
+        if server_list is not None:
+            ready = tuple(x for x in server_list.servers if x.state == State.READY)
+            server_list = dataclasses.replace(server_list, servers=ready)
+        go(self, server_list)
 
-    wrap(Roster, "told", told)
+    wrap(ServerRegistry, "on_list", on_list)
 
 
 def pile() -> None:
@@ -115,10 +115,10 @@
 
 def copy(requests: Any, request: int, server: int, timeout: int) -> None:
     """A second copy of an open request, to a server of our choice."""
-    r = requests.open.get(request)
+    r = requests.pending.get(request)
     endpoint = requests.pool.endpoints[server]
     if r is not None and endpoint.ready:
-        data = head_of(r.message, timeout // 1000)
+        data = encode_request(r.message, timeout // 1000)
         Exchange(requests.pool, endpoint, lambda: data, lambda outcome, answer: None).start(2.0)
 
 
@@ -265,7 +265,7 @@
 
 def unready() -> None:
     """Never takes clients."""
-    wrap(Lifecycle, "list_came", lambda go, self: None)
+    wrap(Lifecycle, "on_server_list", lambda go, self: None)
 
 
 def flood() -> None:
--- a/workbench/lab/stepped.py
+++ b/workbench/lab/stepped.py
@@ -2,8 +2,8 @@
 
 `python -m workbench.lab.stepped FILE [MISCHIEF]`, where FILE holds the offset in milliseconds. The fleet
 reads its wall clock through the lab's `clock_file`. The rest of the node reads Unix time once, as it starts
-(`net/turns.py`), and dates the starts of servers by it; that reading gets the same offset here. The product
-has no such switch. A step while the process runs does not reach that reading, as on a machine.
+(`net/process/event_queue.py`), and dates the starts of servers by it; that reading gets the same offset here.
+The product has no such switch. A step while the process runs does not reach that reading, as on a machine.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from typing import Any
 
 import balancer.__main__ as program
-from balancer.net.turns import Turns
+from balancer.net.process.event_queue import EventQueue
 from workbench.lab import mischief
 
 NANOSECONDS = 1_000_000  # in a millisecond
@@ -23,11 +23,11 @@
     """Shifts the Unix time that the node's own clock starts from by the file's milliseconds."""
     offset = int(clock_file.read_text()) * NANOSECONDS
 
-    def begin(original: Any, turns: Any, *args: Any) -> None:
-        original(turns, *args)
-        turns.origin += offset
+    def begin(original: Any, event_queue: Any, *args: Any) -> None:
+        original(event_queue, *args)
+        event_queue.origin += offset
 
-    mischief.wrap(Turns, "__init__", begin)
+    mischief.wrap(EventQueue, "__init__", begin)
 
 
 def main() -> int:
--- a/workbench/scale/program.py
+++ b/workbench/scale/program.py
@@ -15,8 +15,8 @@
 from balancer.fleet.membership.swim import Swim
 from balancer.fleet.runtime import FleetRuntime
 from balancer.fleet.zone_membership.decisions import ZoneMembership
-from balancer.net.lifecycle import Lifecycle
-from balancer.net.log import Log
+from balancer.net.process.lifecycle import Lifecycle
+from balancer.net.process.log import Log
 from balancer.policy.interface import Settings
 
 # Components beside membership and the codec: the class and the calls that are timed. The names are those of
