--- a/balancer/fleet/endpoint.py
+++ b/balancer/fleet/endpoint.py
@@ -6,6 +6,7 @@
 import secrets
 from collections import Counter
 from collections.abc import Sequence
+from enum import IntEnum
 from typing import Any, cast
 
 from balancer.fleet.clocks import Clocks
@@ -18,6 +19,15 @@
 SEQ_BITS = 60  # of the unpredictable initial number; the wire form has 62
 
 
+# Keys of the page's counters that operators read under the name which a kind had before.
+FORMER_PAGE_KEYS = {"REQUEST": "ask", "AVAILABLE": "free", "RECALL_ANSWER": "memory", "DIRECTIVES": "orders"}
+
+
+def page_key(kind: IntEnum) -> str:
+    """Returns the key under which the page counts messages of a kind."""
+    return FORMER_PAGE_KEYS.get(kind.name, kind.name.lower())
+
+
 class DatagramEndpoint(asyncio.DatagramProtocol):
     """Encodes and sends messages; receives and decodes datagrams, rejects replays, and counts both.
 
@@ -81,7 +91,7 @@
         except (OSError, ValueError):  # the address is invalid: a fault of its member alone
             self.events["unsendable"] += 1
             return
-        self.sent[message.kind.name.lower()] += 1
+        self.sent[page_key(message.kind)] += 1
         self.bytes_out += len(data)
 
     def admitted(self, data: bytes, source: Address) -> Sequence[Received]:
@@ -99,7 +109,7 @@
         if admission.reply is not None:
             self.transmit(admission.reply, source)
         for accepted in admission.accepted:
-            self.received[accepted.message.kind.name.lower()] += 1
+            self.received[page_key(accepted.message.kind)] += 1
         return admission.accepted
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,6 +5,7 @@
 import os
 import subprocess
 import sys
+from enum import IntEnum
 from pathlib import Path
 from typing import Any
 
@@ -13,7 +14,12 @@
 from loopback import Bench, play, until
 
 from balancer.fleet.config import FleetConfigError, read_fleet
+from balancer.fleet.endpoint import page_key
+from balancer.fleet.health_checks.messages import HealthCheckKind
+from balancer.fleet.leases.messages import LeaseKind
 from balancer.fleet.membership.swim import Kind, Message
+from balancer.fleet.rolling_update.messages import RollingUpdateKind
+from balancer.fleet.zone_routing.messages import ZoneKind
 from balancer.net.config import ConfigError, load
 
 
@@ -201,3 +207,18 @@
             assert bench.node.paths()[path].handler(b"do=begin")[0] == 503
 
     play(scene)
+
+
+@pytest.mark.parametrize(
+    ("kinds", "keys"),
+    [
+        (LeaseKind, ["ask", "grant", "deny", "release", "free", "recall", "memory"]),
+        (ZoneKind, ["orders"]),
+        (RollingUpdateKind, ["plan", "report", "go"]),
+        (HealthCheckKind, ["trying", "failed", "well"]),
+    ],
+)
+def test_the_page_counts_messages_under_the_keys_that_operators_know(
+    kinds: type[IntEnum], keys: list[str]
+) -> None:
+    assert [page_key(kind) for kind in kinds] == keys
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -6,6 +6,8 @@
 import pytest
 from support import BEFORE_RENAMING
 
+from balancer.policy.interface import Effect
+from workbench.emulator.http import request_bytes
 from workbench.emulator.links import Link, Stream
 from workbench.emulator.places import Places
 from workbench.lab.checkers import check
@@ -13,6 +15,7 @@
 from workbench.lab.history import HistoryError, read
 from workbench.lab.plan import PlanError, chosen, draw, plan_of, scenario, shipped
 from workbench.lab.truth import Truth
+from workbench.model.site import EFFECT_WORDS
 from workbench.model.streams import Streams
 from workbench.simulator.heap import HeapClock
 
@@ -574,3 +577,17 @@
     else:
         with pytest.raises(HistoryError, match=fault):
             read(str(file))
+
+
+@pytest.mark.parametrize(
+    ("effect", "method", "has_key"),
+    [
+        (Effect.IDEMPOTENT, b"GET", False),
+        (Effect.IDEMPOTENCY_KEY, b"POST", True),
+        (Effect.NOT_IDEMPOTENT, b"POST", False),
+    ],
+)
+def test_clients_of_the_lab_send_what_a_class_s_effect_asks_for(effect, method, has_key):
+    """Failure prevented: an effect is renamed, and the node answers all requests of the lab with 400."""
+    data = request_bytes("a", EFFECT_WORDS[effect], 1, 1, 100, b"key")
+    assert data.startswith(method + b" /a?") and (b"Idempotency-Key: key" in data) is has_key
--- a/workbench/emulator/nodes.py
+++ b/workbench/emulator/nodes.py
@@ -16,7 +16,7 @@
 from workbench.model.call import Answer, Attempt, Call
 from workbench.model.network import num
 from workbench.model.server import Server
-from workbench.model.site import World
+from workbench.model.site import EFFECT_WORDS, World
 
 LOOK = 10_000  # microseconds between two looks at what has become of the servers
 STRIDE = 0x9E3779B1
@@ -91,7 +91,7 @@
         site.world.accounts.calls[0] += 1
         root = call.root
         name = site.world.day.klass[root.klass].name
-        effect = site.world.classes[root.klass].effect.name.lower()
+        effect = EFFECT_WORDS[site.world.classes[root.klass].effect]
         left = max(0, call.until - now) // 1000
         idempotency = b"%08x%08x" % (root.index, root.key)
         data = request_bytes(name, effect, root.key, call.id, left, idempotency, call.number > 0)
@@ -217,7 +217,7 @@
             server=attempt.server.spec.name,
             zone=attempt.server.zone,
             klass=site.world.day.klass[call.root.klass].name,
-            effect=site.world.classes[call.root.klass].effect.name.lower(),
+            effect=EFFECT_WORDS[site.world.classes[call.root.klass].effect],
             began=attempt.sent_at,
             ended=site.clock.now,
             outcome=outcome.name.lower(),
--- a/workbench/model/site.py
+++ b/workbench/model/site.py
@@ -30,6 +30,9 @@
 BEGIN = 10_000_000  # the clock begins at no particular value
 
 EFFECTS = {"safe": Effect.IDEMPOTENT, "keyed": Effect.IDEMPOTENCY_KEY, "unsafe": Effect.NOT_IDEMPOTENT}
+EFFECT_WORDS = {
+    effect: word for word, effect in EFFECTS.items()
+}  # as scenarios and stored histories spell them
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
 
 
