--- a/balancer/net/downstream/requests.py
+++ b/balancer/net/downstream/requests.py
@@ -28,8 +28,6 @@
 
 GUARD_DELAY_US = 10_000  # after the deadline: a request that the module has left open is failed
 # That a server may pause in a streamed response, once the request's time is over.
-MAX_STREAM_PAUSE_S = 0.2
-STREAM_CHECK_INTERVAL_S = 0.1  # between two checks of such a response
 OVER_CAPACITY_RETRY_AFTER_US = 500_000  # after so long there may be capacity for a client that found none
 METHOD_BY_EFFECT = {
     Effect.IDEMPOTENT: b"GET",
@@ -119,20 +117,11 @@
         self.request = request
         self.client = client
         self.began = began
-        self.last_piece_at = requests.loop.time()  # when its last piece came
 
     def write(self, data: bytes) -> None:
         """Writes a piece of the response."""
-        self.last_piece_at = self.requests.loop.time()
         self.client.write_stream(data)
 
-    def is_stalled(self) -> bool:
-        """Whether its server has paused; a client that takes no more makes it wait."""
-        return (
-            not self.client.write_blocked
-            and self.requests.loop.time() - self.last_piece_at >= MAX_STREAM_PAUSE_S
-        )
-
     def end(self) -> None:
         """Ends the response, which is complete."""
         if self.request.client is not None:
@@ -450,15 +439,17 @@
         response: Response,
         source: ResponseSource,
     ) -> ClientResponseStream | None:
-        """Streams a long response to its client, past its deadline while the server goes on."""
+        """Streams a long response to its client, past its deadline: its first byte is what has to be in time.
+
+        The exchange breaks it off once its server has been silent for long.
+        Failure prevented: a server that gives a long response slowly is taken for one that hangs.
+        """
         if r.client is None or r.exchange is None:
             return None
         now = self.event_queue.now()
         r.stream = ClientResponseStream(self, r, r.client, now)
         if r.guard is not None:
             r.guard.cancel()
-            delay = max(0, r.deadline - now) / 1e6 + MAX_STREAM_PAUSE_S
-            r.guard = self.loop.call_later(delay, self.watch_stream, r, r.stream)
         content_type = response.content_type
         r.client.begin_stream(
             source, response.length, b"Content-Type: %b\r\n" % content_type if content_type else b""
@@ -466,19 +457,6 @@
         self.event_queue.post(self.balancer.response_started, r.id, number, server, now - sent)
         return r.stream
 
-    def watch_stream(self, r: PendingRequest, stream: ClientResponseStream) -> None:
-        """Breaks off a response in which nothing comes any more, once the deadline has passed.
-
-        Failure prevented: a server that hangs in the middle of a long answer keeps its client for 10 s.
-        """
-        if r.client is None or r.exchange is None:
-            return
-        if stream.is_stalled():
-            stream.abort()
-            r.exchange.abort(Outcome.RESET)
-        else:
-            r.guard = self.loop.call_later(STREAM_CHECK_INTERVAL_S, self.watch_stream, r, stream)
-
     def on_attempt_ended(
         self,
         r: PendingRequest,
