--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,7 @@
 TOOLS = .venv-ci/bin/pytest
 # Labs start a dozen processes each and judge their own lateness, so they have the machine to themselves.
 LAB_TESTS = tests/test_lab_runs.py
-TEST_WORKERS = $(shell n=$$(nproc); [ $$n -gt 6 ] && echo 6 || echo $$n)
+TEST_WORKERS = $(shell n=$$(nproc); [ $$n -gt 8 ] && echo 8 || echo $$n)
 
 # A first look: installs the workbench in .venv and plays a day.
 demo: $(WORKBENCH)
