--- a/balancer/fleet/policy_adapter.py
+++ b/balancer/fleet/policy_adapter.py
@@ -229,7 +229,7 @@
         if self.min_rtt_slots is not None:
             outgoing += self.min_rtt_slots.tick(now)
         if self.zone_traffic is not None:
-            outgoing += [Outgoing(sent.to, sent.message) for sent in self.zone_traffic.tick(now)]
+            outgoing += self.zone_traffic.tick(now)
         return outgoing
 
     def received(self, now: int, message: Any) -> list[Outgoing]:
--- a/balancer/fleet/zone_routing/directives.py
+++ b/balancer/fleet/zone_routing/directives.py
@@ -16,6 +16,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from random import Random
 
+from balancer.fleet.component import Outgoing
 from balancer.fleet.zone_routing.known_directive import (
     MAX_DURATION_US,
     KnownDirective,
@@ -24,7 +25,6 @@
 )
 from balancer.fleet.zone_routing.messages import (
     MAX_DIRECTIVES,
-    Outgoing,
     ZoneDirective,
     ZoneKind,
     ZoneMessage,
--- a/balancer/fleet/zone_routing/messages.py
+++ b/balancer/fleet/zone_routing/messages.py
@@ -55,14 +55,6 @@
     seq: int = 0
 
 
-@dataclass(frozen=True, slots=True)
-class Outgoing:
-    """A message to be sent to one member of the own group, by its name."""
-
-    to: str
-    message: ZoneMessage
-
-
 Body = list[tuple[str, int, int]]
 
 
--- a/balancer/fleet/zone_routing/traffic.py
+++ b/balancer/fleet/zone_routing/traffic.py
@@ -11,9 +11,10 @@
 from random import Random
 from typing import Any
 
+from balancer.fleet.component import Outgoing
 from balancer.fleet.config import FleetConfig
 from balancer.fleet.zone_routing.directives import ZoneDirectives
-from balancer.fleet.zone_routing.messages import Outgoing, ZoneKind, ZoneMessage
+from balancer.fleet.zone_routing.messages import ZoneKind, ZoneMessage
 from balancer.fleet.zone_routing.publication import Publish, SharePublisher
 from balancer.fleet.zone_routing.router import ListedServer, ZoneRouter
 from balancer.fleet.zone_routing.server_starts import ServerStarts
--- a/tests/test_zone_directives.py
+++ b/tests/test_zone_directives.py
@@ -8,13 +8,13 @@
 
 import pytest
 
+from balancer.fleet.component import Outgoing
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.messages import MAX_DATAGRAM_BYTES
 from balancer.fleet.zone_routing.directives import ZoneDirectives
 from balancer.fleet.zone_routing.known_directive import MAX_DURATION_US
 from balancer.fleet.zone_routing.messages import (
     MAX_DIRECTIVES,
-    Outgoing,
     ZoneDirective,
     ZoneKind,
     ZoneMessage,
@@ -131,7 +131,7 @@
         for _ in range(int(seconds * SEC / interval)):
             self.true_time += interval - TRANSIT
             sent = [
-                (sender, int(outgoing.to[1:]), outgoing.message)
+                (sender, int(cast(str, outgoing.to)[1:]), cast(ZoneMessage, outgoing.message))
                 for sender, member in enumerate(self.members)
                 for outgoing in member.tick(self.true_time + sender * MONOTONIC_OFFSET)
             ]
--- a/tests/test_zone_routing.py
+++ b/tests/test_zone_routing.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from pathlib import Path
 from random import Random
-from typing import Any
+from typing import Any, cast
 
 import pytest
 from support import KEYED, SAFE, SEC, Recorder, balancer, end
@@ -343,7 +343,8 @@
             for name, member in self.members.items():
                 for outgoing in member.tick(self.now):
                     if not {name, outgoing.to} & self.partitioned:
-                        self.members[outgoing.to].received(outgoing.message)
+                        receiver = self.members[cast(str, outgoing.to)]
+                        receiver.received(cast(ZoneMessage, outgoing.message))
         return [sorted(member.remaining()) for member in self.members.values()]
 
 
