--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -70,7 +70,8 @@
     "e": {"any": "hasty"},
     "f": {"n1": "unruly"},
     "g": {"any": "pushy"},
-    "h": {"n0": "stray", "n3": "rash"},
+    "h": {"n3": "rash"},
+    "i": {"n0": "stray"},
 }
 CAUGHT = {  # the checkers that must name each
     "mute": "answers",
@@ -117,6 +118,15 @@
 at_s = 0.5
 for_s = 20.0
 """
+EVACUATED_BY_DIRECTIVE = """
+near = true
+[[fault]]
+type = "zone_leave"
+nodes = ["n0"]
+through = "n4"
+at_s = 0.5
+for_s = 10.0
+"""
 DRAINS = """
 scenario = "{scenario}"
 [[fault]]
@@ -166,6 +176,7 @@
     texts["f"] = duty + "remeasure = 0.2\n" + mischief(BAD["f"])
     texts["uses"] = duty + "remeasure = 0.4\n" + all_.format("brisk")
     texts["h"] = duty + FAILING + mischief(BAD["h"])
+    texts["i"] = QUICK + EVACUATED_BY_DIRECTIVE + mischief(BAD["i"])
     texts["zones"] = duty + FAILING
     texts["g"] = silent + all_.format("pushy")
     texts["aside"] = silent + all_.format("brisk")
