--- a/balancer/fleet/zone_routing/zone_states.py
+++ b/balancer/fleet/zone_routing/zone_states.py
@@ -35,7 +35,8 @@
         status: Where on that way it is.
         weight: The part of its strength that counts, from 0 to 1.
         next_step_at: The earliest time of the next step back.
-        evacuation_time: How long it got no calls the last time, without the stagger; 0 if it always did.
+        evacuation_time: How long evidence last took it out of service, without the stagger; 0 if it never
+            did, or not lately.
         recovered_at: When it was last fully in service again.
     """
 
@@ -161,14 +162,18 @@
                 state.put_in_service()
 
     def advance_recovery(self, now: int, zone: str, verdict: Verdict, is_bad: bool) -> None:
-        """Evacuate a recovering zone that is bad again, or double its weight when that is due."""
+        """Evacuate a recovering zone that is bad again, or double its weight when that is due.
+
+        Failure prevented: a zone recovers without a call while a directive holds, and its relapse is not
+        seen as one.
+        """
         state, settings = self.of(zone), self.settings
         is_conclusive = verdict.is_conclusive(settings.min_calls)
         if is_bad or (is_conclusive and verdict.bad_share >= settings.bad_servers_threshold):
             self.evacuate(now, zone, state)
             return
         does_well = now >= state.next_step_at and verdict.is_mostly_answered
-        if not does_well and not self.is_unused(now, verdict, state):
+        if zone in self.evacuated_by_directive or not (does_well or self.is_unused(now, verdict, state)):
             return
         state.weight = min(1.0, 2 * state.weight)
         state.next_step_at = now + settings.recovery_step
@@ -203,20 +208,39 @@
     def evacuate(self, now: int, zone: str, state: ZoneState) -> None:
         """Send no calls to a zone for a while; for longer if it has recovered only lately."""
         settings = self.settings
-        recovered_lately = now < state.recovered_at + settings.relapse_window and state.evacuation_time > 0
-        if state.status == ZoneStatus.RECOVERING or recovered_lately:
-            longer = settings.evacuation_backoff * state.evacuation_time
-            state.evacuation_time = min(settings.max_evacuation_time, longer)
-        else:
-            state.evacuation_time = settings.evacuation_time
+        state.evacuation_time = self.next_evacuation_time(now, state)
         state.status, state.weight = ZoneStatus.EVACUATED, 0.0
         state.next_step_at = now + state.evacuation_time + int(settings.return_stagger * self.rank())
         self.counts["left"] += 1
         self.log_line(f"fleet zone {zone} evacuated for {state.evacuation_time / 1e6:g} s")
 
+    def next_evacuation_time(self, now: int, state: ZoneState) -> int:
+        """Return how long an evacuation that begins now lasts.
+
+        Failure prevented: a zone that fails after a directive was evacuated by no evidence before, and the
+        backoff multiplies 0 s.
+        """
+        settings = self.settings
+        is_recovering = state.status == ZoneStatus.RECOVERING
+        is_relapse = is_recovering or self.recovered_lately(now, state)
+        if state.evacuation_time == 0 or not is_relapse:
+            return settings.evacuation_time
+        return min(settings.max_evacuation_time, settings.evacuation_backoff * state.evacuation_time)
+
+    def recovered_lately(self, now: int, state: ZoneState) -> bool:
+        """Return whether a zone that fails now has turned bad again."""
+        return now < state.recovered_at + self.settings.relapse_window
+
     def begin_recovery(self, now: int, zone: str) -> None:
-        """Send a first few calls to a zone again."""
+        """Send a first few calls to a zone again.
+
+        Failure prevented: a zone that was in service for long when a directive came relapses, after that
+        directive, from an evacuation of days ago.
+        """
         state = self.of(zone)
+        was_in_service = state.status in (ZoneStatus.IN_SERVICE, ZoneStatus.EVACUATING)
+        if was_in_service and not self.recovered_lately(now, state):
+            state.evacuation_time = 0
         state.status, state.weight = ZoneStatus.RECOVERING, self.settings.initial_weight
         state.next_step_at = now + self.settings.recovery_step
         self.evidence.clear(zone)
