--- a/balancer/fleet/component.py
+++ b/balancer/fleet/component.py
@@ -10,12 +10,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Sequence
-from dataclasses import dataclass
+from collections.abc import Sequence
 from enum import IntEnum
 from random import Random
 from typing import Any, Protocol
 
+from balancer.fleet.addressed_message import AddressedMessage
 from balancer.fleet.config import FleetConfig
 from balancer.fleet.membership.codec import PayloadCodec
 from balancer.fleet.membership.swim import Address, Swim
@@ -40,21 +40,9 @@
         """Pairs a response with its request, where the component needs that."""
 
 
-@dataclass(frozen=True, slots=True)
-class Outgoing:
-    """A message to be sent in one datagram.
-
-    `to` is the name of a member of the own group, or an address where the receiver need not be a member. A
-    message to this process's own name is delivered at once without a datagram.
-    """
-
-    to: str | Address
-    message: WireMessage
-
-
-def addressed(pairs: Iterable[tuple[str | Address, WireMessage]]) -> list[Outgoing]:
-    """Messages of a state machine that returns pairs of receiver and message."""
-    return [Outgoing(to, message) for to, message in pairs]
+# A component's message, to the name of a member of the own group, or to an address where the receiver need
+# not be a member. One to this process's own name is delivered at once without a datagram.
+Outgoing = AddressedMessage[str | Address, WireMessage]
 
 
 class Runtime(Protocol):
--- a/balancer/fleet/health_checks/decisions.py
+++ b/balancer/fleet/health_checks/decisions.py
@@ -16,7 +16,8 @@
 from random import Random
 from typing import Any
 
-from balancer.fleet.component import Outgoing, addressed
+from balancer.fleet.addressed_message import AddressedMessage
+from balancer.fleet.component import Outgoing
 from balancer.fleet.health_checks.messages import (
     MAX_PROBES,
     HealthCheckKind,
@@ -26,6 +27,7 @@
 from balancer.fleet.health_checks.servers import AnnouncementHistory, EjectedServer, RecoveredServer
 from balancer.fleet.health_checks.settings import HealthCheckSettings
 from balancer.fleet.leases.client import LeaseClient
+from balancer.fleet.leases.messages import OutgoingLeaseMessage
 from balancer.fleet.leases.names import PROBE_PREFIX
 
 Announcements = dict[HealthCheckKind, list[ProbeAnnouncement]]
@@ -85,9 +87,9 @@
         """Whether this process holds a server's lease or tries to acquire it."""
         return self.lease_name(server) in self.lease_client.requests
 
-    def release(self, now: int, server: int) -> list[Outgoing]:
+    def release(self, now: int, server: int) -> list[OutgoingLeaseMessage]:
         """Releases a server's lease, or stops acquiring it."""
-        return addressed(self.lease_client.release(now, self.lease_name(server)))
+        return self.lease_client.release(now, self.lease_name(server))
 
     # ---- the policy's events and questions --------------------------------------------------------------
 
@@ -174,7 +176,7 @@
 
     def update_ejected(
         self, now: int, server: int, state: EjectedServer, announcements: Announcements
-    ) -> list[Outgoing]:
+    ) -> list[OutgoingLeaseMessage]:
         """Acquires the lease while no lease holder is known, and announces probes while it is held."""
         token = self.token(now, server)
         if token is None:
@@ -191,7 +193,7 @@
             return self.release(now, server)
         return []
 
-    def update_unleased(self, now: int, server: int, state: EjectedServer) -> list[Outgoing]:
+    def update_unleased(self, now: int, server: int, state: EjectedServer) -> list[OutgoingLeaseMessage]:
         """Acquires a server's lease, or stops that while another node's announcement is valid."""
         state.failure_unannounced = False
         if state.acquire_after() <= now:
@@ -201,7 +203,7 @@
 
     def update_recovered(
         self, now: int, server: int, state: RecoveredServer, announcements: Announcements
-    ) -> list[Outgoing]:
+    ) -> list[OutgoingLeaseMessage]:
         """Announces a recovered server a few times, then releases its lease."""
         if now < state.next_announcement_at:
             return []
@@ -229,7 +231,7 @@
         """A message to the members of the zone, and to those whose zone is not known."""
         self.counts[f"said_{message.kind.name.lower()}"] += len(message.probes)
         members = [name for name in self.alive() if self.zones.get(name, self.zone) == self.zone]
-        return [Outgoing(name, message) for name in members]
+        return [AddressedMessage(name, message) for name in members]
 
     def received(self, now: int, message: HealthCheckMessage) -> list[Outgoing]:
         """Handles the announcements of a lease holder. Nothing is answered."""
--- a/balancer/fleet/leases/client.py
+++ b/balancer/fleet/leases/client.py
@@ -17,6 +17,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from random import Random
 
+from balancer.fleet.addressed_message import AddressedMessage
 from balancer.fleet.leases.events import LeaseEvent, LeaseEventKind, LeaseListener, ignore_event
 from balancer.fleet.leases.messages import DenialReason, LeaseKind, LeaseMessage, OutgoingLeaseMessage
 from balancer.fleet.leases.request import LeaseRequest, RequestStage
@@ -201,7 +202,7 @@
     def request_messages(self, request: LeaseRequest, voters: Iterable[str]) -> list[OutgoingLeaseMessage]:
         """A request to each voter, for each of the electorates that it votes in."""
         return [
-            OutgoingLeaseMessage(voter, self.request_message(request, electorate))
+            AddressedMessage(voter, self.request_message(request, electorate))
             for voter in voters
             for electorate in self.electorates
             if voter in electorate.voters
@@ -243,7 +244,7 @@
             request.seq,
             request.token,
         )
-        return [OutgoingLeaseMessage(voter, message) for voter in self.voters]
+        return [AddressedMessage(voter, message) for voter in self.voters]
 
     # ---- answers ----------------------------------------------------------------------------------------
 
--- a/balancer/fleet/leases/component.py
+++ b/balancer/fleet/leases/component.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from balancer.fleet.component import Component, Outgoing, Runtime, addressed
+from balancer.fleet.component import Component, Outgoing, Runtime
 from balancer.fleet.leases.client import LeaseClient
 from balancer.fleet.leases.names import FREQUENT_PREFIXES
 from balancer.fleet.leases.service import LeaseService
@@ -40,7 +40,7 @@
 
     def external_request(
         self, now: int, lease: str, script: str, release: bool
-    ) -> tuple[dict[str, Any], list[Outgoing]]:
+    ) -> tuple[dict[str, Any], Sequence[Outgoing]]:
         """A script of this node requests a lease (again), or releases it.
 
         Returns:
@@ -48,7 +48,7 @@
         """
         action = self.service.release_external if release else self.service.acquire_external
         answer, outgoing = action(now, lease, script)
-        return answer.page(), addressed(outgoing)
+        return answer.page(), outgoing
 
     def open(self) -> None:
         """A new incarnation begins."""
@@ -66,21 +66,21 @@
         """
         return (self.runtime.now() + self.unix_offset) // MICROSECONDS_IN_A_MILLISECOND
 
-    def leave(self, now: int) -> list[Outgoing]:
+    def leave(self, now: int) -> Sequence[Outgoing]:
         """Releases the leases that this process holds itself."""
-        return addressed(self.service.leave(now))
+        return self.service.leave(now)
 
     def deadline(self, now: int) -> int | None:
         """When `tick` is due."""
         return self.service.deadline()
 
-    def tick(self, now: int) -> list[Outgoing]:
+    def tick(self, now: int) -> Sequence[Outgoing]:
         """Requests, renews and expires leases."""
-        return addressed(self.service.tick(now))
+        return self.service.tick(now)
 
-    def received(self, now: int, sender: Address, message: Any) -> list[Outgoing]:
+    def received(self, now: int, sender: Address, message: Any) -> Sequence[Outgoing]:
         """Handles a lease message."""
-        return addressed(self.service.received(now, message))
+        return self.service.received(now, message)
 
     def status(self, now: int) -> dict[str, Any]:
         """The page's key `duties`, which scripts of operators read under that name."""
--- a/balancer/fleet/leases/messages.py
+++ b/balancer/fleet/leases/messages.py
@@ -4,10 +4,11 @@
 
 from dataclasses import dataclass
 from enum import IntEnum
-from typing import NamedTuple
 
 import msgspec
 
+from balancer.fleet.addressed_message import AddressedMessage
+
 MAX_LEASE_NAME_LENGTH = 64
 WIRE_INTEGER_LIMIT = 1 << 62  # integers in messages are below this
 
@@ -63,12 +64,7 @@
     reason: DenialReason = DenialReason.NONE
 
 
-class OutgoingLeaseMessage(NamedTuple):
-    """A message and the name of the process that it is sent to."""
-
-    to: str
-    message: LeaseMessage
-
+OutgoingLeaseMessage = AddressedMessage[str, LeaseMessage]  # to the name of a process
 
 Body = tuple[int, str, int, int, int, int]
 
--- a/balancer/fleet/leases/voter.py
+++ b/balancer/fleet/leases/voter.py
@@ -14,6 +14,7 @@
 from collections import Counter
 from collections.abc import Sequence
 
+from balancer.fleet.addressed_message import AddressedMessage
 from balancer.fleet.leases.ceiling import CeilingUnavailableError, RaiseCeiling
 from balancer.fleet.leases.granted_lease import GrantedLease, Holder, holder_of
 from balancer.fleet.leases.messages import DenialReason, LeaseKind, LeaseMessage, OutgoingLeaseMessage
@@ -88,7 +89,7 @@
         self.next_recall_at = now + self.settings.recall_interval
         message = LeaseMessage(LeaseKind.RECALL, self.name, self.incarnation)
         return [
-            OutgoingLeaseMessage(voter, message)
+            AddressedMessage(voter, message)
             for voter in self.other_voters()
             if voter not in self.recalled_tokens
         ]
@@ -116,7 +117,7 @@
             return []
         token = max([self.floor, *(lease.highest_token for lease in self.leases.values())])
         answer = LeaseMessage(LeaseKind.RECALL_ANSWER, self.name, self.incarnation, token=token)
-        return [OutgoingLeaseMessage(message.sender, answer)]
+        return [AddressedMessage(message.sender, answer)]
 
     def on_request(self, now: int, request: LeaseMessage) -> list[OutgoingLeaseMessage]:
         """Grants or denies a request."""
@@ -161,7 +162,7 @@
         answer = LeaseMessage(
             LeaseKind.GRANT, self.name, self.incarnation, request.lease, request.seq, request.token
         )
-        return [OutgoingLeaseMessage(request.sender, answer)]
+        return [AddressedMessage(request.sender, answer)]
 
     def deny(
         self, request: LeaseMessage, reason: DenialReason, token: int = 0, wait: int = 0
@@ -179,7 +180,7 @@
             wait,
             reason,
         )
-        return [OutgoingLeaseMessage(request.sender, answer)]
+        return [AddressedMessage(request.sender, answer)]
 
     def on_release(self, now: int, release: LeaseMessage) -> list[OutgoingLeaseMessage]:
         """Ends a grant and notifies clients that were denied; a late request for the same token is denied.
@@ -201,7 +202,7 @@
         lease.expires_at = now
         waiters, lease.waiters = lease.waiters, {}
         return [
-            OutgoingLeaseMessage(name, self.available_message(release.lease, seq, lease.token))
+            AddressedMessage(name, self.available_message(release.lease, seq, lease.token))
             for name, seq in waiters.items()
         ]
 
--- a/balancer/fleet/membership/anti_entropy.py
+++ b/balancer/fleet/membership/anti_entropy.py
@@ -14,6 +14,7 @@
 from dataclasses import dataclass
 from random import Random
 
+from balancer.fleet.addressed_message import AddressedMessage
 from balancer.fleet.membership.claims import Address, Claim
 from balancer.fleet.membership.counts import Counts
 from balancer.fleet.membership.messages import (
@@ -269,4 +270,4 @@
     def send(self, to: Address, message: AnyMessage) -> OutgoingMessage:
         """Counts a message and returns it with its receiver."""
         self.counts.sent += 1
-        return OutgoingMessage(to, message)
+        return AddressedMessage(to, message)
--- a/balancer/fleet/membership/messages.py
+++ b/balancer/fleet/membership/messages.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
+from balancer.fleet.addressed_message import AddressedMessage
 from balancer.fleet.membership.claims import Address, Claim
 
 MAX_DATAGRAM_BYTES = 1200
@@ -135,12 +136,7 @@
 AnyMessage = Message | DigestMessage | Pull | Page | Accusations
 
 
-@dataclass(frozen=True)
-class OutgoingMessage:
-    """A message to be sent to an address in one datagram."""
-
-    to: Address
-    message: AnyMessage
+OutgoingMessage = AddressedMessage[Address, AnyMessage]
 
 
 def claim_capacity(sender: str, names: str = "") -> int:
--- a/balancer/fleet/membership/swim.py
+++ b/balancer/fleet/membership/swim.py
@@ -21,6 +21,7 @@
 from math import ceil
 from random import Random
 
+from balancer.fleet.addressed_message import AddressedMessage
 from balancer.fleet.membership.anti_entropy import AntiEntropy
 from balancer.fleet.membership.changes import (
     CHANGES_BY_STATUS,
@@ -233,7 +234,7 @@
                 refute it.
         """
         self.counts.sent += 1
-        return OutgoingMessage(to, Message(kind, self.me.name, seq, target, self.piggyback(target, about)))
+        return AddressedMessage(to, Message(kind, self.me.name, seq, target, self.piggyback(target, about)))
 
     def piggyback(self, target: str, about: str) -> tuple[Claim, ...]:
         """Returns the claims to piggyback on a message: the least-sent ones, as many as fit."""
@@ -303,7 +304,7 @@
         reported = known.claim
         if message.kind == Kind.SYNC and reported.status == Status.ALIVE:
             reported = replace(reported, status=Status.SUSPECT)
-        return [OutgoingMessage(source, Message(Kind.ACK, self.me.name, 0, "", (self.me, reported)))]
+        return [AddressedMessage(source, Message(Kind.ACK, self.me.name, 0, "", (self.me, reported)))]
 
     def schedule(self, now: int, claim: Claim) -> None:
         """Sets the deadline that goes with a member's new status."""
@@ -361,7 +362,7 @@
         if not accusations:
             return []
         self.counts.sent += 1
-        return [OutgoingMessage(to, Accusations(self.me.name, tuple(accusations)))]
+        return [AddressedMessage(to, Accusations(self.me.name, tuple(accusations)))]
 
     def leave(self) -> list[OutgoingMessage]:
         """Announces to a few members, which inform the others, that this instance leaves.
--- a/balancer/fleet/min_rtt/decisions.py
+++ b/balancer/fleet/min_rtt/decisions.py
@@ -13,8 +13,8 @@
 from random import Random
 from typing import Any
 
-from balancer.fleet.component import Outgoing, addressed
 from balancer.fleet.leases.client import LeaseClient
+from balancer.fleet.leases.messages import OutgoingLeaseMessage
 from balancer.fleet.leases.names import REMEASURE_PREFIX
 from balancer.fleet.min_rtt.settings import MinRttSettings
 
@@ -62,21 +62,21 @@
         name = self.lease_name()
         return None if name is None else self.lease_client.held_token(now, name)
 
-    def acquire(self, now: int, slot: int) -> list[Outgoing]:
+    def acquire(self, now: int, slot: int) -> list[OutgoingLeaseMessage]:
         """Starts to acquire a slot."""
         self.slot, self.slot_requested_at = slot, now
         name = self.lease_name()
         assert name is not None
         self.lease_client.acquire(now, name)
-        return addressed(self.lease_client.tick(now))
+        return self.lease_client.tick(now)
 
-    def release(self, now: int) -> list[Outgoing]:
+    def release(self, now: int) -> list[OutgoingLeaseMessage]:
         """Releases the slot, or stops acquiring it."""
         name = self.lease_name()
         if name is None:
             return []
         self.previous_slot, self.slot = self.slot or 0, None
-        return addressed(self.lease_client.release(now, name))
+        return self.lease_client.release(now, name)
 
     # ---- the policy's events and questions --------------------------------------------------------------
 
@@ -119,7 +119,7 @@
             return self.last_asked_at + settings.due_timeout + 1
         return self.slot_requested_at + settings.slot_wait
 
-    def tick(self, now: int) -> list[Outgoing]:
+    def tick(self, now: int) -> list[OutgoingLeaseMessage]:
         """Acquires a slot while a recalculation is due, and releases it when that has ended."""
         if self.started_at is not None:
             is_over = now >= self.started_at + self.settings.max_duration or self.token(now) is None
--- a/balancer/fleet/rolling_update/component.py
+++ b/balancer/fleet/rolling_update/component.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from balancer.fleet.component import Component, Outgoing, Runtime, addressed
+from balancer.fleet.component import Component, Outgoing, Runtime
 from balancer.fleet.leases.client import LeaseClient
 from balancer.fleet.leases.component import LeaseComponent
 from balancer.fleet.leases.names import REPLACEMENT
@@ -85,7 +85,7 @@
         if update.wants_lease():
             client.acquire(now, REPLACEMENT)
         elif REPLACEMENT in client.requests and not update.announcements_left:
-            outgoing += addressed(client.release(now, REPLACEMENT))
+            outgoing += client.release(now, REPLACEMENT)
         plan_before = update.plan
         outgoing += update.tick(now, self.token())
         if update.plan != plan_before and update.plan is not None:
--- a/balancer/fleet/rolling_update/decisions.py
+++ b/balancer/fleet/rolling_update/decisions.py
@@ -18,6 +18,7 @@
 from dataclasses import replace
 from typing import Protocol
 
+from balancer.fleet.addressed_message import AddressedMessage
 from balancer.fleet.component import Outgoing
 from balancer.fleet.rolling_update.messages import (
     RollingUpdateKind,
@@ -158,7 +159,7 @@
     def broadcast(self, now: int, plan: UpdatePlan, token: int) -> list[Outgoing]:
         """The plan, to all members that are alive."""
         message = self.message(now, RollingUpdateKind.PLAN, plan, token)
-        return [Outgoing(name, message) for name in self.fleet.alive()]
+        return [AddressedMessage(name, message) for name in self.fleet.alive()]
 
     def message(
         self, now: int, kind: RollingUpdateKind, plan: UpdatePlan, token: int
@@ -199,7 +200,7 @@
         """The request to a process to end, which counts as unavailable from here on."""
         self.asked_to_end[name] = self.reports[name].incarnation
         self.counts["end_requests"] += 1
-        return Outgoing(name, self.message(now, RollingUpdateKind.GO, plan, token))
+        return AddressedMessage(name, self.message(now, RollingUpdateKind.GO, plan, token))
 
     def finish(self, plan: UpdatePlan) -> None:
         """All other processes are done: the leader itself is the last to end, or the plan is over."""
@@ -224,7 +225,7 @@
         if message.kind == RollingUpdateKind.GO and self.must_end(message):
             self.leaving = True
         assert self.plan is not None
-        return [Outgoing(message.sender, self.message(now, RollingUpdateKind.REPORT, self.plan, 0))]
+        return [AddressedMessage(message.sender, self.message(now, RollingUpdateKind.REPORT, self.plan, 0))]
 
     def record_report(self, now: int, message: RollingUpdateMessage) -> None:
         """Keeps a process's report, and an operator's command that was lost on its way here."""
--- a/balancer/fleet/zone_membership/component.py
+++ b/balancer/fleet/zone_membership/component.py
@@ -9,7 +9,6 @@
 from balancer.fleet.membership.codec import PayloadCodec
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.zone_membership.decisions import ZoneMembership
-from balancer.fleet.zone_membership.messages import AddressedMessage
 from balancer.fleet.zone_membership.records import ZoneEvent
 from balancer.fleet.zone_membership.settings import ZoneMembershipSettings, ZoneMembershipTiming
 from balancer.fleet.zone_membership.wire import ZoneMembershipWire
@@ -66,23 +65,18 @@
         """Returns when `tick` is due."""
         return self.zone_membership.deadline() if self.zone_membership is not None else None
 
-    def tick(self, now: int) -> list[Outgoing]:
+    def tick(self, now: int) -> Sequence[Outgoing]:
         """Does what is due."""
-        return outgoing(self.zone_membership.tick(now)) if self.zone_membership is not None else []
+        return self.zone_membership.tick(now) if self.zone_membership is not None else []
 
-    def received(self, now: int, sender: Address, message: Any) -> list[Outgoing]:
+    def received(self, now: int, sender: Address, message: Any) -> Sequence[Outgoing]:
         """Handles a message of another node."""
         if self.zone_membership is None:
             return []
-        return outgoing(self.zone_membership.received(now, sender, message))
+        return self.zone_membership.received(now, sender, message)
 
     # ---- status page ------------------------------------------------------------------------------------
 
     def status(self, now: int) -> dict[str, Any]:
         """Returns the key `regions` of the status page."""
         return {"regions": self.zone_membership.status(now) if self.zone_membership is not None else None}
-
-
-def outgoing(messages: Sequence[AddressedMessage]) -> list[Outgoing]:
-    """Returns messages as the runtime takes them."""
-    return [Outgoing(addressed.to, addressed.message) for addressed in messages]
--- a/balancer/fleet/zone_membership/decisions.py
+++ b/balancer/fleet/zone_membership/decisions.py
@@ -20,7 +20,7 @@
 from balancer.fleet.zone_membership.group import Group
 from balancer.fleet.zone_membership.local_summary import LocalSummary
 from balancer.fleet.zone_membership.messages import (
-    AddressedMessage,
+    OutgoingZoneMessage,
     ZoneMembershipKind,
     ZoneMembershipMessage,
 )
@@ -124,13 +124,15 @@
         records_due = self.records.deadline()
         return next_at if records_due is None else min(next_at, records_due)
 
-    def tick(self, now: int) -> list[AddressedMessage]:
+    def tick(self, now: int) -> list[OutgoingZoneMessage]:
         """Does what is due."""
         self.records.tick(now)
         queries = self.queries.tick(now)
         return queries + self.exchanges.tick(now)
 
-    def received(self, now: int, source: Address, message: ZoneMembershipMessage) -> list[AddressedMessage]:
+    def received(
+        self, now: int, source: Address, message: ZoneMembershipMessage
+    ) -> list[OutgoingZoneMessage]:
         """Handles a message.
 
         Args:
--- a/balancer/fleet/zone_membership/exchanges.py
+++ b/balancer/fleet/zone_membership/exchanges.py
@@ -5,11 +5,12 @@
 from collections.abc import Mapping
 from random import Random
 
+from balancer.fleet.addressed_message import AddressedMessage
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.zone_membership.gateway_selection import GatewaySelection
 from balancer.fleet.zone_membership.local_summary import LocalSummary
 from balancer.fleet.zone_membership.messages import (
-    AddressedMessage,
+    OutgoingZoneMessage,
     ZoneMembershipKind,
     ZoneMembershipMessage,
 )
@@ -61,7 +62,7 @@
         self.is_gateway = False
         self.unacknowledged: dict[str, int] = {}  # exchanges in a row, by zone
 
-    def tick(self, now: int) -> list[AddressedMessage]:
+    def tick(self, now: int) -> list[OutgoingZoneMessage]:
         """Exchanges with every other zone if that is due."""
         if now < self.next_at:
             return []
@@ -72,7 +73,7 @@
         """Takes note that a gateway of a zone has answered."""
         self.unacknowledged.pop(zone, None)
 
-    def _exchange(self, now: int) -> list[AddressedMessage]:
+    def _exchange(self, now: int) -> list[OutgoingZoneMessage]:
         """Sends the own summary to one gateway of each other zone, and a query to one of these gateways.
 
         By the query, two zones that do not reach each other get each other's summaries from a third.
@@ -86,7 +87,7 @@
         seq = self.sequence.advance()
         summaries = (self.local_summary.get(now),)
         message = ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, me, own_zone, seq, summaries)
-        outgoing: list[AddressedMessage] = []
+        outgoing: list[OutgoingZoneMessage] = []
         for zone in sorted({*self.records.zones, *self.zone_seeds} - {own_zone}):
             to = self._target(zone)
             if to is None:
--- a/balancer/fleet/zone_membership/messages.py
+++ b/balancer/fleet/zone_membership/messages.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
+from balancer.fleet.addressed_message import AddressedMessage
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.zone_membership.summaries import Known, Refresh, Summary
 
@@ -41,9 +42,4 @@
     known: tuple[Known, ...] = ()
 
 
-@dataclass(frozen=True, slots=True)
-class AddressedMessage:
-    """A message to be sent in one datagram, and the address it goes to."""
-
-    to: Address
-    message: ZoneMembershipMessage
+OutgoingZoneMessage = AddressedMessage[Address, ZoneMembershipMessage]
--- a/balancer/fleet/zone_membership/queries.py
+++ b/balancer/fleet/zone_membership/queries.py
@@ -6,10 +6,11 @@
 from dataclasses import dataclass
 from random import Random
 
+from balancer.fleet.addressed_message import AddressedMessage
 from balancer.fleet.zone_membership.gateway_selection import GatewaySelection
 from balancer.fleet.zone_membership.group import Group, address_of
 from balancer.fleet.zone_membership.messages import (
-    AddressedMessage,
+    OutgoingZoneMessage,
     ZoneMembershipKind,
     ZoneMembershipMessage,
 )
@@ -67,7 +68,7 @@
         """Returns when `tick` is due."""
         return self.next_at if self.pending is None else self.pending.expires_at
 
-    def tick(self, now: int) -> list[AddressedMessage]:
+    def tick(self, now: int) -> list[OutgoingZoneMessage]:
         """Expires the pending query, and sends the next one if it is due."""
         if self.pending is not None and now >= self.pending.expires_at:
             self._expire(now, self.pending)
@@ -96,7 +97,7 @@
         interval = self.timing.query_interval if self.records.zones else self.timing.response_timeout
         self.next_at = now + jittered(interval, self.rng)
 
-    def _query(self, now: int) -> list[AddressedMessage]:
+    def _query(self, now: int) -> list[OutgoingZoneMessage]:
         """Queries a gateway; one whose last query was not answered is queried again first."""
         me = self.group.me.name
         gateways = [name for name in self.selection.gateways(now) if name != me]
--- a/balancer/fleet/zone_membership/responses.py
+++ b/balancer/fleet/zone_membership/responses.py
@@ -4,12 +4,13 @@
 
 from collections import Counter
 
+from balancer.fleet.addressed_message import AddressedMessage
 from balancer.fleet.membership.rate_limit import RateLimit
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.zone_membership.batches import batches
 from balancer.fleet.zone_membership.local_summary import LocalSummary
 from balancer.fleet.zone_membership.messages import (
-    AddressedMessage,
+    OutgoingZoneMessage,
     ZoneMembershipKind,
     ZoneMembershipMessage,
 )
@@ -45,7 +46,7 @@
 
     def answer_exchange(
         self, now: int, source: Address, request: ZoneMembershipMessage
-    ) -> list[AddressedMessage]:
+    ) -> list[OutgoingZoneMessage]:
         """Returns the own zone's summary, whether this node is a gateway or not: it names the gateways."""
         if request.zone == self.records.own_zone or not self._admit(now):
             return []
@@ -54,7 +55,7 @@
 
     def answer_query(
         self, now: int, source: Address, request: ZoneMembershipMessage
-    ) -> list[AddressedMessage]:
+    ) -> list[OutgoingZoneMessage]:
         """Returns what is younger here than at the sender, and at least an empty response."""
         if not self._admit(now):
             return []
@@ -64,7 +65,7 @@
         if request.zone != self.records.own_zone:
             summaries.append(self.local_summary.get(now))
         kind = ZoneMembershipKind.ZONE_RESPONSE
-        answers: list[AddressedMessage] = []
+        answers: list[OutgoingZoneMessage] = []
         if refreshes or not summaries:
             answers.append(self._answer(kind, source, request, refreshes=tuple(refreshes)))
         for batch in batches(summaries):
@@ -78,7 +79,7 @@
         request: ZoneMembershipMessage,
         summaries: tuple[Summary, ...] = (),
         refreshes: tuple[Refresh, ...] = (),
-    ) -> AddressedMessage:
+    ) -> OutgoingZoneMessage:
         me = self.local_summary.group.me.name
         own_zone = self.records.own_zone
         message = ZoneMembershipMessage(kind, me, own_zone, request.seq, summaries, refreshes)
--- a/balancer/fleet/zone_routing/directives.py
+++ b/balancer/fleet/zone_routing/directives.py
@@ -16,6 +16,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from random import Random
 
+from balancer.fleet.addressed_message import AddressedMessage
 from balancer.fleet.component import Outgoing
 from balancer.fleet.zone_routing.known_directive import (
     MAX_DURATION_US,
@@ -143,7 +144,9 @@
         receivers = members if self.broadcasts_remaining else [self.rng.choice(members)]
         self.broadcasts_remaining = max(0, self.broadcasts_remaining - 1)
         return [
-            Outgoing(receiver, message) for message in self.messages(now, gossiped) for receiver in receivers
+            AddressedMessage(receiver, message)
+            for message in self.messages(now, gossiped)
+            for receiver in receivers
         ]
 
     def messages(self, now: int, gossiped: Mapping[str, KnownDirective]) -> list[ZoneMessage]:
--- a/tests/virtual_leases.py
+++ b/tests/virtual_leases.py
@@ -1,10 +1,10 @@
 """Lease clients and their voters with no network between them, for tests of what acquires leases."""
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Sequence
 from random import Random
 from typing import Generic, Protocol, TypeVar
 
-from balancer.fleet.component import Outgoing, addressed
+from balancer.fleet.component import Outgoing
 from balancer.fleet.leases.client import LeaseClient
 from balancer.fleet.leases.messages import LeaseMessage
 from balancer.fleet.leases.settings import Electorate, LeaseSettings
@@ -20,7 +20,7 @@
     """What is tested: one process's part, which acquires leases."""
 
     def deadline(self, now: int) -> int | None: ...
-    def tick(self, now: int) -> list[Outgoing]: ...
+    def tick(self, now: int) -> Sequence[Outgoing]: ...
 
 
 UserT = TypeVar("UserT", bound=LeaseUser)
@@ -45,7 +45,7 @@
                 self.deliver_to_part(sent, sender)
             elif sent.to in self.voters and "voters" not in self.unreachable:
                 for name, answer in self.voters[str(sent.to)].received(self.now, sent.message):
-                    self.deliver(addressed(self.lease_clients[name].received(self.now, answer)), name)
+                    self.deliver(self.lease_clients[name].received(self.now, answer), name)
 
     def deliver_to_part(self, sent: Outgoing, sender: str) -> None:
         """Delivers a message from one part to another, where the parts have messages of their own."""
@@ -60,7 +60,7 @@
                 break
             self.now = max(self.now + 1, due)
             for name in self.lease_clients:
-                self.deliver(addressed(self.lease_clients[name].tick(self.now)), name)
+                self.deliver(self.lease_clients[name].tick(self.now), name)
                 self.deliver(self.parts[name].tick(self.now), name)
         else:
             raise AssertionError("something is due without end")
--- a/workbench/explore/zone_members.py
+++ b/workbench/explore/zone_members.py
@@ -11,7 +11,7 @@
 from balancer.fleet.membership.swim import Address, Claim, OutgoingMessage, Status, Swim
 from balancer.fleet.zone_membership.decisions import ZoneMembership
 from balancer.fleet.zone_membership.group import Group
-from balancer.fleet.zone_membership.messages import AddressedMessage, ZoneMembershipMessage
+from balancer.fleet.zone_membership.messages import OutgoingZoneMessage, ZoneMembershipMessage
 from balancer.fleet.zone_membership.records import Freshness, Record, ZoneEvent
 from balancer.fleet.zone_membership.settings import ZoneMembershipSettings, ZoneMembershipTiming
 from balancer.fleet.zone_membership.wire import ZoneMembershipWire
@@ -136,7 +136,7 @@
         elif self.swim is not None:
             self._run_swim(self.swim.receive, now, source, message)
 
-    def _run_zone_membership(self, call: Callable[[], list[AddressedMessage]]) -> None:
+    def _run_zone_membership(self, call: Callable[[], list[OutgoingZoneMessage]]) -> None:
         began = process_time_ns()
         messages = call()
         self.cpu_ns += process_time_ns() - began
--- a/workbench/simulator/fleet.py
+++ b/workbench/simulator/fleet.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Any
 
-from balancer.fleet.component import Outgoing, addressed
+from balancer.fleet.component import Outgoing
 from balancer.fleet.config import FleetConfig
 from balancer.fleet.leases.client import LeaseClient
 from balancer.fleet.leases.messages import LeaseMessage
@@ -217,7 +217,7 @@
             return
         self.armed = -1
         now = self.clock.now
-        self.carry(addressed([*self.voter.tick(now), *self.lease_client.tick(now)]))
+        self.carry([*self.voter.tick(now), *self.lease_client.tick(now)])
         self.carry(self.adapter.tick(now))
         self.arm()
 
@@ -241,9 +241,7 @@
     def take(self, message: Any) -> None:
         now = self.clock.now
         if isinstance(message, LeaseMessage):
-            self.carry(
-                addressed([*self.voter.received(now, message), *self.lease_client.received(now, message)])
-            )
+            self.carry([*self.voter.received(now, message), *self.lease_client.received(now, message)])
         else:
             self.carry(self.adapter.received(now, message))
         self.arm()
