--- a/workbench/cli/errors.py
+++ b/workbench/cli/errors.py
@@ -3,12 +3,10 @@
 from __future__ import annotations
 
 import os
-import tempfile
 from collections.abc import Callable
-from contextlib import suppress
 from pathlib import Path
 
-from workbench.files import sync
+from workbench.files import write_files
 
 
 class Bad(Exception):
@@ -30,18 +28,7 @@
 
 def write_whole(target: Path, write: Callable[[Path], None]) -> None:
     """The file appears whole or not at all, whatever stops the writing. Bad."""
-    part: Path | None = None
     try:
-        handle, name = tempfile.mkstemp(dir=target.parent, prefix=".", suffix=target.suffix)
-        part = Path(name)
-        os.close(handle)
-        write(part)
-        part.chmod(0o644)
-        sync(part)
-        part.replace(target)
+        write_files({target: write})
     except OSError as e:
         raise Bad(f"{target}: cannot be written: {e.strerror}") from None
-    finally:
-        if part is not None:
-            with suppress(OSError):
-                part.unlink(missing_ok=True)
