--- a/balancer/fleet/config.py
+++ b/balancer/fleet/config.py
@@ -20,8 +20,8 @@
 MAX_SEEDS = 64
 PERIOD_MS = (100, 60_000)
 LEASE_MS = (200, 600_000)
-DEFAULT_ROOM = 1.4
-MAX_ROOM = 10
+DEFAULT_OVERPROVISIONING_FACTOR = 1.4
+MAX_OVERPROVISIONING_FACTOR = 10
 MAX_ZONE_COST = 1e9
 UNSPECIFIED_HOSTS = ("0.0.0.0", "::")  # a socket listens there; nobody can send there
 KEYS = (
@@ -107,10 +107,10 @@
         seeds=read_seeds(section),
         voters=read_voters(section, "voters"),
         old_voters=read_voters(section, "old_voters"),
-        lease=section.whole("lease_ms", 3_000, *LEASE_MS) * 1000,
-        max_lease=section.whole("longest_lease_ms", 10_000, *LEASE_MS) * 1000,
+        lease=section.integer("lease_ms", 3_000, *LEASE_MS) * 1000,
+        max_lease=section.integer("longest_lease_ms", 10_000, *LEASE_MS) * 1000,
         votes=read_votes_directory(section),
-        period=section.whole("period_ms", 1000, *PERIOD_MS) * 1000,
+        period=section.integer("period_ms", 1000, *PERIOD_MS) * 1000,
         health_checks=section.flag("probe"),
         min_rtt_share=section.number("remeasure", 0, 0, 1),
         zones=read_zones(section),
@@ -189,7 +189,7 @@
         return None
     inner = ConfigSection(table, f"{section.path}.zones")
     inner.only("room", "costs")
-    room = inner.number("room", DEFAULT_ROOM, 1, MAX_ROOM)
+    room = inner.number("room", DEFAULT_OVERPROVISIONING_FACTOR, 1, MAX_OVERPROVISIONING_FACTOR)
     costs = table.get("costs", {})
     if not isinstance(costs, dict):
         inner.fault("costs", costs, "must be a table of zones")
--- a/balancer/fleet/config_section.py
+++ b/balancer/fleet/config_section.py
@@ -52,8 +52,8 @@
         self.fault(key, value, f"must be text of 1 to {max_characters} characters")
         return default or ""
 
-    def whole(self, key: str, default: int, low: int, high: int) -> int:
-        """A whole number from `low` to `high`."""
+    def integer(self, key: str, default: int, low: int, high: int) -> int:
+        """An integer from `low` to `high`."""
         value = self.table.get(key, default)
         if isinstance(value, int) and not isinstance(value, bool) and low <= value <= high:
             return value
--- a/balancer/fleet/health_checks/decisions.py
+++ b/balancer/fleet/health_checks/decisions.py
@@ -94,14 +94,14 @@
     # ---- the policy's events and questions --------------------------------------------------------------
 
     def may_probe(self, now: int, server: int) -> bool:
-        """Whether this node probes: it holds the lease, or has not heard of a lease holder for too long."""
+        """Whether this node probes: it holds the lease, or no lease holder was announced for too long."""
         state = self.ejected.get(server)
         if state is None or self.token(now, server) is not None:
             return True
         request = self.lease_client.requests.get(self.lease_name(server))
         held_elsewhere_until = request.held_elsewhere_until if request is not None else 0
-        heard_at = max(state.waiting_since, state.covered_until, held_elsewhere_until)
-        is_alone = now >= heard_at + self.settings.patience
+        holder_known_until = max(state.waiting_since, state.covered_until, held_elsewhere_until)
+        is_alone = now >= holder_known_until + self.settings.patience
         if is_alone:
             self.counts["alone"] += 1
         return is_alone
@@ -143,8 +143,8 @@
         """When something is due for an ejected server."""
         token = self.token(now, server)
         if token is not None:
-            is_news = state.failure_unannounced or state.announced_token != token
-            return now if is_news else state.idle_at(self.settings.idle_timeout)
+            is_unannounced = state.failure_unannounced or state.announced_token != token
+            return now if is_unannounced else state.idle_at(self.settings.idle_timeout)
         is_acquiring = self.is_acquiring(server)
         if state.acquire_after() > now:
             return now if is_acquiring else state.acquire_after()
--- a/balancer/fleet/health_checks/messages.py
+++ b/balancer/fleet/health_checks/messages.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class ProbeAnnouncement:
-    """What the holder of a server's lease says of its probes.
+    """What the holder of a server's lease announces of its probes.
 
     Attributes:
         server: Number of the server, the same at every node.
--- a/balancer/fleet/leases/client.py
+++ b/balancer/fleet/leases/client.py
@@ -6,7 +6,7 @@
 `voter.py`.
 
 Times are microseconds of this process's monotonic clock; `unix_clock` gives milliseconds of Unix time,
-carried on from the process's start by the monotonic clock, for tokens that rise even where all voters have
+advanced from the process's start by the monotonic clock, for tokens that rise even where all voters have
 forgotten.
 """
 
@@ -168,7 +168,7 @@
         request.begin_round(now, self.seq)
 
     def next_token(self, request: LeaseRequest) -> int:
-        """Above all that was heard of, and above what may have been forgotten."""
+        """Above all that is known, and above what may have been forgotten."""
         return max(request.highest_token + 1, self.unix_clock())
 
     def request_from_first(self, now: int, request: LeaseRequest) -> list[OutgoingLeaseMessage]:
@@ -180,7 +180,7 @@
         return self.request_messages(request, [self.voters[request.first_voter % len(self.voters)]])
 
     def request_from_next(self, now: int, request: LeaseRequest) -> list[OutgoingLeaseMessage]:
-        """Turns to the next voter, as the one before is silent or cannot vote, until all have been tried."""
+        """Turns to the next voter, as the one before is silent or cannot vote, until all have been asked."""
         request.first_voter += 1
         tried_all = (request.first_voter - first_voter_index(request.lease)) % len(self.voters) == 0
         if tried_all:
@@ -284,7 +284,7 @@
         return []
 
     def is_granted(self, request: LeaseRequest) -> bool:
-        """Whether a majority of each whole list has granted the round."""
+        """Whether a majority of each complete list has granted the round."""
         return all(electorate.has_majority(request.granted_by) for electorate in self.electorates)
 
     def counted_from(self, request: LeaseRequest, now: int) -> int:
--- a/balancer/fleet/leases/component.py
+++ b/balancer/fleet/leases/component.py
@@ -39,15 +39,15 @@
         return voter is not None and bool(voter.electorates) and voter.abstains(now)
 
     def external_request(
-        self, now: int, lease: str, script: str, release: bool
+        self, now: int, lease: str, holder_id: str, release: bool
     ) -> tuple[dict[str, Any], Sequence[Outgoing]]:
         """A script of this node requests a lease (again), or releases it.
 
         Returns:
-            What the script is told, as JSON values, and the messages to be sent.
+            The answer to the script, as JSON values, and the messages to be sent.
         """
         action = self.service.release_external if release else self.service.acquire_external
-        answer, outgoing = action(now, lease, script)
+        answer, outgoing = action(now, lease, holder_id)
         return answer.page(), outgoing
 
     def open(self) -> None:
@@ -59,7 +59,7 @@
         self.service.open(incarnation, now, self.unix_milliseconds, runtime.rng)
 
     def unix_milliseconds(self) -> int:
-        """Unix time as of this incarnation's beginning, carried on by the monotonic clock.
+        """Unix time as of this incarnation's beginning, advanced by the monotonic clock.
 
         Failure prevented: the wall clock is stepped an hour forward for a moment, and a token of that moment
         is above all that others make in the hour after.
--- a/balancer/fleet/leases/external.py
+++ b/balancer/fleet/leases/external.py
@@ -1,8 +1,7 @@
 """External lease holders: scripts beside the fleet that hold a lease through a node of it.
 
-A script comes again and again while it needs its lease; each answer tells how long it may count on it. One
-that does not come for the duration of a lease is taken for gone, but may run on until what it was told is
-over.
+A script renews its lease while it needs it; each answer states how long it may count on it. One that does not
+renew for the duration of a lease is taken for gone, but may run on until the time in its last answer.
 """
 
 from __future__ import annotations
@@ -26,23 +25,23 @@
     """One script that requests a lease through this process.
 
     Attributes:
-        script: Its identifier.
-        heard_at: When it came last.
-        notified_until: Until when it was told that it holds the lease.
+        holder_id: The identifier that it gives itself.
+        requested_at: When it requested the lease last.
+        notified_until: Until when it holds the lease, by its last answer.
     """
 
-    script: str
-    heard_at: int
+    holder_id: str
+    requested_at: int
     notified_until: int = 0
 
 
 @dataclass(frozen=True)
 class ExternalLeaseAnswer:
-    """What an external lease holder is told.
+    """The answer to an external lease holder.
 
     Attributes:
         token: Of the lease, if the script holds it.
-        remaining_us: How long it may count on the lease, from when it asked.
+        remaining_us: How long it may count on the lease, from its request on.
         why: The reason, where it does not hold the lease; empty after a release.
     """
 
@@ -69,8 +68,8 @@
 
     Args:
         client: Acquires and releases their leases.
-        timeout: In microseconds; one that has not come for so long is gone.
-        log: Hears of those that are gone.
+        timeout: In microseconds; one that has not renewed for so long is gone.
+        log: Takes a line for each that is gone.
     """
 
     def __init__(self, client: LeaseClient, timeout: int, log: Log) -> None:
@@ -79,16 +78,16 @@
         self.log = log
         self.holders: dict[str, ExternalLeaseHolder] = {}  # by the lease that each requests
 
-    def acquire(self, now: int, lease: str, script: str) -> ExternalResult:
+    def acquire(self, now: int, lease: str, holder_id: str) -> ExternalResult:
         """A script requests a lease, or needs it still."""
         holder = self.holders.get(lease)
         if holder is None and len(self.holders) >= MAX_EXTERNAL_LEASES:
             return ExternalResult(ExternalLeaseAnswer(why=TOO_MANY), [])
         if holder is None:
-            holder = self.holders[lease] = ExternalLeaseHolder(script, now)
-        if holder.script != script:
+            holder = self.holders[lease] = ExternalLeaseHolder(holder_id, now)
+        if holder.holder_id != holder_id:
             return ExternalResult(ExternalLeaseAnswer(why=TAKEN_HERE), [])
-        holder.heard_at = now
+        holder.requested_at = now
         self.client.acquire(now, lease)
         outgoing = self.client.tick(now)
         token = self.client.held_token(now, lease)
@@ -97,32 +96,33 @@
         holder.notified_until = self.client.requests[lease].expires_at
         return ExternalResult(ExternalLeaseAnswer(token, holder.notified_until - now), outgoing)
 
-    def release(self, now: int, lease: str, script: str) -> ExternalResult:
+    def release(self, now: int, lease: str, holder_id: str) -> ExternalResult:
         """A script does not need its lease any more."""
         holder = self.holders.get(lease)
-        if holder is None or holder.script != script:
+        if holder is None or holder.holder_id != holder_id:
             return ExternalResult(ExternalLeaseAnswer(), [])
         del self.holders[lease]
         return ExternalResult(ExternalLeaseAnswer(), self.client.release(now, lease))
 
     def deadline(self) -> int | None:
-        """When a script that does not come again is gone, and what it was told is over."""
+        """When the next script that does not renew is gone, and its last answer holds no longer."""
         return min(
-            (max(h.heard_at + self.timeout, h.notified_until) for h in self.holders.values()), default=None
+            (max(h.requested_at + self.timeout, h.notified_until) for h in self.holders.values()),
+            default=None,
         )
 
     def tick(self, now: int) -> list[OutgoingLeaseMessage]:
-        """Removes those that have not come for too long."""
+        """Removes those that have not renewed for too long."""
         outgoing: list[OutgoingLeaseMessage] = []
         for lease, holder in list(self.holders.items()):
-            if now >= holder.heard_at + self.timeout:
+            if now >= holder.requested_at + self.timeout:
                 outgoing += self.remove(now, lease, holder)
         return outgoing
 
     def remove(self, now: int, lease: str, holder: ExternalLeaseHolder) -> list[OutgoingLeaseMessage]:
-        """A script has not come for too long.
+        """A script has not renewed for too long.
 
-        It may run on for what it was told, and nobody else of this node gets the lease before that is over.
+        It may run on as its last answer allows; nobody else of this node gets the lease before that is over.
         """
         if now < holder.notified_until:
             self.client.abandon(lease)
--- a/balancer/fleet/leases/messages.py
+++ b/balancer/fleet/leases/messages.py
@@ -44,7 +44,7 @@
     Attributes:
         kind: What the message is.
         sender: Name of the process that sent it.
-        incarnation: Tells one process of a name from the next.
+        incarnation: Distinguishes one process of a name from the next.
         lease: Name of the lease.
         seq: Pairs an answer with its request.
         token: Of the lease; in a denial the highest token that the voter knows.
--- a/balancer/fleet/leases/request.py
+++ b/balancer/fleet/leases/request.py
@@ -27,11 +27,11 @@
         seq: Of the current round; answers to others do not count.
         requested_at: When the first request of the round was sent.
         token: Under which the lease is requested or held.
-        highest_token: The highest that a voter told of.
+        highest_token: The highest that a voter has reported.
         expires_at: Until when the lease is held.
         first_voter: Index of the voter that is asked first.
         failures: Failed rounds since the lease was held.
-        held_elsewhere_until: Until when a voter said that another process holds it.
+        held_elsewhere_until: Until when another process holds it, by a voter's denial.
         granted_by: Voters that granted it in this round.
         denied_by: Voters that denied it in this round.
     """
--- a/balancer/fleet/leases/service.py
+++ b/balancer/fleet/leases/service.py
@@ -113,7 +113,7 @@
     def leave(self, now: int) -> list[OutgoingLeaseMessage]:
         """Releases what this process holds itself, before a planned end.
 
-        What an external holder has is left to expire, since it runs on until the time that it was told.
+        What an external holder has is left to expire, since it runs on until the time in its last answer.
         """
         if self.participants is None:
             return []
@@ -123,15 +123,15 @@
 
     # ---- for external lease holders ---------------------------------------------------------------------
 
-    def acquire_external(self, now: int, lease: str, script: str) -> ExternalResult:
+    def acquire_external(self, now: int, lease: str, holder_id: str) -> ExternalResult:
         """A script requests a lease, or needs it still."""
         assert self.participants is not None
-        return self.participants.external.acquire(now, lease, script)
+        return self.participants.external.acquire(now, lease, holder_id)
 
-    def release_external(self, now: int, lease: str, script: str) -> ExternalResult:
+    def release_external(self, now: int, lease: str, holder_id: str) -> ExternalResult:
         """A script does not need its lease any more."""
         assert self.participants is not None
-        return self.participants.external.release(now, lease, script)
+        return self.participants.external.release(now, lease, holder_id)
 
     # ---- what operators see -----------------------------------------------------------------------------
 
--- a/balancer/fleet/leases/settings.py
+++ b/balancer/fleet/leases/settings.py
@@ -26,7 +26,7 @@
         max_backoff: ...up to this.
         recall_interval: Between two recalls of a voter that has restarted.
         max_leases: Leases that a voter keeps apart.
-        retry_spacing: Between clients that are told when to come again.
+        retry_spacing: Between clients that are notified when to request again.
         store_retry_interval: Pause after the vote store failed.
         max_waiters: Denied clients that are notified when a lease becomes available.
     """
@@ -81,5 +81,5 @@
         return len(self.voters) - self.majority + 1
 
     def has_majority(self, granted_by: Iterable[str]) -> bool:
-        """Whether these are a majority of the whole list, whoever is alive."""
+        """Whether these are a majority of the complete list, whoever is alive."""
         return len(set(granted_by) & set(self.voters)) >= self.majority
--- a/balancer/fleet/leases/vote_store.py
+++ b/balancer/fleet/leases/vote_store.py
@@ -1,9 +1,9 @@
 """The highest token that a voter may have granted, kept on a disk for its next incarnation.
 
-A file for each voter, written whole under another name, synced and renamed, before anything beyond it is
+A file for each voter, written completely under another name, synced and renamed, before anything beyond it is
 granted; ahead by `CEILING_MARGIN`, so that not every grant waits for the disk. What cannot be read correctly
 is named and not trusted: the voter then starts as one without memory. What cannot be read or written for now
-(`ENOSPC`, `EIO`, a folder that is not mounted) is tried again; until then nothing beyond the ceiling is
+(`ENOSPC`, `EIO`, a folder that is not mounted) is retried; until then nothing beyond the ceiling is
 granted.
 """
 
@@ -28,7 +28,7 @@
 
 
 class VoteStoreUnavailableError(VoteStoreError):
-    """A file of votes that cannot be read for now; what it holds may be whole."""
+    """A file of votes that cannot be read for now; what it holds may be complete."""
 
 
 def checksum(body: bytes) -> bytes:
@@ -76,7 +76,7 @@
     """Replaces a voter's file; it is on the disk when this returns.
 
     Raises:
-        OSError: The file could not be replaced; it is the one before or the new one, and whole either way.
+        OSError: The file could not be replaced; it is the one before or the new one, and complete either way.
     """
     body = b"\n".join([FILE_HEADER, name.encode(), str(token).encode()])
     part = path.with_suffix(".part")
@@ -156,7 +156,7 @@
         Failure prevented: a disk fails at the start alone, and the higher token on it is overwritten.
 
         Raises:
-            VoteStoreUnavailableError: The disk does not say for now.
+            VoteStoreUnavailableError: The disk gives no answer for now.
         """
         if self.floor is None:
             self.floor = self.load_or_distrust()
--- a/balancer/fleet/leases/voter.py
+++ b/balancer/fleet/leases/voter.py
@@ -136,7 +136,7 @@
         return self.grant_if_higher(now, request, lease)
 
     def deny_held(self, now: int, request: LeaseMessage, lease: GrantedLease) -> list[OutgoingLeaseMessage]:
-        """Denies a lease that another process holds, and tells when to come again.
+        """Denies a lease that another process holds, and states when to request again.
 
         Failure prevented: a thousand clients come again at one instant, the end of the lease.
         """
@@ -207,7 +207,7 @@
         ]
 
     def available_message(self, lease: str, seq: int, token: int) -> LeaseMessage:
-        """Tells a denied client that a lease has been released."""
+        """Notifies a denied client that a lease has been released."""
         return LeaseMessage(LeaseKind.AVAILABLE, self.name, self.incarnation, lease, seq, token)
 
     # ---- tokens -----------------------------------------------------------------------------------------
@@ -215,7 +215,7 @@
     def remember_token(self, request: LeaseMessage) -> None:
         """Grants nothing below the token of a request that came while this voter abstained.
 
-        A client requests above all that it has heard of, so one client that lives on is enough where all
+        A client requests above all that it knows, so one client that runs on is enough where all
         voters forget. Failure prevented: all voters restart, and a client whose wall clock is slow comes to
         hold a lease under a token that every receiver refuses.
         """
@@ -256,7 +256,7 @@
     # ---- memory -----------------------------------------------------------------------------------------
 
     def find_or_add(self, now: int, name: str) -> GrantedLease | None:
-        """A lease by its name; None where it is new and there is no room for it.
+        """A lease by its name; None where it is new and there is no capacity for it.
 
         One that nobody holds gives way, and leaves its token as the floor of all that come after.
         """
--- a/balancer/fleet/membership/replay_guard.py
+++ b/balancer/fleet/membership/replay_guard.py
@@ -230,7 +230,7 @@
     def prove(self, now: int, received: Received, challenge: Challenge, verdict: Verdict) -> Admission:
         """Handles the answer to a challenge: accepts the buffered datagrams that were recent on arrival.
 
-        The answer itself is not processed further: that of an earlier version carries claims about its own
+        The answer itself is not processed further: that of an earlier version contains claims about its own
         group, which need not be this process's.
         """
         self.remove(challenge)
@@ -300,5 +300,5 @@
 
 
 def is_challenge(message: Any) -> bool:
-    """Returns whether a message only asks for proof of liveness: membership's own pings carry claims."""
+    """Returns whether a message only asks for proof of liveness: membership's own pings contain claims."""
     return message.kind == Kind.PING and not message.claims
--- a/balancer/fleet/membership/swim.py
+++ b/balancer/fleet/membership/swim.py
@@ -61,7 +61,7 @@
 ]
 
 
-FULL_VIEW_KINDS = (Kind.SYNC_ACK, Kind.PAGE)  # messages with the sender's whole view, new or not
+FULL_VIEW_KINDS = (Kind.SYNC_ACK, Kind.PAGE)  # messages with the sender's complete view, new or not
 
 
 class Swim:
@@ -74,7 +74,7 @@
         address: The address at which the others reach it.
         incarnation: Should be higher than that of an earlier process of this name; the start in Unix time
             is suitable. Otherwise this instance adopts a higher one once a member reports the earlier one.
-        seeds: Configured peers, asked for the whole view at the start, and again while not known alive.
+        seeds: Configured peers, asked for the complete view at the start, and again while not known alive.
         rng: The source of all random decisions.
         now: The present time.
         timing: The protocol's parameters.
--- a/balancer/fleet/min_rtt/decisions.py
+++ b/balancer/fleet/min_rtt/decisions.py
@@ -1,7 +1,7 @@
 """When a node's minRTT recalculation may begin: it holds one of the tier's slots, or has waited long enough.
 
-Each slot is a lease. A node that waits tries the slots one after the other, from a random one on; a slot that
-another node releases is offered to those that tried to acquire it last. The recalculation itself is the
+Each slot is a lease. A node that waits requests the slots one after the other, from a random one on; a slot
+that another node releases is offered to those that requested it last. The recalculation itself is the
 policy's. The first one of a process is not limited.
 
 All times are microseconds of this process's monotonic clock.
--- a/balancer/fleet/min_rtt/settings.py
+++ b/balancer/fleet/min_rtt/settings.py
@@ -14,7 +14,7 @@
         max_share: Share of the tier's nodes that may recalculate at once; at least one node may.
         max_wait: A node that has got no slot recalculates without one after this time...
         wait_jitter: ...prolonged by up to this share, so that nodes which wait do not all begin at once.
-        slot_wait: How long a node waits for a slot before it tries the next one.
+        slot_wait: How long a node waits for a slot before it requests the next one.
         due_timeout: A recalculation that the policy has not asked for in this time is not due any more.
         max_duration: A recalculation without requests does not end: its slot is released after this time.
     """
--- a/balancer/fleet/operator_pages.py
+++ b/balancer/fleet/operator_pages.py
@@ -50,7 +50,7 @@
         """Whether this process has its socket."""
 
     def view(self) -> dict[str, Any]:
-        """The whole page."""
+        """The complete page."""
 
     def deliver(self, outgoing: Sequence[Outgoing]) -> None:
         """Sends what a component returned."""
@@ -112,7 +112,7 @@
         if self.rolling_update is None or not self.runtime.is_open:
             return NO_VOTERS
         command, max_unavailable = parameters(query, "do", "most")
-        if not self.rolling_update.command(command, max_unavailable=whole_number(max_unavailable or "1")):
+        if not self.rolling_update.command(command, max_unavailable=parse_integer(max_unavailable or "1")):
             return BAD_COMMAND
         self.runtime.deliver(self.rolling_update.tick(self.runtime.now()))
         self.runtime.schedule()
@@ -131,7 +131,7 @@
         known = sorted({router.home, *router.states.by_zone})
         if zone not in known:
             return Response(400, f"zone: must be one of {', '.join(known)}\n".encode())
-        duration = whole_number(seconds)
+        duration = parse_integer(seconds)
         if command == "leave" and not 0 < duration <= MAX_DIRECTIVE_SECONDS:
             return BAD_DURATION
         if command not in ("leave", "return"):
@@ -149,8 +149,8 @@
     return tuple(values.get(name, [""])[0] for name in names)
 
 
-def whole_number(text: str) -> int:
-    """Returns the number that a text has in digits; 0 where it has none, or more than `MAX_DIGITS`."""
+def parse_integer(text: str) -> int:
+    """Returns the integer that a text has in digits; 0 where it has none, or more than `MAX_DIGITS`."""
     return int(text) if text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS else 0
 
 
--- a/balancer/fleet/policy_adapter.py
+++ b/balancer/fleet/policy_adapter.py
@@ -182,7 +182,7 @@
         slots.finished()
         self.schedule()
 
-    def may_run_trial(self, server: int) -> bool:
+    def may_probe(self, server: int) -> bool:
         """Whether an ejected server may be checked now, or a server of its zone may get calls at all."""
         if self.zone_traffic is not None and not self.zone_traffic.allows(server):
             return False
--- a/balancer/fleet/rolling_update/decisions.py
+++ b/balancer/fleet/rolling_update/decisions.py
@@ -2,7 +2,7 @@
 
 No progress is stored: a process is done if its incarnation began after the plan, and unavailable if it has
 left, died or does not serve. So a leader that takes over continues where the last one stopped. Each process
-decides by its monotonic clock whether it is older than the plan, since messages carry the plan's age. It
+decides by its monotonic clock whether it is older than the plan, since messages contain the plan's age. It
 reports that by an incarnation below or above the plan's number, which leaders of every version understand.
 
 A process that is asked to end checks the token and its own age first, so that requests of a former leader and
@@ -134,7 +134,7 @@
         return max(self.incarnation, plan.number + 1)
 
     def wants_lease(self) -> bool:
-        """Whether this process should try to lead."""
+        """Whether this process should acquire the lease to lead."""
         return self.plan is not None and self.plan.state == UpdateState.RUNS and not self.leaving
 
     # ---- time -------------------------------------------------------------------------------------------
--- a/balancer/fleet/rolling_update/messages.py
+++ b/balancer/fleet/rolling_update/messages.py
@@ -86,7 +86,7 @@
 
 
 def seq_of_age(age: int | None) -> int:
-    """The value of `seq` that carries a plan's age in microseconds; 0 for an unknown age."""
+    """The value of `seq` that stands for a plan's age in microseconds; 0 for an unknown age."""
     return 0 if age is None else age + 1
 
 
--- a/balancer/fleet/zone_membership/decisions.py
+++ b/balancer/fleet/zone_membership/decisions.py
@@ -112,7 +112,7 @@
         """Attaches a fact to the own zone's summary, to go out while this node is a gateway.
 
         Raises:
-            ZoneFactsError: The facts would be more than a summary may carry.
+            ZoneFactsError: The facts would be more than a summary may contain.
         """
         self.local_summary.set_fact(key, value)
 
--- a/balancer/fleet/zone_membership/errors.py
+++ b/balancer/fleet/zone_membership/errors.py
@@ -16,7 +16,7 @@
 
 
 class ZoneFactsError(ValueError):
-    """The facts of a zone are more than a summary may carry."""
+    """The facts of a zone are more than a summary may contain."""
 
     def __init__(self) -> None:
         super().__init__("facts")
--- a/balancer/fleet/zone_membership/local_summary.py
+++ b/balancer/fleet/zone_membership/local_summary.py
@@ -42,7 +42,7 @@
         """Attaches a fact to this and all later summaries.
 
         Raises:
-            ZoneFactsError: The facts would be more than a summary may carry.
+            ZoneFactsError: The facts would be more than a summary may contain.
         """
         facts = self.facts | {key: value}
         check_facts(facts.items())
--- a/balancer/fleet/zone_membership/messages.py
+++ b/balancer/fleet/zone_membership/messages.py
@@ -27,8 +27,8 @@
         kind: Which message it is.
         sender: Name of the node that sends it.
         zone: Zone of the sender.
-        seq: Sequence number; a response carries that of its request.
-        summaries: Whole summaries.
+        seq: Sequence number; a response has that of its request.
+        summaries: Complete summaries.
         refreshes: New versions of states that the receiver has.
         known: Of a query: what its sender has.
     """
--- a/balancer/fleet/zone_membership/queries.py
+++ b/balancer/fleet/zone_membership/queries.py
@@ -93,7 +93,7 @@
         self.unanswered.pop(self.pending.gateway, None)
         self.pending = None
         # Without the shorter interval, a node whose gateway has just started as well would get an empty
-        # response and know no other zone for a whole interval.
+        # response and know no other zone for a full interval.
         interval = self.timing.query_interval if self.records.zones else self.timing.response_timeout
         self.next_at = now + jittered(interval, self.rng)
 
--- a/balancer/fleet/zone_membership/responses.py
+++ b/balancer/fleet/zone_membership/responses.py
@@ -22,7 +22,7 @@
 class Responder:
     """Answers requests, at most so many a second.
 
-    Without the limit, the queries of a whole zone that starts at once would take a gateway's processor.
+    Without the limit, the queries of all nodes of a zone that start at once would take a gateway's processor.
 
     Args:
         local_summary: The own zone's summary.
--- a/balancer/fleet/zone_routing/directives.py
+++ b/balancer/fleet/zone_routing/directives.py
@@ -6,7 +6,7 @@
 
 Members' wall clocks need not agree and may be stepped. What remains of a directive's duration is kept by the
 monotonic clock: a message has its sender's wall clock beside each directive's end, and the receiver takes the
-difference of the two. Versions are Unix time, carried on by the monotonic clock from the newest version seen.
+difference of the two. Versions are Unix time, advanced by the monotonic clock from the newest version seen.
 
 Times are microseconds of this process's monotonic clock, except in messages.
 """
@@ -97,10 +97,10 @@
         self.version_lead = lead if self.version_lead is None else max(lead, self.version_lead)
 
     def make_room(self, now: int, zone: str) -> bool:
-        """Make room for a directive on a zone, if need be by dropping the one that ended first.
+        """Free a place for a directive on a zone, if need be by dropping the one that ended first.
 
         Returns:
-            Whether there is room.
+            Whether there is a free place.
         """
         if zone in self.by_zone or len(self.by_zone) < MAX_DIRECTIVES:
             return True
@@ -126,7 +126,7 @@
         return {zone for zone, directive in self.by_zone.items() if directive.allows_return}
 
     def gossiped(self, now: int) -> dict[str, KnownDirective]:
-        """Return the directives that are still passed on. The others are kept while there is room."""
+        """Return the directives that are still passed on. The others are kept while there are free places."""
         return {zone: directive for zone, directive in self.by_zone.items() if now < directive.gossip_until}
 
     def deadline(self) -> int | None:
--- a/balancer/fleet/zone_routing/failure_evidence.py
+++ b/balancer/fleet/zone_routing/failure_evidence.py
@@ -159,7 +159,7 @@
         self.of(zone).connect_times.append(connect_time)
 
     def clear(self, zone: str) -> None:
-        """Forget the outcomes of calls to a zone: they say nothing of how it is after an evacuation."""
+        """Forget the outcomes of calls to a zone: they show nothing of how it is after an evacuation."""
         self.of(zone).clear()
 
     def extra_round_trip(self, zone: str, home: str) -> int:
--- a/balancer/fleet/zone_routing/settings.py
+++ b/balancer/fleet/zone_routing/settings.py
@@ -15,11 +15,11 @@
     Operators set `room` and `costs` only (`docs/zone-routing.md`); the rest are fixed.
 
     Attributes:
-        overprovisioning_factor: A zone can carry this many times its even share of the load. The key `room`.
+        overprovisioning_factor: A zone can serve this many times its even share of the load. The key `room`.
         costs: Cost of a call from this node's zone to another; 1 for zones that are not named.
         evaluation_interval: Time between two evaluations of all zones.
         window: Time over which outcomes of calls are counted.
-        min_calls: Calls to a zone in a window below which its failure rate says nothing.
+        min_calls: Calls to a zone in a window below which its failure rate shows nothing.
         consecutive_failures: Calls to a zone that fail in a row until it counts as unreachable.
         failure_rate_threshold: Share of a server's calls that fail from which the server counts as bad.
         latency_slack: Times its usual latency up to which a zone's pace does not fall.
--- a/balancer/fleet/zone_routing/shares.py
+++ b/balancer/fleet/zone_routing/shares.py
@@ -22,7 +22,7 @@
         strengths: By zone, its servers in service, weighted by how warm and how fast they are.
         weights: By zone, the part of its strength that this node uses, from 0 to 1.
         even_share: The part of all calls that each zone asks for.
-        overprovisioning_factor: A zone can carry this many times its even share.
+        overprovisioning_factor: A zone can serve this many times its even share.
         costs: Cost of a call from here by zone; `DEFAULT_COST` for zones that are not named.
     """
 
--- a/balancer/fleet/zone_routing/traffic.py
+++ b/balancer/fleet/zone_routing/traffic.py
@@ -21,7 +21,7 @@
 from balancer.fleet.zone_routing.settings import ZoneSettings
 from balancer.policy.interface import ListKind, Outcome, ServerEntry, Settings, State
 
-OUTCOMES_WITHOUT_EVIDENCE = (Outcome.CANCELLED, Outcome.NOT_SENT)  # they say nothing of the server
+OUTCOMES_WITHOUT_EVIDENCE = (Outcome.CANCELLED, Outcome.NOT_SENT)  # they show nothing of the server
 
 
 class ZoneTraffic:
--- a/balancer/fleet/zone_routing/zone_states.py
+++ b/balancer/fleet/zone_routing/zone_states.py
@@ -1,6 +1,6 @@
 """The state of each zone as this node routes calls: in service, evacuating, evacuated, recovering.
 
-A zone is evacuated in halves while failure evidence says that it alone is bad, stays without calls for a
+A zone is evacuated in halves while failure evidence shows that it alone is bad, stays without calls for a
 while, and recovers in steps. Times are microseconds of this process's monotonic clock.
 """
 
--- a/balancer/policy/attempt_metrics.py
+++ b/balancer/policy/attempt_metrics.py
@@ -24,7 +24,7 @@
     Args:
         mean_rtt: The mean round-trip time by class in microseconds; kept up to date here.
         controller: Gets the samples of round-trip times.
-        subset: Tells whether the local zone has members.
+        subset: Knows whether the local zone has members.
         spillover: Gets latencies by zone.
         load_shedder: Gets latencies.
         slow_start: Gets the number of responses from warm servers.
@@ -62,8 +62,8 @@
             controller.record_in_flight(now, -1)
         server.last_outcome_at = now
         if outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
-            # Failure prevented: a client disconnects during a trial, and no other trial ever follows.
-            server.trial_in_flight = False
+            # Failure prevented: a client disconnects during a probe, and no other probe ever follows.
+            server.probe_in_flight = False
             return
         ok = outcome == Outcome.OK
         if request is not None:
--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -196,12 +196,12 @@
             self.actions.cancel(request, opened.attempts - 1)
 
     def health_checked(self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]) -> None:
-        """Not used: half-open trials are real requests."""
+        """Not used: half-open probes are real requests."""
 
     def trial_result(self, now: int, server: int, healthy: bool) -> None:
-        """Records another node's trial of a server, which counts for one that is ejected here."""
+        """Records another node's probe of a server, which counts for one that is ejected here."""
         target = self.servers.get(server)
-        if target is not None and target.ejected and not target.trial_in_flight:
+        if target is not None and target.ejected and not target.probe_in_flight:
             if healthy:
                 self.ejection.readmit(target)
             else:
--- a/balancer/policy/ejection.py
+++ b/balancer/policy/ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: members that fail or fall silent get no requests but single trials."""
+"""Outlier ejection: members that fail or fall silent get no requests but single probes."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         self.fleet = fleet
         self.rng = rng
         self.ejected: list[Server] = []
-        self.next_trial = 0
+        self.next_probe_at = 0
         self.failure_rate = 0.0  # of the entire subset, smoothed
 
     def record(self, now: int, server: Server, outcome: Outcome) -> None:
@@ -41,12 +41,12 @@
         self.failure_rate += SMOOTH_ALL * (failed - self.failure_rate)
         if ok:
             server.consecutive_failures = 0
-            if server.ejected and (server.trial_in_flight or server.silent):
+            if server.ejected and (server.probe_in_flight or server.silent):
                 self.readmit(server, healthy=True)
         elif failed:
             server.consecutive_failures += 1
             if server.ejected:
-                if server.trial_in_flight:
+                if server.probe_in_flight:
                     self.eject(now, server, silent=False)
             elif (
                 server.consecutive_failures >= MIN_FAILURES and server.failure_rate > self.failure_rate * 2
@@ -56,13 +56,13 @@
             ):
                 # Failure prevented: a member that fails quickly has little in flight and is picked often.
                 self.eject(now, server, silent=False)
-        elif server.trial_in_flight:
+        elif server.probe_in_flight:
             self.eject(now, server, silent=server.silent)
-        server.trial_in_flight = False
+        server.probe_in_flight = False
 
     def eject(self, now: int, server: Server, silent: bool) -> None:
         """Ejects a member, or extends its ejection, unless too many members are ejected already."""
-        # Failure prevented: a drained server's last requests fail, it is ejected and later gets a trial.
+        # Failure prevented: a drained server's last requests fail, it is ejected and later gets a probe.
         if not server.member:
             return
         if not server.ejected:
@@ -74,16 +74,16 @@
                 f"eject server={server.id} silent={int(silent)} fail_rate={server.failure_rate:.2f}"
             )
         server.silent = silent
-        server.trial_at = now + int(
+        server.probe_at = now + int(
             (BASE_EJECTION_TIME << min(server.ejections, 4)) * (1 + EJECTION_JITTER * self.rng.random())
         )
         server.ejections += 1
-        self.next_trial = min(e.trial_at for e in self.ejected)
-        self.fleet.server_ejected(server.id, server.trial_at - now)
+        self.next_probe_at = min(e.probe_at for e in self.ejected)
+        self.fleet.server_ejected(server.id, server.probe_at - now)
         self.subset.update_available()
 
     def readmit(self, server: Server, healthy: bool = False) -> None:
-        """Ends an ejection. `healthy`: because a trial of this instance has shown the server healthy."""
+        """Ends an ejection. `healthy`: because a probe of this instance has shown the server healthy."""
         server.ejected = False
         server.silent = False
         server.failure_rate = self.failure_rate
@@ -91,7 +91,7 @@
         server.ejections = max(0, server.ejections - 1)
         self.ejected.remove(server)
         if self.ejected:
-            self.next_trial = min(e.trial_at for e in self.ejected)
+            self.next_probe_at = min(e.probe_at for e in self.ejected)
         self.actions.log(f"readmit server={server.id}")
         self.fleet.server_readmitted(server.id, healthy)
         self.subset.update_available()
@@ -106,15 +106,15 @@
             self.eject(now, server, silent=True)
         return server.ejected
 
-    def take_trial(self, now: int, slow_start: SlowStart) -> Server | None:
-        """Returns an ejected server whose trial is due, for one request. Some are ejected."""
-        if now < self.next_trial:
+    def take_probe_target(self, now: int, slow_start: SlowStart) -> Server | None:
+        """Returns an ejected server whose probe is due, for one request. Some are ejected."""
+        if now < self.next_probe_at:
             return None
-        for trial in self.ejected:
-            if trial.trial_at > now or trial.trial_in_flight or not self.fleet.may_run_trial(trial.id):
+        for server in self.ejected:
+            if server.probe_at > now or server.probe_in_flight or not self.fleet.may_probe(server.id):
                 continue
-            if slow_start.may_send(now, trial):
-                trial.trial_in_flight = True
-                trial.trial_at = now + BASE_EJECTION_TIME
-                return trial
+            if slow_start.may_send(now, server):
+                server.probe_in_flight = True
+                server.probe_at = now + BASE_EJECTION_TIME
+                return server
         return None
--- a/balancer/policy/gradient.py
+++ b/balancer/policy/gradient.py
@@ -100,12 +100,12 @@
         self.limit = max(self.limit, 2 * self.min_rtt_limit if self.recalculations == 0 else self.floor)
 
     def update_bounds(self) -> None:
-        """How many instances share what this one may do: fewer, the more requests it carries itself.
+        """How many instances share what this one may do: fewer, the more requests it has in flight itself.
 
-        The floor is that of all instances together. An instance that carries many requests feels the overload
-        it makes, as the source has it. Where each carries hardly one, the headroom is that of all instances
-        together too, and so, by the root of their number, is a recalculation's: an idle member adds a request
-        without queueing.
+        The floor is that of all instances together. An instance with many requests in flight feels the
+        overload it makes, as the source has it. Where each has hardly one, the headroom is that of all
+        instances together too, and so, by the root of their number, is a recalculation's: an idle member adds
+        a request without queueing.
         """
         self.instances_per_server = max(1.0, self.instances / (1 + self.usual_in_flight))
         self.floor = MIN_LIMIT * self.members / max(1.0, self.instances)
@@ -209,21 +209,23 @@
             self.start_recalculation(now)
 
     def follow_usual(self, age: int, count: int) -> None:
-        """Smooths the requests this instance carries while latency is good.
+        """Smooths the requests in flight while latency is good.
 
         Failure prevented: an instance that starts into full traffic rejects half of it for five seconds,
         since "usual" starts at nothing. It follows within STARTUP_RTTS, up to the first window that is above
         target or in which the limit does not bind.
         """
-        carried = self.window.flight_sum / count
+        mean_in_flight = self.window.flight_sum / count
         span = USUAL_TIME
         if self.sample_rtt > 1:
             self.starting_up = False
         elif self.starting_up:
             span = min(span, int(STARTUP_RTTS * self.window.latency_sum / count))
-            self.starting_up = carried >= 0.5 * self.limit
-        if self.sample_rtt <= 1 and (carried > self.usual_in_flight or carried < 0.8 * self.limit):
-            self.usual_in_flight += min(1.0, age / max(span, 1)) * (carried - self.usual_in_flight)
+            self.starting_up = mean_in_flight >= 0.5 * self.limit
+        if self.sample_rtt <= 1 and (
+            mean_in_flight > self.usual_in_flight or mean_in_flight < 0.8 * self.limit
+        ):
+            self.usual_in_flight += min(1.0, age / max(span, 1)) * (mean_in_flight - self.usual_in_flight)
 
     def max_limit(self) -> float:
         """How far the limit may grow.
@@ -237,14 +239,14 @@
         return max(part, MAX_LIMIT_OVER_USUAL * self.usual_in_flight + MIN_LIMIT)
 
     def min_limit(self, age: int) -> float:
-        """How far the limit may fall: to what this instance carried while latency was good.
+        """How far the limit may fall: to what was in flight while latency was good.
 
         Failure prevented: when everything is slow at once no lower limit makes it faster, and the gradient
         would close the fleet.
         """
-        kept = (1 - self.loss_rate) ** 2 if self.loss_rate > MAX_LOST_SHARE else 1.0
+        success_factor = (1 - self.loss_rate) ** 2 if self.loss_rate > MAX_LOST_SHARE else 1.0
         if self.sample_rtt > 1 and self.loss_rate > MAX_LOST_SHARE:
             # Failure prevented: servers that slow down under overload stay overloaded, and slow, at what
-            # they carried before. Where requests are not only late but lost, less in flight gives them rest.
+            # they had before. Where requests are not only late but lost, less in flight gives them rest.
             self.usual_in_flight -= min(1.0, age / USUAL_FADE) * self.usual_in_flight
-        return max(self.floor, self.usual_in_flight * kept)
+        return max(self.floor, self.usual_in_flight * success_factor)
--- a/balancer/policy/interface.py
+++ b/balancer/policy/interface.py
@@ -54,7 +54,7 @@
 
 
 class ListKind(IntEnum):
-    """What a server-list event carries."""
+    """What a server-list event contains."""
 
     CHANGES = 0
     FULL = 1
@@ -105,7 +105,7 @@
     max_open: int = 20000
     list_on_request: bool = False  # the server list must be polled
     max_list_poll_interval: int = 0  # where it must be polled: the longest interval allowed
-    list_weights: bool = False  # entries carry comparable weights
+    list_weights: bool = False  # entries have comparable weights
     slow_start_time: int = 0  # a server that has started is warm within this time
     slow_start_share: float = 1.0  # and starts at this share of its capacity or more
     fall_multiple: float = 0.0  # sent more than this multiple of its present capacity
@@ -211,21 +211,21 @@
     def min_rtt_recalculated(self) -> None:
         """A minRTT recalculation has ended."""
 
-    def may_run_trial(self, server: int) -> bool:
-        """Whether this node runs the trial that is due for a server that it has ejected."""
+    def may_probe(self, server: int) -> bool:
+        """Whether this node sends the probe that is due for a server that it has ejected."""
 
     def server_ejected(self, server: int, wait: int) -> None:
-        """A server was ejected, or its trial failed; the next trial is due in `wait`."""
+        """A server was ejected, or its probe failed; the next probe is due in `wait`."""
 
     def server_readmitted(self, server: int, healthy: bool) -> None:
         """A server is no longer ejected.
 
-        `healthy`: a trial of this node succeeded. Otherwise the server is gone, new, or not a member.
+        `healthy`: a probe of this node succeeded. Otherwise the server is gone, new, or not a member.
         """
 
 
 class Standalone:
-    """A Balancer without a fleet: recalculations and trials begin when they are due."""
+    """A Balancer without a fleet: recalculations and probes begin when they are due."""
 
     def may_recalculate_min_rtt(self) -> bool:
         """Always."""
@@ -234,7 +234,7 @@
     def min_rtt_recalculated(self) -> None:
         """Nobody needs to know."""
 
-    def may_run_trial(self, server: int) -> bool:
+    def may_probe(self, server: int) -> bool:
         """Always."""
         return True
 
@@ -257,7 +257,7 @@
         """The instance begins to run. Where the list must be polled, it polls."""
 
     def server_list(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
-        """The endpoint list or its changes, in order of version; a failed poll carries no entries.
+        """The endpoint list or its changes, in order of version; a failed poll has no entries.
 
         From here on nothing new goes to a server that is not ready, or that a full list leaves out.
         """
@@ -284,7 +284,7 @@
     ) -> None:
         """An attempt ended; exactly one for each `send`, also after its request's end.
 
-        `final` says that nothing more is owed for the request, as after a response that was forwarded. If
+        `final`: nothing more is owed for the request, as after a response that was forwarded. If
         it is false and the request is open, a response or a retry follows at once.
         """
 
@@ -308,7 +308,7 @@
         """The result of a `check_health`."""
 
     def trial_result(self, now: int, server: int, healthy: bool) -> None:
-        """Another node of the fleet has run a trial of an ejected server."""
+        """Another node of the fleet has probed an ejected server."""
 
     def zone_shares(self, now: int, shares: Mapping[int, float], additional_rtt: Mapping[int, int]) -> None:
         """How requests are spread over the zones from now on.
--- a/balancer/policy/request_lifecycle.py
+++ b/balancer/policy/request_lifecycle.py
@@ -83,7 +83,7 @@
         if request.effect == Effect.NOT_IDEMPOTENT:
             return remaining
         mean = self.mean_rtt[request.request_class]
-        if server.outside_limit:  # a trial of an ejected server
+        if server.outside_limit:  # a probe of an ejected server
             return min(remaining, max(self.settings.tick, int(SILENT_FACTOR * mean)))
         # Failure prevented: under overload every instance aborts attempts that are half done, their work is
         # lost at this tier and all behind it, and the next attempts overload the tier again.
--- a/balancer/policy/selection.py
+++ b/balancer/policy/selection.py
@@ -23,7 +23,7 @@
 
 
 class Selection:
-    """Picks a server for an attempt, of all parts that have a say in it."""
+    """Picks a server for an attempt, by all parts that it depends on."""
 
     def __init__(
         self,
@@ -49,16 +49,16 @@
         A retry is picked in the same way.
 
         Failure prevented: a member that has just rejected a request has few attempts in flight, wins the pick
-        for its next attempt too and rejects it again. The source, too, tries again on another host where it
+        for its next attempt too and rejects it again. The source, too, retries on another host where it
         can.
         """
         effect = request.effect
         if request.first_run_on is not None and effect == Effect.IDEMPOTENCY_KEY:
             return self.pick_in_group(now, request)
         if self.ejection.ejected and effect != Effect.NOT_IDEMPOTENT:
-            trial = self.ejection.take_trial(now, self.slow_start)
-            if trial is not None:
-                return trial
+            probed = self.ejection.take_probe_target(now, self.slow_start)
+            if probed is not None:
+                return probed
         if self.subset.shares:
             picked = self.rng.choices([*self.subset.shares], [*self.subset.shares.values()])
             # Where a zone is down, a retry there fails too.
--- a/balancer/policy/server.py
+++ b/balancer/policy/server.py
@@ -41,7 +41,7 @@
         self.uploads = 0  # attempts whose request bodies are still on their way
         self.ejected = False
         self.outside_limit = False  # its requests do not count against the limit
-        self.trial_in_flight = False
+        self.probe_in_flight = False
         self.ready_at = -1
         self.last_outcome_at = 0
         self.cell = self.zone = 0
@@ -57,7 +57,7 @@
         self.consecutive_failures = 0
         self.calls = 0
         self.silent = False
-        self.trial_at = 0
+        self.probe_at = 0
         self.ejections = 0
         self.slow_start_until = 0
         self.tokens = 0.0
--- a/tests/test_fleet_components.py
+++ b/tests/test_fleet_components.py
@@ -22,7 +22,7 @@
 from balancer.fleet.config import FleetConfig
 from balancer.fleet.membership.codec import Codec, PayloadCodec
 from balancer.fleet.membership.swim import Address, Claim, Kind, Status
-from balancer.fleet.operator_pages import whole_number
+from balancer.fleet.operator_pages import parse_integer
 from balancer.fleet.registry import DuplicateKindError, Registry
 from balancer.fleet.runtime import FleetRuntime
 
@@ -270,7 +270,7 @@
     [("1", 1), ("086400", 86_400), ("", 0), ("-1", 0), ("1.5", 0), (" 1", 0), ("\u0663", 0), ("9" * 5000, 0)],
 )
 def test_a_number_in_a_query_has_only_digits_and_a_bounded_length(text: str, number: int) -> None:
-    assert whole_number(text) == number
+    assert parse_integer(text) == number
 
 
 def test_a_message_kind_without_an_owner_is_counted_and_dropped(tmp_path: Path) -> None:
--- a/tests/test_policy_adapter.py
+++ b/tests/test_policy_adapter.py
@@ -46,7 +46,7 @@
 
 def test_an_adapter_without_configuration_restrains_nothing(tmp_path: Path) -> None:
     adapter, clock, published = make_adapter(tmp_path)
-    assert adapter.may_recalculate_min_rtt() and adapter.may_run_trial(1)
+    assert adapter.may_recalculate_min_rtt() and adapter.may_probe(1)
     assert adapter.tick(clock[0]) == [] and adapter.deadline(clock[0]) is None
     adapter.server_ejected(1, SEC)
     adapter.attempt_ended(1, Outcome.ERROR, 1000, 0.1)
@@ -73,14 +73,14 @@
     for server in (1, 3):  # two of the own zone's three
         adapter.server_ejected(server, SEC)
     ((shares, _),) = later()
-    assert 0 < shares[1] < 1 and adapter.may_run_trial(1)
+    assert 0 < shares[1] < 1 and adapter.may_probe(1)
     traffic = adapter.zone_traffic
     assert traffic is not None and traffic.directives is not None
     assert traffic.directives.issue("y", 60 * SEC)
     ((shares, _),) = [entry for entry in later(1.1) if isinstance(entry, tuple)]
-    assert set(shares) == {1} and not adapter.may_run_trial(2) and adapter.may_run_trial(1)
+    assert set(shares) == {1} and not adapter.may_probe(2) and adapter.may_probe(1)
     adapter.close()
-    assert adapter.may_run_trial(2)
+    assert adapter.may_probe(2)
 
 
 # ---- the policy's side -----------------------------------------------------------------------------------
@@ -93,7 +93,7 @@
         self.allows = True
         self.calls: list[Any] = []
 
-    def may_run_trial(self, server: int) -> bool:
+    def may_probe(self, server: int) -> bool:
         return self.allows
 
     def may_recalculate_min_rtt(self) -> bool:
@@ -146,7 +146,7 @@
         number, now = number + 1, now + 20_000
         assert send_request(node, now, number, outcome) != bad
     node.trial_result(now, bad, False)
-    assert fleet.calls[-1][0] == "aside" and node.servers[bad].trial_at > now
+    assert fleet.calls[-1][0] == "aside" and node.servers[bad].probe_at > now
     node.trial_result(now, bad, True)
     assert fleet.calls[-1] == ("back", bad, False) and not node.servers[bad].ejected
     node.trial_result(now, bad, True)  # not ejected any more: no effect
