--- a/balancer/fleet/leases/client.py
+++ b/balancer/fleet/leases/client.py
@@ -6,7 +6,7 @@
 `voter.py`.
 
 Times are microseconds of this process's monotonic clock; `unix_clock` gives milliseconds of Unix time,
-carried on from the process's start by the monotonic clock, for tokens that rise even where all voters have
+advanced from the process's start by the monotonic clock, for tokens that rise even where all voters have
 forgotten.
 """
 
@@ -17,6 +17,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from random import Random
 
+from balancer.fleet.addressed_message import AddressedMessage
 from balancer.fleet.leases.events import LeaseEvent, LeaseEventKind, LeaseListener, ignore_event
 from balancer.fleet.leases.messages import DenialReason, LeaseKind, LeaseMessage, OutgoingLeaseMessage
 from balancer.fleet.leases.request import LeaseRequest, RequestStage
@@ -167,7 +168,7 @@
         request.begin_round(now, self.seq)
 
     def next_token(self, request: LeaseRequest) -> int:
-        """Above all that was heard of, and above what may have been forgotten."""
+        """Above all that is known, and above what may have been forgotten."""
         return max(request.highest_token + 1, self.unix_clock())
 
     def request_from_first(self, now: int, request: LeaseRequest) -> list[OutgoingLeaseMessage]:
@@ -179,7 +180,7 @@
         return self.request_messages(request, [self.voters[request.first_voter % len(self.voters)]])
 
     def request_from_next(self, now: int, request: LeaseRequest) -> list[OutgoingLeaseMessage]:
-        """Turns to the next voter, as the one before is silent or cannot vote, until all have been tried."""
+        """Turns to the next voter, as the one before is silent or cannot vote, until all have been asked."""
         request.first_voter += 1
         tried_all = (request.first_voter - first_voter_index(request.lease)) % len(self.voters) == 0
         if tried_all:
@@ -201,7 +202,7 @@
     def request_messages(self, request: LeaseRequest, voters: Iterable[str]) -> list[OutgoingLeaseMessage]:
         """A request to each voter, for each of the electorates that it votes in."""
         return [
-            OutgoingLeaseMessage(voter, self.request_message(request, electorate))
+            AddressedMessage(voter, self.request_message(request, electorate))
             for voter in voters
             for electorate in self.electorates
             if voter in electorate.voters
@@ -243,7 +244,7 @@
             request.seq,
             request.token,
         )
-        return [OutgoingLeaseMessage(voter, message) for voter in self.voters]
+        return [AddressedMessage(voter, message) for voter in self.voters]
 
     # ---- answers ----------------------------------------------------------------------------------------
 
@@ -283,7 +284,7 @@
         return []
 
     def is_granted(self, request: LeaseRequest) -> bool:
-        """Whether a majority of each whole list has granted the round."""
+        """Whether a majority of each complete list has granted the round."""
         return all(electorate.has_majority(request.granted_by) for electorate in self.electorates)
 
     def counted_from(self, request: LeaseRequest, now: int) -> int:
--- a/balancer/fleet/leases/voter.py
+++ b/balancer/fleet/leases/voter.py
@@ -14,6 +14,7 @@
 from collections import Counter
 from collections.abc import Sequence
 
+from balancer.fleet.addressed_message import AddressedMessage
 from balancer.fleet.leases.ceiling import CeilingUnavailableError, RaiseCeiling
 from balancer.fleet.leases.granted_lease import GrantedLease, Holder, holder_of
 from balancer.fleet.leases.messages import DenialReason, LeaseKind, LeaseMessage, OutgoingLeaseMessage
@@ -88,7 +89,7 @@
         self.next_recall_at = now + self.settings.recall_interval
         message = LeaseMessage(LeaseKind.RECALL, self.name, self.incarnation)
         return [
-            OutgoingLeaseMessage(voter, message)
+            AddressedMessage(voter, message)
             for voter in self.other_voters()
             if voter not in self.recalled_tokens
         ]
@@ -116,7 +117,7 @@
             return []
         token = max([self.floor, *(lease.highest_token for lease in self.leases.values())])
         answer = LeaseMessage(LeaseKind.RECALL_ANSWER, self.name, self.incarnation, token=token)
-        return [OutgoingLeaseMessage(message.sender, answer)]
+        return [AddressedMessage(message.sender, answer)]
 
     def on_request(self, now: int, request: LeaseMessage) -> list[OutgoingLeaseMessage]:
         """Grants or denies a request."""
@@ -135,7 +136,7 @@
         return self.grant_if_higher(now, request, lease)
 
     def deny_held(self, now: int, request: LeaseMessage, lease: GrantedLease) -> list[OutgoingLeaseMessage]:
-        """Denies a lease that another process holds, and tells when to come again.
+        """Denies a lease that another process holds, and states when to request again.
 
         Failure prevented: a thousand clients come again at one instant, the end of the lease.
         """
@@ -161,7 +162,7 @@
         answer = LeaseMessage(
             LeaseKind.GRANT, self.name, self.incarnation, request.lease, request.seq, request.token
         )
-        return [OutgoingLeaseMessage(request.sender, answer)]
+        return [AddressedMessage(request.sender, answer)]
 
     def deny(
         self, request: LeaseMessage, reason: DenialReason, token: int = 0, wait: int = 0
@@ -179,7 +180,7 @@
             wait,
             reason,
         )
-        return [OutgoingLeaseMessage(request.sender, answer)]
+        return [AddressedMessage(request.sender, answer)]
 
     def on_release(self, now: int, release: LeaseMessage) -> list[OutgoingLeaseMessage]:
         """Ends a grant and notifies clients that were denied; a late request for the same token is denied.
@@ -201,12 +202,12 @@
         lease.expires_at = now
         waiters, lease.waiters = lease.waiters, {}
         return [
-            OutgoingLeaseMessage(name, self.available_message(release.lease, seq, lease.token))
+            AddressedMessage(name, self.available_message(release.lease, seq, lease.token))
             for name, seq in waiters.items()
         ]
 
     def available_message(self, lease: str, seq: int, token: int) -> LeaseMessage:
-        """Tells a denied client that a lease has been released."""
+        """Notifies a denied client that a lease has been released."""
         return LeaseMessage(LeaseKind.AVAILABLE, self.name, self.incarnation, lease, seq, token)
 
     # ---- tokens -----------------------------------------------------------------------------------------
@@ -214,7 +215,7 @@
     def remember_token(self, request: LeaseMessage) -> None:
         """Grants nothing below the token of a request that came while this voter abstained.
 
-        A client requests above all that it has heard of, so one client that lives on is enough where all
+        A client requests above all that it knows, so one client that runs on is enough where all
         voters forget. Failure prevented: all voters restart, and a client whose wall clock is slow comes to
         hold a lease under a token that every receiver refuses.
         """
@@ -255,7 +256,7 @@
     # ---- memory -----------------------------------------------------------------------------------------
 
     def find_or_add(self, now: int, name: str) -> GrantedLease | None:
-        """A lease by its name; None where it is new and there is no room for it.
+        """A lease by its name; None where it is new and there is no capacity for it.
 
         One that nobody holds gives way, and leaves its token as the floor of all that come after.
         """
