--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -58,10 +58,10 @@
 def test_a_partition_heals_and_a_restarted_member_rejoins_under_its_name() -> None:
     net = Net(8, 0.0, seed=2)
     net.until(net.complete, 30)
-    net.partitioned = {("10.0.0.1", p) for p in (5, 6, 7, 8)}
+    net.network.partition(("10.0.0.1", p) for p in (5, 6, 7, 8))
     net.run(40)
     assert net.false_deaths() > 0  # each side considers the other dead
-    net.partitioned = set()
+    net.network.heal()
     assert net.until(net.complete, 120) < 120
     name = net.kill(("10.0.0.1", 3))
     net.run(30)
--- a/tests/test_membership_versions.py
+++ b/tests/test_membership_versions.py
@@ -47,7 +47,7 @@
     net = Net(60, 0.0, seed=6)
     net.until(net.complete, 30)
     old = OldMember(("10.0.0.1", 61), [("10.0.0.1", 1)])
-    net.members[old.me.address] = cast(Swim, old)
+    net.attach(cast(Swim, old))
     net.transmit(old.me.address, old.join())
     net.run(1)
     assert len(old.known) == 60  # from the pages that answer one SYNC
@@ -61,7 +61,7 @@
     net = Net(0, 0.0, seed=6)
     old = OldMember(("10.0.0.1", 61), [])
     old.known = {f"x{i}": Claim(f"x{i}", ("10.0.0.9", i + 1), A, 1) for i in range(20)}
-    net.members[old.me.address] = cast(Swim, old)
+    net.attach(cast(Swim, old))
     one = net.add(("10.0.0.1", 1), [old.me.address])
     net.run(0.5)
     assert len(one.alive()) == 21 and "n1" in old.known
--- a/tests/test_virtual_network.py
+++ b/tests/test_virtual_network.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from workbench.explore.virtual_network import Delay, LinkFaults, VirtualNetwork
+from workbench.explore.virtual_network import Delay, Direction, LinkFaults, VirtualNetwork
 from workbench.simulator.heap import HeapClock
 
 DELAY = Delay(mean=1_000, spread=0.5)
@@ -92,6 +92,49 @@
     assert network.connected("a", "c")
 
 
+@pytest.mark.parametrize(
+    ("direction", "arrived"),
+    [(Direction.BOTH, []), (Direction.OUTGOING, [2]), (Direction.INCOMING, [1])],
+)
+def test_a_partition_drops_what_crosses_it_in_its_direction(direction: Direction, arrived: list[int]) -> None:
+    network, arrivals = make_network()
+    network.partition({"west"}, direction)
+    network.send("a", "c", 1)
+    network.send("c", "a", 2)
+    network.run(1.0)
+    assert [payload for _, _, payload in arrivals] == arrived
+
+
+def test_partitions_are_healed_one_by_one() -> None:
+    network, _ = make_network()
+    first = network.partition({"west"})
+    second = network.partition({"east"}, Direction.OUTGOING)
+    network.heal(first)
+    assert network.connected("a", "c") and not network.connected("c", "a")
+    network.heal(second)
+    assert network.connected("c", "a")
+
+
+def test_a_datagram_to_its_own_sender_is_never_lost_and_draws_nothing() -> None:
+    network, arrivals = make_network(LinkFaults(loss=1.0, max_reordering_delay=50_000))
+    before = network.rng.getstate()
+    network.send("a", "a", 1)
+    network.run(1.0)
+    assert arrivals == [(1, "a", 1)]
+    assert network.rng.getstate() == before
+
+
+def test_the_next_instant_is_run_alone_and_only_up_to_the_end() -> None:
+    network, _ = make_network()
+    calls: list[int] = []
+    for at in (10, 10, 20):
+        network.clock.call_at(at, calls.append, at)
+    assert network.run_next(end=19) and calls == [10, 10] and network.clock.now == 10
+    assert not network.run_next(end=19) and calls == [10, 10]
+    assert network.run_next(end=20) and calls == [10, 10, 20]
+    assert not network.run_next(end=100)
+
+
 def test_a_block_is_one_way() -> None:
     network, arrivals = make_network()
     network.block("west", "east")
--- a/workbench/explore/members.py
+++ b/workbench/explore/members.py
@@ -6,15 +6,16 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass
+from functools import partial
 from random import Random
 from time import process_time
 
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.messages import AnyMessage, OutgoingMessage
 from balancer.fleet.membership.swim import Address, Status, Swim
+from workbench.explore.virtual_network import POLL_INTERVAL_S, LinkFaults, VirtualNetwork
 from workbench.simulator.heap import HeapClock
 
-MEAN_DELAY_US = 2_000  # of a datagram
 SECOND_US = 1_000_000
 KEY = b"a key for the virtual network"
 JOIN_LIMIT_S = 180.0  # within which all members have to know one another
@@ -62,15 +63,6 @@
     pages_refused: int
 
 
-@dataclass(frozen=True)
-class Transmission:
-    """A message on its way between two addresses."""
-
-    source: Address
-    to: Address
-    message: AnyMessage
-
-
 class Net:
     """Members on one virtual clock, with a network that delays datagrams and loses some.
 
@@ -79,20 +71,18 @@
         loss: Probability that a datagram is lost.
         seed: Seed of all random decisions.
         codec: Whether to encode messages, to count their bytes.
-
-    Attributes:
-        partitioned: Addresses that only reach one another, and that the others don't reach.
     """
 
     def __init__(self, count: int, loss: float, seed: int, codec: bool = False) -> None:
         self.clock = HeapClock(SECOND_US)
-        self.rng = Random(seed)
-        self.loss = loss
+        self.rng = Random(seed)  # the network's, and of the members' seeds
+        self.network: VirtualNetwork[Address, AnyMessage] = VirtualNetwork(
+            self.clock, self.rng, faults=LinkFaults(loss=loss)
+        )
         self.codec = Codec([KEY]) if codec else None
         self.bytes = 0
         self.sent: Counter[tuple[Address, int]] = Counter()  # datagrams by member and second
         self.members: dict[Address, Swim] = {}
-        self.partitioned: set[Address] = set()
         seeds = [("10.0.0.1", i + 1) for i in range(min(3, count))]
         for i in range(count):
             self.add(("10.0.0.1", i + 1), seeds)
@@ -100,10 +90,16 @@
     def add(self, address: Address, seeds: list[Address], incarnation: int = 1) -> Swim:
         """Starts a member and returns it."""
         swim = Swim(f"n{address[1]}", address, incarnation, seeds, Random(self.rng.random()), self.clock.now)
-        self.members[address] = swim
+        self.attach(swim)
         self.clock.call_at(swim.due(), self.on_timer, swim)
         return swim
 
+    def attach(self, swim: Swim) -> None:
+        """Lets a member receive messages; the caller runs its timer."""
+        address = swim.me.address
+        self.members[address] = swim
+        self.network.attach(address, partial(self._receive, swim))
+
     def on_timer(self, swim: Swim) -> None:
         """Performs what is due at a member, unless it was killed."""
         address = swim.me.address
@@ -118,33 +114,23 @@
         for sent in outgoing:
             if self.codec is not None:
                 self.bytes += len(self.codec.encode(sent.message, self.clock.now))
-            is_lost = self.rng.random() < self.loss
-            if not is_lost and (source in self.partitioned) == (sent.to in self.partitioned):
-                at = self.clock.now + int(MEAN_DELAY_US * (0.5 + self.rng.random()))
-                self.clock.call_at(at, self.arrive, Transmission(source, sent.to, sent.message))
-
-    def arrive(self, transmission: Transmission) -> None:
-        """Delivers a message, if its receiver is still alive."""
-        swim = self.members.get(transmission.to)
-        if swim is not None:
-            answers = swim.receive(self.clock.now, transmission.source, transmission.message)
-            self.transmit(transmission.to, answers)
+            self.network.send(source, sent.to, sent.message)
+
+    def _receive(self, swim: Swim, source: Address, message: AnyMessage) -> None:
+        self.transmit(swim.me.address, swim.receive(self.clock.now, source, message))
 
     def kill(self, address: Address) -> str:
         """Stops a member without notice and returns its name."""
+        self.network.detach(address)
         return self.members.pop(address).me.name
 
     def run(self, seconds: float) -> None:
         """Advances the virtual clock."""
-        self.clock.run(self.clock.now + int(seconds * SECOND_US))
+        self.network.run(seconds)
 
-    def until(self, condition: Callable[[], bool], limit: float, step: float = 0.25) -> float:
+    def until(self, condition: Callable[[], bool], limit: float, step: float = POLL_INTERVAL_S) -> float:
         """Runs until a condition holds; returns the seconds taken, or `limit` if it doesn't hold by then."""
-        elapsed = 0.0
-        while elapsed < limit and not condition():
-            self.run(step)
-            elapsed += step
-        return elapsed
+        return self.network.run_until(condition, limit, step).seconds
 
     def complete(self) -> bool:
         """Returns whether each member considers all others alive."""
--- a/workbench/explore/virtual_network.py
+++ b/workbench/explore/virtual_network.py
@@ -3,6 +3,7 @@
 Clock and random stream are handed in, so a run repeats on its seed. For a datagram the random stream is drawn
 from in this order, each draw only where the setting asks for it: loss, duplication, then for each copy the
 reordering delay and the transmission delay. A change of this order changes the figures on every seed.
+A datagram from an address to itself draws nothing and is never lost.
 
 All times are integer microseconds unless a name ends in `_s`.
 """
@@ -11,6 +12,7 @@
 
 from collections.abc import Callable, Hashable, Iterable
 from dataclasses import dataclass
+from enum import Enum, auto
 from random import Random
 from typing import Generic, TypeVar
 
@@ -18,6 +20,7 @@
 
 MICROSECONDS_PER_SECOND = 1e6
 POLL_INTERVAL_S = 0.25
+LOOPBACK_DELAY = 1
 
 NodeAddress = TypeVar("NodeAddress", bound=Hashable)
 Payload = TypeVar("Payload")
@@ -40,6 +43,9 @@
         return int(self.mean * (1 - self.spread / 2 + self.spread * rng.random()))
 
 
+DEFAULT_DELAY = Delay(2_000)
+
+
 @dataclass(frozen=True)
 class LinkFaults:
     """What happens to datagrams on their way.
@@ -55,6 +61,29 @@
     max_reordering_delay: int = 0
 
 
+class Direction(Enum):
+    """Which datagrams a partition drops, as seen from the sites that it separates."""
+
+    BOTH = auto()
+    OUTGOING = auto()
+    INCOMING = auto()
+
+
+@dataclass(frozen=True)
+class Partition:
+    """A separation of some sites from all others; the separated sites still reach one another."""
+
+    sites: frozenset[Hashable]
+    direction: Direction = Direction.BOTH
+
+    def separates(self, source_site: Hashable, destination_site: Hashable) -> bool:
+        """Returns whether it drops datagrams from one site to another."""
+        outgoing = source_site in self.sites
+        if outgoing == (destination_site in self.sites):
+            return False
+        return self.direction in (Direction.BOTH, Direction.OUTGOING if outgoing else Direction.INCOMING)
+
+
 @dataclass(frozen=True)
 class Waited:
     """How long a run waited for a condition, and whether the condition holds."""
@@ -71,7 +100,7 @@
     Args:
         clock: The virtual clock.
         rng: The random stream of the network.
-        delay: The delay from one address to another.
+        delay: The delay from one address to another; None for `DEFAULT_DELAY` between all.
         faults: What happens to datagrams; may be replaced while the network runs.
     """
 
@@ -79,16 +108,16 @@
         self,
         clock: HeapClock,
         rng: Random,
-        delay: Callable[[NodeAddress, NodeAddress], Delay],
+        delay: Callable[[NodeAddress, NodeAddress], Delay] | None = None,
         faults: LinkFaults | None = None,
     ) -> None:
         self.clock = clock
         self.rng = rng
-        self.delay = delay
+        self.delay = delay or default_delay
         self.faults = faults or LinkFaults()
         self._receivers: dict[NodeAddress, Callable[[NodeAddress, Payload], None]] = {}
         self._sites: dict[NodeAddress, Hashable] = {}
-        self._partitions: list[frozenset[Hashable]] = []
+        self._partitions: list[Partition] = []
         self._blocked: set[tuple[Hashable, Hashable]] = set()
 
     # ---- endpoints ------------------------------------------------------------------------------------
@@ -122,6 +151,9 @@
 
     def send(self, source: NodeAddress, to: NodeAddress, payload: Payload) -> None:
         """Sends a datagram; the sender does not learn whether it arrives."""
+        if source == to:
+            self.clock.call_at(self.clock.now + LOOPBACK_DELAY, self._deliver, (source, to, payload))
+            return
         faults = self.faults
         if faults.loss is not None and self.rng.random() < faults.loss:
             return
@@ -142,16 +174,21 @@
 
     # ---- partitions -----------------------------------------------------------------------------------
 
-    def partition(self, sites: Iterable[Hashable]) -> None:
-        """Separates sites from all others, both ways; they still reach one another."""
-        self._partitions.append(frozenset(sites))
+    def partition(self, sites: Iterable[Hashable], direction: Direction = Direction.BOTH) -> Partition:
+        """Separates sites from all others until the partition that it returns is healed."""
+        partition = Partition(frozenset(sites), direction)
+        self._partitions.append(partition)
+        return partition
 
     def block(self, source_site: Hashable, destination_site: Hashable) -> None:
         """Drops all datagrams from one site to another, one way only."""
         self._blocked.add((source_site, destination_site))
 
-    def heal(self) -> None:
-        """Ends all partitions and blocks."""
+    def heal(self, partition: Partition | None = None) -> None:
+        """Ends one partition, or all partitions and blocks."""
+        if partition is not None:
+            self._partitions.remove(partition)
+            return
         self._partitions.clear()
         self._blocked.clear()
 
@@ -161,7 +198,7 @@
         there = self._sites.get(to, to)
         if (here, there) in self._blocked:
             return False
-        return all((here in side) == (there in side) for side in self._partitions)
+        return not any(partition.separates(here, there) for partition in self._partitions)
 
     # ---- time -----------------------------------------------------------------------------------------
 
@@ -169,6 +206,21 @@
         """Handles all events of the next seconds."""
         self.clock.run(self.clock.now + int(seconds * MICROSECONDS_PER_SECOND))
 
+    def run_next(self, end: int) -> bool:
+        """Handles all events of the next instant.
+
+        Args:
+            end: The last instant that counts.
+
+        Returns:
+            Whether there was an event up to the end.
+        """
+        heap = self.clock.heap
+        if not heap or heap[0][0] > end:
+            return False
+        self.clock.run(heap[0][0])
+        return True
+
     def run_until(
         self, condition: Callable[[], bool], limit_s: float, poll_interval_s: float = POLL_INTERVAL_S
     ) -> Waited:
@@ -186,3 +238,8 @@
             self.run(poll_interval_s)
             waited_s += poll_interval_s
         return Waited(waited_s, holds=True)
+
+
+def default_delay(source: object, to: object) -> Delay:
+    """Returns the delay between two addresses of a network whose addresses are all equally far apart."""
+    return DEFAULT_DELAY
--- a/workbench/scale/membership.py
+++ b/workbench/scale/membership.py
@@ -32,8 +32,8 @@
 
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Address, Claim, OutgoingMessage, Status, Swim
-from workbench.explore.members import KEY, MEAN_DELAY_US
-from workbench.explore.virtual_network import Delay, VirtualNetwork, Waited
+from workbench.explore.members import KEY
+from workbench.explore.virtual_network import VirtualNetwork, Waited
 from workbench.simulator.heap import HeapClock
 
 WARM_UP_S = 5.0
@@ -75,20 +75,13 @@
             queue.remove(name)
 
 
-def transmission_delay(source: Address, to: Address) -> Delay:
-    """Returns the delay, which is the same between all members."""
-    return Delay(MEAN_DELAY_US)
-
-
 class MeteredNetwork:
     """Members on one virtual clock, with processor time counted by component; no datagram is lost."""
 
     def __init__(self, count: int, seed: int) -> None:
         self.clock = HeapClock(START)
         self.rng = Random(seed)  # the network's, and of the members' seeds
-        self.network: VirtualNetwork[Address, bytes] = VirtualNetwork(
-            self.clock, self.rng, transmission_delay
-        )
+        self.network: VirtualNetwork[Address, bytes] = VirtualNetwork(self.clock, self.rng)
         self.spent = Spent()
         self.wire = Codec([KEY])
         self.readers: dict[Address, Codec] = {}  # each member keeps its own window against replays
