--- a/tests/test_virtual_network.py
+++ b/tests/test_virtual_network.py
@@ -161,6 +161,23 @@
     assert not network.is_attached("b")
 
 
+def test_an_endpoint_is_closed_by_its_receiver_only_while_it_is_the_open_one() -> None:
+    network, arrivals = make_network()
+    first: Arrivals = []
+
+    def receive_first(source: str, payload: int) -> None:
+        first.append((network.clock.now, source, payload))
+
+    network.detach("b", receive_first)
+    assert network.is_attached("b")
+    network.attach("b", receive_first)
+    network.send("a", "b", 1)
+    network.run(1.0)
+    network.detach("b", receive_first)
+    assert len(first) == 1 and arrivals == []
+    assert not network.is_attached("b")
+
+
 def test_a_wait_ends_with_its_condition_or_at_its_limit() -> None:
     network, arrivals = make_network()
     network.send("a", "b", 1)
--- a/workbench/explore/clocks.py
+++ b/workbench/explore/clocks.py
@@ -172,9 +172,9 @@
         self.later(LOOK, self.look)
         while self.now <= REPLACEMENT_AT + REPLACED_WITHIN and not (stop_at_first and self.story.broken):
             self.network.clock.run(self.now + LOOK)
-            for fault in self.network.faults[:1]:
+            for fault in self.network.loop.faults[:1]:
                 self.tell("fault", fault)
-            self.network.faults.clear()
+            self.network.loop.faults.clear()
         return self.story
 
     def tell(self, name: str, what: str) -> None:
@@ -192,10 +192,10 @@
         """A wall clock steps, under a process that runs or between two lives."""
         process = self.process(step.machine)
         if step.restart == "none":
-            process.machine.step += step.step_s * SECOND
+            process.machine.clocks.step_wall(step.step_s * SECOND)
         else:
             process.stop(planned=step.restart == "term")
-            process.machine.step += step.step_s * SECOND
+            process.machine.clocks.step_wall(step.step_s * SECOND)
             self.later(step.down, process.start)
             self.later(step.down + BELIEVED_WITHIN, self.check_believed, process, process.life + 1)
         self.later(step.down + LEASE_WITHIN, self.check_lease, self.now + step.down)
--- a/workbench/explore/runtime_net.py
+++ b/workbench/explore/runtime_net.py
@@ -20,41 +20,39 @@
 from balancer.net.process.lifecycle import Lifecycle, Stage
 from balancer.net.process.log import Log
 from balancer.policy.interface import ClassSettings, Effect, Settings
+from workbench.explore.machine_clocks import MachineClocks
+from workbench.explore.virtual_network import VirtualNetwork
 from workbench.simulator.heap import HeapClock
 
 SECOND = 1_000_000
-EPOCH = 1_700_000_000 * SECOND  # Unix time at the network's 0
-MONOTONIC_START_MOST = 10**12  # monotonic clocks of machines begin anywhere up to here
-MEAN_DELAY = 2_000  # of a datagram
+MAX_MONOTONIC_START = 10**12  # monotonic clocks of machines begin anywhere up to here
 KEY = b"a key for the virtual network"
 PORT = 7400
 
 
-class VirtualClocks(Clocks):
-    """One machine's clocks. `step` is how far its wall clock is off, in microseconds."""
+class RuntimeClocks(Clocks):
+    """The clocks of a machine, as a fleet runtime reads them."""
 
-    def __init__(self, clock: HeapClock, machine: Machine) -> None:
-        self.clock = clock
-        self.machine = machine
+    def __init__(self, machine_clocks: MachineClocks) -> None:
+        self.machine_clocks = machine_clocks
         super().__init__(None)
 
     def now(self) -> int:
-        """The monotonic clock, which no step moves."""
-        return self.machine.monotonic_start + self.clock.now
+        """Returns the monotonic clock."""
+        return self.machine_clocks.monotonic()
 
     def wall(self) -> int:
-        """Unix time as this machine has it."""
-        return EPOCH + self.clock.now + self.machine.step
+        """Returns Unix time as the machine has it."""
+        return self.machine_clocks.wall()
 
 
-@dataclass
+@dataclass(frozen=True)
 class Machine:
     """What outlives a process: its name, its address and its clocks."""
 
     name: str
     address: Address
-    monotonic_start: int
-    step: int = 0
+    clocks: MachineClocks
 
 
 class Timer:
@@ -64,39 +62,49 @@
         self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Keeps the call from happening."""
+        """Prevents the call."""
         self.callback = None
 
     def fire(self, _: object) -> None:
-        """The time has come."""
+        """Calls back, unless cancelled or called already."""
         callback, self.callback = self.callback, None
         if callback is not None:
             callback()
 
 
 class VirtualTransport:
-    """One process's socket."""
+    """The socket of one process; it is open from the start."""
 
-    def __init__(self, network: RuntimeNetwork, address: Address, protocol: FleetRuntime) -> None:
+    def __init__(
+        self, network: VirtualNetwork[Address, bytes], address: Address, protocol: FleetRuntime
+    ) -> None:
         self.network = network
         self.address = address
         self.protocol = protocol
+        network.attach(address, self._receive)
+
+    def _receive(self, source: Address, data: bytes) -> None:
+        self.protocol.datagram_received(data, source)
 
     def sendto(self, data: bytes, to: Address) -> None:
-        """Sends a datagram; nobody learns whether it arrives."""
+        """Sends a datagram; the sender does not learn whether it arrives."""
         self.network.send(self.address, to, data)
 
     def close(self) -> None:
-        """Nothing arrives here from now on."""
-        if self.network.sockets.get(self.address) is self:
-            del self.network.sockets[self.address]
+        """Closes the socket, unless another process has opened one at its address."""
+        self.network.detach(self.address, self._receive)
 
 
 class VirtualLoop:
-    """The part of an event loop that a fleet runtime uses."""
+    """The part of an event loop that a fleet runtime uses.
+
+    Attributes:
+        faults: Errors that components have reported.
+    """
 
-    def __init__(self, network: RuntimeNetwork) -> None:
+    def __init__(self, network: VirtualNetwork[Address, bytes]) -> None:
         self.network = network
+        self.faults: list[str] = []
 
     async def create_datagram_endpoint(
         self, factory: Callable[[], FleetRuntime], local_addr: Address
@@ -104,50 +112,52 @@
         """Opens a socket on the virtual network."""
         protocol = factory()
         transport = VirtualTransport(self.network, local_addr, protocol)
-        self.network.sockets[local_addr] = transport
         protocol.connection_made(cast(asyncio.BaseTransport, transport))
         return transport, protocol
 
     def call_later(self, seconds: float, callback: Callable[[], None]) -> Timer:
-        """Calls back after a span of real time."""
+        """Calls back after a span of true time."""
         timer = Timer(callback)
         clock = self.network.clock
         clock.call_at(clock.now + int(seconds * SECOND), timer.fire, None)
         return timer
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """A fault in a component."""
-        self.network.faults.append(f"{context.get('message')}: {context.get('exception')!r}")
+        """Records an error in a component."""
+        self.faults.append(f"{context.get('message')}: {context.get('exception')!r}")
 
 
 class RuntimeNetwork:
-    """Machines on one clock. Datagrams take some time, each another, and none is lost."""
+    """Machines on one virtual network, which loses no datagram.
+
+    Args:
+        seed: Of all random draws.
+        count: How many machines.
+    """
 
     def __init__(self, seed: int, count: int) -> None:
         self.clock = HeapClock(0)
-        self.rng = Random(f"network {seed}")
-        self.sockets: dict[Address, VirtualTransport] = {}
-        self.faults: list[str] = []
-        self.loop = VirtualLoop(self)
+        rng = Random(f"network {seed}")
+        self.network: VirtualNetwork[Address, bytes] = VirtualNetwork(self.clock, rng)
+        self.loop = VirtualLoop(self.network)
         self.machines = [
-            Machine(f"n{i}", (f"10.0.0.{i + 1}", PORT), self.rng.randrange(MONOTONIC_START_MOST))
+            Machine(
+                f"n{i}",
+                (f"10.0.0.{i + 1}", PORT),
+                MachineClocks(self.clock, rng.randrange(MAX_MONOTONIC_START)),
+            )
             for i in range(count)
         ]
 
-    def send(self, source: Address, to: Address, data: bytes) -> None:
-        """A datagram on its way."""
-        at = self.clock.now + int(MEAN_DELAY * (0.5 + self.rng.random()))
-        self.clock.call_at(at, self.arrive, (source, to, data))
-
-    def arrive(self, what: tuple[Address, Address, bytes]) -> None:
-        """A datagram at its receiver, if there is one."""
-        source, to, data = what
-        socket = self.sockets.get(to)
-        if socket is not None:
-            socket.protocol.datagram_received(data, source)
-
     def start(self, machine: Machine, voters: int, seed: int, end: Callable[[], None]) -> FleetRuntime:
-        """A new process of a machine. `end`: it asks to end, as a rolling replacement has it."""
+        """Starts a process on a machine.
+
+        Args:
+            machine: The machine.
+            voters: How many of the machines, the first ones, vote on leases.
+            seed: Of the process's random draws.
+            end: Called when the process asks to be ended, as in a rolling replacement.
+        """
         config = fleet_config(machine, self.machines, voters)
         life = Lifecycle(Log(machine.name, 0))
         life.stage = Stage.SERVING
@@ -156,7 +166,7 @@
         )
         loop = cast(asyncio.AbstractEventLoop, self.loop)
         runtime = FleetRuntime(config, loop, seed, QuietLog(machine.name, 0), life, end, settings)
-        runtime.clocks = VirtualClocks(self.clock, machine)
+        runtime.clocks = RuntimeClocks(machine.clocks)
         runtime.policy_adapter.on_shares = lambda shares, round_trips: None
         runtime.policy_adapter.on_health_check_result = lambda server, well: None
         finish(runtime.open())
@@ -167,11 +177,11 @@
     """A log that writes nothing."""
 
     def line(self, text: str) -> None:
-        """One line less."""
+        """Drops a line."""
 
 
 def fleet_config(machine: Machine, machines: list[Machine], voters: int) -> FleetConfig:
-    """A machine's place in a fleet of one zone."""
+    """Returns a machine's configuration in a fleet of one zone."""
     return FleetConfig(
         name=machine.name,
         zone="z0",
--- a/workbench/explore/virtual_network.py
+++ b/workbench/explore/virtual_network.py
@@ -139,9 +139,17 @@
         if site is not None:
             self._sites[address] = site
 
-    def detach(self, address: NodeAddress) -> None:
-        """Closes an endpoint; datagrams to it are dropped."""
-        self._receivers.pop(address, None)
+    def detach(
+        self, address: NodeAddress, receive: Callable[[NodeAddress, Payload], None] | None = None
+    ) -> None:
+        """Closes an endpoint; datagrams to it are dropped.
+
+        Args:
+            address: Its address.
+            receive: Closes it only if it was opened with this receiver; None closes it in any case.
+        """
+        if receive is None or self._receivers.get(address) == receive:
+            self._receivers.pop(address, None)
 
     def is_attached(self, address: NodeAddress) -> bool:
         """Returns whether an endpoint is open at an address."""
