--- a/tests/test_lease_explorer.py
+++ b/tests/test_lease_explorer.py
@@ -3,9 +3,9 @@
 import pytest
 from lease_support import SEC
 
-from workbench.explore.faults import Fault
+from workbench.explore.faults import Fault, FaultType
 from workbench.explore.lease_model import Bounds, Model
-from workbench.explore.lease_network import LEASE_NAME, LeaseNetwork
+from workbench.explore.lease_network import LeaseNetwork
 from workbench.explore.leases import MUTANTS, explore, play, shrink
 
 
@@ -21,7 +21,7 @@
     for seed in range(20):
         net = LeaseNetwork(seed, faults=[], voters=3, clients=clients)
         net.clock.run(SEC)
-        holders = [p for p in net.processes.values() if p.client.held_token(p.now(), LEASE_NAME)]
+        holders = net.holders()
         assert len(holders) == 1 and net.trace.holders == 1
 
 
@@ -31,17 +31,19 @@
 def test_when_all_forget_at_once_the_token_rises_as_far_as_wall_clocks_do() -> None:
     """Voters alone: whoever asked before remembers. All processes: Unix time carries the rise, if it does not
     step back; then the next holder's acts are refused until its tokens are up again."""
-    back = Fault("step", 9 * SEC, SEC, ALL, amount=-3600.0)
+    back = Fault(FaultType.STEP, 9 * SEC, SEC, ALL, amount=-3600.0)
     for who, steps, refused in ((ALL[:3], [back], False), (ALL, [], False), (ALL, [back], True)):
-        net = LeaseNetwork(3, faults=[*steps, Fault("kill", 10 * SEC, SEC // 10, who)], voters=3, clients=2)
+        net = LeaseNetwork(
+            3, faults=[*steps, Fault(FaultType.KILL, 10 * SEC, SEC // 10, who)], voters=3, clients=2
+        )
         trace = net.play()
         assert not trace.violations and trace.holders >= 2
         assert net.forgot() and (trace.late_acts > 50) is refused
 
 
 def test_when_voters_come_back_one_after_another_the_token_rises_whatever_wall_clocks_do() -> None:
-    back = Fault("step", 5 * SEC, SEC, ("a0", "a1"), amount=-3600.0)
-    one_by_one = [Fault("kill", (6 + 4 * i) * SEC, SEC // 10, (f"v{i}",)) for i in range(3)]
+    back = Fault(FaultType.STEP, 5 * SEC, SEC, ("a0", "a1"), amount=-3600.0)
+    one_by_one = [Fault(FaultType.KILL, (6 + 4 * i) * SEC, SEC // 10, (f"v{i}",)) for i in range(3)]
     for seed in range(5):
         net = LeaseNetwork(seed, faults=[back, *one_by_one], voters=3, clients=2)
         trace = net.play()
--- a/tests/test_lease_tokens.py
+++ b/tests/test_lease_tokens.py
@@ -14,7 +14,7 @@
 from balancer.fleet.leases.settings import Electorate, LeaseSettings, granted_duration
 from balancer.fleet.leases.vote_store import CEILING_MARGIN, VoteStore
 from balancer.fleet.leases.voter import Voter
-from workbench.explore.faults import Fault
+from workbench.explore.faults import Fault, FaultType
 from workbench.explore.lease_network import LeaseNetwork
 
 SEC = 1_000_000
@@ -207,8 +207,8 @@
     """No act is refused, at any wall clock of the one that comes back or of the one that stayed."""
     voters = ("v0", "v1", "v2")
     faults = [
-        Fault("step", 9 * SEC, SEC, stepped, amount=step),
-        Fault("kill", 10 * SEC, SEC // 10, (*voters, *restarts)),
+        Fault(FaultType.STEP, 9 * SEC, SEC, stepped, amount=step),
+        Fault(FaultType.KILL, 10 * SEC, SEC // 10, (*voters, *restarts)),
     ]
     for seed in range(6):
         trace = LeaseNetwork(seed, faults=faults, voters=3, clients=2).play()
--- a/workbench/explore/lease_figures.py
+++ b/workbench/explore/lease_figures.py
@@ -10,7 +10,8 @@
 import numpy as np
 
 from workbench.explore.faults import SEC
-from workbench.explore.lease_network import LEASE_NAME, LeaseNetwork, Process
+from workbench.explore.lease_network import LeaseNetwork
+from workbench.explore.lease_process import LeaseProcess
 
 SETTLED = 10 * SEC
 COUNTED = 12 * SEC  # in which datagrams are
@@ -19,9 +20,10 @@
 
 
 class WatchedNetwork(LeaseNetwork):
-    """Notes who takes over and when."""
+    """Records when the lease was acquired last."""
 
-    def on_acquired(self, process: Process, token: int) -> None:
+    def on_acquired(self, process: LeaseProcess, token: int) -> None:
+        """Records the time."""
         super().on_acquired(process, token)
         self.acquired_at = self.clock.now
 
@@ -34,19 +36,17 @@
     before = network.trace.messages
     network.clock.run(SETTLED + COUNTED)
     sent = (network.trace.messages - before) / (COUNTED / SEC)
-    at = SETTLED + COUNTED + network.acts.randrange(SPREAD)
+    at = SETTLED + COUNTED + network.acts_rng.randrange(SPREAD)
     network.clock.run(at)
-    (holder,) = [
-        p for p in network.processes.values() if p.client.held_token(p.now(), LEASE_NAME) is not None
-    ]
+    (holder,) = network.holders()
     if planned:
-        network.release_all(holder)
+        holder.release_all()
     else:
         holder.kill()
     network.acquired_at = -1
     end = at + WATCHED
-    while network.acquired_at < 0 and network.clock.now < end and network.clock.heap:
-        network.clock.run(network.clock.heap[0][0])
+    while network.acquired_at < 0 and network.network.run_next(end):
+        pass
     taken = network.acquired_at if network.acquired_at >= 0 else end
     # Each question has its answer: half of what is sent comes from voters.
     return (taken - at) / SEC, sent / 2 / voters, sent / 2 / clients
--- a/workbench/explore/leases.py
+++ b/workbench/explore/leases.py
@@ -21,7 +21,9 @@
 from balancer.fleet.leases.request import LeaseRequest, RequestStage
 from balancer.fleet.leases.voter import Voter
 from workbench.explore.faults import Fault
-from workbench.explore.lease_network import Implementation, LeaseNetwork, Trace
+from workbench.explore.lease_network import LeaseNetwork
+from workbench.explore.lease_process import Implementation
+from workbench.explore.lease_rules import Trace
 
 # Programs broken on purpose.
 
@@ -101,11 +103,11 @@
             fewer = [
                 [
                     *faults[:i],
-                    replace(faults[i], who=tuple(n for n in faults[i].who if n != gone)),
+                    replace(faults[i], names=tuple(n for n in faults[i].names if n != gone)),
                     *faults[i + 1 :],
                 ]
-                for gone in faults[i].who
-                if len(faults[i].who) > 1
+                for gone in faults[i].names
+                if len(faults[i].names) > 1
             ]
             for plan in (shorter, *fewer, *([halved] if faults[i].length > 100_000 else [])):
                 if play(seed, mutant, plan).violations:
--- a/workbench/explore/virtual_network.py
+++ b/workbench/explore/virtual_network.py
@@ -12,7 +12,7 @@
 
 from collections.abc import Callable, Hashable, Iterable
 from dataclasses import dataclass
-from enum import Enum, auto
+from enum import Enum
 from random import Random
 from typing import Generic, TypeVar
 
@@ -64,9 +64,9 @@
 class Direction(Enum):
     """Which datagrams a partition drops, as seen from the sites that it separates."""
 
-    BOTH = auto()
-    OUTGOING = auto()
-    INCOMING = auto()
+    BOTH = "both"
+    OUTGOING = "out"
+    INCOMING = "in"
 
 
 @dataclass(frozen=True)
