--- a/tests/test_clock_faults.py
+++ b/tests/test_clock_faults.py
@@ -7,9 +7,9 @@
 from workbench.explore.runtime_net import SECOND
 
 
-def found(story):
+def found(trace):
     """What did not hold, in words."""
-    return [str(broken) for broken in story.broken]
+    return [str(violation) for violation in trace.violations]
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
--- a/tests/test_lab_clock_explorer.py
+++ b/tests/test_lab_clock_explorer.py
@@ -27,9 +27,9 @@
 
 
 def test_a_fleet_whose_clocks_are_right_keeps_every_property_and_repeats():
-    story = play(1, [])
-    assert not story.broken and story.holders >= 2 and story.lives == 10
-    assert play(1, []) == story
+    trace = play(1, [])
+    assert not trace.violations and trace.holders >= 2 and trace.incarnations == 10
+    assert play(1, []) == trace
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
@@ -44,7 +44,7 @@
     fleet.network.clock.run(2 * SECOND)
     assert offset == 0 and stepped.runtime.wall() - other.runtime.wall() == step_s * SECOND
     assert stepped.runtime.now() - before == fleet.now
-    assert stepped.life == (1 if restart == "none" else 2) and other.life == 1
+    assert stepped.incarnation == (1 if restart == "none" else 2) and other.incarnation == 1
 
 
 def takes_nothing(*args):
@@ -79,5 +79,5 @@
     for owner, attribute, substitute in BROKEN[name]:
         monkeypatch.setattr(owner, attribute, substitute)
     steps = [ClockStep(FIRST_AT, "n1", 5, "kill", SECOND)] if name in ("believed", "lease") else []
-    story = ClockFleet(1, steps).play(stop_at_first=True)
-    assert name in story.properties()
+    trace = ClockFleet(1, steps).play(stop_at_first=True)
+    assert name in trace.properties()
--- a/workbench/explore/clock_faults.py
+++ b/workbench/explore/clock_faults.py
@@ -10,8 +10,8 @@
 STEPS_S = (-3600, -5, 5, 3600)
 FIRST_AT = 8 * SECOND
 APART = 12 * SECOND  # between two steps: each is judged before the next one
-LATER_MOST = 2 * SECOND
-DOWN_LEAST, DOWN_MOST = SECOND // 5, 4 * SECOND
+MAX_LATENESS = 2 * SECOND
+MIN_DOWN, MAX_DOWN = SECOND // 5, 4 * SECOND
 
 
 @dataclass(frozen=True)
@@ -25,6 +25,7 @@
     down: int = 0  # microseconds between the end of a process and the next one's start
 
     def __str__(self) -> str:
+        """Returns the step as a line of a report."""
         how = "" if self.restart == "none" else f" over a {self.restart}, {self.down / SECOND:.1f} s down"
         return f"{self.at / SECOND:.2f} s: {self.machine} {self.step_s:+} s{how}"
 
@@ -37,11 +38,11 @@
         restart: Literal["none", "kill", "term"] = rng.choice(("none", "kill", "term"))
         steps.append(
             ClockStep(
-                at=FIRST_AT + number * APART + rng.randrange(LATER_MOST),
+                at=FIRST_AT + number * APART + rng.randrange(MAX_LATENESS),
                 machine=rng.choice(machines),
                 step_s=rng.choice(STEPS_S),
                 restart=restart,
-                down=rng.randrange(DOWN_LEAST, DOWN_MOST) if restart != "none" else 0,
+                down=rng.randrange(MIN_DOWN, MAX_DOWN) if restart != "none" else 0,
             )
         )
     return steps
--- a/workbench/explore/clocks.py
+++ b/workbench/explore/clocks.py
@@ -25,7 +25,7 @@
 
 PROPERTIES = {
     "dead": "a process that runs on is never held dead",
-    "believed": "a process that came back is held alive in its new life, by all, 10 s later",
+    "believed": "a process that came back is held alive in its new incarnation, by all, 10 s later",
     "holders": "no two processes hold the lease at one instant",
     "token": "a token rises with each holder",
     "lease": "the lease is held again within 10 s of each step",
@@ -34,7 +34,7 @@
     "fault": "no component fails",
 }
 COUNT, VOTERS = 5, 3
-LOOK = SECOND // 4
+SAMPLE_INTERVAL = SECOND // 4
 SETTLED = 6 * SECOND  # from the start, or from a restart, until a process counts as one that runs on
 BELIEVED_WITHIN = 10 * SECOND
 LEASE_WITHIN = 10 * SECOND
@@ -44,11 +44,11 @@
 REPLACED_WITHIN = 45 * SECOND
 AT_ONCE = 2  # processes that the replacement takes out
 REPLACED_DOWN = SECOND // 2
-REPEATED = 5  # stories of a run that are kept
+MAX_REPEATED = 5  # violations of one property that a trace keeps
 
 
 @dataclass
-class Broken:
+class Violation:
     """One property that did not hold."""
 
     at: int
@@ -56,22 +56,23 @@
     what: str
 
     def __str__(self) -> str:
+        """Returns the violation as a line of a report."""
         return f"{self.at / SECOND:.2f} s: {self.property}: {self.what}"
 
 
 @dataclass
-class Story:
+class Trace:
     """What a run showed."""
 
     seed: int
     steps: list[ClockStep] = field(default_factory=list)
-    broken: list[Broken] = field(default_factory=list)
+    violations: list[Violation] = field(default_factory=list)
     holders: int = 0
-    lives: int = 0
+    incarnations: int = 0
 
     def properties(self) -> list[str]:
         """The names of those that did not hold, in the order of `PROPERTIES`."""
-        found = {b.property for b in self.broken}
+        found = {b.property for b in self.violations}
         return [name for name in PROPERTIES if name in found]
 
 
@@ -82,18 +83,18 @@
         self.fleet = fleet
         self.machine = machine
         self.name = machine.name
-        self.life = 0
-        self.since = 0  # when the present life began
+        self.incarnation = 0
+        self.since = 0  # when the present incarnation began
         self.runtime: FleetRuntime | None = None
-        self.replaced: list[int] = []  # lives that the replacement has ended
+        self.replaced: list[int] = []  # incarnations that the replacement has ended
 
     def start(self) -> None:
-        """A new life, from nothing."""
+        """Starts the next incarnation, without knowledge."""
         fleet = self.fleet
-        self.life += 1
+        self.incarnation += 1
         self.since = fleet.now
-        fleet.story.lives += 1
-        seed = fleet.seed * 1000 + self.life
+        fleet.trace.incarnations += 1
+        seed = fleet.seed * 1000 + self.incarnation
         self.runtime = fleet.network.start(self.machine, VOTERS, seed, self.end)
 
     def stop(self, planned: bool) -> None:
@@ -106,7 +107,7 @@
 
     def end(self) -> None:
         """The rolling replacement has its process end; another comes in its place."""
-        self.replaced.append(self.life)
+        self.replaced.append(self.incarnation)
         self.stop(planned=True)
         self.fleet.later(REPLACED_DOWN, self.start)
 
@@ -119,8 +120,8 @@
         if self.runtime is None:
             return None
         _, body = self.runtime.pages.acquire_lease(b"duty=d&script=" + self.name.encode())
-        told = json.loads(body)
-        return int(told["token"]) if told["held"] else None
+        answer = json.loads(body)
+        return int(answer["token"]) if answer["held"] else None
 
     def order(self, verb: str, seconds: int) -> None:
         """An operator's directive for the zone, through this process's page."""
@@ -140,14 +141,14 @@
     def __init__(self, seed: int, steps: Sequence[ClockStep] | None = None) -> None:
         self.seed = seed
         self.network = RuntimeNetwork(seed, COUNT)
-        self.story = Story(seed)
+        self.trace = Trace(seed)
         self.processes = [Process(self, machine) for machine in self.network.machines]
         self.rng = Random(f"operators {seed}")
         self.highest = 0  # token of a holder
-        self.owner: tuple[str, int] = ("", 0)
+        self._last_holder: tuple[str, int] = ("", 0)
         self.held_at = 0  # when the lease was held last
         names = [p.name for p in self.processes]
-        self.story.steps = draw_clock_steps(seed, names) if steps is None else list(steps)
+        self.trace.steps = draw_clock_steps(seed, names) if steps is None else list(steps)
 
     @property
     def now(self) -> int:
@@ -159,28 +160,31 @@
         assert callable(call)
         self.network.clock.call_at(self.now + span, lambda _: call(*args), None)
 
-    def play(self, stop_at_first: bool = False) -> Story:
-        """The whole run: start, steps, directives, replacement. `stop_at_first`: no further than to the first
-        property that does not hold."""
+    def play(self, stop_at_first: bool = False) -> Trace:
+        """Plays the whole run: start, steps, directives, replacement.
+
+        Args:
+            stop_at_first: Whether to end the run at the first violation.
+        """
         for process in self.processes:
             self.later(self.rng.randrange(SECOND), process.start)
-        for step in self.story.steps:
+        for step in self.trace.steps:
             self.later(step.at, self.begin, step)
         self.plan_directives()
         self.later(REPLACEMENT_AT, self.begin_replacement)
         self.later(REPLACEMENT_AT + REPLACED_WITHIN, self.check_replacement)
-        self.later(LOOK, self.look)
-        while self.now <= REPLACEMENT_AT + REPLACED_WITHIN and not (stop_at_first and self.story.broken):
-            self.network.clock.run(self.now + LOOK)
+        self.later(SAMPLE_INTERVAL, self.sample)
+        while self.now <= REPLACEMENT_AT + REPLACED_WITHIN and not (stop_at_first and self.trace.violations):
+            self.network.clock.run(self.now + SAMPLE_INTERVAL)
             for fault in self.network.loop.faults[:1]:
-                self.tell("fault", fault)
+                self.add_violation("fault", fault)
             self.network.loop.faults.clear()
-        return self.story
+        return self.trace
 
-    def tell(self, name: str, what: str) -> None:
-        """Notes that a property does not hold."""
-        if sum(b.property == name for b in self.story.broken) < REPEATED:
-            self.story.broken.append(Broken(self.now, name, what))
+    def add_violation(self, name: str, what: str) -> None:
+        """Records that a property does not hold."""
+        if sum(b.property == name for b in self.trace.violations) < MAX_REPEATED:
+            self.trace.violations.append(Violation(self.now, name, what))
 
     # ---- steps ------------------------------------------------------------------------------------------
 
@@ -189,7 +193,7 @@
         return next(p for p in self.processes if p.name == name)
 
     def begin(self, step: ClockStep) -> None:
-        """A wall clock steps, under a process that runs or between two lives."""
+        """A wall clock steps, under a running process or between two incarnations."""
         process = self.process(step.machine)
         if step.restart == "none":
             process.machine.clocks.step_wall(step.step_s * SECOND)
@@ -197,12 +201,12 @@
             process.stop(planned=step.restart == "term")
             process.machine.clocks.step_wall(step.step_s * SECOND)
             self.later(step.down, process.start)
-            self.later(step.down + BELIEVED_WITHIN, self.check_believed, process, process.life + 1)
+            self.later(step.down + BELIEVED_WITHIN, self.check_believed, process, process.incarnation + 1)
         self.later(step.down + LEASE_WITHIN, self.check_lease, self.now + step.down)
 
-    def check_believed(self, process: Process, life: int) -> None:
-        """All others hold the new life alive."""
-        if process.runtime is None or process.life != life:
+    def check_believed(self, process: Process, incarnation: int) -> None:
+        """Checks that all others hold the new incarnation alive."""
+        if process.runtime is None or process.incarnation != incarnation:
             return
         own = process.runtime.membership.me.incarnation
         for other in self.processes:
@@ -212,12 +216,12 @@
             held = other.runtime.membership.members.get(process.name)
             if held is None or held.claim.status != Status.ALIVE or held.claim.incarnation != own:
                 said = "unknown" if held is None else f"{held.claim.status.name} {held.claim.incarnation}"
-                self.tell("believed", f"{other.name} holds {process.name} {said}, its own is {own}")
+                self.add_violation("believed", f"{other.name} holds {process.name} {said}, its own is {own}")
 
     def check_lease(self, since: int) -> None:
         """Somebody has held the lease after a step."""
         if self.held_at <= since:
-            self.tell("lease", f"nobody has held it since {self.held_at / SECOND:.2f} s")
+            self.add_violation("lease", f"nobody has held it since {self.held_at / SECOND:.2f} s")
 
     # ---- directives and the replacement -----------------------------------------------------------------
 
@@ -241,7 +245,9 @@
         """All go by the last directive."""
         wrong = [p.name for p in self.processes if p.runs_on() and p.obeys() != left]
         if wrong:
-            self.tell("directive", f"the last is {verb}, left should be {left}: not so at {', '.join(wrong)}")
+            self.add_violation(
+                "directive", f"the last is {verb}, left should be {left}: not so at {', '.join(wrong)}"
+            )
 
     def begin_replacement(self) -> None:
         """An operator begins it, through any process's page."""
@@ -253,25 +259,29 @@
         """Each process was ended once."""
         ends = {p.name: len(p.replaced) for p in self.processes}
         if any(count != 1 for count in ends.values()):
-            self.tell("replacement", ", ".join(f"{name} {count} times" for name, count in ends.items()))
+            self.add_violation(
+                "replacement", ", ".join(f"{name} {count} times" for name, count in ends.items())
+            )
 
-    # ---- what is looked at again and again --------------------------------------------------------------
+    # ---- samples -------------------------------------------------------------------------------------
 
-    def look(self) -> None:
+    def sample(self) -> None:
         """Who holds the lease, and who is held dead."""
         held = [(p, token) for p in self.processes if (token := p.token()) is not None]
         if len(held) > 1:
-            self.tell("holders", " and ".join(p.name for p, _ in held))
+            self.add_violation("holders", " and ".join(p.name for p, _ in held))
         for process, token in held:
             self.held_at = self.now
-            owner = (process.name, process.life)
-            if owner != self.owner:
-                self.story.holders += 1
+            holder = (process.name, process.incarnation)
+            if holder != self._last_holder:
+                self.trace.holders += 1
                 if token <= self.highest:
-                    self.tell("token", f"{process.name} holds {token}, {self.owner[0]} held {self.highest}")
-            self.owner, self.highest = owner, max(token, self.highest)
+                    self.add_violation(
+                        "token", f"{process.name} holds {token}, {self._last_holder[0]} held {self.highest}"
+                    )
+            self._last_holder, self.highest = holder, max(token, self.highest)
         self.check_dead()
-        self.later(LOOK, self.look)
+        self.later(SAMPLE_INTERVAL, self.sample)
 
     def check_dead(self) -> None:
         """Nobody who runs on is held dead by one who runs on."""
@@ -281,15 +291,15 @@
             for process in steady:
                 status = by.runtime.membership.status(process.name) if process is not by else None
                 if status in (Status.DEAD, Status.LEFT) and self.now >= process.since + BELIEVED_WITHIN:
-                    self.tell("dead", f"{by.name} holds {process.name} {status.name}")
+                    self.add_violation("dead", f"{by.name} holds {process.name} {status.name}")
 
 
-def play(seed: int, steps: Sequence[ClockStep] | None = None) -> Story:
+def play(seed: int, steps: Sequence[ClockStep] | None = None) -> Trace:
     """One run by its seed."""
     return ClockFleet(seed, steps).play()
 
 
-def explore(first: int, last: int, jobs: int) -> list[Story]:
+def explore(first: int, last: int, jobs: int) -> list[Trace]:
     """Plays seeds, all of them."""
     if jobs == 1:
         return [play(seed) for seed in range(first, last + 1)]
@@ -303,16 +313,18 @@
 def main(seeds: str, jobs: int) -> None:
     """Explore stepped wall clocks. Exits 1 where a property did not hold."""
     first, _, last = seeds.partition("-")
-    stories = explore(int(first), int(last or first), jobs)
-    broken = [s for s in stories if s.broken]
+    traces = explore(int(first), int(last or first), jobs)
+    broken = [s for s in traces if s.violations]
     counts = Counter(name for s in broken for name in s.properties())
-    lives, holders = sum(s.lives for s in stories), sum(s.holders for s in stories)
-    click.echo(f"{len(stories)} seeds, {lives} lives, {holders} holders, {len(broken)} seeds broken")
+    incarnations, holders = sum(s.incarnations for s in traces), sum(s.holders for s in traces)
+    click.echo(
+        f"{len(traces)} seeds, {incarnations} incarnations, {holders} holders, {len(broken)} seeds broken"
+    )
     for name, meaning in PROPERTIES.items():
         click.echo(f"{counts[name]:6} {name}: {meaning}")
-    for story in broken[:5]:
-        click.echo(f"seed {story.seed}:")
-        for line in (*story.steps, *story.broken):
+    for trace in broken[:5]:
+        click.echo(f"seed {trace.seed}:")
+        for line in (*trace.steps, *trace.violations):
             click.echo(f"    {line}")
     sys.exit(1 if broken else 0)
 
--- a/workbench/explore/lease_figures.py
+++ b/workbench/explore/lease_figures.py
@@ -6,6 +6,8 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 import click
 import numpy as np
 
@@ -28,9 +30,23 @@
         self.acquired_at = self.clock.now
 
 
-def gap(seed: int, voters: int, clients: int, planned: bool) -> tuple[float, float, float]:
-    """Seconds without a holder after one was killed or gave the lease back; datagrams a second of a voter,
-    and of a client, before that."""
+@dataclass(frozen=True)
+class GapFigures:
+    """Figures of one run.
+
+    Attributes:
+        gap_s: Seconds without a holder after one was killed or released the lease.
+        voter_datagrams: Datagrams a second that a voter sent before that.
+        client_datagrams: The same of a client.
+    """
+
+    gap_s: float
+    voter_datagrams: float
+    client_datagrams: float
+
+
+def gap(seed: int, voters: int, clients: int, planned: bool) -> GapFigures:
+    """Measures one run; `planned`: the holder releases the lease, in place of being killed."""
     network = WatchedNetwork(seed, faults=[], voters=voters, clients=clients)
     network.clock.run(SETTLED)
     before = network.trace.messages
@@ -49,7 +65,7 @@
         pass
     taken = network.acquired_at if network.acquired_at >= 0 else end
     # Each question has its answer: half of what is sent comes from voters.
-    return (taken - at) / SEC, sent / 2 / voters, sent / 2 / clients
+    return GapFigures((taken - at) / SEC, sent / 2 / voters, sent / 2 / clients)
 
 
 @click.command()
@@ -62,11 +78,15 @@
     click.echo("| --- | --- | --- | --- | --- | --- | --- |")
     for voters in (3, 5):
         for clients in counts:
-            killed = np.array([gap(s, voters, clients, False) for s in range(1, seeds + 1)])
-            planned = np.array([gap(s, voters, clients, True) for s in range(1, seeds + 1)])
-            k = " ".join(f"{np.percentile(killed[:, 0], p):.2f}" for p in (50, 99, 100))
-            h = " ".join(f"{1000 * np.percentile(planned[:, 0], p):.0f}" for p in (50, 99, 100))
-            cost = f"{killed[:, 1].mean():.1f} | {killed[:, 2].mean():.2f}"
+            killed = [gap(s, voters, clients, planned=False) for s in range(1, seeds + 1)]
+            planned = [gap(s, voters, clients, planned=True) for s in range(1, seeds + 1)]
+            killed_gaps = [figures.gap_s for figures in killed]
+            planned_gaps = [figures.gap_s for figures in planned]
+            k = " ".join(f"{np.percentile(killed_gaps, p):.2f}" for p in (50, 99, 100))
+            h = " ".join(f"{1000 * np.percentile(planned_gaps, p):.0f}" for p in (50, 99, 100))
+            voter_datagrams = np.mean([figures.voter_datagrams for figures in killed])
+            client_datagrams = np.mean([figures.client_datagrams for figures in killed])
+            cost = f"{voter_datagrams:.1f} | {client_datagrams:.2f}"
             click.echo(f"| {voters} | {clients} | {seeds} | {k} | {h} | {cost} |")
 
 
--- a/workbench/explore/lease_model.py
+++ b/workbench/explore/lease_model.py
@@ -49,9 +49,11 @@
     """Draws nothing: the model explores every order instead."""
 
     def random(self) -> float:
+        """Returns 0."""
         return 0.0
 
     def getrandbits(self, k: int) -> int:
+        """Returns 0."""
         return 0
 
 
@@ -59,6 +61,8 @@
 
 
 class VoterState(NamedTuple):
+    """What a voter keeps between messages."""
+
     incarnation: int
     lease: tuple[Any, ...] | None  # as `GrantedLease`
     floor: int
@@ -68,18 +72,26 @@
 
 
 class ClientState(NamedTuple):
+    """What a client keeps between messages; the request as in `Model.request_state`."""
+
     incarnation: int
     seq: int
     request: tuple[Any, ...]
 
 
 Delivery = OutgoingLeaseMessage
-# A process after messages, what it sent, tokens of leases that it acquired.
-Outcome = tuple[Any, frozenset[Delivery], tuple[int, ...]]
+
+
+class Outcome(NamedTuple):
+    """A process after some messages, what it sent, and the tokens of leases that it acquired."""
+
+    state: Any
+    sent: frozenset[Delivery]
+    acquired_tokens: tuple[int, ...]
 
 
 class State(NamedTuple):
-    """All there is. `upsets`, `sleeps` and `restarts` are what may still happen."""
+    """The whole model; `upsets`, `sleeps` and `restarts` say how many of each may still happen."""
 
     voters: tuple[VoterState, ...]
     clients: tuple[ClientState, ...]
@@ -95,8 +107,14 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """Of the model: `steps` of the clock, and how often what goes wrong may. An upset is a message that is
-    lost or comes later."""
+    """How far the model is explored.
+
+    Attributes:
+        steps: Steps of the clock.
+        upsets: Messages that are lost or arrive later.
+        sleeps: Steps in which a client does nothing.
+        restarts: Processes that restart without knowledge.
+    """
 
     steps: int = 8
     upsets: int = 1
@@ -117,7 +135,12 @@
 
 
 class Model:
-    """The transitions. `kind`: the program's client and voter, or ones that are broken on purpose."""
+    """The transitions.
+
+    Args:
+        mutant: Name of the client and voter among `MUTANTS`, "none" for the program's own.
+        bounds: How far to explore.
+    """
 
     def __init__(self, mutant: str, bounds: Bounds) -> None:
         self.client_class, self.voter_class = MUTANTS[mutant]
@@ -129,6 +152,7 @@
     # ---- the program's objects and their states ---------------------------------------------------------
 
     def voter(self, name: str, s: VoterState) -> Voter:
+        """Returns a voter in a state."""
         v = self.voter_class(name, s.incarnation, [LIST], SETTINGS, 0)
         v.floor, v.abstains_until, v.next_recall_at = s.floor, s.abstains_until, s.next_recall_at
         v.recalled_tokens = dict(s.recalled_tokens)
@@ -138,6 +162,7 @@
         return v
 
     def voter_state(self, now: int, v: Voter) -> VoterState:
+        """Returns a voter's state without what is over, so that states that act alike are equal."""
         lease = v.leases.get(LEASE_NAME)
         state = None
         if lease is not None:
@@ -151,6 +176,7 @@
         return VoterState(v.incarnation, state, v.floor, abstains, recalled, due)
 
     def client(self, name: str, s: ClientState) -> LeaseClient:
+        """Returns a client in a state."""
         client = self.client_class(
             name, s.incarnation, [LIST], SETTINGS, NO_RANDOMNESS, lambda: 1, self.on_lease_event
         )
@@ -161,15 +187,17 @@
         return client
 
     def on_lease_event(self, event: LeaseEvent) -> None:
+        """Records the token of a lease that a client has acquired."""
         if event.kind == LeaseEventKind.HELD:
             self.acquired_tokens.append(event.token)
 
     def client_state(self, client: LeaseClient) -> ClientState:
-        """What does not matter in a stage is left out, so that states which do the same are the same."""
+        """Returns a client's state."""
         r = client.requests[LEASE_NAME]
         return ClientState(client.incarnation, client.seq, self.request_state(r))
 
     def request_state(self, r: LeaseRequest) -> tuple[Any, ...]:
+        """Returns a request's fields; those without effect in its stage are 0, so that equal states meet."""
         if r.stage == RequestStage.WAITING:
             return (r.stage, r.due_at, 0, 0, 0, r.highest_token, 0, r.first_voter, (), ())
         expires_at = r.expires_at if r.stage == RequestStage.HELD else 0
@@ -180,7 +208,7 @@
     # ---- transitions ------------------------------------------------------------------------------------
 
     def first(self) -> State:
-        """Voters that have stood for long, and two clients that begin to request."""
+        """Returns the first state: voters that have run for long, and two clients that begin to request."""
         voter = VoterState(1, None, 0, 0, tuple((v, 0) for v in VOTERS), 0)
         request = (RequestStage.WAITING, START, 0, 0, 0, 0, 0, 0, (), ())
         b = self.bounds
@@ -189,7 +217,7 @@
         return State((voter,) * 3, clients, none, none, "", b.upsets, b.sleeps, b.restarts, 0, False)
 
     def wave(self, now: int, s: State) -> Iterator[State]:
-        """All that was sent comes, but for what is lost or late; to each process in every order."""
+        """Yields the states after all that was sent has arrived, but for what is lost or late."""
         if s.unheard_by:
             waits = frozenset(x for x in s.sent if x[0] == s.unheard_by)
             s = s._replace(sent=s.sent - waits, later=s.later | waits)
@@ -204,7 +232,7 @@
     def delivered(
         self, now: int, s: State, come: frozenset[Delivery], stay: frozenset[Delivery]
     ) -> Iterator[State]:
-        """The states after these messages: what each process may be, in every combination."""
+        """Yields the states after these messages, in every combination of the processes' outcomes."""
         names = [n for n in (*VOTERS, *CLIENTS) if any(to == n for to, _ in come)]
         ways = [self.outcomes(now, s, n, frozenset(x for x in come if x[0] == n)) for n in names]
         for way in product(*ways):
@@ -223,7 +251,7 @@
             )
 
     def outcomes(self, now: int, s: State, name: str, come: frozenset[Delivery]) -> list[Outcome]:
-        """What a process may be after these messages, by their order."""
+        """Returns what a process may become by these messages, in every order."""
         state: Any = s.voters[VOTERS.index(name)] if name in VOTERS else s.clients[CLIENTS.index(name)]
         key = (now, name, state, come)
         if key not in self.known_outcomes:
@@ -232,16 +260,17 @@
         return self.known_outcomes[key]
 
     def outcome(self, now: int, name: str, state: Any, order: tuple[Delivery, ...]) -> Outcome:
+        """Returns what a process becomes by messages in this order."""
         sent: set[Delivery] = set()
         self.acquired_tokens.clear()
         part: Any = self.voter(name, state) if name in VOTERS else self.client(name, state)
         for _, message in order:
             sent |= self.useful(part.received(now, message))
         after = self.voter_state(now, part) if name in VOTERS else self.client_state(part)
-        return after, frozenset(sent), tuple(self.acquired_tokens)
+        return Outcome(after, frozenset(sent), tuple(self.acquired_tokens))
 
     def on_acquired(self, token: int, highest: int, forgot: bool) -> int:
-        """A client has come to hold the lease; the highest token then."""
+        """Checks the token of a new holder; returns the highest token so far."""
         self.findings.holders += 1
         self.findings.handovers += highest > 0
         if token <= highest and not forgot:
@@ -249,10 +278,11 @@
         return max(token, highest)
 
     def useful(self, out: list[OutgoingLeaseMessage]) -> set[Delivery]:
+        """Returns the messages to processes of the model."""
         return {sent for sent in out if sent.to in VOTERS or sent.to in CLIENTS}
 
     def sample(self, now: int, s: State) -> None:
-        """No two hold the lease at this instant."""
+        """Checks that at most one client holds the lease at this instant."""
         holding = [
             self.client(n, a).held_token(now, LEASE_NAME) is not None
             for n, a in zip(CLIENTS, s.clients, strict=True)
@@ -261,7 +291,7 @@
             self.findings.violation = self.findings.violation or "both clients hold the lease"
 
     def advance(self, now: int, s: State) -> Iterator[State]:
-        """The clock has gone on by a step: what was late comes, somebody may sleep on or be restarted."""
+        """Yields the states after a step of the clock, in which a client may sleep or a process restart."""
         base = s._replace(sent=s.later, later=frozenset(), unheard_by="")
         yield self.run_timers(now, base, None)
         if s.sleeps:
@@ -275,7 +305,7 @@
                 yield self.run_timers(now, self.restarted(now, base, name), None)
 
     def restarted(self, now: int, s: State, name: str) -> State:
-        """A process comes back from nothing; what was on its way to it still is."""
+        """Returns the state after a process restarted without knowledge; messages to it stay on their way."""
         s = s._replace(restarts=s.restarts - 1)
         if name in VOTERS:
             i = VOTERS.index(name)
@@ -286,7 +316,7 @@
         return s._replace(clients=(*s.clients[:i], ClientState(2, 0, request), *s.clients[i + 1 :]))
 
     def run_timers(self, now: int, s: State, sleeper: int | None) -> State:
-        """All do what is due now."""
+        """Returns the state after all timers that are due, but for those of a sleeping client."""
         sent = set(s.sent)
         voters, clients = [], []
         forgot = s.forgot
@@ -307,8 +337,11 @@
     # ---- the exploration --------------------------------------------------------------------------------
 
     def explore(self, max_states: int) -> Findings:
-        """All states up to the last step, or up to the first broken rule. `max_states`: at which it is
-        given up; `violation` then says so."""
+        """Explores all states up to the last step, or up to the first violation.
+
+        Args:
+            max_states: The number of states at which to give up; `violation` then says so.
+        """
         findings = self.findings
         now = START
         layer = {self.run_timers(now, self.first(), None)}
@@ -325,7 +358,7 @@
         return findings
 
     def step(self, now: int, layer: set[State], max_states: int) -> set[State]:
-        """The states in which nothing is on its way any more."""
+        """Returns the states of a step in which no message is on its way any more."""
         met, todo, ended = set(layer), list(layer), set()
         while todo and not self.findings.violation:
             s = todo.pop()
--- a/workbench/explore/leases.py
+++ b/workbench/explore/leases.py
@@ -12,7 +12,8 @@
 import multiprocessing
 import sys
 from collections import Counter
-from dataclasses import replace
+from collections.abc import Iterator
+from dataclasses import dataclass, replace
 
 import click
 
@@ -25,34 +26,41 @@
 from workbench.explore.lease_process import Implementation
 from workbench.explore.lease_rules import Trace
 
-# Programs broken on purpose.
+MAX_CHUNK_SIZE = 50
+MIN_HALVED_LENGTH = 100_000  # microseconds: shorter faults are not halved
+
+# Mutants: programs with one fault each, which the explorers have to catch.
 
 
 class CountsFromAnswer(LeaseClient):
-    """The lease is counted from the answer."""
+    """Counts the lease from the answer, not from the request."""
 
     def counted_from(self, request: LeaseRequest, now: int) -> int:
+        """Returns the time of the answer."""
         return now
 
 
 class MajorityOfLiving(LeaseClient):
-    """The majority is one of those that answered lately, not of the list."""
+    """Takes a majority of the voters that answered for a majority of the electorate."""
 
     def is_granted(self, request: LeaseRequest) -> bool:
+        """Returns whether most voters that answered have granted the lease."""
         return len(request.granted_by) * 2 > len(request.granted_by | request.denied_by)
 
 
 class SameToken(LeaseClient):
-    """The token is not raised when another takes over."""
+    """Does not raise the token when another client held the lease before."""
 
     def next_token(self, request: LeaseRequest) -> int:
+        """Returns the highest known token once more."""
         return max(request.highest_token, 1)
 
 
 class IgnoresClock(LeaseClient):
-    """Acts without a look at the clock."""
+    """Takes the lease for held after it has expired."""
 
     def held_token(self, now: int, lease: str) -> int | None:
+        """Returns the token whatever the time."""
         request = self.requests.get(lease)
         if request is None or request.stage != RequestStage.HELD:
             return None
@@ -63,6 +71,7 @@
     """Votes right after its start."""
 
     def abstains(self, now: int) -> bool:
+        """Returns False."""
         return False
 
 
@@ -70,6 +79,7 @@
     """Grants a token again."""
 
     def is_too_low(self, lease: GrantedLease, token: int, holder: Holder) -> bool:
+        """Returns whether a token is lower than the granted one; an equal one passes."""
         return token < lease.token
 
 
@@ -84,51 +94,62 @@
 
 
 def play(seed: int, mutant: str = "none", faults: list[Fault] | None = None) -> Trace:
-    """One run by its seed."""
+    """Plays the run of a seed."""
     return LeaseNetwork(seed, MUTANTS[mutant], faults).play()
 
 
 def shrink(seed: int, mutant: str = "none") -> Trace:
-    """A failing seed's plan with as few faults as still fail, each as short as it can be halved to."""
+    """Returns a failing run with as few and as short faults as still fail, another one as it is."""
     trace = play(seed, mutant)
     faults = trace.faults
     if not trace.violations:
         return trace
-    changed = True
-    while changed:
-        changed = False
-        for i in range(len(faults)):
-            shorter = [*faults[:i], *faults[i + 1 :]]
-            halved = [*faults[:i], replace(faults[i], length=faults[i].length // 2), *faults[i + 1 :]]
-            fewer = [
-                [
-                    *faults[:i],
-                    replace(faults[i], names=tuple(n for n in faults[i].names if n != gone)),
-                    *faults[i + 1 :],
-                ]
-                for gone in faults[i].names
-                if len(faults[i].names) > 1
-            ]
-            for plan in (shorter, *fewer, *([halved] if faults[i].length > 100_000 else [])):
-                if play(seed, mutant, plan).violations:
-                    faults, changed = plan, True
-                    break
-            if changed:
-                break
+    while (smaller := smaller_plan(seed, mutant, faults)) is not None:
+        faults = smaller
     return play(seed, mutant, faults)
 
 
-def play_chunk(seeds_and_mutant: tuple[int, int, str]) -> list[Trace]:
-    first, last, mutant = seeds_and_mutant
-    return [play(seed, mutant) for seed in range(first, last + 1)]
+def smaller_plan(seed: int, mutant: str, faults: list[Fault]) -> list[Fault] | None:
+    """Returns a plan that is smaller by one change and still fails, None if there is none."""
+    for index in range(len(faults)):
+        for plan in reductions(faults, index):
+            if play(seed, mutant, plan).violations:
+                return plan
+    return None
+
+
+def reductions(faults: list[Fault], index: int) -> Iterator[list[Fault]]:
+    """Yields plans without one of the faults, with fewer processes in it, and with half its length."""
+    before, fault, after = faults[:index], faults[index], faults[index + 1 :]
+    yield [*before, *after]
+    if len(fault.names) > 1:
+        for removed in fault.names:
+            names = tuple(name for name in fault.names if name != removed)
+            yield [*before, replace(fault, names=names), *after]
+    if fault.length > MIN_HALVED_LENGTH:
+        yield [*before, replace(fault, length=fault.length // 2), *after]
+
+
+@dataclass(frozen=True)
+class Chunk:
+    """Seeds that one worker process plays at a time."""
+
+    first: int
+    last: int
+    mutant: str
+
+
+def play_chunk(chunk: Chunk) -> list[Trace]:
+    """Plays the seeds of a chunk."""
+    return [play(seed, chunk.mutant) for seed in range(chunk.first, chunk.last + 1)]
 
 
 def explore(
     first: int, last: int, mutant: str, jobs: int, until_broken: bool = False
 ) -> tuple[Counter[str], list[Trace]]:
-    """Plays seeds; sums, and the traces with violations."""
-    size = max(1, min(50, (last - first + 1) // (jobs * 4) or 1))
-    chunks = [(a, min(a + size - 1, last), mutant) for a in range(first, last + 1, size)]
+    """Plays seeds; returns sums, and the traces with violations."""
+    size = max(1, min(MAX_CHUNK_SIZE, (last - first + 1) // (jobs * 4) or 1))
+    chunks = [Chunk(a, min(a + size - 1, last), mutant) for a in range(first, last + 1, size)]
     sums: Counter[str] = Counter()
     broken: list[Trace] = []
     context = multiprocessing.get_context("spawn")
@@ -171,6 +192,7 @@
 
 
 def print_trace(trace: Trace) -> None:
+    """Prints a trace's violations and faults."""
     click.echo(f"seed {trace.seed}, {trace.voters} voters: " + ("; ".join(trace.violations) or "kept"))
     for fault in trace.faults:
         click.echo(f"    {fault}")
