--- a/tests/test_lease_explorer.py
+++ b/tests/test_lease_explorer.py
@@ -3,6 +3,7 @@
 import pytest
 from lease_support import SEC
 
+from balancer.fleet.leases.messages import LeaseMessage
 from workbench.explore.faults import Fault, FaultType
 from workbench.explore.lease_model import Bounds, Model
 from workbench.explore.lease_network import LeaseNetwork
@@ -50,6 +51,28 @@
         assert not trace.violations and trace.late_acts == 0 and not net.memory_lost
 
 
+def test_a_process_killed_while_it_is_paused_sends_nothing_when_the_pause_ends(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Failure prevented: a dead voter grants a lease with what it was sent before its death."""
+    faults = [
+        Fault(FaultType.PAUSE, 5 * SEC, 4 * SEC, ("v0",)),
+        Fault(FaultType.KILL, 8 * SEC, 5 * SEC, ("v0",)),
+    ]
+    net = LeaseNetwork(1, faults=faults, voters=3, clients=2)
+    from_dead_processes = []
+    send = net.network.send
+
+    def record_and_send(source: str, to: str, payload: LeaseMessage) -> None:
+        if not net.processes[source].is_running:
+            from_dead_processes.append((net.clock.now, payload))
+        send(source, to, payload)
+
+    monkeypatch.setattr(net.network, "send", record_and_send)
+    assert not net.play().violations
+    assert from_dead_processes == []
+
+
 @pytest.mark.parametrize(
     ("mutant", "seed"),  # the first seed that shows it
     [
--- a/workbench/explore/lease_process.py
+++ b/workbench/explore/lease_process.py
@@ -102,7 +102,6 @@
         electorate = environment.electorate
         self.incarnation += 1
         self.is_running = True
-        self.queue.discard()
         environment.network.attach(self.name, self._receive)
         self.client = self._make_client(Random(environment.rng.getrandbits(32)))
         self.voter = self._make_voter()
@@ -139,6 +138,7 @@
             self.environment.observer.on_memory_lost()
         self.is_running = False
         self._scheduled_at = None
+        self.queue.discard()
         self.environment.network.detach(self.name)
 
     def has_forgotten(self) -> bool:
