--- /dev/null
+++ b/tests/test_emulator_http.py
@@ -0,0 +1,67 @@
+"""The emulator's HTTP client: bytes that no request asked for."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import Any
+
+import pytest
+
+from workbench.emulator.http import ClientSide, Lines, Reply
+
+EARLY_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+REQUEST = b"GET / HTTP/1.1\r\nHost: node\r\n\r\n"
+
+
+class RecordingTransport(asyncio.Transport):
+    """Keeps what is written to it; `abort` ends the connection at once."""
+
+    def __init__(self, protocol: asyncio.BaseProtocol) -> None:
+        super().__init__()
+        self.protocol = protocol
+        self.written = b""
+        self.aborted = False
+
+    def write(self, data: Any) -> None:
+        self.written += bytes(data)
+
+    def is_closing(self) -> bool:
+        return self.aborted
+
+    def abort(self) -> None:
+        if not self.aborted:
+            self.aborted = True
+            asyncio.get_running_loop().call_soon(self.protocol.connection_lost, None)
+
+
+async def send_over_early_bytes(transports: list[RecordingTransport], replies: list[Reply]) -> None:
+    """Sends a request on a new connection whose server speaks before the request is written."""
+    loop = asyncio.get_running_loop()
+
+    async def create_connection(factory: Callable[[], ClientSide], host: str, port: int) -> None:
+        protocol = factory()
+        transports.append(RecordingTransport(protocol))
+        protocol.connection_made(transports[-1])
+        protocol.data_received(EARLY_RESPONSE)
+
+    with pytest.MonkeyPatch.context() as patch:
+        patch.setattr(loop, "create_connection", create_connection)
+        pool = Lines(loop, "127.0.0.1", 1)
+        pool.ask(REQUEST, replies.append)
+        for _ in range(5):
+            await asyncio.sleep(0)
+        assert pool.idle == []
+        pool.close()
+
+
+def test_a_response_that_comes_before_the_request_ends_the_connection() -> None:
+    """Failure prevented: the client breaks on it, or takes it for the answer to a request it never sent.
+
+    RFC 9112, 9.2: data on a connection with no outstanding request is no valid response.
+    """
+    transports: list[RecordingTransport] = []
+    replies: list[Reply] = []
+    asyncio.run(send_over_early_bytes(transports, replies))
+    assert [transport.aborted for transport in transports] == [True]
+    assert [(reply.status, reply.written) for reply in replies] == [(0, False)]
--- a/workbench/emulator/http.py
+++ b/workbench/emulator/http.py
@@ -97,6 +97,7 @@
         self.idle = idle  # where it waits for its next request
         self.transport: asyncio.Transport | None = None
         self.done: Done | None = None
+        self.parser: httptools.HttpResponseParser | None = None  # of the response to the request that is out
         self.written = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -116,6 +117,10 @@
         if self.done is None:
             self.drop()
             return
+        if self.parser is None:  # no request was written yet: `connection_lost` reports the failure
+            if self.transport is not None:
+                self.transport.abort()
+            return
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -128,6 +133,7 @@
         self.body += body
 
     def on_message_complete(self) -> None:
+        assert self.parser is not None
         status = self.parser.get_status_code()
         if status < 200:
             return
