--- a/tests/test_emulator_http.py
+++ b/tests/test_emulator_http.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from workbench.emulator.http import ClientSide, Lines, Reply
+from workbench.emulator.http import ClientConnection, ConnectionPool, Response
 
 EARLY_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 REQUEST = b"GET / HTTP/1.1\r\nHost: node\r\n\r\n"
@@ -35,11 +35,11 @@
             asyncio.get_running_loop().call_soon(self.protocol.connection_lost, None)
 
 
-async def send_over_early_bytes(transports: list[RecordingTransport], replies: list[Reply]) -> None:
+async def send_over_early_bytes(transports: list[RecordingTransport], responses: list[Response]) -> None:
     """Sends a request on a new connection whose server speaks before the request is written."""
     loop = asyncio.get_running_loop()
 
-    async def create_connection(factory: Callable[[], ClientSide], host: str, port: int) -> None:
+    async def create_connection(factory: Callable[[], ClientConnection], host: str, port: int) -> None:
         protocol = factory()
         transports.append(RecordingTransport(protocol))
         protocol.connection_made(transports[-1])
@@ -47,8 +47,8 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(loop, "create_connection", create_connection)
-        pool = Lines(loop, "127.0.0.1", 1)
-        pool.ask(REQUEST, replies.append)
+        pool = ConnectionPool(loop, "127.0.0.1", 1)
+        pool.send(REQUEST, responses.append)
         for _ in range(5):
             await asyncio.sleep(0)
         assert pool.idle == []
@@ -61,7 +61,7 @@
     RFC 9112, 9.2: data on a connection with no outstanding request is no valid response.
     """
     transports: list[RecordingTransport] = []
-    replies: list[Reply] = []
-    asyncio.run(send_over_early_bytes(transports, replies))
+    responses: list[Response] = []
+    asyncio.run(send_over_early_bytes(transports, responses))
     assert [transport.aborted for transport in transports] == [True]
-    assert [(reply.status, reply.written) for reply in replies] == [(0, False)]
+    assert [(response.status, response.request_sent) for response in responses] == [(0, False)]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -7,9 +7,9 @@
 from support import BEFORE_RENAMING
 
 from balancer.policy.interface import Effect
+from workbench.emulator.address_block import AddressBlock as Places
 from workbench.emulator.http import request_bytes
 from workbench.emulator.links import Link, Stream
-from workbench.emulator.places import Places
 from workbench.lab.checkers import check
 from workbench.lab.earlier import package_in, unpack
 from workbench.lab.history import HistoryError, read
--- a/tests/test_lab_clock.py
+++ b/tests/test_lab_clock.py
@@ -37,7 +37,9 @@
         self.loop = loop
         self.plan = plan_of({"fault": [{"type": "clock", "nodes": ["n0", "n1"]} | fault]})
         nodes = [SimpleNamespace(name=f"n{i}", index=i, zone=0) for i in range(3)]
-        self.site = SimpleNamespace(nodes=nodes, places=SimpleNamespace(node=lambda index: "127.0.0.1"))
+        self.site = SimpleNamespace(
+            nodes=nodes, addresses=SimpleNamespace(node_host=lambda index: "127.0.0.1")
+        )
         self.done = []
         self.members = [RecordedMember(self, node, "") for node in nodes]
 
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -1,6 +1,5 @@
 """The lab at work: real processes with faults between them, nodes that misbehave, load and emulate."""
 
-import asyncio
 import json
 import os
 import signal
@@ -12,8 +11,6 @@
 import pytest
 from support import BEFORE_RENAMING
 
-from workbench.emulator.http import Reply
-from workbench.emulator.load import Class, Load
 from workbench.lab.checkers import CHECKERS, check
 from workbench.lab.history import read
 from workbench.lab.truth import Truth
@@ -395,19 +392,3 @@
         [sys.executable, "-m", "workbench", *words], capture_output=True, text=True, timeout=60
     )
     assert done.returncode == 2 and line in done.stderr and done.stderr.count("\n") == 1
-
-
-def test_a_request_that_waits_for_its_sender_is_counted_from_when_it_was_due():
-    """Failure prevented: a stall of node or sender hides the requests that it kept waiting."""
-
-    class Mute:
-        def ask(self, data, done):
-            self.data = data
-            done(Reply(200, {}, b"", True))
-
-    work = Load("http://127.0.0.1:1", 10, 1, [Class("a", budget_ms=1000)], 1)
-    lines, loop = Mute(), asyncio.new_event_loop()
-    work.send(loop, lines, work.classes[0], time.monotonic() - 0.4)
-    loop.close()
-    left = int(lines.data.split(b"X-Budget-Ms: ")[1].split(b"\r\n")[0])
-    assert left <= 600 and work.results["a"].latency.get_min_value() >= 399_000
--- a/workbench/cli/balancerctl/lease.py
+++ b/workbench/cli/balancerctl/lease.py
@@ -5,7 +5,7 @@
 import click
 
 from workbench.cli.errors import Bad
-from workbench.emulator.pages import PageError, address_of
+from workbench.emulator.management_client import ManagementError, parse_address
 
 MAX_LEASE_NAME = 64  # characters
 DEFAULT_WAIT_S = 60.0
@@ -36,7 +36,7 @@
     if not 0 < len(name) <= MAX_LEASE_NAME:
         raise Bad(f"{name}: a lease's name has 1 to {MAX_LEASE_NAME} characters")
     try:
-        addresses = [address_of(node) for node in nodes]
-    except PageError as e:
+        addresses = [parse_address(node) for node in nodes]
+    except ManagementError as e:
         raise Bad(str(e)) from None
     return LeaseCommand(name, addresses, wait, list(command), lambda text: click.echo(text, err=True)).run()
--- a/workbench/cli/balancerctl/members.py
+++ b/workbench/cli/balancerctl/members.py
@@ -7,7 +7,7 @@
 import click
 
 from workbench.cli.errors import Bad
-from workbench.emulator.pages import PageError, address_of, get
+from workbench.emulator.management_client import ManagementError, get, parse_address
 
 
 @click.command()
@@ -19,8 +19,8 @@
     age of that state. Exits 1 where a member is not alive.
     """
     try:
-        table = get(address_of(node), "/fleet")
-    except PageError as e:
+        table = get(parse_address(node), "/fleet")
+    except ManagementError as e:
         raise Bad(str(e)) from None
     for member in table["members"]:
         click.echo(member_line(member))
--- a/workbench/cli/balancerctl/update.py
+++ b/workbench/cli/balancerctl/update.py
@@ -5,7 +5,7 @@
 import click
 
 from workbench.cli.errors import Bad
-from workbench.emulator.pages import PageError, address_of, follow, put
+from workbench.emulator.management_client import ManagementError, follow_update, parse_address, put
 
 MAX_UNAVAILABLE = 1000  # processes
 
@@ -23,12 +23,12 @@
     the platform starts the next one. `watch` follows until it is over. Exits 1 where the update was stopped.
     """
     try:
-        address = address_of(node)
+        address = parse_address(node)
         if action == "watch":
-            table = follow(address, click.echo)
+            table = follow_update(address, click.echo)
         else:
             table = put(address, f"/fleet/replace?do={action}&most={max_unavailable}")
-    except PageError as e:
+    except ManagementError as e:
         raise Bad(str(e)) from None
     click.echo(f"replacement {table['state']}")
     return 1 if action == "watch" and table["state"] == "stopped" else 0
--- a/workbench/cli/balancerctl/zone.py
+++ b/workbench/cli/balancerctl/zone.py
@@ -8,7 +8,7 @@
 import click
 
 from workbench.cli.errors import Bad
-from workbench.emulator.pages import PageError, address_of, get, put
+from workbench.emulator.management_client import ManagementError, get, parse_address, put
 
 MAX_DIRECTIVE_S = 86_400
 DEFAULT_DIRECTIVE_S = 1800
@@ -29,7 +29,7 @@
     """
     try:
         table = zone_table(action, zone_name, node, length)
-    except PageError as e:
+    except ManagementError as e:
         raise Bad(str(e)) from None
     found = table["zones"].get(zone_name)
     if found is None:
@@ -46,8 +46,8 @@
 
 
 def zone_table(action: str, zone_name: str, node: str, length: int) -> dict[str, Any]:
-    """The node's table of zones, after the directive where there is one. PageError, Bad."""
-    address = address_of(node)
+    """The node's table of zones, after the directive where there is one. ManagementError, Bad."""
+    address = parse_address(node)
     if action != "status":
         duration = f"&for_s={length}" if action == "leave" else ""
         return put(address, f"/fleet/zone?do={action}&zone={quote(zone_name, safe='')}{duration}")
--- a/workbench/cli/emulate.py
+++ b/workbench/cli/emulate.py
@@ -9,8 +9,8 @@
 import uvloop
 
 from workbench.cli.errors import Bad
+from workbench.emulator.address_block import AddressBlockError
 from workbench.emulator.emulate import emulate as serve
-from workbench.emulator.places import NoPlace
 from workbench.scenario.load import ScenarioError, draw, load
 
 
@@ -36,6 +36,6 @@
     with tempfile.TemporaryDirectory(prefix="emulate-") as folder:
         try:
             uvloop.run(serve(day, Path(folder), seconds, click.echo))
-        except NoPlace as e:
+        except AddressBlockError as e:
             raise Bad(str(e)) from None
     return 0
--- a/workbench/cli/lab.py
+++ b/workbench/cli/lab.py
@@ -45,7 +45,7 @@
     Exits 1 where a checker fails or the run was broken off, 2 on bad input, 3 where the machine was too late
     for the run to count, whatever the checkers say.
     """
-    from workbench.emulator.places import NoPlace
+    from workbench.emulator.address_block import AddressBlockError
     from workbench.lab.run import run as play  # the workbench's other commands do without its weight
 
     changes: dict[str, Any] = ({"nodes": nodes} if nodes else {}) | ({"fleet": False} if alone else {})
@@ -57,7 +57,7 @@
         out = with_progress(drawn, lambda tell: play(drawn, folder, tell))
     except PlanError as e:
         raise Bad(str(e)) from None
-    except (NoPlace, HistoryError) as e:
+    except (AddressBlockError, HistoryError) as e:
         raise Bad(str(e)) from None
     broken = tell(out.events)
     if out.stopped:
--- a/workbench/cli/load.py
+++ b/workbench/cli/load.py
@@ -11,7 +11,7 @@
 from rich.table import Table
 
 from workbench.cli.errors import Bad
-from workbench.emulator.load import PERCENTILES, Load, LoadError, Result, class_of
+from workbench.emulator.load import PERCENTILES, Load, LoadError, LoadResult, parse_request_class
 
 LATE = 50_000  # microseconds that the sender may be late in the median of ten thousand
 
@@ -36,17 +36,17 @@
     Exits 1 where nothing was served, 2 on bad input.
     """
     try:
-        work = Load(url, rate, seconds, [class_of(c) for c in classes or ("tile-get",)], seed)
+        work = Load(url, rate, seconds, [parse_request_class(c) for c in classes or ("tile-get",)], seed)
     except LoadError as e:
         raise Bad(str(e)) from None
     uvloop.run(work.run())
     Console(width=None if sys.stdout.isatty() else 150).print(report(work), highlight=False)
-    late = work.late.get_value_at_percentile(99.9)
+    late = work.sender_lateness.get_value_at_percentile(99.9)
     if late > LATE:
         click.echo(
             f"the sender itself was late by {late / 1000:.0f} ms in one of 1,000: not this machine's rate"
         )
-    return 0 if any(r.answers["served"] for r in work.results.values()) else 1
+    return 0 if any(r.outcomes["served"] for r in work.results.values()) else 1
 
 
 def report(work: Load) -> Table:
@@ -60,13 +60,13 @@
     return table
 
 
-def cells(result: Result) -> list[str]:
-    served = result.answers["served"]
+def cells(result: LoadResult) -> list[str]:
+    served = result.outcomes["served"]
     h: Any = result.latency
-    others = ", ".join(f"{n} {a}" for a, n in result.answers.most_common() if a != "served")
-    share = f"{100 * served / result.asked:.2f}" if result.asked else "-"
+    others = ", ".join(f"{n} {a}" for a, n in result.outcomes.most_common() if a != "served")
+    share = f"{100 * served / result.sent:.2f}" if result.sent else "-"
     return [
-        str(result.asked),
+        str(result.sent),
         share,
         *(f"{h.get_value_at_percentile(p) / 1000:.1f}" for p in PERCENTILES),
         others,
--- a/workbench/cli/scale_run.py
+++ b/workbench/cli/scale_run.py
@@ -41,7 +41,9 @@
     Exits 1 where a check fails or the run was broken off, 2 on bad input, 3 where the machine was the limit:
     such a run is not counted, whatever the checks say.
     """
-    from workbench.emulator.places import NoPlace  # the workbench's other commands do without its weight
+    from workbench.emulator.address_block import (
+        AddressBlockError,  # the workbench's other commands do without its weight
+    )
     from workbench.scale.measurements import encoded, rows, table
     from workbench.scale.plan import PlanError, group_of, read_plan, shipped
     from workbench.scale.run import run as play
@@ -59,7 +61,7 @@
             raise PlanError(f"--simulate: {plan.membership}: must be left out: only flat is simulated")
         with screen.status("starting") as status:
             outcome = play(plan, status.update)
-    except (PlanError, NoPlace) as e:
+    except (PlanError, AddressBlockError) as e:
         raise Bad(str(e)) from None
     if outcome.stopped:
         raise click.Abort
--- a/workbench/emulator/starter.py
+++ b/workbench/emulator/child_process.py
@@ -6,8 +6,8 @@
 import sys
 
 # Becomes the command, once the kernel knows to kill it with its parent. In a small process of its own: a hook
-# of Popen's between fork and exec would copy this process's memory map and hold it up.
-STARTER = """
+# of Popen's between fork and exec would copy this process's memory map and delay it.
+LAUNCHER = """
 import ctypes, os, sys
 parent = int(sys.argv[1])
 ctypes.CDLL(None).prctl(1, 9)
@@ -19,6 +19,6 @@
 """
 
 
-def tied(command: list[str]) -> list[str]:
-    """The command line that starts it: SIGKILL is its lot when the thread that starts it ends."""
-    return [sys.executable, "-I", "-S", "-c", STARTER, str(os.getpid()), *command]
+def killed_with_parent(command: list[str]) -> list[str]:
+    """Returns a command line that runs the command and gets SIGKILL when the thread that starts it ends."""
+    return [sys.executable, "-I", "-S", "-c", LAUNCHER, str(os.getpid()), *command]
--- a/workbench/emulator/http.py
+++ b/workbench/emulator/http.py
@@ -1,207 +1,287 @@
-"""Both sides of HTTP/1.1 as the stand-ins speak it: whole messages, one request at a time on a connection."""
+"""Both sides of HTTP/1.1 as the emulator needs it: whole messages, one request at a time on a connection."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass, field
 from typing import cast
 
 import httptools
 
-REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 500: b"Internal Server Error"}
-REASONS[503] = b"Service Unavailable"
+REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    500: b"Internal Server Error",
+    503: b"Service Unavailable",
+}
 
 
-def answer_bytes(status: int, body: bytes = b"", headers: bytes = b"") -> bytes:
-    """A whole answer; `headers` are whole lines."""
+def response_bytes(status: int, body: bytes = b"", headers: bytes = b"") -> bytes:
+    """Returns a whole response; `headers` are whole lines."""
     reason = REASONS[status]
     return b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n\r\n%b" % (status, reason, headers, len(body), body)
 
 
 def request_bytes(
-    klass: str, effect: str, key: int, call: int, left: int, idempotency: bytes, again: bool = False
+    request_class: str,
+    effect: str,
+    key: int,
+    call_id: int,
+    remaining_ms: int,
+    idempotency_key: bytes,
+    retry: bool = False,
 ) -> bytes:
-    """A client's request with no body, as PROTOCOL has it. `left`: milliseconds; `again`: it is a retry."""
+    """Returns a client's request without a body, by the platform's protocol.
+
+    Args:
+        request_class: The name of its class, which is its path.
+        effect: `safe`, `keyed` or `unsafe`, as scenarios spell it.
+        key: The object that it asks for.
+        call_id: Identifies the call.
+        remaining_ms: The time that remains for it.
+        idempotency_key: Sent where the effect is `keyed`.
+        retry: Whether the client has tried before.
+    """
     method = b"GET" if effect == "safe" else b"POST"
-    lines = [b"%b /%b?obj=%x HTTP/1.1" % (method, klass.encode(), key)]
-    lines += [b"Host: app", b"X-Call-Id: %016x" % call, b"X-Caller: lab", b"X-Budget-Ms: %d" % left]
-    lines += [b"X-Again: 1"] if again else []
-    lines += [b"Idempotency-Key: %b" % idempotency] if effect == "keyed" else []
+    lines = [b"%b /%b?obj=%x HTTP/1.1" % (method, request_class.encode(), key)]
+    lines += [b"Host: app", b"X-Call-Id: %016x" % call_id, b"X-Caller: lab"]
+    lines += [b"X-Budget-Ms: %d" % remaining_ms]
+    lines += [b"X-Again: 1"] if retry else []
+    lines += [b"Idempotency-Key: %b" % idempotency_key] if effect == "keyed" else []
     lines += [b"Content-Length: 0"] if method == b"POST" else []
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
-class ServerSide(asyncio.Protocol):
-    """A connection that requests come in on. Subclasses have `asked`."""
+def parse_call_id(value: bytes) -> int:
+    """Returns the number in an X-Call-Id header; -1 where there is none that can be read."""
+    try:
+        return int(value, 16)
+    except ValueError:
+        return -1
+
+
+def parse_retry_after(value: bytes) -> int:
+    """Returns a Retry-After header in microseconds; 0 where there is none that can be read."""
+    try:
+        return max(0, int(float(value) * 1e6))
+    except ValueError:
+        return 0
+
+
+@dataclass(slots=True)
+class Request:
+    """A request that a server has received; the names of its headers are in lower case."""
+
+    method: bytes = b""
+    target: bytes = b""
+    headers: dict[bytes, bytes] = field(default_factory=dict)
+    body: bytes = b""
+
+
+@dataclass(slots=True)
+class Response:
+    """The outcome of a request.
+
+    Attributes:
+        status: 0 where no whole response came.
+        headers: By their names in lower case.
+        body: The whole body.
+        request_sent: Whether the request was written to an open connection.
+    """
+
+    status: int
+    headers: dict[bytes, bytes]
+    body: bytes
+    request_sent: bool
+
+
+ResponseCallback = Callable[[Response], None]
+
+
+class ServerConnection(asyncio.Protocol):
+    """A server's side of a connection. Subclasses implement `on_request`."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
         self.parser = httptools.HttpRequestParser(self)
-        self.begin()
-
-    def begin(self) -> None:
-        self.target = b""
-        self.headers: dict[bytes, bytes] = {}
-        self.body = b""
+        self.request = Request()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keeps the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
+        """Parses what the socket has received."""
         self.feed(data)
 
     def feed(self, data: bytes) -> None:
-        """Bytes that have come, by whatever way."""
+        """Parses bytes, whichever way they came."""
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.transport.abort()
 
     def on_url(self, url: bytes) -> None:
-        self.target += url
+        """Takes a piece of the target from the parser."""
+        self.request.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.headers[name.lower()] = value
+        """Takes a header from the parser."""
+        self.request.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        self.body += body
+        """Takes a piece of the body from the parser."""
+        self.request.body += body
 
     def on_message_complete(self) -> None:
-        self.asked(self.parser.get_method(), self.target, self.headers, self.body)
-        self.begin()
+        """Passes the whole request on and begins the next."""
+        self.request.method = self.parser.get_method()
+        self.on_request(self.request)
+        self.request = Request()
 
-    def asked(self, method: bytes, target: bytes, headers: dict[bytes, bytes], body: bytes) -> None:
-        """A request has come whole."""
+    def on_request(self, request: Request) -> None:
+        """Handles a whole request."""
         raise NotImplementedError
 
 
-class Reply:
-    """What came back: `status` 0 where no whole answer did; `written`: whether the request went out."""
-
-    __slots__ = ("status", "headers", "body", "written")
-
-    def __init__(self, status: int, headers: dict[bytes, bytes], body: bytes, written: bool) -> None:
-        self.status = status
-        self.headers = headers
-        self.body = body
-        self.written = written
-
-
-Done = Callable[[Reply], None]
+class ClientConnection(asyncio.Protocol):
+    """A client's side of a connection.
 
+    Args:
+        idle: The pool's idle connections, where this one waits between requests.
+    """
 
-class ClientSide(asyncio.Protocol):
-    """A connection that requests go out on."""
-
-    def __init__(self, idle: list[ClientSide]) -> None:
-        self.idle = idle  # where it waits for its next request
+    def __init__(self, idle: list[ClientConnection]) -> None:
+        self.idle = idle
         self.transport: asyncio.Transport | None = None
-        self.done: Done | None = None
-        self.parser: httptools.HttpResponseParser | None = None  # of the response to the request that is out
-        self.written = False
+        self.on_response: ResponseCallback | None = None  # while a request is outstanding
+        self.parser: httptools.HttpResponseParser | None = None  # once a request has been written
+        self.headers: dict[bytes, bytes] = {}
+        self.body = b""
+        self.request_sent = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keeps the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
-    def ask(self, data: bytes, done: Done) -> None:
-        """Writes a request; `done` is called once with what came of it."""
-        self.done = done
-        self.headers: dict[bytes, bytes] = {}
+    def send(self, data: bytes, on_response: ResponseCallback) -> None:
+        """Writes a request; `on_response` is called once with its outcome, unless it is cancelled."""
+        self.on_response = on_response
+        self.headers = {}
         self.body = b""
         self.parser = httptools.HttpResponseParser(self)
         assert self.transport is not None
-        self.written = not self.transport.is_closing()
+        self.request_sent = not self.transport.is_closing()
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        if self.done is None:
-            self.drop()
+        """Parses a response; ends the connection where no request was written (RFC 9112, 9.2)."""
+        if self.on_response is None:
+            self.cancel()
             return
-        if self.parser is None:  # no request was written yet: `connection_lost` reports the failure
+        if self.parser is None:  # the request waits: `connection_lost` reports the failure
             if self.transport is not None:
                 self.transport.abort()
             return
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.drop()
+            self.cancel()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Takes a header from the parser."""
         self.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
+        """Takes a piece of the body from the parser."""
         self.body += body
 
     def on_message_complete(self) -> None:
+        """Reports a final response and returns the connection to the pool, or closes it."""
         assert self.parser is not None
         status = self.parser.get_status_code()
         if status < 200:
             return
-        done, self.done = self.done, None
+        on_response, self.on_response = self.on_response, None
         if self.parser.should_keep_alive():
             self.idle.append(self)
         elif self.transport is not None:
             self.transport.close()
-        if done is not None:
-            done(Reply(status, self.headers, self.body, True))
+        if on_response is not None:
+            on_response(Response(status, self.headers, self.body, True))
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Reports an outstanding request as failed."""
         if self in self.idle:
             self.idle.remove(self)
-        done, self.done = self.done, None
-        if done is not None:
-            done(Reply(0, {}, b"", self.written))
+        self.fail(self.request_sent)
 
-    def drop(self) -> None:
-        """Goes away at once; nothing is told any more."""
-        self.done = None
+    def fail(self, request_sent: bool) -> None:
+        """Reports that an outstanding request gets no response."""
+        on_response, self.on_response = self.on_response, None
+        if on_response is not None:
+            on_response(Response(0, {}, b"", request_sent))
+
+    def cancel(self) -> None:
+        """Aborts the connection; nothing is reported any more."""
+        self.on_response = None
         if self in self.idle:
             self.idle.remove(self)
         if self.transport is not None:
             self.transport.abort()
 
 
-class Lines:
-    """Connections to one address, kept between requests."""
+class ConnectionPool:
+    """Connections to one address, reused between requests.
+
+    Args:
+        loop: Runs the connections.
+        host: Of the server.
+        port: Of the server.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, host: str, port: int) -> None:
         self.loop = loop
         self.host = host
         self.port = port
-        self.idle: list[ClientSide] = []
-        self.tasks: set[asyncio.Task[None]] = set()
-        self.open: set[ClientSide] = set()
+        self.idle: list[ClientConnection] = []
+        self.connecting: set[asyncio.Task[None]] = set()
+
+    def send(self, data: bytes, on_response: ResponseCallback) -> ClientConnection:
+        """Sends a request on an idle connection, or on a new one.
 
-    def ask(self, data: bytes, done: Done) -> ClientSide:
-        """Sends a request on a kept connection, or on a new one. The side can be dropped."""
+        Returns:
+            The connection, on which the request can be cancelled.
+        """
         while self.idle:
-            side = self.idle.pop()
-            if side.transport is not None and not side.transport.is_closing():
-                side.ask(data, done)
-                return side
-        side = ClientSide(self.idle)
-        side.done = done
-        task = self.loop.create_task(self.dial(side, data))
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
-        return side
-
-    async def dial(self, side: ClientSide, data: bytes) -> None:
+            connection = self.idle.pop()
+            if connection.transport is not None and not connection.transport.is_closing():
+                connection.send(data, on_response)
+                return connection
+        connection = ClientConnection(self.idle)
+        connection.on_response = on_response
+        task = self.loop.create_task(self.connect(connection, data))
+        self.connecting.add(task)
+        task.add_done_callback(self.connecting.discard)
+        return connection
+
+    async def connect(self, connection: ClientConnection, data: bytes) -> None:
+        """Opens a connection and sends the request that waits for it."""
         try:
-            await self.loop.create_connection(lambda: side, self.host, self.port)
+            await self.loop.create_connection(lambda: connection, self.host, self.port)
         except OSError:
-            done, side.done = side.done, None
-            if done is not None:
-                done(Reply(0, {}, b"", False))
+            connection.fail(request_sent=False)
             return
-        if side.done is None:  # given up in the meantime
-            side.drop()
+        if connection.on_response is None:  # cancelled in the meantime
+            connection.cancel()
             return
-        side.ask(data, side.done)
+        connection.send(data, connection.on_response)
 
     def close(self) -> None:
-        """Drops what is idle; what is out ends with its process."""
-        for side in list(self.idle):
-            side.drop()
-        for task in list(self.tasks):
+        """Closes idle connections and those not yet open; outstanding requests end with the server."""
+        for connection in list(self.idle):
+            connection.cancel()
+        for task in list(self.connecting):
             task.cancel()
--- a/workbench/emulator/nodes.py
+++ b/workbench/emulator/nodes.py
@@ -1,54 +1,88 @@
-"""Real nodes as the world sees them: clients' calls become requests to a process, its attempts come back."""
+"""Real nodes in the model: clients' calls become requests to a process, its attempts come to servers."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any, Protocol
 
 from balancer.policy.interface import ListKind, Outcome, ServerEntry, Settings, State
-from workbench.emulator.agent import Agent, Line
-from workbench.emulator.clock import LiveClock
-from workbench.emulator.http import ClientSide, Lines, Reply, answer_bytes, request_bytes
+from workbench.emulator.address_block import CLIENT_PORT, AddressBlock
+from workbench.emulator.agent import DiscoveryAgent, Endpoint
+from workbench.emulator.clock import RealTimeClock
+from workbench.emulator.http import (
+    ClientConnection,
+    ConnectionPool,
+    Request,
+    Response,
+    parse_call_id,
+    parse_retry_after,
+    request_bytes,
+    response_bytes,
+)
 from workbench.emulator.links import Link
-from workbench.emulator.places import CALLS, Places
-from workbench.emulator.servers import Connection, Door, look_after
+from workbench.emulator.server_proxy import (
+    NOT_NOTIFIED,
+    ProxyConnection,
+    ServerProxy,
+    synchronize_all,
+)
 from workbench.model.call import Answer, Attempt, Call
 from workbench.model.network import num
 from workbench.model.server import Server
 from workbench.model.site import EFFECT_WORDS, World
 
-LOOK = 10_000  # microseconds between two looks at what has become of the servers
-STRIDE = 0x9E3779B1
-REFUSALS = (429, 503)
+SERVER_POLL_INTERVAL = 10_000  # microseconds between two looks at the servers' state
+ATTEMPT_KEY_STRIDE = 0x9E3779B1
+REJECTION_STATUSES = (429, 503)
+ENDPOINT_STATES = {State.READY: "ready", State.DRAINING: "draining"}  # any other is gone
+# As stored histories and accounts spell them.
+WRONG_RESPONSE, CLIENT_LEFT, NO_RESPONSE = "spoilt", "left", "none"
+CAUSE_REJECTED, CAUSE_RESET = ("refused at the limit", 0), ("reset", 0)
 
-Observe = Callable[..., None]
+Observe = Callable[..., None]  # writes one event of the history
 
 
-class Control(Protocol):
-    """What starts and ends a node's process."""
+class ProcessControl(Protocol):
+    """Starts and ends the processes of nodes."""
 
-    def boot(self, node: LiveNode) -> None:
-        """Start it, unless it runs."""
+    def boot(self, node: NodeAdapter) -> None:
+        """Starts a node's process, unless it runs."""
 
-    def leave(self, node: LiveNode) -> None:
-        """SIGTERM."""
+    def leave(self, node: NodeAdapter) -> None:
+        """Sends SIGTERM."""
 
-    def kill(self, node: LiveNode) -> None:
-        """SIGKILL."""
+    def kill(self, node: NodeAdapter) -> None:
+        """Sends SIGKILL."""
 
 
-class NoControl:
-    """Where nodes are started by hand."""
+class NoProcessControl:
+    """A control that does nothing, for nodes that are started by hand."""
 
-    def boot(self, node: LiveNode) -> None:
-        pass
+    def boot(self, node: NodeAdapter) -> None:
+        """Does nothing."""
 
     leave = kill = boot
 
 
-class LiveNode:
-    """A `Port` whose node is a process of the program."""
+@dataclass(frozen=True, slots=True)
+class OpenRequest:
+    """A request that the node has not answered yet, and when it was sent."""
+
+    connection: ClientConnection
+    sent_at: int
+
+
+class NodeAdapter:
+    """A `Port` of the model whose node is a process.
+
+    Args:
+        site: The emulation that the node belongs to.
+        name: The node's name.
+        index: The node's number, which its addresses follow from.
+        settings: The settings of its policy.
+    """
 
     def __init__(self, site: Site, name: str, index: int, settings: Settings) -> None:
         self.site = site
@@ -59,76 +93,85 @@
         self.zone = settings.zone
         self.up = self.ready = False
         self.starts: dict[int, int] = {}
-        self.away: dict[int, int] = {}  # servers told draining or gone, and since when
-        self.probes = 0
-        self.doors: dict[int, Door] = {}
-        self.agent = Agent(site.loop, self.line_of, self.told)
-        self.lines = Lines(site.loop, site.places.node(index), CALLS)
-        self.sides: dict[int, tuple[ClientSide, int]] = {}  # of open calls, and when they were sent
+        self.unavailable_since: dict[int, int] = {}  # when it was notified of servers that drain or are gone
+        self.health_checks = 0
+        self.proxies: dict[int, ServerProxy] = {}
+        self.agent = DiscoveryAgent(site.loop, self.endpoint_of, self.on_notified)
+        self.connections = ConnectionPool(site.loop, site.addresses.node_host(index), CLIENT_PORT)
+        self.open_requests: dict[int, OpenRequest] = {}  # by call
         self.subscriber: Any = None
 
-    # ---- what world's parts do to it ------------------------------------------------------------------
+    # ---- what the model does to it --------------------------------------------------------------------
 
     def boot(self) -> None:
+        """Starts the node's process."""
         self.site.control.boot(self)
 
     def leave(self) -> None:
+        """Ends the node's process gracefully."""
         self.site.control.leave(self)
 
     def kill(self) -> None:
+        """Kills the node's process."""
         self.site.control.kill(self)
 
     def arriving(self, at: int, call: Call) -> None:
+        """Schedules a client's call, which arrives at `at`."""
         call.node = self
         self.site.clock.call_at(at, self.take, call)
 
     def take(self, call: Call) -> None:
-        """A client's request goes out; the client's time began when it was due."""
+        """Sends a client's request; the client's time began when it was due."""
         site = self.site
-        now = site.clock.now
         call.taken = True
         site.calls[call.id] = call
         site.world.accounts.calls[0] += 1
+        sent_at = site.clock.real()
+        connection = self.connections.send(
+            self.request_of(call), lambda response: self.on_response(call, sent_at, response)
+        )
+        self.open_requests[call.id] = OpenRequest(connection, sent_at)
+
+    def request_of(self, call: Call) -> bytes:
+        """Returns a call as a request to the node."""
         root = call.root
-        name = site.world.day.klass[root.klass].name
-        effect = EFFECT_WORDS[site.world.classes[root.klass].effect]
-        left = max(0, call.until - now) // 1000
-        idempotency = b"%08x%08x" % (root.index, root.key)
-        data = request_bytes(name, effect, root.key, call.id, left, idempotency, call.number > 0)
-        sent = site.clock.real()
-        side = self.lines.ask(data, lambda reply: self.replied(call, sent, reply))
-        self.sides[call.id] = side, sent
-
-    def replied(self, call: Call, sent: int, reply: Reply) -> None:
-        """The node's answer, or the end of the connection."""
-        clock = self.site.clock
-        clock.catch_up()
-        self.sides.pop(call.id, None)
+        return request_bytes(
+            self.site.class_name(call),
+            self.site.effect_name(call),
+            root.key,
+            call.id,
+            max(0, call.until - self.site.clock.now) // 1000,
+            b"%08x%08x" % (root.index, root.key),
+            retry=call.number > 0,
+        )
+
+    def on_response(self, call: Call, sent_at: int, response: Response) -> None:
+        """Handles the node's response, or the end of the connection."""
+        self.site.clock.catch_up()
+        self.open_requests.pop(call.id, None)
         if not call.open:
             return
         call.open = False
-        wait = 0
-        if reply.status == 200:
-            answer = Answer.OK
-            ours = reply.body.endswith(b" %016x" % call.id)
-        elif reply.status in REFUSALS:
-            answer = Answer.REFUSED
-            wait = retry_after(reply.headers.get(b"retry-after", b""))
-            if not call.sent:
-                call.cause = ("refused at the limit", 0)
-            self.site.world.referee.refused(clock.now, call)
-            self.site.world.accounts.refusals[0] += 1
-        elif reply.status:
-            answer = Answer.FAILED
-        else:
-            answer = Answer.FAILED if reply.written else Answer.UNREACHABLE
-            call.cause = ("reset", 0)
-        story = answer.name.lower() if reply.status != 200 or ours else "spoilt"
-        self.ended(call, sent, story, reply.status)
-        call.caller.answered(call, answer, wait)
-
-    def ended(self, call: Call, sent: int, answer: str, status: int = 0) -> None:
-        """For the history: one request at this node and how it ended."""
+        answer = answer_of(response)
+        retry_after = 0
+        if answer == Answer.REFUSED:
+            retry_after = parse_retry_after(response.headers.get(b"retry-after", b""))
+            self.count_rejection(call)
+        elif not response.status:
+            call.cause = CAUSE_RESET
+        wrong = answer == Answer.OK and not response.body.endswith(b" %016x" % call.id)
+        self.record_request(call, sent_at, WRONG_RESPONSE if wrong else answer.name.lower(), response.status)
+        call.caller.answered(call, answer, retry_after)
+
+    def count_rejection(self, call: Call) -> None:
+        """Records that the node has rejected a call."""
+        if not call.sent:
+            call.cause = CAUSE_REJECTED
+        self.site.world.referee.refused(self.site.clock.now, call)
+        self.site.world.accounts.refusals[0] += 1
+
+    def record_request(self, call: Call, sent_at: int, answer: str, status: int = 0) -> None:
+        """Writes one request at this node, and how it ended, to the history."""
         root = call.root
         self.site.observe(
             "request",
@@ -136,75 +179,80 @@
             node=self.name,
             request=root.index,
             attempt=call.number,
-            klass=self.site.world.day.klass[root.klass].name,
+            klass=self.site.class_name(call),
             due=root.due,
-            sent=sent,
+            sent=sent_at,
             until=call.until,
             answer=answer,
             status=status,
         )
 
     def drop(self, call: Call) -> None:
-        """The client has left."""
-        self.give_up(call, "left")
+        """Cancels the request of a client that has left."""
+        self.cancel(call, CLIENT_LEFT)
 
     def overdue(self, call: Call) -> None:
-        """The request's time and the slack are over."""
-        self.give_up(call, "none")
+        """Cancels a request whose time and the slack are over."""
+        self.cancel(call, NO_RESPONSE)
 
-    def give_up(self, call: Call, answer: str) -> None:
+    def cancel(self, call: Call, answer: str) -> None:
+        """Cancels a request that is open still."""
         if not call.open:
             return
         call.open = False
-        side, sent = self.sides.pop(call.id)
-        side.drop()
-        self.ended(call, sent, answer)
+        request = self.open_requests.pop(call.id)
+        request.connection.cancel()
+        self.record_request(call, request.sent_at, answer)
 
     # ---- what servers do to it ------------------------------------------------------------------------
 
-    def arrived(
-        self, connection: Connection, method: bytes, target: bytes, headers: dict[bytes, bytes]
-    ) -> None:
-        """One of this node's attempts has come to a server, whole."""
+    def on_attempt(self, connection: ProxyConnection, request: Request) -> None:
+        """Handles one of this node's attempts, which has come to a server whole."""
         site = self.site
-        now = site.clock.now
-        server = connection.door.server
-        call = site.call_of(number_of(headers.get(b"x-call-id", b"")), target)
+        server = connection.proxy.server
+        call = site.find_call(parse_call_id(request.headers.get(b"x-call-id", b"")), request.target)
         if call is None:
             site.observe("stray", node=self.name, server=server.spec.name)
-            connection.going.send(answer_bytes(400))
+            connection.outbound.send(response_bytes(400))
             return
-        attempt = Attempt(call, len(call.sent), server, self, call.key + len(call.sent) * STRIDE, now)
-        away = self.away.get(server.id, -1)
-        world = site.world
-        if away >= 0 or call.out or call.ran_on is not None:
-            world.referee.sending(now, call, server, away)
+        number = len(call.sent)
+        key = call.key + number * ATTEMPT_KEY_STRIDE
+        attempt = Attempt(call, number, server, self, key, site.clock.now)
+        connection.unavailable_since = self.unavailable_since.get(server.id, NOT_NOTIFIED)
+        self.count_attempt(attempt, connection.unavailable_since)
+        attempt.link = connection
+        connection.attempt = attempt
+        server.arrive(attempt)
+
+    def count_attempt(self, attempt: Attempt, unavailable_since: int) -> None:
+        """Records a new attempt with its call, the referee and the accounts."""
+        world, call, server = self.site.world, attempt.call, attempt.server
+        if unavailable_since >= 0 or call.out or call.ran_on is not None:
+            world.referee.sending(attempt.sent_at, call, server, unavailable_since)
         call.sent.append(attempt)
         call.out += 1
         call.root.attempts += 1
         world.accounts.attempts[0] += 1
         world.accounts.crossings += server.zone != self.zone
-        attempt.link = connection
-        connection.attempt = attempt
-        connection.away = away
-        server.arrive(attempt)
 
     def reply(self, attempt: Attempt, outcome: Outcome) -> None:
-        """A server has answered an attempt, or its process has ended."""
+        """Sends a server's response to an attempt; its process may have ended instead."""
         if attempt.ended:
             return
         call = attempt.call
         if outcome == Outcome.OK and attempt.job is not None:
             call.useful = attempt.job.useful
         self.close_attempt(attempt, outcome)
-        connection: Connection = attempt.link
-        connection.reply(outcome, f"{attempt.server.spec.name} {call.id:016x}".encode())
+        connection: ProxyConnection = attempt.link
+        connection.respond(outcome, f"{attempt.server.spec.name} {call.id:016x}".encode())
 
-    def hung_up(self, attempt: Attempt) -> None:
+    def on_disconnect(self, attempt: Attempt) -> None:
+        """Cancels an attempt whose connection the node has closed."""
         attempt.server.abandon(attempt)
         self.close_attempt(attempt, Outcome.CANCELLED)
 
     def close_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Records the outcome of an attempt."""
         attempt.ended = True
         call = attempt.call
         call.out -= 1
@@ -216,136 +264,169 @@
             node=self.name,
             server=attempt.server.spec.name,
             zone=attempt.server.zone,
-            klass=site.world.day.klass[call.root.klass].name,
-            effect=EFFECT_WORDS[site.world.classes[call.root.klass].effect],
+            klass=site.class_name(call),
+            effect=site.effect_name(call),
             began=attempt.sent_at,
             ended=site.clock.now,
             outcome=outcome.name.lower(),
-            away=attempt.link.away,
+            away=attempt.link.unavailable_since,
         )
 
     # ---- what discovery does to it --------------------------------------------------------------------
 
     def news(self, kind: ListKind, entries: list[ServerEntry]) -> None:
-        self.agent.news(kind, entries)
+        """Passes a list or changes on to the node's agent."""
+        self.agent.update(kind, entries)
 
-    def line_of(self, entry: ServerEntry) -> Line:
-        """A server as the agent names it, at the door that this node has to it."""
+    def endpoint_of(self, entry: ServerEntry) -> Endpoint:
+        """Returns a server as the agent lists it, at the address of this node's proxy."""
         server = self.site.world.by_id[entry.server]
-        door = self.doors.get(server.id)
-        if door is None:
-            door = self.doors[server.id] = self.site.door(self, server)
+        proxy = self.proxies.get(server.id)
+        if proxy is None:
+            proxy = self.proxies[server.id] = self.site.open_proxy(self, server)
         return {
             "id": server.spec.name,
-            "addr": f"{door.address[0]}:{door.address[1]}",
+            "addr": f"{proxy.address[0]}:{proxy.address[1]}",
             "zone": self.site.zone_name(server.zone),
             "kind": self.site.kind_name(server.kind),
             "cell": server.cell,
-            "state": {State.READY: "ready", State.DRAINING: "draining"}.get(entry.state, "gone"),
+            "state": ENDPOINT_STATES.get(entry.state, "gone"),
             "weight": 1.0,
             "started_ms": entry.ready_at // 1000 + self.site.epoch_ms if entry.ready_at else 0,
         }
 
-    def told(self, lines: list[Line]) -> None:
-        """What has just been written to the node."""
+    def on_notified(self, endpoints: list[Endpoint]) -> None:
+        """Records the endpoints that have just been written to the node."""
         now = self.site.clock.catch_up()
-        for line in lines:
-            server = self.site.by_name[line["id"]]
-            if line["state"] == "ready":
+        for endpoint in endpoints:
+            name, state = endpoint["id"], endpoint["state"]
+            server = self.site.servers_by_name[name]
+            if state == "ready":
                 self.starts[server.id] = server.ready_at
-                self.away.pop(server.id, None)
-            elif server.id not in self.away:
-                self.away[server.id] = now
-                self.site.observe("told", node=self.name, server=line["id"], state=line["state"])
+                self.unavailable_since.pop(server.id, None)
+            elif server.id not in self.unavailable_since:
+                self.unavailable_since[server.id] = now
+                self.site.observe("told", node=self.name, server=name, state=state)
 
-    def forget(self) -> None:
-        """Its process is gone: the next one has been told nothing."""
+    def on_process_ended(self) -> None:
+        """Forgets what the process was notified of, and its idle connections."""
         self.starts.clear()
-        self.away.clear()
+        self.unavailable_since.clear()
+        self.connections.close()
+
+    def close(self) -> None:
+        """Closes the connections to the node, its agent and its proxies."""
+        self.connections.close()
+        self.agent.close()
+        for proxy in self.proxies.values():
+            proxy.close()
 
 
 class Site:
-    """The world's hosts: one `LiveNode` for each front node, and the doors between them and the servers."""
+    """The `Hosts` of an emulated world: an adapter for each node, the proxies between nodes and servers.
+
+    Args:
+        loop: Runs all sockets.
+        clock: The world's clock.
+        addresses: The loopback addresses of the emulation.
+        control: Starts and ends the nodes' processes.
+        observe: Writes an event of the history.
+        link_between: Returns the link from one named endpoint and its zone to another.
+        epoch_ms: Unix time at which the world's clock would have stood at 0.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        clock: LiveClock,
-        places: Places,
-        control: Control,
+        clock: RealTimeClock,
+        addresses: AddressBlock,
+        control: ProcessControl,
         observe: Observe,
-        link: Callable[[str, int, str, int], Link],
+        link_between: Callable[[str, int, str, int], Link],
         epoch_ms: int,
     ) -> None:
         self.loop = loop
         self.clock = clock
-        self.places = places
+        self.addresses = addresses
         self.control = control
         self.observe = observe
-        self.link = link
-        self.epoch_ms = epoch_ms  # Unix time at which the world's clock would have stood at 0
-        self.nodes: list[LiveNode] = []
+        self.link_between = link_between
+        self.epoch_ms = epoch_ms
+        self.nodes: list[NodeAdapter] = []
         self.calls: dict[int, Call] = {}
-        self.by_name: dict[str, Server] = {}
-        self.lives: dict[int, int] = {}
+        self.servers_by_name: dict[str, Server] = {}
         self.world: World
 
-    def node(self, world: World, name: str, tier: int, settings: Settings) -> LiveNode:
+    def node(self, world: World, name: str, tier: int, settings: Settings) -> NodeAdapter:
+        """Makes a node of the world.
+
+        Raises:
+            ValueError: The node is not of the first tier.
+        """
         if tier:
             raise ValueError("a day in real time has one tier: servers of others have nodes of their own")
         self.world = world
-        node = LiveNode(self, f"n{len(self.nodes)}", len(self.nodes), settings)
+        node = NodeAdapter(self, f"n{len(self.nodes)}", len(self.nodes), settings)
         node.subscriber = world.discovery.subscribe(node)
         self.nodes.append(node)
         return node
 
     def start(self) -> None:
-        """Discovery's agents listen, each with the list as it stands."""
+        """Starts the discovery agents, each with the list as it stands."""
         for node in self.nodes:
-            node.agent.start(self.places.agent(node.index))
+            node.agent.start(self.addresses.agent_address(node.index))
             self.world.discovery.boot(node.subscriber)
-        self.look(None)
-
-    def look(self, _: Any) -> None:
-        idle = int(num(self.world.day.network.idle_s) * 1e6)
-        look_after([d for n in self.nodes for d in n.doors.values()], self.lives, self.clock.now, idle)
-        self.clock.call_at(self.clock.now + LOOK, self.look, None)
-
-    def door(self, node: LiveNode, server: Server) -> Door:
-        self.by_name[server.spec.name] = server
-        there = self.link(node.name, node.zone, server.spec.name, server.zone)
-        back = self.link(server.spec.name, server.zone, node.name, node.zone)
-        return Door(self.clock, server, node, self.places.servers, there, back)
-
-    def call_of(self, number: int, target: bytes) -> Call | None:
-        """The call that a request at a server belongs to, by its id; None where no client sent it."""
-        return self.calls.get(number)
+        self.poll_servers(None)
+
+    def poll_servers(self, _: Any) -> None:
+        """Brings the proxies in line with the servers, again and again."""
+        idle_timeout = int(num(self.world.day.network.idle_s) * 1e6)
+        proxies = [proxy for node in self.nodes for proxy in node.proxies.values()]
+        synchronize_all(proxies, self.clock.now, idle_timeout)
+        self.clock.call_at(self.clock.now + SERVER_POLL_INTERVAL, self.poll_servers, None)
+
+    def open_proxy(self, node: NodeAdapter, server: Server) -> ServerProxy:
+        """Opens the proxy at which a node reaches a server."""
+        name = server.spec.name
+        self.servers_by_name[name] = server
+        request_link = self.link_between(node.name, node.zone, name, server.zone)
+        response_link = self.link_between(name, server.zone, node.name, node.zone)
+        host = self.addresses.server_host
+        return ServerProxy(self.clock, server, node, host, request_link, response_link)
+
+    def find_call(self, call_id: int, target: bytes) -> Call | None:
+        """Returns the call that a request at a server belongs to; None where no client sent it."""
+        return self.calls.get(call_id)
+
+    def class_name(self, call: Call) -> str:
+        """Returns the name of a call's request class."""
+        return self.world.day.klass[call.root.klass].name
+
+    def effect_name(self, call: Call) -> str:
+        """Returns the effect of a call as scenarios spell it."""
+        return EFFECT_WORDS[self.world.classes[call.root.klass].effect]
 
     def zone_name(self, zone: int) -> str:
+        """Returns a zone's name."""
         return f"z{zone}"
 
     def kind_name(self, kind: int) -> str:
+        """Returns the name of a kind of servers."""
         kinds = [k.name for t in self.world.day.tier for k in t.kind]
         return kinds[kind]
 
     def close(self) -> None:
+        """Closes all sockets."""
         for node in self.nodes:
-            node.lines.close()
-            node.agent.close()
-            for door in node.doors.values():
-                door.close()
-
-
-def number_of(text: bytes) -> int:
-    try:
-        return int(text, 16)
-    except ValueError:
-        return -1
-
-
-def retry_after(text: bytes) -> int:
-    """The header's microseconds; 0 where there is none that can be read."""
-    try:
-        return max(0, int(float(text) * 1e6))
-    except ValueError:
-        return 0
+            node.close()
+
+
+def answer_of(response: Response) -> Answer:
+    """Returns what a client makes of a response."""
+    if response.status == 200:
+        return Answer.OK
+    if response.status in REJECTION_STATUSES:
+        return Answer.REFUSED
+    if response.status or response.request_sent:
+        return Answer.FAILED
+    return Answer.UNREACHABLE
--- a/workbench/lab/fleet.py
+++ b/workbench/lab/fleet.py
@@ -11,10 +11,10 @@
 import msgspec
 
 from workbench.baselines.revisions import NODE_PACKAGE
+from workbench.emulator.address_block import CLIENT_PORT, DATAGRAM_PORT, MANAGEMENT_PORT
 from workbench.emulator.config import node_table
-from workbench.emulator.http import Lines, Reply
-from workbench.emulator.nodes import LiveNode, Site
-from workbench.emulator.places import CALLS, PAGES, PORT
+from workbench.emulator.http import ConnectionPool, Response
+from workbench.emulator.nodes import NodeAdapter, Site
 from workbench.lab.earlier import package_in
 from workbench.lab.plan import Plan, number
 from workbench.lab.process import Process, command
@@ -39,7 +39,7 @@
 class Member:
     """One node of the lab, over all lives of its process."""
 
-    def __init__(self, fleet: Fleet, node: LiveNode, mischief: str) -> None:
+    def __init__(self, fleet: Fleet, node: NodeAdapter, mischief: str) -> None:
         self.fleet = fleet
         self.node = node
         self.name = node.name
@@ -55,8 +55,8 @@
         self.ready = asyncio.Event()
         self.gone = asyncio.Event()
         self.gone.set()
-        self.pages = Lines(fleet.loop, fleet.site.places.node(node.index), PAGES)
-        self.scripts = Lines(fleet.loop, fleet.site.places.node(node.index), PAGES)
+        self.pages = ConnectionPool(fleet.loop, fleet.site.addresses.node_host(node.index), MANAGEMENT_PORT)
+        self.scripts = ConnectionPool(fleet.loop, fleet.site.addresses.node_host(node.index), MANAGEMENT_PORT)
         self.asking = self.wanting = False
         self.view: dict[str, list[Any]] | None = None
         self.own = 0  # the incarnation that it says of itself
@@ -120,7 +120,7 @@
 
     def table(self) -> dict[str, Any]:
         """Its configuration now: the list as its agent has it, and its fleet."""
-        fleet, places = self.fleet, self.fleet.site.places
+        fleet, places = self.fleet, self.fleet.site.addresses
         index = self.node.index
         table = node_table(fleet.site, self.node, fleet.plan.seed * 1000 + index)
         if not fleet.plan.fleet:
@@ -134,8 +134,8 @@
             "fleet": {
                 "zone": fleet.site.zone_name(zone),
                 "region": f"r{zone % int(number(fleet.plan.regions))}",
-                "listen": f"{places.node(index)}:{PORT}",
-                "advertise": f"{places.seen(index)}:{PORT}",
+                "listen": f"{places.node_host(index)}:{DATAGRAM_PORT}",
+                "advertise": f"{places.relay_host(index)}:{DATAGRAM_PORT}",
                 "seeds": seeds,
                 "key": str(key),
                 "period_ms": int(number(fleet.plan.period_ms)),
@@ -152,7 +152,7 @@
         """Addresses of the first nodes of a zone, or of all."""
         site = self.fleet.site
         nodes = [n for n in site.nodes if zone in (None, n.zone)]
-        return [f"{site.places.seen(n.index)}:{PORT}" for n in nodes[:SEEDS]]
+        return [f"{site.addresses.relay_host(n.index)}:{DATAGRAM_PORT}" for n in nodes[:SEEDS]]
 
     def membership(self) -> dict[str, Any]:
         """The scope of its group, with the seeds of the other zones."""
@@ -180,8 +180,7 @@
             "process", node=self.name, what="exit", life=self.life, status=status, asked=self.asked_to_end
         )
         self.node.up = self.node.ready = False
-        self.node.forget()
-        self.node.lines.close()
+        self.node.on_process_ended()
         self.fleet.site.world.front.died(self.node)
         self.ready.clear()
         self.gone.set()
@@ -194,7 +193,9 @@
 
     async def wait_ready(self, life: int) -> None:
         """Asks for readiness until it is there; the front takes the node in then."""
-        lines = Lines(self.fleet.loop, self.fleet.site.places.node(self.node.index), CALLS)
+        lines = ConnectionPool(
+            self.fleet.loop, self.fleet.site.addresses.node_host(self.node.index), CLIENT_PORT
+        )
         while self.life == life and self.running:
             reply = await ask(self.fleet.loop, lines, b"/ready", 1.0)
             if reply is not None and reply.status == 200:
@@ -299,14 +300,14 @@
     def add(self, mischief: dict[str, str]) -> None:
         self.members = [Member(self, n, mischief.get(n.name, "")) for n in self.site.nodes]
 
-    def boot(self, node: LiveNode) -> None:
+    def boot(self, node: NodeAdapter) -> None:
         if self.members:
             self.members[node.index].start()
 
-    def leave(self, node: LiveNode) -> None:
+    def leave(self, node: NodeAdapter) -> None:
         self.members[node.index].signal(signal.SIGTERM)
 
-    def kill(self, node: LiveNode) -> None:
+    def kill(self, node: NodeAdapter) -> None:
         self.members[node.index].signal(signal.SIGKILL)
 
     def fell(self, member: Member) -> None:
@@ -365,19 +366,23 @@
 
 
 async def ask(
-    loop: asyncio.AbstractEventLoop, lines: Lines, path: bytes, patience: float, method: bytes = b"GET"
-) -> Reply | None:
+    loop: asyncio.AbstractEventLoop,
+    lines: ConnectionPool,
+    path: bytes,
+    patience: float,
+    method: bytes = b"GET",
+) -> Response | None:
     """One call; None where no whole answer came in time."""
-    answer: asyncio.Future[Reply] = loop.create_future()
+    answer: asyncio.Future[Response] = loop.create_future()
 
-    def done(reply: Reply) -> None:
+    def done(reply: Response) -> None:
         if not answer.done():
             answer.set_result(reply)
 
-    side = lines.ask(b"%b %b HTTP/1.1\r\nHost: node\r\n\r\n" % (method, path), done)
+    side = lines.send(b"%b %b HTTP/1.1\r\nHost: node\r\n\r\n" % (method, path), done)
     try:
         reply = await asyncio.wait_for(answer, patience)
     except TimeoutError:
-        side.drop()
+        side.cancel()
         return None
     return reply if reply.status else None
--- a/workbench/lab/network.py
+++ b/workbench/lab/network.py
@@ -13,8 +13,8 @@
 from functools import partial
 from typing import Any
 
+from workbench.emulator.address_block import DATAGRAM_PORT, AddressBlock
 from workbench.emulator.links import Link, Timer
-from workbench.emulator.places import PORT, Places
 from workbench.lab.plan import Fault, number
 from workbench.model.streams import Streams
 
@@ -101,7 +101,9 @@
     reached, so a node sees what it would see with nothing in between.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, timer: Any, places: Places, links: Links) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, timer: Any, places: AddressBlock, links: Links
+    ) -> None:
         self.loop = loop
         self.timer = timer
         self.places = places
@@ -115,9 +117,9 @@
         """Takes an address for each node."""
         self.ends = ends
         for i in range(len(ends)):
-            self.by_host[self.places.node(i)] = i
+            self.by_host[self.places.node_host(i)] = i
             transport, _ = await self.loop.create_datagram_endpoint(
-                partial(Port, self, i), local_addr=(self.places.seen(i), PORT)
+                partial(Port, self, i), local_addr=(self.places.relay_host(i), DATAGRAM_PORT)
             )
             self.ports.append(transport)
 
@@ -137,7 +139,7 @@
     def pass_on(self, what: tuple[int, int, bytes]) -> None:
         source, to, data = what
         if not self.ports[source].is_closing():
-            self.ports[source].sendto(data, (self.places.node(to), PORT))
+            self.ports[source].sendto(data, (self.places.node_host(to), DATAGRAM_PORT))
 
     def close(self) -> None:
         for port in self.ports:
--- a/workbench/lab/plan.py
+++ b/workbench/lab/plan.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-from workbench.emulator.places import MOST
+from workbench.emulator.address_block import MAX_NODES
 from workbench.model.streams import Streams
 from workbench.scenario import model
 from workbench.scenario.check import low, top, type_faults
@@ -146,8 +146,8 @@
     """What does not fit between keys that are right by themselves."""
     out = []
     length = low(table.get("length_s", 20.0))
-    if top(table.get("nodes", 5)) > MOST:
-        out.append(f"nodes: {table['nodes']}: must be at most {MOST}")
+    if top(table.get("nodes", 5)) > MAX_NODES:
+        out.append(f"nodes: {table['nodes']}: must be at most {MAX_NODES}")
     if top(table.get("regions", 1)) > low(table.get("zones", 3)):
         out.append(f"regions: {table['regions']}: must be at most zones, {table.get('zones', 3)}")
     if top(table.get("voters", 0)) not in (0, 3, 5):
--- a/workbench/lab/process.py
+++ b/workbench/lab/process.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from workbench.baselines.revisions import NODE_PACKAGE
-from workbench.emulator.starter import tied
+from workbench.emulator.child_process import killed_with_parent
 
 READ = 65536
 FLOOD = 2 << 20  # bytes of log in all: a node writes some 300 a second
@@ -49,7 +49,7 @@
         config.write_text(json.dumps(table))
         env = {k: v for k, v in os.environ.items() if not k.startswith("LB_")}
         self.popen = subprocess.Popen(
-            tied(command),
+            killed_with_parent(command),
             env=env | {"LB_CONFIG": str(config), "TMPDIR": str(config.parent)},
             cwd=cwd,
             stdin=subprocess.DEVNULL,
--- a/workbench/lab/run.py
+++ b/workbench/lab/run.py
@@ -16,10 +16,10 @@
 import msgspec
 import uvloop
 
-from workbench.emulator.clock import LiveClock
+from workbench.emulator.address_block import AddressBlock
+from workbench.emulator.clock import RealTimeClock
 from workbench.emulator.links import Link
-from workbench.emulator.nodes import NoControl, Site
-from workbench.emulator.places import Places
+from workbench.emulator.nodes import NoProcessControl, Site
 from workbench.lab.earlier import unpack
 from workbench.lab.faults import Faults
 from workbench.lab.fleet import Fleet, Member
@@ -62,13 +62,13 @@
         self.loop = asyncio.get_running_loop()
         self.day = draw_day(scenario(plan), plan.seed)
         self.streams = Streams(plan.seed)
-        self.clock = LiveClock(self.loop, BEGIN)
-        self.places = Places()
+        self.clock = RealTimeClock(self.loop, BEGIN)
+        self.places = AddressBlock()
         self.history = History(history)
         self.late_ms = 0.0
         self.links = Links(self.clock, self.streams, lambda a, b: one_way(self.day, a, b))
         epoch = time_ns() // 1_000_000 - BEGIN // 1000
-        self.site = Site(self.loop, self.clock, self.places, NoControl(), self.tell, self.link, epoch)
+        self.site = Site(self.loop, self.clock, self.places, NoProcessControl(), self.tell, self.link, epoch)
         self.world = World(self.day, self.clock, self.site)
         self.ends = [End(n.name, n.zone, True) for n in self.site.nodes]
         self.relay = Relay(self.loop, self.clock, self.places, self.links)
@@ -144,7 +144,7 @@
         gc.collect()
         gc.freeze()
         self.clock.catch_up()
-        self.clock.take_late()
+        self.clock.take_max_lateness()
         self.late_ms = 0.0  # what came before is the start of many processes at once
         self.world.start()
         self.tell("go")
@@ -194,7 +194,7 @@
                     if self.plan.voters:
                         self.spawn(member.hold())
             if turn % int(SAMPLE / LOOK) == 0:
-                late = self.clock.take_late() / 1000
+                late = self.clock.take_max_lateness() / 1000
                 self.late_ms = max(self.late_ms, late)
                 self.tell("lab", late_ms=round(late, 3), relay=dict(self.relay.counts))
                 for member in self.fleet.members:
@@ -240,8 +240,8 @@
 def run(plan: Plan, keep: Path | None = None, progress: Progress = lambda what, share: None) -> Outcome:
     """Plays a drawn plan and reads its history. `keep`: a folder for the history and the configurations.
 
-    NoPlace; HistoryError where the history could not be written; PlanError where an earlier revision cannot
-    be had; an OSError where `keep` cannot be written.
+    AddressBlockError; HistoryError where the history could not be written; PlanError where an earlier
+    revision cannot be had; an OSError where `keep` cannot be written.
     """
     folder = Path(tempfile.mkdtemp(prefix="lab-"))
     history = (keep or folder) / "history.jsonl"
--- a/workbench/scale/group.py
+++ b/workbench/scale/group.py
@@ -14,7 +14,7 @@
 from msgspec import Struct
 
 from balancer.fleet.membership.swim import Address
-from workbench.emulator.places import PORT
+from workbench.emulator.address_block import DATAGRAM_PORT
 
 Membership = Literal["flat", "zone"]
 
@@ -64,7 +64,11 @@
         ]
         real = [
             self.place(
-                self.hollow + i, f"r{i:05d}", REAL_ZONE, (f"{self.block}.{REAL_FIRST_HOST + i}", PORT), False
+                self.hollow + i,
+                f"r{i:05d}",
+                REAL_ZONE,
+                (f"{self.block}.{REAL_FIRST_HOST + i}", DATAGRAM_PORT),
+                False,
             )
             for i in range(self.real)
         ]
--- a/workbench/scale/latency.py
+++ b/workbench/scale/latency.py
@@ -29,7 +29,7 @@
 import uvloop
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from workbench.emulator.http import Lines, Reply, request_bytes
+from workbench.emulator.http import ConnectionPool, Response, request_bytes
 from workbench.scale.loopback import Bench, Usage, bench, serve, usage
 from workbench.scale.quiet import QuietWatch
 from workbench.scale.target import DEEPEST_CALL
@@ -71,7 +71,7 @@
     outcomes: Counter[str] = field(default_factory=Counter)
     asked: int = 0
 
-    def record(self, due: int, reply: Reply) -> None:
+    def record(self, due: int, reply: Response) -> None:
         """Takes one answer in."""
         now = monotonic_ns()
         self.outcomes["served" if reply.status == 200 else f"status {reply.status}"] += 1
@@ -121,17 +121,17 @@
         await asyncio.sleep(0)
 
 
-def ask(lines: Lines, stream: Stream, due: int, number: int) -> None:
+def ask(lines: ConnectionPool, stream: Stream, due: int, number: int) -> None:
     """Sends one request."""
     data = request_bytes("view", "safe", number & 0xFFFF, number, BUDGET_MS, b"%016x" % number)
     stream.asked += 1
-    lines.ask(data, lambda reply: stream.record(due, reply))
+    lines.send(data, lambda reply: stream.record(due, reply))
 
 
 async def play(stand: Bench, rate: float, seconds: float, rng: Random) -> Round:
     """One round: requests through the node at a rate, and others straight to the server between them."""
     loop = asyncio.get_running_loop()
-    ways = [Lines(loop, *stand.address(through)) for through in (True, False)]
+    ways = [ConnectionPool(loop, *stand.address(through)) for through in (True, False)]
     rates = (rate, min(rate, DIRECT_RATE))
     streams = (Stream(), Stream())
     late = histogram()
--- a/workbench/scale/loopback.py
+++ b/workbench/scale/loopback.py
@@ -15,10 +15,10 @@
 from time import monotonic_ns
 from typing import Any
 
-from workbench.emulator.agent import Agent
-from workbench.emulator.http import ServerSide, answer_bytes
-from workbench.emulator.places import CALLS, PAGES, Places
-from workbench.emulator.starter import tied
+from workbench.emulator.address_block import CLIENT_PORT, MANAGEMENT_PORT, AddressBlock
+from workbench.emulator.agent import DiscoveryAgent
+from workbench.emulator.child_process import killed_with_parent
+from workbench.emulator.http import Request, ServerConnection, response_bytes
 
 START_S = 10.0  # that a process may take until it answers
 SERVER_PORT = 7000
@@ -36,16 +36,16 @@
 # ---- the stand-in server --------------------------------------------------------------------------------
 
 
-class EchoTimes(ServerSide):
+class EchoTimes(ServerConnection):
     """Answers at once with the monotonic nanoseconds at which the request came and the answer left."""
 
     def data_received(self, data: bytes) -> None:
         self.came = monotonic_ns()
         super().data_received(data)
 
-    def asked(self, method: bytes, target: bytes, headers: dict[bytes, bytes], body: bytes) -> None:
+    def on_request(self, request: Request) -> None:
         times = b"%020d%020d" % (self.came, monotonic_ns())
-        self.transport.write(answer_bytes(200, times))
+        self.transport.write(response_bytes(200, times))
 
 
 async def serve(host: str, port: int) -> None:
@@ -110,18 +110,18 @@
     }
 
 
-def node_table(places: Places, folder: Path, fleet: bool) -> dict[str, Any]:
+def node_table(places: AddressBlock, folder: Path, fleet: bool) -> dict[str, Any]:
     """The node's configuration."""
-    here = places.node(0)
-    agent = places.agent(0)
+    here = places.node_host(0)
+    agent = places.agent_address(0)
     table: dict[str, Any] = {
         "name": "n0",
-        "listen": f"{here}:{CALLS}",
-        "management": f"{here}:{PAGES}",
+        "listen": f"{here}:{CLIENT_PORT}",
+        "management": f"{here}:{MANAGEMENT_PORT}",
         "discovery": f"{agent[0]}:{agent[1]}",
         "seed": "1",
         "limits": {"sockets": 256, "memory_mb": 32},
-        "known": {"version": 1, "full": True, "servers": [server_entry((places.servers, SERVER_PORT))]},
+        "known": {"version": 1, "full": True, "servers": [server_entry((places.server_host, SERVER_PORT))]},
         "settings": settings_table(),
     }
     if fleet:
@@ -132,14 +132,14 @@
     return table
 
 
-class ListAgent(Agent):
+class ListAgent(DiscoveryAgent):
     """Discovery with a fixed list of one server."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, line: dict[str, Any]) -> None:
         super().__init__(loop, lambda entry: line, lambda lines: None)
         self.version = 1
-        self.lines = {line["id"]: line}
-        self.since = {line["id"]: 1}
+        self.endpoints = {line["id"]: line}
+        self.changed_in = {line["id"]: 1}
 
 
 @dataclass
@@ -169,12 +169,16 @@
 class Bench:
     """The processes of a measurement, running."""
 
-    places: Places
+    places: AddressBlock
     node: subprocess.Popen[bytes]
     server: subprocess.Popen[bytes]
 
     def address(self, through_node: bool) -> tuple[str, int]:
-        return (self.places.node(0), CALLS) if through_node else (self.places.servers, SERVER_PORT)
+        return (
+            (self.places.node_host(0), CLIENT_PORT)
+            if through_node
+            else (self.places.server_host, SERVER_PORT)
+        )
 
 
 async def answers(host: str, port: int) -> None:
@@ -206,7 +210,7 @@
 async def bench(fleet: bool = False, profile: Path | None = None) -> AsyncIterator[Bench]:
     """Starts server and node and ends them; the kernel ends them too if this process dies."""
     loop = asyncio.get_running_loop()
-    places = Places()
+    places = AddressBlock()
     with tempfile.TemporaryDirectory(prefix="latency-") as name:
         folder = Path(name)
         config = folder / "config.json"
@@ -216,17 +220,17 @@
         python = [sys.executable, "-m"]
         profiler = ["cProfile", "-o", str(profile)] if profile else []
         runner = [*python, *profiler, *(["-m"] if profile else []), "balancer"]
-        serving = [*python, "workbench.scale.latency", "--serve", f"{places.servers}:{SERVER_PORT}"]
-        agent = ListAgent(loop, server_entry((places.servers, SERVER_PORT)))
-        agent.start(places.agent(0))
+        serving = [*python, "workbench.scale.latency", "--serve", f"{places.server_host}:{SERVER_PORT}"]
+        agent = ListAgent(loop, server_entry((places.server_host, SERVER_PORT)))
+        agent.start(places.agent_address(0))
         quiet: dict[str, Any] = {"stdin": subprocess.DEVNULL, "stdout": subprocess.DEVNULL}
-        server = subprocess.Popen(tied(serving), **quiet)
+        server = subprocess.Popen(killed_with_parent(serving), **quiet)
         try:
             with (folder / "log").open("wb") as log:
-                node = subprocess.Popen(tied(runner), env=env, stderr=log, **quiet)
+                node = subprocess.Popen(killed_with_parent(runner), env=env, stderr=log, **quiet)
             try:
-                await answers(places.servers, SERVER_PORT)
-                await answers(places.node(0), CALLS)
+                await answers(places.server_host, SERVER_PORT)
+                await answers(places.node_host(0), CLIENT_PORT)
                 yield Bench(places, node, server)
             finally:
                 ended(node)
--- a/workbench/scale/profile.py
+++ b/workbench/scale/profile.py
@@ -17,7 +17,7 @@
 import click
 import uvloop
 
-from workbench.emulator.load import Load, class_of
+from workbench.emulator.load import Load, parse_request_class
 from workbench.scale.loopback import bench, usage
 
 PACKAGES = ("balancer", "asyncio")
@@ -75,10 +75,12 @@
         file = Path(folder) / "node.prof"
         async with bench(profile=file) as stand:
             host, port = stand.address(through_node=True)
-            load = Load(f"http://{host}:{port}", rate, seconds, [class_of("view:safe:1:2000")], seed)
+            load = Load(
+                f"http://{host}:{port}", rate, seconds, [parse_request_class("view:safe:1:2000")], seed
+            )
             await load.run()
             cpu_s = usage(stand.node.pid).cpu_ns / 1e9
-        return read(file, load.results["view"].answers["served"], cpu_s)
+        return read(file, load.results["view"].outcomes["served"], cpu_s)
 
 
 @click.command()
--- a/workbench/scale/real.py
+++ b/workbench/scale/real.py
@@ -12,12 +12,12 @@
 
 import msgspec
 
-from workbench.emulator.clock import LiveClock
+from workbench.emulator.address_block import CLIENT_PORT, MANAGEMENT_PORT, AddressBlock
+from workbench.emulator.clock import RealTimeClock
 from workbench.emulator.config import node_table
-from workbench.emulator.http import Lines
+from workbench.emulator.http import ConnectionPool
 from workbench.emulator.links import Link
-from workbench.emulator.nodes import LiveNode, NoControl, Site
-from workbench.emulator.places import CALLS, PAGES, Places
+from workbench.emulator.nodes import NodeAdapter, NoProcessControl, Site
 from workbench.lab.fleet import READY_LOOK, ask
 from workbench.lab.process import Process, command
 from workbench.model.network import one_way
@@ -39,14 +39,14 @@
 class RealNode:
     """One node's process."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, place: Place, node: LiveNode, host: str) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, place: Place, node: NodeAdapter, host: str) -> None:
         self.loop = loop
         self.place = place
         self.node = node
         self.host = host
         self.process: Process | None = None
         self.ended = asyncio.Event()
-        self.pages = Lines(loop, host, PAGES)
+        self.pages = ConnectionPool(loop, host, MANAGEMENT_PORT)
         self.joined_s: float | None = None
 
     def start(self, folder: Path, table: dict[str, Any]) -> None:
@@ -65,7 +65,7 @@
     async def ready(self) -> None:
         """Waits until it takes calls. RealNodeError."""
         assert self.process is not None
-        lines = Lines(self.loop, self.host, CALLS)
+        lines = ConnectionPool(self.loop, self.host, CLIENT_PORT)
         end = self.loop.time() + READY_S
         try:
             while self.loop.time() < end and not self.ended.is_set():
@@ -97,12 +97,12 @@
 class RealNodes:
     """All real nodes of a run."""
 
-    def __init__(self, group: Group, places: Places, folder: Path, key: str) -> None:
+    def __init__(self, group: Group, places: AddressBlock, folder: Path, key: str) -> None:
         self.group = group
         self.folder = folder
         self.key = key
         self.loop = asyncio.get_running_loop()
-        self.clock = LiveClock(self.loop, BEGIN)
+        self.clock = RealTimeClock(self.loop, BEGIN)
         self.nodes: list[RealNode] = []
         day = draw(load(SCENARIO, [f"nodes.count={group.real}", "zones.count=1"]), group.seed)
         streams = Streams(group.seed)
@@ -111,10 +111,10 @@
             return Link(self.clock, streams.random(f"link/{a}/{b}"), one_way(day, zone, other))
 
         epoch = time_ns() // 1_000_000 - BEGIN // 1000
-        self.site = Site(self.loop, self.clock, places, NoControl(), unobserved, link, epoch)
+        self.site = Site(self.loop, self.clock, places, NoProcessControl(), unobserved, link, epoch)
         World(day, self.clock, self.site)
         for place, node in zip(group.places[group.hollow :], self.site.nodes, strict=True):
-            self.nodes.append(RealNode(self.loop, place, node, places.node(node.index)))
+            self.nodes.append(RealNode(self.loop, place, node, places.node_host(node.index)))
 
     async def start(self) -> None:
         """Starts all and waits until they are ready. RealNodeError."""
--- a/workbench/scale/run.py
+++ b/workbench/scale/run.py
@@ -17,7 +17,7 @@
 from balancer.fleet.config import FleetConfigError, read_fleet
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.keys import read_key
-from workbench.emulator.places import Places
+from workbench.emulator.address_block import AddressBlock
 from workbench.scale.group import Group, Place
 from workbench.scale.hollow import list_datagrams
 from workbench.scale.machine import check_memory_need, default_workers, memory_limit, resident
@@ -96,7 +96,7 @@
         self.plan = plan
         self.folder = folder
         self.progress = progress
-        self.places = Places()
+        self.places = AddressBlock()
         self.group: Group = group_of(plan, self.places.block)
         self.key = folder / "key"
         self.key.write_text(KEY)
@@ -355,7 +355,7 @@
 
 
 def run(plan: Plan, progress: Progress = lambda what: None) -> Outcome:
-    """Plays a plan. PlanError; NoPlace where no loopback addresses are free."""
+    """Plays a plan. PlanError; AddressBlockError where no loopback addresses are free."""
     check_memory_need(plan)
     folder = Path(tempfile.mkdtemp(prefix="scale-"))
     out = Outcome(members=plan.hollow + plan.real)
--- a/workbench/scale/workers.py
+++ b/workbench/scale/workers.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 from typing import TypeVar
 
-from workbench.emulator.starter import tied
+from workbench.emulator.child_process import killed_with_parent
 from workbench.scale.messages import LENGTH, Failed, Reply, Request, frame, reply_decoder
 
 COMMAND = [sys.executable, "-m", "workbench.scale.worker"]
@@ -33,7 +33,7 @@
         """A worker in a session of its own, so that Ctrl-C is the parent's alone. The kernel kills it when
         the parent ends, however that ends."""
         process = await asyncio.create_subprocess_exec(
-            *tied(COMMAND),
+            *killed_with_parent(COMMAND),
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             start_new_session=True,
