--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -10,7 +10,7 @@
 from balancer.policy.interface import ListKind, Outcome, ServerEntry, State
 from workbench.baselines import revisions
 from workbench.baselines.gradient import GradientController, GradientSettings, PublishedGradient
-from workbench.baselines.plain import RandomChoice, RoundRobin, TwoDraws
+from workbench.baselines.static import RandomChoice, RoundRobin, TwoChoices
 from workbench.scenario.load import draw, load
 from workbench.simulator.play import play
 
@@ -50,7 +50,7 @@
 
 def test_an_empty_window_changes_nothing_and_five_at_the_minimum_measure_anew():
     controller = measured()
-    controller.roll(10 * SEC)
+    controller.close_window(10 * SEC)
     assert controller.concurrency_limit == 3
     for window in range(101, 106):
         assert not controller.min_rtt_calculation_active
@@ -81,7 +81,7 @@
 def test_choices():
     sent = [c[2] for c in asked(RoundRobin)[1].take("send")]
     assert all(sent.count(s) == 10 for s in range(4)) and sent[:4] == sent[4:8]
-    sent = [c[2] for c in asked(TwoDraws)[1].take("send")]
+    sent = [c[2] for c in asked(TwoChoices)[1].take("send")]
     assert max(sent.count(s) for s in range(4)) <= 12  # even, by in-flight
     node, recorder = asked(PublishedGradient, 5)
     assert [c[0] for c in recorder.take()] == ["send"] * 3 + ["reject"] * 2
@@ -115,8 +115,8 @@
     assert call[0] == answer and (answer != "send" or call[2] != first)
 
 
-def test_sight_bounds_what_choice_can_reach_and_chance_is_the_floor():
-    """At three quarters of the capacity and a slow server: true state over the module over random."""
+def test_an_oracle_bounds_the_module_and_random_choice_is_the_floor():
+    """At seven tenths of the capacity and a slow server: the oracle over the module over random."""
     goals = {}
     for policy in ("true-state", "module", "random"):
         changes = ["length_s=15", "servers=6", "load.fraction=0.7", "fault[0].at_s=3", "fault[1].at_s=60"]
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -56,7 +56,7 @@
 
 def world_of(day, policy="random"):
     clock = HeapClock(BEGIN)
-    return World(day, clock, Host(clock, 1000, POLICIES[policy][0])), clock
+    return World(day, clock, Host(clock, 1000, POLICIES[policy].make)), clock
 
 
 def test_a_policy_shifts_nobody_elses_draws():
@@ -230,7 +230,7 @@
     calls = []
 
     def refusing(settings, seed, actions, world):
-        module = POLICIES["random"][0](settings, seed, actions, world)
+        module = POLICIES["random"].make(settings, seed, actions, world)
         module.request = lambda now, request, *rest: (
             calls.append((now, request)),
             actions.reject(request, 0),
@@ -248,7 +248,7 @@
 @pytest.mark.parametrize("tier", [0, 1])
 def test_a_request_that_is_never_answered_breaks_the_rule(tier):
     def deaf(settings, seed, actions, world):
-        module = POLICIES["random"][0](settings, seed, actions, world)
+        module = POLICIES["random"].make(settings, seed, actions, world)
         if settings.tier == tier:  # hears of requests, and never answers one
             module.request = module.client_disconnected = lambda *event: None
         return module
--- a/workbench/baselines/base.py
+++ b/workbench/baselines/base.py
@@ -1,8 +1,8 @@
-"""What all baselines share: the list, a request's life, and the rights to a repeat. Choice and limit are
-theirs.
+"""What all baselines share: the server list, a request's life, and when a retry is allowed.
 
-A baseline repeats a failed call at once while attempts and time last, on a server not tried yet where there
-is one. It has no budget for repeats: what that costs under overload is a thing to measure the module against.
+A baseline retries a failed request at once while attempts and time remain, on a server not tried yet where
+there is one. It has no retry budget: what that costs under overload is a thing to compare the policy with.
+Subclasses select servers and may limit what is admitted.
 """
 
 from __future__ import annotations
@@ -23,28 +23,57 @@
 )
 from workbench.model.referee import in_group, repeats_anywhere
 
-LIST_AGAIN = 1  # the token of the timer that asks for the list anew
-LIST_WAIT = 500_000
-
-
-class Open:
-    """An open request. `ran` is the first server that may have run it, and since when."""
-
-    __slots__ = ("klass", "until", "tried", "attempt", "out", "ran", "ran_at", "sent_at")
-
-    def __init__(self, klass: int, until: int) -> None:
-        self.klass = klass
-        self.until = until
+LIST_POLL_TOKEN = 1  # of the timer after which the list is polled again
+LIST_RETRY_DELAY = 500_000  # microseconds
+NO_SERVER = -1
+
+
+class OpenRequest:
+    """A request without a final outcome.
+
+    Args:
+        request_class: The request's class.
+        deadline: When its time is over.
+
+    Attributes:
+        tried: The servers of its attempts.
+        attempts: Their number.
+        current_server: The server of the attempt in flight.
+        first_run: The first server that may have run it.
+        first_run_at: When the attempt at that server was sent.
+        sent_at: When the last attempt was sent.
+    """
+
+    __slots__ = (
+        "attempts",
+        "current_server",
+        "deadline",
+        "first_run",
+        "first_run_at",
+        "request_class",
+        "sent_at",
+        "tried",
+    )
+
+    def __init__(self, request_class: int, deadline: int) -> None:
+        self.request_class = request_class
+        self.deadline = deadline
         self.tried: list[int] = []
-        self.attempt = 0
-        self.out = -1
-        self.ran: ServerEntry | None = None
-        self.ran_at = 0
+        self.attempts = 0
+        self.current_server = NO_SERVER
+        self.first_run: ServerEntry | None = None
+        self.first_run_at = 0
         self.sent_at = 0
 
 
 class Baseline:
-    """The `Events` of a policy without memory of servers. Times in microseconds."""
+    """The `Events` of a policy without memory of servers. Times in microseconds.
+
+    Args:
+        settings: The node's settings.
+        seed: Of the policy's random choices.
+        actions: Carries out what the policy decides.
+    """
 
     def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:
         self.settings = settings
@@ -52,36 +81,38 @@
         self.rng = Random(seed)
         self.servers: dict[int, ServerEntry] = {}
         self.ids: list[int] = []
-        self.in_flight: dict[int, int] = {}
-        self.open: dict[int, Open] = {}
+        self.in_flight: dict[int, int] = {}  # attempts by server
+        self.open: dict[int, OpenRequest] = {}
 
     # ---- what a policy decides -----------------------------------------------------------------------------
 
     def choose(self, now: int, ids: Sequence[int]) -> int:
-        """One of the servers, of which there is at least one."""
+        """Returns one of the servers, of which there is at least one."""
         raise NotImplementedError
 
-    def admits(self, now: int, klass: int, left: int) -> bool:
-        """Whether a request may start; refused at once if not."""
+    def admits(self, now: int, request_class: int, remaining: int) -> bool:
+        """Whether a request may start; it is rejected at once if not."""
         return True
 
-    def began(self, now: int, server: int) -> None:
-        """An attempt goes out."""
+    def on_attempt_sent(self, now: int, server: int) -> None:
+        """Counts an attempt that is sent."""
         self.in_flight[server] = self.in_flight.get(server, 0) + 1
 
-    def ended(self, now: int, server: int, outcome: Outcome, latency: int) -> None:
-        """Its outcome."""
+    def on_attempt_ended(self, now: int, server: int, outcome: Outcome, latency: int) -> None:
+        """Counts an attempt that has ended."""
         self.in_flight[server] = max(0, self.in_flight.get(server, 0) - 1)
 
     # ---- events --------------------------------------------------------------------------------------------
 
     def start(self, now: int) -> None:
+        """Watches the server list, where the node polls it."""
         if self.settings.list_on_request:
             self.actions.watch(True)
 
     def server_list(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
+        """Takes a list or changes; polls again where the list could not be had."""
         if kind == ListKind.FAILED:
-            self.actions.set_timer(LIST_WAIT, LIST_AGAIN)
+            self.actions.set_timer(LIST_RETRY_DELAY, LIST_POLL_TOKEN)
             return
         if kind != ListKind.CHANGES:
             self.servers.clear()
@@ -95,11 +126,12 @@
     def request(
         self, now: int, request: int, request_class: int, tenant: int, remaining: int, repeat: bool
     ) -> None:
+        """Sends a new request to a server, or rejects it."""
         if not self.ids or not self.admits(now, request_class, remaining):
             self.actions.reject(request, 0)
             return
-        self.open[request] = Open(request_class, now + remaining)
-        self.attempt(now, request, self.ids)
+        self.open[request] = OpenRequest(request_class, now + remaining)
+        self.send_attempt(now, request, self.ids)
 
     def outcome(
         self,
@@ -112,79 +144,92 @@
         final: bool,
         report: Sequence[float],
     ) -> None:
-        self.ended(now, server, outcome, latency)
-        r = self.open.get(request)
-        if r is None or attempt != r.attempt - 1:
+        """Handles the outcome of an attempt: the request is over, or is retried where it may be."""
+        self.on_attempt_ended(now, server, outcome, latency)
+        open_request = self.open.get(request)
+        if open_request is None or attempt != open_request.attempts - 1:
             return
-        r.out = -1
+        open_request.current_server = NO_SERVER
         if final or outcome == Outcome.OK:
             del self.open[request]
             return
-        if outcome not in NEVER_RAN and r.ran is None:
-            r.ran = self.servers.get(server) or ServerEntry(server, cell=-1, zone=-1)
-            r.ran_at = r.sent_at
-        ids = self.allowed(now, r)
-        if ids and r.attempt < self.settings.max_attempts and r.until - now > self.settings.tick:
-            self.attempt(now, request, ids)
+        if outcome not in NEVER_RAN and open_request.first_run is None:
+            open_request.first_run = self.servers.get(server) or ServerEntry(server, cell=-1, zone=-1)
+            open_request.first_run_at = open_request.sent_at
+        ids = self.retry_servers(now, open_request)
+        if ids and self.has_attempts_and_time(now, open_request):
+            self.send_attempt(now, request, ids)
         else:
-            self.finish(request, r)
+            self.finish(request, open_request)
 
     def response_started(self, now: int, request: int, attempt: int, server: int, latency: int) -> None:
-        """Answers are whole here."""
+        """Does nothing: responses are whole here."""
 
     def upload(self, now: int, request: int, attempt: int, on: bool) -> None:
-        """Bodies are short here."""
+        """Does nothing: bodies are short here."""
 
     def client_disconnected(self, now: int, request: int) -> None:
-        r = self.open.pop(request, None)
-        if r is not None and r.out >= 0 and self.settings.cancel:
-            self.actions.cancel(request, r.attempt - 1)
+        """Cancels the attempt in flight, where the node may."""
+        open_request = self.open.pop(request, None)
+        if open_request is not None and open_request.current_server >= 0 and self.settings.cancel:
+            self.actions.cancel(request, open_request.attempts - 1)
 
     def zone_shares(self, now: int, shares: Mapping[int, float], additional_rtt: Mapping[int, int]) -> None:
-        """Not used, for the same reason."""
+        """Does nothing: a baseline has no fleet."""
 
     def trial_result(self, now: int, server: int, healthy: bool) -> None:
-        """Not used: a baseline has no fleet."""
+        """Does nothing: a baseline has no fleet."""
 
     def health_checked(self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]) -> None:
-        """No baseline probes."""
+        """Does nothing: a baseline makes no health checks."""
 
     def timer(self, now: int, token: int) -> None:
-        if token == LIST_AGAIN:
+        """Polls the list again."""
+        if token == LIST_POLL_TOKEN:
             self.actions.watch(True)
 
     def peer_message(self, now: int, peer: int, data: bytes) -> None:
-        """No baseline has peers."""
+        """Does nothing: a baseline has no peers."""
 
     # ---- a request's life -----------------------------------------------------------------------------
 
-    def attempt(self, now: int, request: int, ids: Sequence[int]) -> None:
-        r = self.open[request]
-        server = self.choose(now, [i for i in ids if i not in r.tried] or ids)
-        r.tried.append(server)
-        r.attempt += 1
-        r.out = server
-        r.sent_at = now
-        self.began(now, server)
-        self.actions.send(request, server, r.until - now)
-
-    def allowed(self, now: int, r: Open) -> Sequence[int]:
-        """Where the request may go again: anywhere, in its group, or nowhere."""
-        klass = self.settings.classes[r.klass]
-        if r.ran is None or klass.effect == Effect.IDEMPOTENT:
+    def send_attempt(self, now: int, request: int, ids: Sequence[int]) -> None:
+        """Sends a request to one of the servers, if possible one that it has not tried."""
+        open_request = self.open[request]
+        server = self.choose(now, [i for i in ids if i not in open_request.tried] or ids)
+        open_request.tried.append(server)
+        open_request.attempts += 1
+        open_request.current_server = server
+        open_request.sent_at = now
+        self.on_attempt_sent(now, server)
+        self.actions.send(request, server, open_request.deadline - now)
+
+    def has_attempts_and_time(self, now: int, open_request: OpenRequest) -> bool:
+        """Whether the number of attempts and the deadline allow a retry."""
+        remaining = open_request.deadline - now
+        return open_request.attempts < self.settings.max_attempts and remaining > self.settings.tick
+
+    def retry_servers(self, now: int, open_request: OpenRequest) -> Sequence[int]:
+        """Returns where a request may be retried: anywhere, in its idempotency group, or nowhere."""
+        request_class = self.settings.classes[open_request.request_class]
+        first_run = open_request.first_run
+        if first_run is None or request_class.effect == Effect.IDEMPOTENT:
             return self.ids
-        if klass.effect == Effect.NOT_IDEMPOTENT or now > r.ran_at + klass.window:
+        is_expired = now > open_request.first_run_at + request_class.window
+        if request_class.effect == Effect.NOT_IDEMPOTENT or is_expired:
             return ()
-        return [i for i in self.ids if same_group(klass, r.ran, self.servers[i])]
+        return [i for i in self.ids if same_group(request_class, first_run, self.servers[i])]
 
-    def finish(self, request: int, r: Open) -> None:
+    def finish(self, request: int, open_request: OpenRequest) -> None:
+        """Ends a request that is not retried: rejected where it did not run or a retry does no harm."""
         del self.open[request]
-        if r.ran is None or repeats_anywhere(self.settings.classes[r.klass]):
+        request_class = self.settings.classes[open_request.request_class]
+        if open_request.first_run is None or repeats_anywhere(request_class):
             self.actions.reject(request, 0)
         else:
             self.actions.fail(request)
 
 
-def same_group(klass: ClassSettings, first: ServerEntry, other: ServerEntry) -> bool:
-    """Whether `other` discards the repeat of what `first` may have run."""
-    return first.server == other.server or in_group(klass.group, first, other)
+def same_group(request_class: ClassSettings, first: ServerEntry, other: ServerEntry) -> bool:
+    """Whether `other` discards the retry of what `first` may have run."""
+    return first.server == other.server or in_group(request_class.group, first, other)
--- a/workbench/baselines/former_interface.py
+++ b/workbench/baselines/former_interface.py
@@ -30,17 +30,17 @@
 
 
 def uses_former_names(interface: ModuleType) -> bool:
-    """Whether a revision's interface is from before the renaming."""
+    """Whether a revision's interface has the former names."""
     return hasattr(getattr(interface, "Actions", None), "refuse")
 
 
 def former_settings(settings: Settings, interface: ModuleType) -> Settings:
-    """The settings as instances of a revision's own types."""
+    """Returns the settings as instances of a revision's own types."""
     return cast(Settings, convert(settings, interface))
 
 
 def convert(value: object, interface: ModuleType) -> object:
-    """A settings object, or a tuple of them, in a revision's types; any other value as it is."""
+    """Returns a settings object, or a tuple of them, in a revision's types; any other value as it is."""
     if isinstance(value, (list, tuple)):
         return tuple(convert(item, interface) for item in value)
     if not is_dataclass(value):
@@ -55,7 +55,11 @@
 
 
 class FormerActions:
-    """A host's actions under their former names."""
+    """A host's actions under their former names.
+
+    Args:
+        actions: The host's actions.
+    """
 
     def __init__(self, actions: Actions) -> None:
         self.actions = actions
@@ -64,18 +68,22 @@
         self.tell = actions.send_to_peer
 
     def __getattr__(self, name: str) -> Any:
-        """An action that has kept its name."""
+        """Returns an action whose name is unchanged."""
         return getattr(self.actions, name)
 
 
 class FormerPolicy:
-    """A policy whose events bear their former names."""
+    """The present interface of a policy whose events have their former names.
+
+    Args:
+        policy: The older revision's policy.
+    """
 
     def __init__(self, policy: object) -> None:
         self.policy = policy
 
     def __getattr__(self, name: str) -> Any:
-        """An event by its present name, or any other attribute of the policy."""
+        """Returns an event by its present name, or any other attribute of the policy."""
         return getattr(self.policy, FORMER_EVENTS.get(name, name))
 
 
@@ -86,6 +94,6 @@
     seed: int,
     actions: Actions,
 ) -> Events:
-    """An older revision's policy behind the present interface."""
+    """Makes an older revision's policy behind the present interface."""
     own_settings = former_settings(settings, interface)
     return cast(Events, FormerPolicy(policy_class(own_settings, seed, FormerActions(actions))))
--- a/workbench/baselines/gradient.py
+++ b/workbench/baselines/gradient.py
@@ -1,8 +1,7 @@
-"""The published adaptive concurrency filter (Envoy's gradient controller), as its page states it, and no
-more.
+"""The published adaptive concurrency filter (Envoy's gradient controller), as its page describes it.
 
-Source: "Adaptive Concurrency", the page PAPER. Statistics bear its names. Where the page gives no figure
-(the buffer), the filter's documented default stands.
+Source: "Adaptive Concurrency", the page PAPER. Statistics have its names. Where the page gives no figure
+(the buffer), this is the filter's documented default.
 """
 
 from __future__ import annotations
@@ -12,7 +11,7 @@
 from random import Random
 
 from balancer.policy.interface import Actions, Outcome, Settings
-from workbench.baselines.plain import TwoDraws
+from workbench.baselines.static import TwoChoices
 
 
 @dataclass(frozen=True)
@@ -27,118 +26,139 @@
     min_rtt_request_count: int = 50
     min_rtt_jitter: float = 0.1
     min_rtt_buffer: float = 0.25
-    windows_at_minimum: int = 5
-    gradient_least: float = 0.5
-    gradient_most: float = 2.0
+    max_windows_at_minimum: int = 5
+    min_gradient: float = 0.5
+    max_gradient: float = 2.0
 
 
 class GradientController:
-    """One limit over all servers. Time comes with each call; nothing is scheduled."""
+    """One concurrency limit over all servers. Time comes with each call; nothing is scheduled.
+
+    Args:
+        settings: The filter's parameters.
+        rng: Draws the jitter of the minRTT interval.
+        now: The time in microseconds.
+    """
 
     def __init__(self, settings: GradientSettings, rng: Random, now: int) -> None:
         self.settings = settings
         self.rng = rng
         self.concurrency_limit = settings.min_concurrency
         self.gradient = 1.0
-        self.burst_queue_size = 0.0  # the headroom
+        self.burst_queue_size = 0.0  # the limit's headroom
         self.min_rtt = 0.0
         self.sample_rtt = 0.0
         self.rq_blocked = 0
         self.in_flight = 0
         self.samples: list[int] = []
         self.window_start = now
-        self.at_minimum = 0
-        self.limit_before = settings.min_concurrency
-        self.measuring = True
+        self.windows_at_minimum = 0
+        self.limit_before_min_rtt = settings.min_concurrency
+        self.measures_min_rtt = True
         self.next_min_rtt = now
 
     @property
     def min_rtt_calculation_active(self) -> bool:
-        """Whether the limit is held at its least to measure minRTT."""
-        return self.measuring
+        """Whether the limit is at its minimum to measure minRTT."""
+        return self.measures_min_rtt
 
     def admits(self, now: int) -> bool:
-        """Whether a call may start. A refusal counts as blocked."""
-        self.roll(now)
+        """Whether a request may start. One that may not counts as blocked."""
+        self.close_window(now)
         if self.in_flight < self.concurrency_limit:
             return True
         self.rq_blocked += 1
         return False
 
     def sample(self, now: int, latency: int) -> None:
-        """A finished call's round-trip."""
+        """Takes the round-trip time of a finished attempt."""
         self.samples.append(latency)
-        if self.measuring:
+        if self.measures_min_rtt:
             if len(self.samples) >= self.settings.min_rtt_request_count:
-                self.end_measuring(now)
+                self.finish_min_rtt(now)
         else:
-            self.roll(now)
+            self.close_window(now)
 
-    def roll(self, now: int) -> None:
-        """Closes a window that has lasted; an empty one changes nothing."""
+    def close_window(self, now: int) -> None:
+        """Sets the limit where a window has lasted its time; an empty one changes nothing."""
         s = self.settings
-        if self.measuring or now < self.window_start + s.concurrency_update_interval:
+        if self.measures_min_rtt or now < self.window_start + s.concurrency_update_interval:
             return
         self.window_start = now
         if self.samples:
-            self.sample_rtt = self.summary()
+            self.sample_rtt = self.take_percentile()
             raw = self.min_rtt * (1 + s.min_rtt_buffer) / max(self.sample_rtt, 1.0)
-            self.gradient = min(s.gradient_most, max(s.gradient_least, raw))
+            self.gradient = min(s.max_gradient, max(s.min_gradient, raw))
             limit = self.gradient * self.concurrency_limit
             self.burst_queue_size = sqrt(limit)
             self.set_limit(int(limit + self.burst_queue_size))
-        if now >= self.next_min_rtt or self.at_minimum >= s.windows_at_minimum:
-            self.begin_measuring()
+        if now >= self.next_min_rtt or self.windows_at_minimum >= s.max_windows_at_minimum:
+            self.start_min_rtt()
 
     def set_limit(self, limit: int) -> None:
+        """Sets the limit within its bounds, and counts windows at the minimum."""
         s = self.settings
         self.concurrency_limit = min(s.max_concurrency_limit, max(s.min_concurrency, limit))
-        self.at_minimum = self.at_minimum + 1 if self.concurrency_limit <= s.min_concurrency else 0
-
-    def begin_measuring(self) -> None:
-        self.measuring = True
-        self.limit_before = self.concurrency_limit
+        self.windows_at_minimum = (
+            self.windows_at_minimum + 1 if self.concurrency_limit <= s.min_concurrency else 0
+        )
+
+    def start_min_rtt(self) -> None:
+        """Lowers the limit to its minimum for a minRTT calculation."""
+        self.measures_min_rtt = True
+        self.limit_before_min_rtt = self.concurrency_limit
         self.concurrency_limit = self.settings.min_concurrency
         self.samples.clear()
 
-    def end_measuring(self, now: int) -> None:
+    def finish_min_rtt(self, now: int) -> None:
+        """Sets minRTT, restores the limit and draws when to calculate it again."""
         s = self.settings
-        self.min_rtt = self.summary()
-        self.measuring = False
-        self.at_minimum = 0
-        self.concurrency_limit = self.limit_before
+        self.min_rtt = self.take_percentile()
+        self.measures_min_rtt = False
+        self.windows_at_minimum = 0
+        self.concurrency_limit = self.limit_before_min_rtt
         self.window_start = now
         self.next_min_rtt = now + int(s.min_rtt_interval * (1 + s.min_rtt_jitter * self.rng.random()))
 
-    def summary(self) -> float:
-        """The percentile of the samples in hand, which are spent."""
+    def take_percentile(self) -> float:
+        """Returns the percentile of the samples, and clears them."""
         self.samples.sort()
         value = self.samples[ceil(len(self.samples) * self.settings.sample_aggregate_percentile) - 1]
         self.samples.clear()
         return float(value)
 
 
-class PublishedGradient(TwoDraws):
-    """The filter before all servers, its refusal at the limit, and two random draws behind it."""
+class PublishedGradient(TwoChoices):
+    """The filter before all servers, which rejects at the limit, and two random choices behind it.
+
+    Args:
+        settings: The node's settings.
+        seed: Of the random choices and the jitter.
+        actions: Carries out what the policy decides.
+    """
 
     def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:
         super().__init__(settings, seed, actions)
         self.controller: GradientController | None = None
 
     def start(self, now: int) -> None:
+        """Starts the controller."""
         super().start(now)
         self.controller = GradientController(GradientSettings(), self.rng, now)
 
-    def admits(self, now: int, klass: int, left: int) -> bool:
+    def admits(self, now: int, request_class: int, remaining: int) -> bool:
+        """Whether the limit admits a request."""
         return self.controller is not None and self.controller.admits(now)
 
-    def began(self, now: int, server: int) -> None:
-        super().began(now, server)
+    def on_attempt_sent(self, now: int, server: int) -> None:
+        """Counts an attempt against the limit."""
+        super().on_attempt_sent(now, server)
         if self.controller is not None:
             self.controller.in_flight += 1
 
-    def ended(self, now: int, server: int, outcome: Outcome, latency: int) -> None:
-        super().ended(now, server, outcome, latency)
+    def on_attempt_ended(self, now: int, server: int, outcome: Outcome, latency: int) -> None:
+        """Takes the latency of an attempt that was not cut short."""
+        super().on_attempt_ended(now, server, outcome, latency)
         if self.controller is not None:
             self.controller.in_flight -= 1
             if outcome in (Outcome.OK, Outcome.TIMEOUT):
--- a/workbench/baselines/local.py
+++ b/workbench/baselines/local.py
@@ -1,7 +1,7 @@
 """A baseline for zone routing: strictly local until the home zone has no servers.
 
-The fleet's shares are measured against it. Nodes that spread their calls over all zones alike are the policy
-alone.
+The shares that the fleet computes are compared with it, and with nodes that spread their calls over all
+zones alike, which is the policy alone.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
     """All calls go to the home zone while it has a server in service, else to the others by their servers."""
 
     def shares(self, now: int) -> dict[str, float]:
-        """Return the part of the calls that goes to each zone."""
+        """Returns the part of the calls that goes to each zone."""
         servers = dict.fromkeys(self.zones(), 0)
         for number, server in self.servers.items():
             servers[server.zone] += number not in self.ejected
@@ -25,5 +25,5 @@
         return {zone: count / total for zone, count in servers.items() if count}
 
     def allows(self, server: int) -> bool:
-        """Return that calls may go to any server."""
+        """Returns True: calls may go to any server."""
         return True
--- a/workbench/baselines/plain.py
+++ b/workbench/baselines/static.py
@@ -1,4 +1,4 @@
-"""Choice without a limit: random, in turn, and the better of two."""
+"""Static baselines: server selection without a concurrency limit."""
 
 from __future__ import annotations
 
@@ -11,26 +11,28 @@
     """Any listed server."""
 
     def choose(self, now: int, ids: Sequence[int]) -> int:
+        """Returns a random server."""
         return ids[int(self.rng.random() * len(ids))]
 
 
 class RoundRobin(Baseline):
     """The listed servers in the order of their ids, from a random one on."""
 
-    place = -1
+    index = -1
 
     def choose(self, now: int, ids: Sequence[int]) -> int:
-        if self.place < 0:
-            self.place = int(self.rng.random() * len(ids))
-        self.place += 1
-        return ids[self.place % len(ids)]
+        """Returns the next server."""
+        if self.index < 0:
+            self.index = int(self.rng.random() * len(ids))
+        self.index += 1
+        return ids[self.index % len(ids)]
 
 
-class TwoDraws(Baseline):
-    """The one of two random servers with fewer of this node's calls in flight (Mitzenmacher's two
-    choices)."""
+class TwoChoices(Baseline):
+    """The one of two random servers with fewer of this node's attempts in flight (Mitzenmacher)."""
 
     def choose(self, now: int, ids: Sequence[int]) -> int:
+        """Returns the less loaded of two random servers."""
         a = ids[int(self.rng.random() * len(ids))]
         b = ids[int(self.rng.random() * len(ids))]
         return b if self.in_flight.get(b, 0) < self.in_flight.get(a, 0) else a
--- a/workbench/cli/simulate.py
+++ b/workbench/cli/simulate.py
@@ -18,7 +18,7 @@
 from workbench.scenario.model import Scenario
 from workbench.simulator.play import Run, play
 
-POLICY_HELP = "Who decides: " + "; ".join(f"{name}, {what}" for name, (_, what) in POLICIES.items()) + "."
+POLICY_HELP = "Who decides: " + "; ".join(f"{n}, {p.description}" for n, p in POLICIES.items()) + "."
 
 
 @click.command()
--- a/workbench/simulator/play.py
+++ b/workbench/simulator/play.py
@@ -50,7 +50,7 @@
 ) -> Run:
     """Plays `day`, which has no ranges, by a policy's name or factory. `follow`: a request's number."""
     named = policy if isinstance(policy, str) else getattr(policy, "__name__", "given")
-    make = POLICIES[policy][0] if isinstance(policy, str) else policy
+    make = POLICIES[policy].make if isinstance(policy, str) else policy
     clock = HeapClock(BEGIN)
     tick = max(1, int(num(day.nodes.tick_ms) * 1000))
     host = Host(clock, tick, make)
