--- a/tests/test_zone_routing.py
+++ b/tests/test_zone_routing.py
@@ -1,60 +1,22 @@
-"""Zone routing: shares by strength and capacity, evacuation by evidence, recovery in steps, directives."""
+"""Zone routing: shares by strength and capacity, evacuation by evidence, recovery in steps."""
 
 import re
-from collections.abc import Callable, Collection, Mapping
-from dataclasses import replace
+from collections.abc import Collection, Mapping
 from pathlib import Path
 from random import Random
-from typing import Any, cast
+from typing import Any
 
 import pytest
-from support import KEYED, SAFE, SEC, Recorder, balancer, end
+from support import SEC
+from zone_routing_support import SETTINGS, USUAL_LATENCY, router_of, run_calls, servers_in, statuses
 
-from balancer.fleet.membership.codec import Codec
-from balancer.fleet.zone_routing.directives import ZoneDirectives
 from balancer.fleet.zone_routing.failure_evidence import Verdict
-from balancer.fleet.zone_routing.messages import (
-    MAX_DIRECTIVES,
-    ZoneDirective,
-    ZoneKind,
-    ZoneMessage,
-    ZoneWire,
-)
 from balancer.fleet.zone_routing.router import ListedServer, ZoneRouter
 from balancer.fleet.zone_routing.settings import ZoneSettings
 from balancer.fleet.zone_routing.zone_states import ZoneStatus
-from balancer.policy import Balancer
-from balancer.policy.gradient import GradientController
-from balancer.policy.interface import Group, ListKind, Outcome, ServerEntry
 
 ROOT = Path(__file__).parent.parent
 LOG_LINE = re.compile(r'log_line\(\s*f?"([^"]+)"')
-SETTINGS = ZoneSettings()
-USUAL_LATENCY = 50_000
-FIRST_SERVER = {zone: 100 * (i + 1) for i, zone in enumerate("abcdef")}
-
-
-def router_of(
-    home: str = "a",
-    settings: ZoneSettings = SETTINGS,
-    rank: float = 0.0,
-    router_class: type[ZoneRouter] = ZoneRouter,
-    **counts: int,
-) -> ZoneRouter:
-    """A router at `home`; the servers of each zone are numbered on from 100, 200, 300."""
-    router = router_class(home, settings, 10 * SEC, 0.2, 0, lambda: rank, lambda line: None)
-    router.update_servers(
-        {
-            FIRST_SERVER[zone] + i: ListedServer(zone, 0)
-            for zone, count in counts.items()
-            for i in range(count)
-        }
-    )
-    return router
-
-
-def servers_in(router: ZoneRouter, zone: str) -> list[int]:
-    return [number for number, server in router.servers.items() if server.zone == zone]
 
 
 def rounded(shares: dict[str, float]) -> dict[str, float]:
@@ -153,43 +115,6 @@
 # ---- evacuation and recovery ------------------------------------------------------------------------------
 
 
-def run_calls(
-    router: ZoneRouter,
-    seconds: int,
-    bad_zones: str = "",
-    calls: int = 40,
-    failure_share: float = 0.5,
-    slowdown: float = 1.0,
-    bad_servers: int | None = None,
-) -> set[str]:
-    """Play calls by the shares, with a tick each half second.
-
-    In `bad_zones` the first `bad_servers` servers, or all, fail a share of their calls and are slower.
-    Returns the zones that were called.
-    """
-    now, rng = router.next_evaluation_at, Random(1)
-    called: set[str] = set()
-    for _ in range(int(seconds * 2)):
-        shares = router.shares(now)
-        for _ in range(calls // 2):
-            zone = rng.choices([*shares], [*shares.values()])[0]
-            servers = servers_in(router, zone)
-            index = rng.randrange(len(servers))
-            is_bad = zone in bad_zones and (bad_servers is None or index < bad_servers)
-            called.add(zone)
-            ok = not (is_bad and rng.random() < failure_share)
-            latency = int(USUAL_LATENCY * (slowdown if is_bad else 1))
-            router.record_outcome(now, servers[index], ok, latency)
-        now = router.next_evaluation_at
-        router.tick(now)
-    return called
-
-
-def statuses(router: ZoneRouter) -> str:
-    """The first letters of the zones' statuses on the page: in, leaving, out, returning."""
-    return "".join(router.states.of(zone).status.value[0] for zone in sorted(router.states.by_zone))
-
-
 @pytest.mark.parametrize(
     ("home", "bad_zones", "fault", "expected"),
     [
@@ -320,82 +245,6 @@
     assert router_of(a=1, b=1).extra_round_trips() == {"b": 0}  # nothing known yet
 
 
-# ---- directives -------------------------------------------------------------------------------------------
-
-
-class DirectivesFleet:
-    """Members that receive one another's directives, except for those partitioned."""
-
-    def __init__(self, count: int) -> None:
-        self.now, self.wall = 0, 10**15
-        self.partitioned: set[str] = set()
-        names = [f"n{i}" for i in range(count)]
-        self.members = {name: self.member(i, name, names) for i, name in enumerate(names)}
-
-    def member(self, seed: int, name: str, names: list[str]) -> ZoneDirectives:
-        others = [other for other in names if other != name]
-        return ZoneDirectives(name, lambda: others, lambda: self.wall, Random(seed), lambda: self.now)
-
-    def run(self, seconds: int) -> list[list[str]]:
-        """The zones evacuated by directive at each member after so many seconds."""
-        for _ in range(seconds):
-            self.now, self.wall = self.now + SEC, self.wall + SEC
-            for name, member in self.members.items():
-                for outgoing in member.tick(self.now):
-                    if not {name, outgoing.to} & self.partitioned:
-                        receiver = self.members[cast(str, outgoing.to)]
-                        receiver.received(cast(ZoneMessage, outgoing.message))
-        return [sorted(member.remaining()) for member in self.members.values()]
-
-
-def test_a_directive_reaches_all_members_lasts_its_duration_and_the_newest_wins() -> None:
-    fleet = DirectivesFleet(5)
-    fleet.partitioned = {"n4"}
-    assert fleet.members["n0"].issue("a", 60 * SEC)
-    assert fleet.run(4) == [["a"]] * 4 + [[]]
-    fleet.partitioned = set()
-    assert fleet.run(20) == [["a"]] * 5  # a member that missed it learns of it all the same
-    fleet.members["n3"].issue("a", 0)
-    assert fleet.run(6) == [[]] * 5
-    fleet.members["n1"].issue("a", 5 * SEC)
-    assert fleet.run(3) == [["a"]] * 5 and fleet.run(8) == [[]] * 5
-    old = ZoneMessage(ZoneKind.DIRECTIVES, "n9", (ZoneDirective("a", 5, 10**17),))
-    fleet.members["n2"].received(old)
-    assert fleet.members["n2"].remaining() == {}
-    for i in range(2 * MAX_DIRECTIVES):
-        fleet.members["n0"].issue(f"z{i}", SEC)
-    assert len(fleet.members["n0"].by_zone) == MAX_DIRECTIVES
-
-
-def test_a_directive_overrides_the_evidence() -> None:
-    router = router_of(a=10, b=10)
-    run_calls(router, 10)
-    router.apply_directives({"a": 60 * SEC})
-    assert set(router.shares(router.next_evaluation_at)) == {"b"} and not router.allows(100)
-    assert run_calls(router, 5) == {"b"}
-    router.apply_directives({})
-    assert router.states.of("a").status == ZoneStatus.RECOVERING
-    assert 0 < router.shares(router.next_evaluation_at)["a"] < 0.1
-    run_calls(router, 40)
-    run_calls(router, 6, "a")  # evacuated by evidence: a directive's end does not undo that, a return does
-    router.apply_directives({"a": SEC})
-    router.apply_directives({})
-    assert router.states.of("a").status == ZoneStatus.EVACUATED
-    router.apply_directives({}, {"a"})
-    assert router.states.of("a").status == ZoneStatus.RECOVERING
-    router.apply_directives({"a": SEC, "b": SEC})
-    assert set(router.shares(router.next_evaluation_at)) == {"a", "b"}  # all evacuated: as if none were
-
-
-def test_directives_are_encoded_and_checked() -> None:
-    codec = Codec([b"k" * 20], [ZoneWire()])
-    message = ZoneMessage(ZoneKind.DIRECTIVES, "a", (ZoneDirective("x" * 64, 1, 2),) * MAX_DIRECTIVES)
-    assert codec.decode(codec.encode(message, SEC), SEC) == message
-    for invalid in (ZoneDirective("", 1, 2), ZoneDirective("x", -1, 2), ZoneDirective("x", 1, 1 << 62)):
-        invalid_message = ZoneMessage(ZoneKind.DIRECTIVES, "a", (invalid,))
-        assert codec.decode(codec.encode(invalid_message, SEC), SEC) is None
-
-
 # ---- log lines ------------------------------------------------------------------------------------------
 
 
@@ -405,98 +254,3 @@
     found = {line for file in sources for line in LOG_LINE.findall(file.read_text())}
     lines = {re.sub(r"\{[^}]+\}", "N", line.replace("{zone}", "Z")) for line in found}
     assert len(lines) == 6 and not {line for line in lines if f"`{line}`" not in page}
-
-
-# ---- the policy with shares -------------------------------------------------------------------------------
-
-
-def policy_with_shares(
-    shares: dict[int, float], extra_round_trips: dict[int, int] | None = None, **changes: Any
-) -> tuple[Balancer, Recorder]:
-    """A policy before thirty servers in zones 0, 1 and 2, and what records its actions."""
-    node, recorder = balancer([ServerEntry(i, zone=i % 3, cell=i) for i in range(1, 31)], **changes)
-    node.zone_shares(1, shares, extra_round_trips or {})
-    return node, recorder
-
-
-def zone_of(server: int) -> int:
-    return server % 3
-
-
-def attempted_servers(
-    node: Balancer,
-    recorder: Recorder,
-    count: int,
-    outcome: Callable[[int], Outcome] = lambda server: Outcome.OK,
-    latency: Callable[[int], int] = lambda server: 10_000,
-) -> list[int]:
-    """Servers in the order of the attempts that went to them, with a request each 20 ms."""
-    servers, now = [], 1000
-    for request in range(count):
-        now += 20_000
-        node.request(now, request, 0, 0, 3 * SEC, False)
-        actions, attempt = recorder.take("send", "refuse", "fail"), 0
-        while actions and actions[0][0] == "send":
-            server = actions[0][2]
-            servers.append(server)
-            elapsed = latency(server)
-            now += elapsed
-            actions = end(node, recorder, now, request, attempt, server, outcome(server), elapsed)
-            attempt += 1
-    return servers
-
-
-def test_calls_go_to_the_zones_by_their_shares() -> None:
-    node, recorder = policy_with_shares({0: 0.7, 1: 0.3, 2: 0.0})
-    zones = [zone_of(server) for server in attempted_servers(node, recorder, 600)]
-    assert 2 not in zones and 0.25 < zones.count(1) / 600 < 0.35
-    node, recorder = balancer([ServerEntry(i, zone=i % 3, cell=i) for i in range(1, 31)])
-    called = {zone_of(server) for server in attempted_servers(node, recorder, 200)}
-    assert called == {0, 1, 2}  # without shares, as ever
-
-
-def test_a_retry_goes_to_another_zone_but_never_to_an_evacuated_one() -> None:
-    def outcome(server: int) -> Outcome:
-        return Outcome.CONNECT_FAILED if zone_of(server) == 0 else Outcome.OK
-
-    node, recorder = policy_with_shares({0: 1.0, 1: 0.0})
-    zones = [zone_of(server) for server in attempted_servers(node, recorder, 40, outcome)]
-    assert zones[:2] == [0, 1] and 2 not in zones
-
-
-def test_a_keyed_request_that_may_have_run_stays_in_its_group() -> None:
-    zone_group = replace(KEYED, group=Group.ZONE, window=3 * SEC)
-    node, recorder = policy_with_shares({0: 1.0, 1: 0.0}, classes=(SAFE, zone_group))
-    for request in range(10):
-        node.request(1000 + request, request, 1, 0, 3 * SEC, False)
-        first = recorder.take("send")[0][2]
-        outcome = Outcome.RESET if zone_of(first) == 0 else Outcome.OK
-        actions = end(node, recorder, 2000 + request, request, 0, first, outcome)
-        assert all(action[0] != "send" or zone_of(action[2]) == zone_of(first) for action in actions)
-
-
-def controller_after_remote_calls(extra_round_trips: dict[int, int]) -> GradientController:
-    """The concurrency controller after three in ten calls have gone to a zone that is 15 ms away."""
-
-    def latency(server: int) -> int:
-        return 20_000 + (15_000 if zone_of(server) == 1 else 0)
-
-    node, recorder = policy_with_shares({0: 0.7, 1: 0.3}, extra_round_trips)
-    attempted_servers(node, recorder, 1500, latency=latency)
-    return node.controller
-
-
-def test_the_extra_round_trip_of_remote_calls_does_not_enter_the_min_rtt() -> None:
-    """Failure prevented: distance is taken for queueing, and the limit follows the remote calls."""
-    known, unknown = controller_after_remote_calls({1: 15_000}), controller_after_remote_calls({})
-    assert max(known.min_rtt) == 20_000 and max(unknown.min_rtt) == 35_000
-    assert known.sample_rtt < unknown.sample_rtt
-
-
-def test_lists_without_the_home_zone_or_with_new_zones_do_no_harm() -> None:
-    node, recorder = policy_with_shares({0: 1.0, 7: 0.0})  # a zone that no server has
-    assert attempted_servers(node, recorder, 20)
-    node.server_list(SEC, ListKind.FULL, [ServerEntry(i, zone=5) for i in range(40, 44)])
-    assert attempted_servers(node, recorder, 3) == []  # no zone may be called until the shares follow
-    node.zone_shares(2 * SEC, {5: 1.0}, {})
-    assert set(attempted_servers(node, recorder, 10)) <= set(range(40, 44))
--- /dev/null
+++ b/tests/zone_routing_support.py
@@ -0,0 +1,75 @@
+"""Routers of calls by zone for tests, and the calls that they are given."""
+
+from random import Random
+
+from support import SEC
+
+from balancer.fleet.zone_routing.router import ListedServer, ZoneRouter
+from balancer.fleet.zone_routing.settings import ZoneSettings
+
+SETTINGS = ZoneSettings()
+USUAL_LATENCY = 50_000
+FIRST_SERVER = {zone: 100 * (i + 1) for i, zone in enumerate("abcdef")}
+
+
+def router_of(
+    home: str = "a",
+    settings: ZoneSettings = SETTINGS,
+    rank: float = 0.0,
+    router_class: type[ZoneRouter] = ZoneRouter,
+    **counts: int,
+) -> ZoneRouter:
+    """A router at `home`; the servers of each zone are numbered on from 100, 200, 300."""
+    router = router_class(home, settings, 10 * SEC, 0.2, 0, lambda: rank, lambda line: None)
+    router.update_servers(
+        {
+            FIRST_SERVER[zone] + i: ListedServer(zone, 0)
+            for zone, count in counts.items()
+            for i in range(count)
+        }
+    )
+    return router
+
+
+def servers_in(router: ZoneRouter, zone: str) -> list[int]:
+    return [number for number, server in router.servers.items() if server.zone == zone]
+
+
+# ---- evacuation and recovery ------------------------------------------------------------------------------
+
+
+def run_calls(
+    router: ZoneRouter,
+    seconds: int,
+    bad_zones: str = "",
+    calls: int = 40,
+    failure_share: float = 0.5,
+    slowdown: float = 1.0,
+    bad_servers: int | None = None,
+) -> set[str]:
+    """Play calls by the shares, with a tick each half second.
+
+    In `bad_zones` the first `bad_servers` servers, or all, fail a share of their calls and are slower.
+    Returns the zones that were called.
+    """
+    now, rng = router.next_evaluation_at, Random(1)
+    called: set[str] = set()
+    for _ in range(int(seconds * 2)):
+        shares = router.shares(now)
+        for _ in range(calls // 2):
+            zone = rng.choices([*shares], [*shares.values()])[0]
+            servers = servers_in(router, zone)
+            index = rng.randrange(len(servers))
+            is_bad = zone in bad_zones and (bad_servers is None or index < bad_servers)
+            called.add(zone)
+            ok = not (is_bad and rng.random() < failure_share)
+            latency = int(USUAL_LATENCY * (slowdown if is_bad else 1))
+            router.record_outcome(now, servers[index], ok, latency)
+        now = router.next_evaluation_at
+        router.tick(now)
+    return called
+
+
+def statuses(router: ZoneRouter) -> str:
+    """The first letters of the zones' statuses on the page: in, leaving, out, returning."""
+    return "".join(router.states.of(zone).status.value[0] for zone in sorted(router.states.by_zone))
