--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -20,6 +20,9 @@
 
 PATIENCE = 20.0  # seconds; only a failure waits so long
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+REJECTED = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
+UNAVAILABLE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+SERVER_ERROR = b"HTTP/1.1 500 Oops\r\nContent-Length: 4\r\n\r\noops"
 MOMENT = 1_000_000
 
 
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -1,15 +1,12 @@
 """What the node reports: each figure against what was done, and the text against Prometheus' own parser."""
 
-from loopback import OK, Bench, Server, always, call, play, until
+from loopback import OK, REJECTED, SERVER_ERROR, Bench, Server, always, call, play, until
 from prometheus_client.parser import text_string_to_metric_families
 from test_management import OPERATED, operate
 
 from balancer.net.discovery.registry import server_number
 from balancer.net.process.counters import Counters
 
-FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
-BROKEN = b"HTTP/1.1 500 Oops\r\nContent-Length: 4\r\n\r\noops"
-
 
 def read(text: bytes) -> dict[str, float]:
     """The figures by name, or by class and state."""
@@ -44,7 +41,9 @@
     """Failure prevented: what was tried again counts as often as it was tried, or a refusal not at all."""
 
     async def scene():
-        bench = await Bench(server := Server(always(FULL, OK, BROKEN, None)), config=OPERATED).start()
+        bench = await Bench(
+            server := Server(always(REJECTED, OK, SERVER_ERROR, None)), config=OPERATED
+        ).start()
         assert (await bench.once(call()))[0] == 200  # at the second attempt
         assert (await bench.once(call("invite")))[0] == 502
         assert (await bench.once(call("offer", budget=0)))[0] == 503
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -11,6 +11,7 @@
     MOMENT,
     OK,
     PATIENCE,
+    REJECTED,
     Bench,
     Late,
     Server,
@@ -26,7 +27,6 @@
 from balancer.net.upstream.connection import Connection
 from balancer.policy.interface import Outcome
 
-FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 LOOPS = pytest.mark.parametrize("run", [uvloop.run, asyncio.run], ids=["uvloop", "asyncio"])
 
 
@@ -189,7 +189,7 @@
 
     async def scene():
         async def full(request, writer):
-            writer.write(FULL)
+            writer.write(REJECTED)
             if end == "fin":
                 writer.write_eof()
             elif end == "reset":
@@ -344,7 +344,7 @@
     """The news comes within the event that chooses: the retry is told as never sent, and goes elsewhere."""
 
     async def scene():
-        servers = [Server(always(FULL)), Server(always(FULL)), Server()]
+        servers = [Server(always(REJECTED)), Server(always(REJECTED)), Server()]
         bench = await Bench(*servers, policy_limits={"max_attempts": 6, "connect_timeout": MOMENT}).start()
         node = bench.node
         send = node.balancer.actions.send
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,7 +9,7 @@
 import struct
 
 import pytest
-from loopback import OK, Bench, Late, Server, always, call, gated, play, until
+from loopback import OK, REJECTED, Bench, Late, Server, always, call, gated, play, until
 
 from balancer.net.downstream import client_connection as node_caller
 from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
@@ -23,7 +23,6 @@
     "where", [{}, FORBIDDEN, LATER], ids=["usual", "no cancel", "later tier"]
 )
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (MAX_BUFFERED_BYTES, bytes(MAX_BUFFERED_BYTES))
-REJECTED = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 
 
 class Leaver:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,6 +16,9 @@
 from loopback import (
     MOMENT,
     OK,
+    REJECTED,
+    SERVER_ERROR,
+    UNAVAILABLE,
     Bench,
     Client,
     Clock,
@@ -43,11 +46,6 @@
 from balancer.net.upstream.exchange import Exchange
 from balancer.policy.interface import ListKind, Outcome
 
-FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
-BUSY = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-BROKEN = b"HTTP/1.1 500 Oops\r\nContent-Length: 4\r\n\r\noops"
-
-
 MANY_LINES = b"GET /view HTTP/1.1\r\n" + b"a: b\r\n" * 1000
 
 
@@ -261,7 +259,7 @@
 
 def test_an_unsafe_request_goes_on_after_being_turned_away():
     async def scene():
-        bench = await Bench(Server(always(FULL)), Server(always(FULL))).start()
+        bench = await Bench(Server(always(REJECTED)), Server(always(REJECTED))).start()
         status, headers, _ = await bench.once(call("invite"))
         assert status == 503 and float(headers["retry-after"]) > 0
         assert sum(len(s.requests) for s in bench.servers) == 3
@@ -269,7 +267,7 @@
     play(scene)
 
 
-@pytest.mark.parametrize("answer", [BUSY, BROKEN])
+@pytest.mark.parametrize("answer", [UNAVAILABLE, SERVER_ERROR])
 def test_an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again(answer):
     """Failure prevented: a 503 of a tier behind, without the mark, is taken for proof that nothing ran."""
 
@@ -687,7 +685,7 @@
     async def scene():
         report = b"inflight=7,latency_ms=1.5"
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(report), report)
-        bench = await Bench(server := Server(always(answer, BUSY))).start()
+        bench = await Bench(server := Server(always(answer, UNAVAILABLE))).start()
         heard = []
         bench.node.balancer.health_checked = lambda now, server, ok, took, values: heard.append(
             (ok, tuple(values))
@@ -758,7 +756,7 @@
     """Failure prevented: a node refuses for minutes, and its log does not say what its limit stood at."""
 
     async def scene():
-        bench = await Bench(Server(always(FULL, OK, BROKEN))).start()
+        bench = await Bench(Server(always(REJECTED, OK, SERVER_ERROR))).start()
         assert (await bench.once(call()))[0] == 200
         assert (await bench.once(call("invite")))[0] == 502
         bench.node.write_stats()
--- a/tests/test_operator_terms_deadline.py
+++ b/tests/test_operator_terms_deadline.py
@@ -6,7 +6,7 @@
 import asyncio
 
 import pytest
-from loopback import OK, Bench, Late, Server, always, call, play, until
+from loopback import OK, REJECTED, Bench, Late, Server, always, call, play, until
 
 from balancer.net.downstream import requests as node_requests
 from balancer.net.downstream.client_connection import MAX_PIPELINED_REQUESTS
@@ -16,7 +16,6 @@
 SLACK = 0.15
 HELD_UP = 0.15  # seconds between the process's reading of a clock and what it does next
 LONG_HEADER = b"X-Filler: %b\r\n" % (b"x" * 1500)
-REJECTED = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 BUDGET = 2.0
 
 
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -4,7 +4,20 @@
 import socket
 
 import pytest
-from loopback import OK, Bench, Client, Clock, Server, always, call, gated, play, record_outcomes, until
+from loopback import (
+    OK,
+    REJECTED,
+    Bench,
+    Client,
+    Clock,
+    Server,
+    always,
+    call,
+    gated,
+    play,
+    record_outcomes,
+    until,
+)
 
 from balancer.net.downstream.client_connection import HEAD_TIMEOUT_S, LINGER_S
 from balancer.net.process.memory_budget import MAX_CHUNK_BYTES, MIN_CHUNK_BYTES, MIN_HELD_BYTES, MemoryBudget
@@ -13,7 +26,6 @@
 from balancer.policy.interface import Outcome
 
 LONG = bytes(range(256)) * 4096  # 1 MiB
-FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 HEAD = b"HTTP/1.1 200 OK\r\n"
 
 
@@ -324,7 +336,7 @@
 
 def test_a_short_body_in_chunks_is_taken_whole():
     async def scene():
-        bench = await Bench(first := Raw(FULL), second := Raw(FULL)).start()
+        bench = await Bench(first := Raw(REJECTED), second := Raw(REJECTED)).start()
         client = await bench.client()
         client.send(upload(chunks(b"x" * 3000, 7), b"Transfer-Encoding: chunked"))
         assert (await receive(client))[0].startswith(b"HTTP/1.1 503 ")
