--- /dev/null
+++ b/tests/test_streaming_timeouts.py
@@ -0,0 +1,168 @@
+"""The time that a client has for its bodies and its last response, and the room that they may take."""
+
+import asyncio
+import socket
+
+import pytest
+from loopback import Bench, Clock, Server, call, gated, play, until
+from streaming_support import HEAD, LONG, RawServer, chunks, receive, upload
+
+from balancer.net.downstream.client_connection import HEAD_TIMEOUT_S, LINGER_S
+from balancer.net.process.memory_budget import MAX_CHUNK_BYTES, MIN_CHUNK_BYTES, MIN_HELD_BYTES, MemoryBudget
+
+# ---- the client's time -------------------------------------------------------------------------------
+
+
+def test_a_client_that_expects_100_continue_gets_it_when_there_is_a_server():
+    async def scene():
+        bench = await Bench(server := RawServer()).start()
+        client = await bench.client()
+        for body in (LONG, b"short"):
+            head, _, rest = upload(
+                body, b"Content-Length: %d" % len(body), b"Expect: 100-continue\r\n"
+            ).partition(b"\r\n\r\n")
+            client.send(head + b"\r\n\r\n")
+            assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
+            client.send(rest)
+            assert (await receive(client))[1] == b"ok"
+        assert server.bodies == [LONG, b"short"]
+        client.send(head.replace(b"/offer", b"/nothing").replace(b": 5", b": 99999") + b"\r\n\r\n")
+        head, _ = await receive(client)  # the response, and no 100 Continue before it
+        assert head.startswith(b"HTTP/1.1 404 ")
+
+    play(scene)
+
+
+def test_100_continue_does_not_come_before_an_earlier_response():
+    async def scene():
+        release = asyncio.Event()
+
+        bench = await Bench(server := Server(gated(release))).start()
+        client = await bench.client()
+        head, _, rest = upload(b"x", b"Content-Length: 1", b"Expect: 100-continue\r\n").partition(b"\r\n\r\n")
+        client.send(call() + head + b"\r\n\r\n")
+        await until(lambda: len(server.requests) == 1)
+        release.set()
+        assert (await client.receive())[2] == b"ok"
+        assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
+        client.send(rest)
+        assert (await client.receive())[2] == b"ok"
+
+    play(scene)
+
+
+def test_a_body_must_get_on_and_one_that_does_is_kept(monkeypatch):
+    """Failure prevented: a slow client is cut off though it writes, or a silent one holds a server."""
+
+    async def scene():
+        bench = await Bench(server := RawServer()).start()
+        client_connections = bench.node.client_connections
+        client = await bench.client()
+        data = upload(LONG, b"Content-Length: %d" % (2 * len(LONG)))
+        client.send(data)
+        await until(lambda: bool(client_connections.connections) and bool(server.heads))
+        (client_connection,) = client_connections.connections
+        (request,) = bench.node.requests.pending.values()
+        await until(
+            lambda: (
+                client_connection.read_deadline is not None
+                and not client_connection.unparsed
+                and not client_connection.reading_paused
+            )
+        )
+        client_connection.body_bytes, now = len(LONG), bench.node.loop.time()
+        monkeypatch.setattr(client_connections, "loop", Clock(bench.node.loop, now + HEAD_TIMEOUT_S + 1))
+        client_connections.sweep()
+        assert not client_connection.reading_stopped and client_connection.body_bytes == 0
+        monkeypatch.setattr(client_connections, "loop", Clock(bench.node.loop, now + 2 * HEAD_TIMEOUT_S + 2))
+        client_connections.sweep()
+        head, _ = await receive(client)
+        assert head.startswith(b"HTTP/1.1 408 ") and await client.ended()
+        await until(lambda: server.closed == 1 and not bench.node.requests.pending)
+        assert request.client is None and not server.bodies
+
+    play(scene)
+
+
+def test_a_client_that_reads_its_last_answer_slowly_gets_all_of_it(monkeypatch):
+    """Failure prevented: the connection is ended while a part of the answer is still in the process."""
+    monkeypatch.setattr("balancer.net.downstream.client_connection.LINGER_S", 0.0)
+
+    async def scene():
+        body = LONG * 16
+        answer = HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body
+        bench = await Bench(RawServer(answer)).start()
+        client = await bench.client()
+        client.writer.transport.pause_reading()
+        client.send(call(extra=b"Connection: close\r\n"))
+        await until(lambda: any(r.stream for r in bench.node.requests.pending.values()))
+        (client_connection,) = bench.node.client_connections.connections
+        await until(lambda: client_connection.write_blocked)
+        client.writer.transport.resume_reading()
+        assert (await receive(client))[1] == body
+
+    play(scene)
+
+
+def test_a_cut_connection_without_an_end_of_its_own_is_reset():
+    """Failure prevented: to a client that knows no chunks the end of a broken answer looks whole."""
+
+    async def scene():
+        half = HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(LONG, 9000)[: len(LONG) // 2]
+        bench = await Bench(RawServer(half, close=True)).start()
+        with socket.create_connection(("127.0.0.1", bench.port)) as plain:
+            plain.setblocking(False)
+            plain.send(call().replace(b"HTTP/1.1", b"HTTP/1.0"))
+            loop = asyncio.get_running_loop()
+            with pytest.raises(ConnectionResetError):
+                async with asyncio.timeout(20):
+                    while await loop.sock_recv(plain, 65536):
+                        pass
+
+    play(scene)
+
+
+def test_a_client_that_is_refused_while_it_writes_may_finish_writing(monkeypatch):
+    """Failure prevented: it is cut off before it has looked for an answer."""
+
+    async def scene():
+        bench = await Bench().start()  # no servers: every request is refused
+        client_connections = bench.node.client_connections
+        client = await bench.client()
+        data = upload(LONG, b"Content-Length: %d" % len(LONG))
+        client.send(data[:100_000])
+        await until(lambda: any(c.finished_at for c in client_connections.connections))
+        (client_connection,) = client_connections.connections
+        monkeypatch.setattr(
+            client_connections,
+            "loop",
+            Clock(bench.node.loop, client_connection.last_active_at + 0.9 * LINGER_S),
+        )
+        client_connection.linger(client_connection.finished_at, 0)
+        assert not client_connection.transport.is_closing()
+        head, _ = await receive(client)
+        assert head.startswith(b"HTTP/1.1 503 ") and b"Retry-After" in head
+        assert client_connection.eviction_priority(client_connections.loop.time()) == (
+            0,
+            client_connection.finished_at,
+        )  # it gives way first
+        monkeypatch.setattr(
+            client_connections,
+            "loop",
+            Clock(bench.node.loop, client_connection.last_active_at + 1.1 * LINGER_S),
+        )
+        client_connection.linger(client_connection.finished_at, 0)
+        assert client_connection.transport.is_closing()
+
+    play(scene)
+
+
+# ---- room --------------------------------------------------------------------------------------------
+
+
+@pytest.mark.parametrize(("memory", "sockets"), [(16, 64), (32, 256), (80, 384), (192, 1024)])
+def test_what_may_be_held_follows_from_the_limits(memory, sockets):
+    memory_budget = MemoryBudget(memory << 20, sockets)
+    assert MIN_HELD_BYTES <= memory_budget.max_held_bytes <= max(MIN_HELD_BYTES, memory << 18)
+    assert MIN_CHUNK_BYTES <= memory_budget.chunk_bytes <= MAX_CHUNK_BYTES
+    assert memory_budget.chunk_bytes * sockets <= max(memory_budget.max_held_bytes, MIN_CHUNK_BYTES * sockets)
