--- /dev/null
+++ b/tests/test_scale_run_cleanup.py
@@ -0,0 +1,74 @@
+"""The command `scale run` leaves no process and no port behind when its parent ends."""
+
+import os
+import signal
+import subprocess
+import time
+from pathlib import Path
+
+import pytest
+from scale_support import PATIENCE, command
+
+
+def children(pid):
+    """Processes whose parent this is."""
+    found = []
+    for stat in Path("/proc").glob("[0-9]*/stat"):
+        try:
+            fields = stat.read_text().rpartition(")")[2].split()
+        except OSError:
+            continue
+        if int(fields[1]) == pid and fields[0] not in "ZX":
+            found.append(int(stat.parent.name))
+    return found
+
+
+def running(pid):
+    try:
+        return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] not in "ZX"
+    except OSError:
+        return False
+
+
+def ports_of(pids):
+    """UDP ports that these processes hold."""
+    inodes = set()
+    for pid in pids:
+        for descriptor in Path(f"/proc/{pid}/fd").glob("*"):
+            try:
+                inodes.add(os.readlink(descriptor))
+            except OSError:
+                continue
+    lines = [line.split() for line in Path("/proc/net/udp").read_text().splitlines()[1:]]
+    return {line[1] for line in lines if f"socket:[{line[9]}]" in inodes}
+
+
+def ports():
+    return {line.split()[1] for line in Path("/proc/net/udp").read_text().splitlines()[1:]}
+
+
+def wait_for(condition):
+    end = time.monotonic() + PATIENCE
+    while not condition():
+        assert time.monotonic() < end, "waited in vain"
+        time.sleep(0.02)
+
+
+@pytest.mark.parametrize("how", [signal.SIGINT, signal.SIGKILL])
+def test_nothing_is_left_behind_when_the_parent_ends(how, tmp_path):
+    """Failure prevented: members of a killed run go on by themselves and hold their ports."""
+    words = ("--hollow", 20, "--real", 1, "--workers", 2, "--seconds", 60, "--period-ms", 200)
+    env = os.environ | {"TMPDIR": str(tmp_path)}  # a killed parent's folder stays
+    parent = subprocess.Popen(command(*words), env=env, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
+    try:
+        wait_for(lambda: len(ports_of(children(parent.pid))) == 21)  # every member has its port
+        pids = children(parent.pid)
+        held = ports_of(pids)
+        assert len(pids) == 4  # two workers, the idle one and the node
+        parent.send_signal(how)
+        assert parent.wait(PATIENCE) == (130 if how == signal.SIGINT else -signal.SIGKILL)
+    finally:
+        parent.kill()
+        parent.wait()
+    wait_for(lambda: not any(map(running, pids)))
+    wait_for(lambda: not held & ports())  # a killed process's other threads may let go a moment later
