--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,7 +14,7 @@
 
 
 @pytest.fixture(autouse=True)
-def patient_watch(monkeypatch) -> int:
+def patient_watch(monkeypatch: pytest.MonkeyPatch) -> int:
     """Discovery's stand-in may be silent for as long as a test takes. The value is the wait in service."""
     served = client.MAX_WATCH_MS
     monkeypatch.setattr(client, "MAX_WATCH_MS", 20_000)
@@ -22,13 +22,13 @@
 
 
 @pytest.fixture
-def wide(monkeypatch) -> None:
+def wide(monkeypatch: pytest.MonkeyPatch) -> None:
     """All servers of a small list are members."""
     monkeypatch.setattr(subset, "MIN_SUBSET_SIZE", 24)
 
 
 @pytest.fixture
-def frequent_retries(monkeypatch) -> None:
+def frequent_retries(monkeypatch: pytest.MonkeyPatch) -> None:
     """Retries come soon, so that a test can have many of them."""
     for module in (listener, exchange, system_faults):
         monkeypatch.setattr(module, "RETRY_INTERVAL", RETRY_INTERVAL_S)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -7,16 +7,17 @@
 import os
 import socket
 import sys
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Sequence
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, cast
 
 import uvloop
 
 from balancer.net.config import read
 from balancer.net.node import Node
 from balancer.net.upstream.connection import Connection
+from balancer.policy.interface import Outcome
 
 PATIENCE = 20.0  # seconds; only a failure waits so long
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -25,6 +26,8 @@
 SERVER_ERROR = b"HTTP/1.1 500 Oops\r\nContent-Length: 4\r\n\r\noops"
 MOMENT = 1_000_000
 
+Table = dict[str, Any]  # a table of the configuration, or a line of a list
+
 
 def settings(**changes: Any) -> dict[str, Any]:
     """The settings object of the tests; `policy_limits` are merged."""
@@ -211,7 +214,7 @@
         await self.discovery.start()
         for server in self.servers:
             await server.start()
-        known = {"version": 41, "full": True}
+        known: dict[str, Any] = {"version": 41, "full": True}
         known["servers"] = [s.entry(f"s{i}") for i, s in enumerate(self.servers)]
         table = {
             "name": "n0",
@@ -262,14 +265,14 @@
 class Clock:
     """An event loop that a test has set to another time."""
 
-    def __init__(self, loop, now):
+    def __init__(self, loop: asyncio.AbstractEventLoop, now: float) -> None:
         self.loop = loop
         self.now = now
 
-    def time(self):
+    def time(self) -> float:
         return self.now
 
-    def __getattr__(self, name):
+    def __getattr__(self, name: str) -> Any:
         return getattr(self.loop, name)
 
 
@@ -281,12 +284,12 @@
         self.up = asyncio.Event()
         self.asked = asyncio.Event()
 
-    async def create_connection(self, *args):
+    async def create_connection(self, *args: Any) -> Any:
         self.asked.set()
         await self.up.wait()
         return await self.loop.create_connection(*args)
 
-    def __getattr__(self, name):
+    def __getattr__(self, name: str) -> Any:
         return getattr(self.loop, name)
 
 
@@ -312,11 +315,11 @@
     return listener
 
 
-def always(*answers: bytes | None):
+def always(*answers: bytes | None) -> Handle:
     """A handle that gives these answers in turn, the last one for good."""
     left = list(answers)
 
-    async def handle(request, writer):
+    async def handle(request: Request, writer: asyncio.StreamWriter) -> bytes | None:
         return left.pop(0) if len(left) > 1 else left[0]
 
     return handle
@@ -325,27 +328,36 @@
 def gated(release: asyncio.Event) -> Handle:
     """A handle that answers once the test has released it."""
 
-    async def handle(request, writer):
+    async def handle(request: Request, writer: asyncio.StreamWriter) -> bytes | None:
         await release.wait()
         return OK
 
     return handle
 
 
-def record_outcomes(bench):
-    """The outcomes that the module is told from here on."""
-    outcomes = []
-    told = bench.node.balancer.outcome
-
-    def outcome(now, request, attempt, server, outcome, *rest):
+def record_outcomes(bench: Bench) -> list[Outcome]:
+    """The outcomes that the policy is notified of from here on."""
+    outcomes: list[Outcome] = []
+    notified = bench.node.balancer.outcome
+
+    def outcome(
+        now: int,
+        request: int,
+        attempt: int,
+        server: int,
+        outcome: Outcome,
+        latency: int,
+        final: bool,
+        report: Sequence[float],
+    ) -> None:
         outcomes.append(outcome)
-        told(now, request, attempt, server, outcome, *rest)
+        notified(now, request, attempt, server, outcome, latency, final, report)
 
-    bench.node.balancer.outcome = outcome
+    bench.node.balancer.outcome = outcome  # type: ignore[method-assign]  # the policy as it is, and a record
     return outcomes
 
 
-def node_table(discovery: int, given: dict, listen: str = "127.0.0.1:0", *servers: dict) -> dict:
+def node_table(discovery: int, given: Table, listen: str = "127.0.0.1:0", *servers: Table) -> Table:
     known = {"version": 1, "full": True, "servers": list(servers)}
     table = {"name": "n0", "listen": listen, "discovery": f"127.0.0.1:{discovery}", "seed": "1f"}
     return table | {"limits": {"sockets": 256}, "known": known, "settings": given}
@@ -357,7 +369,7 @@
     s.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     s.bind(("127.0.0.1", 0))
     HELD.append(s)
-    return s.getsockname()[1]
+    return cast(int, s.getsockname()[1])
 
 
 async def connected(client: Client) -> None:
@@ -382,7 +394,7 @@
 
 
 async def spawn(
-    tmp_path, table: dict, fds: tuple[int, ...] = (), program: Program = TODAY, **env: str
+    tmp_path: Path, table: Table, fds: tuple[int, ...] = (), program: Program = TODAY, **env: str
 ) -> asyncio.subprocess.Process:
     """The program as it is run, with these descriptors inherited."""
     file = tmp_path / "config.json"
--- a/tests/support.py
+++ b/tests/support.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import replace
+from typing import Any
 
 from balancer.policy import Balancer
 from balancer.policy.interface import ClassSettings, Effect, Group, ListKind, Outcome, ServerEntry, Settings
@@ -36,20 +38,25 @@
 BEFORE_RENAMING = "6291dd7"  # the last revision whose node is the package `brackenladder`
 
 
+Action = tuple[Any, ...]  # its name and its arguments
+
+
 class Recorder:
     def __init__(self) -> None:
-        self.calls: list[tuple] = []
+        self.calls: list[Action] = []
 
-    def __getattr__(self, name: str):
+    def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *args: self.calls.append((name, *args))
 
-    def take(self, *names: str) -> list[tuple]:
+    def take(self, *names: str) -> list[Action]:
         """The calls since the last take, of these names if any are given."""
         calls, self.calls = self.calls, []
         return [c for c in calls if not names or c[0] in names]
 
 
-def balancer(servers: int | list[ServerEntry] = 4, seed: int = 1, **changes) -> tuple[Balancer, Recorder]:
+def balancer(
+    servers: int | list[ServerEntry] = 4, seed: int = 1, **changes: Any
+) -> tuple[Balancer, Recorder]:
     recorder = Recorder()
     node = Balancer(replace(BASE, **changes), seed, recorder)
     node.start(0)
@@ -66,7 +73,7 @@
     request: int,
     request_class: int = 0,
     remaining: int = 3 * SEC,
-) -> tuple:
+) -> Action:
     """Sends a request in and returns the one action it leads to."""
     node.request(now, request, request_class, 0, remaining, False)
     (action,) = recorder.take("send", "reject", "fail")
@@ -82,7 +89,7 @@
     server: int,
     outcome: Outcome,
     latency: int = 10_000,
-) -> list[tuple]:
+) -> list[Action]:
     final = outcome == Outcome.OK
     node.outcome(now, request, attempt, server, outcome, latency, final, ())
     return recorder.take("send", "reject", "fail")
--- a/tests/system_call_faults.py
+++ b/tests/system_call_faults.py
@@ -38,7 +38,16 @@
 
 SHORTAGES = (EMFILE, ENFILE, ENOBUFS, ENOMEM)
 # accept(2): errors of the new connection itself come out of the call on Linux.
-LOST_IN_QUEUE = (ECONNABORTED, ENETDOWN, EPROTO, ENOPROTOOPT, EHOSTDOWN, ENONET, EHOSTUNREACH, EOPNOTSUPP)
+LOST_IN_QUEUE: tuple[int, ...] = (
+    ECONNABORTED,
+    ENETDOWN,
+    EPROTO,
+    ENOPROTOOPT,
+    EHOSTDOWN,
+    ENONET,
+    EHOSTUNREACH,
+    EOPNOTSUPP,
+)
 LOST_IN_QUEUE += (ENETUNREACH, EPERM, ETIMEDOUT)
 ACCEPT = SHORTAGES + LOST_IN_QUEUE
 CONNECT_HERE = SHORTAGES + (EADDRNOTAVAIL,)  # nothing has left this machine
--- a/tests/test_clock_faults.py
+++ b/tests/test_clock_faults.py
@@ -3,17 +3,17 @@
 import pytest
 
 from workbench.explore.clock_faults import APART, FIRST_AT, STEPS_S, ClockStep
-from workbench.explore.clocks import play
+from workbench.explore.clocks import Story, play
 from workbench.explore.runtime_net import SECOND
 
 
-def found(story):
+def found(story: Story) -> list[str]:
     """What did not hold, in words."""
     return [str(broken) for broken in story.broken]
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
-def test_every_property_holds_while_processes_run_and_restart_with_stepped_clocks(step_s):
+def test_every_property_holds_while_processes_run_and_restart_with_stepped_clocks(step_s: int) -> None:
     """Failure prevented: a process whose wall clock steps is unheard, taken for its last life, replaced again
     and again, or the only one that follows its directives."""
     steps = [
@@ -24,7 +24,7 @@
     assert found(play(1, steps)) == []
 
 
-def test_every_property_holds_after_a_step_of_an_hour_that_is_taken_back():
+def test_every_property_holds_after_a_step_of_an_hour_that_is_taken_back() -> None:
     """Failure prevented: a clock that was an hour fast is set right, and its process stays unheard for the
     hour; or the next life is below the one before."""
     steps = [
@@ -35,6 +35,6 @@
     assert found(play(2, steps)) == []
 
 
-def test_drawn_steps_that_broke_properties_break_none():
+def test_drawn_steps_that_broke_properties_break_none() -> None:
     """The first drawn seed in which a process that ran on was held dead and a new life was not believed."""
     assert found(play(4)) == []
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -46,8 +46,8 @@
 
 
 @pytest.mark.parametrize("change", CUSTOMERS.values(), ids=list(CUSTOMERS))
-def test_each_effect_is_served_whatever_else_the_settings_say(change):
-    async def scene():
+def test_each_effect_is_served_whatever_else_the_settings_say(change: dict[str, Any]) -> None:
+    async def scene() -> None:
         bench = await Bench(server := Server(), **copy.deepcopy(change)).start()
         for klass in ("view", "invite", "offer"):
             assert (await bench.once(call(klass, budget=20_000)))[0] == 200
@@ -59,10 +59,10 @@
 
 @pytest.mark.parametrize("effect", ["free", "guarded", "single_shot", "of another age"])
 @pytest.mark.parametrize("name", ["view", "a-b_c.d", "%C4%93"])
-def test_a_class_has_the_name_and_the_effect_that_the_settings_give_it(effect, name):
+def test_a_class_has_the_name_and_the_effect_that_the_settings_give_it(effect: str, name: str) -> None:
     """Failure prevented: a name or an effect that one customer uses is taken for granted at another."""
 
-    async def scene():
+    async def scene() -> None:
         (klass,) = settings()["classes"][:1]
         bench = await Bench(server := Server(), classes=[klass | {"name": name, "effect": effect}]).start()
         lines = b"Host: a\r\nX-Call-Id: 1\r\nX-Caller: acme\r\nX-Budget-Ms: 9000\r\nIdempotency-Key: 1\r\n"
@@ -78,8 +78,8 @@
     play(scene)
 
 
-def test_one_open_request_at_a_time_where_the_settings_allow_one():
-    async def scene():
+def test_one_open_request_at_a_time_where_the_settings_allow_one() -> None:
+    async def scene() -> None:
         release = asyncio.Event()
         bench = await Bench(server := Server(gated(release)), policy_limits={"max_open": 1}).start()
         first = await bench.client()
@@ -92,10 +92,10 @@
     play(scene)
 
 
-def test_two_nodes_of_two_customers_in_one_process_share_nothing():
+def test_two_nodes_of_two_customers_in_one_process_share_nothing() -> None:
     """What one was told of classes, servers and tenants never shows at the other."""
 
-    async def scene():
+    async def scene() -> None:
         (klass,) = settings()["classes"][:1]
         one = await Bench(Server()).start()
         other = await Bench(
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -68,7 +68,9 @@
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_just_the_named_tests_are_passed_over_and_printed(suites, case):
+def test_just_the_named_tests_are_passed_over_and_printed(
+    suites: dict[str, subprocess.Popen[str]], case: str
+) -> None:
     _, code, words = CASES[case]
     printed, _ = suites[case].communicate(timeout=60)
     assert suites[case].returncode == code and words in printed
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -6,6 +6,7 @@
 import signal
 import subprocess
 import sys
+from pathlib import Path
 
 import pytest
 from loopback import (
@@ -34,7 +35,9 @@
         ([], {"LB_CONFIG": "no/such.json"}, 2, ("no/such.json: No such file", "--help")),
     ],
 )
-def test_a_newcomer_is_told_what_to_do_next(args, env, status, words):
+def test_a_newcomer_is_told_what_to_do_next(
+    args: list[str], env: dict[str, str], status: int, words: tuple[str, ...]
+) -> None:
     clean = {k: v for k, v in os.environ.items() if not k.startswith("LB_")}
     done = subprocess.run(
         [sys.executable, "-m", "balancer", *args],
@@ -48,7 +51,7 @@
     assert status == 0 or out.count("\n") == 1
 
 
-def test_bad_configuration_is_one_plain_line(tmp_path):
+def test_bad_configuration_is_one_plain_line(tmp_path: Path) -> None:
     file = tmp_path / "config.json"
     with pytest.raises(ConfigError, match="not set"):
         load({})
@@ -63,8 +66,8 @@
         read(node_table(0, settings(policy_limits={"max_attempts": None})))
 
 
-def test_the_program_says_what_it_cannot_start_with(tmp_path):
-    async def scene():
+def test_the_program_says_what_it_cannot_start_with(tmp_path: Path) -> None:
+    async def scene() -> None:
         process = await spawn(tmp_path, {"name": "n0"})
         _, errors = await process.communicate()
         assert process.returncode == 2
@@ -73,10 +76,12 @@
     play(scene)
 
 
-def test_sighup_moves_the_watch_to_the_address_in_the_file(tmp_path, monkeypatch):
+def test_sighup_moves_the_watch_to_the_address_in_the_file(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Failure prevented: the signal ends the node, or it goes on watching an address that is given up."""
 
-    async def scene():
+    async def scene() -> None:
         await (old := Server()).start()
         await (new := Server()).start()
         await (first := Discovery()).start()
@@ -106,10 +111,10 @@
     play(scene)
 
 
-def test_a_killed_node_starts_again_under_its_address(tmp_path):
+def test_a_killed_node_starts_again_under_its_address(tmp_path: Path) -> None:
     """Failure prevented: what is left of the old process's connections keeps the new one from listening."""
 
-    async def scene():
+    async def scene() -> None:
         await (server := Server()).start()
         await (discovery := Discovery()).start()
         port = free_port()
--- a/tests/test_node_shutdown.py
+++ b/tests/test_node_shutdown.py
@@ -3,6 +3,7 @@
 import asyncio
 import signal
 import socket
+from pathlib import Path
 
 import pytest
 from loopback import (
@@ -22,10 +23,10 @@
 )
 
 
-def test_sigterm_answers_what_is_open_and_ends_with_status_0(tmp_path):
+def test_sigterm_answers_what_is_open_and_ends_with_status_0(tmp_path: Path) -> None:
     """Failure prevented: a request that is out is lost at a planned restart, or the second signal ends it."""
 
-    async def scene():
+    async def scene() -> None:
         release = asyncio.Event()
 
         await (server := Server(gated(release))).start()
@@ -50,11 +51,11 @@
     play(scene)
 
 
-def test_a_node_that_ends_answers_all_that_it_has_taken(monkeypatch):
+def test_a_node_that_ends_answers_all_that_it_has_taken(monkeypatch: pytest.MonkeyPatch) -> None:
     """Failure prevented: requests that come late, or that wait in the backlog, are lost at a planned restart;
     an idle client is reset."""
 
-    async def scene():
+    async def scene() -> None:
         release = asyncio.Event()
 
         # New ones are taken until the test says so.
@@ -91,10 +92,10 @@
     play(scene)
 
 
-def test_a_planned_restart_under_load_loses_nothing(monkeypatch):
+def test_a_planned_restart_under_load_loses_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """Failure prevented: a client that uses its connection just as the node ends is reset or left unheard."""
 
-    async def scene():
+    async def scene() -> None:
         # Nobody here is idle, however slow the machine, and new ones are taken until the test says so.
         monkeypatch.setattr("balancer.net.downstream.client_connections.ACCEPT_AFTER_TERM_S", 600.0)
         monkeypatch.setattr("balancer.net.downstream.client_connections.SETTLE_S", 600.0)
@@ -128,10 +129,10 @@
     play(scene)
 
 
-def test_a_client_that_has_just_sent_is_not_idle():
+def test_a_client_that_has_just_sent_is_not_idle() -> None:
     """Failure prevented: closing its connection at a planned restart resets it and loses the request."""
 
-    async def scene():
+    async def scene() -> None:
         bench = await Bench(Server()).start()
         with socket.create_connection(("127.0.0.1", bench.port)) as client:
             await until(lambda: any(c.transport for c in bench.node.client_connections.connections))
--- a/tests/test_operator_terms_leaving.py
+++ b/tests/test_operator_terms_leaving.py
@@ -3,6 +3,7 @@
 import asyncio
 import socket
 import struct
+from typing import cast
 
 import pytest
 from loopback import Bench, Late, Server, call, play, small_listener, small_sends, until
@@ -36,11 +37,13 @@
 
 @ENDS
 @CANCEL
-def test_the_rest_of_a_request_goes_nowhere_once_its_client_has_gone(cancel, how, monkeypatch):
+def test_the_rest_of_a_request_goes_nowhere_once_its_client_has_gone(
+    cancel: bool, how: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The server takes a part of the request, the client leaves, and then the server takes all it can get."""
     small_sends(monkeypatch)
 
-    async def scene():
+    async def scene() -> None:
         listener = small_listener()
         changes = {"policy_limits": {"cancel": cancel}}
         bench = await Bench(other := Server(), config={"known": None}, **changes).start()
@@ -71,12 +74,15 @@
 @CANCEL
 @pytest.mark.parametrize("version", [b"1.0", b"1.1"])
 @pytest.mark.parametrize("draining", [False, True], ids=["serving", "draining"])
-def test_no_attempt_begins_once_the_client_has_gone(draining, version, cancel, how):
+def test_no_attempt_begins_once_the_client_has_gone(
+    draining: bool, version: bytes, cancel: bool, how: str
+) -> None:
     """Its connection to a server comes up after the client's end."""
 
-    async def scene():
+    async def scene() -> None:
         bench = await Bench(server := Server(), policy_limits={"cancel": cancel}).start()
-        bench.node.pool.loop = late = Late(asyncio.get_running_loop())
+        late = Late(asyncio.get_running_loop())
+        bench.node.pool.loop = cast(asyncio.AbstractEventLoop, late)
         client = socket.create_connection(("127.0.0.1", bench.port))
         client.sendall(call().replace(b"HTTP/1.1", b"HTTP/" + version))
         await late.asked.wait()
--- a/tests/test_operator_terms_stopping.py
+++ b/tests/test_operator_terms_stopping.py
@@ -19,10 +19,12 @@
 
 @pytest.mark.parametrize("sent", HALVES.values(), ids=list(HALVES))
 @pytest.mark.parametrize("at", [0.0, 1.0, 1.9, 2.15])
-def test_a_client_that_stops_in_a_request_and_stays_gets_an_error_in_time(at, sent, monkeypatch):
+def test_a_client_that_stops_in_a_request_and_stays_gets_an_error_in_time(
+    at: float, sent: bytes, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """It connects, sends a part so long after, and says nothing more."""
 
-    async def scene():
+    async def scene() -> None:
         bench = await Bench(Server()).start()
         callers = bench.node.client_connections
         clock = Clock(bench.node.loop, bench.node.loop.time())
@@ -48,10 +50,10 @@
     play(scene)
 
 
-def test_a_body_that_still_comes_as_it_is_due_is_waited_for(monkeypatch):
+def test_a_body_that_still_comes_as_it_is_due_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
     """It comes in pieces, up to twice the time that a head may take."""
 
-    async def scene():
+    async def scene() -> None:
         bench = await Bench(server := Server()).start()
         callers = bench.node.client_connections
         clock = Clock(bench.node.loop, bench.node.loop.time())
--- a/tests/test_policy_ejection.py
+++ b/tests/test_policy_ejection.py
@@ -6,7 +6,7 @@
 from balancer.policy.interface import ListKind, Outcome, ServerEntry, State
 
 
-def test_a_drained_server_that_fails_gets_no_trial():
+def test_a_drained_server_that_fails_gets_no_trial() -> None:
     """A drained server's last calls fail; ejected after its removal it would get a half-open trial."""
     node, rec = balancer(4)
     held = []
@@ -24,7 +24,7 @@
         end(node, rec, i * SEC, i, 0, server, Outcome.OK)
 
 
-def test_a_member_that_fails_quickly_is_ejected_and_tried_again():
+def test_a_member_that_fails_quickly_is_ejected_and_tried_again() -> None:
     """Quick errors hold few calls and would win every draw."""
     node, rec = balancer(6)
     now, bad = 0, 0
@@ -44,7 +44,7 @@
     assert not node.servers[3].ejected and node.servers[3].calls > before
 
 
-def test_a_silent_member_is_ejected_and_frees_the_limit():
+def test_a_silent_member_is_ejected_and_frees_the_limit() -> None:
     """Calls stuck on a silent member must not fill the limit for all the others."""
     node, rec = balancer(6)
     now, out = 0, []
@@ -61,14 +61,14 @@
 
 
 @pytest.mark.usefixtures("wide")
-def test_no_more_than_a_third_of_the_members_is_ejected():
+def test_no_more_than_a_third_of_the_members_is_ejected() -> None:
     node, rec = balancer(9)
     for server in range(1, 10):
         node.ejection.eject(0, node.servers[server], silent=False)
     assert len(node.ejection.ejected) == 3
 
 
-def test_a_restarted_server_is_judged_anew():
+def test_a_restarted_server_is_judged_anew() -> None:
     node, rec = balancer(4)
     node.ejection.eject(0, node.servers[1], silent=False)
     node.servers[1].deviation.value = 5.0
@@ -77,7 +77,7 @@
     assert node.servers[1].slow_start_until == SEC - 1 + 4 * SEC
 
 
-def test_a_trial_costs_the_request_little_and_is_never_an_unsafe_one():
+def test_a_trial_costs_the_request_little_and_is_never_an_unsafe_one() -> None:
     node, rec = balancer(4)
     node.ejection.eject(0, node.servers[1], silent=True)
     assert ask(node, rec, 5 * SEC, 1, request_class=2)[2] != 1
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.CANCELLED, Outcome.NOT_SENT])
-def test_a_trial_that_came_to_nothing_is_followed_by_another(outcome):
+def test_a_trial_that_came_to_nothing_is_followed_by_another(outcome: Outcome) -> None:
     """Failure prevented: a client leaves during a trial, and the server stays ejected for good."""
     node, rec = balancer(4)
     node.ejection.eject(0, node.servers[1], silent=True)
--- a/tests/test_policy_load_shedding.py
+++ b/tests/test_policy_load_shedding.py
@@ -23,19 +23,19 @@
     return [n / (600 * count) for n, count in zip(served, sent, strict=True)]
 
 
-def test_a_tenant_far_beyond_its_share_is_shed_while_the_fleet_is_pressed():
+def test_a_tenant_far_beyond_its_share_is_shed_while_the_fleet_is_pressed() -> None:
     """One tenant's excess takes the servers from the others, and no instance's limit ever binds."""
     greedy, *others = tenants_served(1.0, (3, 1, 1))
     assert greedy < 0.45 and min(others) > 0.95
     assert min(tenants_served(0.0, (3, 1, 1))) > 0.95
 
 
-def test_an_instance_with_much_more_than_its_share_of_the_traffic_sheds_no_tenant_for_it():
+def test_an_instance_with_much_more_than_its_share_of_the_traffic_sheds_no_tenant_for_it() -> None:
     """The quotas' equal parts say that all tenants of a node in favour are in excess."""
     assert min(tenants_served(1.0, (9, 10, 9))) > 0.85
 
 
-def test_a_class_of_lesser_worth_leaves_room():
+def test_a_class_of_lesser_worth_leaves_room() -> None:
     rich = ClassSettings(Effect.NOT_IDEMPOTENT, latency_objective=SEC, deadline=3 * SEC, worth=10)
     node, rec = balancer(8, classes=(SAFE, rich))
     answers = [ask(node, rec, 0, i)[0] for i in range(46)]
--- a/tests/test_policy_slow_start.py
+++ b/tests/test_policy_slow_start.py
@@ -6,7 +6,7 @@
 from balancer.policy.interface import ListKind, Outcome, ServerEntry
 
 
-def test_a_cold_server_gets_no_more_than_its_share():
+def test_a_cold_server_gets_no_more_than_its_share() -> None:
     """A restarted server looks idle and draws a flood that pushes it over."""
     node, rec = balancer(4)
     now, cold = 0, 0
@@ -22,7 +22,7 @@
     assert 5 <= cold <= 40
 
 
-def test_the_bucket_of_a_cold_server_starts_empty():
+def test_the_bucket_of_a_cold_server_starts_empty() -> None:
     """A call saved up while nobody watched would come on top of every other node's."""
     node, rec = balancer(2)
     node.slow_start.warm_rate = node.slow_start.served_rate = 10.0
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize(
     ("seen", "least", "most"), [(0.0, 3, 14), (1000.0, 12, 40)], ids=["fresh", "overloaded"]
 )
-def test_cold_members_alone_take_their_share_of_the_requests(seen, least, most):
+def test_cold_members_alone_take_their_share_of_the_requests(seen: float, least: int, most: int) -> None:
     """40 requests a second over 4 cold members, some 12 % warm: 5 a second are their even share.
 
     A node that starts among cold servers alone has seen no warm one, and before its first window no
--- a/tests/test_policy_spillover.py
+++ b/tests/test_policy_spillover.py
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.usefixtures("wide")
-def test_calls_keep_to_their_zone_only_where_a_crossing_costs():
+def test_calls_keep_to_their_zone_only_where_a_crossing_costs() -> None:
     """Own calls in flight decide alone where crossings are cheap; keeping to a zone crowds its servers."""
     entries = [ServerEntry(i + 1, zone=i % 2) for i in range(12)]
 
@@ -25,7 +25,7 @@
     assert 0.35 < near_share(0.005) < 0.65
 
 
-def test_an_overloaded_zone_spills():
+def test_an_overloaded_zone_spills() -> None:
     """One zone's servers drown while another's stand idle."""
     entries = [ServerEntry(i + 1, zone=i % 2) for i in range(12)]
     node, rec = balancer(entries, cross_zone_price=0.04)
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(("nodes", "least"), [(1, 5 / 6), (3, 0.5), (6, 0.0)])
-def test_a_node_leaves_its_zone_with_what_exceeds_the_zones_part(nodes, least):
+def test_a_node_leaves_its_zone_with_what_exceeds_the_zones_part(nodes: int, least: float) -> None:
     """A zone's one server would take all calls of the one node beside it."""
     entries = [ServerEntry(i + 1, zone=min(i, 1)) for i in range(6)]
     node, rec = balancer(entries, cross_zone_price=0.04, instances=nodes)
@@ -55,7 +55,7 @@
     assert node.spillover.spill >= least
 
 
-def test_unvisited_zones_are_taken_to_do_as_well_as_this_one_at_its_best():
+def test_unvisited_zones_are_taken_to_do_as_well_as_this_one_at_its_best() -> None:
     entries = [ServerEntry(i + 1, zone=i % 2) for i in range(12)]
     node, rec = balancer(entries, cross_zone_price=0.04, instances=12)
     node.spillover.remote_ratio, node.spillover.best_ratio, node.spillover.local_ratio = 5.0, 0.2, 0.6
--- a/tests/test_retry_after_disconnect.py
+++ b/tests/test_retry_after_disconnect.py
@@ -3,6 +3,7 @@
 import asyncio
 import socket
 import struct
+from typing import Any, cast
 
 import pytest
 from loopback import (
@@ -14,6 +15,7 @@
     until,
 )
 
+from balancer.net.upstream.exchange import Exchange
 from balancer.policy.interface import Outcome
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER
@@ -22,10 +24,12 @@
 @pytest.mark.parametrize("mode", [{}, {"policy_limits": {"cancel": False}}], ids=["cancel", "no cancel"])
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.TIMEOUT])
 @pytest.mark.parametrize("how", ["fin", "rst"])
-def test_no_retry_goes_to_an_idle_connection_once_the_client_has_gone(how, outcome, mode):
+def test_no_retry_goes_to_an_idle_connection_once_the_client_has_gone(
+    how: str, outcome: Outcome, mode: dict[str, Any]
+) -> None:
     """The retry needs no turn of the event loop, so the loop cannot have seen the client's end before it."""
 
-    async def scene():
+    async def scene() -> None:
         release = asyncio.Event()
         servers = [Server(), Server()]
         bench = await Bench(*servers, **mode).start()
@@ -43,7 +47,7 @@
         if how == "rst":
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         client.close()
-        request.exchange.abort(outcome)  # the module answers it with a further attempt
+        cast(Exchange, request.exchange).abort(outcome)  # the policy follows it with a retry
         release.set()
         await until(lambda: not bench.node.client_connections.connections and not bench.node.requests.pending)
         assert (await bench.once(call()))[0] == 200  # whatever was sent before has come by now
--- a/tests/test_scale_measurements.py
+++ b/tests/test_scale_measurements.py
@@ -12,7 +12,7 @@
 from workbench.scale.verdict import Death, Findings
 
 
-def test_figures_are_a_member_s_beyond_the_idle_worker_s():
+def test_figures_are_a_member_s_beyond_the_idle_worker_s() -> None:
     nanoseconds = {"membership": 400_000_000, "codec": 200_000_000, LOOP: 300_000_000}
     busy = window(
         nanoseconds=nanoseconds, calls={"codec": 400}, traffic=Traffic(200, 190, 40_000, 38_000), cpu_s=1.1
@@ -34,7 +34,7 @@
     assert table(made).row_count == len(made)
 
 
-def test_times_are_given_where_all_know():
+def test_times_are_given_where_all_know() -> None:
     joined = Findings(joined_s=[1.0, 2.0, 6.0], join_expected=3)
     assert [(f.quantity, f.value, f.spread) for f in time_figures(joined, True)] == [
         ("join.all", 6.0, (1.0, 6.0)),
@@ -54,15 +54,19 @@
     assert [f.quantity for f in time_figures(known, True)] == ["heal.all", "heal.median"]
 
 
-def test_time_is_charged_to_the_innermost_component():
+def test_time_is_charged_to_the_innermost_component() -> None:
     meter = Meter()
 
-    def burn(milliseconds):
+    def burn(milliseconds: int) -> None:
         end = time.thread_time_ns() + milliseconds * 1_000_000
         while time.thread_time_ns() < end:
             pass
 
-    meter.run("outer", lambda: (burn(2), meter.run("inner", burn, 4)))
+    def outer() -> None:
+        burn(2)
+        meter.run("inner", burn, 4)
+
+    meter.run("outer", outer)
     nanoseconds, calls = meter.read()
     assert nanoseconds["outer"] >= 2_000_000 and nanoseconds["inner"] >= 4_000_000
     assert nanoseconds["outer"] < nanoseconds["inner"] and calls == {"outer": 1, "inner": 1}
--- a/tests/test_scale_plan.py
+++ b/tests/test_scale_plan.py
@@ -1,6 +1,7 @@
 """Plans of scale runs: what is refused, what ships, who is killed and when."""
 
 from random import Random
+from typing import Any
 
 import pytest
 
@@ -52,13 +53,13 @@
         ({"defect": [{"kind": "mute"}]}, "defect[0].kind: 'mute': must be one of deaf, quadratic"),
     ],
 )
-def test_a_plan_is_refused_by_one_line(table, line):
+def test_a_plan_is_refused_by_one_line(table: dict[str, Any], line: str) -> None:
     with pytest.raises(PlanError) as fault:
         plan_of(table)
     assert str(fault.value).startswith(f"plan: {line}") and "\n" not in str(fault.value)
 
 
-def test_a_group_that_would_not_fit_in_half_of_the_memory_is_refused(monkeypatch):
+def test_a_group_that_would_not_fit_in_half_of_the_memory_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(machine, "memory_limit", lambda: 1 << 29)
     check_memory_need(plan_of({"hollow": 500}))
     with pytest.raises(
@@ -68,14 +69,14 @@
     check_memory_need(plan_of({"hollow": 1000, "zones": 10, "membership": "zone"}))
 
 
-def test_a_membership_that_the_program_does_not_know_is_refused(monkeypatch):
+def test_a_membership_that_the_program_does_not_know_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     group = group_of(plan_of({"hollow": 4, "zones": 2, "membership": "zone"}), "127.1.1")
     table = group.fleet_table(group.places[0], "key")
     assert table["seeds"] == ["127.1.1.100:10000", "127.1.1.100:10002"]
     others = {"z1": ["127.1.1.100:10001", "127.1.1.100:10003"]}
     assert table["membership"] == {"scope": "zone", "zone_seeds": others}
 
-    def unknown(table, node):
+    def unknown(table: object, node: object) -> None:
         raise FleetConfigError("fleet.membership: unknown key: known are name\nmore")
 
     monkeypatch.setattr(scale_run, "read_fleet", unknown)
@@ -87,17 +88,17 @@
 # ---- the plan ---------------------------------------------------------------------------------------------
 
 
-def test_every_plan_that_ships_is_right():
+def test_every_plan_that_ships_is_right() -> None:
     assert set(shipped()) == {"calm", "kill-one", "kill-tenth", "zone-out", "region-cut"}
     for name in shipped():
         assert read_plan(name).title
 
 
-def test_who_is_killed_is_drawn_by_the_seed():
+def test_who_is_killed_is_drawn_by_the_seed() -> None:
     plan = plan_of({"hollow": 40, "real": 2, "zones": 4, "regions": 2})
     group = group_of(plan, "127.1.1")
 
-    def taken(**fault):
+    def taken(**fault: float) -> list[str]:
         kill = plan_of({"hollow": 40, "zones": 4, "fault": [{"type": "kill"} | fault]}).fault[0]
         return [p.name for p in victims(kill, list(group.places), Random(7))]
 
@@ -108,7 +109,7 @@
     assert defects_of(two) == {"h00008": "deaf", "h00007": "quadratic", "h00006": "quadratic"}
 
 
-def test_faults_begin_and_end_in_the_order_of_time():
+def test_faults_begin_and_end_in_the_order_of_time() -> None:
     kills = [{"type": "kill", "count": 1, "at_s": 5, "for_s": 10}, {"type": "kill", "count": 1, "at_s": 7}]
     found = [(a.at_s, a.number, a.begins) for a in actions(plan_of({"fault": kills}))]
     assert found == [(5, 0, True), (7, 1, True), (15, 0, False)]
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -2,6 +2,8 @@
 
 import json
 import sys
+from pathlib import Path
+from typing import Any
 
 import pytest
 from scale_support import run_command
@@ -13,11 +15,11 @@
 BYTES_WITHIN = 0.1  # an exchange is ten times as long as the others, and 60 periods see four of them
 
 
-def figures_in(path):
+def figures_in(path: Path) -> dict[str, Any]:
     return {row["quantity"]: row for row in json.loads(path.read_text())}
 
 
-def test_a_small_run_costs_what_the_same_components_cost_in_simulation(tmp_path):
+def test_a_small_run_costs_what_the_same_components_cost_in_simulation(tmp_path: Path) -> None:
     """20 hollow members and a real node that all know each other: the datagrams of a calm are given by the
     protocol, so a run differs from the simulation only by the moments of its exchanges."""
     out = tmp_path / "figures.json"
@@ -37,7 +39,9 @@
     assert row["run"]["command"].startswith("workbench scale run --hollow 20") and row["run"]["cores"] >= 1
 
 
-def test_a_run_on_which_the_machine_was_the_limit_is_not_counted(tmp_path, monkeypatch, capsys):
+def test_a_run_on_which_the_machine_was_the_limit_is_not_counted(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
     out = tmp_path / "figures.json"
     words = ["--hollow", "4", "--workers", "1", "--period-ms", "100", "--start", "known", "--seconds", "0.2"]
     monkeypatch.setattr(verdict, "MAX_LATENESS_P99_MS", -1.0)  # no loop is that early
@@ -63,7 +67,9 @@
         ),
     ],
 )
-def test_bad_input_ends_with_status_2(words, line, monkeypatch, capsys):
+def test_bad_input_ends_with_status_2(
+    words: tuple[str, ...], line: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
     monkeypatch.setattr(sys, "argv", ["workbench", "scale", "run", *words])
     with pytest.raises(SystemExit) as end:
         main()
--- a/tests/test_scale_run_cleanup.py
+++ b/tests/test_scale_run_cleanup.py
@@ -4,13 +4,14 @@
 import signal
 import subprocess
 import time
+from collections.abc import Callable, Iterable
 from pathlib import Path
 
 import pytest
 from scale_support import PATIENCE, command
 
 
-def children(pid):
+def children(pid: int) -> list[int]:
     """Processes whose parent this is."""
     found = []
     for stat in Path("/proc").glob("[0-9]*/stat"):
@@ -23,14 +24,14 @@
     return found
 
 
-def running(pid):
+def running(pid: int) -> bool:
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] not in "ZX"
     except OSError:
         return False
 
 
-def ports_of(pids):
+def ports_of(pids: Iterable[int]) -> set[str]:
     """UDP ports that these processes hold."""
     inodes = set()
     for pid in pids:
@@ -43,11 +44,11 @@
     return {line[1] for line in lines if f"socket:[{line[9]}]" in inodes}
 
 
-def ports():
+def ports() -> set[str]:
     return {line.split()[1] for line in Path("/proc/net/udp").read_text().splitlines()[1:]}
 
 
-def wait_for(condition):
+def wait_for(condition: Callable[[], bool]) -> None:
     end = time.monotonic() + PATIENCE
     while not condition():
         assert time.monotonic() < end, "waited in vain"
@@ -55,7 +56,7 @@
 
 
 @pytest.mark.parametrize("how", [signal.SIGINT, signal.SIGKILL])
-def test_nothing_is_left_behind_when_the_parent_ends(how, tmp_path):
+def test_nothing_is_left_behind_when_the_parent_ends(how: signal.Signals, tmp_path: Path) -> None:
     """Failure prevented: members of a killed run go on by themselves and hold their ports."""
     words = ("--hollow", 20, "--real", 1, "--workers", 2, "--seconds", 60, "--period-ms", 200)
     env = os.environ | {"TMPDIR": str(tmp_path)}  # a killed parent's folder stays
--- a/tests/test_scale_verdict.py
+++ b/tests/test_scale_verdict.py
@@ -1,5 +1,7 @@
 """Verdicts of scale runs: members that misbehave are named, in whole runs and by the observer."""
 
+from pathlib import Path
+
 import pytest
 from scale_support import claim, group, run_command, run_counted, window
 
@@ -23,7 +25,7 @@
     return next(f.value for f in outcome.figures if f.quantity == "calls.codec")
 
 
-def test_a_component_that_is_quadratic_shows_in_the_slope():
+def test_a_component_that_is_quadratic_shows_in_the_slope() -> None:
     """A defect that encodes one datagram for each member known, at each tick. Work is counted in calls, which
     no load of the machine changes."""
     plain = {size: codec_calls(size, []) for size in (6, 24)}
@@ -32,7 +34,7 @@
     assert growth(slow) > 0.6  # ...or nearly in proportion to it
 
 
-def test_a_deaf_member_is_named(tmp_path):
+def test_a_deaf_member_is_named(tmp_path: Path) -> None:
     plan = tmp_path / "plan.toml"
     plan.write_text('[[defect]]\nkind = "deaf"\n')
     words = ("--plan", plan, "--hollow", 8, "--period-ms", 100, "--join-s", 1, "--seconds", 0.2)
@@ -49,7 +51,7 @@
 # ---- what is seen and said --------------------------------------------------------------------------------
 
 
-def test_a_member_is_complete_once_it_holds_all_in_its_scope():
+def test_a_member_is_complete_once_it_holds_all_in_its_scope() -> None:
     for membership, wanted in (("flat", (1, 2, 3, 4, 5)), ("zone", (2, 4))):
         here = group(membership=membership)
         truth = Truth(here)
@@ -62,7 +64,7 @@
         assert truth.incomplete() == ["h00000"] and not truth.unjoined()
 
 
-def test_ends_and_false_deaths_are_told_apart():
+def test_ends_and_false_deaths_are_told_apart() -> None:
     here = group()
     truth = Truth(here)
     watch = truth.watch(here.places[0])
@@ -90,7 +92,7 @@
     assert watch.complete and list(truth.healed_s) == ["h00000"]
 
 
-def test_a_whole_view_is_compared_by_name():
+def test_a_whole_view_is_compared_by_name() -> None:
     here = group()
     states = {"h00001": "alive", "h00002": "suspect", "h00003": "dead", "h00005": "alive"}
     names = {p.name for p in here.places} - {"h00005"}
@@ -100,7 +102,7 @@
     assert view_fault(here, here.places[0], whole, names) is None
 
 
-def test_the_checks_name_who_fails():
+def test_the_checks_name_who_fails() -> None:
     found = Findings(
         members=4,
         joined_s=[1.0, 2.0],
@@ -120,7 +122,7 @@
     assert not any(c.failures for c in checks(Findings()))
 
 
-def test_a_machine_that_does_not_keep_up_is_told():
+def test_a_machine_that_does_not_keep_up_is_told() -> None:
     assert machine_limits("calm", [window(lateness_p99_ms=50.0, cpu_s=8.0)]) == []
     assert machine_limits("calm", [window(), window(lateness_p99_ms=51.0, cpu_s=8.1)]) == [
         "calm: worker 1: 51 ms late at the 99th percentile: at most 50",
@@ -128,13 +130,13 @@
     ]
 
 
-def test_growth_is_the_power_of_the_size():
+def test_growth_is_the_power_of_the_size() -> None:
     assert growth({10: 3.0, 20: 6.0, 40: 12.0}) == pytest.approx(1.0)
     assert growth({10: 3.0, 20: 12.0, 40: 48.0}) == pytest.approx(2.0)
     assert growth({10: 3.0, 20: 3.0}) == pytest.approx(0.0)
 
 
-def test_the_list_that_members_begin_with_has_all_and_is_nobody_s_own():
+def test_the_list_that_members_begin_with_has_all_and_is_nobody_s_own() -> None:
     here = group(hollow=50, membership="zone")
     codec = Codec([b"a key of the tests' own"])
     incarnations = {p.name: 1_800_000_000_000_000 + p.index for p in here.places}
@@ -145,7 +147,7 @@
     assert held == {p.name: incarnations[p.name] for p in here.places if p.zone == 1}
 
 
-def test_a_cut_takes_what_crosses_the_region_s_border():
+def test_a_cut_takes_what_crosses_the_region_s_border() -> None:
     here = group()
     network = Network(here, Meter())
     inside, outside = here.places[1], here.places[0]
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -1,5 +1,7 @@
 """Servers in slow start under the sum of what all processes send: budgets, fair shares, quiet fleets."""
 
+from typing import Any
+
 import pytest
 from slow_start import SEC, Fleet, Workload
 from support import balancer
@@ -27,7 +29,7 @@
 
 @pytest.mark.parametrize("workload", WORKLOADS.values(), ids=list(WORKLOADS))
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_fleet_keeps_cold_servers_within_their_budget(workload, seed):
+def test_a_fleet_keeps_cold_servers_within_their_budget(workload: Workload, seed: int) -> None:
     """Failure prevented: what warm servers are sent in a crowd, and turn away, sets the pace of the cold."""
     fleet = Fleet(workload, seed)
     fleet.run()
@@ -46,7 +48,7 @@
         pytest.param({"warm_servers_hang": True}, id="warm servers hang"),
     ],
 )
-def test_cold_servers_of_a_small_fleet_stay_within_other_budgets(copies, rules):
+def test_cold_servers_of_a_small_fleet_stay_within_other_budgets(copies: int, rules: dict[str, Any]) -> None:
     fleet = Fleet(Workload(copies, 6, 3, 0, 30, 1.2, 1.6, **rules), 1)
     fleet.run()
     assert fleet.largest_excess() <= 0
@@ -57,7 +59,9 @@
     ("sent", "answered", "multiple", "rate"),
     [(10, 10, 2.5, 10), (15, 10, 2.5, 15), (60, 10, 2.5, 20), (60, 10, 1.25, 10), (60, 10, 0, 10)],
 )
-def test_the_pace_of_cold_servers_uses_what_the_rules_allow_and_no_more(sent, answered, multiple, rate):
+def test_the_pace_of_cold_servers_uses_what_the_rules_allow_and_no_more(
+    sent: int, answered: int, multiple: float, rate: float
+) -> None:
     """Failure prevented: it is bound so closely that during a release the warm servers carry too much."""
     node, _ = balancer(4, fall_multiple=multiple)
     slow_start = node.slow_start
@@ -65,7 +69,7 @@
     assert slow_start.fair_rate(0) == pytest.approx(rate)
 
 
-def test_cold_servers_get_their_share_while_the_warm_ones_hang():
+def test_cold_servers_get_their_share_while_the_warm_ones_hang() -> None:
     """Failure prevented: warm servers that answer nothing keep the cold ones, which could, from any call.
 
     A quarter of their share is enough: calls that hang fill the limits of the copies, which refuse meanwhile.
@@ -91,7 +95,7 @@
 @pytest.mark.parametrize("load", [0.3, 0.65])
 @pytest.mark.parametrize("servers", [3, 10])
 @pytest.mark.parametrize("rate", [1, 5])
-def test_no_process_of_a_quiet_fleet_rejects_everything(rate, servers, load):
+def test_no_process_of_a_quiet_fleet_rejects_everything(rate: float, servers: int, load: float) -> None:
     """Where traffic is thin and many processes share few servers, no limit falls so low that none passes."""
     fleet = Fleet(
         Workload(instances=30, servers=servers, restarted=0, new=0, rate=rate, load=load, burst_factor=1.5), 1
--- a/tests/test_slow_start_fleet_sizes.py
+++ b/tests/test_slow_start_fleet_sizes.py
@@ -17,8 +17,8 @@
     ],
 )
 def test_cold_servers_stay_within_their_budget_in_a_fleet_of_any_size(
-    copies, servers, restarted, rate, load, burst_factor
-):
+    copies: int, servers: int, restarted: int, rate: float, load: float, burst_factor: float
+) -> None:
     """Failure prevented: an even part of a crowd, several times what a warm server can do, sets the pace."""
     fleet = Fleet(Workload(copies, servers, restarted, 0, rate, load, burst_factor), 1)
     fleet.run()
