--- a/tests/test_connection_faults.py
+++ b/tests/test_connection_faults.py
@@ -5,7 +5,7 @@
 import socket
 
 import pytest
-from loopback import Bench, Server, call, gated, record_outcomes, until
+from loopback import Bench, Request, Server, call, gated, record_outcomes, until
 from retry_support import OPERATED, max_retries
 from system_call_faults import (
     BOTH_LOOPS,
@@ -13,6 +13,7 @@
     CONNECT_HERE,
     CONNECT_THERE,
     Fault,
+    Run,
     accepted_at,
     fail_connects,
     fail_reads,
@@ -35,10 +36,12 @@
 @BOTH_LOOPS
 @pytest.mark.parametrize("klass", ["view", "invite"])
 @with_each(CONNECT_HERE)
-def test_this_machine_cannot_connect_for_a_moment(run, klass, error, monkeypatch):
+def test_this_machine_cannot_connect_for_a_moment(
+    run: Run, klass: str, error: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Failure prevented: a shortage uses up all attempts at once, and servers are ejected for it."""
 
-    async def scene():
+    async def scene() -> None:
         bench = await Bench(one := Server(), two := Server()).start()
         outcomes = record_outcomes(bench)
         fail_connects(monkeypatch, fault := Fault(error, times=4), one.port, two.port)
@@ -51,8 +54,10 @@
 
 @BOTH_LOOPS
 @with_each(CONNECT_HERE)
-def test_this_machine_cannot_connect_for_a_request_s_whole_time(run, error, monkeypatch):
-    async def scene():
+def test_this_machine_cannot_connect_for_a_request_s_whole_time(
+    run: Run, error: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def scene() -> None:
         loop = asyncio.get_running_loop()
         bench = await Bench(one := Server(), two := Server()).start()
         outcomes = record_outcomes(bench)
@@ -74,10 +79,12 @@
 @BOTH_LOOPS
 @pytest.mark.parametrize("klass", ["view", "invite"])
 @with_each(CONNECT_THERE)
-def test_a_connect_fails_on_its_way(run, klass, error, monkeypatch):
+def test_a_connect_fails_on_its_way(
+    run: Run, klass: str, error: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """It never ran, so a request of any class goes to another server at once."""
 
-    async def scene():
+    async def scene() -> None:
         bench = await Bench(one := Server(), two := Server()).start()
         outcomes = record_outcomes(bench)
         fail_connects(monkeypatch, Fault(error, times=1), one.port, two.port)
@@ -92,10 +99,12 @@
 @BOTH_LOOPS
 @pytest.mark.parametrize(("klass", "status", "attempts"), [("view", 200, 2), ("invite", 502, 1)])
 @with_each(BROKEN)
-def test_a_connection_breaks_under_a_request(run, klass, status, attempts, error, monkeypatch):
+def test_a_connection_breaks_under_a_request(
+    run: Run, klass: str, status: int, attempts: int, error: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """It may have run: only what is safe to repeat goes out again, and there is one answer."""
 
-    async def scene():
+    async def scene() -> None:
         bench = await Bench(one := Server(), two := Server()).start()
         outcomes = record_outcomes(bench)
         fault = Fault(error, times=1)
@@ -115,10 +124,12 @@
 
 @pytest.mark.parametrize("klass", ["view", "invite"])
 @with_each(BROKEN)
-def test_a_connection_breaks_as_a_request_is_written(klass, error, monkeypatch):
+def test_a_connection_breaks_as_a_request_is_written(
+    klass: str, error: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """On asyncio's loop, where the write is a call of Python's; no byte has gone, so it never ran."""
 
-    async def scene():
+    async def scene() -> None:
         bench = await Bench(one := Server(), two := Server()).start()
         outcomes = record_outcomes(bench)
         fault = Fault(error, times=1)
@@ -133,8 +144,8 @@
 
 @BOTH_LOOPS
 @with_each(BROKEN)
-def test_an_idle_connection_breaks(run, error, monkeypatch):
-    async def scene():
+def test_an_idle_connection_breaks(run: Run, error: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scene() -> None:
         bench = await Bench(server := Server()).start()
         fail_reads(monkeypatch, Connection, fault := Fault(error, times=0), towards(server.port))
         client = await bench.client()
@@ -153,10 +164,12 @@
 
 @BOTH_LOOPS
 @with_each(BROKEN)
-def test_a_client_s_connection_breaks_under_its_request(run, error, monkeypatch):
+def test_a_client_s_connection_breaks_under_its_request(
+    run: Run, error: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Its attempt is given up, and the other clients' requests are answered."""
 
-    async def scene():
+    async def scene() -> None:
         release = asyncio.Event()
         bench = await Bench(server := Server(gated(release))).start()
         outcomes = record_outcomes(bench)
@@ -178,10 +191,12 @@
 
 
 @with_each(BROKEN)
-def test_a_client_s_connection_breaks_as_its_answer_is_written(error, monkeypatch):
+def test_a_client_s_connection_breaks_as_its_answer_is_written(
+    error: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """On asyncio's loop; the node goes on, for this client's next connection too."""
 
-    async def scene():
+    async def scene() -> None:
         bench = await Bench(Server()).start()
         fault = Fault(error, times=1)
         client = await bench.client()
@@ -198,14 +213,14 @@
 
 
 @BOTH_LOOPS
-def test_reads_and_writes_are_short(run, monkeypatch):
+def test_reads_and_writes_are_short(run: Run, monkeypatch: pytest.MonkeyPatch) -> None:
     """Each read brings a byte or two, and each write of asyncio's loop takes one."""
     body = bytes(range(256)) * 2
 
-    async def echo(request, writer):
+    async def echo(request: Request, writer: asyncio.StreamWriter) -> bytes:
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(request.body), request.body)
 
-    async def scene():
+    async def scene() -> None:
         bench = await Bench(server := Server(echo)).start()
         bench.node.memory_budget.read_buffer = bytearray(1)
         if not is_uvloop():
@@ -221,12 +236,12 @@
 
 
 @BOTH_LOOPS
-def test_waits_are_interrupted(run):
+def test_waits_are_interrupted(run: Run) -> None:
     """A signal comes every millisecond, so that waits of the loop return EINTR all the time."""
     came = []
     before = signal.signal(signal.SIGALRM, lambda number, frame: came.append(number))
 
-    async def scene():
+    async def scene() -> None:
         bench = await Bench(server := Server(), config=OPERATED).start()
         client = await bench.client()
         for _ in range(20):
--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -4,12 +4,15 @@
 import json
 import os
 import resource
+from pathlib import Path
 
 import pytest
 from loopback import (
     Client,
     Discovery,
+    Request,
     Server,
+    Table,
     call,
     connected,
     free_port,
@@ -29,16 +32,16 @@
 class ReturningDiscovery(Discovery):
     """Answers nothing until it is back; then it responds that `s0` drains, and `s1` is there."""
 
-    def __init__(self, *servers):
+    def __init__(self, *servers: Server) -> None:
         super().__init__()
         self.handle = self.respond
         self.servers = servers
         self.back = asyncio.Event()
 
-    async def listen(self, port):
+    async def listen(self, port: int) -> None:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", port)
 
-    async def respond(self, request, writer):
+    async def respond(self, request: Request, writer: asyncio.StreamWriter) -> bytes:
         if not self.back.is_set():
             await asyncio.Event().wait()
         if "since=43&" in request.target:
@@ -47,16 +50,16 @@
         old, new = self.servers
         return self.list_of([old.entry("s0", "draining"), new.entry("s1")])
 
-    def list_of(self, lines):
+    def list_of(self, lines: list[Table]) -> bytes:
         body = json.dumps({"version": 43, "full": False, "servers": lines}).encode()
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
-    def is_watched_again(self):
+    def is_watched_again(self) -> bool:
         """Whether the node has taken the change and watches on."""
         return any("since=43&" in request.target for request in self.requests)
 
 
-async def clients_that_fill_descriptors(behaviour, port):
+async def clients_that_fill_descriptors(behaviour: str, port: int) -> list[Client]:
     """Clients that fill the descriptors: idle after an answer, with half a request, or waiting for one."""
     crowd = []
     for _ in range(CROWD):
@@ -69,10 +72,12 @@
 
 @pytest.mark.parametrize("behaviour", ["stands idle", "half a request", "waits"])
 @pytest.mark.parametrize("down", ["refused", "silent"])
-def test_a_crowd_that_fills_the_descriptors_leaves_one_for_discovery(down, behaviour, tmp_path):
+def test_a_crowd_that_fills_the_descriptors_leaves_one_for_discovery(
+    down: str, behaviour: str, tmp_path: Path
+) -> None:
     """The system itself holds the process to its limit here. The crowd stays until the change is known."""
 
-    async def scene():
+    async def scene() -> None:
         await (old := Server(gated(asyncio.Event()))).start()
         await (new := Server()).start()
         discovery = ReturningDiscovery(old, new)
@@ -108,10 +113,10 @@
 
 @pytest.mark.parametrize("mode", ["push", "ask"])
 @pytest.mark.parametrize("down", ["refused", "silent"])
-def test_a_restarted_process_is_ready_while_discovery_is_down(down, mode, tmp_path):
+def test_a_restarted_process_is_ready_while_discovery_is_down(down: str, mode: str, tmp_path: Path) -> None:
     """What it was told last is enough to begin with."""
 
-    async def scene():
+    async def scene() -> None:
         await (server := Server()).start()
         discovery, port, its_port = Discovery(), free_port(), free_port()
         if down == "silent":
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,6 +1,8 @@
 """The lab's plans, links, addresses and clients."""
 
+from pathlib import Path
 from random import Random
+from typing import Any
 
 import pytest
 from support import BEFORE_RENAMING
@@ -45,7 +47,7 @@
         ),
     ],
 )
-def test_a_plan_is_checked_as_strictly_as_a_scenario(tmp_path, text, lines):
+def test_a_plan_is_checked_as_strictly_as_a_scenario(tmp_path: Path, text: str, lines: list[str]) -> None:
     file = tmp_path / "plan.toml"
     file.write_text(text)
     with pytest.raises(PlanError) as fault:
@@ -75,7 +77,9 @@
         ),
     ],
 )
-def test_a_clock_fault_that_cannot_be_is_refused_with_its_key_and_what_is_allowed(tmp_path, keys, line):
+def test_a_clock_fault_that_cannot_be_is_refused_with_its_key_and_what_is_allowed(
+    tmp_path: Path, keys: str, line: str
+) -> None:
     file = tmp_path / "plan.toml"
     file.write_text(CLOCK + keys)
     with pytest.raises(PlanError) as fault:
@@ -83,14 +87,14 @@
     assert len(str(fault.value).splitlines()) == 1 and str(fault.value).startswith(f"{file}: {line}")
 
 
-def test_the_clock_plans_step_running_and_restarting_processes_by_all_four_steps():
+def test_the_clock_plans_step_running_and_restarting_processes_by_all_four_steps() -> None:
     steps = {3_600_000.0, -3_600_000.0, 5_000.0, -5_000.0}
     for name, restarts in (("clock", {"none"}), ("clock-restart", {"kill", "term"})):
         clocks = [f for f in draw(name).fault if f.type == "clock"]
         assert {f.offset_ms for f in clocks} == steps and {f.restart for f in clocks} == restarts
 
 
-def test_twenty_five_plans_ship_and_a_seed_fixes_what_they_draw():
+def test_twenty_five_plans_ship_and_a_seed_fixes_what_they_draw() -> None:
     assert len(shipped()) == 25
     for name in shipped():
         one, again, other = draw(name, 3), draw(name, 3, {"nodes": 7}), draw(name, 4)
@@ -103,7 +107,7 @@
 
 
 @pytest.mark.parametrize(("revision", "package"), [("HEAD", "balancer"), (BEFORE_RENAMING, "brackenladder")])
-def test_a_revision_is_unpacked_beside_today_s_or_named(tmp_path, revision, package):
+def test_a_revision_is_unpacked_beside_today_s_or_named(tmp_path: Path, revision: str, package: str) -> None:
     assert len(unpack(revision, tmp_path)) == 40 and (tmp_path / package / "policy" / "balancer.py").exists()
     assert package_in(tmp_path) == package
     with pytest.raises(PlanError, match="earlier: nowhere: no such revision"):
@@ -124,7 +128,7 @@
         ({"count": 9}, 6),
     ],
 )
-def test_who_is_struck(who, found):
+def test_who_is_struck(who: dict[str, Any], found: list[str] | int) -> None:
     fault = plan_of({"fault": [{"type": "kill"} | who]}).fault[0]
     names, zones = [f"n{i}" for i in range(6)], [i % 3 for i in range(6)]
     picked = chosen(fault, names, zones, 2, Streams(1), "x")
@@ -134,7 +138,7 @@
 # ---- links ------------------------------------------------------------------------------------------------
 
 
-def test_links_lose_double_delay_and_hold():
+def test_links_lose_double_delay_and_hold() -> None:
     clock = HeapClock(1_000)
     link = Link(clock, Random(1), 200)
     assert link.datagram(100) == [1_200]
@@ -144,7 +148,7 @@
     assert abs(share[0] - 0.3) < 0.03 and abs(share[2] - 0.14) < 0.03
     assert sum(a[0] > 1_200 for a in arrivals if a) / sum(map(bool, arrivals)) == pytest.approx(0.1, abs=0.02)
     link.loss = link.duplicate = link.reorder = 0.0
-    got = []
+    got: list[bytes] = []
     stream = Stream(link, got.append)
     stream.send(b"a")
     link.cut(True)
@@ -166,7 +170,7 @@
     assert [link.wait(500) - begun for _ in range(2)] == [500_200, 1_000_200]
 
 
-def test_two_labs_never_share_an_address():
+def test_two_labs_never_share_an_address() -> None:
     held = [Places(Random(7)) for _ in range(3)]
     assert len({p.block for p in held}) == 3
     for p in held:
@@ -184,7 +188,9 @@
         (Effect.NOT_IDEMPOTENT, b"POST", False),
     ],
 )
-def test_clients_of_the_lab_send_what_a_class_s_effect_asks_for(effect, method, has_key):
+def test_clients_of_the_lab_send_what_a_class_s_effect_asks_for(
+    effect: Effect, method: bytes, has_key: bool
+) -> None:
     """Failure prevented: an effect is renamed, and the node answers all requests of the lab with 400."""
     data = request_bytes("a", EFFECT_WORDS[effect], 1, 1, 100, b"key")
     assert data.startswith(method + b" /a?") and (b"Idempotency-Key: key" in data) is has_key
--- a/tests/test_listener_faults.py
+++ b/tests/test_listener_faults.py
@@ -7,11 +7,14 @@
 import os
 import resource
 import socket
+from collections.abc import Callable, Iterator
 from contextlib import contextmanager
+from pathlib import Path
+from typing import cast
 
 import pytest
 import uvloop
-from loopback import Bench, Client, Server, call, record_outcomes, until
+from loopback import Bench, Client, Server, Table, call, record_outcomes, until
 from retry_support import OPERATED, OPERATOR_CALL, RETRY_INTERVAL_S, max_retries, wait_for_retries
 from system_call_faults import (
     ACCEPT,
@@ -19,6 +22,7 @@
     SHORTAGES,
     Fault,
     Replaced,
+    Run,
     count_calls,
     fail_accepts,
     play_on,
@@ -27,6 +31,7 @@
 
 from balancer.net import node
 from balancer.net.downstream import client_connections
+from balancer.net.node import Node
 from balancer.net.process import listener
 from balancer.net.process.listener import Listener
 from balancer.policy.interface import Outcome
@@ -46,16 +51,20 @@
 
 @BOTH_LOOPS
 @with_each(ACCEPT)
-def test_accepts_fail_while_the_node_serves(run, error, tmp_path, monkeypatch):
+def test_accepts_fail_while_the_node_serves(
+    run: Run, error: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Failure prevented: a shortage lasts, the queue stays readable, and the loop only fails to accept."""
 
     passes = count_calls(monkeypatch, Listener, "accept")
 
-    async def served(place, given, listener_of, request):
+    async def served(
+        place: str, given: Table, listener_of: Callable[[Node], Listener], request: bytes
+    ) -> None:
         bench = await Bench(Server(), config=given).start()
         taking = listener_of(bench.node)
         fail_accepts(taking, fault := Fault(error))
-        port = taking.socket.getsockname()[1]
+        port = cast(socket.socket, taking.socket).getsockname()[1]
         clients = [await Client(port).open() for _ in range(3)]
         for client in clients:
             client.send(request)
@@ -66,7 +75,7 @@
         assert [(await client.receive())[0] for client in clients] == [200] * 3, place
         assert (await (await Client(port).open()).ask(request))[0] == 200, place
 
-    async def scene():
+    async def scene() -> None:
         by_hand = inherited_listener() | {"folder": str(tmp_path)}
         await asyncio.gather(
             served("clients", {}, lambda n: n.client_connections.listener, call()),
@@ -79,11 +88,13 @@
 
 @BOTH_LOOPS
 @with_each(ACCEPT)
-def test_accepts_fail_as_the_node_stops_listening(run, error, monkeypatch):
+def test_accepts_fail_as_the_node_stops_listening(
+    run: Run, error: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Failure prevented: the last look at the queue fails, and who waits there is reset by the close."""
     monkeypatch.setattr(client_connections, "ACCEPT_AFTER_TERM_S", 2 * RETRY_INTERVAL_S)
 
-    async def scene():
+    async def scene() -> None:
         loop = asyncio.get_running_loop()
         passes = count_calls(monkeypatch, Listener, "accept")
         looks = count_calls(monkeypatch, Listener, "stop")
@@ -107,10 +118,12 @@
 
 @BOTH_LOOPS
 @with_each(SHORTAGES)
-def test_a_node_starts_though_sockets_are_short(run, error, monkeypatch):
+def test_a_node_starts_though_sockets_are_short(
+    run: Run, error: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Failure prevented: the process ends with `cannot listen`, and its host is without a node."""
 
-    async def scene():
+    async def scene() -> None:
         fault = Fault(error, times=3)
         monkeypatch.setattr(listener, "socket", Replaced(socket, socket=fault.before(socket.socket)))
         bench = await Bench(Server(), config=OPERATED).start()
@@ -120,10 +133,10 @@
     play_on(run, scene)
 
 
-def test_a_start_is_given_up_where_a_shortage_lasts(monkeypatch):
+def test_a_start_is_given_up_where_a_shortage_lasts(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(node, "LISTEN_TIMEOUT_S", 3 * RETRY_INTERVAL_S)
 
-    async def scene():
+    async def scene() -> None:
         fault = Fault(SHORTAGES[0])
         monkeypatch.setattr(listener, "socket", Replaced(socket, socket=fault.before(socket.socket)))
         with pytest.raises(OSError, match=os.strerror(SHORTAGES[0])):
@@ -134,7 +147,7 @@
 
 
 @contextmanager
-def no_descriptors():
+def no_descriptors() -> Iterator[None]:
     """This process can open nothing."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     lowest_free = os.open(os.devnull, os.O_RDONLY)
@@ -147,10 +160,10 @@
 
 
 @BOTH_LOOPS
-def test_the_process_really_has_no_descriptor_left(run):
+def test_the_process_really_has_no_descriptor_left(run: Run) -> None:
     """Accepts and connects fail in the system itself, in uvloop's C code as well."""
 
-    async def scene():
+    async def scene() -> None:
         loop = asyncio.get_running_loop()
         bench = await Bench(server := Server()).start()
         held = await bench.client()
--- a/tests/test_report_disk_faults.py
+++ b/tests/test_report_disk_faults.py
@@ -4,6 +4,7 @@
 import os
 import tempfile
 from pathlib import Path
+from typing import Any
 
 import pytest
 from disk_errors import fail_call
@@ -21,11 +22,12 @@
 REPORT = {"index.html": b"new page", "runs.csv": b"new runs", "report.json": b"new numbers"}
 
 
-def fail_at(patch, owner, name: str, error: int, place: int) -> None:
+def fail_at(patch: pytest.MonkeyPatch, owner: Any, name: str, error: int, place: int) -> None:
     """The call fails from its so-manyth on."""
-    real, calls = getattr(owner, name), []
+    real = getattr(owner, name)
+    calls: list[object] = []
 
-    def failing(*args, **kwargs):
+    def failing(*args: Any, **kwargs: Any) -> Any:
         calls.append(args)
         if len(calls) > place:
             raise OSError(error, os.strerror(error))
@@ -37,7 +39,9 @@
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
 @pytest.mark.parametrize("place", range(len(REPORT)))
 @pytest.mark.parametrize(("owner", "name"), [(Path, "write_bytes"), (os, "fsync"), (Path, "replace")])
-def test_a_report_is_replaced_by_files_that_are_whole(tmp_path, monkeypatch, owner, name, place, error):
+def test_a_report_is_replaced_by_files_that_are_whole(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: Any, name: str, place: int, error: int
+) -> None:
     old = dict.fromkeys(REPORT, b"old")
     write(old, tmp_path)
     with monkeypatch.context() as patch:
@@ -56,17 +60,22 @@
     ("owner", "name"),
     [(tempfile, "mkstemp"), (Path, "write_bytes"), (Path, "chmod"), (os, "fsync"), (Path, "replace")],
 )
-def test_a_command_that_cannot_write_its_file_ends_with_one_line(tmp_path, monkeypatch, owner, name, error):
+def test_a_command_that_cannot_write_its_file_ends_with_one_line(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: Any, name: str, error: int
+) -> None:
+    def replace(path: Path) -> None:
+        path.write_bytes(b"new")
+
     (target := tmp_path / "figures.json").write_bytes(b"old")
     with monkeypatch.context() as patch:
         fail_at(patch, owner, name, error, 0)
         with pytest.raises(Bad) as e:
-            write_whole(target, lambda path: path.write_bytes(b"new"))
+            write_whole(target, replace)
     assert str(e.value) == f"{target}: cannot be written: {os.strerror(error)}"
     assert [path.read_bytes() for path in tmp_path.iterdir()] == [b"old"]
 
 
-def test_rows_of_a_measurement_that_was_stopped_as_it_wrote_go_on(tmp_path):
+def test_rows_of_a_measurement_that_was_stopped_as_it_wrote_go_on(tmp_path: Path) -> None:
     """Failure prevented: a torn last line ends the next start, or is glued to the row after it."""
     path = tmp_path / "rows.jsonl"
     rows = [{"plan": "calm", "seed": seed} for seed in (1, 2)]
@@ -84,7 +93,7 @@
 # ---- the lab's histories --------------------------------------------------------------------------
 
 
-def test_a_history_on_a_full_disk_says_so_once_and_takes_no_more():
+def test_a_history_on_a_full_disk_says_so_once_and_takes_no_more() -> None:
     """Failure prevented: lines are left out of a history that goes on, or the writer raises."""
     history = History(Path("/dev/full"))
     for second in range(3):
@@ -95,7 +104,9 @@
 
 
 @pytest.mark.parametrize("name", ["fsync", "flush"])
-def test_a_history_that_was_not_synced_is_not_said_to_be_kept(tmp_path, monkeypatch, name):
+def test_a_history_that_was_not_synced_is_not_said_to_be_kept(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, name: str
+) -> None:
     history = History(tmp_path / "history.jsonl")
     history.write(0.0, "run")
     with monkeypatch.context() as patch:
@@ -109,7 +120,9 @@
     assert history.fault.startswith(f"{history.path}: cannot be written: ")
 
 
-def test_a_lab_whose_history_cannot_be_written_ends_with_one_line(tmp_path, monkeypatch):
+def test_a_lab_whose_history_cannot_be_written_ends_with_one_line(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     keep = tmp_path / "kept"
     monkeypatch.setattr(lab_run, "History", lambda path: History(Path("/dev/full")))
     words = ["lab", "run", "calm", "--nodes", "1", "--keep", str(keep)]
--- a/tests/test_store_disk_faults.py
+++ b/tests/test_store_disk_faults.py
@@ -5,7 +5,9 @@
 import sqlite3
 import subprocess
 import sys
+from collections.abc import Callable
 from pathlib import Path
+from typing import Any
 
 import pytest
 from failing_calls import fail_calls, in_child
@@ -20,7 +22,7 @@
 STORED = "stored"
 
 
-def result_of(task: Task) -> dict:
+def result_of(task: Task) -> dict[str, Any]:
     """A run's result of several pages."""
     padding = os.urandom(9000).hex()
     return {"goal": 0.5, "rules": {}, "account": {"lost": []}, "made": {}, "seed": task.seed} | {
@@ -54,7 +56,7 @@
     assert assert_whole(path) == [task.seed for task in TASKS]
 
 
-def message_of(path: Path, use) -> str:
+def message_of(path: Path, use: Callable[[], object]) -> str:
     """What came of a use of the store: STORED, or the one line of its error."""
     try:
         use()
@@ -79,7 +81,9 @@
 
 @pytest.mark.parametrize(("calls", "error"), WRITE_FAULTS)
 @pytest.mark.parametrize("stage", ["make", "open", "put"])
-def test_a_store_on_a_failing_disk_says_so_and_loses_nothing(tmp_path, stage, calls, error):
+def test_a_store_on_a_failing_disk_says_so_and_loses_nothing(
+    tmp_path: Path, stage: str, calls: tuple[str, ...], error: int
+) -> None:
     """Failure prevented: a run that is said to be stored has not reached the disk."""
     path = tmp_path / "s.sqlite"
     if stage != "make":
@@ -107,7 +111,7 @@
 
 
 @pytest.mark.parametrize("use", ["rows", "done", "result"])
-def test_a_store_that_cannot_be_read_is_one_line(tmp_path, use):
+def test_a_store_that_cannot_be_read_is_one_line(tmp_path: Path, use: str) -> None:
     """Failure prevented: a traceback, or what could be read of a store, taken for the whole."""
     path = tmp_path / "s.sqlite"
     store = Store(path)
@@ -124,7 +128,7 @@
     assert in_child(read) in (f"{path}: disk I/O error", f"{path}: database disk image is malformed")
 
 
-def test_what_a_failed_sync_has_left_is_written_anew_before_more_is_stored(tmp_path):
+def test_what_a_failed_sync_has_left_is_written_anew_before_more_is_stored(tmp_path: Path) -> None:
     """Failure prevented: pages that never reached the disk stand in the log before those of later runs."""
     path = tmp_path / "s.sqlite"
     store = Store(path)
@@ -167,7 +171,7 @@
 
 
 @pytest.mark.parametrize("rest", ["missing", "zeros"])
-def test_a_log_that_was_cut_anywhere_gives_the_runs_before_the_cut(tmp_path, rest):
+def test_a_log_that_was_cut_anywhere_gives_the_runs_before_the_cut(tmp_path: Path, rest: str) -> None:
     """A kill or a loss of power leaves the end of the log unwritten: each run is whole or not there."""
     body, log = stopped_store(tmp_path)
     seen = set()
@@ -183,7 +187,7 @@
     assert_resumes(path)
 
 
-def test_a_file_that_was_cut_anywhere_is_damaged_or_empty(tmp_path):
+def test_a_file_that_was_cut_anywhere_is_damaged_or_empty(tmp_path: Path) -> None:
     """Failure prevented: the runs in the first half of a copy are compared as if they were all."""
     path = tmp_path / "s.sqlite"
     store = Store(path)
@@ -209,7 +213,9 @@
         ("result = x'00'", ["report", "-o"]),
     ],
 )
-def test_a_row_that_is_not_whole_ends_a_command_with_one_line(tmp_path, damage, words):
+def test_a_row_that_is_not_whole_ends_a_command_with_one_line(
+    tmp_path: Path, damage: str, words: list[str]
+) -> None:
     path = tmp_path / "s.sqlite"
     store = Store(path)
     put(store, *TASKS[:1])
@@ -261,7 +267,7 @@
     )
 
 
-def test_an_experiment_whose_disk_fails_ends_with_one_line_and_is_resumed(tmp_path):
+def test_an_experiment_whose_disk_fails_ends_with_one_line_and_is_resumed(tmp_path: Path) -> None:
     faults = {"full": ("pwrite64", errno.ENOSPC), "sync": (",".join(SYNCS), errno.EIO)}
     (tmp_path / "failing.py").write_text(FAILING_RUN)
     runs = {}
