--- a/balancer/net/downstream/client_connection.py
+++ b/balancer/net/downstream/client_connection.py
@@ -1,37 +1,24 @@
-"""A client's connection: its bytes parsed into requests, its responses written, one request at a time."""
+"""A client's connection: its requests one at a time in their order, and its lifetime."""
 
 from __future__ import annotations
 
 import asyncio
-import socket
-import struct
 from collections import deque
 from typing import cast
 
-import httptools
-
-from balancer.net.downstream.message import REASONS, ClientRequest
+from balancer.net.downstream.message import ClientRequest
 from balancer.net.downstream.protocols import ClientConnectionsProtocol
+from balancer.net.downstream.read_deadline import ReadDeadline
 from balancer.net.downstream.read_queue import ReadQueue
+from balancer.net.downstream.request_parser import RequestParser
+from balancer.net.downstream.response_writer import ResponseWriter
 from balancer.net.process.sockets import PEER_CLOSED, READABLE, has_event
-from balancer.net.upstream.body_streaming import (
-    MAX_BODY_BYTES,
-    MAX_BUFFERED_BYTES,
-    RequestBodyStream,
-    ResponseSource,
-)
-
-MAX_HEAD_BYTES = 32768
+from balancer.net.upstream.body_streaming import ResponseSource
+
 PARSE_SLICE_BYTES = 8192  # parsed in one go
-MAX_HEADER_LINES = 128
 MAX_PIPELINED_REQUESTS = 8  # complete requests that wait on one connection while an earlier one is in flight
 # Bytes that wait behind these; whoever sends more is rejected, and nothing of it is read but its end.
 MAX_PIPELINED_BYTES = 32768
-# In which the head of a new connection's request, or of one that has begun, must come...
-HEAD_TIMEOUT_S = 2.2
-MIN_BODY_BYTES = 8192  # ...and of a body so much, or the rest of it
-MAX_BODY_PAUSE_S = 0.3  # in which some of a body must have come when that time is over
-HEAD_WRITE_TIME_S = 2.0  # that a client may take to write a head: until then it is not evicted
 UNREAD_TIMEOUT_S = 30.0  # in which a client must take something of its last response
 # In which the client may read a last response, or send some more of what it is sending...
 LINGER_S = 1.0
@@ -50,35 +37,36 @@
         self.connections = connections
         self.rejecting = rejecting
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
-        self.parser = httptools.HttpRequestParser(self)
+        self.last_active_at = connections.loop.time()
+        self.read_deadline = ReadDeadline(connections.loop, self.last_active_at)
+        self.parser = RequestParser(self, self.read_deadline)
+        self.writer = ResponseWriter(connections.memory_budget)
         self.unparsed = ReadQueue()  # has come and is not parsed yet
         self.read_at = 0.0  # when what is being parsed was read
         self.parsing = False
-        self.partial: ClientRequest | None = None
-        self.head_incomplete = False  # its head is still coming
-        self.bytes_without_body = 0  # bytes of it that have come in a row and were none of its body
         self.pipelined: deque[ClientRequest] = deque()
         self.current: ClientRequest | None = None
-        self.source: ResponseSource | None = None  # where the current request's response is streamed from
-        self.chunked = False  # it is streamed to the client in chunks
         self.reading_stopped = False  # nothing further is read from this client
-        self.write_blocked = False  # it does not read its responses...
-        self.unsent_bytes = 0  # ...of which so many bytes are held
         self.reading_paused = False
         self.has_served = False  # it has had a response
-        self.last_active_at = connections.loop.time()
-        # When it must have got further, if it must.
-        self.read_deadline: float | None = self.last_active_at + HEAD_TIMEOUT_S
-        self.body_deadline = 0.0  # when a body that still comes must be whole, or much of it have come
-        self.body_bytes = 0  # bytes of a body that have come since `read_deadline` was set
         self.is_gone = False
         self.finished_at = 0.0  # when it had its last response
 
+    @property
+    def partial(self) -> ClientRequest | None:
+        """The request that is coming, if one has begun."""
+        return self.parser.partial
+
+    @property
+    def write_blocked(self) -> bool:
+        """Whether the client does not read its responses."""
+        return self.writer.blocked
+
     # ---- reading --------------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keeps the transport, and bounds its write buffer."""
-        self.transport = cast(asyncio.Transport, transport)
+        self.transport = self.writer.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=self.connections.memory_budget.chunk_bytes)
 
     def get_buffer(self, sizehint: int) -> bytearray:
@@ -94,7 +82,7 @@
             bytes(memoryview(self.connections.memory_budget.read_buffer)[:nbytes]), self.last_active_at
         )
         self.parse()
-        if len(self.unparsed) > MAX_PIPELINED_BYTES and not self.is_upload_blocked():
+        if len(self.unparsed) > MAX_PIPELINED_BYTES and not self.parser.is_upload_blocked():
             # Failure prevented: the client's end stands behind bytes that nobody reads, and what it has left
             # goes to servers one request after the other.
             self.unparsed.clear()
@@ -108,7 +96,7 @@
         while True:
             while self.unparsed and not self.reading_stopped and not self.is_blocked():
                 data, self.read_at = self.unparsed.take(PARSE_SLICE_BYTES)
-                self.feed(data)
+                self.parser.feed(data)
             self.start_next_request()
             if not self.unparsed or self.reading_stopped or self.is_blocked():
                 break
@@ -117,17 +105,11 @@
 
     def is_blocked(self) -> bool:
         """Whether what comes next must wait: for earlier requests, or for a server that takes the upload."""
-        return len(self.pipelined) >= MAX_PIPELINED_REQUESTS or self.is_upload_blocked()
-
-    def is_upload_blocked(self) -> bool:
-        """Whether the client is to send no more of a body for now."""
-        return (
-            self.partial is not None and self.partial.upload is not None and self.partial.upload.is_blocked()
-        )
+        return len(self.pipelined) >= MAX_PIPELINED_REQUESTS or self.parser.is_upload_blocked()
 
     def update_reading(self) -> None:
         """Reads, or leaves it to the client to wait."""
-        stop = not self.reading_stopped and self.is_upload_blocked()
+        stop = not self.reading_stopped and self.parser.is_upload_blocked()
         if stop == self.reading_paused or self.transport is None or self.transport.is_closing():
             return
         self.reading_paused = stop
@@ -136,74 +118,21 @@
         else:
             self.transport.resume_reading()
         if self.partial is not None and self.partial.upload is not None:
-            # While the client is made to wait it cannot be late.
-            self.read_deadline = None if stop else self.connections.loop.time() + HEAD_TIMEOUT_S
-            self.body_bytes = 0
-
-    def feed(self, data: bytes) -> None:
-        """Parses a slice, small beside the bound on a head, which is measured in whole slices."""
-        partial, body_bytes = self.partial, self.body_bytes
-        try:
-            self.parser.feed_data(data)
-        except httptools.HttpParserUpgrade:
-            # The offer of another protocol is passed over, but the parser reads nothing after it.
-            self.reading_stopped = True
-            for message in (self.current, *self.pipelined):
-                if message is not None:
-                    message.keep_alive = False
-        except httptools.HttpParserError:
-            self.reject(400)
-        if self.partial is None or self.reading_stopped:
-            return
-        # A trailer, like a head, is kept by the parser until it ends.
-        if self.partial is partial and self.body_bytes == body_bytes:
-            self.bytes_without_body += len(data)
-        else:
-            self.bytes_without_body = len(data)
-        if self.bytes_without_body > MAX_HEAD_BYTES:
-            self.reject(431)
+            if stop:
+                self.read_deadline.suspend()
+            else:
+                self.read_deadline.resume()
 
-    def on_message_begin(self) -> None:
-        """Begins a request."""
-        if self.reading_stopped:
-            return
-        self.partial = ClientRequest()
-        self.head_incomplete = True
-        if self.read_deadline is None:
-            self.read_deadline = self.connections.loop.time() + HEAD_TIMEOUT_S
+    def on_upgrade_offered(self) -> None:
+        """Passes over the offer of another protocol, behind which the parser reads nothing."""
+        self.reading_stopped = True
+        for message in (self.current, *self.pipelined):
+            if message is not None:
+                message.keep_alive = False
 
-    def on_url(self, url: bytes) -> None:
-        """Collects the target, which may come in pieces."""
-        if self.partial is not None:
-            self.partial.target += url
-
-    def on_header(self, name: bytes, value: bytes) -> None:
-        """Keeps a header."""
-        if self.partial is not None and self.head_incomplete:  # or it is a trailer, which ends here
-            key = name.lower()
-            self.partial.lines.append((key, name, value))
-            self.partial.headers.setdefault(key, value)
-            if len(self.partial.lines) > MAX_HEADER_LINES:
-                self.reject(431)
-
-    def on_headers_complete(self) -> None:
-        """Checks the head, and decides whether the body is streamed."""
-        self.head_incomplete = False
-        message = self.partial
-        if message is None:
-            return
-        message.method = self.parser.get_method()
-        message.version = self.parser.get_http_version()
-        message.keep_alive = self.parser.should_keep_alive()
-        message.expects_continue = b"expect" in message.headers and message.version == "1.1"
-        message.size = len(message.target) + sum(len(n) + len(v) for _, n, v in message.lines)
-        self.start_body_deadline()
-        length = message.headers.get(b"content-length", b"")
-        if length.isdigit() and int(length) > MAX_BODY_BYTES:
-            self.reject(413)
-        elif length.isdigit() and int(length) > MAX_BUFFERED_BYTES:
-            self.stream_body(message, int(length))
-        elif self.current is None and not self.pipelined:
+    def on_head_complete(self, message: ClientRequest) -> None:
+        """Lets the client send the body, unless earlier requests are in its way."""
+        if self.current is None and not self.pipelined:
             self.send_continue(message)
 
     def send_continue(self, message: ClientRequest) -> None:
@@ -212,45 +141,10 @@
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         message.expects_continue = False
 
-    def stream_body(self, message: ClientRequest, length: int | None) -> None:
-        """Hands on a request whose body is long, with what has come of it."""
-
-        def more() -> None:
-            self.send_continue(message)
-            self.parse()
-
-        message.upload = RequestBodyStream(length, more)
-        if message.body:
-            message.upload.feed(message.body)
-            message.body = b""
-        self.enqueue(message)
-
-    def on_body(self, body: bytes) -> None:
-        """Buffers or streams a piece of the body."""
-        message = self.partial
-        if message is None or self.reading_stopped:
-            return
-        self.body_bytes += len(body)
-        if message.upload is not None:
-            message.upload.feed(body)
-            if message.upload.size > MAX_BODY_BYTES:
-                self.reject(413)
-            return
-        message.body += body
-        if len(message.body) > MAX_BUFFERED_BYTES:
-            self.stream_body(message, None)
-
-    def on_message_complete(self) -> None:
-        """Pipelines the request, or ends its streamed body."""
-        message, self.partial = self.partial, None
-        self.read_deadline = None
-        if message is None or self.reading_stopped:
-            return
-        if message.upload is not None:
-            message.upload.end()
-        else:
-            message.size += len(message.body)
-            self.enqueue(message)
+    def on_upload_writable(self, message: ClientRequest) -> None:
+        """Lets the client send more of a streamed body."""
+        self.send_continue(message)
+        self.parse()
 
     def enqueue(self, message: ClientRequest) -> None:
         """Pipelines a request that has come: complete, or with a streamed body."""
@@ -268,8 +162,8 @@
         if self.reading_stopped:
             return
         self.reading_stopped = True
-        partial, self.partial = self.partial, None
-        self.read_deadline = None
+        partial = self.parser.drop_partial()
+        self.read_deadline.clear()
         if partial is None or partial.upload is None:
             self.pipelined.append(ClientRequest(status))
         elif partial is self.current:
@@ -280,10 +174,10 @@
 
     def start_next_request(self) -> None:
         """Hands on the first pipelined request, once nothing is in its way."""
-        if self.current is not None or self.write_blocked or self.is_gone:
+        if self.current is not None or self.writer.blocked or self.is_gone:
             return
         if not self.pipelined:
-            if self.partial is not None and not self.head_incomplete:
+            if self.partial is not None and not self.parser.head_incomplete:
                 self.send_continue(self.partial)
             return
         self.current = message = self.pipelined.popleft()
@@ -306,13 +200,11 @@
             headers: further header lines, each with its end.
         """
         message = self.current
-        if message is None or self.source is not None:
+        if message is None or self.writer.source is not None:
             return
         close = self.closes_after(message)
-        self.write(
-            b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n%b"
-            % (status, REASONS[status], headers, len(body), b"Connection: close\r\n" if close else b"", body)
-        )
+        self.last_active_at = self.connections.loop.time()
+        self.writer.write_response(status, body, headers, close)
         self.finish_response(message, close)
 
     def closes_after(self, message: ClientRequest) -> bool:
@@ -325,12 +217,6 @@
         leaving = self.connections.life.draining and not begun and not self.has_unread_data()
         return not message.keep_alive or self.rejecting or still or leaving
 
-    def write(self, data: bytes) -> None:
-        """Writes to the client, unless the connection is closing."""
-        self.last_active_at = self.connections.loop.time()
-        if not self.transport.is_closing():
-            self.transport.write(data)
-
     def finish_response(self, message: ClientRequest, close: bool) -> None:
         """Takes note that the current request has had its response."""
         self.current = None
@@ -350,38 +236,35 @@
         """
         message = self.current
         assert message is not None
-        self.source = source
-        self.chunked = length is None and message.version == "1.1"
-        if length is None and not self.chunked:
+        self.writer.begin_stream(source, length, chunked=message.version == "1.1")
+        if length is None and not self.writer.chunked:
             message.keep_alive = False
-        framing = b"" if length is None else b"Content-Length: %d\r\n" % length
-        if self.chunked:
-            framing = b"Transfer-Encoding: chunked\r\n"
-        close = b"Connection: close\r\n" if self.closes_after(message) else b""
-        self.write(b"HTTP/1.1 200 OK\r\n%b%b%b\r\n" % (headers, framing, close))
+        close = self.closes_after(message)
+        self.last_active_at = self.connections.loop.time()
+        self.writer.write_stream_head(length, headers, close)
 
     def write_stream(self, data: bytes) -> None:
         """Writes a piece of the streamed response."""
         if data:
-            self.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
+            self.last_active_at = self.connections.loop.time()
+            self.writer.write_stream(data)
 
     def end_stream(self) -> None:
         """Ends the streamed response, which is complete."""
         message = self.current
         if message is None:
             return
-        if self.chunked:
-            self.write(b"0\r\n\r\n")
-        self.source = None
+        if self.writer.chunked:
+            self.last_active_at = self.connections.loop.time()
+        self.writer.end_stream()
         self.finish_response(message, self.closes_after(message))
 
     def abort_stream(self) -> None:
         """Breaks the streamed response off: the connection ends without its end, so the client can tell."""
         message = self.current
-        if message is not None and not self.chunked and message.version != "1.1":
-            # To such a client the end of the connection may be the end of the answer: it is reset instead.
-            held = self.transport.get_extra_info("socket")
-            held.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        if message is not None and not self.writer.chunked and message.version != "1.1":
+            # To such a client the end of the connection may be the end of the response.
+            self.writer.reset_on_close()
         self.transport.abort()
 
     def close_gracefully(self) -> None:
@@ -421,25 +304,13 @@
 
     def pause_writing(self) -> None:
         """Takes note that the client does not read its responses."""
-        self.write_blocked = True
-        if self.source is not None:
-            self.source.pause_reading()
-        else:
-            self.set_unsent_bytes(self.transport.get_write_buffer_size())
+        self.writer.pause()
 
     def resume_writing(self) -> None:
         """Goes on as the client reads again."""
-        self.write_blocked = False
-        self.set_unsent_bytes(0)
-        if self.source is not None:
-            self.source.resume_reading()
+        self.writer.resume()
         self.parse()
 
-    def set_unsent_bytes(self, size: int) -> None:
-        """Counts so many bytes of responses as held that the client does not read."""
-        self.connections.memory_budget.reserve(size - self.unsent_bytes)
-        self.unsent_bytes = size
-
     # ---- ends -----------------------------------------------------------------------------------------
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -447,14 +318,14 @@
         self.on_client_gone()
         self.connections.connections.discard(self)
         self.connections.descriptor_budget.remove_client()
-        self.set_unsent_bytes(0)
+        self.writer.set_unsent_bytes(0)
 
     def eof_received(self) -> bool:
         """Takes the client's end for its leaving; complete responses it may still read.
 
         Failure prevented: a transport that closes itself waits without end for a client that does not read.
         """
-        owed = self.source is None and self.has_unsent_data()
+        owed = self.writer.source is None and self.has_unsent_data()
         self.on_client_gone()
         if owed and not self.finished_at:
             self.close_gracefully()
@@ -464,13 +335,13 @@
         """Forgets what was sent by the client, which has gone: nothing is handed on or waited for."""
         self.is_gone = self.reading_stopped = True
         self.unparsed.clear()
-        self.partial = None
+        self.parser.drop_partial()
         self.drop_pipelined()
         if self.current is not None:
             self.connections.memory_budget.release(self.current.size)
             self.current = None
             self.connections.handler.client_disconnected(self)
-        self.source = None
+        self.writer.source = None
 
     def is_connected(self) -> bool:
         """Whether the client is still there, asked of its socket; one that is not leaves now.
@@ -487,24 +358,6 @@
         self.connections.memory_budget.release(sum(message.size for message in self.pipelined))
         self.pipelined.clear()
 
-    def eviction_priority(self, now: float) -> tuple[int, float] | None:
-        """Which connection is evicted for a new one: the least first; None if it has a request.
-
-        Failure prevented: peers that never finish a request shut clients out, or clients that take their
-        time to write give way to them.
-        """
-        if self.current is not None or self.pipelined or self.transport is None:
-            return None
-        if self.finished_at:
-            return None if self.has_unsent_data() else (0, self.finished_at)
-        if self.reading_stopped:
-            return None
-        if self.partial is None and self.has_served:
-            return None if self.has_unsent_data() else (1, self.last_active_at)
-        if self.partial is not None and not self.head_incomplete:  # its body is coming
-            return None
-        return (0 if now - self.last_active_at >= HEAD_WRITE_TIME_S else 2), self.last_active_at
-
     def is_idle(self) -> bool:
         """Whether no request is in flight, has begun or waits in the socket, and all responses have gone."""
         begun = (
@@ -516,28 +369,12 @@
         )
         return not begun and not self.has_unsent_data() and not self.has_unread_data()
 
-    def start_body_deadline(self) -> None:
-        """Begins the time of a body, whose head is complete.
-
-        Failure prevented: a client that stops in its body has its head's time again and stays over 3 s.
-        """
-        now = self.connections.loop.time()
-        self.read_deadline = max(self.read_deadline or 0.0, now + MAX_BODY_PAUSE_S)
-        self.body_deadline = now + HEAD_TIMEOUT_S
-        self.body_bytes = 0
-
     def extend_body_deadline(self, now: float) -> bool:
         """Whether the body that is due comes fast enough to be waited for; then it is due anew."""
         partial = self.partial
-        if partial is None or self.head_incomplete:
-            return False
-        comes = partial.upload is not None or now - self.last_active_at < MAX_BODY_PAUSE_S
-        if comes and self.body_bytes >= MIN_BODY_BYTES:
-            self.body_deadline, self.body_bytes = now + HEAD_TIMEOUT_S, 0
-        if not comes or now >= self.body_deadline:
+        if partial is None or self.parser.head_incomplete:
             return False
-        self.read_deadline = self.body_deadline if partial.upload is not None else now + MAX_BODY_PAUSE_S
-        return True
+        return self.read_deadline.extend_body(now, self.last_active_at, partial.upload is not None)
 
     def close_without_request(self) -> None:
         """Ends a connection that carries no whole request; half of one gets an error.
@@ -554,7 +391,7 @@
 
     def has_unsent_data(self) -> bool:
         """Whether bytes of an answer wait in the process: closing now would cut it short."""
-        return self.transport is not None and self.transport.get_write_buffer_size() > 0
+        return self.writer.has_unsent_data()
 
     def has_unread_data(self) -> bool:
         """Whether bytes wait in the socket: closing now would reset a client that has just sent."""
--- a/balancer/net/downstream/client_connections.py
+++ b/balancer/net/downstream/client_connections.py
@@ -7,8 +7,10 @@
 from collections import Counter
 from collections.abc import Callable
 
-from balancer.net.downstream.client_connection import HEAD_TIMEOUT_S, ClientConnection
+from balancer.net.downstream.client_connection import ClientConnection
+from balancer.net.downstream.client_eviction import EvictionRank, eviction_priority
 from balancer.net.downstream.protocols import RequestHandler
+from balancer.net.downstream.read_deadline import HEAD_TIMEOUT_S
 from balancer.net.process.descriptor_budget import DescriptorBudget
 from balancer.net.process.lifecycle import Lifecycle, Stage
 from balancer.net.process.listener import Listener
@@ -105,13 +107,13 @@
         candidates = [
             (priority, id(c), c)
             for c in self.connections
-            if (priority := c.eviction_priority(now)) is not None
+            if (priority := eviction_priority(c, now)) is not None
         ]
-        for (kind, _), _, client in sorted(candidates):
-            if kind == 2 and self.free_server_connection():
+        for (rank, _), _, client in sorted(candidates):
+            if rank == EvictionRank.WRITING_HEAD and self.free_server_connection():
                 return True
             if not client.has_unread_data():
-                self.counts["gave_way_idle" if kind == 1 else "gave_way_headless"] += 1
+                self.counts["gave_way_idle" if rank == EvictionRank.IDLE else "gave_way_headless"] += 1
                 self.connections.discard(client)
                 client.transport.abort()
                 return True
@@ -138,7 +140,8 @@
         for client in list(self.connections):
             if client.reading_paused and not client.is_connected():
                 continue
-            if client.read_deadline is None or now < client.read_deadline or client.reading_stopped:
+            expires_at = client.read_deadline.expires_at
+            if expires_at is None or now < expires_at or client.reading_stopped:
                 continue
             if client.current is not None and client.current is not client.partial:
                 continue  # what is ahead may wait
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -3,7 +3,7 @@
 import pytest
 from loopback import OK, Bench, Client, Clock, Server, always, call, play, until
 
-from balancer.net.downstream.client_connection import HEAD_WRITE_TIME_S
+from balancer.net.downstream.client_eviction import HEAD_WRITE_TIME_S
 from balancer.net.process.descriptor_budget import DescriptorBudget
 
 HALF = b"GET /view HTTP/1.1\r\nX-Call-Id: 1\r\n"
@@ -89,7 +89,7 @@
         body.send(call("offer", body=b"x" * 10)[:-5])
         await until(
             lambda: any(
-                c.partial and not c.head_incomplete for c in bench.node.client_connections.connections
+                c.partial and not c.parser.head_incomplete for c in bench.node.client_connections.connections
             )
         )
         assert not bench.node.client_connections.evict_one()
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -23,6 +23,7 @@
 )
 
 from balancer.net.config import ConfigError, read
+from balancer.net.downstream.client_eviction import eviction_priority
 from balancer.net.process import management
 
 READY = b"GET /ready HTTP/1.1\r\n\r\n"
@@ -210,9 +211,8 @@
             await until(lambda: caller.has_served and caller.current is None)
             assert caller.transport.get_write_buffer_size() and not caller.is_idle()
             bench.node.take_out()
-            assert (
-                caller.eviction_priority(bench.node.loop.time()) is None and not caller.transport.is_closing()
-            )
+            assert eviction_priority(caller, bench.node.loop.time()) is None
+            assert not caller.transport.is_closing()
             got = b""
             while not got.endswith(body):
                 got += await loop.sock_recv(slow, 65536)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -38,7 +38,7 @@
 
 from balancer.net.config import ConfigError, load, read
 from balancer.net.discovery import client as node_discovery
-from balancer.net.downstream.client_connection import HEAD_TIMEOUT_S
+from balancer.net.downstream.read_deadline import HEAD_TIMEOUT_S
 from balancer.net.upstream.connection import Connection
 from balancer.net.upstream.exchange import Exchange
 from balancer.policy.interface import ListKind, Outcome
@@ -1102,7 +1102,7 @@
         await until(lambda: any(c.partial for c in bench.node.client_connections.connections))
         (caller,) = bench.node.client_connections.connections
         client.send(b"X-More: 1\r\n")  # it is still at it
-        caller.read_deadline -= 1000  # as if it were long ago
+        caller.read_deadline.expires_at -= 1000  # as if it were long ago
         bench.node.client_connections.sweep()
         assert (await client.receive())[0] == 408 and await client.ended()
 
--- a/tests/test_operator_terms_answers.py
+++ b/tests/test_operator_terms_answers.py
@@ -66,9 +66,9 @@
         requests = bench.node.requests
         await until(lambda: any(r.stream is not None for r in requests.pending.values()))
         (caller,) = bench.node.client_connections.connections
-        caller.read_deadline = 0.0
-        caller.body_deadline = 0.0
-        caller.body_bytes = 0
+        caller.read_deadline.expires_at = 0.0
+        caller.read_deadline.body_expires_at = 0.0
+        caller.read_deadline.body_bytes = 0
         bench.node.client_connections.sweep()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
             await client.receive()
--- a/tests/test_operator_terms_stopping.py
+++ b/tests/test_operator_terms_stopping.py
@@ -3,7 +3,7 @@
 import pytest
 from loopback import Bench, Clock, Server, call, play, until
 
-from balancer.net.downstream.client_connection import HEAD_TIMEOUT_S
+from balancer.net.downstream.read_deadline import HEAD_TIMEOUT_S
 
 OWED = 3.0  # seconds from its connecting in which a bad client gets its error
 SWEEP = HEAD_TIMEOUT_S / 8
@@ -61,7 +61,7 @@
         (caller,) = callers.connections
         clock.now += 1.5
         client.send(HALVES["the head"])
-        await until(lambda: caller.partial is not None and not caller.head_incomplete)
+        await until(lambda: caller.partial is not None and not caller.parser.head_incomplete)
         for count in range(1, 13):
             clock.now += 0.15
             client.send(bytes(100))
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -6,7 +6,9 @@
 import pytest
 from loopback import OK, Bench, Client, Clock, Server, always, call, gated, play, record_outcomes, until
 
-from balancer.net.downstream.client_connection import HEAD_TIMEOUT_S, LINGER_S
+from balancer.net.downstream.client_connection import LINGER_S
+from balancer.net.downstream.client_eviction import eviction_priority
+from balancer.net.downstream.read_deadline import HEAD_TIMEOUT_S
 from balancer.net.process.memory_budget import MAX_CHUNK_BYTES, MIN_CHUNK_BYTES, MIN_HELD_BYTES, MemoryBudget
 from balancer.net.upstream import exchange as node_exchange
 from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
@@ -261,7 +263,7 @@
 
 def test_what_grows_longer_than_any_is_cut(monkeypatch):
     """Failure prevented: chunks without end keep a server, a client and their connections for good."""
-    for module in ("downstream.client_connection", "upstream.connection"):
+    for module in ("downstream.request_parser", "upstream.connection"):
         monkeypatch.setattr(f"balancer.net.{module}.MAX_BODY_BYTES", 200_000)
 
     async def scene():
@@ -351,7 +353,7 @@
             request.exchange.connection.transport.get_write_buffer_size()
             <= 3 * node.memory_budget.chunk_bytes
         )
-        assert caller.read_deadline is None  # it is not the client that is late
+        assert caller.read_deadline.expires_at is None  # it is not the client that is late
         server.read.set()
         assert (await receive(client))[1] == b"ok"
         assert server.bodies[0] == body
@@ -507,12 +509,16 @@
         (caller,) = callers.connections
         (request,) = bench.node.requests.pending.values()
         await until(
-            lambda: caller.read_deadline is not None and not caller.unparsed and not caller.reading_paused
+            lambda: (
+                caller.read_deadline.expires_at is not None
+                and not caller.unparsed
+                and not caller.reading_paused
+            )
         )
-        caller.body_bytes, now = len(LONG), bench.node.loop.time()
+        caller.read_deadline.body_bytes, now = len(LONG), bench.node.loop.time()
         monkeypatch.setattr(callers, "loop", Clock(bench.node.loop, now + HEAD_TIMEOUT_S + 1))
         callers.sweep()
-        assert not caller.reading_stopped and caller.body_bytes == 0
+        assert not caller.reading_stopped and caller.read_deadline.body_bytes == 0
         monkeypatch.setattr(callers, "loop", Clock(bench.node.loop, now + 2 * HEAD_TIMEOUT_S + 2))
         callers.sweep()
         head, _ = await receive(client)
@@ -577,7 +583,7 @@
         assert not caller.transport.is_closing()
         head, _ = await receive(client)
         assert head.startswith(b"HTTP/1.1 503 ") and b"Retry-After" in head
-        assert caller.eviction_priority(callers.loop.time()) == (0, caller.finished_at)  # it gives way first
+        assert eviction_priority(caller, callers.loop.time()) == (0, caller.finished_at)  # it gives way first
         monkeypatch.setattr(callers, "loop", Clock(bench.node.loop, caller.last_active_at + 1.1 * LINGER_S))
         caller.linger(caller.finished_at, 0)
         assert caller.transport.is_closing()
