--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -1,8 +1,8 @@
 """One node: hosts a Balancer on sockets.
 
-It wires the parts together, starts them and ends them, and makes no decision. Requests and their attempts
-are in `downstream/requests.py`, news of the servers in `discovery/registry.py`, the clock and the module's
-events in `process/event_queue.py`.
+It wires the parts together, starts them and ends them, and makes no decision. Requests are in
+`downstream/requests.py`, their attempts in `downstream/attempts.py`, server lists in `discovery/registry.py`,
+the clock and the policy's events in `process/event_queue.py`.
 """
 
 from __future__ import annotations
@@ -16,6 +16,7 @@
 
 from balancer.net.config import Config, ConfigError, load_discovery
 from balancer.net.discovery.registry import ServerRegistry
+from balancer.net.downstream.attempts import Attempts
 from balancer.net.downstream.client_connections import ClientConnections
 from balancer.net.downstream.requests import Requests
 from balancer.net.peers import Peers
@@ -31,6 +32,7 @@
 from balancer.net.process.system_faults import is_shortage, retry_shortage
 from balancer.net.upstream.connection import Response
 from balancer.net.upstream.exchange import Exchange
+from balancer.net.upstream.load_report import parse_load_report
 from balancer.net.upstream.pool import ConnectionPool
 from balancer.policy import Balancer
 from balancer.policy.interface import Outcome, State
@@ -72,9 +74,8 @@
         self.life = Lifecycle(self.log_lines)
         self.counters = Counters(config.classes)
         self.event_queue = EventQueue(self.log_lines, self.on_event_failed)
-        self.requests = Requests(
-            config, loop, self.pool, self.life, self.log_lines, self.counters, self.event_queue
-        )
+        self.requests = Requests(config, loop, self.life, self.log_lines, self.counters, self.event_queue)
+        self.attempts = Attempts(config, self.pool, self.event_queue, self.counters, self.requests)
         self.client_connections = ClientConnections(
             loop, self.descriptor_budget, self.requests, self.life, self.memory_budget
         )
@@ -95,7 +96,7 @@
     def connect_policy(self) -> None:
         """Makes the policy, whose actions on requests and discovery their parts carry out themselves."""
         config = self.config
-        self.send, self.cancel = self.requests.send, self.requests.cancel
+        self.send, self.cancel = self.attempts.send, self.attempts.cancel
         self.reject, self.fail = self.requests.reject, self.requests.fail
         self.watch, self.fetch = self.discovery.watch, self.discovery.fetch
         adapter = None if self.fleet is None else self.fleet.policy_adapter
@@ -104,8 +105,9 @@
             adapter.on_health_check_result, adapter.on_shares = self.on_probe_result, self.on_shares
             self.server_registry.on_servers = adapter.server_list
             if config.fleet is not None and config.fleet.zones is not None:
-                self.requests.on_outcome = adapter.attempt_ended
-        self.requests.balancer = self.server_registry.balancer = self.balancer
+                self.attempts.on_outcome = adapter.attempt_ended
+        self.requests.balancer = self.attempts.balancer = self.balancer
+        self.server_registry.balancer = self.balancer
 
     async def start(self) -> None:
         """Begins to serve.
@@ -323,7 +325,7 @@
         def done(outcome: Outcome, response: Response | None) -> None:
             ok = response is not None and response.status == 200
             report = (
-                self.requests.parse_report(response.body or response.report)
+                parse_load_report(response.body or response.report, self.config.report_names)
                 if response is not None and ok
                 else ()
             )
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -491,10 +491,10 @@
 
     async def scene():
         bench = await Bench(Server()).start()
-        bench.node.requests.classes = None
+        bench.node.requests.validator.classes = None
         client = await bench.client()
         assert (await client.ask(call()))[0] == 500
-        bench.node.requests.classes = {b"view": 0}
+        bench.node.requests.validator.classes = {b"view": 0}
         assert (await client.ask(call()))[0] == 200
 
     play(scene)
@@ -745,7 +745,7 @@
             for i in range(100):
                 stranger.sendto(b"stray", peers.transport.get_extra_info("sockname"))
                 await until(lambda i=i: len(seen) > i)
-        bench.node.requests.classes = None
+        bench.node.requests.validator.classes = None
         assert (await bench.once(call()))[0] == 500
 
     play(scene)
--- a/workbench/lab/mischief.py
+++ b/workbench/lab/mischief.py
@@ -26,6 +26,7 @@
 from balancer.fleet.zone_routing.router import ZoneRouter
 from balancer.fleet.zone_routing.zone_states import ZoneStates
 from balancer.net.discovery.registry import ServerRegistry
+from balancer.net.downstream.attempts import Attempts
 from balancer.net.downstream.forwarding import encode_request
 from balancer.net.downstream.requests import Requests
 from balancer.net.process.lifecycle import Lifecycle
@@ -84,7 +85,7 @@
         if other and turn():
             copy(self, request, other[0], timeout)
 
-    wrap(Requests, "send", send)
+    wrap(Attempts, "send", send)
 
 
 def deaf() -> None:
@@ -110,16 +111,16 @@
             for _ in range(COPIES):
                 copy(self, request, newest, timeout)
 
-    wrap(Requests, "send", send)
+    wrap(Attempts, "send", send)
 
 
-def copy(requests: Any, request: int, server: int, timeout: int) -> None:
+def copy(attempts: Any, request: int, server: int, timeout: int) -> None:
     """A second copy of an open request, to a server of our choice."""
-    r = requests.pending.get(request)
-    endpoint = requests.pool.endpoints[server]
+    r = attempts.requests.pending.get(request)
+    endpoint = attempts.pool.endpoints[server]
     if r is not None and endpoint.ready:
         data = encode_request(r.message, timeout // 1000)
-        Exchange(requests.pool, endpoint, lambda: data, lambda outcome, answer: None).start(2.0)
+        Exchange(attempts.pool, endpoint, lambda: data, lambda outcome, answer: None).start(2.0)
 
 
 def blind() -> None:
