--- a/balancer/net/discovery/call.py
+++ b/balancer/net/discovery/call.py
@@ -4,6 +4,7 @@
 
 import asyncio
 from collections.abc import Callable
+from enum import Enum
 from typing import cast
 
 import httptools
@@ -12,6 +13,14 @@
 MAX_RESPONSE_BYTES = 4 << 20
 
 
+class ResponseStage(Enum):
+    """How much of a response has come."""
+
+    HEAD = "head"  # nothing, a part of its head, or an interim response
+    BODY = "body"  # its head
+    COMPLETE = "complete"
+
+
 class DiscoveryCall(asyncio.Protocol):
     """A connection to discovery, one call at a time.
 
@@ -43,9 +52,8 @@
         self.parser = httptools.HttpResponseParser(self)
         self.body = b""
         self.size = 0
-        self.head_complete = False  # the response's head has come
+        self.stage = ResponseStage.HEAD
         self.has_length = False  # the response tells where it ends
-        self.complete = False
         if self.transport is None:
             self.set_timeout(CONNECT_TIMEOUT_S)
             self.task = self.loop.create_task(self.connect())
@@ -89,7 +97,7 @@
         self.size += len(data)
         if self.size > MAX_RESPONSE_BYTES:  # its head counts: the parser keeps a line of it until it ends
             self.fail()
-        elif self.complete and not self.ended:
+        elif self.stage is ResponseStage.COMPLETE and not self.ended:
             self.on_response_complete()
 
     def on_response_complete(self) -> None:
@@ -103,12 +111,13 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Looks for the headers that tell where the response ends."""
-        if not self.head_complete:  # or it is a trailer
+        if self.stage is ResponseStage.HEAD:  # or it is a trailer
             self.has_length = self.has_length or name.lower() in (b"content-length", b"transfer-encoding")
 
     def on_headers_complete(self) -> None:
         """Notes the end of the head, unless it is that of an interim response."""
-        self.head_complete = self.parser.get_status_code() >= 200
+        if self.stage is ResponseStage.HEAD and self.parser.get_status_code() >= 200:
+            self.stage = ResponseStage.BODY
 
     def on_body(self, body: bytes) -> None:
         """Collects the body, which may come in pieces."""
@@ -120,7 +129,7 @@
             # Failure prevented: an interim response counts as a failed call, each time, and no list comes.
             self.has_length = False
             return
-        self.complete = True
+        self.stage = ResponseStage.COMPLETE
         self.keep_alive = self.parser.should_keep_alive()  # known here only: the parser then starts afresh
 
     def eof_received(self) -> None:
@@ -129,8 +138,9 @@
         Failure prevented: no list is learned from a discovery that responds in this form. A reset is no
         end.
         """
-        if self.head_complete and not self.has_length and not self.complete and not self.ended:
-            self.complete, self.keep_alive = True, False
+        if self.stage is ResponseStage.BODY and not self.has_length and not self.ended:
+            self.stage = ResponseStage.COMPLETE
+            self.keep_alive = False
             self.on_response_complete()
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/balancer/net/downstream/client_connection.py
+++ b/balancer/net/downstream/client_connection.py
@@ -4,6 +4,7 @@
 
 import asyncio
 from collections import deque
+from enum import Enum
 from typing import cast
 
 from balancer.net.downstream.message import ClientRequest
@@ -25,6 +26,14 @@
 MAX_LINGER_S = 10.0  # ...and so long in all
 
 
+class InputState(Enum):
+    """Whether more is read from a client. There is no way back from a later state to an earlier one."""
+
+    OPEN = "open"
+    STOPPED = "stopped"  # nothing further is read, and responses may still be written
+    DISCONNECTED = "disconnected"  # the client has gone, and nothing is owed to it
+
+
 class ClientConnection(asyncio.BufferedProtocol):
     """A client's connection; one request is in flight at a time, the next ones are pipelined.
 
@@ -46,12 +55,21 @@
         self.parsing = False
         self.pipelined: deque[ClientRequest] = deque()
         self.current: ClientRequest | None = None
-        self.reading_stopped = False  # nothing further is read from this client
+        self.input_state = InputState.OPEN
         self.reading_paused = False
         self.has_served = False  # it has had a response
-        self.is_gone = False
         self.finished_at = 0.0  # when it had its last response
 
+    @property
+    def reading_stopped(self) -> bool:
+        """Whether nothing further is read from this client."""
+        return self.input_state is not InputState.OPEN
+
+    @property
+    def is_gone(self) -> bool:
+        """Whether the client has disconnected."""
+        return self.input_state is InputState.DISCONNECTED
+
     @property
     def partial(self) -> ClientRequest | None:
         """The request that is coming, if one has begun."""
@@ -123,9 +141,14 @@
             else:
                 self.read_deadline.resume()
 
+    def stop_reading(self) -> None:
+        """Reads nothing further from this client, whether it is still there or not."""
+        if self.input_state is InputState.OPEN:
+            self.input_state = InputState.STOPPED
+
     def on_upgrade_offered(self) -> None:
         """Passes over the offer of another protocol, behind which the parser reads nothing."""
-        self.reading_stopped = True
+        self.stop_reading()
         for message in (self.current, *self.pipelined):
             if message is not None:
                 message.keep_alive = False
@@ -152,7 +175,7 @@
             # Failure prevented: many clients that send large requests ahead end the process for its memory.
             message.error, message.keep_alive = 503, False
             message.upload, message.body, message.size = None, b"", 0
-            self.reading_stopped = True
+            self.stop_reading()
         self.connections.memory_budget.reserve(message.size)
         message.received_at = self.read_at
         self.pipelined.append(message)
@@ -161,7 +184,7 @@
         """Responds with an error and reads no further; the earlier requests still get their responses."""
         if self.reading_stopped:
             return
-        self.reading_stopped = True
+        self.stop_reading()
         partial = self.parser.drop_partial()
         self.read_deadline.clear()
         if partial is None or partial.upload is None:
@@ -177,7 +200,7 @@
         if self.current is not None or self.writer.blocked or self.is_gone:
             return
         if not self.pipelined:
-            if self.partial is not None and not self.parser.head_incomplete:
+            if self.partial is not None and self.parser.is_reading_body():
                 self.send_continue(self.partial)
             return
         self.current = message = self.pipelined.popleft()
@@ -273,7 +296,7 @@
         Failure prevented: closing while the client still sends resets the connection, and the answer is
         lost on its way. Our end is closed first, and the rest is read and thrown away.
         """
-        self.reading_stopped = True
+        self.stop_reading()
         self.unparsed.clear()
         self.drop_pipelined()
         if self.transport.is_closing():
@@ -333,7 +356,7 @@
 
     def on_client_gone(self) -> None:
         """Forgets what was sent by the client, which has gone: nothing is handed on or waited for."""
-        self.is_gone = self.reading_stopped = True
+        self.input_state = InputState.DISCONNECTED
         self.unparsed.clear()
         self.parser.drop_partial()
         self.drop_pipelined()
@@ -372,7 +395,7 @@
     def extend_body_deadline(self, now: float) -> bool:
         """Whether the body that is due comes fast enough to be waited for; then it is due anew."""
         partial = self.partial
-        if partial is None or self.parser.head_incomplete:
+        if partial is None or not self.parser.is_reading_body():
             return False
         return self.read_deadline.extend_body(now, self.last_active_at, partial.upload is not None)
 
--- a/balancer/net/downstream/client_eviction.py
+++ b/balancer/net/downstream/client_eviction.py
@@ -39,7 +39,7 @@
         return None
     if connection.partial is None and connection.has_served:
         return when_flushed(connection, EvictionRank.IDLE, connection.last_active_at)
-    if connection.partial is not None and not connection.parser.head_incomplete:  # its body is coming
+    if connection.parser.is_reading_body():
         return None
     is_late = now - connection.last_active_at >= HEAD_WRITE_TIME_S
     rank = EvictionRank.STALE if is_late else EvictionRank.WRITING_HEAD
--- a/balancer/net/downstream/request_parser.py
+++ b/balancer/net/downstream/request_parser.py
@@ -77,6 +77,10 @@
         partial, self.partial = self.partial, None
         return partial
 
+    def is_reading_body(self) -> bool:
+        """Whether the head of a request is complete and the rest of it is coming."""
+        return self.partial is not None and not self.head_incomplete
+
     def is_upload_blocked(self) -> bool:
         """Whether the client is to send no more of a body for now."""
         return (
--- a/balancer/net/process/handover.py
+++ b/balancer/net/process/handover.py
@@ -11,6 +11,7 @@
 import stat
 from collections.abc import Callable
 from contextlib import suppress
+from enum import Enum
 from time import monotonic_ns
 
 from balancer.net.process.log import Log
@@ -42,6 +43,14 @@
     return None
 
 
+class MarkerState(Enum):
+    """What this process's file holds of FITS_MARKER."""
+
+    ABSENT = "absent"
+    UNCERTAIN = "uncertain"  # a write or a truncation may have failed halfway
+    WRITTEN = "written"
+
+
 class Handover:
     """Tells whether another process of this node runs, by locked files in a folder that both can write.
 
@@ -66,13 +75,17 @@
         self.descriptor = -1
         self.shared = False
         self.is_older = False  # a younger process runs: it is this one that is replaced
-        self.fit_reported = False
-        self.marker_may_exist = False  # the file may hold FITS_MARKER, or a part of it
+        self.marker = MarkerState.ABSENT
         self.has_polled = False  # a poll has succeeded
         self.failed_polls = 0  # in a row
         self.failing = False
         self.timer: asyncio.TimerHandle | None = None
 
+    @property
+    def fit_reported(self) -> bool:
+        """Whether this process has told the younger one that it keeps to its half of the limits."""
+        return self.marker is MarkerState.WRITTEN
+
     async def start(self, fits: Callable[[], bool]) -> None:
         """Creates the file; where another process runs, waits until that one has made room, or times out.
 
@@ -229,14 +242,31 @@
         if self.descriptor < 0:
             return
         if self.is_older and (self.fit_reported or self.fits()):
-            if not self.fit_reported:
-                self.marker_may_exist = True
-                self.fit_reported = os.pwrite(self.descriptor, FITS_MARKER, 0) == len(FITS_MARKER)
-            return
-        self.fit_reported = False
-        if self.marker_may_exist:
+            self.write_marker()
+        else:
+            self.clear_marker()
+
+    def write_marker(self) -> None:
+        """Writes the marker, unless the file holds it.
+
+        Raises:
+            OSError: the file could not be written.
+        """
+        if not self.fit_reported:
+            self.marker = MarkerState.UNCERTAIN
+            if os.pwrite(self.descriptor, FITS_MARKER, 0) == len(FITS_MARKER):
+                self.marker = MarkerState.WRITTEN
+
+    def clear_marker(self) -> None:
+        """Removes the marker, where the file may hold any of it.
+
+        Raises:
+            OSError: the file could not be truncated.
+        """
+        if self.marker is not MarkerState.ABSENT:
+            self.marker = MarkerState.UNCERTAIN
             os.ftruncate(self.descriptor, 0)
-            self.marker_may_exist = False
+            self.marker = MarkerState.ABSENT
 
     def close(self) -> None:
         """Removes the file: this process is about to end."""
