--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start: the environment and the configuration file, checked."""
+"""The configuration of a node: the environment and the configuration file, validated."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 # The event loop's own (10), the listener, UDP, discovery, the standard streams, and some to spare.
 RESERVED_SOCKETS = 26
 MIN_CONNECTIONS = 8
-# Microseconds of silence after which discovery's news counts as told on sockets, whatever the settings say of
-# lists that are asked for; a watch that has fallen silent is noticed within two seconds of these six.
+# The maximum interval between polls on sockets, whatever the settings allow: within six seconds of a change
+# the node must have been notified, and a silent watch may take two of them.
 MAX_LIST_SILENCE_US = 4_000_000
 
 
 class ConfigError(Exception):
-    """The node cannot start with what it was told; the text is one plain line for each fault."""
+    """The configuration is invalid; the text is one line for each fault."""
 
 
 class Descriptors(NamedTuple):
@@ -42,9 +42,9 @@
     name: str
     listen: Address
     discovery: Address
-    management: Address | None  # where operators call
+    management: Address | None  # of the management pages
     inherited: str | None  # the descriptor of a listening socket that the process was given
-    folder: str  # where processes of one node may agree
+    folder: str  # of the files by which processes of one node find each other
     seed: int
     sockets: int  # descriptors of this node
     reserved: int  # and those that no client or server may use
@@ -61,7 +61,7 @@
     connect_timeout: float  # seconds
     idle_time: float  # seconds after which a server closes an idle connection
     inline_reports: bool
-    report_names: tuple[tuple[str, str], ...]  # a load report's values: the settings' word, the plain one
+    report_names: tuple[tuple[str, str], ...]  # a load report's values: the settings' name, an alias
     fleet: FleetConfig | None  # None: the process stands alone
 
     def connections(self, parts: int = 1) -> int:
@@ -112,7 +112,7 @@
 def load(environ: Mapping[str, str]) -> Config:
     """Reads `LB_CONFIG`; `LB_NAME`, `LB_LISTEN`, `LB_DISCOVERY` and `LB_MANAGEMENT` override it.
 
-    What a process is handed and where it may write, the environment alone tells.
+    Inherited descriptors and the writable folder come from the environment alone.
     """
     table = read_file(environ)
     for key in ("name", "listen", "discovery", "management"):
@@ -126,7 +126,7 @@
 
 
 def load_discovery(environ: Mapping[str, str]) -> Address:
-    """Where discovery is by the file as it stands now; `LB_DISCOVERY` tells only what held at the start."""
+    """The address of discovery in the current file; `LB_DISCOVERY` holds at the start only."""
     return read_address(read_file(environ).get("discovery"), "discovery")
 
 
@@ -142,7 +142,7 @@
 
 
 def read_known(table: object) -> ServerList | None:
-    """The server list that the node starts with, if it is given one."""
+    """The cached server list that the node starts with, if there is one."""
     return parse_server_list(table, ListKind.CACHED) if table else None
 
 
--- a/balancer/net/discovery/call.py
+++ b/balancer/net/discovery/call.py
@@ -53,7 +53,7 @@
         self.body = b""
         self.size = 0
         self.stage = ResponseStage.HEAD
-        self.has_length = False  # the response tells where it ends
+        self.has_length = False  # the response states its length
         if self.transport is None:
             self.set_timeout(CONNECT_TIMEOUT_S)
             self.task = self.loop.create_task(self.connect())
@@ -110,7 +110,7 @@
         self.on_response(self, self.body)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Looks for the headers that tell where the response ends."""
+        """Looks for the headers that state where the response ends."""
         if self.stage is ResponseStage.HEAD:  # or it is a trailer
             self.has_length = self.has_length or name.lower() in (b"content-length", b"transfer-encoding")
 
@@ -133,7 +133,7 @@
         self.keep_alive = self.parser.should_keep_alive()  # known here only: the parser then starts afresh
 
     def eof_received(self) -> None:
-        """Takes the connection's end for the end of a response that does not tell where it ends.
+        """Takes the connection's end for the end of a response that does not state its length.
 
         Failure prevented: no list is learned from a discovery that responds in this form. A reset is no
         end.
@@ -144,7 +144,7 @@
             self.on_response_complete()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fails the call, if one is out, and the calls to come."""
+        """Fails the call in flight, if any, and the calls to come."""
         if self.transport is not None:
             self.transport = None
             self.fail()
--- a/balancer/net/discovery/client.py
+++ b/balancer/net/discovery/client.py
@@ -1,4 +1,4 @@
-"""The watch at discovery, renewed at once, and fetches of the whole list."""
+"""A watch on discovery, renewed at once, and fetches of the full list."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from balancer.net.process.log import Log
 from balancer.policy.interface import ListKind
 
-MAX_WATCH_MS = 1_000  # a watch with no news lasts so long at most...
-WATCH_JITTER = 0.25  # ...and up to this part less, so that no two nodes' watches keep in step
+MAX_WATCH_MS = 1_000  # the maximum time of a watch without an event...
+WATCH_JITTER = 0.25  # ...and up to this part less, so that nodes do not poll in step
 RESPONSE_TIMEOUT_S = 1.0  # after its wait, a watch without a response has failed
 FETCH_TIMEOUT_S = 2.0  # as long as a watch may go without a response
-MAX_OUTDATED = 2  # responses in a row older than the list in hand that tell that discovery has begun anew
+MAX_OUTDATED = 2  # responses in a row older than the list in hand after which discovery counts as restarted
 
 OnServerList = Callable[[ServerList | None], None]
 
 
 class DiscoveryClient:
-    """Keeps a watch at discovery, and fetches the whole list on request.
+    """Keeps a watch on discovery, and fetches the full list on request.
 
     Args:
         loop: the event loop.
@@ -73,7 +73,7 @@
         call.get(f"/v1/endpoints?since={self.version}&timeout_ms={wait}", wait / 1000 + RESPONSE_TIMEOUT_S)
 
     def on_watch_response(self, call: DiscoveryCall, body: bytes | None) -> None:
-        """Hands the news of a watch on, and renews the watch."""
+        """Hands on a watch event, and renews the watch."""
         server_list = self.parse(body)
         if server_list is None:
             # Ended before the failure is reported, since the policy may respond with a new watch.
@@ -88,8 +88,8 @@
     def change_address(self, address: tuple[str, int]) -> None:
         """Goes on at another address at once: the new one reports all that was missed.
 
-        Failure prevented: the old one was given up just before, and the watch waits out a back-off that was
-        meant for that one, longer than the time in which the move counts as told.
+        Failure prevented: a call to the old one has just failed, and the watch waits out the backoff for
+        that one, longer than the node may take to be notified at the new one.
         """
         self.address = address
         if self.watch_wanted:
@@ -101,13 +101,13 @@
             self.fetch()
 
     def fetch(self) -> None:
-        """Requests the whole list, unless such a call is out already."""
+        """Requests the full list, unless such a call is in flight."""
         if self.fetch_call is None:
             self.fetch_call = DiscoveryCall(self.loop, self.address, self.on_fetch_response)
             self.fetch_call.get("/v1/endpoints", FETCH_TIMEOUT_S)
 
     def on_fetch_response(self, call: DiscoveryCall, body: bytes | None) -> None:
-        """Hands the whole list on."""
+        """Hands on the full list."""
         call.end()
         self.fetch_call = None
         self.on_list(self.parse(body))
@@ -128,7 +128,7 @@
 
         Failure prevented: an old response that was overtaken brings drained servers back; or, the other way,
         discovery has begun its versions anew, and its lists are ignored for good. Two old responses in a row
-        tell the second case: then a whole list is accepted, and where only changes came one is fetched.
+        prove the second case: then a full list is accepted, and where only changes came one is fetched.
         """
         if server_list.version >= self.version:
             self.outdated = 0
--- a/balancer/net/discovery/registry.py
+++ b/balancer/net/discovery/registry.py
@@ -31,7 +31,7 @@
         config: the configuration of the node.
         loop: the event loop.
         pool: its endpoints follow the list.
-        life: is told that there is a list.
+        lifecycle: notified of each server list.
         log: gets a line for each list.
         strays: the log for responses that cannot be used.
         event_queue: hands the list to the policy.
@@ -42,7 +42,7 @@
         config: Config,
         loop: asyncio.AbstractEventLoop,
         pool: ConnectionPool,
-        life: Lifecycle,
+        lifecycle: Lifecycle,
         log: Log,
         strays: Log,
         event_queue: EventQueue,
@@ -50,7 +50,7 @@
         self.config = config
         self.loop = loop
         self.pool = pool
-        self.life = life
+        self.lifecycle = lifecycle
         self.log = log
         self.event_queue = event_queue
         self.balancer: Balancer  # set once it is made
@@ -84,7 +84,7 @@
             self.update_server(number, record)
         for number in [n for n, e in endpoints.items() if not e.ready and not e.busy]:
             del endpoints[number]
-        self.life.on_server_list()
+        self.lifecycle.on_server_list()
         if server_list.servers:
             states = Counter(record.state.name.lower() for record in latest.values())
             counts = " ".join(f"{state}={count}" for state, count in states.items())
--- a/balancer/net/discovery/server_list.py
+++ b/balancer/net/discovery/server_list.py
@@ -41,8 +41,8 @@
 def parse_server_list(table: object, kind: ListKind | None = None) -> ServerList:
     """A server list from decoded JSON.
 
-    Failure prevented: skipping one bad entry of a full list would remove a server that runs, so the whole
-    list is refused, and the list in hand stays.
+    Failure prevented: skipping one bad entry of a full list would remove a server that runs, so the
+    list is rejected, and the current one stays.
 
     Args:
         table: the decoded JSON.
--- a/balancer/net/downstream/client_connection.py
+++ b/balancer/net/downstream/client_connection.py
@@ -31,7 +31,7 @@
 
     OPEN = "open"
     STOPPED = "stopped"  # nothing further is read, and responses may still be written
-    DISCONNECTED = "disconnected"  # the client has gone, and nothing is owed to it
+    DISCONNECTED = "disconnected"  # the client has gone, and its requests need no response
 
 
 class ClientConnection(asyncio.BufferedProtocol):
@@ -101,8 +101,8 @@
         )
         self.parse()
         if len(self.unparsed) > MAX_PIPELINED_BYTES and not self.parser.is_upload_blocked():
-            # Failure prevented: the client's end stands behind bytes that nobody reads, and what it has left
-            # goes to servers one request after the other.
+            # Failure prevented: the client's end stands behind bytes that nobody reads, and its
+            # remaining requests go to servers one after the other.
             self.unparsed.clear()
             self.reject(503)
 
@@ -159,7 +159,7 @@
             self.send_continue(message)
 
     def send_continue(self, message: ClientRequest) -> None:
-        """Tells a client that waits for it to send its body."""
+        """Sends `100 Continue` to a client that waits for it before its body."""
         if message.expects_continue and not self.transport.is_closing():
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         message.expects_continue = False
@@ -233,12 +233,12 @@
     def closes_after(self, message: ClientRequest) -> bool:
         """Whether the connection ends with the response to this request.
 
-        Failure prevented: requests that came behind it, whole, are thrown away as the node leaves.
+        Failure prevented: complete requests that were pipelined behind it are dropped as the node drains.
         """
-        still = message.upload is not None and not message.upload.is_complete
-        begun = self.pipelined or self.unparsed or self.partial not in (None, message)
-        leaving = self.connections.life.draining and not begun and not self.has_unread_data()
-        return not message.keep_alive or self.rejecting or still or leaving
+        body_incomplete = message.upload is not None and not message.upload.is_complete
+        has_next_request = self.pipelined or self.unparsed or self.partial not in (None, message)
+        draining = self.connections.lifecycle.draining and not has_next_request and not self.has_unread_data()
+        return not message.keep_alive or self.rejecting or body_incomplete or draining
 
     def finish_response(self, message: ClientRequest, close: bool) -> None:
         """Takes note that the current request has had its response."""
@@ -283,7 +283,7 @@
         self.finish_response(message, self.closes_after(message))
 
     def abort_stream(self) -> None:
-        """Breaks the streamed response off: the connection ends without its end, so the client can tell."""
+        """Aborts the streamed response: the connection ends before it, so that the client notices."""
         message = self.current
         if message is not None and not self.writer.chunked and message.version != "1.1":
             # To such a client the end of the connection may be the end of the response.
@@ -293,8 +293,8 @@
     def close_gracefully(self) -> None:
         """Closes after the last response.
 
-        Failure prevented: closing while the client still sends resets the connection, and the answer is
-        lost on its way. Our end is closed first, and the rest is read and thrown away.
+        Failure prevented: closing while the client still sends resets the connection, and the response is
+        lost on its way. This side is closed first, and what still comes is read and dropped.
         """
         self.stop_reading()
         self.unparsed.clear()
@@ -311,16 +311,18 @@
     def linger(self, since: float, last_unread: int) -> None:
         """Ends the connection, unless the client still reads its last response, or sends.
 
-        Failure prevented: a client that is refused while it sends a long body is cut off before it looks
-        for an answer, and never learns when to come back.
+        Failure prevented: a client that is rejected while it sends a long body is disconnected before it
+        reads the response, and never gets its Retry-After.
         """
         if self.transport.is_closing():
             return
         now = self.connections.loop.time()
         unread = self.transport.get_write_buffer_size()
         since = now if unread != last_unread else since
-        sends = now - self.last_active_at < LINGER_S and now - self.finished_at < MAX_LINGER_S
-        if (unread and now - since < UNREAD_TIMEOUT_S) or (sends and not self.connections.life.draining):
+        is_sending = now - self.last_active_at < LINGER_S and now - self.finished_at < MAX_LINGER_S
+        if (unread and now - since < UNREAD_TIMEOUT_S) or (
+            is_sending and not self.connections.lifecycle.draining
+        ):
             self.connections.loop.call_later(LINGER_S, self.linger, since, unread)
         else:
             self.transport.abort()
@@ -344,18 +346,18 @@
         self.writer.set_unsent_bytes(0)
 
     def eof_received(self) -> bool:
-        """Takes the client's end for its leaving; complete responses it may still read.
+        """Takes the end of the client's input for a disconnect; it may still read complete responses.
 
         Failure prevented: a transport that closes itself waits without end for a client that does not read.
         """
-        owed = self.writer.source is None and self.has_unsent_data()
+        is_response_unsent = self.writer.source is None and self.has_unsent_data()
         self.on_client_gone()
-        if owed and not self.finished_at:
+        if is_response_unsent and not self.finished_at:
             self.close_gracefully()
-        return owed
+        return is_response_unsent
 
     def on_client_gone(self) -> None:
-        """Forgets what was sent by the client, which has gone: nothing is handed on or waited for."""
+        """Forgets what was sent by the client, which has gone: no further request is handed on."""
         self.input_state = InputState.DISCONNECTED
         self.unparsed.clear()
         self.parser.drop_partial()
@@ -367,9 +369,9 @@
         self.writer.source = None
 
     def is_connected(self) -> bool:
-        """Whether the client is still there, asked of its socket; one that is not leaves now.
+        """Whether the client is still there, by its socket; one that is not is disconnected now.
 
-        Failure prevented: while nothing is read from a client its end is not seen, and what it left is sent.
+        Failure prevented: while nothing is read from a client its end is not seen, and its requests are sent.
         """
         if not self.is_gone and has_event(self.transport, PEER_CLOSED):
             self.on_client_gone()
@@ -400,9 +402,9 @@
         return self.read_deadline.extend_body(now, self.last_active_at, partial.upload is not None)
 
     def close_without_request(self) -> None:
-        """Ends a connection that carries no whole request; half of one gets an error.
+        """Ends a connection without a complete request; an incomplete one gets an error.
 
-        What waits in the socket is read first, and what has been read whole gets its answer.
+        What waits in the socket is read first, and a complete request gets its response.
         """
         if self.transport is None or self.is_gone or (self.has_unread_data() and not self.reading_paused):
             return
@@ -413,10 +415,10 @@
             self.transport.abort()
 
     def has_unsent_data(self) -> bool:
-        """Whether bytes of an answer wait in the process: closing now would cut it short."""
+        """Whether bytes of a response wait in the process: closing now would cut it short."""
         return self.writer.has_unsent_data()
 
     def has_unread_data(self) -> bool:
         """Whether bytes wait in the socket: closing now would reset a client that has just sent."""
-        up = self.transport is not None and not self.transport.is_closing()
-        return up and has_event(self.transport, READABLE)
+        is_open = self.transport is not None and not self.transport.is_closing()
+        return is_open and has_event(self.transport, READABLE)
--- a/balancer/net/downstream/client_connections.py
+++ b/balancer/net/downstream/client_connections.py
@@ -16,7 +16,7 @@
 from balancer.net.process.listener import Listener
 from balancer.net.process.memory_budget import MemoryBudget
 
-MAX_REJECTING = 16  # connections, a sixteenth of the budget at most, that are open only to be rejected
+MAX_REJECTING = 16  # connections, up to a sixteenth of the budget, that are open only to be rejected
 MAX_ACCEPTS = 64  # connections taken in one go
 ACCEPT_AFTER_TERM_S = 0.5  # after SIGTERM, in which new connections are still taken
 SETTLE_S = 0.2  # in which a connection that was just used may bring its next request
@@ -30,7 +30,7 @@
         loop: the event loop.
         descriptor_budget: bounds the connections.
         handler: what requests are handed to.
-        life: the stage of the node.
+        lifecycle: the stage of the node.
         memory_budget: bounds what is held of requests and responses.
     """
 
@@ -39,15 +39,17 @@
         loop: asyncio.AbstractEventLoop,
         descriptor_budget: DescriptorBudget,
         handler: RequestHandler[ClientConnection],
-        life: Lifecycle,
+        lifecycle: Lifecycle,
         memory_budget: MemoryBudget,
     ) -> None:
         self.loop = loop
         self.descriptor_budget = descriptor_budget
         self.memory_budget = memory_budget
-        self.counts: Counter[str] = Counter()  # connections that were ended for want of room or of a request
+        self.counts: Counter[str] = (
+            Counter()
+        )  # connections that were evicted, or closed for lack of a request
         self.handler = handler
-        self.life = life
+        self.lifecycle = lifecycle
         self.connections: set[ClientConnection] = set()
         self.is_draining = False
         self.shared = False
@@ -56,7 +58,7 @@
         self.listener = Listener(loop, self.accept, self.has_capacity, MAX_ACCEPTS)
         descriptor_budget.on_released = self.listener.update
         self.stop_at = 0.0  # when an ending node stops listening...
-        self.close_at = 0.0  # ...and when it closes the connections that carry no request, new ones too
+        self.close_at = 0.0  # ...and when it closes the connections without a request, new ones too
 
     def max_served(self) -> int:
         """How many connections are served; a few more are open only to be rejected."""
@@ -120,19 +122,19 @@
         return False
 
     def evict_idle(self) -> None:
-        """Evicts the connection that has been idle longest if clients hold all that they may."""
+        """Evicts the connection that has been idle longest if clients have as many as they may."""
         if len(self.connections) <= self.descriptor_budget.max_idle_clients:
             return
         held = [c for c in self.connections if c.has_served or c.current is not None]
         idle = [c for c in held if c.is_idle()] if len(held) > self.descriptor_budget.max_idle_clients else []
         if idle:
-            longest = min(idle, key=lambda c: c.last_active_at)
+            oldest = min(idle, key=lambda c: c.last_active_at)
             self.counts["gave_way_idle"] += 1
-            self.connections.discard(longest)
-            longest.transport.abort()
+            self.connections.discard(oldest)
+            oldest.transport.abort()
 
     def sweep(self) -> None:
-        """Ends connections on which no whole head has come in its time, or too little of a body.
+        """Ends connections whose head is not complete in its time, or whose body comes too slowly.
 
         Failure prevented: peers that send nothing, or a request byte by byte, hold descriptors for good.
         """
@@ -144,7 +146,7 @@
             if expires_at is None or now < expires_at or client.reading_stopped:
                 continue
             if client.current is not None and client.current is not client.partial:
-                continue  # what is ahead may wait
+                continue  # an earlier request is in flight
             if client.partial is not None:
                 if client.extend_body_deadline(now):
                     continue
@@ -167,14 +169,14 @@
 
         A new one keeps its time: its client may have connected before it could know, and be writing yet.
         """
-        if not self.life.draining:
+        if not self.lifecycle.draining:
             self.is_draining = False
             return
         now = self.loop.time()
-        ending = self.life.stage == Stage.ENDING and self.listener.socket is not None
+        ending = self.lifecycle.stage == Stage.ENDING and self.listener.socket is not None
         if ending and now >= self.stop_at:
             self.listener.stop()
-        last = self.life.stage == Stage.ENDING and now >= self.close_at
+        last = self.lifecycle.stage == Stage.ENDING and now >= self.close_at
         for client in list(self.connections):
             if last:
                 client.close_without_request()
@@ -183,9 +185,9 @@
         self.loop.call_later(DRAIN_CHECK_S, self.close_idle)
 
     async def drain(self, grace: float) -> None:
-        """Ends the service: all that was accepted gets its response, and no connection outlives it.
+        """Ends the service: all accepted requests get their response, and no connection outlives it.
 
-        After `grace` seconds nothing more is taken on any connection.
+        After `grace` seconds no further request is accepted on any connection.
         Failure prevented: a request comes on a connection that is still open as the process is killed.
         """
         if self.shared:
--- a/balancer/net/downstream/client_eviction.py
+++ b/balancer/net/downstream/client_eviction.py
@@ -19,17 +19,17 @@
 
 
 class EvictionPriority(NamedTuple):
-    """A connection's place in the order; the least is evicted first."""
+    """A connection's place in the order; the minimum is evicted first."""
 
     rank: EvictionRank
     since: float
 
 
 def eviction_priority(connection: ClientConnection, now: float) -> EvictionPriority | None:
-    """When the connection's turn to be evicted comes; None if it has a request.
+    """The connection's place in the order of eviction; None if it has a request.
 
-    Failure prevented: peers that never finish a request shut clients out, or clients that take their
-    time to write give way to them.
+    Failure prevented: clients that never finish a request use up all connections, or clients that are slow
+    to write are evicted for them.
     """
     if connection.current is not None or connection.pipelined or connection.transport is None:
         return None
--- a/balancer/net/downstream/forwarding.py
+++ b/balancer/net/downstream/forwarding.py
@@ -26,7 +26,7 @@
 def forwarded_budget_ms(remaining: int) -> int:
     """The time budget that is forwarded to a server, in whole milliseconds.
 
-    Failure prevented: it is told more than its client has, by what a request lay unread in its socket.
+    Failure prevented: a server gets more time than its client has, by what a request waited unread.
     """
     return (remaining - min(MAX_READ_DELAY_US, remaining // 2)) // 1000
 
--- a/balancer/net/downstream/message.py
+++ b/balancer/net/downstream/message.py
@@ -24,7 +24,7 @@
     """A request as it came, or why it could not be parsed.
 
     Args:
-        error: the status that tells why it could not be parsed; 0 for one that was.
+        error: the status of the response if it could not be parsed; 0 if it was.
     """
 
     __slots__ = (
@@ -54,4 +54,4 @@
         self.expects_continue = False  # the client waits for `100 Continue` before it sends the body
         self.keep_alive = error == 0
         self.received_at = 0.0  # when its last byte was read, or its head's where the body is streamed
-        self.size = 0  # bytes that count as held while it waits or is open
+        self.size = 0  # bytes reserved while it is pipelined or pending
--- a/balancer/net/downstream/protocols.py
+++ b/balancer/net/downstream/protocols.py
@@ -42,7 +42,7 @@
     loop: asyncio.AbstractEventLoop
     memory_budget: MemoryBudget
     descriptor_budget: DescriptorBudget
-    life: Lifecycle
+    lifecycle: Lifecycle
     connections: set[Connection]
     handler: RequestHandler[Connection]
 
--- a/balancer/net/downstream/request_parser.py
+++ b/balancer/net/downstream/request_parser.py
@@ -54,7 +54,7 @@
         self.bytes_without_body = 0  # bytes of it that have come in a row and were none of its body
 
     def feed(self, data: bytes) -> None:
-        """Parses a slice, small beside the bound on a head, which is measured in whole slices."""
+        """Parses a slice, small beside the bound on a head, which is checked after each slice."""
         partial, body_bytes = self.partial, self.deadline.body_bytes
         try:
             self.http.feed_data(data)
--- a/balancer/net/downstream/request_validation.py
+++ b/balancer/net/downstream/request_validation.py
@@ -1,4 +1,4 @@
-"""What a request's head must say before the policy is asked: class, method, identity and time budget."""
+"""Validation of a request's head: class, method, identity and time budget."""
 
 from __future__ import annotations
 
--- a/balancer/net/downstream/requests.py
+++ b/balancer/net/downstream/requests.py
@@ -28,7 +28,7 @@
     Args:
         config: the configuration of the node.
         loop: the event loop.
-        life: the stage of the node.
+        lifecycle: the stage of the node.
         log: gets a line for each failure of this program.
         counters: count each request at its end.
         event_queue: hands events to the policy.
@@ -38,14 +38,14 @@
         self,
         config: Config,
         loop: asyncio.AbstractEventLoop,
-        life: Lifecycle,
+        lifecycle: Lifecycle,
         log: Log,
         counters: Counters,
         event_queue: EventQueue,
     ) -> None:
         self.settings = config.settings
         self.loop = loop
-        self.life = life
+        self.lifecycle = lifecycle
         self.log = log
         self.counters = counters
         self.event_queue = event_queue
@@ -53,7 +53,7 @@
         self.pending: dict[int, PendingRequest] = {}
         self.by_client: dict[ClientConnection, PendingRequest] = {}
         self.last_id = 0
-        self.last_answer: int | None = None  # when an ending node gives its last answer
+        self.last_answer: int | None = None  # when a node that shuts down sends its last response
         self.guarded = 0
         self.validator = RequestValidator(config)
         self.counts: Counter[str] = Counter()  # attempts by outcome and responses by status, in all
@@ -61,7 +61,7 @@
     def on_request(self, client: ClientConnection, message: ClientRequest) -> None:
         """Takes a client's request.
 
-        Failure prevented: an exception here would close the connection with no answer.
+        Failure prevented: an exception here would close the connection without a response.
         """
         try:
             self.accept(client, message)
@@ -84,8 +84,8 @@
         if len(self.pending) >= self.settings.max_open:
             self.reject_over_capacity(client, message)
             return
-        # Failure prevented: one that waited behind others on its connection, or in a process that was held up
-        # after it had read, is answered after its time. The loop's own clock stands still within a turn.
+        # Failure prevented: one that was pipelined, or waited in a process that was suspended after reading
+        # it, gets its response after its deadline. The loop's own clock stands still in an iteration.
         waited = max(0, int((monotonic() - message.received_at) * 1e6))
         remaining = self.remaining_before_shutdown(now, max(0, parameters.budget_us - waited))
         self.last_id += 1
@@ -109,19 +109,19 @@
         elif message.method != b"GET":
             client.respond(405, headers=b"Allow: GET\r\n")
         else:
-            client.respond(200 if self.life.serving else 503)
+            client.respond(200 if self.lifecycle.serving else 503)
 
     def remaining_before_shutdown(self, now: int, remaining: int) -> int:
-        """What is left of a request's time, cut at the last answer of a node that ends.
+        """The remaining time of a request, limited as the node shuts down.
 
-        Failure prevented: the process is killed with a request that came, or came whole, while it was ending.
+        Failure prevented: the process is killed with a request that came, or was completed, in its shutdown.
         """
         return remaining if self.last_answer is None else min(remaining, max(0, self.last_answer - now))
 
     def reject_over_capacity(self, client: ClientConnection, message: ClientRequest) -> None:
         """Rejects a request for which the node itself has no capacity; the policy is not notified.
 
-        Failure prevented: a client that is not told when to come back does so at once.
+        Failure prevented: a client without a Retry-After retries at once.
         """
         request_class = self.validator.class_of(message)
         if request_class is not None:
@@ -129,7 +129,7 @@
         client.respond(503, headers=self.over_capacity_headers())
 
     def over_capacity_headers(self) -> bytes:
-        """The header that tells a client when to retry where the policy was not asked."""
+        """The Retry-After header of a rejection that the policy has no part in."""
         return retry_after_header(min(OVER_CAPACITY_RETRY_AFTER_US, self.settings.max_retry_after))
 
     def start_guard(self, request: PendingRequest) -> None:
@@ -143,7 +143,7 @@
         request = self.by_client.get(client)
         if request is not None:
             if request.stream is not None:
-                # Failure prevented: its answer, given up here, has no end, and its client waits for one.
+                # Failure prevented: its aborted response has no end, and its client waits for one.
                 request.stream.abort()
             self.respond(request.id, status)
             self.abandon(request)
@@ -156,7 +156,7 @@
             self.abandon(request)
 
     def abandon(self, request: PendingRequest) -> None:
-        """Ends what is done for a request that nobody waits for any more.
+        """Ends the attempt of a request whose client waits no longer.
 
         Failure prevented: a server that takes a request slowly gets its last byte after its client has gone.
         """
@@ -171,8 +171,8 @@
         """
         self.last_answer = last_answer
         for request in self.pending.values():
-            waits = request.client is not None and request.stream is None
-            if waits and request.guard is not None and request.deadline > last_answer:
+            is_waiting = request.client is not None and request.stream is None
+            if is_waiting and request.guard is not None and request.deadline > last_answer:
                 request.deadline = last_answer
                 request.guard.cancel()
                 delay = (last_answer - self.event_queue.now()) / 1e6
@@ -206,7 +206,7 @@
         self.detach_client(request)
 
     def detach_client(self, request: PendingRequest) -> None:
-        """Forgets the client, to which nothing more is owed."""
+        """Forgets the client, which needs no further response."""
         if request.client is not None:
             del self.by_client[request.client]
             request.client = None
@@ -220,10 +220,10 @@
         self.respond(request, 503, headers=retry_after_header(retry_after))
 
     def fail(self, request: int) -> None:
-        """Responds with 502: nothing is promised."""
+        """Responds with 502."""
         self.respond(request, 502)
 
 
 def retry_after_header(delay_us: int) -> bytes:
-    """The header that tells a client when to come back, if there is anything to tell."""
+    """The Retry-After header, if there is a delay."""
     return b"Retry-After: %.3f\r\n" % (delay_us / 1e6) if delay_us > 0 else b""
--- a/balancer/net/downstream/response_writer.py
+++ b/balancer/net/downstream/response_writer.py
@@ -1,4 +1,4 @@
-"""Responses written to a client, whole or streamed, and what is held of them while it does not read."""
+"""Responses written to a client, complete or streamed, with the accounting of bytes it does not read."""
 
 from __future__ import annotations
 
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -40,14 +40,14 @@
 if TYPE_CHECKING:
     from balancer.fleet.runtime import FleetRuntime
 
-# After SIGTERM the platform waits for the longest deadline, for so long at most...
+# After SIGTERM the platform waits for the maximum deadline of all classes, up to this bound...
 MAX_SHUTDOWN_DEADLINE_US = 3_000_000
 # ...and 0.7 s more; so long into that, a request that came late must have its response.
 SHUTDOWN_GRACE_US = 500_000
 PEERS_RETRY_S = 0.05
 LISTEN_TIMEOUT_S = 5.0  # in which a start waits for descriptors or buffers to listen with
 RELOAD_RETRY_S = 0.1  # after which a configuration that cannot be read is read again...
-MAX_RELOAD_RETRIES = 100  # ...so many times at most
+MAX_RELOAD_RETRIES = 100  # ...so many times
 STATS_INTERVAL_S = 1.0  # between two lines of statistics
 
 
@@ -63,7 +63,7 @@
         self.config = config
         self.loop = loop
         self.log_lines = Log(config.name, MAX_LINES_PER_SECOND)
-        # Apart, so that whoever sends garbage cannot use up the lines that tell of faults.
+        # Apart, so that whoever sends garbage cannot use up the lines that report faults.
         strays = Log(config.name, MAX_STRAY_LINES_PER_SECOND)
         connections = config.connections()
         self.descriptor_budget = DescriptorBudget(connections, config.sockets)
@@ -71,20 +71,22 @@
         self.pool = ConnectionPool(
             loop, self.descriptor_budget, config.connect_timeout, config.idle_time, self.memory_budget
         )
-        self.life = Lifecycle(self.log_lines)
+        self.lifecycle = Lifecycle(self.log_lines)
         self.counters = Counters(config.classes)
         self.event_queue = EventQueue(self.log_lines, self.on_event_failed)
-        self.requests = Requests(config, loop, self.life, self.log_lines, self.counters, self.event_queue)
+        self.requests = Requests(
+            config, loop, self.lifecycle, self.log_lines, self.counters, self.event_queue
+        )
         self.attempts = Attempts(config, self.pool, self.event_queue, self.counters, self.requests)
         self.client_connections = ClientConnections(
-            loop, self.descriptor_budget, self.requests, self.life, self.memory_budget
+            loop, self.descriptor_budget, self.requests, self.lifecycle, self.memory_budget
         )
         self.pool.free_client = self.client_connections.evict_one
         self.client_connections.free_server_connection = self.pool.close_unused
-        self.fleet = self.fleet_part()
+        self.fleet = self.create_fleet_runtime()
         self.management = Management(loop, self.paths(), self.log_lines.line)
         self.server_registry = ServerRegistry(
-            config, loop, self.pool, self.life, self.log_lines, strays, self.event_queue
+            config, loop, self.pool, self.lifecycle, self.log_lines, strays, self.event_queue
         )
         self.discovery = self.server_registry.discovery
         self.peers = Peers(config.peers, config.peers_all, self.on_peer_message, strays)
@@ -94,7 +96,7 @@
         self.connect_policy()
 
     def connect_policy(self) -> None:
-        """Makes the policy, whose actions on requests and discovery their parts carry out themselves."""
+        """Makes the policy, whose actions on requests and discovery are methods of those components."""
         config = self.config
         self.send, self.cancel = self.attempts.send, self.attempts.cancel
         self.reject, self.fail = self.requests.reject, self.requests.fail
@@ -113,7 +115,7 @@
         """Begins to serve.
 
         Raises:
-            OSError: an address cannot be had.
+            OSError: an address cannot be bound.
         """
         c = self.config
         inherited = adopt_listening_socket(c.inherited) if c.inherited is not None else None
@@ -141,15 +143,15 @@
         self.loop.call_later(STATS_INTERVAL_S, self.write_stats)
 
     async def open_listener(self, address: Address) -> socket.socket:
-        """A listening socket, for which a shortage of this machine is waited out."""
+        """A listening socket, retried while this machine lacks resources."""
         return await retry_shortage(lambda: open_listener(address), LISTEN_TIMEOUT_S)
 
     async def open_peers(self) -> None:
-        """Takes the port for peers' messages; one that the process before still has is tried for again."""
+        """Binds the port for peers' messages; one that the previous process still holds is retried."""
         c = self.config
         if not c.settings.peers or c.peer_listen is None or self.peers.transport is not None:
             return
-        if self.handover.is_older or self.life.stage == Stage.ENDING:
+        if self.handover.is_older or self.lifecycle.stage == Stage.ENDING:
             return
         try:
             await self.loop.create_datagram_endpoint(lambda: self.peers, local_addr=c.peer_listen)
@@ -157,34 +159,36 @@
             self.open_again(fault, self.open_peers)
 
     def open_again(self, fault: OSError, open_port: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Tries for a port again soon; only a start fails at once for one that cannot be had.
+        """Retries a port soon; only a start fails at once for one that cannot be bound.
 
-        Failure prevented: a shortage comes as the process before lets the port go, and the node that runs
-        on never has it.
+        Failure prevented: a shortage comes as the previous process releases the port, and the node that
+        runs on never binds it.
         """
         if not (self.started or self.handover.shared or is_shortage(fault)):
             raise fault
         self.loop.call_later(PEERS_RETRY_S, lambda: self.loop.create_task(open_port()))
 
-    def fleet_part(self) -> FleetRuntime | None:
-        """This process's part in the fleet, if it has one."""
+    def create_fleet_runtime(self) -> FleetRuntime | None:
+        """The runtime of the fleet, if this process belongs to one."""
         if self.config.fleet is None:
             return None
         # A node alone does without it, and without its packages.
         from balancer.fleet.runtime import FleetRuntime
 
-        def end() -> None:
+        def shut_down() -> None:
             os.kill(os.getpid(), signal.SIGTERM)
 
         c = self.config
-        return FleetRuntime(self.config.fleet, self.loop, c.seed, self.log_lines, self.life, end, c.settings)
+        return FleetRuntime(
+            self.config.fleet, self.loop, c.seed, self.log_lines, self.lifecycle, shut_down, c.settings
+        )
 
     async def open_fleet(self) -> None:
-        """Joins the fleet; a port that the process before still has is tried for again."""
+        """Joins the fleet; a port that the previous process still holds is retried."""
         fleet = self.fleet
         if fleet is None or fleet.transport is not None:
             return
-        if self.handover.is_older or self.life.stage == Stage.ENDING:
+        if self.handover.is_older or self.lifecycle.stage == Stage.ENDING:
             return
         try:
             await fleet.open()
@@ -192,7 +196,7 @@
             self.open_again(fault, self.open_fleet)
 
     def share(self, shared: bool) -> None:
-        """Another process of this node has come, and both get half; or it has gone."""
+        """Another process of this node has started, and both get half; or it has ended."""
         parts = 2 if shared else 1
         self.descriptor_budget.resize(self.config.connections(parts), self.config.sockets // parts)
         self.memory_budget.resize(self.config.memory // parts)
@@ -211,17 +215,17 @@
         return self.descriptor_budget.clients + self.descriptor_budget.servers <= self.descriptor_budget.total
 
     def write_stats(self) -> None:
-        """One line of figures: the module's as they stand, the node's counted since the start."""
+        """One line of figures: the policy's current ones, the node's counted since the start."""
         figures = self.balancer.stats() | self.requests.counts | self.client_connections.counts
         figures |= {"dialled": self.pool.opened_count, "clients": self.descriptor_budget.clients}
         self.log_lines.line("stats " + " ".join(f"{name}={value:.4g}" for name, value in figures.items()))
         self.loop.call_later(STATS_INTERVAL_S, self.write_stats)
 
     def reload(self, environ: Mapping[str, str], again: int = 0) -> None:
-        """The configuration file was replaced: of what it tells, only discovery's address can change.
+        """The configuration file was replaced: of its contents, only discovery's address can change.
 
         Failure prevented: the signal finds the file half written, no second one comes, and the node stays
-        with a discovery that is given up.
+        with a discovery that was replaced.
         """
         if self.reloading is not None:
             self.reloading.cancel()
@@ -238,7 +242,7 @@
         self.discovery.change_address(address)
 
     def paths(self) -> Pages:
-        """What operators may call."""
+        """The management pages."""
         paths = {
             b"/control/ready": Page(b"GET", self.ready),
             b"/control/counters": Page(b"GET", self.figures),
@@ -256,7 +260,9 @@
 
     def ready(self) -> PageResponse:
         """Whether this process takes clients."""
-        return PageResponse(200 if self.life.serving else 503, self.life.stage.value.encode() + b"\n")
+        return PageResponse(
+            200 if self.lifecycle.serving else 503, self.lifecycle.stage.value.encode() + b"\n"
+        )
 
     def figures(self) -> PageResponse:
         """The counters, and what holds now."""
@@ -266,21 +272,21 @@
         return PageResponse(200, body)
 
     def take_out(self) -> PageResponse:
-        """Empties the node; it runs on."""
-        self.life.take_out_of_service()
+        """Takes the node out of service; it runs on."""
+        self.lifecycle.take_out_of_service()
         self.client_connections.start_draining()
-        return PageResponse(200, self.life.stage.value.encode() + b"\n")
+        return PageResponse(200, self.lifecycle.stage.value.encode() + b"\n")
 
     def take_back(self) -> PageResponse:
-        """Takes clients again. A node that ends has no way back."""
-        status = 200 if self.life.return_to_service() else 409
-        return PageResponse(status, self.life.stage.value.encode() + b"\n")
+        """Returns the node to service; impossible once it shuts down."""
+        status = 200 if self.lifecycle.return_to_service() else 409
+        return PageResponse(status, self.lifecycle.stage.value.encode() + b"\n")
 
     async def drain(self) -> None:
-        """Answers what has been taken, and ends."""
-        self.life.shut_down()
-        longest = max(c.deadline for c in self.config.settings.classes)
-        grace = min(longest, MAX_SHUTDOWN_DEADLINE_US) + SHUTDOWN_GRACE_US
+        """Responds to all requests that were admitted, and ends."""
+        self.lifecycle.shut_down()
+        max_deadline = max(c.deadline for c in self.config.settings.classes)
+        grace = min(max_deadline, MAX_SHUTDOWN_DEADLINE_US) + SHUTDOWN_GRACE_US
         self.requests.limit_deadlines(self.event_queue.now() + grace)
         self.peers.close()
         if self.fleet is not None:
@@ -301,23 +307,23 @@
         """A peer's message."""
         self.event_queue.post(self.balancer.peer_message, peer, data)
 
-    def on_probe_result(self, server: int, well: bool) -> None:
-        """Another node of the fleet has tried a server."""
-        self.event_queue.post(self.balancer.trial_result, server, well)
+    def on_probe_result(self, server: int, healthy: bool) -> None:
+        """Another node of the fleet has checked the health of a server."""
+        self.event_queue.post(self.balancer.trial_result, server, healthy)
 
     def on_shares(self, shares: dict[int, float], trips: dict[int, int]) -> None:
-        """The fleet's word on how calls go to the zones."""
+        """The fleet has decided which share of requests each zone gets."""
         self.event_queue.post(self.balancer.zone_shares, shares, trips)
 
     def on_event_failed(self, event: Event, args: tuple[Any, ...]) -> None:
-        """The module has failed over an event: a request that it was about gets an answer all the same."""
+        """The policy has raised an exception: the request that was concerned, if any, gets a response."""
         if event in (self.balancer.request, self.balancer.outcome):
             self.requests.respond(args[0], 500)
 
     # ---- Actions --------------------------------------------------------------------------------------
 
     def check_health(self, server: int) -> None:
-        """Asks a server for its load report, or whether it is well where there are no reports."""
+        """Requests a load report of a server, or its health where there are no reports."""
         endpoint = self.pool.endpoints.get(server)
         began = self.event_queue.now()
         path = b"/status/load" if self.config.report_names else b"/health"
@@ -344,8 +350,8 @@
         self.loop.call_later(max(0, delay) / 1e6, self.event_queue.post, self.balancer.timer, token)
 
     def send_to_peer(self, peer: int, data: bytes) -> None:
-        """Sends a message to a peer, or to all."""
-        self.peers.tell(peer, data)
+        """Sends a message to a peer, or to all peers."""
+        self.peers.send(peer, data)
 
     def close(self, server: int) -> None:
         """Closes the idle connections to a server."""
--- a/balancer/net/peers.py
+++ b/balancer/net/peers.py
@@ -47,7 +47,7 @@
             self.transport.abort()
             self.transport = None
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send(self, peer: int, data: bytes) -> None:
         """Sends a message to one peer, or to all (-1). A longer one than the network takes is not sent."""
         address = self.to_all if peer < 0 else self.peers[peer] if peer < len(self.peers) else None
         if self.transport is None or address is None or len(data) > MAX_DATAGRAM_BYTES:
--- a/balancer/net/process/counters.py
+++ b/balancer/net/process/counters.py
@@ -8,7 +8,7 @@
 
 
 def state_of(status: int) -> str:
-    """How a request finished: served, refused or failed."""
+    """How a request finished: served, rejected or failed."""
     return ANSWERED if status == 200 else DEFERRED if status in (429, 503) else ERRORED
 
 
--- a/balancer/net/process/descriptor_budget.py
+++ b/balancer/net/process/descriptor_budget.py
@@ -22,10 +22,10 @@
         self.on_released: Callable[[], None] = lambda: None  # called when a descriptor has come free
 
     def resize(self, total: int, process_total: int) -> None:
-        """Sets how many descriptors there are for connections, and for the whole process."""
+        """Sets how many descriptors there are for connections, and for the process in all."""
         self.total = total
-        # Clients may hold a third of all. Failure prevented: connections that stand idle here are their
-        # whole third, and they cannot open the next.
+        # Clients may hold a third of all. Failure prevented: connections that stand idle here use up
+        # their third, and they cannot open the next.
         self.max_idle_clients = max(1, process_total // 3 - SPARE_CLIENTS)
 
     def max_clients(self) -> int:
@@ -33,7 +33,7 @@
         return self.total - max(self.servers, self.total // 4)
 
     def max_servers(self) -> int:
-        """How many connections to servers there may be: half, or requests would shut out new clients."""
+        """How many connections to servers there may be: half, so that new clients find descriptors."""
         return self.total // 2
 
     def exhausted(self) -> bool:
--- a/balancer/net/process/handover.py
+++ b/balancer/net/process/handover.py
@@ -19,10 +19,10 @@
 
 FILE_PREFIX = "brackenladder-"
 POLL_INTERVAL_S = 0.1  # between two polls for another process
-MAKE_ROOM_TIMEOUT_S = 1.0  # that a new process gives the old one to make room
-WAIT_STEP_S = 0.02  # between two checks whether the old process has made room
-MAX_FAILED_POLLS = 3  # in a row, after which what was known before is too old; well under MAKE_ROOM_TIMEOUT_S
-FITS_MARKER = b"fits\n"  # the older process has made room
+SHRINK_TIMEOUT_S = 1.0  # that a new process gives the old one to shrink to its half
+WAIT_STEP_S = 0.02  # between two checks whether the old process has shrunk
+MAX_FAILED_POLLS = 3  # in a row, after which what was known before is too old; well under SHRINK_TIMEOUT_S
+FITS_MARKER = b"fits\n"  # the older process keeps to its half
 NOT_A_PROCESS_ERRORS = frozenset(  # errors of opening a file that no process of this node has made
     {errno.ENOENT, errno.ENOTDIR, errno.EISDIR, errno.ELOOP, errno.ENXIO, errno.EACCES, errno.EPERM}
 )
@@ -52,10 +52,10 @@
 
 
 class Handover:
-    """Tells whether another process of this node runs, by locked files in a folder that both can write.
+    """Finds out whether another process of this node runs, by locked files in a folder that both can write.
 
-    While the folder's file system fails nobody can tell who runs: the process keeps to half of the limits
-    and tries again at every poll.
+    While the folder's file system fails, it is unknown who runs: the process keeps to half of the limits
+    and retries at every poll.
 
     Args:
         loop: the event loop.
@@ -83,27 +83,27 @@
 
     @property
     def fit_reported(self) -> bool:
-        """Whether this process has told the younger one that it keeps to its half of the limits."""
+        """Whether the younger process was notified that this one keeps to its half."""
         return self.marker is MarkerState.WRITTEN
 
     async def start(self, fits: Callable[[], bool]) -> None:
-        """Creates the file; where another process runs, waits until that one has made room, or times out.
+        """Creates the file; where another process runs, waits until that one has shrunk, or times out.
 
         Args:
             fits: whether this process keeps within its half of the limits.
         """
         self.fits = fits
-        with suppress(OSError):  # the poll tries once more, and logs what is wrong
-            await retry_shortage(self.create_file, MAKE_ROOM_TIMEOUT_S)
+        with suppress(OSError):  # the poll retries, and logs the fault
+            await retry_shortage(self.create_file, SHRINK_TIMEOUT_S)
         self.poll()
         if self.descriptor < 0:
-            return  # nobody can know of this process, and so nobody makes room for it
-        end = self.loop.time() + MAKE_ROOM_TIMEOUT_S
-        while not self.has_room() and self.loop.time() < end:
+            return  # nobody can know of this process, and so nobody shrinks for it
+        end = self.loop.time() + SHRINK_TIMEOUT_S
+        while not self.others_fit() and self.loop.time() < end:
             await asyncio.sleep(WAIT_STEP_S)
 
-    def has_room(self) -> bool:
-        """Whether every other process has made room. False while that cannot be told."""
+    def others_fit(self) -> bool:
+        """Whether every other process keeps to its half. False while that is unknown."""
         try:
             return all(self.read_marker(name) == FITS_MARKER for name in self.running_processes())
         except OSError:
@@ -138,10 +138,10 @@
             os.unlink(path)
 
     def running_processes(self) -> list[str]:
-        """The names of the files of other processes that run. What a dead one left is removed.
+        """The names of the files of other processes that run. The file of a dead one is removed.
 
         Raises:
-            OSError: it cannot be told now which processes run.
+            OSError: it is unknown now which processes run.
         """
         return [
             name
@@ -156,7 +156,7 @@
         """Whether a process holds the lock of this file.
 
         Raises:
-            OSError: it cannot be told now.
+            OSError: it is unknown now.
         """
         try:
             file = os.open(path, os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC)
@@ -201,7 +201,7 @@
             self.on_polled(others)
         else:
             self.on_poll_failed(fault)
-        with suppress(OSError):  # tried again at the next poll; the younger waits for its timeout
+        with suppress(OSError):  # retried at the next poll; the younger waits for its timeout
             self.report_fit()
         self.timer = self.loop.call_later(POLL_INTERVAL_S, self.poll)
 
@@ -232,12 +232,12 @@
             self.on_shared(shared)
 
     def report_fit(self) -> None:
-        """Writes into the file of an older process whether it has made room, and clears it once it is alone.
+        """Writes into the file of an older process whether it has shrunk, and clears it once it is alone.
 
-        Failure prevented: what a failed write or truncation has left lets the next process in too early.
+        Failure prevented: the remains of a failed write or truncation let the next process start too early.
 
         Raises:
-            OSError: the file could not be written; the next poll tries again.
+            OSError: the file could not be written; the next poll retries.
         """
         if self.descriptor < 0:
             return
--- a/balancer/net/process/listener.py
+++ b/balancer/net/process/listener.py
@@ -17,7 +17,7 @@
     """A new listening socket.
 
     Raises:
-        OSError: the address cannot be had.
+        OSError: the address cannot be bound.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM)
@@ -38,7 +38,7 @@
         loop: the event loop.
         on_connection: called with each connection accepted.
         has_capacity: whether one more connection may be accepted.
-        max_accepts: connections accepted in one turn of the event loop.
+        max_accepts: connections accepted in one iteration of the event loop.
     """
 
     def __init__(
@@ -98,7 +98,7 @@
                 fault = e
                 if is_shortage(e):
                     break
-                continue  # the one that waited has gone; the next may be well
+                continue  # the one that waited has gone; the next may be accepted
             taken += 1
             self.on_connection(connection)
         if fault is not None and not taken:
@@ -116,7 +116,7 @@
         self.update()
 
     def release(self) -> None:
-        """Stops taking and leaves what waits to whoever else listens on this socket.
+        """Stops accepting and leaves the queue to whoever else listens on this socket.
 
         Closed and never shut down, which would end it for the others as well.
         """
--- a/balancer/net/process/log.py
+++ b/balancer/net/process/log.py
@@ -1,4 +1,4 @@
-"""The node's log: lines on standard error, so many a second at most."""
+"""The node's log: lines on standard error, limited in rate."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class Log:
-    """Writes lines and counts what it leaves out.
+    """Writes lines and counts those it omits.
 
     Failure prevented: a flood of stray datagrams or broken requests that is logged line by line costs the
     node its CPU, and blocks it where nobody reads the log.
 
     Args:
         name: stands before each line.
-        max_lines_per_second: beyond so many, lines are left out.
+        max_lines_per_second: beyond so many, lines are omitted.
     """
 
     def __init__(self, name: str, max_lines_per_second: int) -> None:
@@ -29,7 +29,7 @@
         self.omitted = 0
 
     def line(self, text: str) -> None:
-        """Writes a line, or counts it as left out where the second has had its lines."""
+        """Writes a line, or counts it as omitted beyond the limit of this second."""
         second = int(monotonic())
         if second != self.second:
             self.second, self.remaining_lines = second, self.max_lines_per_second
--- a/balancer/net/process/management.py
+++ b/balancer/net/process/management.py
@@ -1,4 +1,4 @@
-"""The second address, where the operators' staff call: one call to a connection, apart from all clients."""
+"""The management address of the node's operators: one request to a connection, apart from all clients."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from balancer.net.process.listener import Listener
 
 MAX_CONNECTIONS = 8
-MAX_ACCEPTS = 4  # taken in one go: so many more may be open until those that gave way have closed
+MAX_ACCEPTS = 4  # taken in one go: so many more may be open until those that were evicted have closed
 RESERVED_DESCRIPTORS = MAX_CONNECTIONS + MAX_ACCEPTS + 1  # with the listener's
 MAX_REQUEST_BYTES = 8192
-REQUEST_TIMEOUT_S = 5.0  # in which a call must be complete
+REQUEST_TIMEOUT_S = 5.0  # in which a request must be complete
 LINGER_S = 1.0  # in which the client may read its response
 REASONS = {
     200: b"OK",
@@ -63,10 +63,10 @@
 
 
 class ManagementConnection(asyncio.Protocol):
-    """The connection of one management call.
+    """The connection of one management request.
 
     Args:
-        management: where the pages are, and what is told of the connection's end.
+        management: has the pages, and is notified of the connection's end.
     """
 
     def __init__(self, management: Management) -> None:
@@ -79,12 +79,12 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the connection, for so long as a call may take."""
+        """Keeps the connection, for so long as a request may take."""
         self.transport = cast(asyncio.Transport, transport)
         self.timer = self.management.loop.call_later(REQUEST_TIMEOUT_S, self.respond, 408)
 
     def data_received(self, data: bytes) -> None:
-        """Parses the call; one that is malformed or too large is answered at once."""
+        """Parses the request; one that is malformed or too large is answered at once."""
         self.size += len(data)
         if self.responded:
             return
@@ -96,11 +96,11 @@
             self.respond(413)
 
     def on_url(self, url: bytes) -> None:
-        """Collects the target of the call, which may come in pieces."""
+        """Collects the target of the request, which may come in pieces."""
         self.target += url
 
     def on_message_complete(self) -> None:
-        """Serves the page at the path of the call."""
+        """Serves the page at the path of the request."""
         if self.responded:
             return
         path, _, query = self.target.partition(b"?")
@@ -114,7 +114,7 @@
         try:
             status, body = page.handler(query) if page.takes_query else page.handler()
             self.respond(status, body, content_type=page.content_type)
-        except Exception as error:  # the call fails, and nothing else
+        except Exception as error:  # the request fails, and nothing else
             self.management.on_error(f"management: {type(error).__name__}: {error}")
             self.respond(500)
 
@@ -143,7 +143,7 @@
         self.timer = self.management.loop.call_later(seconds, self.transport.abort)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Frees the place for another call."""
+        """Makes the connection available to another request."""
         if self.timer is not None:
             self.timer.cancel()
         self.management.on_connection_lost(self)
@@ -152,8 +152,8 @@
 class Management:
     """The management listener and its few connections.
 
-    Failure prevented: callers that hold a connection and say nothing shut out the one that has something
-    to say. Of those without a complete call, the oldest gives way.
+    Failure prevented: idle connections leave no capacity for a real request. Of those without a
+    complete request, the oldest is evicted.
 
     Args:
         loop: the event loop.
@@ -174,11 +174,11 @@
         )
 
     def start(self, listener: socket.socket) -> None:
-        """Takes calls from this socket."""
+        """Accepts connections from this socket."""
         self.listener.start(listener)
 
     def accept(self, accepted: socket.socket) -> None:
-        """Takes a call; beyond the limit the oldest connection gives way."""
+        """Accepts a connection; beyond the limit the oldest one is evicted."""
         accepted.setblocking(False)
         if len(self.connections) >= MAX_CONNECTIONS:
             waiting = [c for c in self.connections if not c.responded and c.transport is not None]
--- a/balancer/net/process/sockets.py
+++ b/balancer/net/process/sockets.py
@@ -1,4 +1,4 @@
-"""The state of a socket, asked of the system: the event loop may not have come to it yet."""
+"""The state of a socket by the system, which the event loop may not have noticed yet."""
 
 from __future__ import annotations
 
--- a/balancer/net/process/system_faults.py
+++ b/balancer/net/process/system_faults.py
@@ -20,7 +20,7 @@
 
 
 def never_left_machine(fault: OSError) -> bool:
-    """Whether a connect failed for want of something on this machine, which tells nothing of the server."""
+    """Whether a connect failed for lack of a local resource, which is no fault of the server."""
     return is_shortage(fault) or fault.errno == NO_LOCAL_PORT
 
 
--- a/balancer/net/upstream/body_streaming.py
+++ b/balancer/net/upstream/body_streaming.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-MAX_BUFFERED_BYTES = 65536  # a body that is no longer is buffered whole, and its request can be retried
+MAX_BUFFERED_BYTES = 65536  # a body up to this size is buffered, and its request can be retried
 MAX_BODY_BYTES = 32 << 20  # a longer body is rejected
 
 
@@ -32,7 +32,7 @@
         """Ends the response."""
 
     def abort(self) -> None:
-        """Breaks the response off, so that the client can tell."""
+        """Aborts the response, so that the client notices that it is incomplete."""
 
 
 class ResponseSource(Protocol):
--- a/balancer/net/upstream/connection.py
+++ b/balancer/net/upstream/connection.py
@@ -35,7 +35,7 @@
         content_type: the header's value.
         rejected: the server marked it as rejected before any work was done.
         report: the load report that came with it.
-        length: in bytes, of a body that is streamed, if it was told.
+        length: in bytes, of a streamed body, if the server states it.
     """
 
     status: int
@@ -47,7 +47,7 @@
 
 
 class ExchangeProtocol(Protocol):
-    """What a connection needs of the exchange that it carries."""
+    """What a connection needs of its exchange."""
 
     timeout: float
 
@@ -55,7 +55,7 @@
         """Ends it unless it gets further within so many seconds; None for no limit."""
 
     def on_request_sent(self) -> None:
-        """Called when the request's last byte has left the process."""
+        """Called when the request's last byte was written."""
 
     def open_stream(self, response: Response, connection: Connection) -> ResponseStream | None:
         """Where a long response is streamed to, if anywhere."""
@@ -71,7 +71,7 @@
     memory_budget: MemoryBudget
 
     def release(self, connection: Connection) -> None:
-        """Takes back a connection that carries nothing and may be used again."""
+        """Takes back an idle connection that may be reused."""
 
     def on_connection_lost(self, connection: Connection) -> None:
         """Counts the connection's end."""
@@ -97,12 +97,12 @@
         self.busy = 0  # exchanges that have begun and not ended
 
     def retire(self) -> None:
-        """Nothing new goes here; what is out may finish."""
+        """Starts no further exchange here; those in flight may finish."""
         self.ready = False
         self.close_idle()
 
     def close_idle(self) -> None:
-        """Closes the connections that carry nothing."""
+        """Closes the idle connections."""
         for connection in self.idle:
             connection.close()
         self.idle.clear()
@@ -134,7 +134,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keeps the transport, with no write buffer allowed."""
         self.transport = cast(asyncio.Transport, transport)
-        # With no buffer allowed, pause_writing says at once that a request has not gone out whole.
+        # With no buffer allowed, pause_writing is called at once if part of a request is unsent.
         self.transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
@@ -152,11 +152,11 @@
             self.on_request_sent()
 
     def unsent(self) -> bool:
-        """Whether part of the request has not left this process."""
+        """Whether part of the request is still in this process."""
         return self.writing or (self.upload is not None and not self.upload.is_complete)
 
     def on_request_sent(self) -> None:
-        """The request's last byte has left the process."""
+        """Notifies the exchange that the request's last byte was written."""
         if self.exchange is not None:
             self.exchange.on_request_sent()
 
@@ -201,7 +201,7 @@
         if not self.transport.is_closing():
             self.transport.write(data)
         if self.transport.is_closing():
-            # It was lost before the write or by it, so the server cannot have got the whole request.
+            # It was lost before the write or by it, so the server cannot have the complete request.
             self.writing = True
             self.on_broken()
         elif upload is not None:
@@ -214,8 +214,8 @@
         self.content_type = b""
         self.rejected = False
         self.report = b""
-        self.head_complete = False  # its head has come whole
-        self.has_length = False  # it tells where it ends
+        self.head_complete = False  # its head is complete
+        self.has_length = False  # it states where it ends
         self.length: int | None = None
 
     def get_buffer(self, sizehint: int) -> bytearray:
@@ -226,7 +226,7 @@
         """Parses what has been read."""
         data = memoryview(self.pool.memory_budget.read_buffer)[:nbytes]
         if self.exchange is None:
-            # Failure prevented: bytes that nobody asked for would be taken for the next response.
+            # Failure prevented: stray bytes would be taken for the next response.
             self.close()
             return
         self.bytes_without_body += nbytes
@@ -242,7 +242,7 @@
         self.finish_if_complete()
 
     def eof_received(self) -> None:
-        """The end of the connection is the end of a response that does not tell where it ends."""
+        """Completes a response that ends with its connection, since it states no length."""
         if (
             self.exchange is not None
             and self.head_complete
@@ -275,12 +275,12 @@
         )
 
     def is_buffered(self) -> bool:
-        """Whether the response is one that is buffered whole."""
+        """Whether the response is buffered rather than streamed."""
         size = max(len(self.body), self.length or 0)
         return size <= MAX_BUFFERED_BYTES and self.pool.memory_budget.fits(0)
 
     def open_stream(self) -> None:
-        """Streams a response that is not buffered whole, if it is one for the client."""
+        """Streams a response that is too long to buffer, if it is one for the client."""
         self.status = self.parser.get_status_code()
         assert self.exchange is not None
         response = self.make_response()
@@ -377,7 +377,7 @@
             exchange.finish(outcome, response)
 
     def on_broken(self) -> None:
-        """Ends the exchange with its connection; what was written tells whether it may have run."""
+        """Ends the exchange with its connection; whether it may have run depends on what was written."""
         if self.exchange is not None:
             if self.unsent() and self.stream is None:
                 self.finish(Outcome.CONNECT_FAILED, None, reuse=False)
@@ -396,10 +396,10 @@
         self.on_broken()
 
     def has_unread_data(self) -> bool:
-        """Whether an idle connection's end, or bytes that nobody asked for, wait in the socket.
+        """Whether an idle connection's end, or stray bytes, wait in the socket.
 
         Failure prevented: the server has closed it, the event loop has not come to that yet, and a request
-        that may not be repeated is written to it and counts as one that may have run.
+        that is not idempotent is written to it and counts as one that may have run.
         """
         return has_event(self.transport, READABLE)
 
@@ -409,7 +409,7 @@
 
 
 def outcome_of(response: Response) -> Outcome:
-    """What a response says of the attempt. A 503 or 504 without the mark may come from a tier behind."""
+    """The outcome of an attempt. A 503 or 504 without the mark may come from a tier behind."""
     if response.status == 200:
         return Outcome.OK
     if response.status in (503, 504) and response.rejected:
--- a/balancer/net/upstream/exchange.py
+++ b/balancer/net/upstream/exchange.py
@@ -62,7 +62,7 @@
         endpoint.busy += 1
 
     def start(self, timeout: float) -> None:
-        """Acquires an idle connection or opens one; the whole exchange may take `timeout` seconds.
+        """Acquires an idle connection or opens one; the exchange may take `timeout` seconds in all.
 
         Of an upload's time, what the client takes does not count.
         """
@@ -79,8 +79,8 @@
     def open_connection(self) -> None:
         """Begins to open a connection.
 
-        Failure prevented: it is counted only as its task first runs, and all exchanges of one turn find the
-        same last place free.
+        Failure prevented: it is counted only as its task first runs, and all exchanges of one
+        iteration of the event loop find the same last place free.
         """
         connection = Connection(self.pool, self.endpoint)
         self.pool.on_connection_opened(connection)
@@ -100,7 +100,7 @@
             async with asyncio.timeout(pool.connect_timeout):
                 await self.connect_with_retries(connection)
         except (OSError, TimeoutError, asyncio.CancelledError) as e:
-            # It may have come up in the very turn in which its time ran out.
+            # It may have come up in the iteration in which its time ran out.
             pool.on_connection_lost(connection)
             if connection.transport is not None:
                 connection.close()
@@ -116,7 +116,7 @@
         """Opens the connection, again and again while this machine lacks descriptors, buffers or ports.
 
         Failure prevented: a shortage of a moment uses up all attempts of each request within a millisecond,
-        and servers that were never asked are ejected.
+        and servers that were never contacted are ejected.
         """
         while True:
             self.lacks_resources = False
@@ -160,7 +160,7 @@
         )
 
     def on_request_sent(self) -> None:
-        """Called when the request's last byte has left the process."""
+        """Called when the request's last byte was written."""
         if self.upload is not None:
             self.set_timeout(self.timeout)
         self.on_sent()
@@ -183,7 +183,7 @@
             self.timer = self.pool.loop.call_later(max(remaining, 0.1), self.check_progress, connection)
 
     def on_timeout(self) -> None:
-        """Ends the exchange at its timeout; a server without the whole request has not run it."""
+        """Ends the exchange at its timeout; a server without the complete request has not run it."""
         if self.connection is None:
             self.abort(self.unconnected_outcome())
         else:
--- a/balancer/net/upstream/pool.py
+++ b/balancer/net/upstream/pool.py
@@ -48,7 +48,7 @@
         """The most recently used idle connection that is still good and has rested, or the most rested.
 
         Failure prevented: a server answers twice, the second time some milliseconds late, and the connection
-        that has just been given back carries another request by then, whose response that seems to be.
+        that has just been given back carries another request by then, to which that response is attributed.
         """
         now = self.loop.time()
         idle = endpoint.idle
--- a/balancer/simulator_adapter.py
+++ b/balancer/simulator_adapter.py
@@ -147,7 +147,7 @@
     def __init__(self) -> None:
         self.reply = bytearray()
         self.nodes: dict[int, Balancer] = {}
-        self.lists: dict[int, list[ServerEntry]] = {}
+        self.server_lists: dict[int, list[ServerEntry]] = {}
 
     def batch(self, count: int, body: bytes, now: int) -> bytes:
         """Handles one batch of `count` records and returns the framed reply."""
@@ -195,7 +195,7 @@
         number, count = DIRECTORY.unpack_from(body, pos)
         pos += DIRECTORY.size
         raw = take(body, pos, count * ENTRY.size)
-        self.lists[number] = [
+        self.server_lists[number] = [
             ServerEntry(server, STATES.get(state, State.DRAINING), cell, zone, kind, weight, ready_at)
             for server, cell, ready_at, zone, weight, state, kind in ENTRY.iter_unpack(raw)
         ]
@@ -209,9 +209,9 @@
         list_kind = LIST_KINDS[kind]
         entries: list[ServerEntry] = []
         if list_kind != ListKind.FAILED:
-            if number not in self.lists:
+            if number not in self.server_lists:
                 raise WireError(f"list {number} was never sent")
-            entries = self.lists[number]
+            entries = self.server_lists[number]
         self.dispatch(node, "server_list", now, list_kind, entries)
         return pos + TARGETS.size
 
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -62,7 +62,7 @@
         listener = small_listener()
         bench = await Bench(whole := Server(), config={"known": None}).start()
         bench.discovery.say(42, True, whole.entry("half", addr=f"127.0.0.1:{listener.getsockname()[1]}"))
-        await until(lambda: bench.node.life.serving)
+        await until(lambda: bench.node.lifecycle.serving)
         outcomes = record_outcomes(bench)
         client = await bench.client()
         data = call("invite", body=b"x" * size)
@@ -129,7 +129,7 @@
         listener.setblocking(False)
         bench = await Bench(lister := Server(), config={"known": None}).start()
         bench.discovery.say(42, True, lister.entry("s", addr=f"127.0.0.1:{listener.getsockname()[1]}"))
-        await until(lambda: bench.node.life.serving)
+        await until(lambda: bench.node.lifecycle.serving)
         heads = 0
 
         async def serve() -> socket.socket:
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -171,9 +171,9 @@
 
             patch.setattr(os, "pwrite", cut)
             elder.look(3)
-            assert not younger.handover.has_room() and not elder.handover.fit_reported
+            assert not younger.handover.others_fit() and not elder.handover.fit_reported
     elder.look()
-    assert younger.handover.has_room() and elder.shares == [True] and not elder.failures()
+    assert younger.handover.others_fit() and elder.shares == [True] and not elder.failures()
 
 
 @pytest.mark.parametrize("code", DISK_ERRORS)
@@ -192,10 +192,10 @@
     third = start()
     third.look()
     elder.look()
-    assert elder.handover.is_older and not third.handover.has_room()
+    assert elder.handover.is_older and not third.handover.others_fit()
     elder.roomy = True
     elder.look()
-    assert third.handover.has_room()
+    assert third.handover.others_fit()
 
 
 @pytest.mark.parametrize("name", ["unlink", "close"])
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -179,7 +179,7 @@
 
 
 def test_an_elder_that_says_nothing_does_not_hold_up_the_start(folder, monkeypatch):
-    monkeypatch.setattr(handover, "MAKE_ROOM_TIMEOUT_S", 0.0)
+    monkeypatch.setattr(handover, "SHRINK_TIMEOUT_S", 0.0)
 
     async def scene():
         old, new = process(folder, []), process(folder, [])
@@ -204,7 +204,7 @@
             raise OSError(28, "No space left on device")
 
         monkeypatch.setattr(handover.os, "pwrite", full)
-        monkeypatch.setattr(handover, "MAKE_ROOM_TIMEOUT_S", 0.0)
+        monkeypatch.setattr(handover, "SHRINK_TIMEOUT_S", 0.0)
         await new.start(lambda: True)
         await until(lambda: shares == [True])
         new.close()
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -48,7 +48,7 @@
         status, headers, _ = await operate(bench, "/control/out-of-service")
         assert (status, headers["allow"]) == (405, "PUT")
         assert (await operate(bench, "/control/ready", "PUT"))[0] == 405
-        assert bench.node.life.serving
+        assert bench.node.lifecycle.serving
         port = bench.node.management.listener.socket.getsockname()[1]
         client = await Client(port).open()
         assert (await client.ask(b"nonsense\r\n\r\n"))[0] == 400 and await client.ended()
@@ -64,7 +64,7 @@
         bench = await Bench(server := Server(), config=OPERATED | {"known": None}).start()
         assert (await operate(bench, "/control/ready"))[0] == 503
         bench.discovery.say(42, True, server.entry("s0"))
-        await until(lambda: bench.node.life.serving)
+        await until(lambda: bench.node.lifecycle.serving)
         assert (await operate(bench, "/control/ready"))[0] == 200
 
     play(scene)
@@ -104,7 +104,7 @@
 def test_a_failure_in_a_call_is_that_call_s_alone():
     async def scene():
         bench = await Bench(Server(), config=OPERATED).start()
-        bench.node.life.take_out_of_service = None
+        bench.node.lifecycle.take_out_of_service = None
         assert (await operate(bench, "/control/out-of-service", "PUT"))[0] == 500
         assert (await operate(bench, "/control/ready"))[0] == 200
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -210,7 +210,7 @@
         bench = await Bench(server := Server(), config={"known": None}).start()
         assert (await bench.once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 503
         bench.discovery.say(42, True, server.entry("s0"))
-        await until(lambda: bench.node.life.serving)
+        await until(lambda: bench.node.lifecycle.serving)
         assert (await bench.once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
 
     play(scene)
@@ -303,7 +303,7 @@
         bench = await Bench(whole := Server(), config={"known": None}).start()
         entry = whole.entry("half", addr=f"127.0.0.1:{listener.getsockname()[1]}")
         bench.discovery.say(42, True, entry)
-        await until(lambda: bench.node.life.serving)
+        await until(lambda: bench.node.lifecycle.serving)
         outcomes = record_outcomes(bench)
         client = await bench.client()
         client.send(call("invite", body=b"x" * 65536))
@@ -558,7 +558,7 @@
     async def scene():
         bench = await Bench(going := Server(), staying := Server(), config={"known": None}).start()
         bench.discovery.say(42, True, going.entry("s0"))
-        await until(lambda: bench.node.life.serving)
+        await until(lambda: bench.node.lifecycle.serving)
         start = bench.node.balancer.request
 
         def request(*args):
@@ -674,7 +674,7 @@
         bench = await Bench(server := Server(), discovery="push", config={"known": None}).start()
         bench.discovery.raw(b"", b"503 Busy")
         bench.discovery.say(42, True, server.entry("s0"))
-        await until(lambda: bench.node.life.serving)
+        await until(lambda: bench.node.lifecycle.serving)
         assert (await bench.once(call()))[0] == 200
 
     play(scene)
--- a/tests/test_operator_terms_answers.py
+++ b/tests/test_operator_terms_answers.py
@@ -60,7 +60,7 @@
         bench = await Bench(other := Server(), config={"known": None}).start()
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         bench.discovery.say(42, True, other.entry("early", addr=address))
-        await until(lambda: bench.node.life.serving)
+        await until(lambda: bench.node.lifecycle.serving)
         client = await bench.client()
         client.send(call("offer", body=bytes(4 * MAX_BUFFERED_BYTES))[: -2 * MAX_BUFFERED_BYTES])
         requests = bench.node.requests
--- a/tests/test_operator_terms_leaving.py
+++ b/tests/test_operator_terms_leaving.py
@@ -45,7 +45,7 @@
         changes = {"policy_limits": {"cancel": cancel}}
         bench = await Bench(other := Server(), config={"known": None}, **changes).start()
         bench.discovery.say(42, True, other.entry("half", addr=f"127.0.0.1:{listener.getsockname()[1]}"))
-        await until(lambda: bench.node.life.serving)
+        await until(lambda: bench.node.lifecycle.serving)
         client = socket.create_connection(("127.0.0.1", bench.port))
         loop = asyncio.get_running_loop()
         await loop.run_in_executor(None, client.sendall, call("offer", body=bytes(BODY)))
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -68,7 +68,7 @@
     """When the node had this version, by the loop's clock."""
 
     async def wait_for_version():
-        while node.discovery.version != version or not node.life.serving:
+        while node.discovery.version != version or not node.lifecycle.serving:
             assert loop.time() < limit, "still not told"
             await asyncio.sleep(0.02)
         return loop.time()
@@ -125,7 +125,7 @@
         recovers_at = 1000 + 8 * Random(seed).random()
         loop = VirtualTimeLoop({1: FakeDiscovery(fault, recovers_at)})
         node = start_node(loop, mode, known=False)
-        assert not node.life.serving
+        assert not node.lifecycle.serving
         assert time_of_version(loop, node, 42, recovers_at + 60) - recovers_at <= MAX_DELAY
         loop.close()
 
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -606,7 +606,7 @@
             for name, met in (("sendto", fault), ("recvfrom", unread)):
                 fail_socket_calls(monkeypatch, name, met, lambda s, *_: s.getsockname()[1] in ours)
             for _ in range(100):
-                peers.tell(0, b"lost")
+                peers.send(0, b"lost")
             assert fault.met == 100
             fault.comes(1)
             fleet.transmit(ping, member.getsockname())
@@ -619,7 +619,7 @@
             heard.clear()
         assert len(lines) <= 5 * (loop.time() - before + 2)
         assert (await bench.once(call()))[0] == 200
-        peers.tell(0, b"told")
+        peers.send(0, b"told")
         assert await asyncio.wait_for(loop.sock_recv(peer, 100), 20) == b"told"
         peer.sendto(b"news", ("127.0.0.1", peers_port))
         await until(lambda: heard == [b"news"])
@@ -669,7 +669,7 @@
 
 
 def test_a_process_that_cannot_join_for_long_keeps_to_half_until_it_can(tmp_path, monkeypatch):
-    monkeypatch.setattr(handover, "MAKE_ROOM_TIMEOUT_S", 3 * INTERVAL)
+    monkeypatch.setattr(handover, "SHRINK_TIMEOUT_S", 3 * INTERVAL)
 
     async def scene():
         shares = []
