--- a/balancer/net/downstream/client_connection.py
+++ b/balancer/net/downstream/client_connection.py
@@ -34,6 +34,11 @@
     DISCONNECTED = "disconnected"  # the client has gone, and its requests need no response
 
 
+# Bound once for the hot path: a member that is looked up in its class takes more than twice as long.
+INPUT_OPEN = InputState.OPEN
+INPUT_DISCONNECTED = InputState.DISCONNECTED
+
+
 class ClientConnection(asyncio.BufferedProtocol):
     """A client's connection; one request is in flight at a time, the next ones are pipelined.
 
@@ -63,12 +68,12 @@
     @property
     def reading_stopped(self) -> bool:
         """Whether nothing further is read from this client."""
-        return self.input_state is not InputState.OPEN
+        return self.input_state is not INPUT_OPEN
 
     @property
     def is_gone(self) -> bool:
         """Whether the client has disconnected."""
-        return self.input_state is InputState.DISCONNECTED
+        return self.input_state is INPUT_DISCONNECTED
 
     @property
     def partial(self) -> ClientRequest | None:
--- a/balancer/net/downstream/request_validation.py
+++ b/balancer/net/downstream/request_validation.py
@@ -30,7 +30,7 @@
         self.headers = headers
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class RequestParameters:
     """What the policy needs to know of a valid request.
 
