--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -27,7 +27,7 @@
         bench = await Bench(server := Server(), config={"known": None}).start()
         assert (await bench.once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 503
         bench.discovery.say(42, True, server.entry("s0"))
-        await until(lambda: bench.node.life.serving)
+        await until(lambda: bench.node.lifecycle.serving)
         assert (await bench.once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
 
     play(scene)
@@ -72,7 +72,7 @@
     async def scene():
         bench = await Bench(going := Server(), staying := Server(), config={"known": None}).start()
         bench.discovery.say(42, True, going.entry("s0"))
-        await until(lambda: bench.node.life.serving)
+        await until(lambda: bench.node.lifecycle.serving)
         start = bench.node.balancer.request
 
         def request(*args):
@@ -188,7 +188,7 @@
         bench = await Bench(server := Server(), discovery="push", config={"known": None}).start()
         bench.discovery.raw(b"", b"503 Busy")
         bench.discovery.say(42, True, server.entry("s0"))
-        await until(lambda: bench.node.life.serving)
+        await until(lambda: bench.node.lifecycle.serving)
         assert (await bench.once(call()))[0] == 200
 
     play(scene)
--- a/tests/test_handover_faults.py
+++ b/tests/test_handover_faults.py
@@ -48,7 +48,7 @@
 
 
 def test_a_process_that_cannot_join_for_long_keeps_to_half_until_it_can(tmp_path, monkeypatch):
-    monkeypatch.setattr(handover, "MAKE_ROOM_TIMEOUT_S", 3 * RETRY_INTERVAL_S)
+    monkeypatch.setattr(handover, "SHRINK_TIMEOUT_S", 3 * RETRY_INTERVAL_S)
 
     async def scene():
         shares = []
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -23,6 +23,7 @@
 )
 
 from balancer.net.config import ConfigError, read
+from balancer.net.downstream.client_eviction import eviction_priority
 from balancer.net.process import management
 
 READY = b"GET /ready HTTP/1.1\r\n\r\n"
@@ -47,7 +48,7 @@
         status, headers, _ = await operate(bench, "/control/out-of-service")
         assert (status, headers["allow"]) == (405, "PUT")
         assert (await operate(bench, "/control/ready", "PUT"))[0] == 405
-        assert bench.node.life.serving
+        assert bench.node.lifecycle.serving
         port = bench.node.management.listener.socket.getsockname()[1]
         client = await Client(port).open()
         assert (await client.ask(b"nonsense\r\n\r\n"))[0] == 400 and await client.ended()
@@ -63,7 +64,7 @@
         bench = await Bench(server := Server(), config=OPERATED | {"known": None}).start()
         assert (await operate(bench, "/control/ready"))[0] == 503
         bench.discovery.say(42, True, server.entry("s0"))
-        await until(lambda: bench.node.life.serving)
+        await until(lambda: bench.node.lifecycle.serving)
         assert (await operate(bench, "/control/ready"))[0] == 200
 
     play(scene)
@@ -103,7 +104,7 @@
 def test_a_failure_in_a_call_is_that_call_s_alone():
     async def scene():
         bench = await Bench(Server(), config=OPERATED).start()
-        bench.node.life.take_out_of_service = None
+        bench.node.lifecycle.take_out_of_service = None
         assert (await operate(bench, "/control/out-of-service", "PUT"))[0] == 500
         assert (await operate(bench, "/control/ready"))[0] == 200
 
@@ -210,9 +211,8 @@
             await until(lambda: caller.has_served and caller.current is None)
             assert caller.transport.get_write_buffer_size() and not caller.is_idle()
             bench.node.take_out()
-            assert (
-                caller.eviction_priority(bench.node.loop.time()) is None and not caller.transport.is_closing()
-            )
+            assert eviction_priority(caller, bench.node.loop.time()) is None
+            assert not caller.transport.is_closing()
             got = b""
             while not got.endswith(body):
                 got += await loop.sock_recv(slow, 65536)
--- a/tests/test_node_signals.py
+++ b/tests/test_node_signals.py
@@ -80,7 +80,7 @@
             for i in range(100):
                 stranger.sendto(b"stray", peers.transport.get_extra_info("sockname"))
                 await until(lambda i=i: len(seen) > i)
-        bench.node.requests.classes = None
+        bench.node.requests.validator.classes = None
         assert (await bench.once(call()))[0] == 500
 
     play(scene)
--- a/tests/test_operator_terms_answers.py
+++ b/tests/test_operator_terms_answers.py
@@ -60,15 +60,15 @@
         bench = await Bench(other := Server(), config={"known": None}).start()
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         bench.discovery.say(42, True, other.entry("early", addr=address))
-        await until(lambda: bench.node.life.serving)
+        await until(lambda: bench.node.lifecycle.serving)
         client = await bench.client()
         client.send(call("offer", body=bytes(4 * MAX_BUFFERED_BYTES))[: -2 * MAX_BUFFERED_BYTES])
         requests = bench.node.requests
         await until(lambda: any(r.stream is not None for r in requests.pending.values()))
         (caller,) = bench.node.client_connections.connections
-        caller.read_deadline = 0.0
-        caller.body_deadline = 0.0
-        caller.body_bytes = 0
+        caller.read_deadline.expires_at = 0.0
+        caller.read_deadline.body_expires_at = 0.0
+        caller.read_deadline.body_bytes = 0
         bench.node.client_connections.sweep()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
             await client.receive()
--- a/tests/test_request_body_streaming.py
+++ b/tests/test_request_body_streaming.py
@@ -61,7 +61,7 @@
             request.exchange.connection.transport.get_write_buffer_size()
             <= 3 * node.memory_budget.chunk_bytes
         )
-        assert client_connection.read_deadline is None  # it is not the client that is late
+        assert client_connection.read_deadline.expires_at is None  # it is not the client that is late
         server.read.set()
         assert (await receive(client))[1] == b"ok"
         assert server.bodies[0] == body
--- a/tests/test_request_outcomes.py
+++ b/tests/test_request_outcomes.py
@@ -116,7 +116,7 @@
         bench = await Bench(whole := Server(), config={"known": None}).start()
         entry = whole.entry("half", addr=f"127.0.0.1:{listener.getsockname()[1]}")
         bench.discovery.say(42, True, entry)
-        await until(lambda: bench.node.life.serving)
+        await until(lambda: bench.node.lifecycle.serving)
         outcomes = record_outcomes(bench)
         client = await bench.client()
         client.send(call("invite", body=b"x" * 65536))
@@ -278,10 +278,10 @@
 
     async def scene():
         bench = await Bench(Server()).start()
-        bench.node.requests.classes = None
+        bench.node.requests.validator.classes = None
         client = await bench.client()
         assert (await client.ask(call()))[0] == 500
-        bench.node.requests.classes = {b"view": 0}
+        bench.node.requests.validator.classes = {b"view": 0}
         assert (await client.ask(call()))[0] == 200
 
     play(scene)
--- a/tests/test_response_streaming.py
+++ b/tests/test_response_streaming.py
@@ -188,7 +188,7 @@
 
 def test_what_grows_longer_than_any_is_cut(monkeypatch):
     """Failure prevented: chunks without end keep a server, a client and their connections for good."""
-    for module in ("downstream.client_connection", "upstream.connection"):
+    for module in ("downstream.request_parser", "upstream.connection"):
         monkeypatch.setattr(f"balancer.net.{module}.MAX_BODY_BYTES", 200_000)
 
     async def scene():
--- a/tests/test_streaming_timeouts.py
+++ b/tests/test_streaming_timeouts.py
@@ -7,7 +7,9 @@
 from loopback import Bench, Clock, Server, call, gated, play, until
 from streaming_support import HEAD, LONG, RawServer, chunks, receive, upload
 
-from balancer.net.downstream.client_connection import HEAD_TIMEOUT_S, LINGER_S
+from balancer.net.downstream.client_connection import LINGER_S
+from balancer.net.downstream.client_eviction import eviction_priority
+from balancer.net.downstream.read_deadline import HEAD_TIMEOUT_S
 from balancer.net.process.memory_budget import MAX_CHUNK_BYTES, MIN_CHUNK_BYTES, MIN_HELD_BYTES, MemoryBudget
 
 # ---- the client's time -------------------------------------------------------------------------------
@@ -65,15 +67,15 @@
         (request,) = bench.node.requests.pending.values()
         await until(
             lambda: (
-                client_connection.read_deadline is not None
+                client_connection.read_deadline.expires_at is not None
                 and not client_connection.unparsed
                 and not client_connection.reading_paused
             )
         )
-        client_connection.body_bytes, now = len(LONG), bench.node.loop.time()
+        client_connection.read_deadline.body_bytes, now = len(LONG), bench.node.loop.time()
         monkeypatch.setattr(client_connections, "loop", Clock(bench.node.loop, now + HEAD_TIMEOUT_S + 1))
         client_connections.sweep()
-        assert not client_connection.reading_stopped and client_connection.body_bytes == 0
+        assert not client_connection.reading_stopped and client_connection.read_deadline.body_bytes == 0
         monkeypatch.setattr(client_connections, "loop", Clock(bench.node.loop, now + 2 * HEAD_TIMEOUT_S + 2))
         client_connections.sweep()
         head, _ = await receive(client)
@@ -142,7 +144,7 @@
         assert not client_connection.transport.is_closing()
         head, _ = await receive(client)
         assert head.startswith(b"HTTP/1.1 503 ") and b"Retry-After" in head
-        assert client_connection.eviction_priority(client_connections.loop.time()) == (
+        assert eviction_priority(client_connection, client_connections.loop.time()) == (
             0,
             client_connection.finished_at,
         )  # it gives way first
