--- a/balancer/policy/start_times.py
+++ b/balancer/policy/start_times.py
@@ -3,9 +3,10 @@
 A start is listed in Unix time, and the process's clock counts from its own wall clock at its start. Both may
 be wrong by seconds or by an hour. No server can have started after the process was notified of it, so the
 clock is fast by at most the smallest age of any start in the lists. The clock is assumed to be that fast, so
-no server is taken to have started earlier than it did. A start of which the process is notified at once shows
-that the clock is right. Where more than `MAX_UNPROVEN_SHARE` of a process's first servers would be in slow
-start by this assumption alone, the clock is trusted: the others could not carry the load meanwhile.
+no server is taken to have started earlier than it did. A start of which the process is notified promptly
+shows that the clock is right: discovery alone may take so long, and a clock that is fast by no more shortens
+a slow start by a fifth at most. Where more than `MAX_UNPROVEN_SHARE` of a process's first servers would be in
+slow start by this assumption alone, the clock is trusted: the others could not carry the load meanwhile.
 """
 
 from __future__ import annotations
@@ -16,7 +17,9 @@
 from balancer.policy.interface import ServerEntry
 
 MAX_CLOCK_ERROR = 3_660_000_000  # a clock is wrong by an hour at most, or by some seconds more
-MAX_PROMPT_DELAY = 1_000_000  # a start that is learned of with no more delay was learned of at once
+PROMPT_SHARE = 0.2  # a start learned of within this share of a slow start was learned of promptly...
+MIN_PROMPT_DELAY = 1_000_000  # ...as is one with no more delay, however short slow starts are
+MAX_PROMPT_DELAY = 4_000_000  # but none with more, however long they are
 MAX_LIST_DELAY = 10_000_000  # a start learned of while the process runs is no older than this
 MAX_UNPROVEN_SHARE = 1 / 3  # of the servers in a process's first lists
 MAX_REMEMBERED = 1024  # starts of servers that have left the list
@@ -32,11 +35,21 @@
     clock_trusted: bool  # as listed, the start is taken for right
 
 
+def prompt_delay(slow_start_time: int) -> int:
+    """The longest delay with which a start counts as learned of promptly.
+
+    Failure prevented: in a rolling release the delay of discovery is taken for an error of the clock, and
+    each process holds all servers that are warming up back for that much longer.
+    """
+    return max(MIN_PROMPT_DELAY, min(MAX_PROMPT_DELAY, int(PROMPT_SHARE * slow_start_time)))
+
+
 class StartTimes:
     """Corrects listed start times. All times are microseconds."""
 
     def __init__(self, slow_start_time: int) -> None:
         self.slow_start_time = slow_start_time
+        self.prompt_delay = prompt_delay(slow_start_time)
         self.clock_error = MAX_CLOCK_ERROR  # the clock is fast by no more than this
         self.clock_trusted = False  # for the servers of the first lists
         self.remembered: dict[int, ServerStart] = {}
@@ -48,7 +61,7 @@
         """
         ages = [max(0, now - entry.ready_at) for entry in entries if entry.ready_at > 0]
         error = min(ages, default=MAX_CLOCK_ERROR)
-        if error <= MAX_PROMPT_DELAY:
+        if error <= self.prompt_delay:
             error = 0
         corrected = error < self.clock_error
         self.clock_error = min(self.clock_error, error)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -102,3 +102,41 @@
     node = started(5 * SEC, entries)
     node.server_list(NOW + 65 * SEC, ListKind.CHANGES, [ServerEntry(1, ready_at=NOW + 60 * SEC)])
     assert node.servers[1].slow_start_until == NOW + 65 * SEC + COLD_TIME
+
+
+def test_the_delay_of_discovery_is_not_taken_for_an_error_of_the_clock():
+    """Failure prevented: in a rolling release servers that warm up are held back for the list's delay."""
+    entries = [ServerEntry(1, ready_at=NOW - 5 * SEC), *(ServerEntry(i) for i in (2, 3, 4))]
+    node = started(0, entries)
+    assert node.servers[1].slow_start_until == NOW + COLD_TIME
+    ready_at = NOW + 8 * SEC
+    node.server_list(ready_at + 1_600_000, ListKind.CHANGES, [ServerEntry(2, ready_at=ready_at)])
+    assert node.servers[1].slow_start_until == NOW - 5 * SEC + COLD_TIME
+    assert node.servers[2].slow_start_until == ready_at + COLD_TIME
+
+
+def test_a_first_list_with_a_prompt_start_gives_the_other_starts_as_they_are_listed():
+    ages = {1: 1_600_000, 2: 5 * SEC, 3: 9 * SEC}
+    entries = [ServerEntry(i, ready_at=NOW - age) for i, age in ages.items()]
+    node = started(0, [*entries, *(ServerEntry(i) for i in range(4, 10))])
+    assert {i: node.servers[i].slow_start_until for i in ages} == {
+        i: NOW - age + COLD_TIME for i, age in ages.items()
+    }
+
+
+@pytest.mark.parametrize(
+    ("cold_time", "prompt"),
+    [(2 * SEC, SEC), (10 * SEC, 2 * SEC), (20 * SEC, 4 * SEC), (24 * SEC, 4 * SEC), (600 * SEC, 4 * SEC)],
+)
+@pytest.mark.parametrize("kind", [ListKind.CACHED, ListKind.CHANGES])
+def test_a_clock_is_held_for_wrong_where_that_shortens_a_slow_start_by_much(kind, cold_time, prompt):
+    """By more than a fifth, or by five seconds however long slow starts are."""
+    for age, corrected in [(prompt, False), (prompt + 1, True), (max(prompt + 1, 5 * SEC), True)]:
+        node = Balancer(replace(BASE, slow_start_time=cold_time), 1, Recorder())
+        node.start(NOW)
+        if kind == ListKind.CHANGES:
+            node.server_list(NOW, ListKind.FULL, [ServerEntry(i) for i in range(1, 5)])
+        entries = [ServerEntry(1, ready_at=NOW - age), *(ServerEntry(i) for i in (2, 3, 4))]
+        node.server_list(NOW, kind, entries)
+        started_at = NOW if corrected else NOW - age
+        assert node.servers[1].slow_start_until == started_at + cold_time
