--- a/balancer/policy/start_times.py
+++ b/balancer/policy/start_times.py
@@ -31,7 +31,7 @@
 
     ready_at: int  # as listed
     notified_at: int
-    running: bool  # after this process had its first lists
+    running: bool  # while this process ran, after its first lists
     clock_trusted: bool  # as listed, the start is taken for right
 
 
@@ -51,6 +51,7 @@
         self.slow_start_time = slow_start_time
         self.prompt_delay = prompt_delay(slow_start_time)
         self.clock_error = MAX_CLOCK_ERROR  # the clock is fast by no more than this
+        self.first_list_at: int | None = None
         self.clock_trusted = False  # for the servers of the first lists
         self.remembered: dict[int, ServerStart] = {}
 
@@ -59,6 +60,8 @@
 
         True if starts corrected before are to be corrected anew.
         """
+        if self.first_list_at is None:
+            self.first_list_at = now
         ages = [max(0, now - entry.ready_at) for entry in entries if entry.ready_at > 0]
         error = min(ages, default=MAX_CLOCK_ERROR)
         if error <= self.prompt_delay:
@@ -74,8 +77,17 @@
         start = self.remembered.pop(entry.server, None)
         if start is not None and start.ready_at == entry.ready_at:
             return start
+        running = running or self.has_run_for_long(now)
         return ServerStart(entry.ready_at, now, running, self.clock_trusted and not running)
 
+    def has_run_for_long(self, now: int) -> bool:
+        """Whether a start that is listed now, and was not before, was made while this process ran.
+
+        Failure prevented: servers that restart together before anything has followed a process's cached list
+        count among its first servers, and as warm where its clock is an hour fast.
+        """
+        return self.first_list_at is not None and now - self.first_list_at > MAX_LIST_DELAY
+
     def remember(self, server: int, start: ServerStart) -> None:
         """The server has left the list, and may come back as it was."""
         if start.ready_at <= 0:
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -140,3 +140,23 @@
         node.server_list(NOW, kind, entries)
         started_at = NOW if corrected else NOW - age
         assert node.servers[1].slow_start_until == started_at + cold_time
+
+
+@STEPS
+def test_servers_that_restart_together_are_cold_though_the_node_has_its_cached_list_alone(step):
+    """Failure prevented: as more than a third of the servers, they count by a clock that is an hour fast."""
+    node = started(step, [ServerEntry(i) for i in range(1, 5)])
+    notified_at = NOW + 12 * SEC
+    restarted = [ServerEntry(i, ready_at=notified_at - 300_000) for i in (1, 2, 3)]
+    node.server_list(notified_at + step, ListKind.CHANGES, restarted)
+    for server in (1, 2, 3):
+        slow_start_until = node.servers[server].slow_start_until - step
+        assert notified_at - 300_000 + COLD_TIME <= slow_start_until <= notified_at + COLD_TIME
+
+
+def test_a_clock_is_believed_for_old_starts_that_follow_the_cached_list_at_once():
+    """Failure prevented: a node whose cached list is from before a release finds no server warm."""
+    node = started(0, [ServerEntry(i, ready_at=NOW - 3 * HOUR) for i in (1, 2, 3)])
+    entries = [ServerEntry(i, ready_at=NOW - 600 * SEC) for i in (1, 2, 3)]
+    node.server_list(NOW + SEC, ListKind.CHANGES, entries)
+    assert all(server.slow_start_until < NOW for server in node.servers.values())
