--- a/tests/test_lab_clock.py
+++ b/tests/test_lab_clock.py
@@ -10,7 +10,7 @@
 from balancer.net.process.event_queue import EventQueue
 from workbench.lab import stepped
 from workbench.lab.faults import Faults
-from workbench.lab.fleet import Member
+from workbench.lab.member import Member
 from workbench.lab.plan import plan_of
 from workbench.lab.process import command
 
--- a/workbench/lab/faults.py
+++ b/workbench/lab/faults.py
@@ -7,8 +7,9 @@
 from typing import Any, Protocol
 
 from workbench.emulator.nodes import Site
-from workbench.lab.fleet import Fleet, Member
+from workbench.lab.fleet import Fleet
 from workbench.lab.management import fetch
+from workbench.lab.member import Member
 from workbench.lab.network import LinkFaultRule, Links
 from workbench.lab.plan import Fault, NodeSelection, Plan, number
 
--- a/workbench/lab/fleet.py
+++ b/workbench/lab/fleet.py
@@ -15,8 +15,6 @@
 
 Record = Callable[..., None]  # writes one event of the history
 
-__all__ = ["Fleet", "Member", "Record"]
-
 
 class Fleet:
     """All nodes of a lab; it controls the processes for the emulated world's own faults.
--- a/workbench/lab/run.py
+++ b/workbench/lab/run.py
@@ -22,9 +22,10 @@
 from workbench.emulator.nodes import NoProcessControl, Site
 from workbench.lab.earlier import unpack
 from workbench.lab.faults import Faults
-from workbench.lab.fleet import Fleet, Member
+from workbench.lab.fleet import Fleet
 from workbench.lab.ground_truth import NON_MEMBER_KINDS
 from workbench.lab.history import Event, History, HistoryError, read
+from workbench.lab.member import Member
 from workbench.lab.network import Endpoint, Links, Relay
 from workbench.lab.plan import NodeSelection, Plan, chosen, number, scenario
 from workbench.model.network import num, one_way
