--- a/tests/test_lab_checkers.py
+++ b/tests/test_lab_checkers.py
@@ -4,8 +4,8 @@
 from lab_histories import ALL, END, KILL, RUN, SEE, START, attempt, late, lease, process, request, view
 
 from workbench.lab.checkers import check
+from workbench.lab.ground_truth import GroundTruth as Truth
 from workbench.lab.history import HistoryError, read
-from workbench.lab.truth import Truth
 
 
 @pytest.mark.parametrize(
--- a/tests/test_lab_clock.py
+++ b/tests/test_lab_clock.py
@@ -10,7 +10,7 @@
 from balancer.net.process.event_queue import EventQueue
 from workbench.lab import stepped
 from workbench.lab.faults import Faults
-from workbench.lab.fleet import Member
+from workbench.lab.member import Member
 from workbench.lab.plan import plan_of
 from workbench.lab.process import command
 
@@ -43,7 +43,7 @@
         self.done = []
         self.members = [RecordedMember(self, node, "") for node in nodes]
 
-    def tell(self, event, **fields):
+    def record(self, event, **fields):
         if event == "clock":
             self.done.append((fields["node"], "step", fields["offset_ms"]))
 
