--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -16,8 +16,9 @@
 from balancer.net.process.handover import FILE_PREFIX, FITS_MARKER, MAX_FAILED_POLLS, Handover
 from workbench.cli import cli
 from workbench.cli.errors import Bad, write_whole
-from workbench.experiment.plan import Task, plan_of, tasks
+from workbench.experiment.plan import list_tasks, parse_plan
 from workbench.experiment.store import Store, StoreError
+from workbench.experiment.task import Task
 from workbench.lab import measure
 from workbench.lab import run as lab_run
 from workbench.lab.history import History
@@ -213,7 +214,7 @@
 
 # ---- stores of experiments ------------------------------------------------------------------------
 
-TASKS = tasks(plan_of({"scenarios": ["quiet"], "seeds": 6, "variant": [{"name": "a"}]}))
+TASKS = list_tasks(parse_plan({"scenarios": ["quiet"], "seeds": 6, "variant": [{"name": "a"}]}))
 SYNCS = ("fsync", "fdatasync")
 STORED = "stored"
 
@@ -238,7 +239,7 @@
     """Every run that the store tells of is whole. Their seeds."""
     store = Store(path)
     rows = store.rows()
-    assert {row.task.key for row in rows} == store.done()
+    assert {row.task.key for row in rows} == store.completed_keys()
     for row in rows:
         assert store.result(row.task) == RESULTS[row.task.key]
     store.close()
@@ -304,7 +305,7 @@
     assert_resumes(path)
 
 
-@pytest.mark.parametrize("use", ["rows", "done", "result"])
+@pytest.mark.parametrize("use", ["rows", "completed_keys", "result"])
 def test_a_store_that_cannot_be_read_is_one_line(tmp_path, use):
     """Failure prevented: a traceback, or what could be read of a store, taken for the whole."""
     path = tmp_path / "s.sqlite"
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -8,14 +8,16 @@
 import sys
 import threading
 
+import msgspec
 import numpy as np
 import pytest
 
 from workbench.baselines.revisions import RevisionError, policy_of
 from workbench.experiment import runner
-from workbench.experiment.compare import compare, holm, interval, sign_p
-from workbench.experiment.plan import PlanError, plan_of, tasks
-from workbench.experiment.runner import PARENT_GONE, run_plan, run_task
+from workbench.experiment.compare import compare
+from workbench.experiment.plan import PlanError, list_tasks, parse_plan
+from workbench.experiment.runner import PARENT_GONE, TaskResult, run_plan, run_task
+from workbench.experiment.statistics import bootstrap_interval, holm_correction, sign_flip_p_value
 from workbench.experiment.store import MIGRATIONS, Row, Store, StoreError
 
 TINY = {"length_s": 2, "servers": 2}
@@ -46,16 +48,16 @@
 )  # fmt: skip
 def test_a_plans_faults_are_named(change, line):
     with pytest.raises(PlanError) as e:
-        plan_of({**TABLE, **change})
+        parse_plan({**TABLE, **change})
     assert str(e.value).startswith(f"plan: {line}")
 
 
 def test_a_grid_makes_scenarios_and_seeds_come_in_pairs():
-    plan = plan_of({**TABLE, "grid": {"nodes.count": [1, 2], "load.shape": ["steady"]}})
-    made = tasks(plan)
+    plan = parse_plan({**TABLE, "grid": {"nodes.count": [1, 2], "load.shape": ["steady"]}})
+    made = list_tasks(plan)
     assert len(made) == 2 * 2 * 3 and [t.seed for t in made] == sorted(t.seed for t in made)
     assert {t.scenario for t in made} == {f"quiet[nodes.count={n},load.shape=steady]" for n in (1, 2)}
-    assert made[0].day().nodes.count == 1 and len({t.key for t in made}) == len(made)
+    assert made[0].draw_scenario().nodes.count == 1 and len({t.key for t in made}) == len(made)
 
 
 def test_constants_and_revisions_are_loaded_beside_todays_module():
@@ -63,7 +65,9 @@
 
     policy_of("", (("ATTEMPT_TIMEOUT_FACTOR", 4.0),))
     assert today.ATTEMPT_TIMEOUT_FACTOR == 8
-    (task,) = tasks(plan_of({**TABLE, "seeds": 1, "variant": [{"name": "a", "revision": "git:5fc5af5"}]}))
+    (task,) = list_tasks(
+        parse_plan({**TABLE, "seeds": 1, "variant": [{"name": "a", "revision": "git:5fc5af5"}]})
+    )
     result, error = run_task(task)
     assert error is None and result["made"]["module"].startswith("5fc5af5")
     assert "--revision 5fc5af5" in task.command()
@@ -72,7 +76,7 @@
 
 
 def rows(goals_a, goals_b, scenario="s", broken=0):
-    task = tasks(plan_of(TABLE))[0]
+    task = list_tasks(parse_plan(TABLE))[0]
     out = []
     for variant, goals in (("a", goals_a), ("b", goals_b)):
         for seed, goal in enumerate(goals):
@@ -94,22 +98,22 @@
     rng = np.random.default_rng(3)
     base = rng.uniform(0.3, 0.9, pairs)  # the spread between days is far wider than the difference
     found = compare(rows(base, base + shift + noise * rng.standard_normal(pairs)), "a", "b")
-    assert found["all"]["verdict"] == found["scenarios"][0]["verdict"] == verdict
-    assert {"difference", "low", "high", "pairs", "verdict"} <= set(found["all"])
-    assert found["all"]["low"] <= found["all"]["difference"] <= found["all"]["high"]
+    assert found.overall.verdict == found.scenarios[0].verdict == verdict
+    assert {"difference", "low", "high", "pairs", "verdict"} <= set(msgspec.to_builtins(found)["all"])
+    assert found.overall.low <= found.overall.difference <= found.overall.high
 
 
 def test_statistics_by_known_values():
-    assert holm([0.01, 0.04, 0.03]) == pytest.approx([0.03, 0.06, 0.06])
-    assert sign_p([np.array([0.1] * 5)]) == 2 / 32  # all signs alike, by both tails
-    assert sign_p([np.zeros(4)]) == 1.0
-    low, high = interval(np.arange(100.0))
+    assert holm_correction([0.01, 0.04, 0.03]) == pytest.approx([0.03, 0.06, 0.06])
+    assert sign_flip_p_value([np.array([0.1] * 5)]) == 2 / 32  # all signs alike, by both tails
+    assert sign_flip_p_value([np.zeros(4)]) == 1.0
+    low, high = bootstrap_interval(np.arange(100.0))
     assert low == pytest.approx(49.5 - 1.96 * 2.9, abs=0.5) and high == pytest.approx(
         49.5 + 1.96 * 2.9, abs=0.5
     )
     # Each scenario weighs alike, however many seeds it has.
     both = rows([0.5] * 10, [0.6] * 10, "many") + rows([0.5] * 5, [0.5] * 5, "few")
-    assert compare(both, "a", "b")["all"]["difference"] == pytest.approx(0.05)
+    assert compare(both, "a", "b").overall.difference == pytest.approx(0.05)
 
 
 def count(path):
@@ -175,7 +179,7 @@
 
 def test_a_run_that_raises_is_kept_as_failed_and_the_rest_goes_on(tmp_path, monkeypatch):
     def task(t):
-        return (None, "Traceback: boom") if t.seed == 2 else run_task(t)
+        return TaskResult(None, "Traceback: boom") if t.seed == 2 else run_task(t)
 
     class Here:
         """A pool whose workers are this thread."""
@@ -196,16 +200,16 @@
 
     monkeypatch.setattr(runner, "ProcessPoolExecutor", Here)
     store = Store(tmp_path / "s.sqlite")
-    plan = plan_of(TABLE)
+    plan = parse_plan(TABLE)
     out = run_plan(plan, store, 1)
-    assert (out.made, out.failed) == (6, 2)
+    assert (out.completed, out.failed) == (6, 2)
     failed = [r for r in store.rows() if r.error]
     assert {(r.seed, r.error) for r in failed} == {(2, "Traceback: boom")}
-    assert compare(store.rows(), "a", "b")["failed"][0]["seed"] == 2
+    assert compare(store.rows(), "a", "b").failed_runs[0].seed == 2
     again = run_plan(plan, store, 1)  # a failed run is tried again
-    assert (again.made, again.kept) == (2, 4)
-    until = run_plan(plan, store, 1, until=1.0)
-    assert until.made > 0 and len({r.seed for r in store.rows()}) >= runner.LEAST_PAIRS
+    assert (again.completed, again.already_stored) == (2, 4)
+    until = run_plan(plan, store, 1, target_width=1.0)
+    assert until.completed > 0 and len({r.seed for r in store.rows()}) >= runner.MIN_PAIRS
 
 
 def test_a_store_that_cannot_be_used_is_one_line(tmp_path):
@@ -222,7 +226,7 @@
 
 def test_a_full_disk_is_one_line_and_what_was_put_stays(tmp_path):
     store = Store(tmp_path / "s.sqlite")
-    first, second = tasks(plan_of(TABLE))[:2]
+    first, second = list_tasks(parse_plan(TABLE))[:2]
     result, _ = run_task(first)
     store.put(first, result)
     store.db.execute("PRAGMA max_page_count = 1")  # as a disk without room
@@ -253,8 +257,8 @@
     from workbench.report.page import report, write
 
     store = Store(tmp_path / "s.sqlite")
-    plan = plan_of({**TABLE, "seeds": 2, "grid": {"nodes.count": [1, 2, 3]}})
-    for task in tasks(plan):
+    plan = parse_plan({**TABLE, "seeds": 2, "grid": {"nodes.count": [1, 2, 3]}})
+    for task in list_tasks(plan):
         store.put(task, *run_task(task))
     write(report(store, "workbench experiment report <s>"), tmp_path / "out")
     page = (tmp_path / "out" / "index.html").read_text()
--- a/workbench/experiment/__init__.py
+++ b/workbench/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: variants x scenarios x seeds, run, stored, compared."""
+"""Experiments: plans of variants, scenarios and seeds, their runs, the result store and comparisons."""
--- a/workbench/experiment/compare.py
+++ b/workbench/experiment/compare.py
@@ -1,200 +1,248 @@
-"""Is B better than A, where, by how much, and how sure.
-
-The rule. Pairs are runs of one scenario and seed, so both variants met the same draws. A difference is B's
-goal less A's; its 95% interval is a bootstrap of the pairs' mean (BCa, percentiles where that has no value).
-A p-value comes from the signs: were A and B the same, each pair's difference would be as likely to have the
-other sign. Over the scenarios, p-values are corrected by Holm's method. The verdict is "better" or "worse"
-where the corrected p is under 0.05, the interval leaves 0 out and there are five pairs or more; otherwise
-"not told apart". "Over all" weighs each scenario alike: pairs are drawn anew within each scenario.
+"""Compares two variants: whether one is better, in which scenarios, by how much, with what confidence.
+
+The decision rule. Pairs are runs of one scenario and seed, so both variants met the same random draws. A
+difference is the candidate's goal less the baseline's; its 95% interval is a bootstrap of the pairs' mean
+(BCa, percentiles where that has no value). A p-value comes from sign flips: were the variants the same, each
+pair's difference would be as likely to have the other sign. P-values are corrected over the scenarios by
+Holm's method. The verdict is "better" or "worse" where the corrected p is under 0.05, the interval excludes
+0 and there are five pairs or more; otherwise "not told apart". The overall result gives each scenario the
+same weight: pairs are resampled within each scenario.
 """
 
 from __future__ import annotations
 
 from collections import defaultdict
-from typing import Any
+from collections.abc import Sequence
+from enum import StrEnum
+from typing import NamedTuple
 
 import numpy as np
-from scipy import stats
-
-from workbench.experiment.plan import LEAST_PAIRS
+from msgspec import Struct, field
+
+from workbench.experiment.plan import MIN_PAIRS
+from workbench.experiment.statistics import (
+    Array,
+    Interval,
+    bootstrap_interval,
+    holm_correction,
+    percentile_interval,
+    resampled_means,
+    sign_flip_p_value,
+)
 from workbench.experiment.store import Row
 
-ALPHA = 0.05
-RESAMPLES = 4000
-EXACT_UP_TO = 12  # pairs: so many signs are tried all
-OVER_ALL = "over all"
-Array = np.ndarray[Any, Any]
-
-
-def interval(differences: Array) -> tuple[float, float]:
-    """The 95% bootstrap interval of a mean."""
-    if len(differences) < 2 or np.ptp(differences) == 0:
-        value = float(differences.mean()) if len(differences) else 0.0
-        return value, value
-    with np.errstate(all="ignore"):
-        found = stats.bootstrap(
-            (differences,),
-            np.mean,
-            n_resamples=RESAMPLES,
-            method="BCa",
-            random_state=np.random.default_rng(1),
-        ).confidence_interval
-    if np.isnan(found.low) or np.isnan(found.high):
-        means = resampled(differences)
-        return float(np.quantile(means, 0.025)), float(np.quantile(means, 0.975))
-    return float(found.low), float(found.high)
-
-
-def t_interval(differences: Array) -> tuple[float, float, float]:
-    """The mean of paired differences and its 95% interval by Student's t, for two pairs or more."""
-    mean = float(differences.mean())
-    half = float(stats.t.ppf(0.975, len(differences) - 1) * differences.std(ddof=1) / len(differences) ** 0.5)
-    return mean, mean - half, mean + half
-
-
-def resampled(differences: Array, seed: int = 1) -> Array:
-    rng = np.random.default_rng(seed)
-    n = len(differences)
-    means: Array = differences[rng.integers(0, n, (RESAMPLES, n))].mean(axis=1)
-    return means
-
-
-def sign_p(groups: list[Array]) -> float:
-    """Two-sided: how often random signs make the mean of the groups' means as far from 0 as it is."""
-    groups = [g for g in groups if len(g)]
-    n = sum(map(len, groups))
-    if not n or all(np.all(g == 0) for g in groups):
-        return 1.0
-    weights = np.concatenate([np.full(len(g), 1 / len(g) / len(groups)) for g in groups])
-    values = np.concatenate(groups) * weights
-    if n <= EXACT_UP_TO:
-        signs = 1.0 - 2.0 * ((np.arange(2**n)[:, None] >> np.arange(n)) & 1)
-        sums = signs @ values
-        return float(np.mean(np.abs(sums) >= abs(values.sum()) - 1e-12))
-    rng = np.random.default_rng(2)
-    extreme = 0
-    for _ in range(10):
-        signs = rng.integers(0, 2, (RESAMPLES // 4, n), dtype=np.int8) * 2.0 - 1.0
-        extreme += int(np.sum(np.abs(signs @ values) >= abs(values.sum()) - 1e-12))
-    return (extreme + 1) / (10 * (RESAMPLES // 4) + 1)
-
-
-def holm(values: list[float]) -> list[float]:
-    """Holm's step-down correction."""
-    order = np.argsort(values)
-    out = [1.0] * len(values)
-    worst = 0.0
-    for rank, i in enumerate(order):
-        worst = max(worst, min(1.0, values[i] * (len(values) - rank)))
-        out[int(i)] = worst
-    return out
-
-
-def verdict(difference: float, low: float, high: float, p: float, pairs: int) -> str:
-    if pairs < LEAST_PAIRS or p >= ALPHA or low <= 0 <= high:
-        return "not told apart"
-    return "better" if difference > 0 else "worse"
-
-
-def compare(rows: list[Row], a: str, b: str) -> dict[str, Any]:
-    """B against A: for each scenario and over all `difference`, `low`, `high`, `p`, `pairs`, `verdict`, sign
-    counts, means, the worst seeds with the commands that replay them, broken rules, and where the loss
-    moved."""
+SIGNIFICANCE_LEVEL = 0.05
+OVERALL = "over all"
+MAX_WORST_SEEDS = 3
+MAX_LOSS_CHANGES = 4
+MIN_LOSS_CHANGE = 5e-4  # share of the requested value
+
+
+class Verdict(StrEnum):
+    """Outcome of a comparison; the values are those of the reports."""
+
+    BETTER = "better"
+    WORSE = "worse"
+    INCONCLUSIVE = "not told apart"
+
+
+class WorstSeed(Struct):
+    """A seed on which the candidate was worse, and the command that replays it."""
+
+    seed: int
+    difference: float
+    command: str
+
+
+class LossChange(Struct):
+    """How much of the requested value a cause of loss took more (or less) under the candidate."""
+
+    cause: str
+    tier: int
+    change: float
+
+
+class Result(Struct, kw_only=True):
+    """The candidate's goal less the baseline's; field names in JSON are those of the stored reports."""
+
+    scenario: str
+    difference: float
+    low: float
+    high: float
+    p_value: float = field(name="p")
+    pairs: int
+    increases: int = field(name="ups")
+    decreases: int = field(name="downs")
+    baseline_mean: float = field(name="mean_a", default=0.0)
+    candidate_mean: float = field(name="mean_b", default=0.0)
+    baseline_violations: int = field(name="broken_a", default=0)
+    candidate_violations: int = field(name="broken_b", default=0)
+    verdict: Verdict = Verdict.INCONCLUSIVE
+
+
+class ScenarioResult(Result, kw_only=True):
+    """The result of one scenario."""
+
+    worst_seeds: list[WorstSeed] = field(name="worst")
+    loss_changes: list[LossChange] = field(name="moved")
+
+
+class FailedRun(Struct):
+    """A run that raised an error and has no goal."""
+
+    variant: str
+    scenario: str
+    seed: int
+
+
+class Comparison(Struct):
+    """A candidate against a baseline; field names in JSON are those of the stored reports."""
+
+    baseline: str = field(name="a")
+    candidate: str = field(name="b")
+    scenarios: list[ScenarioResult]
+    overall: Result = field(name="all")
+    failed_runs: list[FailedRun] = field(name="failed")
+
+    def results(self) -> list[Result]:
+        """Returns the result of each scenario, then the overall one."""
+        return [*self.scenarios, self.overall]
+
+
+class Pair(NamedTuple):
+    """Two runs of one scenario and seed."""
+
+    baseline: Row
+    candidate: Row
+
+    @property
+    def difference(self) -> float:
+        """The candidate's goal less the baseline's."""
+        return float(self.candidate.goal or 0) - float(self.baseline.goal or 0)
+
+
+def compare(rows: Sequence[Row], baseline: str, candidate: str) -> Comparison:
+    """Compares two variants over all scenarios that both have run on the same seeds."""
+    pairs_by_scenario = find_pairs(rows, baseline, candidate)
+    results = [scenario_result(scenario, pairs) for scenario, pairs in pairs_by_scenario.items()]
+    corrected = holm_correction([result.p_value for result in results])
+    for result, p_value in zip(results, corrected, strict=True):
+        result.p_value = p_value
+        result.verdict = decide(result)
+    groups = [differences_of(pairs) for pairs in pairs_by_scenario.values()]
+    failed = [row for row in rows if row.variant in (baseline, candidate) and row.error is not None]
+    return Comparison(
+        baseline=baseline,
+        candidate=candidate,
+        scenarios=results,
+        overall=overall_result(groups, results),
+        failed_runs=[FailedRun(row.variant, row.scenario, row.seed) for row in failed],
+    )
+
+
+def find_pairs(rows: Sequence[Row], baseline: str, candidate: str) -> dict[str, list[Pair]]:
+    """Returns the pairs with a goal on both sides, by scenario in order of name, then in order of seed."""
     runs: dict[tuple[str, int], dict[str, Row]] = defaultdict(dict)
     for row in rows:
-        if row.variant in (a, b) and row.goal is not None:
+        if row.variant in (baseline, candidate) and row.goal is not None:
             runs[row.scenario, row.seed][row.variant] = row
-    pairs = {key: both for key, both in runs.items() if len(both) == 2}
-    scenarios = sorted({scenario for scenario, _ in pairs})
-    groups: list[Array] = []
-    entries: list[dict[str, Any]] = []
-    for scenario in scenarios:
-        chosen = [both for (name, _), both in sorted(pairs.items()) if name == scenario]
-        differences = np.array([float(both[b].goal or 0) - float(both[a].goal or 0) for both in chosen])
-        groups.append(differences)
-        low, high = interval(differences)
-        entries.append(
-            {
-                "scenario": scenario,
-                "difference": float(differences.mean()),
-                "low": low,
-                "high": high,
-                "p": sign_p([differences]),
-                **counts(differences),
-                "mean_a": float(np.mean([both[a].goal for both in chosen])),
-                "mean_b": float(np.mean([both[b].goal for both in chosen])),
-                "broken_a": sum(both[a].broken for both in chosen),
-                "broken_b": sum(both[b].broken for both in chosen),
-                "worst": worst(chosen, differences, b),
-                "moved": moved(chosen, a, b),
-            }
-        )
-    for entry, p in zip(entries, holm([e["p"] for e in entries]), strict=True):
-        entry["p"] = p
-        entry["verdict"] = verdict(entry["difference"], entry["low"], entry["high"], p, entry["pairs"])
-    failed = [row for row in rows if row.variant in (a, b) and row.error is not None]
-    return {
-        "a": a,
-        "b": b,
-        "scenarios": entries,
-        "all": over_all(groups, entries),
-        "failed": [{"variant": r.variant, "scenario": r.scenario, "seed": r.seed} for r in failed],
-    }
-
-
-def over_all(groups: list[Array], entries: list[dict[str, Any]]) -> dict[str, Any]:
-    """All scenarios, each weighing alike."""
+    pairs: dict[str, list[Pair]] = defaultdict(list)
+    for (scenario, _), by_variant in sorted(runs.items(), key=lambda item: item[0]):
+        if len(by_variant) == 2:
+            pairs[scenario].append(Pair(by_variant[baseline], by_variant[candidate]))
+    return pairs
+
+
+def differences_of(pairs: Sequence[Pair]) -> Array:
+    """Returns the differences of the pairs' goals."""
+    return np.array([pair.difference for pair in pairs])
+
+
+def scenario_result(scenario: str, pairs: Sequence[Pair]) -> ScenarioResult:
+    """Returns the result of one scenario, with its p-value not yet corrected and no verdict."""
+    differences = differences_of(pairs)
+    interval = bootstrap_interval(differences)
+    return ScenarioResult(
+        scenario=scenario,
+        difference=float(differences.mean()),
+        low=interval.low,
+        high=interval.high,
+        p_value=sign_flip_p_value([differences]),
+        pairs=len(differences),
+        increases=int(np.sum(differences > 0)),
+        decreases=int(np.sum(differences < 0)),
+        baseline_mean=float(np.mean([pair.baseline.goal for pair in pairs])),
+        candidate_mean=float(np.mean([pair.candidate.goal for pair in pairs])),
+        baseline_violations=sum(pair.baseline.rule_violations for pair in pairs),
+        candidate_violations=sum(pair.candidate.rule_violations for pair in pairs),
+        worst_seeds=worst_seeds(pairs),
+        loss_changes=loss_changes(pairs),
+    )
+
+
+def overall_result(groups: Sequence[Array], results: Sequence[Result]) -> Result:
+    """Returns the result over all scenarios, each with the same weight."""
+    differences = np.concatenate(groups) if groups else np.array([])
+    interval = overall_interval(groups)
+    overall = Result(
+        scenario=OVERALL,
+        difference=mean_of([float(group.mean()) for group in groups]),
+        low=interval.low,
+        high=interval.high,
+        p_value=sign_flip_p_value(groups),
+        pairs=len(differences),
+        increases=int(np.sum(differences > 0)),
+        decreases=int(np.sum(differences < 0)),
+        baseline_mean=mean_of([result.baseline_mean for result in results]),
+        candidate_mean=mean_of([result.candidate_mean for result in results]),
+        baseline_violations=sum(result.baseline_violations for result in results),
+        candidate_violations=sum(result.candidate_violations for result in results),
+    )
+    overall.verdict = decide(overall)
+    return overall
+
+
+def overall_interval(groups: Sequence[Array]) -> Interval:
+    """Returns the 95% percentile interval of the mean of the groups' resampled means."""
     if not groups:
-        zero = {"difference": 0.0, "low": 0.0, "high": 0.0, "p": 1.0, **counts(np.array([]))}
-        return {"scenario": OVER_ALL, **zero, "verdict": "not told apart"}
-    means = np.mean([resampled(g, i) for i, g in enumerate(groups)], axis=0)
-    difference = float(np.mean([g.mean() for g in groups]))
-    low, high = float(np.quantile(means, 0.025)), float(np.quantile(means, 0.975))
-    together = np.concatenate(groups)
-    p = sign_p(groups)
-    return {
-        "scenario": OVER_ALL,
-        "difference": difference,
-        "low": low,
-        "high": high,
-        "p": p,
-        **counts(together),
-        "mean_a": float(np.mean([e["mean_a"] for e in entries])),
-        "mean_b": float(np.mean([e["mean_b"] for e in entries])),
-        "broken_a": sum(e["broken_a"] for e in entries),
-        "broken_b": sum(e["broken_b"] for e in entries),
-        "verdict": verdict(difference, low, high, p, len(together)),
-    }
-
-
-def counts(differences: Array) -> dict[str, int]:
-    return {
-        "pairs": len(differences),
-        "ups": int(np.sum(differences > 0)),
-        "downs": int(np.sum(differences < 0)),
-    }
-
-
-def worst(chosen: list[dict[str, Row]], differences: Array, b: str, kept: int = 3) -> list[dict[str, Any]]:
-    """The seeds on which B does worst against A, and the commands that play them again."""
-    out = []
-    for i in np.argsort(differences)[:kept]:
-        if differences[i] < 0:
-            row = chosen[int(i)][b]
-            out.append({"seed": row.seed, "difference": float(differences[i]), "command": row.task.command()})
-    return out
-
-
-def moved(chosen: list[dict[str, Row]], a: str, b: str, kept: int = 4) -> list[dict[str, Any]]:
-    """Causes of loss by tier whose share of the worth changed most, B less A, in the mean."""
-    sums: dict[tuple[str, int], float] = defaultdict(float)
-    for both in chosen:
-        for name, sign in ((a, -1), (b, 1)):
-            for entry in both[name].lost:
-                sums[entry["cause"], entry["tier"]] += sign * entry["share"] / len(chosen)
-    top = sorted(sums.items(), key=lambda item: (-abs(item[1]), item[0]))[:kept]
+        return Interval(0.0, 0.0)
+    means = np.mean([resampled_means(group, seed) for seed, group in enumerate(groups)], axis=0)
+    return percentile_interval(means)
+
+
+def mean_of(values: Sequence[float]) -> float:
+    """Returns the mean, 0 where there is no value."""
+    return float(np.mean(values)) if values else 0.0
+
+
+def decide(result: Result) -> Verdict:
+    """Applies the decision rule to a result whose p-value is corrected."""
+    if result.pairs < MIN_PAIRS or result.p_value >= SIGNIFICANCE_LEVEL:
+        return Verdict.INCONCLUSIVE
+    if result.low <= 0 <= result.high:
+        return Verdict.INCONCLUSIVE
+    return Verdict.BETTER if result.difference > 0 else Verdict.WORSE
+
+
+def worst_seeds(pairs: Sequence[Pair]) -> list[WorstSeed]:
+    """Returns the seeds with the largest decreases, and the commands that replay them."""
+    differences = differences_of(pairs)
+    worst = []
+    for index in np.argsort(differences)[:MAX_WORST_SEEDS]:
+        if differences[index] < 0:
+            row = pairs[int(index)].candidate
+            worst.append(WorstSeed(row.seed, float(differences[index]), row.task.command()))
+    return worst
+
+
+def loss_changes(pairs: Sequence[Pair]) -> list[LossChange]:
+    """Returns the causes of loss, by tier, whose mean share of the requested value changed most."""
+    changes: dict[tuple[str, int], float] = defaultdict(float)
+    for pair in pairs:
+        for row, sign in ((pair.baseline, -1), (pair.candidate, 1)):
+            for loss in row.losses:
+                changes[loss.cause, loss.tier] += sign * loss.share / len(pairs)
+    largest = sorted(changes.items(), key=lambda item: (-abs(item[1]), item[0]))[:MAX_LOSS_CHANGES]
     return [
-        {"cause": cause, "tier": tier, "change": change}
-        for (cause, tier), change in top
-        if abs(change) > 5e-4
+        LossChange(cause, tier, change) for (cause, tier), change in largest if abs(change) > MIN_LOSS_CHANGE
     ]
--- a/workbench/experiment/plan.py
+++ b/workbench/experiment/plan.py
@@ -1,5 +1,4 @@
-"""The plan of an experiment: a TOML file, checked as strictly as scenarios are, and the runs that it asks
-for."""
+"""The plan of an experiment: a TOML file, validated as strictly as scenarios, and the tasks it asks for."""
 
 from __future__ import annotations
 
@@ -8,181 +7,220 @@
 import tomllib
 from collections.abc import Iterator
 from pathlib import Path
-from typing import Annotated, Any
+from typing import Annotated, Any, NamedTuple
 
 import msgspec
 from msgspec import Meta, Struct, field
 
-from workbench.baselines import POLICIES, Policy
+from workbench.baselines import POLICIES
 from workbench.baselines.revisions import RevisionError, full_revision, policy_of, policy_sources
+from workbench.experiment.task import MODULE_POLICY, Constants, Task
 from workbench.scenario.check import type_faults
-from workbench.scenario.load import ScenarioError, digest, draw, load
-from workbench.scenario.model import Scenario
+from workbench.scenario.load import ScenarioError, digest, load
+
+MIN_PAIRS = 5  # with fewer, a comparison is inconclusive
+POLICY_DIGEST_BYTES = 6
+SOURCE_DIGEST_BYTES = 8
+BASELINE_VARIANT = "baseline"
 
-LEAST_PAIRS = 5  # under which nothing is told apart
 Value = int | float | str | bool
 Seeds = Annotated[int, Meta(extra_json_schema={"minimum": 1})]
 
 
 class PlanError(Exception):
-    """What is wrong with a plan: a line for each fault."""
+    """A plan is not valid: one line for each error."""
 
 
 class Variant(Struct, forbid_unknown_fields=True, kw_only=True):
-    """Who decides, and under which settings."""
+    """A policy and its settings."""
 
     name: str
-    policy: str = "module"
+    policy: str = MODULE_POLICY
     revision: str = ""  # of this repository, for the module
     constants: dict[str, float] = field(default_factory=dict)  # of the module, by name
-    set: dict[str, Value] = field(default_factory=dict)  # keys of the scenario
+    overrides: dict[str, Value] = field(name="set", default_factory=dict)  # keys of the scenario
 
 
 class Plan(Struct, forbid_unknown_fields=True, kw_only=True):
-    """A file."""
+    """A plan file; names in TOML are those of its documentation."""
 
     title: str = ""
     scenarios: list[str]
-    seeds: Seeds = 10  # so many...
-    first_seed: Annotated[int, Meta(extra_json_schema={"minimum": 0})] = 1  # ...from this one on
-    set: dict[str, Value] = field(default_factory=dict)  # keys of all scenarios
+    seeds: Seeds = 10  # how many, from the first one on
+    first_seed: Annotated[int, Meta(extra_json_schema={"minimum": 0})] = 1
+    overrides: dict[str, Value] = field(name="set", default_factory=dict)  # keys of all scenarios
     grid: dict[str, list[Value]] = field(default_factory=dict)  # each combination is a scenario of its own
-    variant: list[Variant]
+    variants: list[Variant] = field(name="variant")
 
 
-class Task(Struct, frozen=True):
-    """One run to make. What tells it from others is in `key`."""
+class GridPoint(NamedTuple):
+    """A scenario at one combination of the grid's values."""
 
-    scenario: str  # its label, with the grid's values
     source: str
-    overrides: tuple[str, ...]
-    seed: int
-    variant: str
-    policy: str
-    revision: str
-    constants: tuple[tuple[str, float], ...]
-    digest: str  # of the scenario with its overrides, and of who decides
+    label: str
+    overrides: list[str]
 
-    @property
-    def key(self) -> tuple[str, str, int, str]:
-        return self.scenario, self.variant, self.seed, self.digest
 
-    def day(self) -> Scenario:
-        return draw(load(self.source, list(self.overrides)), self.seed)
+class ModuleVersion(NamedTuple):
+    """A revision by its full name, empty for the working tree, and changed constants in order of name."""
 
-    def decider(self) -> str | Policy:
-        if self.policy == "module" and (self.revision or self.constants):
-            return policy_of(self.revision, self.constants)
-        return self.policy
-
-    def command(self) -> str:
-        """The command that plays the run again; a revision's or constant's module only through its plan."""
-        words = ["workbench simulate", self.source, f"--seed {self.seed}"]
-        words += [f"--policy {self.policy}"] if self.policy != "module" else []
-        words += [f"--revision {self.revision[:12]}"] if self.revision else []
-        words += [f"--constant {name}={value:g}" for name, value in self.constants]
-        return " ".join(words + [f"--set '{o}'" for o in self.overrides])
+    revision: str
+    constants: Constants
 
 
 def read_plan(path: str, baseline: str = "") -> Plan:
-    """The plan of a file, with `baseline` (a revision) as one more variant of the module. PlanError."""
+    """Reads a plan file.
+
+    Args:
+        path: The TOML file.
+        baseline: A revision; if given, the module at this revision is the first variant.
+
+    Raises:
+        PlanError: The file cannot be read or is not a valid plan.
+    """
     try:
         table = tomllib.loads(Path(path).read_text())
     except OSError as e:
         raise PlanError(f"{path}: cannot be read: {e.strerror}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as e:
         raise PlanError(f"{path}: not TOML: {e}") from None
-    return plan_of(table, path, baseline)
+    return parse_plan(table, path, baseline)
 
 
-def plan_of(table: dict[str, Any], path: str = "plan", baseline: str = "") -> Plan:
-    """A checked plan of a decoded file. PlanError."""
-    found = type_faults(table, Plan)
-    if found:
-        raise PlanError("\n".join(f"{path}: {line}" for line in found))
+def parse_plan(table: dict[str, Any], path: str = "plan", baseline: str = "") -> Plan:
+    """Validates a decoded plan file.
+
+    Raises:
+        PlanError: The table is not a valid plan; one line for each error.
+    """
+    raise_errors(type_faults(table, Plan), path)
     plan = msgspec.convert(table, Plan)
     if baseline:
-        plan.variant.insert(0, Variant(name="baseline", revision=baseline))
-    found = list(relations(plan))
-    if found:
-        raise PlanError("\n".join(f"{path}: {line}" for line in found))
+        plan.variants.insert(0, Variant(name=BASELINE_VARIANT, revision=baseline))
+    raise_errors(list(consistency_errors(plan)), path)
     return plan
 
 
-def relations(plan: Plan) -> Iterator[str]:
+def raise_errors(errors: list[str], path: str) -> None:
+    """Raises a PlanError where there are errors."""
+    if errors:
+        raise PlanError("\n".join(f"{path}: {error}" for error in errors))
+
+
+def consistency_errors(plan: Plan) -> Iterator[str]:
+    """Yields the errors of a plan whose keys are valid one by one."""
     if not plan.scenarios:
         yield "scenarios: []: must hold at least one"
-    if not plan.variant:
+    if not plan.variants:
         yield "variant: []: must hold at least one"
-    names = [v.name for v in plan.variant]
-    for i, v in enumerate(plan.variant):
-        if v.name in names[:i]:
-            yield f"variant[{i}].name: {v.name!r}: must be another than those before"
-        if v.policy not in POLICIES:
-            yield f"variant[{i}].policy: {v.policy!r}: must be one of {', '.join(POLICIES)}"
-        elif v.policy != "module" and (v.revision or v.constants):
-            yield f"variant[{i}].policy: {v.policy!r}: must be module, with a revision or constants"
-        else:
-            try:
-                decider(v)
-            except RevisionError as e:
-                yield f"variant[{i}]: {e}"
+    for index, variant in enumerate(plan.variants):
+        earlier = {other.name for other in plan.variants[:index]}
+        yield from variant_errors(variant, f"variant[{index}]", earlier)
     for key, values in plan.grid.items():
         if not values:
             yield f"grid.{key}: []: must hold at least one value"
-    for source in plan.scenarios:
-        for _, overrides in points(plan, source):
-            for v in plan.variant:
-                try:
-                    load(source, [*overrides, *settings(v.set)])
-                except ScenarioError as e:
-                    yield from str(e).splitlines()
-                    return
-
-
-def decider(v: Variant) -> tuple[str, tuple[tuple[str, float], ...]]:
-    """A variant's revision by its whole name, and its constants in order. RevisionError."""
-    revision = full_revision(v.revision.removeprefix("git:")) if v.revision else ""
-    names = {k.removeprefix("balance.").removeprefix("policy."): float(x) for k, x in v.constants.items()}
-    constants = tuple(sorted(names.items()))
-    if revision or constants:
-        policy_of(revision, constants)
-    return revision, constants
-
-
-def settings(keys: dict[str, Value]) -> list[str]:
-    """Overrides as the command line has them."""
-    return [f"{k}={str(v).lower() if isinstance(v, bool) else v}" for k, v in keys.items()]
-
-
-def points(plan: Plan, source: str) -> Iterator[tuple[str, list[str]]]:
-    """The scenario at each point of the grid: its label and its overrides."""
+    yield from scenario_errors(plan)
+
+
+def variant_errors(variant: Variant, path: str, earlier_names: set[str]) -> Iterator[str]:
+    """Yields the errors of one variant."""
+    if variant.name in earlier_names:
+        yield f"{path}.name: {variant.name!r}: must be another than those before"
+    if variant.policy not in POLICIES:
+        yield f"{path}.policy: {variant.policy!r}: must be one of {', '.join(POLICIES)}"
+    elif variant.policy != MODULE_POLICY and (variant.revision or variant.constants):
+        yield f"{path}.policy: {variant.policy!r}: must be module, with a revision or constants"
+    else:
+        try:
+            module_version(variant)
+        except RevisionError as e:
+            yield f"{path}: {e}"
+
+
+def scenario_errors(plan: Plan) -> Iterator[str]:
+    """Yields the errors of the first combination of grid point and variant that is not a scenario."""
+    points = (point for source in plan.scenarios for point in grid_points(plan, source))
+    for point, variant in itertools.product(points, plan.variants):
+        try:
+            load(point.source, [*point.overrides, *override_arguments(variant.overrides)])
+        except ScenarioError as e:
+            yield from str(e).splitlines()
+            return
+
+
+def module_version(variant: Variant) -> ModuleVersion:
+    """Resolves a variant's revision and constants.
+
+    Raises:
+        RevisionError: There is no such revision or constant.
+    """
+    revision = full_revision(variant.revision.removeprefix("git:")) if variant.revision else ""
+    constants = {
+        name.removeprefix("balance.").removeprefix("policy."): float(value)
+        for name, value in variant.constants.items()
+    }
+    version = ModuleVersion(revision, tuple(sorted(constants.items())))
+    if version.revision or version.constants:
+        policy_of(version.revision, version.constants)
+    return version
+
+
+def override_arguments(overrides: dict[str, Value]) -> list[str]:
+    """Returns overrides as arguments of `--set`."""
+    return [
+        f"{key}={str(value).lower() if isinstance(value, bool) else value}"
+        for key, value in overrides.items()
+    ]
+
+
+def grid_points(plan: Plan, source: str) -> Iterator[GridPoint]:
+    """Yields a scenario at each combination of the grid's values."""
     for values in itertools.product(*plan.grid.values()):
-        at = dict(zip(plan.grid, values, strict=True))
-        label = source + (f"[{','.join(settings(at))}]" if at else "")
-        yield label, settings(plan.set) + settings(at)
-
-
-def tasks(plan: Plan) -> list[Task]:
-    """All runs, seed by seed, so that a plan that is stopped early has pairs."""
-    out = []
-    for source in plan.scenarios:
-        for label, overrides in points(plan, source):
-            for v in plan.variant:
-                revision, constants = decider(v)
-                changes = (*overrides, *settings(v.set))
-                who = repr((v.policy, revision, constants, text_of(v, revision)))
-                mark = hashlib.blake2b(who.encode(), digest_size=6).hexdigest()
-                what = f"{digest(load(source, list(changes)))}.{mark}"
-                for seed in range(plan.first_seed, plan.first_seed + plan.seeds):
-                    out.append(
-                        Task(label, source, changes, seed, v.name, v.policy, revision, constants, what)
-                    )
-    return sorted(out, key=lambda t: t.seed)
-
-
-def text_of(v: Variant, revision: str) -> str:
-    """Today's module is known by its text: an edit makes other runs of it."""
-    if v.policy != "module" or revision:
-        return ""
-    return hashlib.blake2b("".join(policy_sources("").values()).encode(), digest_size=8).hexdigest()
+        chosen = override_arguments(dict(zip(plan.grid, values, strict=True)))
+        label = source + (f"[{','.join(chosen)}]" if chosen else "")
+        yield GridPoint(source, label, override_arguments(plan.overrides) + chosen)
+
+
+def list_tasks(plan: Plan) -> list[Task]:
+    """Returns all runs in order of seed, so that a plan that is stopped early has complete pairs."""
+    tasks = [
+        task
+        for source in plan.scenarios
+        for point in grid_points(plan, source)
+        for variant in plan.variants
+        for task in variant_tasks(plan, point, variant)
+    ]
+    return sorted(tasks, key=lambda task: task.seed)
+
+
+def variant_tasks(plan: Plan, point: GridPoint, variant: Variant) -> Iterator[Task]:
+    """Yields the runs of one variant at one grid point, a run for each seed."""
+    version = module_version(variant)
+    overrides = (*point.overrides, *override_arguments(variant.overrides))
+    scenario_digest = digest(load(point.source, list(overrides)))
+    identity = f"{scenario_digest}.{policy_digest(variant, version)}"
+    for seed in range(plan.first_seed, plan.first_seed + plan.seeds):
+        yield Task(
+            scenario=point.label,
+            source=point.source,
+            overrides=overrides,
+            seed=seed,
+            variant=variant.name,
+            policy=variant.policy,
+            revision=version.revision,
+            constants=version.constants,
+            digest=identity,
+        )
+
+
+def policy_digest(variant: Variant, version: ModuleVersion) -> str:
+    """Returns what tells a policy from others in the keys of stored runs."""
+    source = module_source_digest() if variant.policy == MODULE_POLICY and not version.revision else ""
+    identity = repr((variant.policy, version.revision, version.constants, source))
+    return hashlib.blake2b(identity.encode(), digest_size=POLICY_DIGEST_BYTES).hexdigest()
+
+
+def module_source_digest() -> str:
+    """Returns a digest of the working tree's module: an edit of it invalidates stored runs."""
+    sources = "".join(policy_sources("").values())
+    return hashlib.blake2b(sources.encode(), digest_size=SOURCE_DIGEST_BYTES).hexdigest()
--- a/workbench/explore/uses.py
+++ b/workbench/explore/uses.py
@@ -18,7 +18,7 @@
 import numpy as np
 
 from balancer.fleet.zone_routing.settings import ZoneSettings
-from workbench.experiment.compare import t_interval
+from workbench.experiment.statistics import t_interval
 from workbench.scenario.load import draw, load, plain, scenario_of
 from workbench.scenario.model import Scenario
 from workbench.simulator.fleet import Uses, VirtualFleet
--- a/workbench/lab/measure.py
+++ b/workbench/lab/measure.py
@@ -22,7 +22,7 @@
 import msgspec
 import numpy as np
 
-from workbench.experiment.compare import t_interval
+from workbench.experiment.statistics import t_interval
 from workbench.lab.checkers import check
 from workbench.lab.history import HistoryError, read
 from workbench.lab.plan import shipped
--- a/workbench/report/figures.py
+++ b/workbench/report/figures.py
@@ -7,11 +7,13 @@
 from dataclasses import dataclass
 from typing import Any
 
+import msgspec
 import numpy as np
 from matplotlib import pyplot
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
+from workbench.experiment.compare import Comparison
 from workbench.report.plots import COLOURS, limit_panel, shade
 from workbench.report.series import Array, Days
 
@@ -182,10 +184,10 @@
     return picture("sweep", caption, 3.6, draw)
 
 
-def table_rows(found: dict[str, Any]) -> list[dict[str, Any]]:
+def table_rows(found: Comparison) -> list[dict[str, Any]]:
     """A comparison's lines for CSV and page."""
     keys = ("scenario", "difference", "low", "high", "p", "pairs", "ups", "downs", "verdict")
     return [
-        {"a": found["a"], "b": found["b"], **{k: e[k] for k in keys}}
-        for e in [*found["scenarios"], found["all"]]
+        {"a": found.baseline, "b": found.candidate, **{k: e[k] for k in keys}}
+        for e in msgspec.to_builtins(found.results())
     ]
--- a/workbench/report/page.py
+++ b/workbench/report/page.py
@@ -11,9 +11,10 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import numpy as np
 
-from workbench.experiment.compare import compare
+from workbench.experiment.compare import Comparison, compare
 from workbench.experiment.store import Row, Store
 from workbench.files import replace_files
 from workbench.report import figures, series
@@ -37,15 +38,16 @@
     pictures = draw(store, rows, scenarios, variants)
     lines = [line for f in found for line in figures.table_rows(f)]
     runs = [
-        {"scenario": r.scenario, "variant": r.variant, "seed": r.seed, "goal": r.goal, "broken": r.broken,
-         "error": (r.error or "").strip().splitlines()[-1:] or ""}
+        {"scenario": r.scenario, "variant": r.variant, "seed": r.seed, "goal": r.goal,
+         "broken": r.rule_violations, "error": (r.error or "").strip().splitlines()[-1:] or ""}
         for r in rows
     ]  # fmt: skip
+    numbers = {"comparisons": msgspec.to_builtins(found), "runs": runs}
     return {
         "index.html": page(store.path.stem, rows, found, pictures, command).encode(),
         "comparisons.csv": table(lines),
         "runs.csv": table(runs),
-        "report.json": json.dumps({"comparisons": found, "runs": runs}, indent=1).encode(),
+        "report.json": json.dumps(numbers, indent=1).encode(),
     }
 
 
@@ -90,9 +92,11 @@
     return out.getvalue().encode()
 
 
-def page(name: str, rows: list[Row], found: list[Any], pictures: list[figures.Picture], command: str) -> str:
+def page(
+    name: str, rows: list[Row], found: list[Comparison], pictures: list[figures.Picture], command: str
+) -> str:
     failed = [r for r in rows if r.error is not None]
-    broken = [r for r in rows if r.broken]
+    broken = [r for r in rows if r.rule_violations]
     parts = [
         f"<!doctype html><html lang=en><meta charset=utf-8><title>{escape(name)}</title>",
         f"<style>{STYLE}</style>",
@@ -101,7 +105,7 @@
         "docs/experiments.md.</p>",
     ]
     for f in found:
-        parts.append(f"<h2>{escape(f['b'])} against {escape(f['a'])}</h2>{comparison(f)}")
+        parts.append(f"<h2>{escape(f.candidate)} against {escape(f.baseline)}</h2>{comparison(f)}")
     for p in pictures:
         data = base64.b64encode(p.png).decode()
         parts.append(
@@ -112,19 +116,19 @@
     if failed or broken:
         parts.append("<h2>Failed runs and broken rules</h2><ul>")
         for r in (failed + broken)[:50]:
-            what = (r.error or "").strip().splitlines()[-1:] or [f"{r.broken} broken rules"]
+            what = (r.error or "").strip().splitlines()[-1:] or [f"{r.rule_violations} broken rules"]
             parts.append(f"<li>{escape(what[0])}: <code>{escape(r.task.command())}</code></li>")
         parts.append("</ul>")
     return "\n".join(parts) + "</html>\n"
 
 
-def comparison(found: dict[str, Any]) -> str:
+def comparison(found: Comparison) -> str:
     head = "<tr><th>scenario<th>difference<th>95% interval<th>p<th>pairs<th>up, down<th>verdict</tr>"
     body = "".join(
-        f"<tr><td>{escape(e['scenario'])}<td>{e['difference']:+.4f}<td>{e['low']:+.4f} to {e['high']:+.4f}"
-        f"<td>{e['p']:.3f}<td>{e['pairs']}<td>{e['ups']}, {e['downs']}"
-        f'<td class="{e["verdict"].split()[0]}">{e["verdict"]}</tr>'
-        for e in [*found["scenarios"], found["all"]]
+        f"<tr><td>{escape(e.scenario)}<td>{e.difference:+.4f}<td>{e.low:+.4f} to {e.high:+.4f}"
+        f"<td>{e.p_value:.3f}<td>{e.pairs}<td>{e.increases}, {e.decreases}"
+        f'<td class="{e.verdict.split()[0]}">{e.verdict}</tr>'
+        for e in found.results()
     )
     return f"<table>{head}{body}</table>"
 
--- a/workbench/report/series.py
+++ b/workbench/report/series.py
@@ -45,10 +45,10 @@
         if r.goal is None:
             continue
         runs[r.scenario, r.variant] += 1
-        for e in r.lost:
-            label = f"{e['cause']}, tier {e['tier']}"
-            sums[r.scenario, r.variant][label] += e["share"]
-            total[label] += e["share"]
+        for e in r.losses:
+            label = f"{e.cause}, tier {e.tier}"
+            sums[r.scenario, r.variant][label] += e.share
+            total[label] += e.share
     top = set(sorted(total, key=lambda k: -total[k])[:CAUSES])
     out: dict[tuple[str, str], dict[str, float]] = {}
     for key, by_cause in sums.items():
