--- a/tests/test_scenario.py
+++ b/tests/test_scenario.py
@@ -6,8 +6,8 @@
 import pytest
 
 from workbench.scenario import load as scenarios
-from workbench.scenario.check import faults
-from workbench.scenario.load import ScenarioError, draw, scenario_of
+from workbench.scenario.check import scenario_errors
+from workbench.scenario.load import ScenarioError, draw, parse_scenario
 from workbench.scenario.model import Scenario
 
 WRONG = [
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize(("table", "line"), WRONG, ids=[line[:30] for _, line in WRONG])
 def test_a_fault_names_path_found_and_allowed(table, line):
-    (found,) = faults(table)
+    (found,) = scenario_errors(table)
     assert found.startswith(line)
 
 
@@ -60,8 +60,8 @@
 @pytest.mark.parametrize("name", scenarios.shipped())
 def test_a_drawn_day_is_a_scenario_that_draws_to_itself(name):
     day = draw(scenarios.load(name), 5)
-    table = scenarios.tomllib.loads(scenarios.toml(day))
-    again = draw(scenario_of(table))
+    table = scenarios.tomllib.loads(scenarios.to_toml(day))
+    again = draw(parse_scenario(table))
     assert again == day and day.seed == 5 and day.title
     assert not any(isinstance(v, list) and len(v) == 2 and type(v[0]) is float for v in flat(table))
 
@@ -73,8 +73,8 @@
 
 
 def test_one_range_more_shifts_no_other_draw():
-    plain, changed = scenario_of({}), scenario_of({"network": {"loss": [0.0, 0.1]}})
-    a, b = (scenarios.plain(draw(s, 3)) for s in (plain, changed))
+    plain, changed = parse_scenario({}), parse_scenario({"network": {"loss": [0.0, 0.1]}})
+    a, b = (scenarios.to_table(draw(s, 3)) for s in (plain, changed))
     assert a.pop("network") != b.pop("network")
     assert a == b
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -14,7 +14,7 @@
 from workbench.model.referee import Referee
 from workbench.model.site import BEGIN, World
 from workbench.scenario import load as scenarios
-from workbench.scenario.load import draw, load, scenario_of
+from workbench.scenario.load import draw, load, parse_scenario
 from workbench.simulator.heap import HeapClock
 from workbench.simulator.host import Host
 from workbench.simulator.play import play
@@ -124,7 +124,7 @@
     ids=["one", "two", "four", "late", "full", "slow", "neighbour", "crash", "drain"],
 )  # fmt: skip
 def test_a_server_shares_its_cores(at, change, ends):
-    world, clock = world_of(draw(scenario_of(EXACT)))
+    world, clock = world_of(draw(parse_scenario(EXACT)))
     server, _, out = replies(world, clock, at)
     if change:
         clock.call_at(BEGIN + change[0] * 1000, change[1], server)
@@ -134,7 +134,7 @@
 
 
 def test_work_stops_when_its_call_is_given_up():
-    world, clock = world_of(draw(scenario_of(EXACT)))
+    world, clock = world_of(draw(parse_scenario(EXACT)))
     server, attempts, out = replies(world, clock, [0, 0, 0, 0, 0])
     clock.call_at(BEGIN + 100_000, lambda _: [server.abandon(attempts[n]) for n in (0, 1, 4)], None)
     clock.run(BEGIN + 10**6)
@@ -145,7 +145,7 @@
 def test_a_cold_server_warms_evenly_and_falls_when_it_is_sent_too_much():
     table = {**EXACT, "rules": {"fall_multiple": 2.0, "fall_s": 1.0}}
     table["tier"][0]["kind"][0].update(cold_from=0.2, cold_s=10)
-    world, clock = world_of(draw(scenario_of(table)))
+    world, clock = world_of(draw(parse_scenario(table)))
     server = world.tiers[0][0]
     server.stop(kill=True)
     server.start()
@@ -238,7 +238,7 @@
         return module
 
     table = {**EXACT, "clients": {"retries": 2, "backoff_ms": 100}, "length_s": 1, "load": {"fraction": 0.2}}
-    run = play(draw(scenario_of(table)), refusing)
+    run = play(draw(parse_scenario(table)), refusing)
     account = run.result["account"]
     assert account["tries_a_request"] == 3 and len(calls) == 3 * account["requests"]
     assert [(e["cause"], e["tier"]) for e in account["lost"]] == [("refused at the limit", 0)]
--- a/workbench/cli/scenario.py
+++ b/workbench/cli/scenario.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from workbench.cli.errors import Bad
-from workbench.scenario.load import ScenarioError, draw, load, read, scenario_of, shipped, toml
+from workbench.scenario.load import ScenarioError, draw, load, parse_scenario, read_table, shipped, to_toml
 from workbench.scenario.model import Scenario
 
 
@@ -31,7 +31,7 @@
 def show(file: str, seed: int | None, overrides: tuple[str, ...]) -> None:
     """Print the day that a seed draws from FILE. It is itself a scenario."""
     try:
-        click.echo(toml(draw(load(file, list(overrides)), seed)), nl=False)
+        click.echo(to_toml(draw(load(file, list(overrides)), seed)), nl=False)
     except ScenarioError as e:
         raise Bad(str(e)) from None
 
@@ -43,7 +43,7 @@
     found: list[str] = []
     for file in files:
         try:
-            scenario_of(read(file), file)
+            parse_scenario(read_table(file), file)
         except ScenarioError as e:
             found.append(str(e))
     if found:
--- a/workbench/emulator/config.py
+++ b/workbench/emulator/config.py
@@ -50,7 +50,7 @@
             "window": request_class.window,
             "worth": request_class.worth,
         }
-        for named, request_class in zip(site.world.day.klass, settings.classes, strict=True)
+        for named, request_class in zip(site.world.day.request_classes, settings.classes, strict=True)
     ]
 
 
--- a/workbench/emulator/emulate.py
+++ b/workbench/emulator/emulate.py
@@ -39,7 +39,7 @@
         """Returns a call of the class that the target's path names, or else of the first class."""
         clock, classes = self.clock, self.world.classes
         path_name = target[1:].partition(b"?")[0].partition(b"/")[0].decode("latin-1")
-        names = [k.name for k in self.world.day.klass]
+        names = [k.name for k in self.world.day.request_classes]
         index = names.index(path_name) if path_name in names else 0
         deadline = classes[index].deadline
         objective = classes[index].latency_objective
--- a/workbench/emulator/nodes.py
+++ b/workbench/emulator/nodes.py
@@ -400,7 +400,7 @@
 
     def class_name(self, call: Call) -> str:
         """Returns the name of a call's request class."""
-        return self.world.day.klass[call.root.klass].name
+        return self.world.day.request_classes[call.root.klass].name
 
     def effect_name(self, call: Call) -> str:
         """Returns the effect of a call as scenarios spell it."""
--- a/workbench/experiment/plan.py
+++ b/workbench/experiment/plan.py
@@ -15,7 +15,7 @@
 from workbench.baselines import POLICIES
 from workbench.baselines.revisions import RevisionError, full_revision, policy_of, policy_sources
 from workbench.experiment.task import MODULE_POLICY, Constants, Task
-from workbench.scenario.check import type_faults
+from workbench.scenario.check import type_errors
 from workbench.scenario.load import ScenarioError, digest, load
 
 MIN_PAIRS = 5  # with fewer, a comparison is inconclusive
@@ -93,7 +93,7 @@
     Raises:
         PlanError: The table is not a valid plan; one line for each error.
     """
-    raise_errors(type_faults(table, Plan), path)
+    raise_errors(type_errors(table, Plan), path)
     plan = msgspec.convert(table, Plan)
     if baseline:
         plan.variants.insert(0, Variant(name=BASELINE_VARIANT, revision=baseline))
--- a/workbench/experiment/runner.py
+++ b/workbench/experiment/runner.py
@@ -114,20 +114,24 @@
     executor = TaskExecutor(store, jobs, deadline, outcome, on_progress)
     for round_number in range(MAX_ROUNDS):
         tasks = list_tasks(plan)
-        stored = store.completed_keys()
-        missing = [task for task in tasks if task.key not in stored]
+        missing = missing_tasks(tasks, store)
         if round_number == 0:
             outcome.already_stored = len(tasks) - len(missing)
         executor.execute(missing, len(tasks))
-        if monotonic() >= deadline or not (target_width or budget_s):
-            break
-        if target_width and widest_interval(plan, store) <= target_width:
+        finished = monotonic() >= deadline or not (target_width or budget_s)
+        if finished or (target_width and widest_interval(plan, store) <= target_width):
             break
         plan = msgspec.structs.replace(plan, seeds=plan.seeds + max(MIN_ADDED_SEEDS, plan.seeds // 2))
     outcome.elapsed_s = monotonic() - started
     return outcome
 
 
+def missing_tasks(tasks: Sequence[Task], store: Store) -> list[Task]:
+    """Returns the tasks without a successful run in the store."""
+    completed = store.completed_keys()
+    return [task for task in tasks if task.key not in completed]
+
+
 class TaskExecutor:
     """Runs tasks in worker processes and stores their results.
 
--- a/workbench/explore/uses.py
+++ b/workbench/explore/uses.py
@@ -19,7 +19,7 @@
 
 from balancer.fleet.zone_routing.settings import ZoneSettings
 from workbench.experiment.statistics import t_interval
-from workbench.scenario.load import draw, load, plain, scenario_of
+from workbench.scenario.load import draw, load, parse_scenario, to_table
 from workbench.scenario.model import Scenario
 from workbench.simulator.fleet import Uses, VirtualFleet
 from workbench.simulator.play import Run, play
@@ -105,7 +105,7 @@
 def scenario(use: str) -> Scenario:
     """The day, ranges and all, made of the lab's scenario."""
     _, keys, faults = DAYS[use]
-    return scenario_of(plain(load("lab", [*COMMON, *keys])) | {"fault": faults})
+    return parse_scenario(to_table(load("lab", [*COMMON, *keys])) | {"fault": faults})
 
 
 def variants(use: str) -> list[str]:
--- a/workbench/lab/plan.py
+++ b/workbench/lab/plan.py
@@ -13,9 +13,15 @@
 from workbench.emulator.address_block import MAX_NODES
 from workbench.model.streams import Streams
 from workbench.scenario import model
-from workbench.scenario.check import low, top, type_faults
-from workbench.scenario.load import ScenarioError, fix, load, read_toml, titles
-from workbench.scenario.model import Any0, Count, From0, Number, Over0, Scenario, Share, Some
+from workbench.scenario.check import lower_end as low
+from workbench.scenario.check import type_errors
+from workbench.scenario.check import upper_end as top
+from workbench.scenario.load import ScenarioError, draw_ranges, load, read_toml, titles
+from workbench.scenario.model import Count, Number, Scenario, Share
+from workbench.scenario.model import NonNegative as From0
+from workbench.scenario.model import NonNegativeCount as Any0
+from workbench.scenario.model import Positive as Over0
+from workbench.scenario.model import PositiveCount as Some
 
 Value = int | float | str | bool | list[float]
 
@@ -136,7 +142,7 @@
 
 def plan_of(table: dict[str, Any], source: str = "plan") -> Plan:
     """The typed plan. PlanError holds every fault, a line each."""
-    found = type_faults(table, Plan) or list(relations(table))
+    found = type_errors(table, Plan) or list(relations(table))
     if found:
         raise PlanError("\n".join(f"{source}: {line}" for line in found))
     return msgspec.convert(table, Plan)
@@ -206,7 +212,7 @@
     plan = plan_of(table, source)
     number = plan.seed if seed is None else seed
     plain = msgspec.to_builtins(plan) | {"seed": number}
-    fixed = fix({k: v for k, v in plain.items() if k != "set"}, "", Streams(number))
+    fixed = draw_ranges({k: v for k, v in plain.items() if k != "set"}, "", Streams(number))
     return msgspec.convert(fixed | {"set": plain["set"]}, Plan)
 
 
--- a/workbench/lab/run.py
+++ b/workbench/lab/run.py
@@ -109,7 +109,7 @@
             nodes=[[n.name, n.zone] for n in self.site.nodes],
             aims={
                 k.name: [c.latency_objective, c.deadline]
-                for k, c in zip(self.day.klass, self.world.classes, strict=True)
+                for k, c in zip(self.day.request_classes, self.world.classes, strict=True)
             },
             slack=self.world.slack,
             stop_sending=self.world.referee.stop_sending,
--- a/workbench/model/accounts.py
+++ b/workbench/model/accounts.py
@@ -130,7 +130,7 @@
         whole = got / asked if asked else 1.0
         by_class = {
             c.name: g / a
-            for c, g, a in zip(self.day.klass, self.got_worth, self.asked_worth, strict=True)
+            for c, g, a in zip(self.day.request_classes, self.got_worth, self.asked_worth, strict=True)
             if a
         }
         window = self.worst_window()
--- a/workbench/model/clients.py
+++ b/workbench/model/clients.py
@@ -61,7 +61,7 @@
         marks = marks[marks < sums[-1]]
         self.times: list[int] = np.interp(marks, sums, times).astype(np.int64).tolist()
         n = len(self.times)
-        shares = np.array([num(c.share) for c in day.klass])
+        shares = np.array([num(c.share) for c in day.request_classes])
         self.classes: list[int] = (
             streams.numpy("classes").choice(len(shares), n, p=shares / shares.sum()).tolist()
         )
@@ -70,7 +70,7 @@
         parts[0] += num(day.zones.skew)
         self.zones: list[int] = streams.numpy("zones").choice(zones, n, p=parts / parts.sum()).tolist()
         self.keys: list[int] = streams.numpy("keys").integers(0, SPAN, n).tolist()
-        cv = np.array([num(c.work_cv) for c in day.klass])[self.classes] + 1e-9
+        cv = np.array([num(c.work_cv) for c in day.request_classes])[self.classes] + 1e-9
         shape = 1 / cv**2
         self.factors: list[float] = (streams.numpy("work").standard_gamma(shape) / shape).tolist()
 
--- a/workbench/model/site.py
+++ b/workbench/model/site.py
@@ -78,13 +78,19 @@
                 GROUPS[c.group],
                 int(num(c.window_s) * 1e6),
             )
-            for c in day.klass
+            for c in day.request_classes
         ]
         self.tick = int(num(day.nodes.tick_ms) * 1000)
-        shares = [num(c.share) for c in day.klass]
-        mean = sum(num(c.work_ms) * s for c, s in zip(day.klass, shares, strict=True)) / sum(shares) * 1000
+        shares = [num(c.share) for c in day.request_classes]
+        mean = (
+            sum(num(c.work_ms) * s for c, s in zip(day.request_classes, shares, strict=True))
+            / sum(shares)
+            * 1000
+        )
         self.mean_work = [num(t.work) * mean for t in day.tier]
-        self.work_table = [[num(t.work) * num(c.work_ms) * 1000 for c in day.klass] for t in day.tier]
+        self.work_table = [
+            [num(t.work) * num(c.work_ms) * 1000 for c in day.request_classes] for t in day.tier
+        ]
         self.mean_calls = [num(t.calls) for t in day.tier[1:]] + [0.0]
         self.network = Network(day, self.streams)
         self.referee = Referee(
--- a/workbench/scale/plan.py
+++ b/workbench/scale/plan.py
@@ -11,7 +11,7 @@
 from msgspec import Meta, Struct, field
 
 from workbench.scale.group import PORTS_PER_HOST, REAL_ZONE, Group, Membership, Place
-from workbench.scenario.check import type_faults
+from workbench.scenario.check import type_errors
 from workbench.scenario.load import read_toml, titles
 
 Whole0 = Annotated[int, Meta(extra_json_schema={"minimum": 0})]
@@ -93,7 +93,7 @@
 
 def plan_of(table: dict[str, Any], source: str = "plan") -> Plan:
     """The typed plan. PlanError holds every fault, a line each."""
-    found = type_faults(table, Plan)
+    found = type_errors(table, Plan)
     if not found:
         plan = msgspec.convert(table, Plan)
         found = list(relations(plan))
--- a/workbench/scale/slopes.py
+++ b/workbench/scale/slopes.py
@@ -20,7 +20,7 @@
 from msgspec import Meta, Struct, field
 from scipy import stats
 
-from workbench.scenario.check import type_faults
+from workbench.scenario.check import type_errors
 
 SHIPPED = files("workbench.scale") / "slopes.toml"
 MIN_POINTS = 5  # of a fit that is not an estimate
@@ -231,7 +231,7 @@
 
 def faults_of(table: dict[str, Any], source: str) -> list[str]:
     """What is wrong with a decoded file, a line each."""
-    found = [f"{source}: {line}" for line in type_faults(table, SlopesFile)]
+    found = [f"{source}: {line}" for line in type_errors(table, SlopesFile)]
     if found:
         return found
     for slope in msgspec.convert(table, SlopesFile).slope:
--- a/workbench/scale/target.py
+++ b/workbench/scale/target.py
@@ -7,7 +7,7 @@
 
 from msgspec import Meta, Struct, convert
 
-from workbench.scenario.check import type_faults
+from workbench.scenario.check import type_errors
 
 SECONDS_A_DAY = 86_400
 DEEPEST_CALL = 9  # hops
@@ -99,7 +99,7 @@
         if not equals or not key:
             raise TargetError(f"{change}: must be KEY=VALUE, as in nodes=6400")
         table[key] = parsed(value)
-    faults = type_faults(table, Target)
+    faults = type_errors(table, Target)
     if not faults:
         target = convert(table, Target)
         faults = list(relations(target))
--- a/workbench/scenario/check.py
+++ b/workbench/scenario/check.py
@@ -1,147 +1,221 @@
-"""Every fault of a file at once, each with its key path, what was found and what is allowed."""
+"""Validation of decoded files: all errors at once, each with its key path, the value and what is allowed."""
 
 from __future__ import annotations
 
 import difflib
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterator, Mapping
 from operator import ge, gt, le
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec.inspect as mi
 
-from workbench.scenario.model import Scenario
+from workbench.scenario.model import Class, Fault, Scenario, Zones, default_tiers
 
-WORDS: dict[str, tuple[str, Callable[[float, float], bool]]] = {
-    "exclusiveMinimum": ("over", gt),
-    "minimum": ("at least", ge),
-    "maximum": ("at most", le),
+MAX_VALUE_CHARS = 60  # of a wrong value in a message
+MAX_MAGNITUDE = 1e15  # of any number in a file
+SUGGESTION_CUTOFF = 0.5  # similarity of an unknown key to the known one that is suggested
+NON_EMPTY_LISTS = frozenset({"class", "tier"})
+FAULTS_OF_A_ZONE = frozenset({"zone_lost", "zone_slow", "zone_failing", "cut"})
+DEFAULT_CLASS = Class(name="")
+DEFAULT_FAULT = Fault(type="slow")
+DEFAULT_ZONES = Zones()
+
+Bounds = Mapping[str, float]  # by JSON Schema's keyword
+TypeCheck = Callable[[Any, Any, str], Iterator[str]]
+
+
+class BoundCheck(NamedTuple):
+    """The wording and the test of a bound."""
+
+    text: str
+    holds: Callable[[float, float], bool]
+
+
+BOUND_CHECKS = {
+    "exclusiveMinimum": BoundCheck("over", gt),
+    "minimum": BoundCheck("at least", ge),
+    "maximum": BoundCheck("at most", le),
 }
-SHOWN = 60  # characters of a wrong value
 
 
-def faults(table: object) -> list[str]:
-    """What is wrong with a decoded file: lines `path: found: allowed`; none if it is a scenario.
+def scenario_errors(table: object) -> list[str]:
+    """Returns the errors of a decoded scenario file, as lines `path: found: allowed`.
 
-    Relations between keys are looked at once every key is right by itself.
+    Relations between keys are checked once every key is valid by itself.
     """
-    return type_faults(table, Scenario) or list(relations(table))
+    return type_errors(table, Scenario) or list(consistency_errors(table))
 
 
-def type_faults(table: object, kind: type) -> list[str]:
-    """What keys and figures of a decoded file do not fit a struct of msgspec's: lines as `faults` has
-    them."""
-    return list(walk(table, mi.type_info(kind), "", {}))
+def type_errors(table: object, struct: type) -> list[str]:
+    """Returns what keys and values of a decoded file do not fit a msgspec struct, a line each."""
+    return list(value_errors(table, mi.type_info(struct), "", {}))
 
 
-def walk(value: Any, kind: mi.Type, path: str, bounds: dict[str, float]) -> Iterator[str]:
+def value_errors(value: Any, kind: mi.Type, path: str, bounds: Bounds) -> Iterator[str]:
+    """Yields the errors of a value of any type."""
     if isinstance(kind, mi.Metadata):
-        yield from walk(value, kind.type, path, {**bounds, **(kind.extra_json_schema or {})})
-    elif isinstance(kind, mi.StructType):
-        yield from struct(value, kind, path)
-    elif isinstance(kind, mi.ListType):
-        if not isinstance(value, list):
-            yield fault(path, value, "must be a list of tables")
-        else:
-            for i, item in enumerate(value):
-                yield from walk(item, kind.item_type, f"{path}[{i}]", {})
-            if not value and path in ("class", "tier"):
-                yield fault(path, value, "must hold at least one")
-    elif isinstance(kind, mi.DictType):
-        if not isinstance(value, dict):
-            yield fault(path, value, "must be a table")
-        else:
-            for key, item in value.items():
-                yield from walk(item, kind.value_type, f"{path}.{key}", {})
-    elif isinstance(kind, mi.UnionType) and any(isinstance(t, mi.StrType) for t in kind.types):
-        if not isinstance(value, (str, int, float)):
-            yield fault(path, value, "must be a number, text, true or false")
-    elif isinstance(kind, mi.LiteralType):
-        if value not in kind.values:
-            yield fault(path, value, "must be one of " + ", ".join(map(str, kind.values)))
-    elif isinstance(kind, mi.StrType):
-        if not isinstance(value, str):
-            yield fault(path, value, "must be text")
-    elif isinstance(kind, mi.BoolType):
-        if not isinstance(value, bool):
-            yield fault(path, value, "must be true or false")
+        yield from value_errors(value, kind.type, path, {**bounds, **(kind.extra_json_schema or {})})
+    elif type(kind) in TYPE_CHECKS:
+        yield from TYPE_CHECKS[type(kind)](value, kind, path)
+    elif isinstance(kind, mi.UnionType) and any(isinstance(member, mi.StrType) for member in kind.types):
+        yield from scalar_errors(value, path)
     else:
-        yield from number(value, kind, path, bounds)
+        yield from number_errors(value, kind, path, bounds)
 
 
-def struct(value: Any, kind: mi.StructType, path: str) -> Iterator[str]:
+def struct_errors(value: Any, kind: mi.StructType, path: str) -> Iterator[str]:
+    """Yields the errors of a table with known keys."""
     if not isinstance(value, dict):
-        yield fault(path or "file", value, "must be a table")
+        yield error_line(path or "file", value, "must be a table")
         return
-    known = {f.encode_name: f for f in kind.fields}
+    known = {field.encode_name: field for field in kind.fields}
     for key, item in value.items():
-        where = f"{path}.{key}" if path else key
+        key_path = f"{path}.{key}" if path else key
         if key in known:
-            yield from walk(item, known[key].type, where, {})
+            yield from value_errors(item, known[key].type, key_path, {})
         else:
-            near = difflib.get_close_matches(key, known, 1, 0.5)
-            hint = f"nearest is {near[0]}" if near else "known are " + ", ".join(known)
-            yield f"{where}: unknown key: {hint}"
-    for key, f in known.items():
-        if f.required and key not in value:
+            nearest = difflib.get_close_matches(key, known, 1, SUGGESTION_CUTOFF)
+            hint = f"nearest is {nearest[0]}" if nearest else "known are " + ", ".join(known)
+            yield f"{key_path}: unknown key: {hint}"
+    for key, field in known.items():
+        if field.required and key not in value:
             yield f"{path}.{key}: missing: must be given"
 
 
-def number(value: Any, kind: mi.Type, path: str, bounds: dict[str, float]) -> Iterator[str]:
-    members = kind.types if isinstance(kind, mi.UnionType) else (kind,)
-    whole = any(isinstance(m, mi.IntType) for m in members)
-    ranged = any(isinstance(m, mi.TupleType) for m in members)
-    what = "a whole number" if whole else "a number"
-    figures = list(value) if ranged and isinstance(value, (list, tuple)) else [value]
-    if isinstance(value, (list, tuple)) and ranged and len(figures) != 2:
-        yield fault(path, value, f"must be {what} or a range [low, high]")
+def list_errors(value: Any, kind: mi.ListType, path: str) -> Iterator[str]:
+    """Yields the errors of a list of tables."""
+    if not isinstance(value, list):
+        yield error_line(path, value, "must be a list of tables")
         return
-    for figure in figures:
-        if (
-            isinstance(figure, bool)
-            or not isinstance(figure, int if whole else (int, float))
-            or not -1e15 < figure < 1e15
-        ):
-            yield fault(path, value, f"must be {what}" + (" or a range [low, high]" if ranged else ""))
-            return
-    for word, bound in bounds.items():
-        text, holds = WORDS[word]
-        if not all(holds(figure, bound) for figure in figures):
-            yield fault(path, value, f"must be {text} {bound:g}")
-            return
-    if len(figures) == 2 and figures[0] > figures[1]:
-        yield fault(path, value, "must have its lower end first")
+    for index, item in enumerate(value):
+        yield from value_errors(item, kind.item_type, f"{path}[{index}]", {})
+    if not value and path in NON_EMPTY_LISTS:
+        yield error_line(path, value, "must hold at least one")
+
+
+def dict_errors(value: Any, kind: mi.DictType, path: str) -> Iterator[str]:
+    """Yields the errors of a table with any keys."""
+    if not isinstance(value, dict):
+        yield error_line(path, value, "must be a table")
+        return
+    for key, item in value.items():
+        yield from value_errors(item, kind.value_type, f"{path}.{key}", {})
+
+
+def literal_errors(value: Any, kind: mi.LiteralType, path: str) -> Iterator[str]:
+    """Yields the error of a value that is none of those allowed."""
+    if value not in kind.values:
+        yield error_line(path, value, "must be one of " + ", ".join(map(str, kind.values)))
 
 
-def relations(table: Any) -> Iterator[str]:
-    for i, c in enumerate(table.get("class", ())):
-        aim, deadline = top(c.get("aim_s", 2.5)), low(c.get("deadline_s", 6.0))
-        if aim > deadline:
-            yield f"class[{i}].aim_s: {aim:g}: must be at most deadline_s, {deadline:g}"
-    shares = [top(c.get("share", 1.0)) for c in table.get("class", ())]
+def text_errors(value: Any, kind: mi.StrType, path: str) -> Iterator[str]:
+    """Yields the error of a value that is not text."""
+    if not isinstance(value, str):
+        yield error_line(path, value, "must be text")
+
+
+def bool_errors(value: Any, kind: mi.BoolType, path: str) -> Iterator[str]:
+    """Yields the error of a value that is not a boolean."""
+    if not isinstance(value, bool):
+        yield error_line(path, value, "must be true or false")
+
+
+def scalar_errors(value: Any, path: str) -> Iterator[str]:
+    """Yields the error of a value that is neither a number nor text nor a boolean."""
+    if not isinstance(value, (str, int, float)):
+        yield error_line(path, value, "must be a number, text, true or false")
+
+
+TYPE_CHECKS: dict[type[mi.Type], TypeCheck] = {
+    mi.StructType: struct_errors,
+    mi.ListType: list_errors,
+    mi.DictType: dict_errors,
+    mi.LiteralType: literal_errors,
+    mi.StrType: text_errors,
+    mi.BoolType: bool_errors,
+}
+
+
+def number_errors(value: Any, kind: mi.Type, path: str, bounds: Bounds) -> Iterator[str]:
+    """Yields the first error of a number or, where the type allows one, a range `[low, high]`."""
+    members = kind.types if isinstance(kind, mi.UnionType) else (kind,)
+    integer = any(isinstance(member, mi.IntType) for member in members)
+    range_allowed = any(isinstance(member, mi.TupleType) for member in members)
+    allowed = ("a whole number" if integer else "a number") + (" or a range [low, high]" * range_allowed)
+    is_range = range_allowed and isinstance(value, (list, tuple))
+    numbers = list(value) if is_range else [value]
+    if (is_range and len(numbers) != 2) or not all(is_number(number, integer) for number in numbers):
+        yield error_line(path, value, f"must be {allowed}")
+        return
+    for keyword, bound in bounds.items():
+        check = BOUND_CHECKS[keyword]
+        if not all(check.holds(number, bound) for number in numbers):
+            yield error_line(path, value, f"must be {check.text} {bound:g}")
+            return
+    if is_range and numbers[0] > numbers[1]:
+        yield error_line(path, value, "must have its lower end first")
+
+
+def is_number(value: Any, integer: bool) -> bool:
+    """Whether a value is a finite number of the type that is asked for."""
+    if isinstance(value, bool) or not isinstance(value, int if integer else (int, float)):
+        return False
+    return -MAX_MAGNITUDE < value < MAX_MAGNITUDE
+
+
+def consistency_errors(table: Any) -> Iterator[str]:
+    """Yields the errors between keys of a decoded scenario whose keys are valid one by one."""
+    zone_count = lower_end(table.get("zones", {}).get("count", DEFAULT_ZONES.count))
+    yield from class_errors(table.get("class", ()))
+    yield from zone_errors(table.get("zones", {}), zone_count)
+    tier_count = len(table["tier"]) if "tier" in table else len(default_tiers())
+    for index, fault in enumerate(table.get("fault", ())):
+        yield from fault_errors(fault, f"fault[{index}]", zone_count, tier_count)
+
+
+def class_errors(classes: Any) -> Iterator[str]:
+    """Yields the errors between keys of the request classes."""
+    for index, request_class in enumerate(classes):
+        objective = upper_end(request_class.get("aim_s", DEFAULT_CLASS.aim_s))
+        deadline = lower_end(request_class.get("deadline_s", DEFAULT_CLASS.deadline_s))
+        if objective > deadline:
+            yield f"class[{index}].aim_s: {objective:g}: must be at most deadline_s, {deadline:g}"
+    shares = [upper_end(request_class.get("share", DEFAULT_CLASS.share)) for request_class in classes]
     if shares and not sum(shares) > 0:
         yield "class[0].share: 0: must be over 0 for one class"
-    zones = low(table.get("zones", {}).get("count", 1))
-    for zone in table.get("zones", {}).get("servers", {}):
-        if not (zone.isascii() and zone.isdigit() and int(zone) < zones):
-            yield f"zones.servers.{zone}: must be a zone's number, under zones.count, {zones:g}"
-    if top(table.get("zones", {}).get("regions", 1)) > zones:
-        yield f"zones.regions: {table['zones']['regions']}: must be at most zones.count, {zones:g}"
-    tiers = len(table["tier"]) if "tier" in table else 3
-    for i, f in enumerate(table.get("fault", ())):
-        if f["type"] in ("zone_lost", "zone_slow", "zone_failing", "cut") and top(f.get("zone", 0)) >= zones:
-            yield f"fault[{i}].zone: {top(f.get('zone', 0)):g}: must be under zones.count, {zones:g}"
-        if f.get("tier", -1) >= tiers:
-            yield f"fault[{i}].tier: {f['tier']}: must be under the number of tiers, {tiers}"
-
-
-def top(value: Any) -> float:
+
+
+def zone_errors(zones: Any, zone_count: float) -> Iterator[str]:
+    """Yields the errors between keys of the section on zones."""
+    for zone in zones.get("servers", {}):
+        if not (zone.isascii() and zone.isdigit() and int(zone) < zone_count):
+            yield f"zones.servers.{zone}: must be a zone's number, under zones.count, {zone_count:g}"
+    if upper_end(zones.get("regions", DEFAULT_ZONES.regions)) > zone_count:
+        yield f"zones.regions: {zones['regions']}: must be at most zones.count, {zone_count:g}"
+
+
+def fault_errors(fault: Any, path: str, zone_count: float, tier_count: int) -> Iterator[str]:
+    """Yields the errors between an injected fault and the zones and tiers."""
+    zone = upper_end(fault.get("zone", DEFAULT_FAULT.zone))
+    if fault["type"] in FAULTS_OF_A_ZONE and zone >= zone_count:
+        yield f"{path}.zone: {zone:g}: must be under zones.count, {zone_count:g}"
+    if fault.get("tier", DEFAULT_FAULT.tier) >= tier_count:
+        yield f"{path}.tier: {fault['tier']}: must be under the number of tiers, {tier_count}"
+
+
+def upper_end(value: Any) -> float:
+    """Returns the upper end of a range, or the number itself."""
     return float(max(value) if isinstance(value, (list, tuple)) else value)
 
 
-def low(value: Any) -> float:
+def lower_end(value: Any) -> float:
+    """Returns the lower end of a range, or the number itself."""
     return float(min(value) if isinstance(value, (list, tuple)) else value)
 
 
-def fault(path: str, value: Any, allowed: str) -> str:
+def error_line(path: str, value: Any, allowed: str) -> str:
+    """Returns the line on one error."""
     text = repr(value) if not isinstance(value, bool) else str(value).lower()
-    return f"{path}: {text if len(text) <= SHOWN else text[: SHOWN - 3] + '...'}: {allowed}"
+    if len(text) > MAX_VALUE_CHARS:
+        text = text[: MAX_VALUE_CHARS - 3] + "..."
+    return f"{path}: {text}: {allowed}"
--- a/workbench/scenario/load.py
+++ b/workbench/scenario/load.py
@@ -1,10 +1,11 @@
-"""Reading a scenario, overriding its keys, and drawing one day out of its ranges."""
+"""Reads scenarios, overrides their keys, and draws values out of their ranges."""
 
 from __future__ import annotations
 
 import hashlib
 import re
 import tomllib
+from collections.abc import Sequence
 from importlib.resources import files
 from importlib.resources.abc import Traversable
 from pathlib import Path
@@ -14,134 +15,180 @@
 import tomli_w
 
 from workbench.model.streams import Streams
-from workbench.scenario.check import faults
+from workbench.scenario.check import scenario_errors
 from workbench.scenario.model import Scenario
 
-STEP = re.compile(r"([^.\[\]]+)((?:\[\d+\])*)(?:\.|$)")
+TOML_SUFFIX = ".toml"
+SHIPPED_NAME = re.compile(r"[\w-]+")
+PATH_STEP = re.compile(r"([^.\[\]]+)((?:\[\d+\])*)(?:\.|$)")  # a key and its indices, as in `tier[0].`
+DIGEST_BYTES = 8
+SHIPPED = files("workbench") / "scenarios"
 
 
 class ScenarioError(Exception):
-    """What is wrong with a user's scenario: one line a fault, each with the file's name."""
+    """A user's scenario is not valid: one line for each error, each with the file's name."""
 
 
 def titles(folder: Traversable) -> dict[str, str]:
-    """The names of the files in a folder of the product's, and their titles."""
-    names = sorted(f.name[:-5] for f in folder.iterdir() if f.name.endswith(".toml"))
-    return {
-        name: str(tomllib.loads((folder / f"{name}.toml").read_text()).get("title", "")) for name in names
-    }
+    """Returns the titles of the TOML files that ship in a folder, by name."""
+    names = sorted(
+        file.name.removesuffix(TOML_SUFFIX) for file in folder.iterdir() if file.name.endswith(TOML_SUFFIX)
+    )
+    return {name: title(folder / f"{name}{TOML_SUFFIX}") for name in names}
+
+
+def title(file: Traversable) -> str:
+    """Returns the title of a TOML file, empty where it has none."""
+    return str(tomllib.loads(file.read_text()).get("title", ""))
+
 
+def read_toml(source: str, folder: Traversable, error_type: type[Exception]) -> dict[str, Any]:
+    """Decodes a TOML file.
 
-def read_toml(source: str, folder: Traversable, fault: type[Exception]) -> dict[str, Any]:
-    """The decoded TOML of a file, or of one that ships in `folder` where no such file is there. `fault`."""
+    Args:
+        source: A path or, where no such file exists, the name of a file that ships.
+        folder: The folder of the files that ship.
+        error_type: The exception to raise.
+
+    Raises:
+        Exception: Of `error_type`: the file does not exist, cannot be read or is not TOML.
+    """
     path = Path(source)
-    name = source.removesuffix(".toml")
-    inside = folder / f"{name}.toml"
-    if not path.is_file() and re.fullmatch(r"[\w-]+", name) and inside.is_file():
-        return tomllib.loads(inside.read_text())
+    name = source.removesuffix(TOML_SUFFIX)
+    shipped_file = folder / f"{name}{TOML_SUFFIX}"
+    if not path.is_file() and SHIPPED_NAME.fullmatch(name) and shipped_file.is_file():
+        return tomllib.loads(shipped_file.read_text())
     try:
         return tomllib.loads(path.read_text())
     except FileNotFoundError:
-        raise fault(f"{source}: no such file: shipped are {', '.join(titles(folder))}") from None
+        raise error_type(f"{source}: no such file: shipped are {', '.join(titles(folder))}") from None
     except OSError as e:
-        raise fault(f"{source}: cannot be read: {e.strerror}") from None
+        raise error_type(f"{source}: cannot be read: {e.strerror}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as e:
-        raise fault(f"{source}: not TOML: {e}") from None
-
-
-SHIPPED = files("workbench") / "scenarios"
+        raise error_type(f"{source}: not TOML: {e}") from None
 
 
 def shipped() -> dict[str, str]:
-    """The names of the scenarios that ship with the product, and their titles."""
+    """Returns the titles of the scenarios that ship with the product, by name."""
     return titles(SHIPPED)
 
 
-def read(source: str) -> dict[str, Any]:
-    """The decoded TOML of a file, or of a shipped scenario where no such file is there. ScenarioError."""
+def read_table(source: str) -> dict[str, Any]:
+    """Decodes a scenario file, or one that ships where no such file exists.
+
+    Raises:
+        ScenarioError: The file cannot be read or is not TOML.
+    """
     return read_toml(source, SHIPPED, ScenarioError)
 
 
-def scenario_of(table: dict[str, Any], source: str = "scenario") -> Scenario:
-    """The typed scenario. ScenarioError holds every fault, a line each."""
-    found = faults(table)
-    if found:
-        raise ScenarioError("\n".join(f"{source}: {line}" for line in found))
+def parse_scenario(table: dict[str, Any], source: str = "scenario") -> Scenario:
+    """Validates a decoded scenario file.
+
+    Raises:
+        ScenarioError: The table is not a valid scenario; one line for each error.
+    """
+    errors = scenario_errors(table)
+    if errors:
+        raise ScenarioError("\n".join(f"{source}: {error}" for error in errors))
     return msgspec.convert(table, Scenario)
 
 
-def load(source: str, overrides: list[str] | None = None) -> Scenario:
-    """A file's or shipped scenario with `KEY=VALUE` overrides. ScenarioError."""
-    table = read(source)
-    if overrides:
-        scenario_of(table, source)
-        table = plain(msgspec.convert(table, Scenario))
-        for override in overrides:
-            put(table, override)
-        source = f"{source} with --set"
-    return scenario_of(table, source)
+def load(source: str, overrides: Sequence[str] = ()) -> Scenario:
+    """Reads a scenario file, or one that ships, and applies `KEY=VALUE` overrides.
+
+    Raises:
+        ScenarioError: The file or an override is not valid.
+    """
+    table = read_table(source)
+    if not overrides:
+        return parse_scenario(table, source)
+    table = to_table(parse_scenario(table, source))
+    for override in overrides:
+        apply_override(table, override)
+    return parse_scenario(table, f"{source} with --set")
+
 
+def apply_override(table: dict[str, Any], override: str) -> None:
+    """Sets one key by its path, as `tier[0].kind[1].speed=2`.
 
-def put(table: dict[str, Any], override: str) -> None:
-    """Sets one key by its path, `tier[0].kind[1].speed=2`; the value as TOML has it, or plain text."""
+    Raises:
+        ScenarioError: The override has another form, or there is no such key.
+    """
     path, equals, text = override.partition("=")
-    steps: list[str | int] = []
-    for match in STEP.finditer(path.strip()):
-        steps += [match[1], *(int(i) for i in re.findall(r"\d+", match[2]))]
+    steps = parse_path(path)
     if not equals or not steps:
         raise ScenarioError(f"--set {override}: not of the form KEY=VALUE, as in load.fraction=0.9")
-    try:
-        value = tomllib.loads(f"value = {text}")["value"]
-    except tomllib.TOMLDecodeError:
-        value = text
-    at: Any = table
-    for i, step in enumerate(steps[:-1]):
+    parent: Any = table
+    for depth, step in enumerate(steps[:-1], start=1):
         try:
-            at = at[step]
+            parent = parent[step]
         except (KeyError, IndexError, TypeError):
-            here = ".".join(map(str, steps[: i + 1]))
-            raise ScenarioError(f"--set {override}: no such key: {here}") from None
+            missing = ".".join(map(str, steps[:depth]))
+            raise ScenarioError(f"--set {override}: no such key: {missing}") from None
     try:
-        at[steps[-1]] = value
+        parent[steps[-1]] = parse_value(text)
     except (IndexError, TypeError):
         raise ScenarioError(f"--set {override}: no such key: {path}") from None
 
 
-def plain(scenario: Scenario) -> dict[str, Any]:
-    """The scenario as TOML's own types."""
+def parse_path(path: str) -> list[str | int]:
+    """Returns the keys and indices of a path; empty where there is none."""
+    steps: list[str | int] = []
+    for match in PATH_STEP.finditer(path.strip()):
+        steps.append(match[1])
+        steps += [int(index) for index in re.findall(r"\d+", match[2])]
+    return steps
+
+
+def parse_value(text: str) -> Any:
+    """Returns a value as TOML spells it, or the text itself."""
+    try:
+        return tomllib.loads(f"value = {text}")["value"]
+    except tomllib.TOMLDecodeError:
+        return text
+
+
+def to_table(scenario: Scenario) -> dict[str, Any]:
+    """Returns a scenario as TOML's own types."""
     return dict(msgspec.to_builtins(scenario))
 
 
-def toml(scenario: Scenario) -> str:
-    """The scenario as a file that reads back the same."""
-    return tomli_w.dumps(plain(scenario))
+def to_toml(scenario: Scenario) -> str:
+    """Returns a scenario as the text of a file that decodes to the same."""
+    return tomli_w.dumps(to_table(scenario))
 
 
 def digest(scenario: Scenario) -> str:
-    """What tells one scenario from another: 16 hexadecimal digits over all its keys."""
-    return hashlib.blake2b(msgspec.json.encode(scenario), digest_size=8).hexdigest()
+    """Returns what tells one scenario from another: 16 hexadecimal digits over all its keys."""
+    return hashlib.blake2b(msgspec.json.encode(scenario), digest_size=DIGEST_BYTES).hexdigest()
 
 
 def draw(scenario: Scenario, seed: int | None = None) -> Scenario:
-    """One day: every range fixed by the seed. The day is itself a scenario, and draws to itself.
+    """Returns the scenario with every range replaced by one value, and itself if it has none.
+
+    Each key draws from a stream named by its path, so another range in the file changes no other key.
 
-    Each key draws from a stream named by its path, so another range in the file shifts no other key.
+    Args:
+        scenario: The scenario.
+        seed: The seed of the draw; by default the scenario's own.
     """
-    table = plain(scenario)
+    table = to_table(scenario)
     table["seed"] = scenario.seed if seed is None else seed
-    fixed = fix(table, "", Streams(table["seed"]))
-    return msgspec.convert(fixed, Scenario)
+    drawn = draw_ranges(table, "", Streams(table["seed"]))
+    return msgspec.convert(drawn, Scenario)
 
 
-def fix(value: Any, path: str, streams: Streams) -> Any:
+def draw_ranges(value: Any, path: str, streams: Streams) -> Any:
+    """Returns a decoded value with every pair of numbers in it replaced by a draw between them."""
     if isinstance(value, dict):
-        return {k: fix(v, f"{path}.{k}", streams) for k, v in value.items()}
+        return {key: draw_ranges(item, f"{path}.{key}", streams) for key, item in value.items()}
     if not isinstance(value, (list, tuple)):
         return value
-    if len(value) == 2 and all(isinstance(v, (int, float)) for v in value):
+    if len(value) == 2 and all(isinstance(item, (int, float)) for item in value):
         low, high = value
         rng = streams.random(f"day{path}")
         if isinstance(low, int) and isinstance(high, int):
             return rng.randint(low, high)
         return float(f"{rng.uniform(low, high):.6g}")
-    return [fix(v, f"{path}[{i}]", streams) for i, v in enumerate(value)]
+    return [draw_ranges(item, f"{path}[{index}]", streams) for index, item in enumerate(value)]
--- a/workbench/simulator/play.py
+++ b/workbench/simulator/play.py
@@ -17,7 +17,7 @@
 from workbench.model.call import Request
 from workbench.model.network import num
 from workbench.model.site import BEGIN, World
-from workbench.scenario.load import digest, plain
+from workbench.scenario.load import digest, to_table
 from workbench.scenario.model import Scenario
 from workbench.simulator.heap import HeapClock
 from workbench.simulator.host import Host
@@ -80,7 +80,7 @@
         "account": account,
         "table": world.accounts.table(),
         "seconds": world.accounts.table(STEP),
-        "day": plain(day),
+        "day": to_table(day),
         "speed": {
             "calls": calls,
             "cpu_s": cpu,
