--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -13,7 +13,7 @@
 from click.testing import CliRunner
 
 from workbench.cli import cli
-from workbench.cli.errors import Bad
+from workbench.cli.errors import InputError
 from workbench.scale import mechanisms as m
 from workbench.scale.capacity import capacity
 from workbench.scale.collect import ScaleRow, collected, rows_of, scale_slopes
@@ -148,7 +148,7 @@
         target_of([change])
     assert str(fault.value) == line
     out = CliRunner().invoke(cli, ["scale", "capacity", "--set", change])
-    assert isinstance(out.exception, Bad) and str(out.exception) == line
+    assert isinstance(out.exception, InputError) and str(out.exception) == line
 
 
 def test_files_of_slopes_are_added_and_checked(tmp_path):
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -15,7 +15,7 @@
 
 from balancer.net.process.handover import FILE_PREFIX, FITS_MARKER, MAX_FAILED_POLLS, Handover
 from workbench.cli import cli
-from workbench.cli.errors import Bad, write_whole
+from workbench.cli.errors import InputError, write_atomically
 from workbench.experiment.plan import list_tasks, parse_plan
 from workbench.experiment.store import Store, StoreError
 from workbench.experiment.task import Task
@@ -416,7 +416,7 @@
     with sqlite3.connect(path) as db:
         db.execute(f"UPDATE runs SET {damage}")
     words = ["experiment", words[0], str(path), *words[1:]]
-    with pytest.raises(Bad, match="s.sqlite: ") as e:
+    with pytest.raises(InputError, match="s.sqlite: ") as e:
         cli.main([*words, *([str(tmp_path / "out")] if words[-1] == "-o" else [])], standalone_mode=False)
     assert "\n" not in str(e.value) and not (tmp_path / "out").exists()
 
@@ -529,8 +529,8 @@
     (target := tmp_path / "figures.json").write_bytes(b"old")
     with monkeypatch.context() as patch:
         fail_at(patch, owner, name, error, 0)
-        with pytest.raises(Bad) as e:
-            write_whole(target, lambda path: path.write_bytes(b"new"))
+        with pytest.raises(InputError) as e:
+            write_atomically(target, lambda path: path.write_bytes(b"new"))
     assert str(e.value) == f"{target}: cannot be written: {os.strerror(error)}"
     assert [path.read_bytes() for path in tmp_path.iterdir()] == [b"old"]
 
@@ -582,5 +582,5 @@
     keep = tmp_path / "kept"
     monkeypatch.setattr(lab_run, "History", lambda path: History(Path("/dev/full")))
     words = ["lab", "run", "calm", "--nodes", "1", "--keep", str(keep)]
-    with pytest.raises(Bad, match="^/dev/full: cannot be written: No space left on device$"):
+    with pytest.raises(InputError, match="^/dev/full: cannot be written: No space left on device$"):
         cli.main(words, standalone_mode=False)
--- a/workbench/cli/__init__.py
+++ b/workbench/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one file a command, nothing but arguments, a call and printing."""
+"""The command line: one module for each command, which parses arguments, makes a call and prints."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 cli.add_command(scenario)
 cli.add_command(experiment)
 cli.add_command(lab)
-cli.add_command(click.Group("fleet", commands=balancerctl.commands, hidden=True))  # the name it had
+cli.add_command(click.Group("fleet", commands=balancerctl.commands, hidden=True))  # its former name
 cli.add_command(load)
 cli.add_command(emulate)
 cli.add_command(scale)
@@ -38,7 +38,7 @@
 
 
 def former_main() -> None:
-    """The program under the name that it had, `laurelspindle`: the same commands, and one line of warning."""
+    """The program under its former name, `laurelspindle`: the same commands, after a warning."""
     click.echo(
         "laurelspindle: this command is now `workbench`, and `laurelspindle fleet` is `balancerctl`", err=True
     )
--- a/workbench/cli/balancerctl/lease.py
+++ b/workbench/cli/balancerctl/lease.py
@@ -4,7 +4,7 @@
 
 import click
 
-from workbench.cli.errors import Bad
+from workbench.cli.errors import InputError
 from workbench.emulator.management_client import ManagementError, parse_address
 
 MAX_LEASE_NAME = 64  # characters
@@ -34,9 +34,9 @@
     from workbench.emulator.lease_command import LeaseCommand
 
     if not 0 < len(name) <= MAX_LEASE_NAME:
-        raise Bad(f"{name}: a lease's name has 1 to {MAX_LEASE_NAME} characters")
+        raise InputError(f"{name}: a lease's name has 1 to {MAX_LEASE_NAME} characters")
     try:
         addresses = [parse_address(node) for node in nodes]
     except ManagementError as e:
-        raise Bad(str(e)) from None
+        raise InputError(str(e)) from None
     return LeaseCommand(name, addresses, wait, list(command), lambda text: click.echo(text, err=True)).run()
--- a/workbench/cli/balancerctl/members.py
+++ b/workbench/cli/balancerctl/members.py
@@ -6,7 +6,7 @@
 
 import click
 
-from workbench.cli.errors import Bad
+from workbench.cli.errors import InputError
 from workbench.emulator.management_client import ManagementError, get, parse_address
 
 
@@ -21,7 +21,7 @@
     try:
         table = get(parse_address(node), "/fleet")
     except ManagementError as e:
-        raise Bad(str(e)) from None
+        raise InputError(str(e)) from None
     for member in table["members"]:
         click.echo(member_line(member))
     return 0 if all(member["state"] == "alive" for member in table["members"]) else 1
--- a/workbench/cli/balancerctl/update.py
+++ b/workbench/cli/balancerctl/update.py
@@ -4,7 +4,7 @@
 
 import click
 
-from workbench.cli.errors import Bad
+from workbench.cli.errors import InputError
 from workbench.emulator.management_client import ManagementError, follow_update, parse_address, put
 
 MAX_UNAVAILABLE = 1000  # processes
@@ -29,6 +29,6 @@
         else:
             table = put(address, f"/fleet/replace?do={action}&most={max_unavailable}")
     except ManagementError as e:
-        raise Bad(str(e)) from None
+        raise InputError(str(e)) from None
     click.echo(f"replacement {table['state']}")
     return 1 if action == "watch" and table["state"] == "stopped" else 0
--- a/workbench/cli/balancerctl/zone.py
+++ b/workbench/cli/balancerctl/zone.py
@@ -7,7 +7,7 @@
 
 import click
 
-from workbench.cli.errors import Bad
+from workbench.cli.errors import InputError
 from workbench.emulator.management_client import ManagementError, get, parse_address, put
 
 MAX_DIRECTIVE_S = 86_400
@@ -30,7 +30,7 @@
     try:
         table = zone_table(action, zone_name, node, length)
     except ManagementError as e:
-        raise Bad(str(e)) from None
+        raise InputError(str(e)) from None
     found = table["zones"].get(zone_name)
     if found is None:
         known = ", ".join(table["zones"]) or "none"
@@ -46,14 +46,14 @@
 
 
 def zone_table(action: str, zone_name: str, node: str, length: int) -> dict[str, Any]:
-    """The node's table of zones, after the directive where there is one. ManagementError, Bad."""
+    """The node's table of zones, after the directive where there is one. ManagementError, InputError."""
     address = parse_address(node)
     if action != "status":
         duration = f"&for_s={length}" if action == "leave" else ""
         return put(address, f"/fleet/zone?do={action}&zone={quote(zone_name, safe='')}{duration}")
     table = get(address, "/fleet").get("zones")
     if table is None:
-        raise Bad(f"{node}: fleet.zones is not configured there")
+        raise InputError(f"{node}: fleet.zones is not configured there")
     return dict(table)
 
 
--- a/workbench/cli/emulate.py
+++ b/workbench/cli/emulate.py
@@ -1,4 +1,4 @@
-"""`workbench emulate`: a day's servers and discovery on loopback, for a node started by hand."""
+"""`workbench emulate`: a scenario's servers and discovery on loopback, for a node started by hand."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import click
 import uvloop
 
-from workbench.cli.errors import Bad
+from workbench.cli.errors import InputError
 from workbench.emulator.address_block import AddressBlockError
 from workbench.emulator.emulate import emulate as serve
 from workbench.scenario.load import ScenarioError, draw, load
@@ -26,16 +26,15 @@
     planned. Nothing is sent: `workbench load` does that.
     """
     try:
-        day = draw(load(scenario, list(overrides)), seed)
+        drawn = draw(load(scenario, list(overrides)), seed)
     except ScenarioError as e:
-        raise Bad(str(e)) from None
-    if len(day.tier) != 1 or day.discovery.mode != "push":
-        raise Bad(
-            f"{scenario}: {len(day.tier)} tiers, discovery {day.discovery.mode}: must be one tier and push"
-        )
+        raise InputError(str(e)) from None
+    tiers, mode = len(drawn.tier), drawn.discovery.mode
+    if tiers != 1 or mode != "push":
+        raise InputError(f"{scenario}: {tiers} tiers, discovery {mode}: must be one tier and push")
     with tempfile.TemporaryDirectory(prefix="emulate-") as folder:
         try:
-            uvloop.run(serve(day, Path(folder), seconds, click.echo))
+            uvloop.run(serve(drawn, Path(folder), seconds, click.echo))
         except AddressBlockError as e:
-            raise Bad(str(e)) from None
+            raise InputError(str(e)) from None
     return 0
--- a/workbench/cli/entry.py
+++ b/workbench/cli/entry.py
@@ -1,4 +1,4 @@
-"""Runs a command line: exit statuses and one line for what the user did wrong."""
+"""Runs a command line: exit statuses, and messages in place of tracebacks for errors of the user."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import click
 
-from workbench.cli.errors import Bad
+from workbench.cli.errors import InputError
 
 EXIT_BAD_INPUT = 2
 EXIT_INTERRUPTED = 130
@@ -14,10 +14,14 @@
 
 
 def run(group: click.Group) -> None:
-    """Ends the process: 0 done, 1 a rule was broken, 2 bad input, 130 stopped by Ctrl-C."""
+    """Runs a command and exits.
+
+    The status is 0 where it succeeded, 1 where a check failed, 2 on bad input, 130 on Ctrl-C and 141 where
+    the reader of the output is gone; a command may return another one.
+    """
     try:
         status = group.main(standalone_mode=False)
-    except Bad as e:
+    except InputError as e:
         click.echo(str(e), err=True)
         sys.exit(EXIT_BAD_INPUT)
     except click.UsageError as e:
--- a/workbench/cli/errors.py
+++ b/workbench/cli/errors.py
@@ -1,4 +1,4 @@
-"""What a command says of bad input, and how it writes files."""
+"""The error for bad input, and output files that are complete or not written at all."""
 
 from __future__ import annotations
 
@@ -9,26 +9,38 @@
 from workbench.files import write_files
 
 
-class Bad(Exception):
-    """A user's input that cannot be used: a line for each fault; the command ends with status 2."""
+class InputError(Exception):
+    """Bad input of the user, one line for each error; the command exits with status 2."""
 
 
 def writable(path: str) -> Path:
-    """A place for a file, looked at before any work is done. Bad."""
+    """Returns the path of an output file, checked before any work is done.
+
+    Raises:
+        InputError: No file can be written there.
+    """
     target = Path(path)
     folder = target.parent
     if target.is_dir():
-        raise Bad(f"{path}: is a folder: a file's name is wanted")
+        raise InputError(f"{path}: is a folder: a file's name is wanted")
     if not folder.is_dir():
-        raise Bad(f"{path}: no such folder: {folder}")
+        raise InputError(f"{path}: no such folder: {folder}")
     if not os.access(folder, os.W_OK):
-        raise Bad(f"{path}: the folder cannot be written to")
+        raise InputError(f"{path}: the folder cannot be written to")
     return target
 
 
-def write_whole(target: Path, write: Callable[[Path], None]) -> None:
-    """The file appears whole or not at all, whatever stops the writing. Bad."""
+def write_atomically(target: Path, write: Callable[[Path], None]) -> None:
+    """Writes a file completely or not at all, whatever interrupts it.
+
+    Args:
+        target: The file.
+        write: Writes the content to a temporary path.
+
+    Raises:
+        InputError: The file cannot be written.
+    """
     try:
         write_files({target: write})
     except OSError as e:
-        raise Bad(f"{target}: cannot be written: {e.strerror}") from None
+        raise InputError(f"{target}: cannot be written: {e.strerror}") from None
--- a/workbench/cli/experiment.py
+++ b/workbench/cli/experiment.py
@@ -16,7 +16,7 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
 from workbench.cli.comparison import comparison_lines, comparison_table
-from workbench.cli.errors import Bad
+from workbench.cli.errors import InputError
 from workbench.experiment.plan import BASELINE_VARIANT, Plan, PlanError, list_tasks, read_plan
 from workbench.experiment.runner import Outcome, run_plan
 from workbench.experiment.store import Row, Store, StoreError
@@ -36,19 +36,27 @@
 
 
 def parse_duration(text: str) -> float:
-    """Returns the seconds of a duration such as 90s, 5m or 1h. Bad."""
+    """Returns the seconds of a duration such as 90s, 5m or 1h.
+
+    Raises:
+        InputError: The text is no duration.
+    """
     found = re.fullmatch(r"(\d+(?:\.\d+)?)([smh]?)", text)
     if not found:
-        raise Bad(f"--budget {text}: must be a time such as 90s, 5m or 1h")
+        raise InputError(f"--budget {text}: must be a time such as 90s, 5m or 1h")
     return float(found[1]) * SECONDS_PER_UNIT[found[2]]
 
 
 def load_plan(file: str, baseline: str = "") -> Plan:
-    """Reads a plan file. Bad."""
+    """Reads a plan file.
+
+    Raises:
+        InputError: The plan is not valid.
+    """
     try:
         return read_plan(file, baseline)
     except PlanError as e:
-        raise Bad(str(e)) from None
+        raise InputError(str(e)) from None
 
 
 def compare_rows(rows: Sequence[Row], baseline: str, candidate: str) -> Comparison:
@@ -65,11 +73,11 @@
 
 @contextmanager
 def store_errors_as_input_errors() -> Iterator[None]:
-    """Ends the command with the one line of a StoreError. Bad."""
+    """Raises a StoreError as an InputError with the same line."""
     try:
         yield
     except StoreError as e:
-        raise Bad(str(e)) from None
+        raise InputError(str(e)) from None
 
 
 @experiment.command()
@@ -144,7 +152,7 @@
     names = sorted({row.variant for row in rows})
     for name in (a, b):
         if name not in names:
-            raise Bad(f"{store}: no variant {name!r}: there are {', '.join(names) or 'none'}")
+            raise InputError(f"{store}: no variant {name!r}: there are {', '.join(names) or 'none'}")
     comparison = compare_rows(rows, a, b)
     if as_json:
         click.echo(json.dumps(msgspec.to_builtins(comparison), indent=1))
@@ -168,16 +176,16 @@
         opened = Store(Path(store), write=False)
         variants = {row.variant for row in opened.rows()}
     if not variants:
-        raise Bad(f"{store}: no run in it")
+        raise InputError(f"{store}: no run in it")
     if against and against not in variants:
-        raise Bad(f"{store}: no variant {against!r}: there are {', '.join(sorted(variants))}")
+        raise InputError(f"{store}: no variant {against!r}: there are {', '.join(sorted(variants))}")
     command = f"workbench experiment report {store} -o {folder}"
     with store_errors_as_input_errors():
         files = draw(opened, command + (f" --against {against}" if against else ""), against)
     try:
         write(files, Path(folder))
     except OSError as e:
-        raise Bad(f"{folder}: cannot be written: {e.strerror}") from None
+        raise InputError(f"{folder}: cannot be written: {e.strerror}") from None
     click.echo(f"{Path(folder) / 'index.html'}")
     return 0
 
--- a/workbench/cli/lab.py
+++ b/workbench/cli/lab.py
@@ -10,7 +10,9 @@
 from rich.console import Console
 from rich.progress import BarColumn, Progress, TextColumn
 
-from workbench.cli.errors import Bad, writable, write_whole
+from workbench.cli.errors import InputError as Bad
+from workbench.cli.errors import writable
+from workbench.cli.errors import write_atomically as write_whole
 from workbench.lab.checkers import check
 from workbench.lab.history import HistoryError, read
 from workbench.lab.plan import Plan, PlanError, draw, scenario, shipped
--- a/workbench/cli/load.py
+++ b/workbench/cli/load.py
@@ -1,4 +1,4 @@
-"""`workbench load`: open-loop requests to a node, and what became of them."""
+"""`workbench load`: sends open-loop requests to a node and prints their outcomes and latencies."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 from rich.console import Console
 from rich.table import Table
 
-from workbench.cli.errors import Bad
+from workbench.cli.errors import InputError
 from workbench.emulator.load import PERCENTILES, Load, LoadError, LoadResult, parse_request_class
 
-LATE = 50_000  # microseconds that the sender may be late in the median of ten thousand
+MAX_SENDER_LATENESS_US = 50_000  # at the 99.9th percentile; beyond it the rate is not the machine's
+SENDER_PERCENTILE = 99.9
 
 
 @click.command()
@@ -36,38 +37,41 @@
     Exits 1 where nothing was served, 2 on bad input.
     """
     try:
-        work = Load(url, rate, seconds, [parse_request_class(c) for c in classes or ("tile-get",)], seed)
+        generator = Load(url, rate, seconds, [parse_request_class(c) for c in classes or ("tile-get",)], seed)
     except LoadError as e:
-        raise Bad(str(e)) from None
-    uvloop.run(work.run())
-    Console(width=None if sys.stdout.isatty() else 150).print(report(work), highlight=False)
-    late = work.sender_lateness.get_value_at_percentile(99.9)
-    if late > LATE:
-        click.echo(
-            f"the sender itself was late by {late / 1000:.0f} ms in one of 1,000: not this machine's rate"
-        )
-    return 0 if any(r.outcomes["served"] for r in work.results.values()) else 1
+        raise InputError(str(e)) from None
+    uvloop.run(generator.run())
+    Console(width=None if sys.stdout.isatty() else 150).print(results_table(generator), highlight=False)
+    lateness_us = generator.sender_lateness.get_value_at_percentile(SENDER_PERCENTILE)
+    if lateness_us > MAX_SENDER_LATENESS_US:
+        lateness = f"{lateness_us / 1000:.0f} ms"
+        click.echo(f"the sender itself was late by {lateness} in one of 1,000: not this machine's rate")
+    return 0 if any(result.outcomes["served"] for result in generator.results.values()) else 1
 
 
-def report(work: Load) -> Table:
+def results_table(generator: Load) -> Table:
+    """Returns a row for each request class: how many were sent and served, and their latencies."""
     table = Table(box=None, pad_edge=False)
     table.add_column("class")
     for name in ("asked", "served %", *(f"p{p:g} ms" for p in PERCENTILES)):
         table.add_column(name, justify="right")
     table.add_column("others")
-    for name, result in work.results.items():
-        table.add_row(name, *cells(result))
+    for name, result in generator.results.items():
+        table.add_row(name, *result_cells(result))
     return table
 
 
-def cells(result: LoadResult) -> list[str]:
+def result_cells(result: LoadResult) -> list[str]:
+    """Returns the cells of one request class."""
     served = result.outcomes["served"]
-    h: Any = result.latency
-    others = ", ".join(f"{n} {a}" for a, n in result.outcomes.most_common() if a != "served")
+    latency: Any = result.latency  # hdrhistogram has no types
+    others = ", ".join(
+        f"{count} {outcome}" for outcome, count in result.outcomes.most_common() if outcome != "served"
+    )
     share = f"{100 * served / result.sent:.2f}" if result.sent else "-"
     return [
         str(result.sent),
         share,
-        *(f"{h.get_value_at_percentile(p) / 1000:.1f}" for p in PERCENTILES),
+        *(f"{latency.get_value_at_percentile(percentile) / 1000:.1f}" for percentile in PERCENTILES),
         others,
     ]
--- a/workbench/cli/scenario.py
+++ b/workbench/cli/scenario.py
@@ -1,4 +1,4 @@
-"""`workbench scenario`: the days that can be played, drawn, checked, described."""
+"""`workbench scenario`: lists, draws, checks and describes scenarios."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import click
 import msgspec
 
-from workbench.cli.errors import Bad
+from workbench.cli.errors import InputError
 from workbench.scenario.load import ScenarioError, draw, load, parse_scenario, read_table, shipped, to_toml
 from workbench.scenario.model import Scenario
 
@@ -18,7 +18,7 @@
 
 
 @scenario.command("list")
-def list_() -> None:
+def list_scenarios() -> None:
     """The scenarios that ship with the product."""
     for name, title in shipped().items():
         click.echo(f"{name:14} {title}")
@@ -33,21 +33,21 @@
     try:
         click.echo(to_toml(draw(load(file, list(overrides)), seed)), nl=False)
     except ScenarioError as e:
-        raise Bad(str(e)) from None
+        raise InputError(str(e)) from None
 
 
 @scenario.command()
 @click.argument("files", nargs=-1, required=True)
 def check(files: tuple[str, ...]) -> int:
     """Find every fault in FILES, each on a line."""
-    found: list[str] = []
+    errors: list[str] = []
     for file in files:
         try:
             parse_scenario(read_table(file), file)
         except ScenarioError as e:
-            found.append(str(e))
-    if found:
-        raise Bad("\n".join(found))
+            errors.append(str(e))
+    if errors:
+        raise InputError("\n".join(errors))
     click.echo(f"{len(files)} sound")
     return 0
 
--- a/workbench/cli/simulate.py
+++ b/workbench/cli/simulate.py
@@ -12,7 +12,9 @@
 
 from workbench.baselines import POLICIES, Policy
 from workbench.baselines.revisions import RevisionError, full_revision, policy_of
-from workbench.cli.errors import Bad, writable, write_whole
+from workbench.cli.errors import InputError as Bad
+from workbench.cli.errors import writable
+from workbench.cli.errors import write_atomically as write_whole
 from workbench.report.tables import run_report
 from workbench.scenario.load import ScenarioError, draw, load
 from workbench.scenario.model import Scenario
