--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -11,6 +11,7 @@
     MOMENT,
     OK,
     PATIENCE,
+    REJECTED,
     Bench,
     Late,
     Server,
@@ -26,7 +27,6 @@
 from balancer.net.upstream.connection import Connection
 from balancer.policy.interface import Outcome
 
-FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 LOOPS = pytest.mark.parametrize("run", [uvloop.run, asyncio.run], ids=["uvloop", "asyncio"])
 
 
@@ -62,7 +62,7 @@
         listener = small_listener()
         bench = await Bench(whole := Server(), config={"known": None}).start()
         bench.discovery.say(42, True, whole.entry("half", addr=f"127.0.0.1:{listener.getsockname()[1]}"))
-        await until(lambda: bench.node.life.serving)
+        await until(lambda: bench.node.lifecycle.serving)
         outcomes = record_outcomes(bench)
         client = await bench.client()
         data = call("invite", body=b"x" * size)
@@ -129,7 +129,7 @@
         listener.setblocking(False)
         bench = await Bench(lister := Server(), config={"known": None}).start()
         bench.discovery.say(42, True, lister.entry("s", addr=f"127.0.0.1:{listener.getsockname()[1]}"))
-        await until(lambda: bench.node.life.serving)
+        await until(lambda: bench.node.lifecycle.serving)
         heads = 0
 
         async def serve() -> socket.socket:
@@ -189,7 +189,7 @@
 
     async def scene():
         async def full(request, writer):
-            writer.write(FULL)
+            writer.write(REJECTED)
             if end == "fin":
                 writer.write_eof()
             elif end == "reset":
@@ -344,7 +344,7 @@
     """The news comes within the event that chooses: the retry is told as never sent, and goes elsewhere."""
 
     async def scene():
-        servers = [Server(always(FULL)), Server(always(FULL)), Server()]
+        servers = [Server(always(REJECTED)), Server(always(REJECTED)), Server()]
         bench = await Bench(*servers, policy_limits={"max_attempts": 6, "connect_timeout": MOMENT}).start()
         node = bench.node
         send = node.balancer.actions.send
--- a/tests/test_operator_terms_stopping.py
+++ b/tests/test_operator_terms_stopping.py
@@ -3,7 +3,7 @@
 import pytest
 from loopback import Bench, Clock, Server, call, play, until
 
-from balancer.net.downstream.client_connection import HEAD_TIMEOUT_S
+from balancer.net.downstream.read_deadline import HEAD_TIMEOUT_S
 
 OWED = 3.0  # seconds from its connecting in which a bad client gets its error
 SWEEP = HEAD_TIMEOUT_S / 8
@@ -19,10 +19,12 @@
 
 @pytest.mark.parametrize("sent", HALVES.values(), ids=list(HALVES))
 @pytest.mark.parametrize("at", [0.0, 1.0, 1.9, 2.15])
-def test_a_client_that_stops_in_a_request_and_stays_gets_an_error_in_time(at, sent, monkeypatch):
+def test_a_client_that_stops_in_a_request_and_stays_gets_an_error_in_time(
+    at: float, sent: bytes, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """It connects, sends a part so long after, and says nothing more."""
 
-    async def scene():
+    async def scene() -> None:
         bench = await Bench(Server()).start()
         callers = bench.node.client_connections
         clock = Clock(bench.node.loop, bench.node.loop.time())
@@ -48,10 +50,10 @@
     play(scene)
 
 
-def test_a_body_that_still_comes_as_it_is_due_is_waited_for(monkeypatch):
+def test_a_body_that_still_comes_as_it_is_due_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
     """It comes in pieces, up to twice the time that a head may take."""
 
-    async def scene():
+    async def scene() -> None:
         bench = await Bench(server := Server()).start()
         callers = bench.node.client_connections
         clock = Clock(bench.node.loop, bench.node.loop.time())
@@ -61,7 +63,7 @@
         (caller,) = callers.connections
         clock.now += 1.5
         client.send(HALVES["the head"])
-        await until(lambda: caller.partial is not None and not caller.head_incomplete)
+        await until(lambda: caller.partial is not None and not caller.parser.head_incomplete)
         for count in range(1, 13):
             clock.now += 0.15
             client.send(bytes(100))
