--- a/tests/test_report_disk_faults.py
+++ b/tests/test_report_disk_faults.py
@@ -10,7 +10,7 @@
 from disk_errors import fail_call
 
 from workbench.cli import cli
-from workbench.cli.errors import Bad, write_whole
+from workbench.cli.errors import InputError, write_atomically
 from workbench.lab import measure
 from workbench.lab import run as lab_run
 from workbench.lab.history import History
@@ -69,8 +69,8 @@
     (target := tmp_path / "figures.json").write_bytes(b"old")
     with monkeypatch.context() as patch:
         fail_at(patch, owner, name, error, 0)
-        with pytest.raises(Bad) as e:
-            write_whole(target, replace)
+        with pytest.raises(InputError) as e:
+            write_atomically(target, replace)
     assert str(e.value) == f"{target}: cannot be written: {os.strerror(error)}"
     assert [path.read_bytes() for path in tmp_path.iterdir()] == [b"old"]
 
@@ -126,5 +126,5 @@
     keep = tmp_path / "kept"
     monkeypatch.setattr(lab_run, "History", lambda path: History(Path("/dev/full")))
     words = ["lab", "run", "calm", "--nodes", "1", "--keep", str(keep)]
-    with pytest.raises(Bad, match="^/dev/full: cannot be written: No space left on device$"):
+    with pytest.raises(InputError, match="^/dev/full: cannot be written: No space left on device$"):
         cli.main(words, standalone_mode=False)
--- a/tests/test_store_disk_faults.py
+++ b/tests/test_store_disk_faults.py
@@ -13,11 +13,12 @@
 from failing_calls import fail_calls, in_child
 
 from workbench.cli import cli
-from workbench.cli.errors import Bad
-from workbench.experiment.plan import Task, plan_of, tasks
+from workbench.cli.errors import InputError
+from workbench.experiment.plan import list_tasks, parse_plan
 from workbench.experiment.store import Store, StoreError
+from workbench.experiment.task import Task
 
-TASKS = tasks(plan_of({"scenarios": ["quiet"], "seeds": 6, "variant": [{"name": "a"}]}))
+TASKS = list_tasks(parse_plan({"scenarios": ["quiet"], "seeds": 6, "variant": [{"name": "a"}]}))
 SYNCS = ("fsync", "fdatasync")
 STORED = "stored"
 
@@ -42,7 +43,7 @@
     """Every run that the store tells of is whole. Their seeds."""
     store = Store(path)
     rows = store.rows()
-    assert {row.task.key for row in rows} == store.done()
+    assert {row.task.key for row in rows} == store.completed_keys()
     for row in rows:
         assert store.result(row.task) == RESULTS[row.task.key]
     store.close()
@@ -110,7 +111,7 @@
     assert_resumes(path)
 
 
-@pytest.mark.parametrize("use", ["rows", "done", "result"])
+@pytest.mark.parametrize("use", ["rows", "completed_keys", "result"])
 def test_a_store_that_cannot_be_read_is_one_line(tmp_path: Path, use: str) -> None:
     """Failure prevented: a traceback, or what could be read of a store, taken for the whole."""
     path = tmp_path / "s.sqlite"
@@ -223,7 +224,7 @@
     with sqlite3.connect(path) as db:
         db.execute(f"UPDATE runs SET {damage}")
     words = ["experiment", words[0], str(path), *words[1:]]
-    with pytest.raises(Bad, match="s.sqlite: ") as e:
+    with pytest.raises(InputError, match="s.sqlite: ") as e:
         cli.main([*words, *([str(tmp_path / "out")] if words[-1] == "-o" else [])], standalone_mode=False)
     assert "\n" not in str(e.value) and not (tmp_path / "out").exists()
 
