--- a/balancer/fleet/membership/replay_guard.py
+++ b/balancer/fleet/membership/replay_guard.py
@@ -2,10 +2,10 @@
 
 Each sender stamps its datagrams with a clock of its own that runs at the pace of real time. A receiver keeps,
 for each sender, the newest stamp and its time of arrival; it accepts a stamp that is close to the value
-expected from these and that it has not seen before. An unknown sender, or one whose stamps are far from the
-expected value (a restarted process), is challenged to prove that it is live: with a PING without claims,
-whose unpredictable `seq` it echoes in an ACK, as every version does. Until then its datagrams are buffered;
-those that are old by their sender's own clock are never accepted.
+expected from these and that it has not seen before (`stamp_window.py`). An unknown sender, or one whose
+stamps are far from the expected value or too low (a restarted process), is challenged to prove that it is
+live: with a PING without claims, whose unpredictable `seq` it echoes in an ACK, as every version does. Until
+then its datagrams are buffered; those that are old by their sender's own clock are never accepted.
 
 A state machine without sockets, clocks or random numbers of its own. Times are microseconds.
 """
@@ -14,15 +14,31 @@
 
 from collections import Counter
 from dataclasses import dataclass, field
-from enum import Enum, auto
 from typing import Any
 
 from balancer.fleet.membership.claims import Address
 from balancer.fleet.membership.messages import Kind, Message
+from balancer.fleet.membership.stamp_window import (
+    MAX_SKEW_US,
+    MAX_TRANSIT_US,
+    WINDOW_SIZE,
+    StampWindow,
+    Verdict,
+)
+
+__all__ = [
+    "MAX_SKEW_US",
+    "MAX_TRANSIT_US",
+    "REJECTED",
+    "WINDOW_SIZE",
+    "Admission",
+    "Received",
+    "ReplayGuard",
+    "SenderStamps",
+    "StampWindow",
+    "Verdict",
+]
 
-WINDOW_SIZE = 64  # stamps remembered of one sender: as many datagrams may overtake one another
-MAX_SKEW_US = 30_000_000  # between a stamp and the value expected from its sender's earlier stamps
-MAX_TRANSIT_US = 1_000_000  # age at which a datagram is still accepted when its sender is proven live
 MAX_SENDERS = 4096  # whose stamps are kept; beyond that, the sender registered first is evicted
 MAX_CHALLENGES = 256  # unanswered; beyond that, the oldest is dropped
 MAX_BUFFERED_PER_CHALLENGE = 4  # datagrams
@@ -32,50 +48,6 @@
 MAX_PINGS = 1024  # of membership whose ACKs count as proof too
 
 
-class Verdict(Enum):
-    """The relation of a stamp to its sender's earlier ones."""
-
-    FRESH = auto()
-    REPLAY = auto()  # seen before, or too old to be distinguished from a replay
-    DISTANT = auto()  # far from the expected value: of another process, or recorded long ago
-
-
-class StampWindow:
-    """One sender's stamps: the newest, its time of arrival, and the last ones accepted.
-
-    Args:
-        newest: The sender's present stamp.
-        now: The receiver's time at which that stamp is present.
-        floor: The lowest stamp that is accepted.
-    """
-
-    __slots__ = ("floor", "newest", "newest_at", "seen")
-
-    def __init__(self, newest: int, now: int, floor: int = 0) -> None:
-        self.newest = newest
-        self.newest_at = now
-        self.floor = floor
-        self.seen: list[int] = []
-
-    def judge(self, stamp: int, now: int) -> Verdict:
-        """Judges a stamp that arrives now, without recording it."""
-        expected = self.newest + now - self.newest_at
-        if abs(stamp - expected) > MAX_SKEW_US:
-            return Verdict.DISTANT
-        below_window = len(self.seen) >= WINDOW_SIZE and stamp < self.seen[0]
-        if stamp < self.floor or below_window or stamp in self.seen:
-            return Verdict.REPLAY
-        return Verdict.FRESH
-
-    def record(self, stamp: int, now: int) -> None:
-        """Records that a datagram was accepted."""
-        if stamp >= self.newest:
-            self.newest, self.newest_at = stamp, now
-        self.seen.append(stamp)
-        self.seen.sort()
-        del self.seen[:-WINDOW_SIZE]
-
-
 class SenderStamps:
     """The stamp windows of all senders, bounded in number."""
 
@@ -87,6 +59,11 @@
         window = self.windows.get(sender)
         return Verdict.DISTANT if window is None else window.judge(stamp, now)
 
+    def may_have_accepted(self, sender: str, stamp: int) -> bool:
+        """Returns whether a stamp of a sender was accepted before, as far as can be known."""
+        window = self.windows.get(sender)
+        return window is not None and window.may_have_accepted(stamp)
+
     def record(self, sender: str, stamp: int, now: int) -> None:
         """Records that a datagram of a sender with a window was accepted."""
         self.windows[sender].record(stamp, now)
@@ -106,7 +83,7 @@
             del self.windows[next(iter(self.windows))]
         window = self.windows[sender] = StampWindow(stamp, now, stamp - max_age)
         if previous is not None:
-            window.seen = [s for s in previous.seen if window.floor <= s <= stamp]
+            window.inherit(previous, now)
         window.record(stamp, now)
 
     def forget(self, sender: str) -> None:
@@ -195,7 +172,7 @@
         if message.sender == self.name:
             return self.reject("replay")
         verdict = self.senders.judge(message.sender, received.stamp, now)
-        if verdict == Verdict.REPLAY:
+        if verdict == Verdict.REPLAY and self.senders.may_have_accepted(message.sender, received.stamp):
             return self.reject("replay")
         if is_challenge(message):
             return self.echo(now, received, verdict)
