--- a/balancer/fleet/membership/stamp_window.py
+++ b/balancer/fleet/membership/stamp_window.py
@@ -14,6 +14,9 @@
 from enum import Enum, auto
 
 WINDOW_SIZE = 1024  # stamps remembered of a process, and as many of earlier ones of its name
+MEMORY_US = (
+    3_900_000_000  # ...and for so long: a clock is stepped back by an hour at most, or some seconds more
+)
 MAX_SKEW_US = 30_000_000  # between a stamp and the value expected from its sender's earlier stamps
 MAX_TRANSIT_US = 1_000_000  # age at which a datagram is still accepted when its sender is proven live
 UNSIGNED_64_BITS = "Q"  # array's type code; a stamp has eight bytes in a datagram
@@ -87,6 +90,19 @@
         insort(self.seen, stamp)
         if len(self.seen) > WINDOW_SIZE:
             self.forgotten_below = max(self.forgotten_below, self.seen.pop(0) + 1)
+        self.forget_old()
+
+    def forget_old(self) -> None:
+        """Forgets the stamps that no step of a clock can bring back.
+
+        Failure prevented: over days, each of some thousand senders comes to `WINDOW_SIZE` stamps, and a node
+        with little memory cannot hold them.
+        """
+        oldest = self.newest - MEMORY_US
+        for remembered in (self.seen, self.earlier):
+            if remembered and remembered[0] < oldest:
+                del remembered[: bisect_left(remembered, oldest)]
+                self.forgotten_below = max(self.forgotten_below, oldest)
 
     def inherit(self, previous: StampWindow, now: int) -> None:
         """Takes over what is known of the sender's stamps from its window until now."""
