--- a/workbench/cli/__init__.py
+++ b/workbench/cli/__init__.py
@@ -11,6 +11,7 @@
 from workbench.cli.experiment import experiment
 from workbench.cli.lab import lab
 from workbench.cli.load import load
+from workbench.cli.losses import losses
 from workbench.cli.scale import scale
 from workbench.cli.scenario import scenario
 from workbench.cli.simulate import simulate
@@ -23,6 +24,7 @@
 
 
 cli.add_command(simulate)
+cli.add_command(losses)
 cli.add_command(scenario)
 cli.add_command(experiment)
 cli.add_command(lab)
--- a/workbench/model/accounts.py
+++ b/workbench/model/accounts.py
@@ -67,8 +67,8 @@
         b.worth += worth
         self.asked_worth[request.klass] += worth
 
-    def ended(self, request: Request) -> None:
-        """A request's end, served or not."""
+    def ended(self, request: Request) -> float:
+        """A request's end, served or not; returns the worth that was lost."""
         klass = self.classes[request.klass]
         b = self.bin_of(request)
         b.tries += request.tries
@@ -88,6 +88,7 @@
         self.got_worth[request.klass] += got
         if got < klass.worth:
             b.causes[request.cause] += klass.worth - got  # type: ignore[assignment]
+        return klass.worth - got
 
     # ---- sums -----------------------------------------------------------------------------------------
 
--- a/workbench/model/call.py
+++ b/workbench/model/call.py
@@ -2,24 +2,18 @@
 
 from __future__ import annotations
 
-from enum import IntEnum
 from typing import Any, Protocol
 
 from balancer.policy.interface import ListKind, Outcome, ServerEntry
+from workbench.model.answer import Answer
+from workbench.model.trace import AttemptTrace, CallTrace, RequestTrace
+
+__all__ = ["UNKNOWN", "Answer", "Attempt", "Call", "Caller", "Cause", "Port", "Request"]
 
 Cause = tuple[str, int]  # why worth was lost, and at which tier
 UNKNOWN: Cause = ("never sent", 0)
 
 
-class Answer(IntEnum):
-    """What a caller gets of a call."""
-
-    OK = 0
-    REFUSED = 1  # a repeat does no harm
-    FAILED = 2
-    UNREACHABLE = 3  # no node took it, or the node died over it
-
-
 class Request:
     """What one client wants: its tries are calls."""
 
@@ -39,6 +33,7 @@
         "work",
         "useful",
         "attempts",
+        "trace",
     )
 
     def __init__(
@@ -59,6 +54,7 @@
         self.work = 0.0  # that servers did for it, in core-microseconds of the yardstick
         self.useful = 0.0  # of which for the answer it got
         self.attempts = 0  # over all tiers
+        self.trace: RequestTrace | None = None  # where the day is traced
 
 
 class Caller(Protocol):
@@ -90,6 +86,7 @@
         "context",
         "waiting",
         "taken",
+        "trace",
     )
 
     def __init__(self, number: int, root: Request, key: int, tier: int, until: int, caller: Caller) -> None:
@@ -111,12 +108,25 @@
         self.useful = 0.0
         self.context: Any = None  # the caller's own
         self.waiting = True  # whoever called waits for the answer still
+        self.trace: CallTrace | None = None
 
 
 class Attempt:
     """One sending of a call to one server."""
 
-    __slots__ = ("call", "number", "server", "port", "draw", "sent_at", "ended", "job", "link", "cause")
+    __slots__ = (
+        "call",
+        "number",
+        "server",
+        "port",
+        "draw",
+        "sent_at",
+        "ended",
+        "job",
+        "link",
+        "cause",
+        "trace",
+    )
 
     def __init__(self, call: Call, number: int, server: Any, port: Port, draw: int, now: int) -> None:
         self.call = call
@@ -129,6 +139,7 @@
         self.job: Any = None  # the server's own
         self.link: Any = None  # the connection it went by, the node's own
         self.cause: Cause | None = None  # of an error that came from a tier behind
+        self.trace: AttemptTrace | None = None
 
 
 class Port(Protocol):
--- a/workbench/model/clients.py
+++ b/workbench/model/clients.py
@@ -11,6 +11,7 @@
 from workbench.model.environment import Environment
 from workbench.model.network import num, whole
 from workbench.model.streams import scramble
+from workbench.model.trace import RequestTrace
 from workbench.scenario.model import Scenario
 
 GRID = 50_000  # microseconds between two points of the load's curve
@@ -96,8 +97,16 @@
             self.factors[i],
         )
         self.world.accounts.asked(request)
+        self.begin_trace(request)
         self.attempt(request)
 
+    def begin_trace(self, request: Request) -> None:
+        """Begins the request's trace, where the day is traced."""
+        log = self.world.trace_log
+        if log is not None:
+            request.trace = RequestTrace(request.index, request.klass, request.due, request.aim_at)
+            log.begin_request(request.trace, self.world.classes[request.klass].worth)
+
     def attempt(self, request: Request) -> None:
         """One try, through the front."""
         world = self.world
@@ -105,6 +114,8 @@
         until = min(request.dead_at, now + int(self.try_share * world.classes[request.klass].deadline))
         call = world.call(request, request.key, 0, until, self)
         call.number = request.tries
+        if request.trace is not None and call.trace is not None:
+            request.trace.tries.append(call.trace)
         request.tries += 1
         world.trace(request, "client", f"try {call.number + 1} of {self.tries}")
         node = world.front.pick(request.zone, scramble(request.key, FRONT + call.number))
@@ -119,6 +130,8 @@
                 self.clock.call_at(now + int(part * (until - now)), self.leaves, call)
 
     def unreachable(self, call: Call) -> None:
+        if call.trace is not None:
+            call.trace.end(self.clock.now, Answer.UNREACHABLE)
         self.answered(call, Answer.UNREACHABLE, 0)
 
     def expired(self, call: Call) -> None:
@@ -141,6 +154,8 @@
         if call.node is not None:
             call.node.drop(call)
         call.root.cause = ("left early", 0)
+        if call.root.trace is not None:
+            call.root.trace.client_left = True
         self.end(call.root)
 
     def answered(self, call: Call, answer: Answer, retry_after: int) -> None:
@@ -182,4 +197,7 @@
     def end(self, request: Request) -> None:
         request.done_at = self.clock.now
         self.left -= 1
-        self.world.accounts.ended(request)
+        lost = self.world.accounts.ended(request)
+        log = self.world.trace_log
+        if log is not None and request.trace is not None:
+            log.end_request(request.trace, request.done_at, request.served, lost)
--- a/workbench/model/environment.py
+++ b/workbench/model/environment.py
@@ -16,6 +16,7 @@
 from workbench.model.front import Front
 from workbench.model.network import Network
 from workbench.model.streams import Streams
+from workbench.model.trace import TraceLog
 from workbench.scenario.model import Scenario
 
 
@@ -156,6 +157,10 @@
     def accounts(self) -> Accounts:
         """The accounts of worth."""
 
+    @property
+    def trace_log(self) -> TraceLog | None:
+        """The traces of lost requests, where the day is traced."""
+
     @property
     def discovery(self) -> ServerDiscovery:
         """Discovery, as servers and faults see it."""
--- a/workbench/model/server.py
+++ b/workbench/model/server.py
@@ -247,8 +247,13 @@
         call.number = job.calls
         job.calls -= 1
         job.child = call
+        parent = job.attempt.trace
+        if call.trace is not None and parent is not None:
+            parent.calls.append(call.trace)
         node = self.node
         if node is None or not node.ready:
+            if call.trace is not None:
+                call.trace.end(self.clock.now, Answer.UNREACHABLE)
             call.cause = ("never sent", self.tier + 1)
             self.answered(call, Answer.UNREACHABLE, 0)
         else:
--- a/workbench/model/site.py
+++ b/workbench/model/site.py
@@ -24,6 +24,7 @@
 from workbench.model.server import Server
 from workbench.model.server_spec import ServerSpec
 from workbench.model.streams import Streams
+from workbench.model.trace import CallTrace, TraceLog
 from workbench.scenario.model import Kind, Scenario
 
 LEAST_SPEED = 0.3  # of its kind's mean, however wide the spread
@@ -36,6 +37,22 @@
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
 
 
+def class_settings(day: Scenario) -> list[ClassSettings]:
+    """The day's classes, as nodes are told of them."""
+    return [
+        ClassSettings(
+            EFFECTS[c.effect],
+            int(num(c.aim_s) * 1e6),
+            int(num(c.deadline_s) * 1e6),
+            num(c.worth),
+            num(c.late_worth),
+            GROUPS[c.group],
+            int(num(c.window_s) * 1e6),
+        )
+        for c in day.klass
+    ]
+
+
 def dealt(shares: list[float], count: int) -> list[int]:
     """So many places, each given to one of the shares' owners: evenly mixed, in proportion."""
     turns = sorted(((i + 0.5) / share, k) for k, share in enumerate(shares) for i in range(count))
@@ -67,19 +84,9 @@
         self.shared_slow = 1.0
         self.follow: Callable[[Request, str, str], None] | None = None
         self.followed = -1
+        self.trace_log: TraceLog | None = None
         self.numbers = itertools.count(1)
-        self.classes = [
-            ClassSettings(
-                EFFECTS[c.effect],
-                int(num(c.aim_s) * 1e6),
-                int(num(c.deadline_s) * 1e6),
-                num(c.worth),
-                num(c.late_worth),
-                GROUPS[c.group],
-                int(num(c.window_s) * 1e6),
-            )
-            for c in day.klass
-        ]
+        self.classes = class_settings(day)
         self.tick = int(num(day.nodes.tick_ms) * 1000)
         shares = [num(c.share) for c in day.klass]
         mean = sum(num(c.work_ms) * s for c, s in zip(day.klass, shares, strict=True)) / sum(shares) * 1000
@@ -235,7 +242,10 @@
         return least + ((key >> 16) < (mean - least) * 2**16)
 
     def call(self, root: Request, key: int, tier: int, until: int, caller: Caller) -> Call:
-        return Call(next(self.numbers), root, key, tier, until, caller)
+        call = Call(next(self.numbers), root, key, tier, until, caller)
+        if root.trace is not None:
+            call.trace = CallTrace(tier, self.clock.now, until)
+        return call
 
     def told(self, attempt: Attempt, server: ServerView) -> bool:
         """Whether the node that sent an attempt had been told of the server's present start."""
@@ -251,6 +261,8 @@
         """The day begins now: troubles and clients by its time, and the nodes, the front's spread over some
         of it."""
         self.begin = self.accounts.begin = self.clock.now
+        if self.trace_log is not None:
+            self.trace_log.begin = self.begin
         self.troubles = [Trouble(self, fault, i) for i, fault in enumerate(self.day.fault)]
         for tier in self.tiers:
             for server in tier:
--- /dev/null
+++ b/workbench/model/trace.py
@@ -0,0 +1,101 @@
+"""Traces of clients' requests: each try, each call behind it and each attempt, with times and ends.
+
+Recorded only where a day is played with tracing on. The steps of the model write their part of the trace as
+they happen; a trace holds no reference to the model, so it outlives the day. Times are microseconds.
+"""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from dataclasses import dataclass, field
+
+from balancer.policy.interface import Outcome
+from workbench.model.answer import Answer
+
+UNENDED = -1
+SECOND = 1_000_000
+
+
+@dataclass(slots=True)
+class AttemptTrace:
+    """One sending of a call to one server. `calls` are what that server called for it in the next tier."""
+
+    tier: int
+    sent_at: int
+    dialled: bool = False  # on a connection made for it
+    ended_at: int = UNENDED
+    outcome: Outcome | None = None
+    silent: bool = False  # it ended while no answer could come: server silent or cut off, or answer lost
+    calls: list[CallTrace] = field(default_factory=list)
+
+    def end(self, now: int, outcome: Outcome, silent: bool = False) -> None:
+        """Records the attempt's outcome."""
+        self.ended_at = now
+        self.outcome = outcome
+        self.silent = silent
+
+
+@dataclass(slots=True)
+class CallTrace:
+    """One call at one node: a client's try, or a server's call to the next tier."""
+
+    tier: int
+    begun_at: int
+    until: int
+    ended_at: int = UNENDED
+    answer: Answer | None = None
+    node_died: bool = False
+    attempts: list[AttemptTrace] = field(default_factory=list)
+
+    def end(self, now: int, answer: Answer) -> None:
+        """Records the call's final answer, as the node gave it."""
+        self.ended_at = now
+        self.answer = answer
+
+
+@dataclass(slots=True)
+class RequestTrace:
+    """What one client wanted, and all that was done for it. `lost_worth` is known at its end."""
+
+    index: int
+    klass: int
+    due: int
+    aim_at: int
+    ended_at: int = UNENDED
+    served: bool = False
+    client_left: bool = False
+    lost_worth: float = 0.0
+    tries: list[CallTrace] = field(default_factory=list)
+
+    @property
+    def decided_at(self) -> int:
+        """When the loss was decided: at the request's aim, or at its end where that came first."""
+        return min(self.aim_at, self.ended_at)
+
+
+@dataclass
+class TraceLog:
+    """The traces of a day's lost requests, and what its losses are measured against."""
+
+    begin: int = 0
+    lost: list[RequestTrace] = field(default_factory=list)
+    asked: defaultdict[tuple[int, int], float] = field(default_factory=lambda: defaultdict(float))
+    served_times: defaultdict[int, list[int]] = field(default_factory=lambda: defaultdict(list))
+
+    def second(self, due: int) -> int:
+        """The second of the day in which a request was due."""
+        return (due - self.begin) // SECOND
+
+    def begin_request(self, trace: RequestTrace, worth: float) -> None:
+        """Counts the worth that is asked for, by class and by second of the day."""
+        self.asked[trace.klass, self.second(trace.due)] += worth
+
+    def end_request(self, trace: RequestTrace, now: int, served: bool, lost_worth: float) -> None:
+        """Keeps the trace if worth was lost, and only the time that it took if none was."""
+        trace.ended_at = now
+        trace.served = served
+        trace.lost_worth = lost_worth
+        if lost_worth > 0:
+            self.lost.append(trace)
+        else:
+            self.served_times[trace.klass].append(now - trace.due)
--- a/workbench/simulator/host.py
+++ b/workbench/simulator/host.py
@@ -14,9 +14,10 @@
 from workbench.baselines import Policy
 from workbench.model.call import Answer, Attempt, Call, is_answered, is_over
 from workbench.model.network import TABLE, num
-from workbench.model.server import Server
+from workbench.model.server import DONE, Job, Server
 from workbench.model.site import World
 from workbench.model.streams import scramble
+from workbench.model.trace import AttemptTrace
 from workbench.simulator.heap import HeapClock
 from workbench.simulator.recorder import Recorder
 from workbench.simulator.ticker import Ticker
@@ -135,11 +136,15 @@
             for attempt in call.sent:
                 if not attempt.ended:
                     attempt.ended = True
+                    if attempt.trace is not None:
+                        attempt.trace.end(self.clock.now, Outcome.RESET)
                     self.hang_up(attempt)
                     attempt.server.abandon(attempt)
             call.out = 0
             if call.open:
                 call.cause = ("reset", self.tier)
+                if call.trace is not None:
+                    call.trace.node_died = True
                 self.answer(call, Answer.FAILED, 0)
             call.sent.clear()
 
@@ -270,6 +275,9 @@
         if away >= 0 or call.out or call.ran_on is not None:
             world.referee.sending(now, call, server, away)
         call.sent.append(attempt)
+        if call.trace is not None:
+            attempt.trace = AttemptTrace(self.tier, now)
+            call.trace.attempts.append(attempt.trace)
         call.out += 1
         world.accounts.attempts[self.tier] += 1
         call.root.attempts += 1
@@ -302,6 +310,8 @@
         """A new connection: it costs the server work and the call time, and may not come up."""
         server: Server = attempt.server
         self.world.accounts.dials += 1
+        if attempt.trace is not None:
+            attempt.trace.dialled = True
         wait = self.network.connect_timeout
         if reached and not server.up:
             wait = 2 * delay
@@ -344,6 +354,9 @@
         call.out -= 1
         now = self.clock.now
         self.world.referee.ended(call, attempt.server, attempt.sent_at, outcome)
+        if attempt.trace is not None:
+            given_up = outcome in (Outcome.TIMEOUT, Outcome.CANCELLED)
+            attempt.trace.end(now, outcome, silent=given_up and self.is_unanswerable(attempt))
         if outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED):
             link = attempt.link
             if link is not None and link.life == attempt.server.life:
@@ -369,6 +382,13 @@
         if not call.open:
             self.forget(call)
 
+    def is_unanswerable(self, attempt: Attempt) -> bool:
+        """Whether no answer can come: the server is silent or cut off, or has lost the call or its answer."""
+        server: Server = attempt.server
+        job: Job | None = attempt.job
+        lost = job is None or job.state == DONE
+        return lost or server.silent or not self.network.reaches(self.zone, server.zone)
+
     def hang_up(self, attempt: Attempt) -> None:
         link = attempt.link
         if link is not None and link.life == attempt.server.life:
@@ -387,6 +407,8 @@
         self.deliver(call, answer, retry_after)
 
     def deliver(self, call: Call, answer: Answer, retry_after: int) -> None:
+        if call.trace is not None:
+            call.trace.end(self.clock.now, answer)
         if self.tier:
             call.caller.answered(call, answer, retry_after)
         else:
--- a/workbench/simulator/play.py
+++ b/workbench/simulator/play.py
@@ -17,6 +17,7 @@
 from workbench.model.call import Request
 from workbench.model.network import num
 from workbench.model.site import BEGIN, World
+from workbench.model.trace import TraceLog
 from workbench.scenario.load import digest, plain
 from workbench.scenario.model import Scenario
 from workbench.simulator.heap import HeapClock
@@ -39,6 +40,8 @@
     journal: list[str] = field(default_factory=list)  # the modules' own log lines
     broken: list[str] = field(default_factory=list)  # the first broken rules, told one by one
     stats: list[dict[str, Any]] = field(default_factory=list)  # front nodes' figures over time, for plots
+    trace_log: TraceLog | None = None  # of a day that was traced
+    all_ended: bool = True  # whether each request had ended with the day
 
 
 def play(
@@ -47,8 +50,18 @@
     follow: int = -1,
     progress: Progress | None = None,
     overrides: list[str] | None = None,
+    trace: bool = False,
 ) -> Run:
-    """Plays `day`, which has no ranges, by a policy's name or factory. `follow`: a request's number."""
+    """Plays `day`, which has no ranges, by a policy's name or factory.
+
+    Args:
+        day: The scenario, its ranges drawn.
+        policy: Who decides.
+        follow: The number of a request whose story is told.
+        progress: Told the share of the day that is played, each second.
+        overrides: What the result says of how the day was made.
+        trace: Whether the traces of lost requests are kept.
+    """
     named = policy if isinstance(policy, str) else getattr(policy, "__name__", "given")
     make = POLICIES[policy][0] if isinstance(policy, str) else policy
     clock = HeapClock(BEGIN)
@@ -56,6 +69,8 @@
     host = Host(clock, tick, make)
     world = World(day, clock, host)
     run = Run({})
+    if trace:
+        run.trace_log = world.trace_log = TraceLog()
     if follow >= 0:
         world.followed = follow
         world.follow = teller(run.story, clock)
@@ -69,6 +84,7 @@
         gc.set_threshold(*thresholds)
     cpu = process_time() - begun
     account = world.accounts.summary()
+    run.all_ended = world.over()
     calls = sum(world.accounts.calls)
     module = host.ticker.module_ns / 1e9
     run.broken = world.referee.stories
