--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -200,6 +200,36 @@
         ),
         Blame(LossCause.SILENT, 1),
     ),
+    "a call that its node gives up some milliseconds before the aim, for a limit two tiers behind": (
+        request(
+            2495,
+            call(
+                0,
+                2492,
+                Answer.REFUSED,
+                attempt(2, 2492, TIMEOUT, call(100, 0, None, tier=1)),
+                until=2500,
+            ),
+        ),
+        Blame(LossCause.OWN_LIMIT, 1),
+    ),
+    "a request that was long on its way to the first tier's node, which queues nothing": (
+        request(2600, call(0, 2590, Answer.OK, attempt(1400, 2590, OK)), served=True),
+        Blame(LossCause.DEADLINE, 0),
+    ),
+    "a wait in the queue of the next tier's node before an attempt that succeeds": (
+        request(
+            2600,
+            call(
+                0,
+                2590,
+                Answer.OK,
+                attempt(2, 2580, OK, call(100, 2500, Answer.OK, attempt(1900, 2490, OK, tier=1), tier=1)),
+            ),
+            served=True,
+        ),
+        Blame(LossCause.OWN_LIMIT, 1),
+    ),
     "a wait in the queue at the limit of the next tier": (
         request(
             2600,
--- a/workbench/report/losses.py
+++ b/workbench/report/losses.py
@@ -1,10 +1,11 @@
 """Where a day's worth was lost: one cause for each lost request, from its trace.
 
 The rule. A request that ended unserved before its aim was ended by a decision or a failure, and the end of
-its last try is the cause. Any other request ran out of time, and the cause is what held it for longest
-between its due time and its aim; there the time that a request of its class usually takes is its own and
-holds it up in nothing. A wait between two tries belongs to what ended the first of them. Each lost request
-has one cause, so the causes sum to the loss of the day; `breakdown` checks that against the day's account.
+its last try is the cause, unless that is a deadline. Any other request ran out of time, and the cause is what
+held it for longest between its due time and its aim; there the time that a request of its class usually takes
+is its own and holds it up in nothing. A wait between two tries belongs to what ended the first of them. Each
+lost request has one cause, so the causes sum to the loss of the day; `breakdown` checks that against the
+day's account.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
     CONNECT = "connection not established"
     SILENT = "silent in flight"
     RESET = "reset"
-    OWN_LIMIT = "rejected by own limit"
+    OWN_LIMIT = "own limit"
     RETRY_BUDGET = "retry denied by budget"
     RETRY_CLASS = "retry denied by class"
     DEADLINE = "deadline at a working server"
@@ -85,7 +86,9 @@
         if not trace.tries:
             return Blame(LossCause.NODE_DOWN, 0)
         if not trace.served and trace.ended_at < trace.aim_at:
-            return self.end_of_call(trace.tries[-1])
+            end = self.end_of_call(trace.tries[-1])
+            if end.cause != LossCause.DEADLINE:
+                return end
         return self.longest_hold()
 
     # ---- how a call or an attempt ended -----------------------------------------------------------------
@@ -156,8 +159,16 @@
             yield from self.holds_of_call(call, min(end, decided_at))
 
     def holds_of_call(self, call: CallTrace, end: int) -> Iterator[tuple[Blame, int]]:
-        """A call's time up to `end`: its attempts by their own causes, all other time by the call's end."""
+        """A call's time up to `end`: its attempts by their own causes, all other time by the call's end.
+
+        Below the first tier a node queues calls at its limit, so the time before the first attempt is the
+        limit's.
+        """
         left = max(0, end - call.begun_at)
+        if call.tier > 0 and call.attempts:
+            queued = min(left, call.attempts[0].sent_at - call.begun_at)
+            left -= queued
+            yield (Blame(LossCause.OWN_LIMIT, call.tier), queued)
         for attempt in call.attempts:
             stop = end if attempt.ended_at == UNENDED else min(end, attempt.ended_at)
             time = min(left, max(0, stop - attempt.sent_at))
