--- a/workbench/model/faults.py
+++ b/workbench/model/faults.py
@@ -5,6 +5,8 @@
 from collections.abc import Sequence
 from typing import Any, Protocol
 
+from msgspec import UnsetType
+
 from workbench.model.call import Port
 from workbench.model.environment import Environment
 from workbench.model.network import num, whole
@@ -12,6 +14,7 @@
 from workbench.model.server_spec import ServerSpec
 from workbench.scenario.model import Fault
 
+LATE_MS = 1500.0  # by so much do late connections come up at most, where the day does not say
 DRAIN = 3_000_000  # a server that is replaced drains for so long before it ends
 
 
@@ -49,6 +52,8 @@
         self.factor = num(fault.factor)
         self.part = num(fault.part)
         self.share = num(fault.share)
+        late_ms = LATE_MS if isinstance(fault.late_ms, UnsetType) else num(fault.late_ms)
+        self.latest = int(late_ms * 1000)
         self.steps = whole(fault.steps)
         self.struck: list[Server] = []
         self.clock.call_at(self.begin, self.start, None)
@@ -170,6 +175,17 @@
         self.world.network.cut.add(zone)
         self.end_at(lambda _: self.world.network.cut.discard(zone))
 
+    def start_late_connections(self) -> None:
+        """A share of the new connections to the struck servers comes up late; those that stand go on."""
+        self.struck = self.servers()
+        self.set_late(self.share, self.latest)
+        self.end_at(lambda _: self.set_late(0.0, 0))
+
+    def set_late(self, share: float, latest: int) -> None:
+        for server in self.struck:
+            server.late_share = share
+            server.latest = latest
+
     # ---- planned changes ------------------------------------------------------------------------------
 
     def in_steps(self, things: list[Any], call: Any) -> None:
--- a/workbench/model/server.py
+++ b/workbench/model/server.py
@@ -21,6 +21,8 @@
 BEFORE = 0.5  # of a server's own work is done before it calls the next tier
 WARM_STEPS = 40  # a cold start gains capacity in so many steps
 CONNECTION_TAX = 0.25  # of the capacity a full table of connections takes (BRIEF's site: 0.21 to 0.37)
+SPAN = 2**32
+LATE, LATE_BY = 201, 202  # what an attempt's draws are for
 COLD_SLACK = 3.0  # calls of mean work that a cold server bears beyond its budget, for chance
 
 
@@ -67,6 +69,8 @@
         self.up = True
         self.draining = False
         self.silent = False  # the machine says nothing, and hears nothing
+        self.late_share = 0.0  # share of its new connections that come up late
+        self.latest = 0  # by how many microseconds at most
         self.fallen = False
         self.ready_at = 0
         self.warmth = 1.0
@@ -328,6 +332,12 @@
         self.connections += change
         return True
 
+    def connection_delay(self, draw: int) -> int:
+        """How many microseconds later than usual a new connection comes up, by the draw of its attempt."""
+        if not self.late_share or scramble(draw, LATE) >= self.late_share * SPAN:
+            return 0
+        return self.latest * scramble(draw, LATE_BY) // SPAN
+
     def probed(self) -> bool:
         """A probe's answer; it costs work."""
         self.overhead += self.spec.probe
--- a/workbench/scenario/model.py
+++ b/workbench/scenario/model.py
@@ -9,7 +9,7 @@
 
 from typing import Annotated, Any, Literal
 
-from msgspec import Meta, Struct, field
+from msgspec import UNSET, Meta, Struct, UnsetType, field
 
 Number = float | tuple[float, float]
 Count = int | tuple[int, int]
@@ -180,14 +180,16 @@
         "release",
         "restart",
         "discovery_silent",
+        "late_connections",
     ]
     at_s: From0 = 10.0
     for_s: From0 = 10.0
     part: Share = 0.15  # of the servers, or of the front nodes for `restart` and `release`
     factor: From1 = 3.0  # times slower
     share: Annotated[Number, Meta(extra_json_schema={"minimum": 0, "maximum": 0.99})] = (
-        0.5  # taken by another; of the calls, for `zone_failing`
+        0.5  # taken by another; of the calls, for `zone_failing`; of the dials, for `late_connections`
     )
+    late_ms: From0 | UnsetType = UNSET  # for `late_connections`: at most; 1500 if unset, and then not stored
     steps: Some = 4  # for `replace`, `release` and `restart`
     zone: Any0 = 0
     tier: Annotated[int, Meta(extra_json_schema={"minimum": -1})] = -1  # -1: all tiers
--- a/workbench/simulator/host.py
+++ b/workbench/simulator/host.py
@@ -307,17 +307,22 @@
             self.dial(attempt, delay, reached)
 
     def dial(self, attempt: Attempt, delay: int, reached: bool) -> None:
-        """A new connection: it costs the server work and the call time, and may not come up."""
+        """A new connection: it costs the server work and the call time, and may not come up.
+
+        One that is not up within the connect time-out is given up, and costs the server nothing.
+        """
         server: Server = attempt.server
+        late = server.connection_delay(attempt.draw)
+        handshake = int(2 * delay * server.spec.handshake_rtts) + late
+        in_time = not late or handshake <= self.network.connect_timeout
         self.world.accounts.dials += 1
         if attempt.trace is not None:
             attempt.trace.dialled = True
         wait = self.network.connect_timeout
         if reached and not server.up:
             wait = 2 * delay
-        elif reached and not server.silent and server.dialled(1):
-            at = self.clock.now + delay + int(2 * delay * server.spec.handshake_rtts)
-            self.clock.call_at(at, server.arrive, attempt)
+        elif reached and not server.silent and in_time and server.dialled(1):
+            self.clock.call_at(self.clock.now + delay + handshake, server.arrive, attempt)
             return
         attempt.link = None
         self.clock.call_at(self.clock.now + wait, self.returned, (attempt, Outcome.CONNECT_FAILED))
