--- a/workbench/scenario/model.py
+++ b/workbench/scenario/model.py
@@ -10,7 +10,7 @@
 
 from typing import Annotated, Any, Literal
 
-from msgspec import Meta, Struct, field
+from msgspec import UNSET, Meta, Struct, UnsetType, field
 
 Number = float | tuple[float, float]
 Count = int | tuple[int, int]
@@ -179,13 +179,17 @@
         "release",
         "restart",
         "discovery_silent",
+        "late_connections",
     ]
     at_s: NonNegative = 10.0
     for_s: NonNegative = 10.0
     part: Share = 0.15  # of the servers, or of the front nodes for `restart` and `release`
     factor: AtLeastOne = 3.0  # times slower
-    # Of the capacity that a neighbour takes, or of the calls for `zone_failing`.
-    share: Annotated[Number, Meta(extra_json_schema={"minimum": 0, "maximum": 0.99})] = 0.5
+    share: Annotated[Number, Meta(extra_json_schema={"minimum": 0, "maximum": 0.99})] = (
+        0.5  # taken by a neighbour; of the calls, for `zone_failing`; of the dials, for `late_connections`
+    )
+    # For `late_connections`: at most; 1500 if unset, and then not stored.
+    late_ms: NonNegative | UnsetType = UNSET
     steps: PositiveCount = 4  # for `replace`, `release` and `restart`
     zone: NonNegativeCount = 0
     tier: Annotated[int, Meta(extra_json_schema={"minimum": -1})] = -1  # -1: all tiers
