--- a/balancer/policy/request_lifecycle.py
+++ b/balancer/policy/request_lifecycle.py
@@ -88,7 +88,7 @@
         # Failure prevented: under overload every instance aborts attempts that are half done, their work is
         # lost at this tier and all behind it, and the next attempts overload the tier again.
         patience = max(self.settings.tick, int(ATTEMPT_TIMEOUT_FACTOR * mean))
-        if request.attempts + 1 < self.settings.max_attempts and self.retry_budget.allows():
+        if request.attempts + 1 < self.settings.max_attempts and self.retry_budget.allows(Outcome.TIMEOUT):
             return min(remaining, max(remaining // 2, patience))
         return remaining
 
@@ -100,10 +100,10 @@
         if (
             self.may_run_again(now, request)
             and request.attempts < self.settings.max_attempts
-            and self.retry_budget.allows()
+            and self.retry_budget.allows(outcome)
             and now + self.mean_rtt[request.request_class] < request.useful_until
         ):
-            self.retry_budget.spend()
+            self.retry_budget.spend(outcome)
             self.attempt(now, request)
             return
         never_ran = request.first_run_on is None
