--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -35,15 +35,15 @@
     node = world.nodes[0]
     assert isinstance(node, Node)
     server = world.tiers[0][0]
-    server.late_share, server.latest = 1.0, latest
+    server.late_connection_share, server.max_connection_delay = 1.0, latest
     arrived: list[int] = []
     server.arrive = lambda attempt: arrived.append(clock.now - BEGIN)  # type: ignore[method-assign]
     request = Request(0, draw_, 0, 0, BEGIN, 2_500_000, 6_000_000, 1.0)
     call = world.call(request, draw_, 0, BEGIN + 2_000_000, world.clients)
-    call.out = 1
+    call.in_flight = 1
     attempt = Attempt(call, 0, server, node, draw_, BEGIN)
     attempt.trace = AttemptTrace(0, BEGIN)
-    attempt.link = Link(server.life)
+    attempt.link = Link(server.incarnation)
     node.dial(attempt, 100, reached=True)
     clock.run(BEGIN + 2_000_000)
     return server, attempt.trace, arrived
@@ -73,14 +73,14 @@
 
 def dialled_delay(draw_: int) -> int:
     server = world_of()[0].tiers[0][0]
-    server.late_share, server.latest = 1.0, 1_500_000
+    server.late_connection_share, server.max_connection_delay = 1.0, 1_500_000
     return server.connection_delay(draw_)
 
 
 def test_the_share_and_the_bound_of_late_connections_hold() -> None:
     server = world_of()[0].tiers[0][0]
     assert not any(server.connection_delay(d) for d in DRAWS)
-    server.late_share, server.latest = 0.33, 1_500_000
+    server.late_connection_share, server.max_connection_delay = 0.33, 1_500_000
     late = [delay for d in DRAWS if (delay := server.connection_delay(d))]
     assert len(late) / len(DRAWS) == pytest.approx(0.33, abs=0.03)
     assert max(late) < 1_500_000
@@ -94,9 +94,11 @@
     counts = []
     for second in (1, 3, 6):
         clock.run(BEGIN + second * 1_000_000)
-        late = [s for tier in world.tiers for s in tier if s.late_share]
+        late = [s for tier in world.tiers for s in tier if s.late_connection_share]
         counts.append(len(late))
-        assert all((s.tier, s.late_share, s.latest) == (0, 0.33, 400_000) for s in late)
+        assert all(
+            (s.tier, s.late_connection_share, s.max_connection_delay) == (0, 0.33, 400_000) for s in late
+        )
     assert counts == [0, struck, 0]
 
 
@@ -106,7 +108,7 @@
     world = World(draw(day), clock, Host(clock, TICK, POLICIES["random"].make))
     world.start()
     clock.run(BEGIN + 1)
-    assert world.tiers[0][0].latest == 1_500_000
+    assert world.tiers[0][0].max_connection_delay == 1_500_000
 
 
 @pytest.mark.parametrize("name", [n for n in shipped() if n != "late-connections"])
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -61,7 +61,7 @@
 def request(end: int, *tries: CallTrace, klass: int = SAFE, served: bool = False) -> RequestTrace:
     """A lost request that was due at 0 and ended at `end` milliseconds."""
     return RequestTrace(
-        0, klass, 0, AIM, ended_at=end * 1000, served=served, lost_worth=1.0, tries=list(tries)
+        0, klass, 0, AIM, ended_at=end * 1000, served=served, lost_value=1.0, client_attempts=list(tries)
     )
 
 
@@ -264,7 +264,7 @@
     log = TraceLog()
     for trace in lost:
         log.begin_request(trace, 1.0)
-        log.end_request(trace, trace.ended_at, trace.served, trace.lost_worth)
+        log.end_request(trace, trace.ended_at, trace.served, trace.lost_value)
     return log
 
 
@@ -339,13 +339,15 @@
 
 def test_a_node_that_dies_is_marked_in_its_calls() -> None:
     """Failure prevented: calls that died with their node are taken for resets by servers."""
-    tries = [call for trace in lost_traces("killed nodes") for call in trace.tries]
+    tries = [call for trace in lost_traces("killed nodes") for call in trace.client_attempts]
     assert any(call.node_died and call.attempts for call in tries)
 
 
 def test_calls_of_servers_are_part_of_the_trace() -> None:
     """Failure prevented: what is lost behind the first tier is put down to the first."""
-    attempts = [attempt for trace in lost_traces("cut") for call in trace.tries for attempt in call.attempts]
+    attempts = [
+        attempt for trace in lost_traces("cut") for call in trace.client_attempts for attempt in call.attempts
+    ]
     assert any(call.tier == 1 and call.attempts for attempt in attempts for call in attempt.calls)
 
 
@@ -367,7 +369,7 @@
     elif state == "silent":
         server.silent = True
     else:
-        world.network.cut.add(server.zone)
+        world.network.partitioned_zones.add(server.zone)
     assert node.is_unanswerable(sent)
 
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -68,7 +68,7 @@
         arrivals = list(zip(world.clients.times, world.clients.classes, world.clients.factors, strict=True))
         world.start()
         clock.run(BEGIN + 5_000_000)
-        struck = sorted(s.id for s in world.troubles[0].struck)
+        struck = sorted(s.id for s in world.active_faults[0].affected)
         states = [(s.id, s.paused, s.pauses.getstate()) for tier in world.tiers for s in tier]
         seen.append((arrivals, struck, states, world.network.ways[0][0]))
         assert struck and world.accounts.attempts[0] > 100
@@ -93,7 +93,7 @@
     )
 
     def send(number):
-        root = SimpleNamespace(klass=0, factor=1.0, work=0.0, index=-1)
+        root = SimpleNamespace(request_class=0, factor=1.0, work=0.0, index=-1)
         call = Call(number, root, 0, 0, BEGIN + 10**7, Caller(clock))
         attempt = SimpleNamespace(call=call, number=number, port=port, ended=False, job=None, server=server)
         attempts.append(attempt)
@@ -116,8 +116,8 @@
         ([0, 0, 0, 0], None, [(200, n, OK) for n in range(4)]),  # shared by four
         ([0, 0, 0, 50], None, [(183, 0, OK), (183, 1, OK), (183, 2, OK), (217, 3, OK)]),
         ([0] * 7, None, [(0, 6, FULL)] + [(200, n, OK) for n in range(4)] + [(300, 4, OK), (300, 5, OK)]),
-        ([0], (50, lambda s: (setattr(s, "slow", 2.0), s.tune())), [(150, 0, OK)]),
-        ([0], (50, lambda s: (setattr(s, "taken", 0.5), s.tune())), [(150, 0, OK)]),
+        ([0], (50, lambda s: (setattr(s, "slow", 2.0), s.update_speed())), [(150, 0, OK)]),
+        ([0], (50, lambda s: (setattr(s, "stolen_share", 0.5), s.update_speed())), [(150, 0, OK)]),
         ([0, 60], (50, lambda s: s.stop(kill=True)), [(50, 0, RESET), (60, 1, RESET)]),
         ([0, 60], (50, lambda s: setattr(s, "draining", True)), [(60, 1, FULL), (100, 0, OK)]),
     ],
@@ -130,7 +130,7 @@
         clock.call_at(BEGIN + change[0] * 1000, change[1], server)
     clock.run(BEGIN + 10**6)
     assert out == ends
-    assert server.in_work == server.running == len(server.held) == 0
+    assert server.used_slots == server.running == len(server.jobs) == 0
 
 
 def test_work_stops_when_its_call_is_given_up():
@@ -154,7 +154,8 @@
     # 1 s at 1.2 cores' worth, twice over, and three calls for chance: 27 calls of 100 ms are too many.
     _, attempts, _ = replies(world, clock, [0] * 30)
     clock.run(clock.now)
-    assert server.fallen and world.referee.counts["cold_server"] == 0  # nobody had been told of its start
+    assert server.failed_cold
+    assert world.referee.counts["cold_server"] == 0  # nobody had been notified of its start
 
 
 SAFE, KEYED, UNSAFE = (
@@ -183,18 +184,18 @@
 )
 def test_the_referee_knows_what_may_run_again(klass, first, then, cell, at, rule):
     referee = Referee([SAFE, KEYED, UNSAFE], stop_sending=500, second_copies=False)
-    root = SimpleNamespace(klass=klass, index=0)
+    root = SimpleNamespace(request_class=klass, index=0)
     call = Call(1, root, 0, 0, 1000, None)
     one, other = (SimpleNamespace(zone=0, cell=c, id=c) for c in (1, cell))
     call.sent.append(SimpleNamespace(server=one, sent_at=0, ended=first is not None))
     if first is None:
-        call.out = 1
+        call.in_flight = 1
     else:
-        referee.ended(call, one, 0, first)
+        referee.attempt_ended(call, one, 0, first)
     if then == "refuse":
-        referee.refused(at, call)
+        referee.check_rejection(at, call)
     else:
-        referee.sending(at, call, other, 0 if then == "late" else -1)
+        referee.check_attempt(at, call, other, 0 if then == "late" else -1)
     assert {r for r, n in referee.counts.items() if n} == ({rule} if rule else set())
 
 
--- a/workbench/baselines/oracle.py
+++ b/workbench/baselines/oracle.py
@@ -41,7 +41,7 @@
         server = self.world.by_id[server_id]
         if not server.up or server.silent or server.draining:
             return inf
-        blocked = server.in_work - server.running
+        blocked = server.used_slots - server.running
         load = server.running + len(server.queue) + BLOCKED_WORK_SHARE * blocked + 1
         speed = max(MIN_CAPACITY, server.capacity() / server.cores)
         return self.mean_work * max(1.0, load / server.cores) / speed
--- a/workbench/emulator/config.py
+++ b/workbench/emulator/config.py
@@ -8,7 +8,7 @@
 from balancer.settings import EFFECTS, GROUPS
 from workbench.emulator.address_block import CLIENT_PORT, MANAGEMENT_PORT
 from workbench.emulator.nodes import NodeAdapter, Site
-from workbench.model.network import num
+from workbench.model.network import fixed_float
 
 EFFECT_WORDS = {effect: word for word, effect in EFFECTS.items()}
 GROUP_WORDS = {group: word for word, group in GROUPS.items()}
@@ -65,8 +65,8 @@
         "second_copies": settings.hedging,
         "retry_after": settings.retry_after,
         "max_retry_after": settings.max_retry_after,
-        "connect_timeout": int(num(network.connect_timeout_ms) * 1000),
-        "conn_idle": int(num(network.idle_s) * 1e6),
+        "connect_timeout": int(fixed_float(network.connect_timeout_ms) * 1000),
+        "conn_idle": int(fixed_float(network.idle_s) * 1e6),
     }
 
 
--- a/workbench/emulator/nodes.py
+++ b/workbench/emulator/nodes.py
@@ -29,7 +29,7 @@
     synchronize_all,
 )
 from workbench.model.call import Answer, Attempt, Call
-from workbench.model.network import num
+from workbench.model.network import fixed_float
 from workbench.model.server import Server
 from workbench.model.site import EFFECT_WORDS, World
 
@@ -107,7 +107,7 @@
         """Starts the node's process."""
         self.site.control.boot(self)
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """Ends the node's process gracefully."""
         self.site.control.leave(self)
 
@@ -115,15 +115,15 @@
         """Kills the node's process."""
         self.site.control.kill(self)
 
-    def arriving(self, at: int, call: Call) -> None:
+    def expect(self, at: int, call: Call) -> None:
         """Schedules a client's call, which arrives at `at`."""
         call.node = self
-        self.site.clock.call_at(at, self.take, call)
+        self.site.clock.call_at(at, self.accept, call)
 
-    def take(self, call: Call) -> None:
+    def accept(self, call: Call) -> None:
         """Sends a client's request; the client's time began when it was due."""
         site = self.site
-        call.taken = True
+        call.accepted = True
         site.calls[call.id] = call
         site.world.accounts.calls[0] += 1
         sent_at = site.clock.real()
@@ -167,8 +167,8 @@
         """Records that the node has rejected a call."""
         if not call.sent:
             call.cause = CAUSE_REJECTED
-        self.site.world.referee.refused(self.site.clock.now, call)
-        self.site.world.accounts.refusals[0] += 1
+        self.site.world.referee.check_rejection(self.site.clock.now, call)
+        self.site.world.accounts.rejections[0] += 1
 
     def record_request(self, call: Call, sent_at: int, answer: str, status: int = 0) -> None:
         """Writes one request at this node, and how it ended, to the history."""
@@ -187,11 +187,11 @@
             status=status,
         )
 
-    def drop(self, call: Call) -> None:
+    def client_disconnected(self, call: Call) -> None:
         """Cancels the request of a client that has left."""
         self.cancel(call, CLIENT_LEFT)
 
-    def overdue(self, call: Call) -> None:
+    def deadline_missed(self, call: Call) -> None:
         """Cancels a request whose time and the slack are over."""
         self.cancel(call, NO_RESPONSE)
 
@@ -227,10 +227,10 @@
     def count_attempt(self, attempt: Attempt, unavailable_since: int) -> None:
         """Records a new attempt with its call, the referee and the accounts."""
         world, call, server = self.site.world, attempt.call, attempt.server
-        if unavailable_since >= 0 or call.out or call.ran_on is not None:
-            world.referee.sending(attempt.sent_at, call, server, unavailable_since)
+        if unavailable_since >= 0 or call.in_flight or call.ran_on is not None:
+            world.referee.check_attempt(attempt.sent_at, call, server, unavailable_since)
         call.sent.append(attempt)
-        call.out += 1
+        call.in_flight += 1
         call.root.attempts += 1
         world.accounts.attempts[0] += 1
         world.accounts.crossings += server.zone != self.zone
@@ -255,9 +255,9 @@
         """Records the outcome of an attempt."""
         attempt.ended = True
         call = attempt.call
-        call.out -= 1
+        call.in_flight -= 1
         site = self.site
-        site.world.referee.ended(call, attempt.server, attempt.sent_at, outcome)
+        site.world.referee.attempt_ended(call, attempt.server, attempt.sent_at, outcome)
         site.observe(
             "attempt",
             id=f"{call.id:016x}",
@@ -274,7 +274,7 @@
 
     # ---- what discovery does to it --------------------------------------------------------------------
 
-    def news(self, kind: ListKind, entries: list[ServerEntry]) -> None:
+    def update_servers(self, kind: ListKind, entries: list[ServerEntry]) -> None:
         """Passes a list or changes on to the node's agent."""
         self.agent.update(kind, entries)
 
@@ -380,7 +380,7 @@
 
     def poll_servers(self, _: Any) -> None:
         """Brings the proxies in line with the servers, again and again."""
-        idle_timeout = int(num(self.world.day.network.idle_s) * 1e6)
+        idle_timeout = int(fixed_float(self.world.day.network.idle_s) * 1e6)
         proxies = [proxy for node in self.nodes for proxy in node.proxies.values()]
         synchronize_all(proxies, self.clock.now, idle_timeout)
         self.clock.call_at(self.clock.now + SERVER_POLL_INTERVAL, self.poll_servers, None)
@@ -400,11 +400,11 @@
 
     def class_name(self, call: Call) -> str:
         """Returns the name of a call's request class."""
-        return self.world.day.request_classes[call.root.klass].name
+        return self.world.day.request_classes[call.root.request_class].name
 
     def effect_name(self, call: Call) -> str:
         """Returns the effect of a call as scenarios spell it."""
-        return EFFECT_WORDS[self.world.classes[call.root.klass].effect]
+        return EFFECT_WORDS[self.world.classes[call.root.request_class].effect]
 
     def zone_name(self, zone: int) -> str:
         """Returns a zone's name."""
--- a/workbench/emulator/server_proxy.py
+++ b/workbench/emulator/server_proxy.py
@@ -83,7 +83,7 @@
     def accept(self, accepted: socket.socket) -> None:
         """Takes a connection from the listener; resets it where the server is down or has too many."""
         accepted.setblocking(False)
-        if not self.server.up or not self.server.dialled(1):
+        if not self.server.up or not self.server.change_connections(1):
             reset(accepted)
             return
         connection = ProxyConnection(self)
@@ -123,10 +123,10 @@
             now: The time in microseconds.
             idle_timeout: Microseconds after which an unused connection is closed.
         """
-        if self.server_life != self.server.life:
+        if self.server_life != self.server.incarnation:
             if self.server_life is not None:
                 self.abort_connections()
-            self.server_life = self.server.life
+            self.server_life = self.server.incarnation
         self.drop_new_connections(self.is_unreachable)
         for connection in list(self.connections):
             if connection.is_idle_since(now - idle_timeout):
@@ -154,7 +154,7 @@
     def __init__(self, proxy: ServerProxy) -> None:
         super().__init__()
         self.proxy = proxy
-        self.server_life = proxy.server.life
+        self.server_life = proxy.server.incarnation
         self.attempt: Attempt | None = None
         # Since when the node had been notified, as the attempt came, that the server drains or is gone.
         self.unavailable_since = NOT_NOTIFIED
@@ -179,7 +179,7 @@
             return
         if request.target.startswith(HEALTH_PATHS):
             self.proxy.node.health_checks += 1
-            self.outbound.send(response_bytes(200 if server.probed() else 503))
+            self.outbound.send(response_bytes(200 if server.answer_health_check() else 503))
             return
         self.proxy.node.on_attempt(self, request)
 
@@ -211,8 +211,8 @@
         self.proxy.connections.discard(self)
         self.inbound.closed = self.outbound.closed = True
         server = self.proxy.server
-        if self.server_life == server.life:
-            server.dialled(-1)
+        if self.server_life == server.incarnation:
+            server.change_connections(-1)
         attempt, self.attempt = self.attempt, None
         if attempt is not None and not attempt.ended:
             self.proxy.node.on_disconnect(attempt)
--- a/workbench/experiment/losses.py
+++ b/workbench/experiment/losses.py
@@ -9,7 +9,7 @@
 from multiprocessing import get_context
 
 from workbench.experiment.runner import begin_worker
-from workbench.model.network import num, whole
+from workbench.model.network import fixed_float, fixed_int
 from workbench.model.site import class_settings
 from workbench.report.losses import AttributionRules, Breakdown, breakdown
 from workbench.scenario.model import Scenario
@@ -41,7 +41,7 @@
     day = task.day
     run = play(day, task.policy, trace=True)
     assert run.trace_log is not None, "the day was traced"
-    rules = AttributionRules(class_settings(day), whole(day.nodes.max_attempts))
+    rules = AttributionRules(class_settings(day), fixed_int(day.nodes.max_attempts))
     account = run.result["account"]
     losses = breakdown(run.trace_log, rules, 1 - account["whole"], run.all_ended)
     broken = sum(run.result["rules"].values())
@@ -50,7 +50,7 @@
 
 def fault_second(day: Scenario) -> int:
     """The second of the day in which its first fault begins; 0 where it has none."""
-    return int(min((num(fault.at_s) for fault in day.fault), default=0.0))
+    return int(min((fixed_float(fault.at_s) for fault in day.fault), default=0.0))
 
 
 def play_all(tasks: Iterable[LossTask], workers: int) -> list[DayLosses]:
--- a/workbench/lab/member.py
+++ b/workbench/lab/member.py
@@ -177,7 +177,7 @@
         if STATS_MARK not in text:
             self.fleet.record("log", node=self.name, text=text)
         if text.endswith(ENDING_SUFFIX) and not self.stop_requested:  # its readiness check fails from now on
-            self.fleet.site.world.front.leaving(self.node)
+            self.fleet.site.world.front.node_draining(self.node)
 
     def on_exit(self, status: int) -> None:
         """Records that its process has ended, asked or not."""
@@ -191,7 +191,7 @@
         )
         self.node.up = self.node.ready = False
         self.node.on_process_ended()
-        self.fleet.site.world.front.died(self.node)
+        self.fleet.site.world.front.node_stopped(self.node)
         self.ready.clear()
         self.exited.set()
         if self.stop_requested:
@@ -210,7 +210,7 @@
             if response is not None and response.status == OK:
                 self.node.up = self.node.ready = True
                 site.clock.catch_up()
-                site.world.front.ready(self.node)
+                site.world.front.node_ready(self.node)
                 fleet.record("process", node=self.name, what="ready", life=process_number)
                 self.ready.set()
                 break
@@ -224,7 +224,7 @@
         self.stop_requested = self.stop_requested or number in (signal.SIGKILL, signal.SIGTERM)
         self.fleet.record("process", node=self.name, what=SIGNAL_WORDS[number], life=self.process_number)
         if number == signal.SIGTERM:
-            self.fleet.site.world.front.leaving(self.node)
+            self.fleet.site.world.front.node_draining(self.node)
         self.process.signal(number)
 
     # ---- what its pages report ------------------------------------------------------------------------
--- a/workbench/lab/run.py
+++ b/workbench/lab/run.py
@@ -28,7 +28,7 @@
 from workbench.lab.member import Member
 from workbench.lab.network import Endpoint, Links, Relay
 from workbench.lab.plan import NodeSelection, Plan, chosen, number, scenario
-from workbench.model.network import num, one_way
+from workbench.model.network import fixed_float, one_way
 from workbench.model.site import BEGIN, World
 from workbench.model.streams import Streams
 from workbench.scenario.load import draw as draw_scenario
@@ -217,13 +217,13 @@
     async def until_over(self) -> None:
         """Waits for the plan's length, the faults' ends, and the time that the views have to agree then."""
         started_at = self.loop.time()
-        length = num(self.scenario.length_s)
+        length = fixed_float(self.scenario.length_s)
         agree_s = number(self.plan.agree_s) if self.plan.fleet and self.plan.fault else 0.0
         while not self.stop.is_set():
             passed = self.loop.time() - started_at
             self.progress("playing", min(1.0, passed / length))
             calm = self.faults.over_at is not None and self.loop.time() >= self.faults.over_at + agree_s
-            over = passed >= length and (self.world.over() or passed >= length + REQUEST_GRACE_S)
+            over = passed >= length and (self.world.finished() or passed >= length + REQUEST_GRACE_S)
             if over and (calm or not self.plan.fault):
                 return
             await asyncio.sleep(PROGRESS_PERIOD_S)
@@ -281,7 +281,7 @@
             requests=account["requests"],
             attempts_a_call=account["attempts_a_call"],
             rules=self.world.referee.counts,
-            broken=self.world.referee.stories,
+            broken=self.world.referee.violations,
         )
         self.clock.stop()
         self.relay.close()
--- a/workbench/model/accounts.py
+++ b/workbench/model/accounts.py
@@ -10,25 +10,34 @@
 
 from balancer.policy.interface import ClassSettings
 from workbench.model.call import Request
-from workbench.model.network import num
+from workbench.model.network import fixed_float
 from workbench.scenario.model import Scenario
 
-BIN = 5_000_000  # of the table by time
-FINE = 1_000_000  # of the plot, and of the worst window's search
+TABLE_BIN_US = 5_000_000  # of the table by time
+BIN_US = 1_000_000  # of the plot, and of the worst window's search
 LATE = "late"
 
 
 class Bin:
     """Some seconds of requests, by when they were due."""
 
-    __slots__ = ("asked", "worth", "served_worth", "served", "tries", "attempts", "causes", "latencies")
+    __slots__ = (
+        "asked",
+        "attempts",
+        "causes",
+        "client_attempts",
+        "latencies",
+        "offered_value",
+        "served",
+        "served_value",
+    )
 
     def __init__(self) -> None:
         self.asked = 0
-        self.worth = 0.0
+        self.offered_value = 0.0
         self.served = 0
-        self.served_worth = 0.0
-        self.tries = 0
+        self.served_value = 0.0
+        self.client_attempts = 0
         self.attempts = 0
         self.causes: Counter[tuple[str, int]] = Counter()  # worth lost by cause and tier
         self.latencies: list[int] = []
@@ -41,80 +50,80 @@
         self.day = day
         self.classes = classes
         self.begin = begin
-        self.fine: list[Bin] = []
-        self.asked_worth = [0.0] * len(classes)
-        self.got_worth = [0.0] * len(classes)
-        self.late_fail = 0.0
+        self.bins: list[Bin] = []
+        self.offered_by_class = [0.0] * len(classes)
+        self.earned_by_class = [0.0] * len(classes)
+        self.late_failed_value = 0.0
         self.work = 0.0
         self.useful = 0.0
         self.calls = [0] * tiers
         self.attempts = [0] * tiers
-        self.refusals = [0] * tiers
+        self.rejections = [0] * tiers
         self.crossings = 0
         self.dials = 0
         self.probes = 0
 
     def bin_of(self, request: Request) -> Bin:
-        i = (request.due - self.begin) // FINE
-        while len(self.fine) <= i:
-            self.fine.append(Bin())
-        return self.fine[i]
-
-    def asked(self, request: Request) -> None:
-        worth = self.classes[request.klass].worth
-        b = self.bin_of(request)
-        b.asked += 1
-        b.worth += worth
-        self.asked_worth[request.klass] += worth
-
-    def ended(self, request: Request) -> float:
+        i = (request.due - self.begin) // BIN_US
+        while len(self.bins) <= i:
+            self.bins.append(Bin())
+        return self.bins[i]
+
+    def request_arrived(self, request: Request) -> None:
+        worth = self.classes[request.request_class].worth
+        interval = self.bin_of(request)
+        interval.asked += 1
+        interval.offered_value += worth
+        self.offered_by_class[request.request_class] += worth
+
+    def request_ended(self, request: Request) -> float:
         """A request's end, served or not; returns the worth that was lost."""
-        klass = self.classes[request.klass]
-        b = self.bin_of(request)
-        b.tries += request.tries
-        b.attempts += request.attempts
+        settings = self.classes[request.request_class]
+        interval = self.bin_of(request)
+        interval.client_attempts += request.client_attempts
+        interval.attempts += request.attempts
         self.work += request.work
         got = 0.0
         if request.served:
             self.useful += request.useful
-            b.latencies.append(request.done_at - request.due)
-            got = klass.worth * (1.0 if request.done_at <= request.aim_at else klass.late_worth)
-            if request.done_at > request.aim_at:
+            interval.latencies.append(request.done_at - request.due)
+            got = settings.worth * (1.0 if request.done_at <= request.objective_at else settings.late_worth)
+            if request.done_at > request.objective_at:
                 request.cause = (LATE, 0)
-        elif request.done_at > request.aim_at:
-            self.late_fail += klass.worth
-        b.served += request.served and request.done_at <= request.aim_at
-        b.served_worth += got
-        self.got_worth[request.klass] += got
-        if got < klass.worth:
-            b.causes[request.cause] += klass.worth - got  # type: ignore[assignment]
-        return klass.worth - got
+        elif request.done_at > request.objective_at:
+            self.late_failed_value += settings.worth
+        interval.served += request.served and request.done_at <= request.objective_at
+        interval.served_value += got
+        self.earned_by_class[request.request_class] += got
+        if got < settings.worth:
+            interval.causes[request.cause] += settings.worth - got  # type: ignore[assignment]
+        return settings.worth - got
 
     # ---- sums -----------------------------------------------------------------------------------------
 
-    def joined(self, length: int) -> list[Bin]:
+    def merged_bins(self, length: int) -> list[Bin]:
         """The fine bins, joined to bins of `length` microseconds."""
-        n = length // FINE
+        n = length // BIN_US
         out = []
-        for start in range(0, len(self.fine), n):
+        for start in range(0, len(self.bins), n):
             sum_ = Bin()
-            for b in self.fine[start : start + n]:
-                sum_.asked += b.asked
-                sum_.worth += b.worth
-                sum_.served += b.served
-                sum_.served_worth += b.served_worth
-                sum_.tries += b.tries
-                sum_.attempts += b.attempts
-                sum_.causes.update(b.causes)
-                sum_.latencies += b.latencies
+            for interval in self.bins[start : start + n]:
+                sum_.asked += interval.asked
+                sum_.offered_value += interval.offered_value
+                sum_.served += interval.served
+                sum_.served_value += interval.served_value
+                sum_.client_attempts += interval.client_attempts
+                sum_.attempts += interval.attempts
+                sum_.causes.update(interval.causes)
+                sum_.latencies += interval.latencies
             out.append(sum_)
         return out
 
     def worst_window(self) -> float:
         """The least share of worth served in any window of the goal's length, by steps of a second."""
-        width = max(1, int(num(self.day.goal.window_s) * 1e6) // FINE)
-        worth = np.array([b.worth for b in self.fine])
-        got = np.array([b.served_worth for b in self.fine])
+        width = max(1, int(fixed_float(self.day.goal.window_s) * 1e6) // BIN_US)
+        worth = np.array([interval.offered_value for interval in self.bins])
+        got = np.array([interval.served_value for interval in self.bins])
         if len(worth) > width:
             ones = np.ones(width)
             worth, got = np.convolve(worth, ones, "valid"), np.convolve(got, ones, "valid")
@@ -126,31 +135,33 @@
     def summary(self) -> dict[str, Any]:
         """The account as a result file has it: shares from 0 to 1, prices already times their rates."""
         goal, price = self.day.goal, self.day.prices
-        asked, got = sum(self.asked_worth), sum(self.got_worth)
-        first = max(1, sum(b.asked for b in self.fine))
+        asked, got = sum(self.offered_by_class), sum(self.earned_by_class)
+        first = max(1, sum(interval.asked for interval in self.bins))
         whole = got / asked if asked else 1.0
         by_class = {
             c.name: g / a
-            for c, g, a in zip(self.day.request_classes, self.got_worth, self.asked_worth, strict=True)
+            for c, g, a in zip(
+                self.day.request_classes, self.earned_by_class, self.offered_by_class, strict=True
+            )
             if a
         }
         window = self.worst_window()
         worst = min(by_class.values(), default=1.0)
         prices = {
-            "cross_zone": num(price.cross_zone) * self.crossings / first,
-            "waste": num(price.waste) * max(0.0, self.work - self.useful) / max(self.useful, 1.0),
-            "probe": num(price.probe) * self.probes / first,
-            "late_fail": num(price.late_fail) * self.late_fail / asked if asked else 0.0,
-            "handshake": num(price.handshake) * self.dials / first,
+            "cross_zone": fixed_float(price.cross_zone) * self.crossings / first,
+            "waste": fixed_float(price.waste) * max(0.0, self.work - self.useful) / max(self.useful, 1.0),
+            "probe": fixed_float(price.probe) * self.probes / first,
+            "late_fail": fixed_float(price.late_fail) * self.late_failed_value / asked if asked else 0.0,
+            "handshake": fixed_float(price.handshake) * self.dials / first,
         }
-        weights = (num(goal.whole), num(goal.worst_window), num(goal.worst_class))
+        weights = (fixed_float(goal.whole), fixed_float(goal.worst_window), fixed_float(goal.worst_class))
         parts = (whole, window, worst)
         mixed = sum(w * p for w, p in zip(weights, parts, strict=True)) / (sum(weights) or 1.0)
-        tries = sum(b.tries for b in self.fine)
+        tries = sum(interval.client_attempts for interval in self.bins)
         lost: Counter[tuple[str, int]] = Counter()
-        for b in self.fine:
-            lost.update(b.causes)
-        latencies = np.array([v for b in self.fine for v in b.latencies]) / 1000
+        for interval in self.bins:
+            lost.update(interval.causes)
+        latencies = np.array([v for interval in self.bins for v in interval.latencies]) / 1000
         return {
             "goal": max(0.0, min(1.0, mixed - sum(prices.values()))),
             "whole": whole,
@@ -162,7 +173,7 @@
             "tries_a_request": tries / first,
             "attempts_a_call": [a / c if c else 0.0 for a, c in zip(self.attempts, self.calls, strict=True)],
             "calls": self.calls,
-            "refusals": self.refusals,
+            "refusals": self.rejections,
             "connections_dialled": self.dials,
             "latency_ms": {
                 f"p{p:g}": float(np.percentile(latencies, p)) for p in (50, 90, 99) if len(latencies)
@@ -173,25 +184,25 @@
             ],
         }
 
-    def table(self, length: int = BIN) -> list[dict[str, Any]]:
+    def table(self, length: int = TABLE_BIN_US) -> list[dict[str, Any]]:
         """What came and went by `length` microseconds of the day."""
         rows = []
-        for i, b in enumerate(self.joined(length)):
-            latencies = np.array(b.latencies or [0]) / 1000
+        for i, interval in enumerate(self.merged_bins(length)):
+            latencies = np.array(interval.latencies or [0]) / 1000
             rows.append(
                 {
                     "at_s": i * length / 1e6,
-                    "asked": b.asked,
-                    "served": b.served,
-                    "worth": b.worth,
-                    "served_worth": b.served_worth,
-                    "tries": b.tries,
-                    "attempts": b.attempts,
+                    "asked": interval.asked,
+                    "served": interval.served,
+                    "worth": interval.offered_value,
+                    "served_worth": interval.served_value,
+                    "tries": interval.client_attempts,
+                    "attempts": interval.attempts,
                     "p50_ms": float(np.percentile(latencies, 50)),
                     "p99_ms": float(np.percentile(latencies, 99)),
                     "lost": [
                         {"cause": cause, "tier": tier, "worth": worth}
-                        for (cause, tier), worth in sorted(b.causes.items())
+                        for (cause, tier), worth in sorted(interval.causes.items())
                     ],
                 }
             )
--- a/workbench/model/call.py
+++ b/workbench/model/call.py
@@ -20,12 +20,12 @@
     __slots__ = (
         "index",
         "key",
-        "klass",
+        "request_class",
         "zone",
         "due",
-        "aim_at",
-        "dead_at",
-        "tries",
+        "objective_at",
+        "deadline_at",
+        "client_attempts",
         "factor",
         "cause",
         "done_at",
@@ -37,16 +37,24 @@
     )
 
     def __init__(
-        self, index: int, key: int, klass: int, zone: int, due: int, aim: int, deadline: int, factor: float
+        self,
+        index: int,
+        key: int,
+        request_class: int,
+        zone: int,
+        due: int,
+        objective: int,
+        deadline: int,
+        factor: float,
     ) -> None:
         self.index = index
         self.key = key
-        self.klass = klass
+        self.request_class = request_class
         self.zone = zone
         self.due = due
-        self.aim_at = due + aim
-        self.dead_at = due + deadline
-        self.tries = 0
+        self.objective_at = due + objective
+        self.deadline_at = due + deadline
+        self.client_attempts = 0
         self.factor = factor  # its work, against the class's mean
         self.cause = UNKNOWN
         self.done_at = -1
@@ -77,7 +85,7 @@
         "node",
         "number",
         "sent",
-        "out",
+        "in_flight",
         "ran_on",
         "ran_at",
         "open",
@@ -85,7 +93,7 @@
         "useful",
         "context",
         "waiting",
-        "taken",
+        "accepted",
         "trace",
     )
 
@@ -99,11 +107,11 @@
         self.node: Port | None = None
         self.number = 0  # of the try, or of the call among its server's calls
         self.sent: list[Attempt] = []
-        self.out = 0  # attempts without an outcome
+        self.in_flight = 0  # attempts without an outcome
         self.ran_on: Any = None  # the first server that may have run it
         self.ran_at = 0
         self.open = True
-        self.taken = False
+        self.accepted = False
         self.cause = UNKNOWN
         self.useful = 0.0
         self.context: Any = None  # the caller's own
@@ -151,28 +159,28 @@
     ready: bool
     starts: dict[int, int]  # the servers that it was told of, by their starts
 
-    def arriving(self, at: int, call: Call) -> None:
+    def expect(self, at: int, call: Call) -> None:
         """A client's call is on its way and comes at `at`."""
 
-    def take(self, call: Call) -> None:
+    def accept(self, call: Call) -> None:
         """A call has come to the node."""
 
-    def drop(self, call: Call) -> None:
+    def client_disconnected(self, call: Call) -> None:
         """The call's caller has left."""
 
-    def overdue(self, call: Call) -> None:
+    def deadline_missed(self, call: Call) -> None:
         """The call's time and the slack are over: if it is open still, the rule is broken."""
 
     def reply(self, attempt: Attempt, outcome: Outcome) -> None:
         """A server has answered an attempt, or its connection has broken."""
 
-    def news(self, kind: ListKind, entries: list[ServerEntry]) -> None:
+    def update_servers(self, kind: ListKind, entries: list[ServerEntry]) -> None:
         """Discovery has told the node something."""
 
     def boot(self) -> None:
         """Starts a new process."""
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """SIGTERM: finish what is open, then end."""
 
     def kill(self) -> None:
@@ -189,6 +197,6 @@
     return not call.open
 
 
-def is_left(call: Call) -> bool:
+def is_not_awaited(call: Call) -> bool:
     """A caller's patience is needless once it waits no more."""
     return not call.waiting
--- a/workbench/model/discovery.py
+++ b/workbench/model/discovery.py
@@ -5,7 +5,7 @@
 from balancer.policy.interface import ListKind, ServerEntry, State
 from workbench.model.call import Port
 from workbench.model.environment import Environment, ServerView
-from workbench.model.network import num
+from workbench.model.network import fixed_float
 from workbench.scenario.model import Scenario
 
 Changes = list[ServerEntry]
@@ -14,14 +14,14 @@
 class Subscriber:
     """What one node has been told, as its agent keeps it."""
 
-    __slots__ = ("port", "lag", "version", "listening", "asked")
+    __slots__ = ("port", "lag", "version", "listening", "watch_pending")
 
     def __init__(self, port: Port, lag: int) -> None:
         self.port = port
         self.lag = lag
         self.version = 0  # of its tier's list
         self.listening = False
-        self.asked = False
+        self.watch_pending = False
 
 
 class Discovery:
@@ -32,18 +32,18 @@
         self.clock = world.clock
         self.rng = world.streams.random("discovery")
         self.answers = world.streams.random("discovery/answers")
-        d = day.discovery
-        self.push = d.mode == "push"
-        self.notice = num(d.notice_s) * 1e6
-        self.silent_notice = num(d.silent_notice_s) * 1e6
-        self.add = num(d.add_s) * 1e6
-        self.spread = num(d.spread_ms) * 1000
-        self.period = int(num(d.period_ms) * 1000)
-        self.wrong = [
-            ("lost", num(d.lost)),
-            ("stale", num(d.stale)),
-            ("partial", num(d.partial)),
-            ("garbled", num(d.garbled)),
+        settings = day.discovery
+        self.push = settings.mode == "push"
+        self.detection_delay = fixed_float(settings.notice_s) * 1e6
+        self.silent_detection_delay = fixed_float(settings.silent_notice_s) * 1e6
+        self.join_delay = fixed_float(settings.add_s) * 1e6
+        self.max_lag = fixed_float(settings.spread_ms) * 1000
+        self.period = int(fixed_float(settings.period_ms) * 1000)
+        self.fault_shares = [
+            ("lost", fixed_float(settings.lost)),
+            ("stale", fixed_float(settings.stale)),
+            ("partial", fixed_float(settings.partial)),
+            ("garbled", fixed_float(settings.garbled)),
         ]
         self.lists: list[dict[int, ServerEntry]] = [{} for _ in range(tiers)]
         self.log: list[list[ServerEntry]] = [[] for _ in range(tiers)]
@@ -53,30 +53,30 @@
 
     # ---- what discovery sees of the servers ----------------------------------------------------------------
 
-    def enter(self, server: ServerView, state: State = State.READY) -> None:
+    def add_initial(self, server: ServerView, state: State = State.READY) -> None:
         """The list has the server from the start, without news."""
         self.lists[server.tier][server.id] = entry_of(server, state)
 
-    def came(self, server: ServerView) -> None:
-        self.later(self.add, server, State.READY)
+    def server_started(self, server: ServerView) -> None:
+        self.schedule_publish(self.join_delay, server, State.READY)
 
-    def drains(self, server: ServerView) -> None:
-        self.later(self.period * 0.5, server, State.DRAINING)
+    def server_draining(self, server: ServerView) -> None:
+        self.schedule_publish(self.period * 0.5, server, State.DRAINING)
 
-    def died(self, server: ServerView) -> None:
-        self.later(self.notice, server, State.GONE)
+    def server_stopped(self, server: ServerView) -> None:
+        self.schedule_publish(self.detection_delay, server, State.GONE)
 
-    def fell_silent(self, server: ServerView) -> None:
-        self.later(self.silent_notice, server, State.GONE)
+    def server_unreachable(self, server: ServerView) -> None:
+        self.schedule_publish(self.silent_detection_delay, server, State.GONE)
 
-    def later(self, mean: float, server: ServerView, state: State) -> None:
+    def schedule_publish(self, mean: float, server: ServerView, state: State) -> None:
         at = self.clock.now + int(mean * (0.6 + 0.8 * self.rng.random()))
-        self.clock.call_at(at, self.publish, (server, state, server.life))
+        self.clock.call_at(at, self.publish, (server, state, server.incarnation))
 
     def publish(self, change: tuple[ServerView, State, int]) -> None:
         """Into the list, unless the server has moved on since."""
-        server, state, life = change
-        if life != server.life or (state == State.GONE and server.up and not server.silent):
+        server, state, incarnation = change
+        if incarnation != server.incarnation or (state == State.GONE and server.up and not server.silent):
             return
         entry = entry_of(server, state)
         table = self.lists[server.tier]
@@ -86,13 +86,13 @@
         else:
             table[server.id] = entry
         self.log[server.tier].append(entry)
-        self.tell_all(server.tier)
+        self.schedule_round(server.tier)
 
     # ---- what nodes hear ------------------------------------------------------------------------------
 
     def subscribe(self, port: Port) -> Subscriber:
         """A node's place at discovery; `boot` comes with each of its processes."""
-        subscriber = Subscriber(port, int(self.spread * self.rng.random()))
+        subscriber = Subscriber(port, int(self.max_lag * self.rng.random()))
         self.subscribers[port.tier].append(subscriber)
         return subscriber
 
@@ -102,7 +102,7 @@
         subscriber.listening = self.push
         if not self.silent:
             subscriber.version = len(self.log[tier])
-        subscriber.port.news(ListKind.CACHED, self.list_at(tier, subscriber.version))
+        subscriber.port.update_servers(ListKind.CACHED, self.list_at(tier, subscriber.version))
 
     def list_at(self, tier: int, version: int) -> Changes:
         """The list as it was at a version: today's, with what came later taken back as far as it is known."""
@@ -112,7 +112,7 @@
             table.pop(later.server, None)
         for earlier in log[:version]:
             if earlier.state != State.GONE and earlier.server not in table:
-                latest = [e for e in log[:version] if e.server == earlier.server][-1]
+                latest = [entry for entry in log[:version] if entry.server == earlier.server][-1]
                 if latest.state != State.GONE:
                     table[latest.server] = latest
         return list(table.values())
@@ -120,17 +120,17 @@
     def listen(self, subscriber: Subscriber, on: bool) -> None:
         """Where the list must be asked for: a watch, answered once."""
         subscriber.listening = on
-        if on and not subscriber.asked:
-            subscriber.asked = True
+        if on and not subscriber.watch_pending:
+            subscriber.watch_pending = True
             self.clock.call_at(self.clock.now + subscriber.lag + 1000, self.answer_watch, subscriber)
 
     def answer_watch(self, subscriber: Subscriber) -> None:
-        subscriber.asked = False
+        subscriber.watch_pending = False
         if self.silent:
             subscriber.listening = False
-            subscriber.port.news(ListKind.FAILED, [])
+            subscriber.port.update_servers(ListKind.FAILED, [])
         else:
-            self.tell(subscriber)
+            self.notify(subscriber)
 
     def fetch(self, subscriber: Subscriber) -> None:
         self.clock.call_at(self.clock.now + subscriber.lag + 1000, self.answer_fetch, subscriber)
@@ -138,63 +138,63 @@
     def answer_fetch(self, subscriber: Subscriber) -> None:
         if self.silent:
             if not self.push:
-                subscriber.port.news(ListKind.FAILED, [])
+                subscriber.port.update_servers(ListKind.FAILED, [])
             return
         tier = subscriber.port.tier
         subscriber.version = len(self.log[tier])
-        subscriber.port.news(ListKind.FULL, list(self.lists[tier].values()))
+        subscriber.port.update_servers(ListKind.FULL, list(self.lists[tier].values()))
 
-    def tell_all(self, tier: int) -> None:
+    def schedule_round(self, tier: int) -> None:
         """News goes out in rounds, so that a burst of changes is one message for each node."""
         if not self.pending[tier]:
             self.pending[tier] = True
-            self.clock.call_at(self.clock.now + 20_000, self.round, tier)
+            self.clock.call_at(self.clock.now + 20_000, self.notify_all, tier)
 
-    def round(self, tier: int) -> None:
+    def notify_all(self, tier: int) -> None:
         self.pending[tier] = False
         if self.silent:
             return
         for subscriber in self.subscribers[tier]:
             if subscriber.listening:
-                self.clock.call_at(self.clock.now + subscriber.lag, self.tell, subscriber)
+                self.clock.call_at(self.clock.now + subscriber.lag, self.notify, subscriber)
 
-    def tell(self, subscriber: Subscriber) -> None:
+    def notify(self, subscriber: Subscriber) -> None:
         tier = subscriber.port.tier
         log = self.log[tier]
-        news = log[subscriber.version :]
+        changes = log[subscriber.version :]
         if self.silent or not subscriber.listening or not subscriber.port.up:
             return
-        fault = self.draw_fault() if news else ""
+        fault = self.draw_fault() if changes else ""
         if fault:
             # Whatever went wrong, the next answer makes it good.
-            self.clock.call_at(self.clock.now + self.period, self.tell, subscriber)
+            self.clock.call_at(self.clock.now + self.period, self.notify, subscriber)
         if fault == "stale":
             older = max(0, subscriber.version - 5)
-            subscriber.port.news(ListKind.FULL, self.list_at(tier, older))
+            subscriber.port.update_servers(ListKind.FULL, self.list_at(tier, older))
             subscriber.version = older
         elif fault == "partial":
-            half = news[: len(news) // 2]
+            half = changes[: len(changes) // 2]
             subscriber.version += len(half)
-            subscriber.port.news(ListKind.CHANGES, half)
+            subscriber.port.update_servers(ListKind.CHANGES, half)
         elif not fault:
             subscriber.version = len(log)
-            subscriber.port.news(ListKind.CHANGES, news)
+            subscriber.port.update_servers(ListKind.CHANGES, changes)
 
     def draw_fault(self) -> str:
-        if not any(share for _, share in self.wrong):
+        if not any(share for _, share in self.fault_shares):
             return ""
         draw = self.answers.random()
-        for name, share in self.wrong:
+        for name, share in self.fault_shares:
             draw -= share
             if draw < 0:
                 return name
         return ""
 
-    def silence(self, on: bool) -> None:
+    def set_silent(self, on: bool) -> None:
         self.silent = on
         if not on:
             for tier in range(len(self.lists)):
-                self.tell_all(tier)
+                self.schedule_round(tier)
 
 
 def entry_of(server: ServerView, state: State) -> ServerEntry:
--- a/workbench/model/environment.py
+++ b/workbench/model/environment.py
@@ -48,7 +48,7 @@
         """The model's clock."""
 
     @property
-    def life(self) -> int:
+    def incarnation(self) -> int:
         """How often its process has been started anew."""
 
     @property
@@ -67,26 +67,26 @@
 class ServerDiscovery(Protocol):
     """What servers and faults report to discovery."""
 
-    def came(self, server: ServerView) -> None:
+    def server_started(self, server: ServerView) -> None:
         """A server has started."""
 
-    def drains(self, server: ServerView) -> None:
+    def server_draining(self, server: ServerView) -> None:
         """A server drains."""
 
-    def died(self, server: ServerView) -> None:
+    def server_stopped(self, server: ServerView) -> None:
         """A server's process has ended."""
 
-    def fell_silent(self, server: ServerView) -> None:
+    def server_unreachable(self, server: ServerView) -> None:
         """A server's machine neither sends nor receives any more."""
 
-    def silence(self, on: bool) -> None:
+    def set_silent(self, on: bool) -> None:
         """Discovery itself stops answering, or answers again."""
 
 
 class ServerReferee(Protocol):
     """What servers report to the referee."""
 
-    def fell(self, server: ServerView, told_share: float) -> None:
+    def cold_server_failed(self, server: ServerView, notified_share: float) -> None:
         """A cold server was sent more than it stands."""
 
 
@@ -175,7 +175,7 @@
     def call(self, root: Request, key: int, tier: int, until: int, caller: Caller) -> Call:
         """Returns a new call."""
 
-    def told(self, attempt: Attempt, server: ServerView) -> bool:
+    def knows_start(self, attempt: Attempt, server: ServerView) -> bool:
         """Whether the node that sent an attempt knew of the server's present start."""
 
     def trace(self, request: Request, who: str, what: str) -> None:
--- a/workbench/model/faults.py
+++ b/workbench/model/faults.py
@@ -9,13 +9,13 @@
 
 from workbench.model.call import Port
 from workbench.model.environment import Environment
-from workbench.model.network import num, whole
+from workbench.model.network import fixed_float, fixed_int
 from workbench.model.server import Server
 from workbench.model.server_spec import ServerSpec
 from workbench.scenario.model import Fault
 
-LATE_MS = 1500.0  # by so much do late connections come up at most, where the day does not say
-DRAIN = 3_000_000  # a server that is replaced drains for so long before it ends
+DEFAULT_LATE_MS = 1500.0  # by so much do late connections come up at most, where the day does not say
+SERVER_DRAIN_US = 3_000_000  # a server that is replaced drains for so long before it ends
 
 
 class FaultyEnvironment(Environment, Protocol):
@@ -39,7 +39,7 @@
         """Makes a server that replaces another."""
 
 
-class Trouble:
+class ActiveFault:
     """One fault at work."""
 
     def __init__(self, world: FaultyEnvironment, fault: Fault, number: int) -> None:
@@ -47,15 +47,15 @@
         self.clock = world.clock
         self.fault = fault
         self.rng = world.streams.random(f"fault/{number}")
-        self.begin = world.begin + int(num(fault.at_s) * 1e6)
-        self.length = int(num(fault.for_s) * 1e6)
-        self.factor = num(fault.factor)
-        self.part = num(fault.part)
-        self.share = num(fault.share)
-        late_ms = LATE_MS if isinstance(fault.late_ms, UnsetType) else num(fault.late_ms)
-        self.latest = int(late_ms * 1000)
-        self.steps = whole(fault.steps)
-        self.struck: list[Server] = []
+        self.begin = world.begin + int(fixed_float(fault.at_s) * 1e6)
+        self.length = int(fixed_float(fault.for_s) * 1e6)
+        self.factor = fixed_float(fault.factor)
+        self.part = fixed_float(fault.part)
+        self.share = fixed_float(fault.share)
+        late_ms = DEFAULT_LATE_MS if isinstance(fault.late_ms, UnsetType) else fixed_float(fault.late_ms)
+        self.max_connection_delay = int(late_ms * 1000)
+        self.steps = fixed_int(fault.steps)
+        self.affected: list[Server] = []
         self.clock.call_at(self.begin, self.start, None)
 
     def servers(self) -> list[Server]:
@@ -63,9 +63,9 @@
         tiers = self.world.tiers if self.fault.tier < 0 else [self.world.tiers[self.fault.tier]]
         chosen: list[Server] = []
         for tier in tiers:
-            able = [s for s in tier if s.up and not s.silent]
-            self.rng.shuffle(able)
-            chosen += able[: max(1, round(self.part * len(able)))]
+            candidates = [s for s in tier if s.up and not s.silent]
+            self.rng.shuffle(candidates)
+            chosen += candidates[: max(1, round(self.part * len(candidates)))]
         self.rng.shuffle(chosen)  # steps of a change go through all tiers alike
         return chosen
 
@@ -78,27 +78,27 @@
     # ---- slower servers -------------------------------------------------------------------------------
 
     def start_slow(self) -> None:
-        self.struck = self.servers()
+        self.affected = self.servers()
         self.set_slow(self.factor)
         self.end_at(lambda _: self.set_slow(1 / self.factor))
 
     def set_slow(self, factor: float) -> None:
-        for server in self.struck:
+        for server in self.affected:
             server.slow *= factor
-            server.tune()
+            server.update_speed()
 
     def start_neighbour(self) -> None:
         """Another program on the machine, on and off for 1 to 5 s."""
-        self.struck = self.servers()
-        for server in self.struck:
+        self.affected = self.servers()
+        for server in self.affected:
             self.clock.call_at(self.clock.now + int(self.rng.random() * 1e6), self.neighbour, (server, True))
 
-    def neighbour(self, turn: tuple[Server, bool]) -> None:
-        server, on = turn
-        over = self.clock.now >= self.begin + self.length
-        server.taken = self.share if on and not over else 0.0
-        server.tune()
-        if not over:
+    def neighbour(self, phase: tuple[Server, bool]) -> None:
+        server, on = phase
+        ended = self.clock.now >= self.begin + self.length
+        server.stolen_share = self.share if on and not ended else 0.0
+        server.update_speed()
+        if not ended:
             self.clock.call_at(
                 self.clock.now + int(1e6 + 4e6 * self.rng.random()), self.neighbour, (server, not on)
             )
@@ -111,7 +111,7 @@
         self.world.shared_slow *= factor
         for tier in self.world.tiers:
             for server in tier:
-                server.tune()
+                server.update_speed()
 
     # ---- lost servers ---------------------------------------------------------------------------------
 
@@ -119,72 +119,72 @@
         self.crash(self.servers())
 
     def crash(self, servers: list[Server]) -> None:
-        self.struck = servers
+        self.affected = servers
         for server in servers:
             server.stop(kill=True)
-            self.world.discovery.died(server)
+            self.world.discovery.server_stopped(server)
         self.end_at(self.revive)
 
     def revive(self, _: Any) -> None:
-        for server in self.struck:
+        for server in self.affected:
             self.clock.call_at(self.clock.now + int(1e6 * self.rng.random()), lambda s: s.start(), server)
 
     def start_zone_lost(self) -> None:
         """All servers of a zone at once; without zones, the fault's part of each tier."""
-        self.crash(self.of_zone())
+        self.crash(self.zone_servers())
 
-    def of_zone(self) -> list[Server]:
+    def zone_servers(self) -> list[Server]:
         """All that run in the fault's zone; without zones, its part of all."""
         if self.world.zones == 1:
             return self.servers()
-        zone = whole(self.fault.zone)
+        zone = fixed_int(self.fault.zone)
         return [s for tier in self.world.tiers for s in tier if s.zone == zone and s.up]
 
     def start_zone_slow(self) -> None:
         """A zone dies slowly: all its servers take so many times as long."""
-        self.struck = self.of_zone()
+        self.affected = self.zone_servers()
         self.set_slow(self.factor)
         self.end_at(lambda _: self.set_slow(1 / self.factor))
 
     def start_zone_failing(self) -> None:
         """Or a share of all its calls ends in an error."""
-        self.struck = self.of_zone()
+        self.affected = self.zone_servers()
         self.set_failing(self.share)
         self.end_at(lambda _: self.set_failing(None))
 
     def set_failing(self, share: float | None) -> None:
-        for server in self.struck:
+        for server in self.affected:
             server.failing = server.spec.error_rate if share is None else share
 
     def start_silent(self) -> None:
-        self.struck = self.servers()
-        for server in self.struck:
+        self.affected = self.servers()
+        for server in self.affected:
             server.silent = True
-            server.tune()
-            self.world.discovery.fell_silent(server)
-        self.end_at(self.speak)
+            server.update_speed()
+            self.world.discovery.server_unreachable(server)
+        self.end_at(self.restore_network)
 
-    def speak(self, _: Any) -> None:
-        for server in self.struck:
+    def restore_network(self, _: Any) -> None:
+        for server in self.affected:
             server.silent = False
-            server.tune()
-            self.world.discovery.came(server)
+            server.update_speed()
+            self.world.discovery.server_started(server)
 
     def start_cut(self) -> None:
-        zone = whole(self.fault.zone)
-        self.world.network.cut.add(zone)
-        self.end_at(lambda _: self.world.network.cut.discard(zone))
+        zone = fixed_int(self.fault.zone)
+        self.world.network.partitioned_zones.add(zone)
+        self.end_at(lambda _: self.world.network.partitioned_zones.discard(zone))
 
     def start_late_connections(self) -> None:
         """A share of the new connections to the struck servers comes up late; those that stand go on."""
-        self.struck = self.servers()
-        self.set_late(self.share, self.latest)
+        self.affected = self.servers()
+        self.set_late(self.share, self.max_connection_delay)
         self.end_at(lambda _: self.set_late(0.0, 0))
 
-    def set_late(self, share: float, latest: int) -> None:
-        for server in self.struck:
-            server.late_share = share
-            server.latest = latest
+    def set_late(self, share: float, max_delay: int) -> None:
+        for server in self.affected:
+            server.late_connection_share = share
+            server.max_connection_delay = max_delay
 
     # ---- planned changes ------------------------------------------------------------------------------
 
@@ -200,23 +200,23 @@
 
     def replace(self, server: Server) -> None:
         server.draining = True
-        self.world.discovery.drains(server)
+        self.world.discovery.server_draining(server)
         self.world.add_server(server.spec).start()
-        self.clock.call_at(self.clock.now + DRAIN, self.retire, server)
+        self.clock.call_at(self.clock.now + SERVER_DRAIN_US, self.retire, server)
 
     def retire(self, server: Server) -> None:
         server.stop(kill=False)
-        self.world.discovery.died(server)
+        self.world.discovery.server_stopped(server)
 
     def start_release(self) -> None:
         """New processes on the same machines, in steps, and the front's nodes with them."""
-        self.in_steps(self.servers(), self.renew)
+        self.in_steps(self.servers(), self.release_server)
         self.start_restart()
 
-    def renew(self, server: Server) -> None:
+    def release_server(self, server: Server) -> None:
         server.draining = True
-        self.world.discovery.drains(server)
-        self.clock.call_at(self.clock.now + DRAIN, self.restart_server, server)
+        self.world.discovery.server_draining(server)
+        self.clock.call_at(self.clock.now + SERVER_DRAIN_US, self.restart_server, server)
 
     def restart_server(self, server: Server) -> None:
         server.stop(kill=False)
@@ -233,7 +233,7 @@
         if self.fault.kill:
             node.kill()
         else:
-            node.leave()
+            node.drain()
         self.clock.call_at(self.clock.now + self.world.boot, self.boot_node, node)
 
     def boot_node(self, node: Port) -> None:
@@ -243,5 +243,5 @@
             node.boot()
 
     def start_discovery_silent(self) -> None:
-        self.world.discovery.silence(True)
-        self.end_at(lambda _: self.world.discovery.silence(False))
+        self.world.discovery.set_silent(True)
+        self.end_at(lambda _: self.world.discovery.set_silent(False))
--- a/workbench/model/referee.py
+++ b/workbench/model/referee.py
@@ -9,8 +9,8 @@
 from workbench.model.environment import ServerView
 
 RULES = ("final_answer", "duplicate_effects", "drain_grace", "cold_server", "well_formed")
-KEPT = 20  # broken rules told one by one
-TOLD_SHARE = 2 / 3  # of the work at a fallen server: beyond it the nodes that knew are at fault
+MAX_REPORTED = 20  # broken rules told one by one
+NOTIFIED_SHARE = 2 / 3  # of the work at a fallen server: beyond it the nodes that knew are at fault
 
 
 class Referee:
@@ -21,71 +21,77 @@
         self.stop_sending = stop_sending
         self.second_copies = second_copies
         self.counts = dict.fromkeys(RULES, 0)
-        self.stories: list[str] = []
+        self.violations: list[str] = []
 
-    def broken(self, now: int, rule: str, story: str) -> None:
+    def report(self, now: int, rule: str, description: str) -> None:
         self.counts[rule] += 1
-        if len(self.stories) < KEPT:
-            self.stories.append(f"{now / 1e6:.3f} s: {rule}: {story}")
+        if len(self.violations) < MAX_REPORTED:
+            self.violations.append(f"{now / 1e6:.3f} s: {rule}: {description}")
 
-    def overdue(self, now: int, call: Call) -> None:
+    def deadline_missed(self, now: int, call: Call) -> None:
         """A live node has let a request's time and the slack pass without a final answer."""
-        self.broken(now, "final_answer", f"request {call.root.index}, tier {call.tier}: no answer in time")
-
-    def malformed(self, now: int, story: str) -> None:
-        self.broken(now, "well_formed", story)
-
-    def sending(self, now: int, call: Call, server: ServerView, away_since: int) -> None:
-        """Before an attempt is booked. `away_since`: when the node was told that the server drains or is
-        gone."""
-        if away_since >= 0 and now > away_since + self.stop_sending:
-            late = (now - away_since) / 1000
-            self.broken(
+        self.report(now, "final_answer", f"request {call.root.index}, tier {call.tier}: no answer in time")
+
+    def malformed(self, now: int, description: str) -> None:
+        self.report(now, "well_formed", description)
+
+    def check_attempt(self, now: int, call: Call, server: ServerView, unavailable_since: int) -> None:
+        """Checks an attempt before it is recorded.
+
+        Args:
+            now: The current time.
+            call: The call that the attempt belongs to.
+            server: The server that it is sent to.
+            unavailable_since: When the node was notified that the server drains or is gone; -1 for never.
+        """
+        if unavailable_since >= 0 and now > unavailable_since + self.stop_sending:
+            late = (now - unavailable_since) / 1000
+            self.report(
                 now, "drain_grace", f"server {server.id}: sent to {late:.0f} ms after it was told away"
             )
-        klass = self.classes[call.root.klass]
-        if call.out and not self.second_copies:
-            self.broken(now, "duplicate_effects", f"request {call.root.index}: two attempts out at once")
-        if klass.effect == Effect.IDEMPOTENT:
+        settings = self.classes[call.root.request_class]
+        if call.in_flight and not self.second_copies:
+            self.report(now, "duplicate_effects", f"request {call.root.index}: two attempts out at once")
+        if settings.effect == Effect.IDEMPOTENT:
             return
         first, at = call.ran_on, call.ran_at
-        if first is None and call.out:
+        if first is None and call.in_flight:
             earlier = next(a for a in call.sent if not a.ended)
             first, at = earlier.server, earlier.sent_at
         if first is None:
             return
-        if klass.effect == Effect.NOT_IDEMPOTENT:
-            self.broken(now, "duplicate_effects", f"request {call.root.index}: an unsafe request sent again")
-        elif now > at + klass.window or not in_group(klass.group, first, server):
-            self.broken(
+        if settings.effect == Effect.NOT_IDEMPOTENT:
+            self.report(now, "duplicate_effects", f"request {call.root.index}: an unsafe request sent again")
+        elif now > at + settings.window or not in_group(settings.group, first, server):
+            self.report(
                 now, "duplicate_effects", f"request {call.root.index}: a keyed request outside its group"
             )
 
-    def ended(self, call: Call, server: Any, sent_at: int, outcome: Outcome) -> None:
+    def attempt_ended(self, call: Call, server: Any, sent_at: int, outcome: Outcome) -> None:
         """An attempt's outcome: whether it may have run."""
         if outcome not in NEVER_RAN and outcome != Outcome.OK and call.ran_on is None:
             call.ran_on = server
             call.ran_at = sent_at
 
-    def refused(self, now: int, call: Call) -> None:
+    def check_rejection(self, now: int, call: Call) -> None:
         """A refusal promises that a repeat does no harm."""
-        ran = call.ran_on is not None or call.out > 0
-        if ran and not repeats_anywhere(self.classes[call.root.klass]):
-            self.broken(
+        ran = call.ran_on is not None or call.in_flight > 0
+        if ran and not repeats_anywhere(self.classes[call.root.request_class]):
+            self.report(
                 now, "duplicate_effects", f"request {call.root.index}: refused though it may have run"
             )
 
-    def fell(self, server: ServerView, told_share: float) -> None:
+    def cold_server_failed(self, server: ServerView, notified_share: float) -> None:
         """A cold server was sent more than it stands."""
         now = server.clock.now
-        if told_share >= TOLD_SHARE:
-            self.broken(now, "cold_server", f"server {server.id}, tier {server.tier}: pushed over while cold")
+        if notified_share >= NOTIFIED_SHARE:
+            self.report(now, "cold_server", f"server {server.id}, tier {server.tier}: pushed over while cold")
 
 
-def repeats_anywhere(klass: ClassSettings) -> bool:
+def repeats_anywhere(settings: ClassSettings) -> bool:
     """Whether a request of the class that may have run does no harm at any server."""
-    return klass.effect == Effect.IDEMPOTENT or (
-        klass.effect == Effect.IDEMPOTENCY_KEY and klass.group == Group.ALL
+    return settings.effect == Effect.IDEMPOTENT or (
+        settings.effect == Effect.IDEMPOTENCY_KEY and settings.group == Group.ALL
     )
 
 
--- a/workbench/model/server.py
+++ b/workbench/model/server.py
@@ -3,7 +3,7 @@
 
 Calls in work that do not wait for the next tier share the cores evenly (processor sharing). `served` is the
 work each of them has got since the server was made, so a call ends when `served` has grown by its work: one
-heap of such marks, one event for the next end, whatever the number of calls.
+heap of such finish_heap, one event for the next end, whatever the number of calls.
 """
 
 from __future__ import annotations
@@ -18,24 +18,34 @@
 from workbench.model.server_spec import ServerSpec
 from workbench.model.streams import scramble
 
-BEFORE = 0.5  # of a server's own work is done before it calls the next tier
-WARM_STEPS = 40  # a cold start gains capacity in so many steps
+WORK_SHARE_BEFORE_CALLS = 0.5  # of a server's own work is done before it calls the next tier
+WARM_UP_STEPS = 40  # a cold start gains capacity in so many steps
 CONNECTION_TAX = 0.25  # of the capacity a full table of connections takes (BRIEF's site: 0.21 to 0.37)
-SPAN = 2**32
-LATE, LATE_BY = 201, 202  # what an attempt's draws are for
-COLD_SLACK = 3.0  # calls of mean work that a cold server bears beyond its budget, for chance
+DRAW_RANGE = 2**32
+LATE_DRAW, LATE_TIME_DRAW = 201, 202  # what an attempt's draws are for
+COLD_SLACK_CALLS = 3.0  # calls of mean work that a cold server bears beyond its budget, for chance
 
 
 class Job:
     """One attempt at its server."""
 
-    __slots__ = ("attempt", "mark", "begun", "left", "calls", "child", "useful", "state", "answer")
+    __slots__ = (
+        "attempt",
+        "finish_time",
+        "start_time",
+        "remaining",
+        "calls",
+        "child",
+        "useful",
+        "state",
+        "answer",
+    )
 
     def __init__(self, attempt: Attempt, work: float, calls: int) -> None:
         self.attempt = attempt
-        self.mark = 0.0  # the `served` at which its present work is done
-        self.begun = 0.0  # the `served` at which that began
-        self.left = work  # not yet begun
+        self.finish_time = 0.0  # the `served` at which its present work is done
+        self.start_time = 0.0  # the `served` at which that began
+        self.remaining = work  # not yet begun
         self.calls = calls  # not yet made
         self.child: Call | None = None
         self.useful = work
@@ -69,32 +79,32 @@
         self.up = True
         self.draining = False
         self.silent = False  # the machine says nothing, and hears nothing
-        self.late_share = 0.0  # share of its new connections that come up late
-        self.latest = 0  # by how many microseconds at most
-        self.fallen = False
+        self.late_connection_share = 0.0  # share of its new connections that come up late
+        self.max_connection_delay = 0  # by how many microseconds at most
+        self.failed_cold = False
         self.ready_at = 0
         self.warmth = 1.0
         self.slow = 1.0
         self.failing = spec.error_rate  # share of the calls that end in an error
-        self.taken = 0.0  # share of the machine that another program has
+        self.stolen_share = 0.0  # share of the machine that another program has
         self.paused = False
-        self.life = 0  # of its process
-        self.held: set[Job] = set()
+        self.incarnation = 0  # of its process
+        self.jobs: set[Job] = set()
         self.queue: deque[Job] = deque()
-        self.in_work = 0
+        self.used_slots = 0
         self.running = 0
-        self.marks: list[tuple[float, int, Job]] = []
-        self.order = 0
-        self.served = 0.0
-        self.at = 0
+        self.finish_heap: list[tuple[float, int, Job]] = []
+        self.sequence = 0
+        self.virtual_time = 0.0
+        self.updated_at = 0
         self.speed = spec.speed  # of a core now
         self.rate = 0.0  # of each running call now
-        self.wake_at = -1
+        self.timer_at = -1
         self.connections = 0
         self.overhead = 0.0  # work of handshakes and probes, charged to the next call
         self.recent: deque[tuple[int, float, bool]] = deque()  # what came while cold
         self.recent_work = 0.0
-        self.told_work = 0.0
+        self.notified_work = 0.0
         self.busy = 0.0  # core-microseconds of yardstick work done
         if spec.pause > 0:
             self.clock.call_at(
@@ -108,34 +118,39 @@
 
     def pause(self, _: Any) -> None:
         self.paused = True
-        self.tune()
+        self.update_speed()
         length = int(self.spec.pause * (0.7 + 0.6 * self.pauses.random()))
         self.clock.call_at(self.clock.now + length, self.resume, None)
 
     def resume(self, _: Any) -> None:
         self.paused = False
-        self.tune()
+        self.update_speed()
         self.clock.call_at(self.clock.now + int(self.next_pause()), self.pause, None)
 
-    def tune(self) -> None:
+    def update_speed(self) -> None:
         """Takes note of a change in what the machine can do."""
         self.advance()
         tax = 1 - CONNECTION_TAX * min(1.0, self.connections / self.spec.connection_cap)
-        share = 0.0 if self.paused or self.silent else 1 - self.taken
+        share = 0.0 if self.paused or self.silent else 1 - self.stolen_share
         self.speed = self.full_speed * self.warmth * share * tax / self.slow / self.world.shared_slow
         self.schedule()
 
     def capacity(self) -> float:
         """Yardstick work a microsecond that the server could do now, pauses left out."""
         return (
-            self.cores * self.full_speed * self.warmth * (1 - self.taken) / self.slow / self.world.shared_slow
+            self.cores
+            * self.full_speed
+            * self.warmth
+            * (1 - self.stolen_share)
+            / self.slow
+            / self.world.shared_slow
         )
 
     def advance(self) -> None:
         now = self.clock.now
         if self.rate > 0:
-            self.served += self.rate * (now - self.at)
-        self.at = now
+            self.virtual_time += self.rate * (now - self.updated_at)
+        self.updated_at = now
 
     def schedule(self) -> None:
         """Sets the rate anew and sees to it that the next end of work is met."""
@@ -146,34 +161,34 @@
             return
         if n > self.cores:
             rate *= self.cores / n
-        over = self.in_work - self.thrash_at
-        if over > 0:
-            rate /= 1 + self.spec.thrash * over / self.cores
+        excess = self.used_slots - self.thrash_at
+        if excess > 0:
+            rate /= 1 + self.spec.thrash * excess / self.cores
         self.rate = rate
-        due = self.at + int((self.marks[0][0] - self.served) / rate) + 1
-        if self.wake_at < 0 or due < self.wake_at:
-            self.wake_at = due
-            self.clock.call_at(due, self.woken, due)
+        due = self.updated_at + int((self.finish_heap[0][0] - self.virtual_time) / rate) + 1
+        if self.timer_at < 0 or due < self.timer_at:
+            self.timer_at = due
+            self.clock.call_at(due, self.on_timer, due)
 
-    def woken(self, due: int) -> None:
-        if due != self.wake_at:  # an earlier end came up since
+    def on_timer(self, due: int) -> None:
+        if due != self.timer_at:  # an earlier end came up since
             return
-        self.wake_at = -1
+        self.timer_at = -1
         now = self.clock.now
-        self.served += self.rate * (now - self.at)
-        self.at = now
-        marks = self.marks
-        limit = self.served + 1e-6
-        while marks and marks[0][0] <= limit:
-            job = heappop(marks)[2]
+        self.virtual_time += self.rate * (now - self.updated_at)
+        self.updated_at = now
+        finish_heap = self.finish_heap
+        limit = self.virtual_time + 1e-6
+        while finish_heap and finish_heap[0][0] <= limit:
+            job = heappop(finish_heap)[2]
             if job.state == RUNNING:
                 self.running -= 1
-                done = self.served - job.begun
+                done = self.virtual_time - job.start_time
                 self.busy += done
                 job.attempt.call.root.work += done
-                self.step(job)
-        while marks and marks[0][2].state != RUNNING:
-            heappop(marks)
+                self.next_step(job)
+        while finish_heap and finish_heap[0][2].state != RUNNING:
+            heappop(finish_heap)
         self.schedule()
 
     # ---- a call's way through ----------------------------------------------------------------------------
@@ -188,17 +203,17 @@
         world = self.world
         call = attempt.call
         root = call.root
-        work = self.works[root.klass] * root.factor
-        if self.warmth < 1.0 and not self.bears(attempt, work):
+        work = self.works[root.request_class] * root.factor
+        if self.warmth < 1.0 and not self.survives_load(attempt, work):
             return
-        if self.draining or (self.in_work >= self.slots and len(self.queue) >= self.spec.queue):
+        if self.draining or (self.used_slots >= self.slots and len(self.queue) >= self.spec.queue):
             attempt.port.reply(attempt, Outcome.REJECTED)
             return
         calls = world.calls(self.tier, call.key) if self.node is not None else 0
         job = attempt.job = Job(attempt, work + self.overhead, calls)
         self.overhead = 0.0
-        self.held.add(job)
-        if self.in_work >= self.slots:
+        self.jobs.add(job)
+        if self.used_slots >= self.slots:
             self.queue.append(job)
         else:
             self.advance()
@@ -206,36 +221,36 @@
             self.schedule()
 
     def begin(self, job: Job) -> None:
-        self.in_work += 1
+        self.used_slots += 1
         if job.calls:
-            part = job.left * BEFORE
-            job.left -= part
+            part = job.remaining * WORK_SHARE_BEFORE_CALLS
+            job.remaining -= part
             self.run(job, part)
         else:
-            part, job.left = job.left, 0.0
+            part, job.remaining = job.remaining, 0.0
             self.run(job, part)
 
     def run(self, job: Job, work: float) -> None:
         job.state = RUNNING
-        job.begun = self.served
-        job.mark = self.served + work
-        self.order += 1
+        job.start_time = self.virtual_time
+        job.finish_time = self.virtual_time + work
+        self.sequence += 1
         self.running += 1
-        heappush(self.marks, (job.mark, self.order, job))
+        heappush(self.finish_heap, (job.finish_time, self.sequence, job))
 
-    def worked(self, job: Job) -> None:
+    def record_work(self, job: Job) -> None:
         """Books the work that a call has got since it last began to run."""
-        done = self.served - job.begun
+        done = self.virtual_time - job.start_time
         self.busy += done
         job.attempt.call.root.work += done
 
-    def step(self, job: Job) -> None:
+    def next_step(self, job: Job) -> None:
         """What comes after a piece of work: a call to the next tier, the rest of the work, or the answer."""
         if job.calls:
             job.state = WAITING
             self.call(job)
-        elif job.left > 0:
-            part, job.left = job.left, 0.0
+        elif job.remaining > 0:
+            part, job.remaining = job.remaining, 0.0
             self.run(job, part)
         else:
             error = self.failing > 0 and self.errors.random() < self.failing
@@ -261,7 +276,7 @@
             call.cause = ("never sent", self.tier + 1)
             self.answered(call, Answer.UNREACHABLE, 0)
         else:
-            node.take(call)
+            node.accept(call)
 
     def answered(self, call: Call, answer: Answer, retry_after: int) -> None:
         """The next tier's answer to a call of ours. Nobody else repeats it: if it fails, so do we."""
@@ -272,7 +287,7 @@
         if answer == Answer.OK:
             job.useful += call.useful
             self.advance()
-            self.step(job)
+            self.next_step(job)
             self.schedule()
         else:
             job.attempt.cause = call.cause
@@ -288,9 +303,9 @@
 
     def release(self, job: Job) -> None:
         """Frees the slot, and lets the first who waits have it."""
-        self.held.discard(job)
-        self.in_work -= 1
-        while self.queue and self.in_work < self.slots:
+        self.jobs.discard(job)
+        self.used_slots -= 1
+        while self.queue and self.used_slots < self.slots:
             following = self.queue.popleft()
             if following.state != DONE:
                 self.advance()
@@ -308,22 +323,22 @@
         self.advance()
         job.state = DONE
         if state == QUEUED:
-            self.held.discard(job)
+            self.jobs.discard(job)
             self.queue.remove(job)
             return
         if state == RUNNING:
             self.running -= 1
-            self.worked(job)
-            while self.marks and self.marks[0][2].state != RUNNING:
-                heappop(self.marks)
+            self.record_work(job)
+            while self.finish_heap and self.finish_heap[0][2].state != RUNNING:
+                heappop(self.finish_heap)
         elif job.child is not None and self.node is not None:
-            self.node.drop(job.child)
+            self.node.client_disconnected(job.child)
         self.release(job)
         self.schedule()
 
     # ---- connections and probes --------------------------------------------------------------------------
 
-    def dialled(self, change: int) -> bool:
+    def change_connections(self, change: int) -> bool:
         """A connection comes up (1) or closes (-1). False if the table is full."""
         if change > 0:
             if self.connections >= self.spec.connection_cap:
@@ -334,65 +349,70 @@
 
     def connection_delay(self, draw: int) -> int:
         """How many microseconds later than usual a new connection comes up, by the draw of its attempt."""
-        if not self.late_share or scramble(draw, LATE) >= self.late_share * SPAN:
+        if (
+            not self.late_connection_share
+            or scramble(draw, LATE_DRAW) >= self.late_connection_share * DRAW_RANGE
+        ):
             return 0
-        return self.latest * scramble(draw, LATE_BY) // SPAN
+        return self.max_connection_delay * scramble(draw, LATE_TIME_DRAW) // DRAW_RANGE
 
-    def probed(self) -> bool:
+    def answer_health_check(self) -> bool:
         """A probe's answer; it costs work."""
         self.overhead += self.spec.probe
         return not self.draining
 
     # ---- starts and ends ---------------------------------------------------------------------------------
 
-    def bears(self, attempt: Attempt, work: float) -> bool:
+    def survives_load(self, attempt: Attempt, work: float) -> bool:
         """Whether a cold server stands what it is sent; every bit of work that arrives counts."""
         now = self.clock.now
         world = self.world
         recent = self.recent
-        told = world.told(attempt, self)
-        recent.append((now, work, told))
+        notified = world.knows_start(attempt, self)
+        recent.append((now, work, notified))
         self.recent_work += work
-        self.told_work += work * told
+        self.notified_work += work * notified
         while recent[0][0] < now - world.fall_time:
-            _, old, by_told = recent.popleft()
+            _, old, was_notified = recent.popleft()
             self.recent_work -= old
-            self.told_work -= old * by_told
+            self.notified_work -= old * was_notified
         budget = world.fall_multiple * self.cores * self.full_speed * self.warmth * world.fall_time
-        if self.recent_work <= budget + COLD_SLACK * world.mean_work[self.tier]:
+        if self.recent_work <= budget + COLD_SLACK_CALLS * world.mean_work[self.tier]:
             return True
-        self.fallen = True
-        world.referee.fell(self, self.told_work / self.recent_work)
+        self.failed_cold = True
+        world.referee.cold_server_failed(self, self.notified_work / self.recent_work)
         self.stop(kill=True)
-        world.discovery.died(self)
+        world.discovery.server_stopped(self)
         return False
 
     def start(self) -> None:
         """A new process, cold."""
-        if self.fallen or self.up:
+        if self.failed_cold or self.up:
             return
         self.up = True
         self.draining = False
-        self.life += 1
+        self.incarnation += 1
         self.ready_at = max(1, self.clock.now)
         self.recent.clear()
-        self.recent_work = self.told_work = 0.0
+        self.recent_work = self.notified_work = 0.0
         if self.spec.cold > 0:
             self.warmth = self.spec.cold_from
-            self.clock.call_at(self.clock.now + self.spec.cold // WARM_STEPS, self.warm, self.life)
-        self.tune()
+            self.clock.call_at(
+                self.clock.now + self.spec.cold // WARM_UP_STEPS, self.warm_up, self.incarnation
+            )
+        self.update_speed()
         if self.node is not None:
             self.node.boot()
-        self.world.discovery.came(self)
+        self.world.discovery.server_started(self)
 
-    def warm(self, life: int) -> None:
-        if life != self.life or not self.up:
+    def warm_up(self, incarnation: int) -> None:
+        if incarnation != self.incarnation or not self.up:
             return
         passed = (self.clock.now - self.ready_at) / self.spec.cold
         self.warmth = min(1.0, self.spec.cold_from + (1 - self.spec.cold_from) * passed)
-        self.tune()
+        self.update_speed()
         if self.warmth < 1.0:
-            self.clock.call_at(self.clock.now + self.spec.cold // WARM_STEPS, self.warm, life)
+            self.clock.call_at(self.clock.now + self.spec.cold // WARM_UP_STEPS, self.warm_up, incarnation)
 
     def stop(self, kill: bool) -> None:
         """The process ends: what it holds is reset."""
@@ -400,17 +420,17 @@
             return
         self.advance()
         self.up = False
-        self.life += 1
-        for job in sorted(self.held, key=lambda j: j.attempt.call.id):
+        self.incarnation += 1
+        for job in sorted(self.jobs, key=lambda j: j.attempt.call.id):
             if job.state == RUNNING:
-                self.worked(job)
+                self.record_work(job)
             job.state = DONE
             if not job.attempt.ended:
                 job.attempt.port.reply(job.attempt, Outcome.RESET)
-        self.held.clear()
+        self.jobs.clear()
         self.queue.clear()
-        self.marks.clear()
-        self.in_work = self.running = 0
+        self.finish_heap.clear()
+        self.used_slots = self.running = 0
         self.connections = 0
         self.schedule()
         if self.node is not None:  # after its callers are gone: nobody is left to answer
--- a/workbench/model/site.py
+++ b/workbench/model/site.py
@@ -17,9 +17,9 @@
 from workbench.model.clock import Clock
 from workbench.model.discovery import Discovery
 from workbench.model.environment import ServerView
-from workbench.model.faults import Trouble
+from workbench.model.faults import ActiveFault
 from workbench.model.front import Front
-from workbench.model.network import Network, num, whole
+from workbench.model.network import Network, fixed_float, fixed_int
 from workbench.model.referee import Referee
 from workbench.model.server import Server
 from workbench.model.server_spec import ServerSpec
@@ -27,7 +27,7 @@
 from workbench.model.trace import CallTrace, TraceLog
 from workbench.scenario.model import Kind, Scenario
 
-LEAST_SPEED = 0.3  # of its kind's mean, however wide the spread
+MIN_SPEED_SHARE = 0.3  # of its kind's mean, however wide the spread
 BEGIN = 10_000_000  # the clock begins at no particular value
 
 EFFECTS = {"safe": Effect.IDEMPOTENT, "keyed": Effect.IDEMPOTENCY_KEY, "unsafe": Effect.NOT_IDEMPOTENT}
@@ -42,18 +42,18 @@
     return [
         ClassSettings(
             EFFECTS[c.effect],
-            int(num(c.aim_s) * 1e6),
-            int(num(c.deadline_s) * 1e6),
-            num(c.worth),
-            num(c.late_worth),
+            int(fixed_float(c.aim_s) * 1e6),
+            int(fixed_float(c.deadline_s) * 1e6),
+            fixed_float(c.worth),
+            fixed_float(c.late_worth),
             GROUPS[c.group],
-            int(num(c.window_s) * 1e6),
+            int(fixed_float(c.window_s) * 1e6),
         )
         for c in day.request_classes
     ]
 
 
-def dealt(shares: list[float], count: int) -> list[int]:
+def assign_by_shares(shares: list[float], count: int) -> list[int]:
     """So many places, each given to one of the shares' owners: evenly mixed, in proportion."""
     turns = sorted(((i + 0.5) / share, k) for k, share in enumerate(shares) for i in range(count))
     return [k for _, k in turns][:count]
@@ -75,67 +75,68 @@
         self.hosts = hosts
         self.streams = Streams(day.seed)
         self.begin = clock.now
-        self.length = int(num(day.length_s) * 1e6)
-        self.zones = whole(day.zones.count)
-        self.boot = int(num(day.nodes.boot_ms) * 1000)
-        self.slack = int(num(day.rules.answer_slack_ms) * 1000)
-        self.fall_time = int(num(day.rules.fall_s) * 1e6)
-        self.fall_multiple = num(day.rules.fall_multiple)
+        self.length = int(fixed_float(day.length_s) * 1e6)
+        self.zones = fixed_int(day.zones.count)
+        self.boot = int(fixed_float(day.nodes.boot_ms) * 1000)
+        self.slack = int(fixed_float(day.rules.answer_slack_ms) * 1000)
+        self.fall_time = int(fixed_float(day.rules.fall_s) * 1e6)
+        self.fall_multiple = fixed_float(day.rules.fall_multiple)
         self.shared_slow = 1.0
-        self.follow: Callable[[Request, str, str], None] | None = None
-        self.followed = -1
+        self.on_step: Callable[[Request, str, str], None] | None = None
+        self.followed_request = -1
         self.trace_log: TraceLog | None = None
-        self.numbers = itertools.count(1)
+        self.call_numbers = itertools.count(1)
         self.classes = class_settings(day)
-        self.tick = int(num(day.nodes.tick_ms) * 1000)
-        shares = [num(c.share) for c in day.request_classes]
+        self.tick = int(fixed_float(day.nodes.tick_ms) * 1000)
+        shares = [fixed_float(c.share) for c in day.request_classes]
         mean = (
-            sum(num(c.work_ms) * s for c, s in zip(day.request_classes, shares, strict=True))
+            sum(fixed_float(c.work_ms) * s for c, s in zip(day.request_classes, shares, strict=True))
             / sum(shares)
             * 1000
         )
-        self.mean_work = [num(t.work) * mean for t in day.tier]
+        self.mean_work = [fixed_float(t.work) * mean for t in day.tier]
         self.work_table = [
-            [num(t.work) * num(c.work_ms) * 1000 for c in day.request_classes] for t in day.tier
+            [fixed_float(t.work) * fixed_float(c.work_ms) * 1000 for c in day.request_classes]
+            for t in day.tier
         ]
-        self.mean_calls = [num(t.calls) for t in day.tier[1:]] + [0.0]
+        self.mean_calls = [fixed_float(t.calls) for t in day.tier[1:]] + [0.0]
         self.network = Network(day, self.streams)
         self.referee = Referee(
-            self.classes, int(num(day.rules.stop_sending_ms) * 1000), day.nodes.second_copies
+            self.classes, int(fixed_float(day.rules.stop_sending_ms) * 1000), day.nodes.second_copies
         )
         self.accounts = Accounts(day, self.classes, self.begin, len(day.tier))
         self.front = Front(day, clock, self.streams, self.zones)
         self.discovery = Discovery(day, self, len(day.tier))
         self.tiers: list[list[Server]] = []
         self.by_id: dict[int, Server] = {}
-        self.replaced = itertools.count()
+        self.replacement_numbers = itertools.count()
         specs = self.draw_specs()
-        self.instances = [whole(day.nodes.count)] + [len(tier) for tier in specs[:-1]]
+        self.instances = [fixed_int(day.nodes.count)] + [len(tier) for tier in specs[:-1]]
         for tier in specs:
             self.tiers.append([])
             for spec in tier:
-                self.discovery.enter(self.add_server(spec, first=True))
+                self.discovery.add_initial(self.add_server(spec, first=True))
         self.nodes = [
             hosts.node(self, f"front/{i}", 0, self.settings(0, i % self.zones, i))
             for i in range(self.instances[0])
         ]
         self.clients = Clients(self, self.rate())
-        self.troubles: list[Trouble] = []
+        self.active_faults: list[ActiveFault] = []
 
     # ---- what there is --------------------------------------------------------------------------------
 
     def draw_specs(self) -> list[list[ServerSpec]]:
         """The machines of each tier, kinds by their shares, zones in turn, cells within a zone."""
-        out: list[list[ServerSpec]] = []
-        weights = [num(self.day.zones.servers.get(str(z), 1.0)) for z in range(self.zones)]
+        specs: list[list[ServerSpec]] = []
+        weights = [fixed_float(self.day.zones.servers.get(str(z), 1.0)) for z in range(self.zones)]
         ids = self.streams.random("ids")
         taken: set[int] = set()
         for t, tier in enumerate(self.day.tier):
-            count = max(1, round(whole(self.day.servers) * num(tier.size)))
-            kinds = dealt([num(k.share) for k in tier.kind], count)
-            cell = whole(tier.cell_size)
-            zones, inside = dealt(weights, count), Counter[int]()
-            row = []
+            count = max(1, round(fixed_int(self.day.servers) * fixed_float(tier.size)))
+            kinds = assign_by_shares([fixed_float(k.share) for k in tier.kind], count)
+            cell = fixed_int(tier.cell_size)
+            zones, inside = assign_by_shares(weights, count), Counter[int]()
+            tier_specs = []
             for i in range(count):
                 number = ids.randrange(1, 2**32)
                 while number in taken:
@@ -144,13 +145,13 @@
                 zone = zones[i]
                 within = inside[zone] // cell * self.zones + zone  # cells lie within a zone
                 inside[zone] += 1
-                row.append(self.spec(f"{tier.name}/{i}", number, t, zone, within, kinds[i]))
-            out.append(row)
-        return out
+                tier_specs.append(self.spec(f"{tier.name}/{i}", number, t, zone, within, kinds[i]))
+            specs.append(tier_specs)
+        return specs
 
     def spec(self, name: str, number: int, tier: int, zone: int, cell: int, kind: int) -> ServerSpec:
         k: Kind = self.day.tier[tier].kind[kind]
-        cores = whole(k.cores)
+        cores = fixed_int(k.cores)
         rng = self.streams.random(f"{name}/speed")
         return ServerSpec(
             name=name,
@@ -160,27 +161,27 @@
             cell=cell,
             kind=kind,
             cores=cores,
-            speed=num(k.speed) * max(LEAST_SPEED, rng.gauss(1.0, num(k.speed_cv))),
-            slots=max(1, round(num(k.slots_per_core) * cores)),
-            queue=round(num(k.queue_per_core) * cores),
-            thrash=num(k.thrash),
-            thrash_at=num(k.thrash_at),
-            pause=num(k.pause_ms) * 1000,
-            pause_every=num(k.pause_every_s) * 1e6,
-            cold_from=num(k.cold_from),
-            cold=int(num(k.cold_s) * 1e6),
-            connection_cap=max(1, round(num(k.connections_per_core) * cores)),
-            handshake=num(k.handshake_us),
-            handshake_rtts=num(k.handshake_rtts),
-            probe=num(k.probe_us),
-            error_rate=num(k.error_rate),
+            speed=fixed_float(k.speed) * max(MIN_SPEED_SHARE, rng.gauss(1.0, fixed_float(k.speed_cv))),
+            slots=max(1, round(fixed_float(k.slots_per_core) * cores)),
+            queue=round(fixed_float(k.queue_per_core) * cores),
+            thrash=fixed_float(k.thrash),
+            thrash_at=fixed_float(k.thrash_at),
+            pause=fixed_float(k.pause_ms) * 1000,
+            pause_every=fixed_float(k.pause_every_s) * 1e6,
+            cold_from=fixed_float(k.cold_from),
+            cold=int(fixed_float(k.cold_s) * 1e6),
+            connection_cap=max(1, round(fixed_float(k.connections_per_core) * cores)),
+            handshake=fixed_float(k.handshake_us),
+            handshake_rtts=fixed_float(k.handshake_rtts),
+            probe=fixed_float(k.probe_us),
+            error_rate=fixed_float(k.error_rate),
             cancel=k.cancel,
         )
 
     def add_server(self, spec: ServerSpec, first: bool = False) -> Server:
         """A machine: one of the first day, or one that replaces another of that kind and place."""
         if not first:
-            number = next(self.replaced)
+            number = next(self.replacement_numbers)
             rng = self.streams.random(f"replacement/{number}")
             spec = replace(spec, name=f"{spec.name}+{number}", id=rng.randrange(2**32, 2**33) & 0xFFFFFFFF)
             while spec.id in self.by_id:
@@ -193,7 +194,7 @@
             server.node = self.hosts.node(self, f"node/{spec.name}", spec.tier + 1, settings)
         tier.append(server)
         self.by_id[spec.id] = server
-        server.tune()
+        server.update_speed()
         return server
 
     def settings(self, tier: int, zone: int, index: int) -> Settings:
@@ -208,21 +209,21 @@
             instances=self.instances[tier],
             index=index,
             tick=self.tick,
-            max_attempts=whole(day.nodes.max_attempts),
+            max_attempts=fixed_int(day.nodes.max_attempts),
             cancel=True,
             probes=day.nodes.probes,
             peers=day.nodes.peers,
             hedging=day.nodes.second_copies,
             retry_after=day.nodes.retry_after and tier == 0,
-            max_retry_after=int(num(day.clients.max_retry_after_s) * 1e6),
+            max_retry_after=int(fixed_float(day.clients.max_retry_after_s) * 1e6),
             list_on_request=day.discovery.mode == "ask",
             max_list_poll_interval=10_000_000 if day.discovery.mode == "ask" else 0,
-            slow_start_time=max(int(num(k.cold_s) * 1e6) for k in kinds),
-            slow_start_share=min(num(k.cold_from) for k in kinds),
-            fall_multiple=num(day.rules.fall_multiple),
+            slow_start_time=max(int(fixed_float(k.cold_s) * 1e6) for k in kinds),
+            slow_start_share=min(fixed_float(k.cold_from) for k in kinds),
+            fall_multiple=fixed_float(day.rules.fall_multiple),
             fall_time=self.fall_time,
             answer_slack=self.slack,
-            cross_zone_price=num(day.prices.cross_zone),
+            cross_zone_price=fixed_float(day.prices.cross_zone),
         )
 
     def rate(self) -> float:
@@ -230,36 +231,38 @@
         visits = 1.0
         rates = []
         for t, tier in enumerate(self.tiers):
-            visits *= num(self.day.tier[t].calls) if t else 1.0
-            stands = [
+            visits *= fixed_float(self.day.tier[t].calls) if t else 1.0
+            paused_shares = [
                 s.spec.pause / (s.spec.pause + s.spec.pause_every) if s.spec.pause else 0.0 for s in tier
             ]
-            able = sum(s.cores * s.full_speed * (1 - p) for s, p in zip(tier, stands, strict=True))
-            rates.append(able / (visits * self.mean_work[t]))
+            available = sum(
+                s.cores * s.full_speed * (1 - p) for s, p in zip(tier, paused_shares, strict=True)
+            )
+            rates.append(available / (visits * self.mean_work[t]))
         self.capacity = min(rates)
-        return num(self.day.load.fraction) * self.capacity
+        return fixed_float(self.day.load.fraction) * self.capacity
 
     # ---- what its parts ask ---------------------------------------------------------------------------
 
     def calls(self, tier: int, key: int) -> int:
         """How many calls a server makes to the next tier for this call."""
         mean = self.mean_calls[tier]
-        least = floor(mean)
-        return least + ((key >> 16) < (mean - least) * 2**16)
+        minimum = floor(mean)
+        return minimum + ((key >> 16) < (mean - minimum) * 2**16)
 
     def call(self, root: Request, key: int, tier: int, until: int, caller: Caller) -> Call:
-        call = Call(next(self.numbers), root, key, tier, until, caller)
+        call = Call(next(self.call_numbers), root, key, tier, until, caller)
         if root.trace is not None:
             call.trace = CallTrace(tier, self.clock.now, until)
         return call
 
-    def told(self, attempt: Attempt, server: ServerView) -> bool:
+    def knows_start(self, attempt: Attempt, server: ServerView) -> bool:
         """Whether the node that sent an attempt had been told of the server's present start."""
         return attempt.port.starts.get(server.id, -1) == server.ready_at
 
     def trace(self, request: Request, who: str, what: str) -> None:
-        if request.index == self.followed and self.follow is not None:
-            self.follow(request, who, what)
+        if request.index == self.followed_request and self.on_step is not None:
+            self.on_step(request, who, what)
 
     # ---- its run --------------------------------------------------------------------------------------
 
@@ -269,18 +272,18 @@
         self.begin = self.accounts.begin = self.clock.now
         if self.trace_log is not None:
             self.trace_log.begin = self.begin
-        self.troubles = [Trouble(self, fault, i) for i, fault in enumerate(self.day.fault)]
+        self.active_faults = [ActiveFault(self, fault, i) for i, fault in enumerate(self.day.fault)]
         for tier in self.tiers:
             for server in tier:
                 if server.node is not None:
                     server.node.boot()
-        spread = num(self.day.nodes.start_spread_ms) * 1000
+        spread = fixed_float(self.day.nodes.start_spread_ms) * 1000
         rng = self.streams.random("starts")
         for i, node in enumerate(self.nodes):
             delay = 0 if i == 0 else int(spread * rng.random())
             self.clock.call_at(self.begin + delay, lambda n: n.boot(), node)
         self.clients.start()
 
-    def over(self) -> bool:
+    def finished(self) -> bool:
         """Whether all requests have come and ended."""
-        return self.clients.left == 0
+        return self.clients.unfinished == 0
--- a/workbench/model/trace.py
+++ b/workbench/model/trace.py
@@ -55,22 +55,22 @@
 
 @dataclass(slots=True)
 class RequestTrace:
-    """What one client wanted, and all that was done for it. `lost_worth` is known at its end."""
+    """What one client wanted, and all that was done for it. `lost_value` is known at its end."""
 
     index: int
-    klass: int
+    request_class: int
     due: int
-    aim_at: int
+    objective_at: int
     ended_at: int = UNENDED
     served: bool = False
     client_left: bool = False
-    lost_worth: float = 0.0
-    tries: list[CallTrace] = field(default_factory=list)
+    lost_value: float = 0.0
+    client_attempts: list[CallTrace] = field(default_factory=list)
 
     @property
     def decided_at(self) -> int:
         """When the loss was decided: at the request's aim, or at its end where that came first."""
-        return min(self.aim_at, self.ended_at)
+        return min(self.objective_at, self.ended_at)
 
 
 @dataclass
@@ -79,23 +79,23 @@
 
     begin: int = 0
     lost: list[RequestTrace] = field(default_factory=list)
-    asked: defaultdict[tuple[int, int], float] = field(default_factory=lambda: defaultdict(float))
+    offered_value: defaultdict[tuple[int, int], float] = field(default_factory=lambda: defaultdict(float))
     served_times: defaultdict[int, list[int]] = field(default_factory=lambda: defaultdict(list))
 
     def second(self, due: int) -> int:
         """The second of the day in which a request was due."""
         return (due - self.begin) // SECOND
 
-    def begin_request(self, trace: RequestTrace, worth: float) -> None:
+    def begin_request(self, trace: RequestTrace, value: float) -> None:
         """Counts the worth that is asked for, by class and by second of the day."""
-        self.asked[trace.klass, self.second(trace.due)] += worth
+        self.offered_value[trace.request_class, self.second(trace.due)] += value
 
-    def end_request(self, trace: RequestTrace, now: int, served: bool, lost_worth: float) -> None:
+    def end_request(self, trace: RequestTrace, now: int, served: bool, lost_value: float) -> None:
         """Keeps the trace if worth was lost, and only the time that it took if none was."""
         trace.ended_at = now
         trace.served = served
-        trace.lost_worth = lost_worth
-        if lost_worth > 0:
+        trace.lost_value = lost_value
+        if lost_value > 0:
             self.lost.append(trace)
         else:
-            self.served_times[trace.klass].append(now - trace.due)
+            self.served_times[trace.request_class].append(now - trace.due)
--- a/workbench/report/losses.py
+++ b/workbench/report/losses.py
@@ -83,10 +83,10 @@
         trace = self.trace
         if trace.client_left:
             return Blame(LossCause.CLIENT_LEFT, 0)
-        if not trace.tries:
+        if not trace.client_attempts:
             return Blame(LossCause.NODE_DOWN, 0)
-        if not trace.served and trace.ended_at < trace.aim_at:
-            end = self.end_of_call(trace.tries[-1])
+        if not trace.served and trace.ended_at < trace.objective_at:
+            end = self.end_of_call(trace.client_attempts[-1])
             if end.cause != LossCause.DEADLINE:
                 return end
         return self.longest_hold()
@@ -114,7 +114,7 @@
 
     def may_repeat(self, call: CallTrace) -> bool:
         """Whether the request's class allowed one more attempt at the call's end."""
-        klass = self.rules.classes[self.trace.klass]
+        klass = self.rules.classes[self.trace.request_class]
         ran = [attempt for attempt in call.attempts if attempt.outcome not in NEVER_RAN]
         if not ran or klass.effect == Effect.IDEMPOTENT:
             return True
@@ -153,7 +153,7 @@
 
     def holds(self) -> Iterator[tuple[Blame, int]]:
         """The time until the decision, in parts, each with its cause."""
-        tries, decided_at = self.trace.tries, self.trace.decided_at
+        tries, decided_at = self.trace.client_attempts, self.trace.decided_at
         ends = [*(call.begun_at for call in tries[1:]), decided_at]
         for call, end in zip(tries, ends, strict=True):
             yield from self.holds_of_call(call, min(end, decided_at))
@@ -260,12 +260,12 @@
         LossMismatchError: The causes do not sum to that loss.
     """
     found = Breakdown()
-    for (klass, second), worth in log.asked.items():
+    for (klass, second), worth in log.offered_value.items():
         found.add_asked(klass, second, worth)
     usual = {klass: int(median(times)) for klass, times in log.served_times.items()}
     for trace in log.lost:
-        blame = Attribution(trace, rules, usual.get(trace.klass, 0)).blame()
-        found.add_lost(trace.klass, log.second(trace.due), blame, trace.lost_worth)
+        blame = Attribution(trace, rules, usual.get(trace.request_class, 0)).blame()
+        found.add_lost(trace.request_class, log.second(trace.due), blame, trace.lost_value)
     missing = lost_share * found.asked - found.lost
     if not all_ended and missing > 0:
         found.by_blame[Blame(LossCause.UNFINISHED, 0)] = missing  # type: ignore[assignment]
--- a/workbench/simulator/fleet.py
+++ b/workbench/simulator/fleet.py
@@ -26,7 +26,7 @@
 from balancer.policy.request import Request
 from balancer.policy.server import Server
 from workbench.baselines.local import StrictlyLocal
-from workbench.model.network import whole
+from workbench.model.network import fixed_int
 from workbench.model.site import World
 
 EPOCH = 1_700_000_000_000  # milliseconds of Unix time at the clock's 0
@@ -179,7 +179,7 @@
 
     def zone_settings(self, world: World, home: int) -> ZoneSettings | None:
         """With the costs of the world's regions."""
-        uses, regions = self.fleet.uses, whole(world.day.zones.regions)
+        uses, regions = self.fleet.uses, fixed_int(world.day.zones.regions)
         if uses.zones is None or regions == 1:
             return uses.zones
         far = [z for z in range(world.zones) if z % regions != home % regions]
--- a/workbench/simulator/host.py
+++ b/workbench/simulator/host.py
@@ -13,7 +13,7 @@
 from balancer.policy.interface import Events, ListKind, Outcome, ServerEntry, Settings, State
 from workbench.baselines import Policy
 from workbench.model.call import Answer, Attempt, Call, is_answered, is_over
-from workbench.model.network import TABLE, num
+from workbench.model.network import TABLE_SIZE, fixed_float
 from workbench.model.server import DONE, Job, Server
 from workbench.model.site import World
 from workbench.model.streams import scramble
@@ -24,7 +24,7 @@
 
 Post = tuple[Callable[..., None], tuple[Any, ...]]
 REPLY = 50  # an answer's network draw, beside those of the tries
-MASK = TABLE - 1
+MASK = TABLE_SIZE - 1
 STRIDE = 0x9E3779B1  # between the draws of a call's attempts
 REPLY_BITS = 14  # an attempt's answer takes the upper bits of its draw
 DRAIN_LOOK = 50_000  # a leaving node looks this often whether it is done
@@ -42,11 +42,11 @@
 class Link:
     """A node's connections to one server: since when each idle one has been idle."""
 
-    __slots__ = ("idle", "life")
+    __slots__ = ("idle", "incarnation")
 
-    def __init__(self, life: int) -> None:
+    def __init__(self, incarnation: int) -> None:
         self.idle: list[int] = []
-        self.life = life
+        self.incarnation = incarnation
 
 
 class Node:
@@ -65,7 +65,7 @@
         self.settings = settings
         self.zone = settings.zone
         self.up = self.ready = self.leaving = False
-        self.life = 0
+        self.incarnation = 0
         self.seeds = world.streams.random(f"{name}/seeds")
         self.subscriber = world.discovery.subscribe(self)
         self.actions = Recorder()
@@ -75,15 +75,15 @@
         self.links: dict[int, Link] = {}
         self.starts: dict[int, int] = {}  # the servers it was told of, by their starts
         self.away: dict[int, int] = {}  # since when it knows that they drain or are gone
-        self.cpu = num(world.day.nodes.cpu_us)
+        self.cpu = fixed_float(world.day.nodes.cpu_us)
         self.busy_until = 0
         self.journal: list[str] = []
-        self.left: list[Call] = []  # calls whose callers have left since the last batch
+        self.disconnected: list[Call] = []  # calls whose callers have left since the last batch
 
     # ---- its life -------------------------------------------------------------------------------------
 
     def boot(self) -> None:
-        self.life += 1
+        self.incarnation += 1
         self.up = self.ready = True
         self.leaving = False
         self.inbox.clear()
@@ -96,39 +96,41 @@
         self.post(module.start, ())
         self.world.discovery.boot(self.subscriber)
         if self.tier == 0:
-            self.world.front.ready(self)
-        self.clock.call_at(self.clock.now + self.network.idle, self.sweep, self.life)
+            self.world.front.node_ready(self)
+        self.clock.call_at(self.clock.now + self.network.idle, self.sweep, self.incarnation)
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         if self.up and not self.leaving:
             self.leaving = True
-            self.world.front.leaving(self)
+            self.world.front.node_draining(self)
             longest = max(3_000_000, *(c.deadline for c in self.settings.classes))
             begun = self.clock.now
-            self.clock.call_at(begun + int(self.world.front.lag) + DRAIN_LOOK, self.leave_if_done, self.life)
-            self.clock.call_at(begun + longest + KILL_AFTER, self.kill_if_alive, self.life)
+            self.clock.call_at(
+                begun + int(self.world.front.lag) + DRAIN_LOOK, self.leave_if_done, self.incarnation
+            )
+            self.clock.call_at(begun + longest + KILL_AFTER, self.kill_if_alive, self.incarnation)
 
-    def leave_if_done(self, life: int) -> None:
-        if life == self.life and self.up:
+    def leave_if_done(self, incarnation: int) -> None:
+        if incarnation == self.incarnation and self.up:
             if any(c.open for c in self.calls.values()):
-                self.clock.call_at(self.clock.now + DRAIN_LOOK, self.leave_if_done, life)
+                self.clock.call_at(self.clock.now + DRAIN_LOOK, self.leave_if_done, incarnation)
             else:
                 self.kill()
 
-    def kill_if_alive(self, life: int) -> None:
-        if life == self.life and self.up:
+    def kill_if_alive(self, incarnation: int) -> None:
+        if incarnation == self.incarnation and self.up:
             self.kill()
 
     def kill(self) -> None:
         if not self.up:
             return
         self.up = self.ready = False
-        self.life += 1
+        self.incarnation += 1
         self.module = None
         self.inbox.clear()
-        self.left.clear()
+        self.disconnected.clear()
         if not self.tier:
-            self.world.front.died(self)
+            self.world.front.node_stopped(self)
         for server, link in self.links.items():
             self.drop_idle(self.world.by_id[server], link, len(link.idle))
         calls, self.calls = self.calls, {}
@@ -140,7 +142,7 @@
                         attempt.trace.end(self.clock.now, Outcome.RESET)
                     self.hang_up(attempt)
                     attempt.server.abandon(attempt)
-            call.out = 0
+            call.in_flight = 0
             if call.open:
                 call.cause = ("reset", self.tier)
                 if call.trace is not None:
@@ -148,21 +150,21 @@
                 self.answer(call, Answer.FAILED, 0)
             call.sent.clear()
 
-    def sweep(self, life: int) -> None:
+    def sweep(self, incarnation: int) -> None:
         """Closes connections that have stood idle for too long."""
-        if life != self.life:
+        if incarnation != self.incarnation:
             return
         oldest = self.clock.now - self.network.idle
         for server, link in self.links.items():
             stale = sum(at < oldest for at in link.idle)
             if stale:
                 self.drop_idle(self.world.by_id[server], link, stale)
-        self.clock.call_at(self.clock.now + self.network.idle // 2, self.sweep, life)
+        self.clock.call_at(self.clock.now + self.network.idle // 2, self.sweep, incarnation)
 
     def drop_idle(self, server: Server, link: Link, count: int) -> None:
         del link.idle[:count]
-        if link.life == server.life:
-            server.dialled(-count)
+        if link.incarnation == server.incarnation:
+            server.change_connections(-count)
 
     # ---- events ---------------------------------------------------------------------------------------
 
@@ -186,16 +188,16 @@
             self.actions.out = []
             for act, args in out:
                 getattr(self, act)(*args)
-        if self.left:
-            left, self.left = self.left, []
-            for call in left:
+        if self.disconnected:
+            disconnected, self.disconnected = self.disconnected, []
+            for call in disconnected:
                 self.forget(call)
 
-    def arriving(self, at: int, call: Call) -> None:
+    def expect(self, at: int, call: Call) -> None:
         call.node = self
-        self.ticker.tick_at(at).messages.append((self.take, call))
+        self.ticker.tick_at(at).messages.append((self.accept, call))
 
-    def take(self, call: Call) -> None:
+    def accept(self, call: Call) -> None:
         call.node = self
         if not self.up or self.module is None:
             call.cause = ("reset", self.tier)
@@ -205,25 +207,25 @@
         now = self.clock.now
         root = call.root
         self.calls[call.id] = call
-        call.taken = True
+        call.accepted = True
         self.world.accounts.calls[self.tier] += 1
-        if root.index == self.world.followed:
+        if root.index == self.world.followed_request:
             self.world.trace(
                 root, self.name, f"takes call {call.id}, {(call.until - now) / 1000:.0f} ms left"
             )
         repeat = not self.tier and call.number > 0
-        self.post(self.module.request, (call.id, root.klass, 0, max(1, call.until - now), repeat))
+        self.post(self.module.request, (call.id, root.request_class, 0, max(1, call.until - now), repeat))
 
-    def overdue(self, call: Call) -> None:
+    def deadline_missed(self, call: Call) -> None:
         """A call's time and slack are over, and its client or server has waited to the end."""
         if call.open and self.calls.get(call.id) is call:
-            self.world.referee.overdue(self.clock.now, call)
+            self.world.referee.deadline_missed(self.clock.now, call)
             self.dismiss(call)
 
-    def drop(self, call: Call) -> None:
+    def client_disconnected(self, call: Call) -> None:
         if self.tier and self.clock.now >= call.until:
             # The server waited to the end: within the slack the node owes it an answer still.
-            self.clock.call_unless(call.until + self.world.slack, self.overdue, call, is_answered)
+            self.clock.call_unless(call.until + self.world.slack, self.deadline_missed, call, is_answered)
         else:
             self.dismiss(call)
 
@@ -234,9 +236,9 @@
         call.open = False
         if self.module is not None and self.calls.get(call.id) is call:
             self.post(self.module.client_disconnected, (call.id,))
-            self.left.append(call)  # until the module knows, it may still act for the call
+            self.disconnected.append(call)  # until the module knows, it may still act for the call
 
-    def news(self, kind: ListKind, entries: list[ServerEntry]) -> None:
+    def update_servers(self, kind: ListKind, entries: list[ServerEntry]) -> None:
         if self.module is None:
             return
         now = self.clock.now
@@ -260,45 +262,45 @@
         world = self.world
         now = self.clock.now
         server = world.by_id.get(server_id)
-        if call is None or not call.taken or server is None or server_id not in self.starts:
+        if call is None or not call.accepted or server is None or server_id not in self.starts:
             world.referee.malformed(now, f"{self.name}: sends what is over or to a server it was not told of")
             return
         number = len(call.sent)
         attempt = Attempt(call, number, server, self, call.key + number * STRIDE, now)
-        left = min(timeout, call.until - now)
-        if not call.open or left < 0 or number >= self.settings.max_attempts:
+        remaining = min(timeout, call.until - now)
+        if not call.open or remaining < 0 or number >= self.settings.max_attempts:
             attempt.ended = True
             call.sent.append(attempt)
             self.tell_outcome(attempt, Outcome.NOT_SENT, not call.open)
             return
         away = self.away.get(server_id, -1)
-        if away >= 0 or call.out or call.ran_on is not None:
-            world.referee.sending(now, call, server, away)
+        if away >= 0 or call.in_flight or call.ran_on is not None:
+            world.referee.check_attempt(now, call, server, away)
         call.sent.append(attempt)
         if call.trace is not None:
             attempt.trace = AttemptTrace(self.tier, now)
             call.trace.attempts.append(attempt.trace)
-        call.out += 1
+        call.in_flight += 1
         world.accounts.attempts[self.tier] += 1
         call.root.attempts += 1
         world.accounts.crossings += server.zone != self.zone
-        if call.root.index == world.followed:
+        if call.root.index == world.followed_request:
             world.trace(
                 call.root,
                 self.name,
-                f"sends call {call.id} to {server.spec.name}, {left / 1000:.0f} ms at most",
+                f"sends call {call.id} to {server.spec.name}, {remaining / 1000:.0f} ms at most",
             )
-        self.clock.call_unless(now + left, self.timed_out, attempt, is_over)
+        self.clock.call_unless(now + remaining, self.timed_out, attempt, is_over)
         network = self.network
         delay = network.ways[self.zone][server.zone][attempt.draw & MASK]
         link = self.links.get(server_id)
         if link is None:
-            link = self.links[server_id] = Link(server.life)
-        elif link.life != server.life:
-            link.life = server.life
+            link = self.links[server_id] = Link(server.incarnation)
+        elif link.incarnation != server.incarnation:
+            link.incarnation = server.incarnation
             link.idle.clear()
         attempt.link = link
-        reached = not network.cut or network.reaches(self.zone, server.zone)
+        reached = not network.partitioned_zones or network.reaches(self.zone, server.zone)
         if link.idle:
             link.idle.pop()
             if reached:
@@ -321,7 +323,7 @@
         wait = self.network.connect_timeout
         if reached and not server.up:
             wait = 2 * delay
-        elif reached and not server.silent and in_time and server.dialled(1):
+        elif reached and not server.silent and in_time and server.change_connections(1):
             self.clock.call_at(self.clock.now + delay + handshake, server.arrive, attempt)
             return
         attempt.link = None
@@ -330,7 +332,7 @@
     def reply(self, attempt: Attempt, outcome: Outcome) -> None:
         zone = attempt.server.zone
         network = self.network
-        if attempt.ended or (network.cut and not network.reaches(self.zone, zone)):
+        if attempt.ended or (network.partitioned_zones and not network.reaches(self.zone, zone)):
             return
         delay = network.ways[self.zone][zone][attempt.draw >> REPLY_BITS & MASK]
         self.ticker.tick_at(self.clock.now + delay).messages.append((self.returned, (attempt, outcome)))
@@ -356,19 +358,19 @@
         """Books an attempt's end; the first OK is the caller's answer."""
         attempt.ended = True
         call = attempt.call
-        call.out -= 1
+        call.in_flight -= 1
         now = self.clock.now
-        self.world.referee.ended(call, attempt.server, attempt.sent_at, outcome)
+        self.world.referee.attempt_ended(call, attempt.server, attempt.sent_at, outcome)
         if attempt.trace is not None:
             given_up = outcome in (Outcome.TIMEOUT, Outcome.CANCELLED)
             attempt.trace.end(now, outcome, silent=given_up and self.is_unanswerable(attempt))
         if outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED):
             link = attempt.link
-            if link is not None and link.life == attempt.server.life:
+            if link is not None and link.incarnation == attempt.server.incarnation:
                 link.idle.append(now)
         else:
             self.hang_up(attempt)
-        if call.root.index == self.world.followed:
+        if call.root.index == self.world.followed_request:
             took = (now - attempt.sent_at) / 1000
             name = attempt.server.spec.name
             self.world.trace(
@@ -396,8 +398,8 @@
 
     def hang_up(self, attempt: Attempt) -> None:
         link = attempt.link
-        if link is not None and link.life == attempt.server.life:
-            attempt.server.dialled(-1)
+        if link is not None and link.incarnation == attempt.server.incarnation:
+            attempt.server.change_connections(-1)
 
     def tell_outcome(self, attempt: Attempt, outcome: Outcome, final: bool) -> None:
         if self.module is not None:
@@ -422,8 +424,8 @@
 
     def forget(self, call: Call) -> None:
         """Lets go of a call that is over and has no attempt out."""
-        if call.out == 0 and self.calls.pop(call.id, None) is not None:
-            call.taken = False
+        if call.in_flight == 0 and self.calls.pop(call.id, None) is not None:
+            call.accepted = False
             call.sent.clear()
 
     def finish(self, request: int, answer: Answer, retry_after: int) -> None:
@@ -434,12 +436,12 @@
             cause = "refused at the limit" if answer == Answer.REFUSED else "never sent"
             call.cause = (cause, self.tier)
         if answer == Answer.REFUSED:
-            self.world.referee.refused(self.clock.now, call)
-            self.world.accounts.refusals[self.tier] += 1
-        if call.root.index == self.world.followed:
+            self.world.referee.check_rejection(self.clock.now, call)
+            self.world.accounts.rejections[self.tier] += 1
+        if call.root.index == self.world.followed_request:
             self.world.trace(call.root, self.name, f"answers call {call.id}: {answer.name.lower()}")
         self.answer(call, answer, retry_after)
-        call.taken = False
+        call.accepted = False
         self.forget(call)
 
     # ---- the module's other actions -------------------------------------------------------------------
@@ -464,21 +466,21 @@
         draw = scramble(server_id, self.world.accounts.probes)
         trip = 2 * self.network.between(self.zone, server.zone, draw)
         alive = server.up and not server.silent and self.network.reaches(self.zone, server.zone)
-        ok = alive and server.probed()
+        ok = alive and server.answer_health_check()
         wait = trip if alive or not server.up else self.network.connect_timeout
-        self.clock.call_at(self.clock.now + wait, self.probe_back, (self.life, server_id, ok, wait))
+        self.clock.call_at(self.clock.now + wait, self.probe_back, (self.incarnation, server_id, ok, wait))
 
     def probe_back(self, what: tuple[int, int, bool, int]) -> None:
-        life, server, ok, took = what
-        if life == self.life and self.module is not None:
+        incarnation, server, ok, took = what
+        if incarnation == self.incarnation and self.module is not None:
             self.post(self.module.health_checked, (server, ok, took, ()))
 
     def set_timer(self, delay: int, token: int) -> None:
-        self.clock.call_at(self.clock.now + max(1, delay), self.timer_due, (self.life, token))
+        self.clock.call_at(self.clock.now + max(1, delay), self.timer_due, (self.incarnation, token))
 
     def timer_due(self, what: tuple[int, int]) -> None:
-        life, token = what
-        if life == self.life and self.module is not None:
+        incarnation, token = what
+        if incarnation == self.incarnation and self.module is not None:
             self.post(self.module.timer, (token,))
 
     def send_to_peer(self, peer: int, data: bytes) -> None:
--- a/workbench/simulator/play.py
+++ b/workbench/simulator/play.py
@@ -15,7 +15,7 @@
 import workbench
 from workbench.baselines import POLICIES, Policy
 from workbench.model.call import Request
-from workbench.model.network import num
+from workbench.model.network import fixed_float
 from workbench.model.site import BEGIN, World
 from workbench.model.trace import TraceLog
 from workbench.scenario.load import digest, to_table
@@ -65,15 +65,15 @@
     named = policy if isinstance(policy, str) else getattr(policy, "__name__", "given")
     make = POLICIES[policy].make if isinstance(policy, str) else policy
     clock = HeapClock(BEGIN)
-    tick = max(1, int(num(day.nodes.tick_ms) * 1000))
+    tick = max(1, int(fixed_float(day.nodes.tick_ms) * 1000))
     host = Host(clock, tick, make)
     world = World(day, clock, host)
     run = Run({})
     if trace:
         run.trace_log = world.trace_log = TraceLog()
     if follow >= 0:
-        world.followed = follow
-        world.follow = teller(run.story, clock)
+        world.followed_request = follow
+        world.on_step = teller(run.story, clock)
     thresholds = gc.get_threshold()
     gc.collect()
     gc.set_threshold(COLLECT, 20, 20)
@@ -84,10 +84,10 @@
         gc.set_threshold(*thresholds)
     cpu = process_time() - begun
     account = world.accounts.summary()
-    run.all_ended = world.over()
+    run.all_ended = world.finished()
     calls = sum(world.accounts.calls)
     module = host.ticker.module_ns / 1e9
-    run.broken = world.referee.stories
+    run.broken = world.referee.violations
     run.journal = [line for node in world.nodes for line in getattr(node, "journal", ())]
     run.result = {
         "made": made(day, named, overrides or []),
@@ -115,7 +115,7 @@
     clock.call_at(clock.now, sampler(world, clock, run), None)
     last = world.begin + world.length
     at = clock.now
-    while at < last or (not world.over() and at < last + TAIL):
+    while at < last or (not world.finished() and at < last + TAIL):
         at += STEP
         clock.run(at)
         if progress is not None:
