--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -12,7 +12,7 @@
 from workbench.experiment.losses import LossTask, play_all
 from workbench.model.answer import Answer
 from workbench.model.call import Attempt, Request
-from workbench.model.server import DONE, Job
+from workbench.model.job import DONE, Job
 from workbench.model.site import BEGIN, World
 from workbench.model.trace import AttemptTrace, CallTrace, RequestTrace, TraceLog
 from workbench.report.losses import (
--- a/workbench/emulator/nodes.py
+++ b/workbench/emulator/nodes.py
@@ -28,7 +28,7 @@
     ServerProxy,
     synchronize_all,
 )
-from workbench.model.call import Answer, Attempt, Call
+from workbench.model.call import Answer, Attempt, Call, Cause
 from workbench.model.network import fixed_float
 from workbench.model.server import Server
 from workbench.model.site import EFFECT_WORDS, World
@@ -39,7 +39,7 @@
 ENDPOINT_STATES = {State.READY: "ready", State.DRAINING: "draining"}  # any other is gone
 # As stored histories and accounts spell them.
 WRONG_RESPONSE, CLIENT_LEFT, NO_RESPONSE = "spoilt", "left", "none"
-CAUSE_REJECTED, CAUSE_RESET = ("refused at the limit", 0), ("reset", 0)
+CAUSE_REJECTED, CAUSE_RESET = Cause("refused at the limit", 0), Cause("reset", 0)
 
 Observe = Callable[..., None]  # writes one event of the history
 
--- a/workbench/model/__init__.py
+++ b/workbench/model/__init__.py
@@ -1,2 +1,4 @@
-"""The model of what a node serves. It knows neither event loop nor socket: parts take a clock and call
-back."""
+"""The model that a load-balancer node serves: clients, servers, discovery, network and faults.
+
+It uses neither an event loop nor sockets: every part takes a `Clock` and is called back by it.
+"""
--- a/workbench/model/answer.py
+++ b/workbench/model/answer.py
@@ -1,4 +1,4 @@
-"""What a caller gets of a call."""
+"""Final responses to a call."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class Answer(IntEnum):
-    """The final answer to a call."""
+    """The final response to a call, as its caller sees it."""
 
     OK = 0
-    REFUSED = 1  # a repeat does no harm
+    REFUSED = 1  # safe to retry
     FAILED = 2
-    UNREACHABLE = 3  # no node took it, or the node died over it
+    UNREACHABLE = 3  # no node accepted it, or its node died
--- a/workbench/model/call.py
+++ b/workbench/model/call.py
@@ -1,8 +1,8 @@
-"""What passes through the world: clients' requests, calls at nodes, attempts at servers."""
+"""Requests of clients, calls to nodes and attempts at servers."""
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 from balancer.policy.interface import ListKind, Outcome, ServerEntry
 from workbench.model.answer import Answer
@@ -10,30 +10,49 @@
 
 __all__ = ["UNKNOWN", "Answer", "Attempt", "Call", "Caller", "Cause", "Port", "Request"]
 
-Cause = tuple[str, int]  # why worth was lost, and at which tier
-UNKNOWN: Cause = ("never sent", 0)
+
+class Cause(NamedTuple):
+    """Why a request's value was lost, and at which tier."""
+
+    reason: str
+    tier: int
+
+
+NEVER_SENT = "never sent"
+UNKNOWN = Cause(NEVER_SENT, 0)
 
 
 class Request:
-    """What one client wants: its tries are calls."""
+    """A request of a client. Each of its client attempts is a call to a node.
+
+    Args:
+        index: Its number in the scenario, from 0.
+        key: Determines its random draws.
+        request_class: The index of its class.
+        zone: The client's zone.
+        due: When it is due, in microseconds.
+        objective: The latency objective, counted from `due`.
+        deadline: The deadline, counted from `due`.
+        factor: Its work, relative to the mean of its class.
+    """
 
     __slots__ = (
+        "attempts",
+        "cause",
+        "client_attempts",
+        "deadline_at",
+        "done_at",
+        "due",
+        "factor",
         "index",
         "key",
-        "request_class",
-        "zone",
-        "due",
         "objective_at",
-        "deadline_at",
-        "client_attempts",
-        "factor",
-        "cause",
-        "done_at",
+        "request_class",
         "served",
-        "work",
-        "useful",
-        "attempts",
         "trace",
+        "useful",
+        "work",
+        "zone",
     )
 
     def __init__(
@@ -55,57 +74,66 @@
         self.objective_at = due + objective
         self.deadline_at = due + deadline
         self.client_attempts = 0
-        self.factor = factor  # its work, against the class's mean
+        self.factor = factor  # its work, relative to the mean of its class
         self.cause = UNKNOWN
         self.done_at = -1
         self.served = False
-        self.work = 0.0  # that servers did for it, in core-microseconds of the yardstick
-        self.useful = 0.0  # of which for the answer it got
+        self.work = 0.0  # that servers did for it, in core-microseconds of the reference core
+        self.useful = 0.0  # the part that its response needed
         self.attempts = 0  # over all tiers
-        self.trace: RequestTrace | None = None  # where the day is traced
+        self.trace: RequestTrace | None = None  # if the run is traced
 
 
 class Caller(Protocol):
-    """Whoever waits for a call: clients, or a server of the tier before."""
+    """Waits for calls: the clients, or a server of the previous tier."""
 
     def answered(self, call: Call, answer: Answer, retry_after: int) -> None:
-        """The call's one final answer, at the caller."""
+        """Receives the one final response to a call."""
 
 
 class Call:
-    """One request at one node: a client's try, or a server's call to the next tier."""
+    """One request at one node: an attempt of a client, or a server's call to the next tier.
+
+    Args:
+        number: Its unique number.
+        root: The client's request that it belongs to.
+        key: Determines its random draws: the same for each attempt at the same request or call.
+        tier: The tier that it is sent to.
+        until: When the caller stops waiting, in microseconds.
+        caller: Receives the response.
+    """
 
     __slots__ = (
+        "accepted",
+        "caller",
+        "cause",
+        "context",
         "id",
-        "root",
+        "in_flight",
         "key",
-        "tier",
-        "until",
-        "caller",
         "node",
         "number",
-        "sent",
-        "in_flight",
-        "ran_on",
-        "ran_at",
         "open",
-        "cause",
+        "ran_at",
+        "ran_on",
+        "root",
+        "sent",
+        "tier",
+        "trace",
+        "until",
         "useful",
-        "context",
         "waiting",
-        "accepted",
-        "trace",
     )
 
     def __init__(self, number: int, root: Request, key: int, tier: int, until: int, caller: Caller) -> None:
         self.id = number
         self.root = root
-        self.key = key  # of its draws: the same for each try of a request and each attempt above
+        self.key = key  # of its draws
         self.tier = tier
-        self.until = until  # how long the caller waits
+        self.until = until  # when the caller stops waiting
         self.caller = caller
         self.node: Port | None = None
-        self.number = 0  # of the try, or of the call among its server's calls
+        self.number = 0  # of the client's attempt, or of the call among its server's calls
         self.sent: list[Attempt] = []
         self.in_flight = 0  # attempts without an outcome
         self.ran_on: Any = None  # the first server that may have run it
@@ -114,25 +142,34 @@
         self.accepted = False
         self.cause = UNKNOWN
         self.useful = 0.0
-        self.context: Any = None  # the caller's own
-        self.waiting = True  # whoever called waits for the answer still
+        self.context: Any = None  # the caller's data
+        self.waiting = True  # the caller still waits for the response
         self.trace: CallTrace | None = None
 
 
 class Attempt:
-    """One sending of a call to one server."""
+    """One attempt at a call, at one server.
+
+    Args:
+        call: The call.
+        number: The number of the attempt within the call, from 0.
+        server: The server that it is sent to.
+        port: The node that sends it.
+        draw: Determines the network delays of its messages.
+        now: When it is sent, in microseconds.
+    """
 
     __slots__ = (
         "call",
-        "number",
-        "server",
-        "port",
+        "cause",
         "draw",
-        "sent_at",
         "ended",
         "job",
         "link",
-        "cause",
+        "number",
+        "port",
+        "sent_at",
+        "server",
         "trace",
     )
 
@@ -141,62 +178,62 @@
         self.number = number
         self.server = server
         self.port = port
-        self.draw = draw  # of its messages' delays
+        self.draw = draw  # determines its network delays
         self.sent_at = now
         self.ended = False
-        self.job: Any = None  # the server's own
-        self.link: Any = None  # the connection it went by, the node's own
-        self.cause: Cause | None = None  # of an error that came from a tier behind
+        self.job: Any = None  # the server's data
+        self.link: Any = None  # its connection, the node's data
+        self.cause: Cause | None = None  # of an error in a later tier
         self.trace: AttemptTrace | None = None
 
 
 class Port(Protocol):
-    """A node as the world sees it: what callers, servers and discovery can do to it."""
+    """A node as callers, servers and discovery see it."""
 
     tier: int
     zone: int
     up: bool
     ready: bool
-    starts: dict[int, int]  # the servers that it was told of, by their starts
+    starts: dict[int, int]  # the start time of each server that it was notified of
 
     def expect(self, at: int, call: Call) -> None:
-        """A client's call is on its way and comes at `at`."""
+        """Delivers a client's call, which is still in flight, at the time `at`."""
 
     def accept(self, call: Call) -> None:
-        """A call has come to the node."""
+        """Receives a call."""
 
     def client_disconnected(self, call: Call) -> None:
-        """The call's caller has left."""
+        """Is notified that the caller no longer waits for a call."""
 
     def deadline_missed(self, call: Call) -> None:
-        """The call's time and the slack are over: if it is open still, the rule is broken."""
+        """Reports a violation if the call is still open: its deadline and the slack have passed."""
 
     def reply(self, attempt: Attempt, outcome: Outcome) -> None:
-        """A server has answered an attempt, or its connection has broken."""
+        """Receives a server's response to an attempt, or the loss of its connection."""
 
     def update_servers(self, kind: ListKind, entries: list[ServerEntry]) -> None:
-        """Discovery has told the node something."""
+        """Receives an endpoint list, or changes to it, from discovery."""
 
     def boot(self) -> None:
         """Starts a new process."""
 
     def drain(self) -> None:
-        """SIGTERM: finish what is open, then end."""
+        """Shuts down gracefully, as on SIGTERM: completes what is open first."""
 
     def kill(self) -> None:
-        """SIGKILL: what is open is lost."""
+        """Ends at once, as on SIGKILL: what is open is lost."""
 
 
 def is_over(thing: Attempt) -> bool:
-    """An attempt's time-out is needless once it has ended."""
+    """Returns whether an attempt has ended, so that its time-out is not needed."""
     return thing.ended
 
 
 def is_answered(call: Call) -> bool:
-    """A call's time limit is needless once it has its answer."""
+    """Returns whether a call has its final response, so that its deadline need not be checked."""
     return not call.open
 
 
 def is_not_awaited(call: Call) -> bool:
-    """A caller's patience is needless once it waits no more."""
+    """Returns whether a call's caller has stopped waiting, so that its time-out is not needed."""
     return not call.waiting
--- a/workbench/model/clients.py
+++ b/workbench/model/clients.py
@@ -1,4 +1,4 @@
-"""Callers from outside: an open loop of arrivals drawn ahead, each request with tries of its own."""
+"""Clients: an open loop of arrivals, drawn in advance, with retries by the clients."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 import numpy as np
 
 from balancer.policy.interface import Effect, Group
-from workbench.model.call import UNKNOWN, Answer, Call, Request, is_answered, is_not_awaited
+from workbench.model.call import UNKNOWN, Answer, Call, Cause, Request, is_answered, is_not_awaited
 from workbench.model.environment import Environment
 from workbench.model.network import fixed_float, fixed_int
 from workbench.model.streams import scramble
 from workbench.model.trace import RequestTrace
 from workbench.scenario.model import Scenario
 
-CURVE_STEP_US = 50_000  # microseconds between two points of the load's curve
+CURVE_STEP_US = 50_000  # between two points of the load curve
 HONOUR_DRAW, LEAVE_DRAW, LEAVE_TIME_DRAW, FRONT_DRAW = range(103, 107)  # what a request's draws are for
 DRAW_RANGE = 2**32
 
 
 def load_curve(day: Scenario, length: int) -> tuple[np.ndarray[Any, Any], np.ndarray[Any, Any]]:
-    """The load over the day, relative to its mean: times in microseconds, factors."""
+    """Returns the load over the scenario, relative to its mean, as times in microseconds and factors."""
     times = np.arange(0, length + CURVE_STEP_US, CURVE_STEP_US, dtype=np.float64)
     load = day.load
     swing = fixed_float(load.swing)
@@ -35,10 +35,14 @@
 
 
 class Clients:
-    """Draws the day's requests, tries them through the front, and tells the account how each ended."""
+    """Draws the requests, sends them through the front, and records how each ended.
+
+    Args:
+        world: The model that the clients belong to.
+        rate: Requests a microsecond, at a load factor of 1.
+    """
 
     def __init__(self, world: Environment, rate: float) -> None:
-        """`rate`: first tries a microsecond, at a load factor of 1."""
         self.world = world
         self.clock = world.clock
         day = world.day
@@ -53,6 +57,12 @@
         self.draw_arrivals(day, rate)
 
     def draw_arrivals(self, day: Scenario, rate: float) -> None:
+        """Draws time, class, zone, key and work of each request.
+
+        Args:
+            day: The scenario.
+            rate: Requests a microsecond, at a load factor of 1.
+        """
         streams = self.world.streams
         times, factors = load_curve(day, self.world.length)
         sums = np.concatenate(([0.0], np.cumsum((factors[1:] + factors[:-1]) / 2 * CURVE_STEP_US * rate)))
@@ -76,12 +86,14 @@
         self.factors: list[float] = (streams.numpy("work").standard_gamma(shape) / shape).tolist()
 
     def start(self) -> None:
+        """Schedules the first arrival."""
         self.unfinished = len(self.times)
         if self.times:
             self.clock.call_at(self.world.begin + self.times[0], self.arrive, 0)
 
     def arrive(self, i: int) -> None:
-        now = self.world.begin + self.times[i]  # when it is due, however late a clock in real time may be
+        """Starts the request with the index `i` and schedules the next arrival."""
+        now = self.world.begin + self.times[i]  # when it is due, however late a real-time clock is
         if i + 1 < len(self.times):
             self.clock.call_at(self.world.begin + self.times[i + 1], self.arrive, i + 1)
         request_class = self.classes[i]
@@ -101,7 +113,7 @@
         self.start_attempt(request)
 
     def begin_trace(self, request: Request) -> None:
-        """Begins the request's trace, where the day is traced."""
+        """Begins the request's trace, if the run is traced."""
         log = self.world.trace_log
         if log is not None:
             request.trace = RequestTrace(
@@ -110,7 +122,7 @@
             log.begin_request(request.trace, self.world.classes[request.request_class].worth)
 
     def start_attempt(self, request: Request) -> None:
-        """One try, through the front."""
+        """Sends one attempt through the front."""
         world = self.world
         now = self.clock.now
         until = min(
@@ -137,17 +149,18 @@
                 self.clock.call_at(now + int(part * (until - now)), self.disconnect, call)
 
     def unreachable(self, call: Call) -> None:
+        """Ends an attempt for which there was no node."""
         if call.trace is not None:
             call.trace.end(self.clock.now, Answer.UNREACHABLE)
         self.answered(call, Answer.UNREACHABLE, 0)
 
     def attempt_expired(self, call: Call) -> None:
-        """The client's patience with this try is over."""
+        """Handles the client's time-out of an attempt."""
         if not call.waiting:
             return
         call.waiting = False
         request = call.root
-        request.cause = ("timed out", 0) if call.cause == UNKNOWN else call.cause
+        request.cause = Cause("timed out", 0) if call.cause == UNKNOWN else call.cause
         self.world.trace(request, "client", f"gives try {call.number + 1} up")
         if call.open and call.node is not None:
             self.clock.call_unless(
@@ -156,19 +169,20 @@
         self.retry(call, Answer.FAILED, 0)
 
     def disconnect(self, call: Call) -> None:
-        """The client goes away for good, though it could have waited longer."""
+        """Disconnects the client for good, before its time-out."""
         if not call.waiting:
             return
         call.waiting = False
         if call.node is not None:
             call.node.client_disconnected(call)
-        call.root.cause = ("left early", 0)
+        call.root.cause = Cause("left early", 0)
         if call.root.trace is not None:
             call.root.trace.client_left = True
         self.end(call.root)
 
     def answered(self, call: Call, answer: Answer, retry_after: int) -> None:
-        if not call.waiting:  # given up before the answer came
+        """Receives the response to an attempt; ignores it after the client's time-out."""
+        if not call.waiting:  # it has timed out
             return
         call.waiting = False
         request = call.root
@@ -182,7 +196,7 @@
             self.retry(call, answer, retry_after)
 
     def retry(self, call: Call, answer: Answer, retry_after: int) -> None:
-        """The next try, where tries, time and the class's effect allow it."""
+        """Schedules a retry if attempts, deadline and the class's effect allow it; else ends the request."""
         request = call.root
         now = self.clock.now
         settings = self.world.classes[request.request_class]
@@ -204,6 +218,7 @@
             self.end(request)
 
     def end(self, request: Request) -> None:
+        """Records the end of a request."""
         request.done_at = self.clock.now
         self.unfinished -= 1
         lost_value = self.world.accounts.request_ended(request)
--- a/workbench/model/environment.py
+++ b/workbench/model/environment.py
@@ -1,7 +1,7 @@
-"""What the parts of the model use of the whole that they are in, and of servers.
+"""Protocols of the model as a whole, and of servers, for its parts.
 
-`site.World` implements `Environment`. The parts know it by this protocol alone, so that none imports the
-whole. Times are microseconds, work is in core-microseconds of the yardstick.
+`site.World` implements `Environment`. The parts depend on this protocol alone, so that none imports the
+whole. Times are in microseconds, work is in core-microseconds of the reference core.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
     @property
     def incarnation(self) -> int:
-        """How often its process has been started anew."""
+        """How often its process has been started or stopped."""
 
     @property
     def ready_at(self) -> int:
@@ -87,7 +87,7 @@
     """What servers report to the referee."""
 
     def cold_server_failed(self, server: ServerView, notified_share: float) -> None:
-        """A cold server was sent more than it stands."""
+        """A server that was warming up was overloaded."""
 
 
 class Environment(Protocol):
@@ -119,7 +119,7 @@
 
     @property
     def slack(self) -> int:
-        """How late a final answer may be."""
+        """How long after its deadline a final response may be sent."""
 
     @property
     def classes(self) -> Sequence[ClassSettings]:
@@ -139,11 +139,11 @@
 
     @property
     def fall_time(self) -> int:
-        """The window over which a cold server's load counts."""
+        """The window in which the load of a server that warms up is measured."""
 
     @property
     def fall_multiple(self) -> float:
-        """How many times its capacity a cold server stands in that window."""
+        """How many times its capacity a server that warms up can receive in that window."""
 
     @property
     def network(self) -> Network:
@@ -151,15 +151,15 @@
 
     @property
     def front(self) -> Front:
-        """What spreads clients over nodes."""
+        """The front, which distributes clients' requests over nodes."""
 
     @property
     def accounts(self) -> Accounts:
-        """The accounts of worth."""
+        """The accounts of value."""
 
     @property
     def trace_log(self) -> TraceLog | None:
-        """The traces of lost requests, where the day is traced."""
+        """The traces of lost requests, if the run is traced."""
 
     @property
     def discovery(self) -> ServerDiscovery:
@@ -176,7 +176,7 @@
         """Returns a new call."""
 
     def knows_start(self, attempt: Attempt, server: ServerView) -> bool:
-        """Whether the node that sent an attempt knew of the server's present start."""
+        """Returns whether the node that sent an attempt was notified of the server's last start."""
 
     def trace(self, request: Request, who: str, what: str) -> None:
         """Reports a step of a request that is being traced."""
--- a/workbench/model/network.py
+++ b/workbench/model/network.py
@@ -1,15 +1,20 @@
-"""One-way delays between zones, cut zones, lost messages."""
+"""The network: one-way delays between zones, partitions, lost messages."""
 
 from __future__ import annotations
 
 from workbench.model.streams import Streams, scramble
 from workbench.scenario.model import Scenario
 
-TABLE_SIZE = 4096  # draws made ahead: a message takes the one that belongs to its call, whoever sent it
+TABLE_SIZE = 4096  # draws made in advance; each message uses the one of its call
 
 
 class Network:
-    """Delays in microseconds. A message's draw belongs to its key, so no choice shifts another's."""
+    """Delays in microseconds. A message's draw belongs to its key, so no choice of a policy shifts another's.
+
+    Args:
+        day: The scenario.
+        streams: The random streams.
+    """
 
     def __init__(self, day: Scenario, streams: Streams) -> None:
         net = day.network
@@ -29,10 +34,10 @@
         self.client = [int(fixed_float(net.client_ms) * 1000 * f) for f in factors]
         self.connect_timeout = int(fixed_float(net.connect_timeout_ms) * 1000)
         self.idle = int(fixed_float(net.idle_s) * 1e6)
-        self.partitioned_zones: set[int] = set()  # zones cut off from the others
+        self.partitioned_zones: set[int] = set()  # zones partitioned from the others
 
     def reaches(self, a: int, b: int) -> bool:
-        """Whether messages pass between two zones."""
+        """Returns whether messages pass between two zones."""
         return (
             a == b
             or not self.partitioned_zones
@@ -40,28 +45,28 @@
         )
 
     def between(self, a: int, b: int, draw: int) -> int:
-        """The delay of a message between zones, by the draw that belongs to its call and attempt."""
+        """Returns the delay of a message between zones, by the draw of its call and attempt."""
         return self.ways[a][b][draw & (TABLE_SIZE - 1)]
 
     def outside(self, key: int, number: int) -> int:
-        """The delay between a client and a node."""
+        """Returns the delay between a client and a node."""
         return self.client[scramble(key, number) & (TABLE_SIZE - 1)]
 
 
 def one_way(day: Scenario, a: int, b: int) -> int:
-    """The plain delay from one zone to another, microseconds."""
+    """Returns the one-way delay between two zones without jitter, in microseconds."""
     net, regions = day.network, fixed_int(day.zones.regions)
     far = fixed_float(net.region_ms) if a % regions != b % regions else 0.0
     return int((fixed_float(net.same_ms) if a == b else far or fixed_float(net.cross_ms)) * 1000)
 
 
 def fixed_float(value: float | tuple[float, float]) -> float:
-    """A figure of a day, in which every range is fixed."""
+    """Returns a number of a scenario whose ranges have been drawn."""
     assert not isinstance(value, tuple), "a day has no ranges"
     return value
 
 
 def fixed_int(value: int | tuple[int, int]) -> int:
-    """A whole figure of a day."""
+    """Returns an integer of a scenario whose ranges have been drawn."""
     assert not isinstance(value, tuple), "a day has no ranges"
     return value
--- a/workbench/model/referee.py
+++ b/workbench/model/referee.py
@@ -1,4 +1,4 @@
-"""The four rules, seen from outside: what clients, servers and discovery saw, never a node's own state."""
+"""The rules as seen from outside: by clients, servers and discovery, never by a node's own state."""
 
 from __future__ import annotations
 
@@ -9,12 +9,19 @@
 from workbench.model.environment import ServerView
 
 RULES = ("final_answer", "duplicate_effects", "drain_grace", "cold_server", "well_formed")
-MAX_REPORTED = 20  # broken rules told one by one
-NOTIFIED_SHARE = 2 / 3  # of the work at a fallen server: beyond it the nodes that knew are at fault
+MAX_REPORTED = 20  # violations whose descriptions are kept
+NOTIFIED_SHARE = 2 / 3  # of the work at a failed cold server: above it, the notified nodes are at fault
 
 
 class Referee:
-    """Counts broken rules. `stop_sending` is in microseconds, as all times."""
+    """Counts violations of the rules.
+
+    Args:
+        classes: The settings of the request classes.
+        stop_sending: How long after a notification a server that drains may still be sent attempts, in
+            microseconds.
+        second_copies: Whether hedged requests are allowed.
+    """
 
     def __init__(self, classes: list[ClassSettings], stop_sending: int, second_copies: bool) -> None:
         self.classes = classes
@@ -24,15 +31,17 @@
         self.violations: list[str] = []
 
     def report(self, now: int, rule: str, description: str) -> None:
+        """Counts a violation, and keeps the description of the first ones."""
         self.counts[rule] += 1
         if len(self.violations) < MAX_REPORTED:
             self.violations.append(f"{now / 1e6:.3f} s: {rule}: {description}")
 
     def deadline_missed(self, now: int, call: Call) -> None:
-        """A live node has let a request's time and the slack pass without a final answer."""
+        """Reports that a running node has sent no final response within deadline and slack."""
         self.report(now, "final_answer", f"request {call.root.index}, tier {call.tier}: no answer in time")
 
     def malformed(self, now: int, description: str) -> None:
+        """Reports an action that the interface does not allow."""
         self.report(now, "well_formed", description)
 
     def check_attempt(self, now: int, call: Call, server: ServerView, unavailable_since: int) -> None:
@@ -68,13 +77,13 @@
             )
 
     def attempt_ended(self, call: Call, server: Any, sent_at: int, outcome: Outcome) -> None:
-        """An attempt's outcome: whether it may have run."""
+        """Records whether an attempt may have run, by its outcome."""
         if outcome not in NEVER_RAN and outcome != Outcome.OK and call.ran_on is None:
             call.ran_on = server
             call.ran_at = sent_at
 
     def check_rejection(self, now: int, call: Call) -> None:
-        """A refusal promises that a repeat does no harm."""
+        """Checks a rejection, which promises that a retry is safe."""
         ran = call.ran_on is not None or call.in_flight > 0
         if ran and not repeats_anywhere(self.classes[call.root.request_class]):
             self.report(
@@ -82,21 +91,21 @@
             )
 
     def cold_server_failed(self, server: ServerView, notified_share: float) -> None:
-        """A cold server was sent more than it stands."""
+        """Reports a server that was overloaded while it warmed up, if nodes knew of its start."""
         now = server.clock.now
         if notified_share >= NOTIFIED_SHARE:
             self.report(now, "cold_server", f"server {server.id}, tier {server.tier}: pushed over while cold")
 
 
 def repeats_anywhere(settings: ClassSettings) -> bool:
-    """Whether a request of the class that may have run does no harm at any server."""
+    """Returns whether a request that may have run can be retried at any server."""
     return settings.effect == Effect.IDEMPOTENT or (
         settings.effect == Effect.IDEMPOTENCY_KEY and settings.group == Group.ALL
     )
 
 
 def in_group(group: Group, first: Any, other: Any) -> bool:
-    """Whether a server discards the repeats of what another may have run."""
+    """Returns whether a server recognises the duplicates of what another server may have run."""
     if group == Group.ALL or first is other:
         return True
     if group == Group.ZONE:
--- a/workbench/model/server.py
+++ b/workbench/model/server.py
@@ -1,9 +1,9 @@
-"""A server: cores shared evenly by the calls in work, a waiting room, pauses, cold starts, a cap on
-connections.
+"""A server: cores, a queue, pauses, slow start, a limit on connections.
 
-Calls in work that do not wait for the next tier share the cores evenly (processor sharing). `served` is the
-work each of them has got since the server was made, so a call ends when `served` has grown by its work: one
-heap of such finish_heap, one event for the next end, whatever the number of calls.
+Running jobs, those that do not wait for the next tier, share the cores evenly (processor sharing). The
+virtual time is the work that each running job has received since the server was made, so a job completes
+when the virtual time reaches its finish time: one heap of finish times and one timer for the next
+completion, whatever the number of jobs.
 """
 
 from __future__ import annotations
@@ -13,51 +13,28 @@
 from typing import Any
 
 from balancer.policy.interface import Outcome
-from workbench.model.call import Answer, Attempt, Call, Port
+from workbench.model.call import NEVER_SENT, Answer, Attempt, Call, Cause, Port
 from workbench.model.environment import Environment
+from workbench.model.job import DONE, QUEUED, RUNNING, WAITING, Job
+from workbench.model.recent_load import ReceivedWork, RecentLoad
 from workbench.model.server_spec import ServerSpec
 from workbench.model.streams import scramble
 
-WORK_SHARE_BEFORE_CALLS = 0.5  # of a server's own work is done before it calls the next tier
-WARM_UP_STEPS = 40  # a cold start gains capacity in so many steps
-CONNECTION_TAX = 0.25  # of the capacity a full table of connections takes (BRIEF's site: 0.21 to 0.37)
+WORK_SHARE_BEFORE_CALLS = 0.5  # of a job's work is done before its calls to the next tier
+WARM_UP_STEPS = 40  # of capacity after a start
+CONNECTION_TAX = 0.25  # of the capacity, at the limit on connections (the brief gives 0.21 to 0.37)
 DRAW_RANGE = 2**32
 LATE_DRAW, LATE_TIME_DRAW = 201, 202  # what an attempt's draws are for
-COLD_SLACK_CALLS = 3.0  # calls of mean work that a cold server bears beyond its budget, for chance
-
-
-class Job:
-    """One attempt at its server."""
-
-    __slots__ = (
-        "attempt",
-        "finish_time",
-        "start_time",
-        "remaining",
-        "calls",
-        "child",
-        "useful",
-        "state",
-        "answer",
-    )
-
-    def __init__(self, attempt: Attempt, work: float, calls: int) -> None:
-        self.attempt = attempt
-        self.finish_time = 0.0  # the `served` at which its present work is done
-        self.start_time = 0.0  # the `served` at which that began
-        self.remaining = work  # not yet begun
-        self.calls = calls  # not yet made
-        self.child: Call | None = None
-        self.useful = work
-        self.state = QUEUED
-        self.answer = Outcome.OK
-
-
-QUEUED, RUNNING, WAITING, DONE = range(4)
+COLD_SLACK_CALLS = 3.0  # calls of mean work beyond the budget of a cold server, as a margin for chance
 
 
 class Server:
-    """One machine. `ready_at` is its process's start, 0 for long ago."""
+    """A machine and the process on it.
+
+    Args:
+        world: The model that it belongs to.
+        spec: The figures of the machine.
+    """
 
     def __init__(self, world: Environment, spec: ServerSpec) -> None:
         self.world = world
@@ -78,17 +55,29 @@
         self.node: Port | None = None  # for its calls to the next tier
         self.up = True
         self.draining = False
-        self.silent = False  # the machine says nothing, and hears nothing
-        self.late_connection_share = 0.0  # share of its new connections that come up late
-        self.max_connection_delay = 0  # by how many microseconds at most
+        self.silent = False  # the machine neither sends nor receives
+        self.late_connection_share = 0.0  # share of its new connections that are delayed
+        self.max_connection_delay = 0  # in microseconds
         self.failed_cold = False
         self.ready_at = 0
         self.warmth = 1.0
         self.slow = 1.0
-        self.failing = spec.error_rate  # share of the calls that end in an error
-        self.stolen_share = 0.0  # share of the machine that another program has
+        self.failing = spec.error_rate  # share of the jobs that end in an error
+        self.stolen_share = 0.0  # share of the machine that another program uses
         self.paused = False
         self.incarnation = 0  # of its process
+        self.connections = 0
+        self.overhead = 0.0  # work of handshakes and health checks, added to the next job
+        self.recent = RecentLoad()  # received while it warms up
+        self.busy = 0.0  # work done, in core-microseconds of the reference core
+        self._init_jobs()
+        if spec.pause > 0:
+            self.clock.call_at(
+                self.clock.now + int(self.next_pause() * self.pauses.random()), self.pause, None
+            )
+
+    def _init_jobs(self) -> None:
+        """Sets the state of queue and processor sharing to that of an idle server."""
         self.jobs: set[Job] = set()
         self.queue: deque[Job] = deque()
         self.used_slots = 0
@@ -97,38 +86,31 @@
         self.sequence = 0
         self.virtual_time = 0.0
         self.updated_at = 0
-        self.speed = spec.speed  # of a core now
-        self.rate = 0.0  # of each running call now
+        self.speed = self.full_speed  # of a core, at present
+        self.rate = 0.0  # of each running job, at present
         self.timer_at = -1
-        self.connections = 0
-        self.overhead = 0.0  # work of handshakes and probes, charged to the next call
-        self.recent: deque[tuple[int, float, bool]] = deque()  # what came while cold
-        self.recent_work = 0.0
-        self.notified_work = 0.0
-        self.busy = 0.0  # core-microseconds of yardstick work done
-        if spec.pause > 0:
-            self.clock.call_at(
-                self.clock.now + int(self.next_pause() * self.pauses.random()), self.pause, None
-            )
 
     # ---- capacity ---------------------------------------------------------------------------------------
 
     def next_pause(self) -> float:
+        """Draws the microseconds until the next pause."""
         return self.spec.pause_every * (0.6 + 0.8 * self.pauses.random())
 
     def pause(self, _: Any) -> None:
+        """Begins a pause, as of a garbage collector."""
         self.paused = True
         self.update_speed()
         length = int(self.spec.pause * (0.7 + 0.6 * self.pauses.random()))
         self.clock.call_at(self.clock.now + length, self.resume, None)
 
     def resume(self, _: Any) -> None:
+        """Ends a pause and schedules the next."""
         self.paused = False
         self.update_speed()
         self.clock.call_at(self.clock.now + int(self.next_pause()), self.pause, None)
 
     def update_speed(self) -> None:
-        """Takes note of a change in what the machine can do."""
+        """Computes the speed of a core after anything that it depends on has changed."""
         self.advance()
         tax = 1 - CONNECTION_TAX * min(1.0, self.connections / self.spec.connection_cap)
         share = 0.0 if self.paused or self.silent else 1 - self.stolen_share
@@ -136,7 +118,7 @@
         self.schedule()
 
     def capacity(self) -> float:
-        """Yardstick work a microsecond that the server could do now, pauses left out."""
+        """Returns the reference work a microsecond that the server could do now, leaving out pauses."""
         return (
             self.cores
             * self.full_speed
@@ -147,13 +129,14 @@
         )
 
     def advance(self) -> None:
+        """Advances the virtual time to the present."""
         now = self.clock.now
         if self.rate > 0:
             self.virtual_time += self.rate * (now - self.updated_at)
         self.updated_at = now
 
     def schedule(self) -> None:
-        """Sets the rate anew and sees to it that the next end of work is met."""
+        """Computes the rate and sets the timer for the next completion."""
         n = self.running
         rate = self.speed
         if n == 0 or rate <= 0:
@@ -171,7 +154,8 @@
             self.clock.call_at(due, self.on_timer, due)
 
     def on_timer(self, due: int) -> None:
-        if due != self.timer_at:  # an earlier end came up since
+        """Completes the work that is due, and sets the next timer."""
+        if due != self.timer_at:  # it has been superseded by an earlier one
             return
         self.timer_at = -1
         now = self.clock.now
@@ -194,7 +178,7 @@
     # ---- a call's way through ----------------------------------------------------------------------------
 
     def arrive(self, attempt: Attempt) -> None:
-        """An attempt's last byte has come."""
+        """Receives an attempt."""
         if attempt.ended or self.silent:
             return
         if not self.up:
@@ -221,6 +205,7 @@
             self.schedule()
 
     def begin(self, job: Job) -> None:
+        """Gives a job a slot and runs its first part."""
         self.used_slots += 1
         if job.calls:
             part = job.remaining * WORK_SHARE_BEFORE_CALLS
@@ -231,6 +216,7 @@
             self.run(job, part)
 
     def run(self, job: Job, work: float) -> None:
+        """Runs a part of a job."""
         job.state = RUNNING
         job.start_time = self.virtual_time
         job.finish_time = self.virtual_time + work
@@ -239,13 +225,13 @@
         heappush(self.finish_heap, (job.finish_time, self.sequence, job))
 
     def record_work(self, job: Job) -> None:
-        """Books the work that a call has got since it last began to run."""
+        """Records the work that a job has received since it last began to run."""
         done = self.virtual_time - job.start_time
         self.busy += done
         job.attempt.call.root.work += done
 
     def next_step(self, job: Job) -> None:
-        """What comes after a piece of work: a call to the next tier, the rest of the work, or the answer."""
+        """Continues a job after a part of its work: a call to the next tier, more work, or the response."""
         if job.calls:
             job.state = WAITING
             self.call(job)
@@ -257,7 +243,7 @@
             self.finish(job, Outcome.ERROR if error else Outcome.OK)
 
     def call(self, job: Job) -> None:
-        """One call to the next tier, through this server's own node."""
+        """Makes one call to the next tier, through this server's own node."""
         above = job.attempt.call
         world = self.world
         key = scramble(above.key, job.calls)
@@ -273,13 +259,13 @@
         if node is None or not node.ready:
             if call.trace is not None:
                 call.trace.end(self.clock.now, Answer.UNREACHABLE)
-            call.cause = ("never sent", self.tier + 1)
+            call.cause = Cause(NEVER_SENT, self.tier + 1)
             self.answered(call, Answer.UNREACHABLE, 0)
         else:
             node.accept(call)
 
     def answered(self, call: Call, answer: Answer, retry_after: int) -> None:
-        """The next tier's answer to a call of ours. Nobody else repeats it: if it fails, so do we."""
+        """Receives the next tier's response. Failed calls are not retried here, so the job fails too."""
         job: Job = call.context
         if job.state != WAITING or job.child is not call:
             return
@@ -294,6 +280,7 @@
             self.finish(job, Outcome.ERROR)
 
     def finish(self, job: Job, outcome: Outcome) -> None:
+        """Ends a job and responds to its attempt."""
         job.state = DONE
         self.release(job)
         attempt = job.attempt
@@ -302,7 +289,7 @@
             attempt.port.reply(attempt, outcome)
 
     def release(self, job: Job) -> None:
-        """Frees the slot, and lets the first who waits have it."""
+        """Frees the slot of a job and gives it to the next in the queue."""
         self.jobs.discard(job)
         self.used_slots -= 1
         while self.queue and self.used_slots < self.slots:
@@ -313,7 +300,7 @@
                 self.schedule()
 
     def abandon(self, attempt: Attempt) -> None:
-        """The node has given the attempt up: its work stops where the server's kind lets it."""
+        """Handles an attempt that its node has cancelled: the work stops if this kind of server can."""
         job: Job | None = attempt.job
         if job is None or job.state == DONE or not self.up or self.silent:
             return
@@ -339,7 +326,7 @@
     # ---- connections and probes --------------------------------------------------------------------------
 
     def change_connections(self, change: int) -> bool:
-        """A connection comes up (1) or closes (-1). False if the table is full."""
+        """Opens (1) or closes (a negative number) connections; returns False if the limit is reached."""
         if change > 0:
             if self.connections >= self.spec.connection_cap:
                 return False
@@ -348,7 +335,7 @@
         return True
 
     def connection_delay(self, draw: int) -> int:
-        """How many microseconds later than usual a new connection comes up, by the draw of its attempt."""
+        """Returns the extra microseconds that a new connection takes, by the draw of its attempt."""
         if (
             not self.late_connection_share
             or scramble(draw, LATE_DRAW) >= self.late_connection_share * DRAW_RANGE
@@ -357,36 +344,29 @@
         return self.max_connection_delay * scramble(draw, LATE_TIME_DRAW) // DRAW_RANGE
 
     def answer_health_check(self) -> bool:
-        """A probe's answer; it costs work."""
+        """Returns whether a health check succeeds; answering it costs work."""
         self.overhead += self.spec.probe
         return not self.draining
 
     # ---- starts and ends ---------------------------------------------------------------------------------
 
     def survives_load(self, attempt: Attempt, work: float) -> bool:
-        """Whether a cold server stands what it is sent; every bit of work that arrives counts."""
+        """Returns whether a server that warms up can take one more attempt; if not, it fails."""
         now = self.clock.now
         world = self.world
         recent = self.recent
-        notified = world.knows_start(attempt, self)
-        recent.append((now, work, notified))
-        self.recent_work += work
-        self.notified_work += work * notified
-        while recent[0][0] < now - world.fall_time:
-            _, old, was_notified = recent.popleft()
-            self.recent_work -= old
-            self.notified_work -= old * was_notified
+        recent.add(ReceivedWork(now, work, world.knows_start(attempt, self)), world.fall_time)
         budget = world.fall_multiple * self.cores * self.full_speed * self.warmth * world.fall_time
-        if self.recent_work <= budget + COLD_SLACK_CALLS * world.mean_work[self.tier]:
+        if recent.work <= budget + COLD_SLACK_CALLS * world.mean_work[self.tier]:
             return True
         self.failed_cold = True
-        world.referee.cold_server_failed(self, self.notified_work / self.recent_work)
+        world.referee.cold_server_failed(self, recent.notified_work / recent.work)
         self.stop(kill=True)
         world.discovery.server_stopped(self)
         return False
 
     def start(self) -> None:
-        """A new process, cold."""
+        """Starts a new process, which has to warm up."""
         if self.failed_cold or self.up:
             return
         self.up = True
@@ -394,7 +374,6 @@
         self.incarnation += 1
         self.ready_at = max(1, self.clock.now)
         self.recent.clear()
-        self.recent_work = self.notified_work = 0.0
         if self.spec.cold > 0:
             self.warmth = self.spec.cold_from
             self.clock.call_at(
@@ -406,6 +385,7 @@
         self.world.discovery.server_started(self)
 
     def warm_up(self, incarnation: int) -> None:
+        """Raises the capacity by one step of the warm-up."""
         if incarnation != self.incarnation or not self.up:
             return
         passed = (self.clock.now - self.ready_at) / self.spec.cold
@@ -415,7 +395,7 @@
             self.clock.call_at(self.clock.now + self.spec.cold // WARM_UP_STEPS, self.warm_up, incarnation)
 
     def stop(self, kill: bool) -> None:
-        """The process ends: what it holds is reset."""
+        """Ends the process: jobs are reset."""
         if not self.up:
             return
         self.advance()
@@ -433,5 +413,5 @@
         self.used_slots = self.running = 0
         self.connections = 0
         self.schedule()
-        if self.node is not None:  # after its callers are gone: nobody is left to answer
+        if self.node is not None:  # last: no caller is left to respond to
             self.node.kill()
--- a/workbench/model/server_spec.py
+++ b/workbench/model/server_spec.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerSpec:
-    """A machine's figures. Times in microseconds, work in core-microseconds of the yardstick."""
+    """A machine's figures. Times in microseconds, work in core-microseconds of the reference core."""
 
     name: str
     id: int
--- a/workbench/model/site.py
+++ b/workbench/model/site.py
@@ -1,5 +1,4 @@
-"""A day put together: servers in tiers, nodes, clients, front, network, discovery, faults, referee,
-accounts."""
+"""The model as a whole: servers in tiers, nodes, clients, network, discovery, faults, referee, accounts."""
 
 from __future__ import annotations
 
@@ -27,8 +26,8 @@
 from workbench.model.trace import CallTrace, TraceLog
 from workbench.scenario.model import Kind, Scenario
 
-MIN_SPEED_SHARE = 0.3  # of its kind's mean, however wide the spread
-BEGIN = 10_000_000  # the clock begins at no particular value
+MIN_SPEED_SHARE = 0.3  # minimum speed, relative to the mean of its kind
+BEGIN = 10_000_000  # arbitrary start time of the clock, in microseconds
 
 EFFECTS = {"safe": Effect.IDEMPOTENT, "keyed": Effect.IDEMPOTENCY_KEY, "unsafe": Effect.NOT_IDEMPOTENT}
 EFFECT_WORDS = {
@@ -38,7 +37,7 @@
 
 
 def class_settings(day: Scenario) -> list[ClassSettings]:
-    """The day's classes, as nodes are told of them."""
+    """Returns the settings of the request classes, as nodes receive them."""
     return [
         ClassSettings(
             EFFECTS[c.effect],
@@ -53,21 +52,41 @@
     ]
 
 
+def mean_request_work(day: Scenario) -> float:
+    """Returns the mean work of a request over the classes, in core-microseconds of the reference core."""
+    shares = [fixed_float(c.share) for c in day.request_classes]
+    works = [fixed_float(c.work_ms) for c in day.request_classes]
+    return sum(work * share for work, share in zip(works, shares, strict=True)) / sum(shares) * 1000
+
+
+def work_table(day: Scenario) -> list[list[float]]:
+    """Returns the mean work of a call, by tier and class, in core-microseconds of the reference core."""
+    return [
+        [fixed_float(t.work) * fixed_float(c.work_ms) * 1000 for c in day.request_classes] for t in day.tier
+    ]
+
+
 def assign_by_shares(shares: list[float], count: int) -> list[int]:
-    """So many places, each given to one of the shares' owners: evenly mixed, in proportion."""
+    """Assigns `count` places to the owners of the shares: in proportion, and evenly mixed."""
     turns = sorted(((i + 0.5) / share, k) for k, share in enumerate(shares) for i in range(count))
     return [k for _, k in turns][:count]
 
 
 class Hosts(Protocol):
-    """Makes the nodes of a world."""
+    """Makes the nodes of a model."""
 
     def node(self, world: World, name: str, tier: int, settings: Settings) -> Port:
-        """A node that is not started yet. `tier`: the servers it sends to."""
+        """Returns a node that is not started yet; `tier` is the tier that it sends to."""
 
 
 class World:
-    """One day in motion. `servers` and `nodes` override the day's own numbers."""
+    """One scenario, running on a clock.
+
+    Args:
+        day: The scenario, its ranges drawn.
+        clock: Schedules all that happens.
+        hosts: Makes the nodes.
+    """
 
     def __init__(self, day: Scenario, clock: Clock, hosts: Hosts) -> None:
         self.day = day
@@ -88,17 +107,9 @@
         self.call_numbers = itertools.count(1)
         self.classes = class_settings(day)
         self.tick = int(fixed_float(day.nodes.tick_ms) * 1000)
-        shares = [fixed_float(c.share) for c in day.request_classes]
-        mean = (
-            sum(fixed_float(c.work_ms) * s for c, s in zip(day.request_classes, shares, strict=True))
-            / sum(shares)
-            * 1000
-        )
+        mean = mean_request_work(day)
         self.mean_work = [fixed_float(t.work) * mean for t in day.tier]
-        self.work_table = [
-            [fixed_float(t.work) * fixed_float(c.work_ms) * 1000 for c in day.request_classes]
-            for t in day.tier
-        ]
+        self.work_table = work_table(day)
         self.mean_calls = [fixed_float(t.calls) for t in day.tier[1:]] + [0.0]
         self.network = Network(day, self.streams)
         self.referee = Referee(
@@ -110,23 +121,27 @@
         self.tiers: list[list[Server]] = []
         self.by_id: dict[int, Server] = {}
         self.replacement_numbers = itertools.count()
-        specs = self.draw_specs()
-        self.instances = [fixed_int(day.nodes.count)] + [len(tier) for tier in specs[:-1]]
+        self.add_initial_servers(self.draw_specs())
+        self.nodes = [self.front_node(index) for index in range(self.instances[0])]
+        self.clients = Clients(self, self.rate())
+        self.active_faults: list[ActiveFault] = []
+
+    # ---- servers and nodes --------------------------------------------------------------------------------
+
+    def add_initial_servers(self, specs: list[list[ServerSpec]]) -> None:
+        """Adds the servers of all tiers, which discovery has in its lists from the start."""
+        self.instances = [fixed_int(self.day.nodes.count)] + [len(tier) for tier in specs[:-1]]
         for tier in specs:
             self.tiers.append([])
             for spec in tier:
                 self.discovery.add_initial(self.add_server(spec, first=True))
-        self.nodes = [
-            hosts.node(self, f"front/{i}", 0, self.settings(0, i % self.zones, i))
-            for i in range(self.instances[0])
-        ]
-        self.clients = Clients(self, self.rate())
-        self.active_faults: list[ActiveFault] = []
 
-    # ---- what there is --------------------------------------------------------------------------------
+    def front_node(self, index: int) -> Port:
+        """Returns a node of the front; its zone is given in turn."""
+        return self.hosts.node(self, f"front/{index}", 0, self.settings(0, index % self.zones, index))
 
     def draw_specs(self) -> list[list[ServerSpec]]:
-        """The machines of each tier, kinds by their shares, zones in turn, cells within a zone."""
+        """Draws the machines of each tier: kinds and zones by their shares, cells within a zone."""
         specs: list[list[ServerSpec]] = []
         weights = [fixed_float(self.day.zones.servers.get(str(z), 1.0)) for z in range(self.zones)]
         ids = self.streams.random("ids")
@@ -150,6 +165,7 @@
         return specs
 
     def spec(self, name: str, number: int, tier: int, zone: int, cell: int, kind: int) -> ServerSpec:
+        """Draws the figures of one machine."""
         k: Kind = self.day.tier[tier].kind[kind]
         cores = fixed_int(k.cores)
         rng = self.streams.random(f"{name}/speed")
@@ -179,7 +195,7 @@
         )
 
     def add_server(self, spec: ServerSpec, first: bool = False) -> Server:
-        """A machine: one of the first day, or one that replaces another of that kind and place."""
+        """Adds a machine: an initial one, or one that replaces another of the same kind and place."""
         if not first:
             number = next(self.replacement_numbers)
             rng = self.streams.random(f"replacement/{number}")
@@ -198,7 +214,7 @@
         return server
 
     def settings(self, tier: int, zone: int, index: int) -> Settings:
-        """What a node of this world is told at its start."""
+        """Returns the settings that a node receives at its start."""
         day = self.day
         kinds = [k for t in day.tier for k in t.kind]
         return Settings(
@@ -227,7 +243,7 @@
         )
 
     def rate(self) -> float:
-        """First tries a microsecond: the load's fraction of what the tier that runs out first can do."""
+        """Returns the requests a microsecond: the load's fraction of the capacity of the tightest tier."""
         visits = 1.0
         rates = []
         for t, tier in enumerate(self.tiers):
@@ -245,30 +261,31 @@
     # ---- what its parts ask ---------------------------------------------------------------------------
 
     def calls(self, tier: int, key: int) -> int:
-        """How many calls a server makes to the next tier for this call."""
+        """Returns how many calls a server makes to the next tier for a call."""
         mean = self.mean_calls[tier]
         minimum = floor(mean)
         return minimum + ((key >> 16) < (mean - minimum) * 2**16)
 
     def call(self, root: Request, key: int, tier: int, until: int, caller: Caller) -> Call:
+        """Returns a new call, with a trace if its request has one."""
         call = Call(next(self.call_numbers), root, key, tier, until, caller)
         if root.trace is not None:
             call.trace = CallTrace(tier, self.clock.now, until)
         return call
 
     def knows_start(self, attempt: Attempt, server: ServerView) -> bool:
-        """Whether the node that sent an attempt had been told of the server's present start."""
+        """Returns whether the node that sent an attempt was notified of the server's last start."""
         return attempt.port.starts.get(server.id, -1) == server.ready_at
 
     def trace(self, request: Request, who: str, what: str) -> None:
+        """Reports a step of the request that is followed."""
         if request.index == self.followed_request and self.on_step is not None:
             self.on_step(request, who, what)
 
     # ---- its run --------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """The day begins now: troubles and clients by its time, and the nodes, the front's spread over some
-        of it."""
+        """Begins the scenario now: faults, clients and nodes, the front's spread over some time."""
         self.begin = self.accounts.begin = self.clock.now
         if self.trace_log is not None:
             self.trace_log.begin = self.begin
@@ -285,5 +302,5 @@
         self.clients.start()
 
     def finished(self) -> bool:
-        """Whether all requests have come and ended."""
+        """Returns whether all requests have arrived and ended."""
         return self.clients.unfinished == 0
--- a/workbench/model/trace.py
+++ b/workbench/model/trace.py
@@ -1,7 +1,7 @@
-"""Traces of clients' requests: each try, each call behind it and each attempt, with times and ends.
+"""Traces of clients' requests: each client attempt, its calls and their attempts, with times and outcomes.
 
-Recorded only where a day is played with tracing on. The steps of the model write their part of the trace as
-they happen; a trace holds no reference to the model, so it outlives the day. Times are microseconds.
+Recorded only if a run is traced. The parts of the model write to the trace as events happen; a trace has no
+reference to the model, so it outlives the run. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -18,14 +18,16 @@
 
 @dataclass(slots=True)
 class AttemptTrace:
-    """One sending of a call to one server. `calls` are what that server called for it in the next tier."""
+    """One attempt at one server. `calls` are the calls that the server made to the next tier for it."""
 
     tier: int
     sent_at: int
-    dialled: bool = False  # on a connection made for it
+    dialled: bool = False  # on a new connection
     ended_at: int = UNENDED
     outcome: Outcome | None = None
-    silent: bool = False  # it ended while no answer could come: server silent or cut off, or answer lost
+    silent: bool = (
+        False  # it ended while no response could come: server silent or unreachable, or response lost
+    )
     calls: list[CallTrace] = field(default_factory=list)
 
     def end(self, now: int, outcome: Outcome, silent: bool = False) -> None:
@@ -37,7 +39,7 @@
 
 @dataclass(slots=True)
 class CallTrace:
-    """One call at one node: a client's try, or a server's call to the next tier."""
+    """One call to one node: an attempt of a client, or a server's call to the next tier."""
 
     tier: int
     begun_at: int
@@ -55,7 +57,7 @@
 
 @dataclass(slots=True)
 class RequestTrace:
-    """What one client wanted, and all that was done for it. `lost_value` is known at its end."""
+    """A client's request and all that was done for it. `lost_value` is set at its end."""
 
     index: int
     request_class: int
@@ -69,13 +71,13 @@
 
     @property
     def decided_at(self) -> int:
-        """When the loss was decided: at the request's aim, or at its end where that came first."""
+        """When the loss was decided: at the latency objective, or at the request's end if that came first."""
         return min(self.objective_at, self.ended_at)
 
 
 @dataclass
 class TraceLog:
-    """The traces of a day's lost requests, and what its losses are measured against."""
+    """The traces of a run's lost requests, and the totals that losses are compared with."""
 
     begin: int = 0
     lost: list[RequestTrace] = field(default_factory=list)
@@ -87,11 +89,11 @@
         return (due - self.begin) // SECOND
 
     def begin_request(self, trace: RequestTrace, value: float) -> None:
-        """Counts the worth that is asked for, by class and by second of the day."""
+        """Adds a request's value to the totals, by class and by second of the scenario."""
         self.offered_value[trace.request_class, self.second(trace.due)] += value
 
     def end_request(self, trace: RequestTrace, now: int, served: bool, lost_value: float) -> None:
-        """Keeps the trace if worth was lost, and only the time that it took if none was."""
+        """Keeps the trace if value was lost; if not, only the time that the request took."""
         trace.ended_at = now
         trace.served = served
         trace.lost_value = lost_value
--- a/workbench/simulator/host.py
+++ b/workbench/simulator/host.py
@@ -12,9 +12,10 @@
 
 from balancer.policy.interface import Events, ListKind, Outcome, ServerEntry, Settings, State
 from workbench.baselines import Policy
-from workbench.model.call import Answer, Attempt, Call, is_answered, is_over
+from workbench.model.call import Answer, Attempt, Call, Cause, is_answered, is_over
+from workbench.model.job import DONE, Job
 from workbench.model.network import TABLE_SIZE, fixed_float
-from workbench.model.server import DONE, Job, Server
+from workbench.model.server import Server
 from workbench.model.site import World
 from workbench.model.streams import scramble
 from workbench.model.trace import AttemptTrace
@@ -144,7 +145,7 @@
                     attempt.server.abandon(attempt)
             call.in_flight = 0
             if call.open:
-                call.cause = ("reset", self.tier)
+                call.cause = Cause("reset", self.tier)
                 if call.trace is not None:
                     call.trace.node_died = True
                 self.answer(call, Answer.FAILED, 0)
@@ -200,7 +201,7 @@
     def accept(self, call: Call) -> None:
         call.node = self
         if not self.up or self.module is None:
-            call.cause = ("reset", self.tier)
+            call.cause = Cause("reset", self.tier)
             call.open = False
             self.deliver(call, Answer.UNREACHABLE, 0)
             return
@@ -382,7 +383,7 @@
             self.tell_outcome(attempt, outcome, True)
         else:
             if outcome != Outcome.OK and call.open:
-                call.cause = attempt.cause or (CAUSES.get(outcome, "error"), self.tier)
+                call.cause = attempt.cause or Cause(CAUSES.get(outcome, "error"), self.tier)
             self.tell_outcome(attempt, outcome, not call.open)
         if outcome != Outcome.TIMEOUT and outcome != Outcome.CANCELLED:
             attempt.job = None
@@ -434,7 +435,7 @@
             return
         if not call.sent:
             cause = "refused at the limit" if answer == Answer.REFUSED else "never sent"
-            call.cause = (cause, self.tier)
+            call.cause = Cause(cause, self.tier)
         if answer == Answer.REFUSED:
             self.world.referee.check_rejection(self.clock.now, call)
             self.world.accounts.rejections[self.tier] += 1
