--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -13,8 +13,10 @@
 from workbench.model.trace import AttemptTrace
 from workbench.report.losses import LossCause
 from workbench.scenario.load import draw, load, parse_scenario, shipped, to_table
+from workbench.simulator.connections import ConnectionPool
 from workbench.simulator.heap import HeapClock
-from workbench.simulator.host import Host, Link, Node
+from workbench.simulator.host import Host
+from workbench.simulator.node import Node
 from workbench.simulator.play import play
 
 TICK = 1000
@@ -43,8 +45,8 @@
     call.in_flight = 1
     attempt = Attempt(call, 0, server, node, draw_, BEGIN)
     attempt.trace = AttemptTrace(0, BEGIN)
-    attempt.link = Link(server.incarnation)
-    node.dial(attempt, 100, reached=True)
+    attempt.connection = ConnectionPool(server)
+    node.dial(attempt, 100, reachable=True)
     clock.run(BEGIN + 2_000_000)
     return server, attempt.trace, arrived
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -27,7 +27,8 @@
 from workbench.scenario.load import draw, load
 from workbench.scenario.model import Scenario
 from workbench.simulator.heap import HeapClock
-from workbench.simulator.host import Host, Node
+from workbench.simulator.host import Host
+from workbench.simulator.node import Node
 from workbench.simulator.play import play
 
 AIM, DEADLINE, WINDOW = 2_500_000, 6_000_000, 10_000_000
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -213,7 +213,7 @@
 @pytest.mark.parametrize("name", [n for n in scenarios.shipped() if n not in ("soak", "thin")])
 def test_shipped_days_keep_the_rules_by_the_module(name):
     got, run = result(name, overrides=["length_s=10", "servers=6", "load.fraction=0.5"], seed=7)
-    assert not any(got["rules"].values()), run.broken
+    assert not any(got["rules"].values()), run.violations
     account = got["account"]
     lost = sum(e["share"] for e in account["lost"])
     assert lost == pytest.approx(1 - account["whole"], abs=1e-9)  # each lost point went somewhere
@@ -222,7 +222,7 @@
 
 def test_a_request_can_be_followed_through_all_tiers():
     _, run = result("quiet", follow=5)
-    text = "\n".join(run.story)
+    text = "\n".join(run.steps)
     for word in ("client", "front/", "node/tile-front", "node/tile-render", "answered ok"):
         assert word in text
 
@@ -256,4 +256,4 @@
 
     run = play(draw(load("quiet", ["length_s=2", "servers=2", "clients.retries=0"]), 1), deaf)
     assert run.result["rules"]["final_answer"] >= 0.9 * run.result["account"]["requests"]
-    assert "no answer in time" in run.broken[0] and run.result["goal"] < 0.1
+    assert "no answer in time" in run.violations[0] and run.result["goal"] < 0.1
--- a/workbench/cli/simulate.py
+++ b/workbench/cli/simulate.py
@@ -76,17 +76,17 @@
         raise Bad(str(e)) from None
     run = with_progress(day, decider(policy, revision, constants), -1 if follow is None else follow, changes)
     console = Console(width=None if sys.stdout.isatty() else 150)
-    if run.story:
-        console.print("\n".join(run.story), markup=False, highlight=False, soft_wrap=True)
+    if run.steps:
+        console.print("\n".join(run.steps), markup=False, highlight=False, soft_wrap=True)
     elif follow is not None:
         raise Bad(
             f"--follow {follow}: the day has {run.result['account']['requests']} requests, numbered from 0"
         )
-    console.print(run_report(run.result, run.broken, profile), highlight=False)
+    console.print(run_report(run.result, run.violations, profile), highlight=False)
     if json_file:
         write_whole(targets[json_file], lambda path: put_json(path, run))
     if log_file:
-        write_whole(targets[log_file], lambda path: put_lines(path, run.journal))
+        write_whole(targets[log_file], lambda path: put_lines(path, run.log_lines))
     if plot_file:
         from workbench.report.plots import plot_run  # drawing costs a second to load
 
--- a/workbench/emulator/nodes.py
+++ b/workbench/emulator/nodes.py
@@ -220,7 +220,7 @@
         attempt = Attempt(call, number, server, self, key, site.clock.now)
         connection.unavailable_since = self.unavailable_since.get(server.id, NOT_NOTIFIED)
         self.count_attempt(attempt, connection.unavailable_since)
-        attempt.link = connection
+        attempt.connection = connection
         connection.attempt = attempt
         server.arrive(attempt)
 
@@ -243,7 +243,7 @@
         if outcome == Outcome.OK and attempt.job is not None:
             call.useful = attempt.job.useful
         self.close_attempt(attempt, outcome)
-        connection: ProxyConnection = attempt.link
+        connection: ProxyConnection = attempt.connection
         connection.respond(outcome, f"{attempt.server.spec.name} {call.id:016x}".encode())
 
     def on_disconnect(self, attempt: Attempt) -> None:
@@ -269,7 +269,7 @@
             began=attempt.sent_at,
             ended=site.clock.now,
             outcome=outcome.name.lower(),
-            away=attempt.link.unavailable_since,
+            away=attempt.connection.unavailable_since,
         )
 
     # ---- what discovery does to it --------------------------------------------------------------------
--- a/workbench/explore/uses.py
+++ b/workbench/explore/uses.py
@@ -21,7 +21,7 @@
 from workbench.experiment.statistics import t_interval
 from workbench.scenario.load import draw, load, parse_scenario, to_table
 from workbench.scenario.model import Scenario
-from workbench.simulator.fleet import Uses, VirtualFleet
+from workbench.simulator.fleet import FleetOptions, VirtualFleet
 from workbench.simulator.play import Run, play
 
 NODES = 50
@@ -29,9 +29,9 @@
 COMPLETE = 0.99  # of the worth in a second: as good as all
 SETTLED = 50.0  # seconds: the refusals of the first passes are long over
 SILENT: dict[str, Any] = {"type": "silent", "at_s": 10.0, "for_s": 50.0, "part": 0.333}
-DAYS: dict[str, tuple[Uses, list[str], list[dict[str, Any]]]] = {
+DAYS: dict[str, tuple[FleetOptions, list[str], list[dict[str, Any]]]] = {
     "probe": (  # 30 of 90 servers fall silent for a minute
-        Uses(probe=True),
+        FleetOptions(health_checks=True),
         [
             *("servers=90", "length_s=120", "load.fraction=0.35", "discovery.silent_notice_s=300"),
             *("class[0].work_ms=400", "class[1].work_ms=400", "tier[0].kind[0].cores=16"),
@@ -40,7 +40,7 @@
         [SILENT],
     ),
     "remeasure": (  # each node carries more calls than a pass allows
-        Uses(remeasure=0.1),
+        FleetOptions(min_rtt_share=0.1),
         [
             *("servers=120", "length_s=100", "load.fraction=0.7"),
             *("class[0].work_ms=1500", "class[1].work_ms=1500", "tier[0].kind[0].cores=128"),
@@ -90,13 +90,17 @@
     ],
 }
 DAYS |= {
-    name: (Uses(zones=ZoneSettings(), far_cost=3.0), THREE_ZONES + ZONE_DAY_KEYS.get(name, []), faults)
+    name: (
+        FleetOptions(zones=ZoneSettings(), region_cost=3.0),
+        THREE_ZONES + ZONE_DAY_KEYS.get(name, []),
+        faults,
+    )
     for name, faults in ZONE_FAULTS.items()
 }
 # A call to another zone takes 120 ms longer, and one zone has a third of its servers.
 DISTANT_ZONES = [*THREE_ZONES, "network.cross_ms=60", "load.fraction=0.75", "zones.servers.0=0.3"]
 DAYS |= {
-    name: (Uses(zones=ZoneSettings(), together=together), DISTANT_ZONES, [])
+    name: (FleetOptions(zones=ZoneSettings(), keep_network_delay=together), DISTANT_ZONES, [])
     for name, together in (("far-apart", False), ("far-together", True))
 }
 Row = dict[str, float]
@@ -126,22 +130,22 @@
         "requests lost": lost(bins, 0.0),
         f"requests lost from {SETTLED:g} s on": lost(bins, SETTLED),
         "refusals": float(account["refusals"][0]),
-        "messages a node and second": fleet.notes.messages / NODES / (run.result["day"]["length_s"]),
+        "messages a node and second": fleet.record.messages / NODES / (run.result["day"]["length_s"]),
         "broken rules": float(sum(run.result["rules"].values())),
     }
     if uses.zones is not None:
         row |= zone_figures(run, fleet)
     elif use == "probe":
-        row["trials of servers set aside"] = float(sum(fleet.notes.trials.values()))
+        row["trials of servers set aside"] = float(sum(fleet.record.probes.values()))
         row["still aside at the end"] = float(sum(len(m.ejection.ejected) for m in modules))
         assert fleet.world is not None
         well = fleet.world.begin + int((SILENT["at_s"] + SILENT["for_s"]) * 1e6)
-        back = [(at - well) / 1e6 for at in fleet.notes.readmitted if at > well]
+        back = [(at - well) / 1e6 for at in fleet.record.readmitted if at > well]
         row["taken back after, s: mean"] = float(np.mean(back))
         row["taken back after, s: 90%"] = float(np.percentile(back, 90))
     else:
-        row["refusals in passes"] = float(fleet.notes.refused_in_pass)
-        row["most in a pass at a refusal"] = float(fleet.notes.most_in_pass)
+        row["refusals in passes"] = float(fleet.record.rejected_in_recalculation)
+        row["most in a pass at a refusal"] = float(fleet.record.max_recalculating)
         row["limit at the end, sum"] = float(sum(m.controller.limit for m in modules))
         row["min_rtt at the end, ms"] = float(np.mean([max(m.controller.min_rtt) for m in modules])) / 1000
     return row
@@ -158,9 +162,9 @@
         if FAULT_BEGIN_S <= second < FAULT_BEGIN_S + FAULT_SHOWS_WITHIN_S and share < COMPLETE
     ]
     lossy_until = lossy_seconds[-1] + 1 if lossy_seconds else FAULT_BEGIN_S
-    lines = [text for *_, text in fleet.notes.lines]
+    lines = [text for *_, text in fleet.record.log_lines]
     evacuations = Counter(
-        (node, text.split()[2]) for _, node, text in fleet.notes.lines if " evacuated " in text
+        (node, text.split()[2]) for _, node, text in fleet.record.log_lines if " evacuated " in text
     )
     return {
         "worst 10 s, points": 100 * account["worst_window"],
@@ -169,7 +173,7 @@
         "attempts a call": account["attempts_a_call"][0],
         "p50, ms": account["latency_ms"]["p50"],
         "p99, ms": account["latency_ms"]["p99"],
-        "cold servers pushed over": float(sum("cold" in s for s in run.broken)),
+        "cold servers pushed over": float(sum("cold" in s for s in run.violations)),
         "zones left, by all nodes": float(sum(evacuations.values())),
         "most by one node": float(max(evacuations.values(), default=0)),
         "zones whole again": float(sum(text.endswith(" recovered") for text in lines)),
--- a/workbench/lab/run.py
+++ b/workbench/lab/run.py
@@ -32,7 +32,7 @@
 from workbench.model.site import BEGIN, World
 from workbench.model.streams import Streams
 from workbench.scenario.load import draw as draw_scenario
-from workbench.simulator.play import made
+from workbench.simulator.play import provenance
 
 VIEW_PERIOD_S = 0.25  # from one poll of the nodes' views to the next
 USAGE_PERIOD_S = 1.0  # from one record of the nodes' usage to the next
@@ -150,7 +150,7 @@
         self.record(
             "run",
             plan=msgspec.to_builtins(self.plan),
-            made=made(self.scenario, "lab", []),
+            made=provenance(self.scenario, "lab", []),
             nodes=[[n.name, n.zone] for n in self.site.nodes],
             aims={
                 k.name: [c.latency_objective, c.deadline]
--- a/workbench/model/call.py
+++ b/workbench/model/call.py
@@ -162,10 +162,10 @@
     __slots__ = (
         "call",
         "cause",
+        "connection",
         "draw",
         "ended",
         "job",
-        "link",
         "number",
         "port",
         "sent_at",
@@ -182,7 +182,7 @@
         self.sent_at = now
         self.ended = False
         self.job: Any = None  # the server's data
-        self.link: Any = None  # its connection, the node's data
+        self.connection: Any = None  # that it was sent on, the node's data
         self.cause: Cause | None = None  # of an error in a later tier
         self.trace: AttemptTrace | None = None
 
--- a/workbench/simulator/__init__.py
+++ b/workbench/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The world on a virtual clock, hosting decision modules in one process."""
+"""The model on a virtual clock, with the policies of all nodes in one process."""
--- a/workbench/simulator/recorder.py
+++ b/workbench/simulator/recorder.py
@@ -1,4 +1,4 @@
-"""What a module asked for while it handled a batch."""
+"""The actions that a policy requests while it handles a batch."""
 
 from __future__ import annotations
 
@@ -6,42 +6,53 @@
 
 
 class Recorder:
-    """A module's actions by name, kept until its batch is done: its host has a method for each."""
+    """The requested actions by name, kept until the end of the batch: the node has a method for each."""
 
-    __slots__ = ("out",)
+    __slots__ = ("requested",)
 
     def __init__(self) -> None:
-        self.out: list[tuple[str, tuple[Any, ...]]] = []
+        self.requested: list[tuple[str, tuple[Any, ...]]] = []
 
     def send(self, request: int, server: int, timeout: int) -> None:
-        self.out.append(("send", (request, server, timeout)))
+        """Requests an attempt at a server, with a time-out in microseconds."""
+        self.requested.append(("send", (request, server, timeout)))
 
     def cancel(self, request: int, attempt: int) -> None:
-        self.out.append(("cancel", (request, attempt)))
+        """Requests the end of an attempt."""
+        self.requested.append(("cancel", (request, attempt)))
 
     def reject(self, request: int, retry_after: int) -> None:
-        self.out.append(("reject", (request, retry_after)))
+        """Requests the rejection of a request."""
+        self.requested.append(("reject", (request, retry_after)))
 
     def fail(self, request: int) -> None:
-        self.out.append(("fail", (request,)))
+        """Requests an error response to a request."""
+        self.requested.append(("fail", (request,)))
 
     def check_health(self, server: int) -> None:
-        self.out.append(("check_health", (server,)))
+        """Requests a health check of a server."""
+        self.requested.append(("check_health", (server,)))
 
     def set_timer(self, delay: int, token: int) -> None:
-        self.out.append(("set_timer", (delay, token)))
+        """Requests a timer, with a delay in microseconds."""
+        self.requested.append(("set_timer", (delay, token)))
 
     def send_to_peer(self, peer: int, data: bytes) -> None:
-        self.out.append(("send_to_peer", (peer, data)))
+        """Requests a message to another node."""
+        self.requested.append(("send_to_peer", (peer, data)))
 
     def watch(self, on: bool) -> None:
-        self.out.append(("watch", (on,)))
+        """Requests the start or end of a watch on the endpoint list."""
+        self.requested.append(("watch", (on,)))
 
     def fetch(self) -> None:
-        self.out.append(("fetch", ()))
+        """Requests the full endpoint list."""
+        self.requested.append(("fetch", ()))
 
     def close(self, server: int) -> None:
-        self.out.append(("close", (server,)))
+        """Requests that the idle connections to a server are closed."""
+        self.requested.append(("close", (server,)))
 
     def log(self, text: str) -> None:
-        self.out.append(("log", (text,)))
+        """Requests a log line."""
+        self.requested.append(("log", (text,)))
