--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -59,10 +59,17 @@
     return made
 
 
-def request(end: int, *tries: CallTrace, klass: int = SAFE, served: bool = False) -> RequestTrace:
+def request(end: int, *tries: CallTrace, request_class: int = SAFE, served: bool = False) -> RequestTrace:
     """A lost request that was due at 0 and ended at `end` milliseconds."""
     return RequestTrace(
-        0, klass, 0, AIM, ended_at=end * 1000, served=served, lost_value=1.0, client_attempts=list(tries)
+        0,
+        request_class,
+        0,
+        AIM,
+        ended_at=end * 1000,
+        served=served,
+        lost_value=1.0,
+        client_attempts=list(tries),
     )
 
 
@@ -100,15 +107,15 @@
         Blame(LossCause.RETRY_BUDGET, 0, LossCause.RESET),
     ),
     "a keyed retry denied within its window": (
-        request(300, call(0, 300, Answer.FAILED, attempt(2, 300, RESET)), klass=KEYED),
+        request(300, call(0, 300, Answer.FAILED, attempt(2, 300, RESET)), request_class=KEYED),
         Blame(LossCause.RETRY_BUDGET, 0, LossCause.RESET),
     ),
     "a retry that the class forbids": (
-        request(300, call(0, 300, Answer.FAILED, attempt(2, 300, RESET)), klass=UNSAFE),
+        request(300, call(0, 300, Answer.FAILED, attempt(2, 300, RESET)), request_class=UNSAFE),
         Blame(LossCause.RETRY_CLASS, 0, LossCause.RESET),
     ),
     "an unsafe retry denied though nothing ran": (
-        request(150, call(0, 150, Answer.REFUSED, attempt(2, 150, CONNECT)), klass=UNSAFE),
+        request(150, call(0, 150, Answer.REFUSED, attempt(2, 150, CONNECT)), request_class=UNSAFE),
         Blame(LossCause.RETRY_BUDGET, 0, LossCause.CONNECT),
     ),
     "rejected by a server when time was short": (
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -68,10 +68,10 @@
         arrivals = list(zip(world.clients.times, world.clients.classes, world.clients.factors, strict=True))
         world.start()
         clock.run(BEGIN + 5_000_000)
-        struck = sorted(s.id for s in world.active_faults[0].affected)
+        affected = sorted(s.id for s in world.active_faults[0].affected)
         states = [(s.id, s.paused, s.pauses.getstate()) for tier in world.tiers for s in tier]
-        seen.append((arrivals, struck, states, world.network.ways[0][0]))
-        assert struck and world.accounts.attempts[0] > 100
+        seen.append((arrivals, affected, states, world.network.ways[0][0]))
+        assert affected and world.accounts.attempts[0] > 100
     assert seen[0] == seen[1]
 
 
@@ -165,7 +165,7 @@
 
 
 @pytest.mark.parametrize(
-    ("klass", "first", "then", "cell", "at", "rule"),
+    ("request_class", "first", "then", "cell", "at", "rule"),
     [
         (0, Outcome.TIMEOUT, "send", 2, 10, None),
         (0, Outcome.TIMEOUT, "refuse", 0, 10, None),
@@ -182,9 +182,9 @@
         (0, Outcome.REJECTED, "late", 1, 500, None),
     ],
 )
-def test_the_referee_knows_what_may_run_again(klass, first, then, cell, at, rule):
+def test_the_referee_knows_what_may_run_again(request_class, first, then, cell, at, rule):
     referee = Referee([SAFE, KEYED, UNSAFE], stop_sending=500, second_copies=False)
-    root = SimpleNamespace(request_class=klass, index=0)
+    root = SimpleNamespace(request_class=request_class, index=0)
     call = Call(1, root, 0, 0, 1000, None)
     one, other = (SimpleNamespace(zone=0, cell=c, id=c) for c in (1, cell))
     call.sent.append(SimpleNamespace(server=one, sent_at=0, ended=first is not None))
--- a/workbench/model/server.py
+++ b/workbench/model/server.py
@@ -25,6 +25,7 @@
 CONNECTION_TAX = 0.25  # of the capacity, at the limit on connections (the brief gives 0.21 to 0.37)
 DRAW_RANGE = 2**32
 LATE_DRAW, LATE_TIME_DRAW = 201, 202  # what an attempt's draws are for
+ROUNDING_MARGIN = 1e-6  # of the virtual time
 COLD_SLACK_CALLS = 3.0  # calls of mean work beyond the budget of a cold server, as a margin for chance
 
 
@@ -158,24 +159,25 @@
         if due != self.timer_at:  # it has been superseded by an earlier one
             return
         self.timer_at = -1
-        now = self.clock.now
-        self.virtual_time += self.rate * (now - self.updated_at)
-        self.updated_at = now
-        finish_heap = self.finish_heap
-        limit = self.virtual_time + 1e-6
-        while finish_heap and finish_heap[0][0] <= limit:
-            job = heappop(finish_heap)[2]
+        self.advance()
+        heap = self.finish_heap
+        limit = self.virtual_time + ROUNDING_MARGIN
+        while heap and heap[0][0] <= limit:
+            job = heappop(heap)[2]
             if job.state == RUNNING:
                 self.running -= 1
-                done = self.virtual_time - job.start_time
-                self.busy += done
-                job.attempt.call.root.work += done
+                self.record_work(job)
                 self.next_step(job)
-        while finish_heap and finish_heap[0][2].state != RUNNING:
-            heappop(finish_heap)
+        self.discard_stopped()
         self.schedule()
 
-    # ---- a call's way through ----------------------------------------------------------------------------
+    def discard_stopped(self) -> None:
+        """Removes jobs that no longer run from the top of the heap."""
+        heap = self.finish_heap
+        while heap and heap[0][2].state != RUNNING:
+            heappop(heap)
+
+    # ---- jobs ----------------------------------------------------------------------------
 
     def arrive(self, attempt: Attempt) -> None:
         """Receives an attempt."""
@@ -316,8 +318,7 @@
         if state == RUNNING:
             self.running -= 1
             self.record_work(job)
-            while self.finish_heap and self.finish_heap[0][2].state != RUNNING:
-                heappop(self.finish_heap)
+            self.discard_stopped()
         elif job.child is not None and self.node is not None:
             self.node.client_disconnected(job.child)
         self.release(job)
