--- a/workbench/simulator/node.py
+++ b/workbench/simulator/node.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable
 from time import perf_counter_ns
-from typing import Any, NamedTuple
+from typing import Any
 
 from balancer.policy.interface import Events, ListKind, Outcome, ServerEntry, Settings, State
 from workbench.baselines import Policy
@@ -20,6 +20,7 @@
 from workbench.model.streams import scramble
 from workbench.model.trace import AttemptTrace
 from workbench.simulator.connections import ConnectionPool
+from workbench.simulator.deliveries import CheckResult, FinalAnswer, Reply, Timer, deliver_answer
 from workbench.simulator.recorder import Recorder
 from workbench.simulator.ticker import Ticker
 
@@ -44,42 +45,6 @@
 }
 
 
-class Reply(NamedTuple):
-    """The outcome of an attempt, on its way to the node."""
-
-    attempt: Attempt
-    outcome: Outcome
-
-
-class FinalAnswer(NamedTuple):
-    """The response to a call, on its way to the client."""
-
-    call: Call
-    answer: Answer
-    retry_after: int
-
-
-class CheckResult(NamedTuple):
-    """The result of a health check, and the microseconds that it took."""
-
-    incarnation: int
-    server: int
-    healthy: bool
-    elapsed: int
-
-
-class Timer(NamedTuple):
-    """A timer of the policy, void after the end of its process."""
-
-    incarnation: int
-    token: int
-
-
-def deliver_answer(final: FinalAnswer) -> None:
-    """Delivers the response to a call."""
-    final.call.caller.answered(final.call, final.answer, final.retry_after)
-
-
 class Node:
     """A node: a `Port` of the model that runs a policy.
 
