--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -12,7 +12,7 @@
 from workbench.experiment.losses import LossTask, play_all
 from workbench.model.answer import Answer
 from workbench.model.call import Attempt, Request
-from workbench.model.server import DONE, Job
+from workbench.model.job import DONE, Job
 from workbench.model.site import BEGIN, World
 from workbench.model.trace import AttemptTrace, CallTrace, RequestTrace, TraceLog
 from workbench.report.losses import (
@@ -27,7 +27,8 @@
 from workbench.scenario.load import draw, load
 from workbench.scenario.model import Scenario
 from workbench.simulator.heap import HeapClock
-from workbench.simulator.host import Host, Node
+from workbench.simulator.host import Host
+from workbench.simulator.node import Node
 from workbench.simulator.play import play
 
 AIM, DEADLINE, WINDOW = 2_500_000, 6_000_000, 10_000_000
@@ -58,10 +59,17 @@
     return made
 
 
-def request(end: int, *tries: CallTrace, klass: int = SAFE, served: bool = False) -> RequestTrace:
+def request(end: int, *tries: CallTrace, request_class: int = SAFE, served: bool = False) -> RequestTrace:
     """A lost request that was due at 0 and ended at `end` milliseconds."""
     return RequestTrace(
-        0, klass, 0, AIM, ended_at=end * 1000, served=served, lost_worth=1.0, tries=list(tries)
+        0,
+        request_class,
+        0,
+        AIM,
+        ended_at=end * 1000,
+        served=served,
+        lost_value=1.0,
+        client_attempts=list(tries),
     )
 
 
@@ -99,15 +107,15 @@
         Blame(LossCause.RETRY_BUDGET, 0, LossCause.RESET),
     ),
     "a keyed retry denied within its window": (
-        request(300, call(0, 300, Answer.FAILED, attempt(2, 300, RESET)), klass=KEYED),
+        request(300, call(0, 300, Answer.FAILED, attempt(2, 300, RESET)), request_class=KEYED),
         Blame(LossCause.RETRY_BUDGET, 0, LossCause.RESET),
     ),
     "a retry that the class forbids": (
-        request(300, call(0, 300, Answer.FAILED, attempt(2, 300, RESET)), klass=UNSAFE),
+        request(300, call(0, 300, Answer.FAILED, attempt(2, 300, RESET)), request_class=UNSAFE),
         Blame(LossCause.RETRY_CLASS, 0, LossCause.RESET),
     ),
     "an unsafe retry denied though nothing ran": (
-        request(150, call(0, 150, Answer.REFUSED, attempt(2, 150, CONNECT)), klass=UNSAFE),
+        request(150, call(0, 150, Answer.REFUSED, attempt(2, 150, CONNECT)), request_class=UNSAFE),
         Blame(LossCause.RETRY_BUDGET, 0, LossCause.CONNECT),
     ),
     "rejected by a server when time was short": (
@@ -264,7 +272,7 @@
     log = TraceLog()
     for trace in lost:
         log.begin_request(trace, 1.0)
-        log.end_request(trace, trace.ended_at, trace.served, trace.lost_worth)
+        log.end_request(trace, trace.ended_at, trace.served, trace.lost_value)
     return log
 
 
@@ -339,13 +347,15 @@
 
 def test_a_node_that_dies_is_marked_in_its_calls() -> None:
     """Failure prevented: calls that died with their node are taken for resets by servers."""
-    tries = [call for trace in lost_traces("killed nodes") for call in trace.tries]
+    tries = [call for trace in lost_traces("killed nodes") for call in trace.client_attempts]
     assert any(call.node_died and call.attempts for call in tries)
 
 
 def test_calls_of_servers_are_part_of_the_trace() -> None:
     """Failure prevented: what is lost behind the first tier is put down to the first."""
-    attempts = [attempt for trace in lost_traces("cut") for call in trace.tries for attempt in call.attempts]
+    attempts = [
+        attempt for trace in lost_traces("cut") for call in trace.client_attempts for attempt in call.attempts
+    ]
     assert any(call.tier == 1 and call.attempts for attempt in attempts for call in attempt.calls)
 
 
@@ -367,7 +377,7 @@
     elif state == "silent":
         server.silent = True
     else:
-        world.network.cut.add(server.zone)
+        world.network.partitioned_zones.add(server.zone)
     assert node.is_unanswerable(sent)
 
 
--- a/workbench/model/environment.py
+++ b/workbench/model/environment.py
@@ -1,7 +1,7 @@
-"""What the parts of the model use of the whole that they are in, and of servers.
+"""Protocols of the model as a whole, and of servers, for its parts.
 
-`site.World` implements `Environment`. The parts know it by this protocol alone, so that none imports the
-whole. Times are microseconds, work is in core-microseconds of the yardstick.
+`site.World` implements `Environment`. The parts depend on this protocol alone, so that none imports the
+whole. Times are in microseconds, work is in core-microseconds of the reference core.
 """
 
 from __future__ import annotations
@@ -48,8 +48,8 @@
         """The model's clock."""
 
     @property
-    def life(self) -> int:
-        """How often its process has been started anew."""
+    def incarnation(self) -> int:
+        """How often its process has been started or stopped."""
 
     @property
     def ready_at(self) -> int:
@@ -67,27 +67,27 @@
 class ServerDiscovery(Protocol):
     """What servers and faults report to discovery."""
 
-    def came(self, server: ServerView) -> None:
+    def server_started(self, server: ServerView) -> None:
         """A server has started."""
 
-    def drains(self, server: ServerView) -> None:
+    def server_draining(self, server: ServerView) -> None:
         """A server drains."""
 
-    def died(self, server: ServerView) -> None:
+    def server_stopped(self, server: ServerView) -> None:
         """A server's process has ended."""
 
-    def fell_silent(self, server: ServerView) -> None:
+    def server_unreachable(self, server: ServerView) -> None:
         """A server's machine neither sends nor receives any more."""
 
-    def silence(self, on: bool) -> None:
+    def set_silent(self, on: bool) -> None:
         """Discovery itself stops answering, or answers again."""
 
 
 class ServerReferee(Protocol):
     """What servers report to the referee."""
 
-    def fell(self, server: ServerView, told_share: float) -> None:
-        """A cold server was sent more than it stands."""
+    def cold_server_failed(self, server: ServerView, notified_share: float) -> None:
+        """A server that was warming up was overloaded."""
 
 
 class Environment(Protocol):
@@ -119,7 +119,7 @@
 
     @property
     def slack(self) -> int:
-        """How late a final answer may be."""
+        """How long after its deadline a final response may be sent."""
 
     @property
     def classes(self) -> Sequence[ClassSettings]:
@@ -139,11 +139,11 @@
 
     @property
     def fall_time(self) -> int:
-        """The window over which a cold server's load counts."""
+        """The window in which the load of a server that warms up is measured."""
 
     @property
     def fall_multiple(self) -> float:
-        """How many times its capacity a cold server stands in that window."""
+        """How many times its capacity a server that warms up can receive in that window."""
 
     @property
     def network(self) -> Network:
@@ -151,15 +151,15 @@
 
     @property
     def front(self) -> Front:
-        """What spreads clients over nodes."""
+        """The front, which distributes clients' requests over nodes."""
 
     @property
     def accounts(self) -> Accounts:
-        """The accounts of worth."""
+        """The accounts of value."""
 
     @property
     def trace_log(self) -> TraceLog | None:
-        """The traces of lost requests, where the day is traced."""
+        """The traces of lost requests, if the run is traced."""
 
     @property
     def discovery(self) -> ServerDiscovery:
@@ -175,8 +175,8 @@
     def call(self, root: Request, key: int, tier: int, until: int, caller: Caller) -> Call:
         """Returns a new call."""
 
-    def told(self, attempt: Attempt, server: ServerView) -> bool:
-        """Whether the node that sent an attempt knew of the server's present start."""
+    def knows_start(self, attempt: Attempt, server: ServerView) -> bool:
+        """Returns whether the node that sent an attempt was notified of the server's last start."""
 
     def trace(self, request: Request, who: str, what: str) -> None:
         """Reports a step of a request that is being traced."""
