--- a/tests/test_emulator_http.py
+++ b/tests/test_emulator_http.py
@@ -1,4 +1,4 @@
-"""The emulator's HTTP client: bytes that no request asked for."""
+"""The emulator's HTTP client: bytes that no request asked for, and malformed responses."""
 
 from __future__ import annotations
 
@@ -65,3 +65,44 @@
     asyncio.run(send_over_early_bytes(transports, responses))
     assert [transport.aborted for transport in transports] == [True]
     assert [(response.status, response.request_sent) for response in responses] == [(0, False)]
+
+
+@pytest.mark.parametrize(
+    "malformed",
+    [b"not HTTP at all\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: ten\r\n\r\n"],
+    ids=["status line", "content length"],
+)
+def test_a_malformed_response_fails_its_request_at_once(malformed: bytes) -> None:
+    """Failure prevented: the request ends by its time-out alone, and load counts no answer for a reset."""
+    responses: list[Response] = []
+
+    async def receive_malformed_response() -> RecordingTransport:
+        connection = ClientConnection([])
+        transport = RecordingTransport(connection)
+        connection.connection_made(transport)
+        connection.send(REQUEST, responses.append)
+        connection.data_received(malformed)
+        await asyncio.sleep(0)
+        return transport
+
+    assert asyncio.run(receive_malformed_response()).aborted
+    assert [(response.status, response.request_sent) for response in responses] == [(0, True)]
+
+
+def test_bytes_after_a_complete_response_end_the_connection_and_report_nothing_more() -> None:
+    """Failure prevented: a request that has its response is reported a second time, as failed."""
+    responses: list[Response] = []
+    idle: list[ClientConnection] = []
+
+    async def receive_response_and_more() -> RecordingTransport:
+        connection = ClientConnection(idle)
+        transport = RecordingTransport(connection)
+        connection.connection_made(transport)
+        connection.send(REQUEST, responses.append)
+        connection.data_received(EARLY_RESPONSE + b"not HTTP at all\r\n\r\n")
+        await asyncio.sleep(0)
+        return transport
+
+    assert asyncio.run(receive_response_and_more()).aborted
+    assert [response.status for response in responses] == [503]
+    assert idle == []
--- a/workbench/emulator/http.py
+++ b/workbench/emulator/http.py
@@ -177,18 +177,18 @@
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        """Parses a response; ends the connection where no request was written (RFC 9112, 9.2)."""
-        if self.on_response is None:
-            self.cancel()
-            return
-        if self.parser is None:  # the request waits: `connection_lost` reports the failure
-            if self.transport is not None:
-                self.transport.abort()
+        """Parses a response; aborts the connection at data that is no response to a written request.
+
+        Such data are a malformed response, or any where no request was written (RFC 9112, 9.2). Where a
+        request is outstanding, `connection_lost` reports it as failed.
+        """
+        if self.on_response is None or self.parser is None:
+            self.abort()
             return
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.cancel()
+            self.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Takes a header from the parser."""
@@ -227,6 +227,10 @@
     def cancel(self) -> None:
         """Aborts the connection; nothing is reported any more."""
         self.on_response = None
+        self.abort()
+
+    def abort(self) -> None:
+        """Aborts the connection; an outstanding request fails when it is lost."""
         if self in self.idle:
             self.idle.remove(self)
         if self.transport is not None:
