--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -18,10 +18,10 @@
 from workbench.report.losses import (
     Attribution,
     AttributionRules,
-    Blame,
     Breakdown,
     LossCause,
     LossMismatchError,
+    LossSource,
     breakdown,
 )
 from workbench.scenario.load import draw, load
@@ -65,8 +65,8 @@
     )
 
 
-def blame(trace: RequestTrace) -> Blame:
-    return Attribution(trace, RULES, USUAL).blame()
+def attribute(trace: RequestTrace) -> LossSource:
+    return Attribution(trace, RULES, USUAL).attribute()
 
 
 OK, CONNECT, REJECTED = Outcome.OK, Outcome.CONNECT_FAILED, Outcome.REJECTED
@@ -81,52 +81,52 @@
 
 
 FOUR_CONNECTS = [attempt(150 * n, 150 * (n + 1), CONNECT) for n in range(4)]
-ENDED: dict[str, tuple[RequestTrace, Blame]] = {
+ENDED: dict[str, tuple[RequestTrace, LossSource]] = {
     "connections not established until no attempt is left": (
         request(600, call(0, 600, Answer.REFUSED, *FOUR_CONNECTS)),
-        Blame(LossCause.CONNECT, 0),
+        LossSource(LossCause.CONNECT, 0),
     ),
     "reset with too little time left for a retry": (
         request(2400, call(0, 2400, Answer.FAILED, attempt(2, 2400, RESET))),
-        Blame(LossCause.RESET, 0),
+        LossSource(LossCause.RESET, 0),
     ),
     "rejected by the node's own limit, in the last of two tries": (
         request(510, call(0, 5, Answer.REFUSED), call(500, 505, Answer.REFUSED)),
-        Blame(LossCause.OWN_LIMIT, 0),
+        LossSource(LossCause.OWN_LIMIT, 0),
     ),
     "a retry denied by the budget": (
         request(300, call(0, 300, Answer.REFUSED, attempt(2, 300, RESET))),
-        Blame(LossCause.RETRY_BUDGET, 0, LossCause.RESET),
+        LossSource(LossCause.RETRY_BUDGET, 0, LossCause.RESET),
     ),
     "a keyed retry denied within its window": (
         request(300, call(0, 300, Answer.FAILED, attempt(2, 300, RESET)), klass=KEYED),
-        Blame(LossCause.RETRY_BUDGET, 0, LossCause.RESET),
+        LossSource(LossCause.RETRY_BUDGET, 0, LossCause.RESET),
     ),
     "a retry that the class forbids": (
         request(300, call(0, 300, Answer.FAILED, attempt(2, 300, RESET)), klass=UNSAFE),
-        Blame(LossCause.RETRY_CLASS, 0, LossCause.RESET),
+        LossSource(LossCause.RETRY_CLASS, 0, LossCause.RESET),
     ),
     "an unsafe retry denied though nothing ran": (
         request(150, call(0, 150, Answer.REFUSED, attempt(2, 150, CONNECT)), klass=UNSAFE),
-        Blame(LossCause.RETRY_BUDGET, 0, LossCause.CONNECT),
+        LossSource(LossCause.RETRY_BUDGET, 0, LossCause.CONNECT),
     ),
     "rejected by a server when time was short": (
         request(2400, call(0, 2400, Answer.REFUSED, attempt(2, 2400, REJECTED))),
-        Blame(LossCause.SERVER_REJECTED, 0),
+        LossSource(LossCause.SERVER_REJECTED, 0),
     ),
     "a server's error when time was short": (
         request(2400, call(0, 2400, Answer.FAILED, attempt(2, 2400, ERROR))),
-        Blame(LossCause.SERVER_ERROR, 0),
+        LossSource(LossCause.SERVER_ERROR, 0),
     ),
     "an error that a limit behind the server caused": (
         request(
             2400,
             call(0, 2400, Answer.FAILED, attempt(2, 2400, ERROR, call(9, 2390, Answer.REFUSED, tier=1))),
         ),
-        Blame(LossCause.OWN_LIMIT, 1),
+        LossSource(LossCause.OWN_LIMIT, 1),
     ),
-    "a node that died": (request(500, dying_node()), Blame(LossCause.NODE_DOWN, 0)),
-    "no node": (request(5, call(0, 1, Answer.UNREACHABLE)), Blame(LossCause.NODE_DOWN, 0)),
+    "a node that died": (request(500, dying_node()), LossSource(LossCause.NODE_DOWN, 0)),
+    "no node": (request(5, call(0, 1, Answer.UNREACHABLE)), LossSource(LossCause.NODE_DOWN, 0)),
 }
 
 
@@ -134,23 +134,23 @@
 def test_a_request_that_ended_before_its_aim_is_lost_to_its_end(name: str) -> None:
     """Failure prevented: a rejection or a denied retry hides behind what took longer."""
     trace, expected = ENDED[name]
-    assert blame(trace) == expected
+    assert attribute(trace) == expected
 
 
 def test_a_client_that_left_is_a_cause_of_its_own() -> None:
     trace = request(400, call(0, 0, None, attempt(2, 400, Outcome.CANCELLED)))
     trace.client_left = True
-    assert blame(trace) == Blame(LossCause.CLIENT_LEFT, 0)
+    assert attribute(trace) == LossSource(LossCause.CLIENT_LEFT, 0)
 
 
-LATE: dict[str, tuple[RequestTrace, Blame]] = {
+LATE: dict[str, tuple[RequestTrace, LossSource]] = {
     "a silent server for most of the time": (
         request(6000, call(0, 0, None, attempt(2, 3000, TIMEOUT, silent=True))),
-        Blame(LossCause.SILENT, 0),
+        LossSource(LossCause.SILENT, 0),
     ),
     "a server at work until the time was over": (
         request(6000, call(0, 0, None, attempt(2, 3000, TIMEOUT))),
-        Blame(LossCause.DEADLINE, 0),
+        LossSource(LossCause.DEADLINE, 0),
     ),
     "served late after connections that did not come up, though the work took longest": (
         request(
@@ -165,13 +165,13 @@
             ),
             served=True,
         ),
-        Blame(LossCause.CONNECT, 0),
+        LossSource(LossCause.CONNECT, 0),
     ),
     "served late by a slow server": (
         request(
             2600, call(0, 2590, Answer.OK, attempt(0, 150, CONNECT), attempt(150, 2590, OK)), served=True
         ),
-        Blame(LossCause.DEADLINE, 0),
+        LossSource(LossCause.DEADLINE, 0),
     ),
     "served late after waits for clients that were rejected": (
         request(
@@ -181,7 +181,7 @@
             call(1600, 2690, Answer.OK, attempt(1602, 2690, OK)),
             served=True,
         ),
-        Blame(LossCause.OWN_LIMIT, 0),
+        LossSource(LossCause.OWN_LIMIT, 0),
     ),
     "a silent server two tiers behind": (
         request(
@@ -198,7 +198,7 @@
                 ),
             ),
         ),
-        Blame(LossCause.SILENT, 1),
+        LossSource(LossCause.SILENT, 1),
     ),
     "a call that its node gives up some milliseconds before the aim, for a limit two tiers behind": (
         request(
@@ -211,11 +211,11 @@
                 until=2500,
             ),
         ),
-        Blame(LossCause.OWN_LIMIT, 1),
+        LossSource(LossCause.OWN_LIMIT, 1),
     ),
     "a request that was long on its way to the first tier's node, which queues nothing": (
         request(2600, call(0, 2590, Answer.OK, attempt(1400, 2590, OK)), served=True),
-        Blame(LossCause.DEADLINE, 0),
+        LossSource(LossCause.DEADLINE, 0),
     ),
     "a wait in the queue of the next tier's node before an attempt that succeeds": (
         request(
@@ -228,7 +228,7 @@
             ),
             served=True,
         ),
-        Blame(LossCause.OWN_LIMIT, 1),
+        LossSource(LossCause.OWN_LIMIT, 1),
     ),
     "a wait in the queue at the limit of the next tier": (
         request(
@@ -241,7 +241,7 @@
             ),
             served=True,
         ),
-        Blame(LossCause.OWN_LIMIT, 1),
+        LossSource(LossCause.OWN_LIMIT, 1),
     ),
 }
 
@@ -250,14 +250,16 @@
 def test_a_request_whose_time_ran_out_is_lost_to_what_held_it_longest(name: str) -> None:
     """Failure prevented: all that is late is called slow, whatever took the time."""
     trace, expected = LATE[name]
-    assert blame(trace) == expected
+    assert attribute(trace) == expected
 
 
 def test_time_after_the_aim_does_not_count() -> None:
     """Failure prevented: a loss that was decided is put down to what came after it."""
     slow = attempt(2, 2600, TIMEOUT)
     silent = attempt(2600, 6000, TIMEOUT, silent=True)
-    assert blame(request(6000, call(0, 0, None, slow, silent, until=6000))) == Blame(LossCause.DEADLINE, 0)
+    assert attribute(request(6000, call(0, 0, None, slow, silent, until=6000))) == LossSource(
+        LossCause.DEADLINE, 0
+    )
 
 
 def log_of(*lost: RequestTrace) -> TraceLog:
@@ -272,7 +274,7 @@
     """Failure prevented: a table that leaves a loss out, or counts it twice."""
     trace, expected = ENDED["no node"]
     found = breakdown(log_of(trace), RULES, lost_share=1.0)
-    assert found.by_blame == {expected: 1.0}
+    assert found.by_source == {expected: 1.0}
     with pytest.raises(LossMismatchError):
         breakdown(log_of(trace), RULES, lost_share=0.5)
     with pytest.raises(LossMismatchError):
@@ -284,7 +286,7 @@
     log = log_of(trace)
     log.begin_request(RequestTrace(1, SAFE, 0, AIM), 1.0)
     found = breakdown(log, RULES, lost_share=1.0, all_ended=False)
-    assert found.by_blame == {expected: 1.0, Blame(LossCause.UNFINISHED, 0): 1.0}
+    assert found.by_source == {expected: 1.0, LossSource(LossCause.UNFINISHED, 0): 1.0}
     with pytest.raises(LossMismatchError):
         breakdown(log, RULES, lost_share=1.0)
 
@@ -293,10 +295,10 @@
     total = Breakdown()
     for fault_second in (3, 5):
         day = Breakdown()
-        day.add_asked(SAFE, fault_second, 2.0)
-        day.add_lost(SAFE, fault_second, Blame(LossCause.RESET, 0), 1.0)
+        day.add_requested(SAFE, fault_second, 2.0)
+        day.add_lost(SAFE, fault_second, LossSource(LossCause.RESET, 0), 1.0)
         total.add(day, shift=-fault_second)
-    assert total.asked_by_second == {0: 4.0}
+    assert total.requested_by_second == {0: 4.0}
     assert total.by_second == {(0, LossCause.RESET): 2.0}
     assert total.by_class == {(SAFE, LossCause.RESET): 2.0}
 
--- a/workbench/cli/losses.py
+++ b/workbench/cli/losses.py
@@ -76,6 +76,6 @@
     for head in ("policy", "seed", "goal", "lost, %", "broken rules"):
         table.add_column(head, justify="left" if head == "policy" else "right")
     for day in days:
-        share = 100 * day.losses.lost / day.losses.asked
+        share = 100 * day.losses.lost / day.losses.requested
         table.add_row(day.policy, str(day.seed), f"{day.goal:.3f}", f"{share:.2f}", str(day.broken_rules))
     return table
--- a/workbench/report/loss_tables.py
+++ b/workbench/report/loss_tables.py
@@ -1,90 +1,97 @@
-"""Tables of losses on a terminal: by cause and policy, by class, by second of the fault."""
+"""Tables of lost value on a terminal: by cause and policy, by class, by second of the fault."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Mapping, Sequence
 
-from rich.console import Group
 from rich.table import Table
 
-from workbench.report.losses import Blame, Breakdown, LossCause
+from workbench.report.losses import Breakdown, LossCause, LossSource
 
-LEAST_SHARE = 5e-5  # of the worth asked for: smaller losses are not shown
-CAUSES_SHOWN = 3
-SECONDS_BEFORE = 3  # seconds shown before the first fault
-SECONDS_AFTER = 30
+MIN_SHOWN_SHARE = 5e-5  # of the requested value: smaller losses are not shown
+MAX_CAUSES_PER_SECOND = 3
+SECONDS_BEFORE_FAULT = 3
+SECONDS_AFTER_FAULT = 30
 
 
 def loss_tables(
     by_policy: Mapping[str, Breakdown], classes: Sequence[str], tiers: Sequence[str]
-) -> list[Table | Group]:
-    """All tables; the seconds of each breakdown count from the first fault."""
-    parts: list[Table | Group] = [cause_table(by_policy, tiers)]
+) -> list[Table]:
+    """Returns all tables of losses.
+
+    Args:
+        by_policy: Each policy's losses; their seconds count from the first fault.
+        classes: The names of the request classes.
+        tiers: The names of the tiers.
+    """
+    tables = [cause_table(by_policy, tiers)]
     for policy, losses in by_policy.items():
-        parts.append(class_table(policy, losses, classes))
-        parts.append(second_table(policy, losses))
-    return parts
+        tables.append(class_table(policy, losses, classes))
+        tables.append(second_table(policy, losses))
+    return tables
 
 
-def plain_table(*heads: str) -> Table:
-    """A table without lines, the figures to the right."""
+def table_without_lines(*headings: str) -> Table:
+    """Returns an empty table without lines; all columns but the first are right-aligned."""
     table = Table(box=None, pad_edge=False, header_style="bold")
-    for index, head in enumerate(heads):
-        table.add_column(head, justify="right" if index else "left")
+    for index, heading in enumerate(headings):
+        table.add_column(heading, justify="right" if index else "left")
     return table
 
 
 def percent(part: float, whole: float) -> str:
-    """A share of worth, as text."""
+    """Returns a share in per cent, as text."""
     return f"{100 * part / whole:.2f}" if whole else "-"
 
 
-def blame_text(blame: Blame, tiers: Sequence[str]) -> str:
-    """A cause with its tier and, for a denied retry, the failure before it."""
-    after = f" after {blame.trigger}" if blame.trigger is not None else ""
-    return f"{blame.cause}{after} ({tiers[blame.tier]})"
+def source_text(source: LossSource, tiers: Sequence[str]) -> str:
+    """Returns a cause with its tier and, for a denied retry, the failure before it."""
+    after = f" after {source.trigger}" if source.trigger is not None else ""
+    return f"{source.cause}{after} ({tiers[source.tier]})"
 
 
 def cause_table(by_policy: Mapping[str, Breakdown], tiers: Sequence[str]) -> Table:
-    """Losses by cause, a column for each policy."""
-    table = plain_table("lost, % of the worth asked for", *by_policy)
-    shares: Counter[Blame] = Counter()
+    """Returns the losses by cause and tier, a column for each policy."""
+    table = table_without_lines("lost, % of the worth asked for", *by_policy)
+    shares: Counter[LossSource] = Counter()
     for losses in by_policy.values():
-        for blame, worth in losses.by_blame.items():
-            shares[blame] += worth / losses.asked  # type: ignore[assignment]
-    for blame, share in shares.most_common():
-        if share >= LEAST_SHARE:
-            cells = [percent(losses.by_blame[blame], losses.asked) for losses in by_policy.values()]
-            table.add_row(blame_text(blame, tiers), *cells)
-    totals = [percent(losses.lost, losses.asked) for losses in by_policy.values()]
+        for source, value in losses.by_source.items():
+            shares[source] += value / losses.requested  # type: ignore[assignment]
+    for source, share in shares.most_common():
+        if share >= MIN_SHOWN_SHARE:
+            cells = [percent(losses.by_source[source], losses.requested) for losses in by_policy.values()]
+            table.add_row(source_text(source, tiers), *cells)
+    totals = [percent(losses.lost, losses.requested) for losses in by_policy.values()]
     table.add_row("all causes", *totals)
     return table
 
 
 def class_table(policy: str, losses: Breakdown, classes: Sequence[str]) -> Table:
-    """One policy's losses by class, as shares of what the class asked for."""
+    """Returns one policy's losses by class, as shares of the class's requested value."""
     causes = [cause for cause, _ in losses.by_cause().most_common()]
-    table = plain_table(f"{policy}: lost, % of the class's worth", "all", *causes)
-    for klass, asked in sorted(losses.asked_by_class.items()):
-        worths = [losses.by_class[klass, cause] for cause in causes]
-        table.add_row(classes[klass], percent(sum(worths), asked), *(percent(w, asked) for w in worths))
+    table = table_without_lines(f"{policy}: lost, % of the class's worth", "all", *causes)
+    for request_class, requested in sorted(losses.requested_by_class.items()):
+        values = [losses.by_class[request_class, cause] for cause in causes]
+        cells = [percent(value, requested) for value in values]
+        table.add_row(classes[request_class], percent(sum(values), requested), *cells)
     return table
 
 
 def second_table(policy: str, losses: Breakdown) -> Table:
-    """One policy's losses by the second in which they were asked for, from the first fault on."""
-    table = plain_table(f"{policy}: second of the fault", "lost, % of the second's worth")
+    """Returns one policy's losses by the second in which the requests were due, around the first fault."""
+    table = table_without_lines(f"{policy}: second of the fault", "lost, % of the second's worth")
     table.add_column("most of it")
-    for second in range(-SECONDS_BEFORE, SECONDS_AFTER):
-        asked = losses.asked_by_second[second]
-        causes = Counter({cause: losses.by_second[second, cause] for cause in LossCause})
-        lost = sum(causes.values())
-        if asked and lost >= LEAST_SHARE * asked:
-            top = (
-                f"{cause} {percent(worth, asked)}"
-                for cause, worth in causes.most_common(CAUSES_SHOWN)
-                if worth
-            )
-            table.add_row(str(second), percent(lost, asked), ", ".join(top))
+    for second in range(-SECONDS_BEFORE_FAULT, SECONDS_AFTER_FAULT):
+        requested = losses.requested_by_second[second]
+        by_cause = Counter({cause: losses.by_second[second, cause] for cause in LossCause})
+        lost = sum(by_cause.values())
+        if requested and lost >= MIN_SHOWN_SHARE * requested:
+            table.add_row(str(second), percent(lost, requested), largest_causes(by_cause, requested))
     return table
+
+
+def largest_causes(by_cause: Counter[LossCause], requested: float) -> str:
+    """Returns the largest causes of a second's losses with their shares, as text."""
+    largest = by_cause.most_common(MAX_CAUSES_PER_SECOND)
+    return ", ".join(f"{cause} {percent(value, requested)}" for cause, value in largest if value)
--- a/workbench/report/losses.py
+++ b/workbench/report/losses.py
@@ -1,11 +1,11 @@
-"""Where a day's worth was lost: one cause for each lost request, from its trace.
-
-The rule. A request that ended unserved before its aim was ended by a decision or a failure, and the end of
-its last try is the cause, unless that is a deadline. Any other request ran out of time, and the cause is what
-held it for longest between its due time and its aim; there the time that a request of its class usually takes
-is its own and holds it up in nothing. A wait between two tries belongs to what ended the first of them. Each
-lost request has one cause, so the causes sum to the loss of the day; `breakdown` checks that against the
-day's account.
+"""Attributes a day's lost value: one cause for each lost request, found in its trace.
+
+A request that ended unserved before its latency objective was ended by a decision or a failure. Its cause is
+the outcome of the client's last attempt, unless that is a deadline. Any other request ran out of time. Its
+cause is what delayed it for longest between its due time and its latency objective; the time that a request
+of its class usually takes is expected and is not counted as a delay. The time between two attempts of a
+client is attributed to the outcome of the first of them. Each lost request has one cause, so the causes sum
+to the loss of the day; `breakdown` checks that sum against the day's account.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from workbench.model.answer import Answer
 from workbench.model.trace import UNENDED, AttemptTrace, CallTrace, RequestTrace, TraceLog
 
-RETRY_ROOM = 0.25  # of a call's time: with less of it left, no retry is a matter of time and not a denial
-TOLERANCE = 1e-9  # of the worth asked for: rounding of sums
+MIN_RETRY_TIME_SHARE = 0.25  # of a call's time: with less remaining, a retry was not denied but came too late
+ROUNDING_TOLERANCE = 1e-9  # of the requested value: rounding of sums
 
-GIVEN_UP = (Outcome.TIMEOUT, Outcome.CANCELLED, None)  # None: still out when the trace ends
+ABANDONED = (Outcome.TIMEOUT, Outcome.CANCELLED, None)  # None: in flight when the trace ends
 
 
 class LossCause(StrEnum):
-    """What a lost request's worth is attributed to."""
+    """What a lost request's value is attributed to; the values are those of the tables."""
 
     CONNECT = "connection not established"
     SILENT = "silent in flight"
@@ -48,8 +48,14 @@
 
 
 @dataclass(frozen=True)
-class Blame:
-    """A cause, the tier where it lies, and for a denied retry the cause of the failure before it."""
+class LossSource:
+    """Where the value of a request was lost.
+
+    Attributes:
+        cause: Why the request was lost.
+        tier: The tier in which that happened.
+        trigger: For a denied retry, the cause of the failure before it.
+    """
 
     cause: LossCause
     tier: int
@@ -58,143 +64,164 @@
 
 @dataclass(frozen=True)
 class AttributionRules:
-    """What of a day's settings the attribution needs."""
+    """The settings of a day that the attribution needs.
+
+    Attributes:
+        classes: The settings of each request class, by its index.
+        max_attempts: How many attempts a call may have.
+    """
 
     classes: Sequence[ClassSettings]
     max_attempts: int
 
 
+@dataclass(frozen=True)
+class Delay:
+    """A part of a request's time, and what it is attributed to."""
+
+    source: LossSource
+    duration_us: int
+
+
 class Attribution:
     """Finds the cause of one request's loss.
 
     Args:
         trace: The request's trace.
-        rules: The classes, and how many attempts a call may have.
-        usual: How long a request of its class usually takes, in microseconds.
+        rules: The day's settings.
+        usual_us: How long a request of its class usually takes, in microseconds.
     """
 
-    def __init__(self, trace: RequestTrace, rules: AttributionRules, usual: int) -> None:
+    def __init__(self, trace: RequestTrace, rules: AttributionRules, usual_us: int) -> None:
         self.trace = trace
         self.rules = rules
-        self.usual = usual
+        self.usual_us = usual_us
 
-    def blame(self) -> Blame:
-        """Returns the cause of the request's loss."""
+    def attribute(self) -> LossSource:
+        """Returns the source of the request's loss."""
         trace = self.trace
         if trace.client_left:
-            return Blame(LossCause.CLIENT_LEFT, 0)
+            return LossSource(LossCause.CLIENT_LEFT, 0)
         if not trace.tries:
-            return Blame(LossCause.NODE_DOWN, 0)
+            return LossSource(LossCause.NODE_DOWN, 0)
         if not trace.served and trace.ended_at < trace.aim_at:
-            end = self.end_of_call(trace.tries[-1])
-            if end.cause != LossCause.DEADLINE:
-                return end
-        return self.longest_hold()
+            source = self.source_of_call(trace.tries[-1])
+            if source.cause != LossCause.DEADLINE:
+                return source
+        return self.longest_delay()
 
-    # ---- how a call or an attempt ended -----------------------------------------------------------------
+    # ---- outcomes of calls and attempts -------------------------------------------------------------------
 
-    def end_of_call(self, call: CallTrace) -> Blame:
-        """Why a call ended without success."""
+    def source_of_call(self, call: CallTrace) -> LossSource:
+        """Returns why a call ended without success."""
         if call.node_died or call.answer == Answer.UNREACHABLE:
-            return Blame(LossCause.NODE_DOWN, call.tier)
+            return LossSource(LossCause.NODE_DOWN, call.tier)
         if not call.attempts:
-            return Blame(LossCause.OWN_LIMIT, call.tier)
-        failure = self.end_of_attempt(call.attempts[-1])
+            return LossSource(LossCause.OWN_LIMIT, call.tier)
+        failure = self.source_of_attempt(call.attempts[-1])
         if not self.was_denied_retry(call):
             return failure
-        denied = LossCause.RETRY_BUDGET if self.may_repeat(call) else LossCause.RETRY_CLASS
-        return Blame(denied, call.tier, failure.trigger or failure.cause)
+        denied = LossCause.RETRY_BUDGET if self.may_retry(call) else LossCause.RETRY_CLASS
+        return LossSource(denied, call.tier, failure.trigger or failure.cause)
 
     def was_denied_retry(self, call: CallTrace) -> bool:
-        """Whether the node answered with attempts and time left."""
+        """Returns whether the node responded although attempts and time remained."""
         if call.answer not in (Answer.REFUSED, Answer.FAILED):
             return False
-        room = RETRY_ROOM * (call.until - call.begun_at)
-        return len(call.attempts) < self.rules.max_attempts and call.ended_at + room < call.until
-
-    def may_repeat(self, call: CallTrace) -> bool:
-        """Whether the request's class allowed one more attempt at the call's end."""
-        klass = self.rules.classes[self.trace.klass]
-        ran = [attempt for attempt in call.attempts if attempt.outcome not in NEVER_RAN]
-        if not ran or klass.effect == Effect.IDEMPOTENT:
+        min_retry_time = MIN_RETRY_TIME_SHARE * (call.until - call.begun_at)
+        return len(call.attempts) < self.rules.max_attempts and call.ended_at + min_retry_time < call.until
+
+    def may_retry(self, call: CallTrace) -> bool:
+        """Returns whether the request's class allowed one more attempt at the call's end."""
+        request_class = self.rules.classes[self.trace.klass]
+        executed = [attempt for attempt in call.attempts if attempt.outcome not in NEVER_RAN]
+        if not executed or request_class.effect == Effect.IDEMPOTENT:
             return True
-        return klass.effect == Effect.IDEMPOTENCY_KEY and call.ended_at < ran[0].sent_at + klass.window
+        if request_class.effect != Effect.IDEMPOTENCY_KEY:
+            return False
+        return call.ended_at < executed[0].sent_at + request_class.window
 
-    def end_of_attempt(self, attempt: AttemptTrace) -> Blame:
-        """Why an attempt ended as it did, at its own tier or behind it."""
+    def source_of_attempt(self, attempt: AttemptTrace) -> LossSource:
+        """Returns why an attempt ended as it did, at its own tier or a later one."""
         tier, outcome = attempt.tier, attempt.outcome
         if outcome == Outcome.CONNECT_FAILED:
-            return Blame(LossCause.CONNECT, tier)
+            return LossSource(LossCause.CONNECT, tier)
         if outcome == Outcome.REJECTED:
-            return Blame(LossCause.SERVER_REJECTED, tier)
+            return LossSource(LossCause.SERVER_REJECTED, tier)
         if outcome == Outcome.RESET:
-            return Blame(LossCause.RESET, tier)
-        if outcome in GIVEN_UP and attempt.silent:
-            return Blame(LossCause.SILENT, tier)
+            return LossSource(LossCause.RESET, tier)
+        if outcome in ABANDONED and attempt.silent:
+            return LossSource(LossCause.SILENT, tier)
         if outcome == Outcome.ERROR:
-            behind = failed_call(attempt)
-            return self.end_of_call(behind) if behind is not None else Blame(LossCause.SERVER_ERROR, tier)
-        return Blame(LossCause.DEADLINE, tier)
-
-    # ---- what held a request up -------------------------------------------------------------------------
-
-    def longest_hold(self) -> Blame:
-        """Returns what held the request for longest until its loss was decided."""
-        held: Counter[Blame] = Counter()
-        for blame, time in self.holds():
-            held[blame] += time
+            dependency = failed_dependency(attempt)
+            if dependency is not None:
+                return self.source_of_call(dependency)
+            return LossSource(LossCause.SERVER_ERROR, tier)
+        return LossSource(LossCause.DEADLINE, tier)
+
+    # ---- delays of a request ------------------------------------------------------------------------------
+
+    def longest_delay(self) -> LossSource:
+        """Returns the source of the longest delay until the request's loss was decided."""
+        by_source: Counter[LossSource] = Counter()
+        for delay in self.delays():
+            by_source[delay.source] += delay.duration_us
         by_cause: Counter[LossCause] = Counter()
-        for blame, time in held.items():
-            by_cause[blame.cause] += time
-        by_cause[LossCause.DEADLINE] = max(0, by_cause[LossCause.DEADLINE] - self.usual)
-        cause = max(by_cause, key=lambda found: (by_cause[found], found == LossCause.DEADLINE, found))
-        parts = [blame for blame in held if blame.cause == cause]
-        return max(parts, key=lambda b: (held[b], -b.tier), default=Blame(cause, 0))
-
-    def holds(self) -> Iterator[tuple[Blame, int]]:
-        """The time until the decision, in parts, each with its cause."""
+        for source, duration_us in by_source.items():
+            by_cause[source.cause] += duration_us
+        by_cause[LossCause.DEADLINE] = max(0, by_cause[LossCause.DEADLINE] - self.usual_us)
+        longest = max(by_cause, key=lambda cause: (by_cause[cause], cause == LossCause.DEADLINE, cause))
+        sources = [source for source in by_source if source.cause == longest]
+        return max(
+            sources,
+            key=lambda source: (by_source[source], -source.tier),
+            default=LossSource(longest, 0),
+        )
+
+    def delays(self) -> Iterator[Delay]:
+        """Yields the time until the loss was decided, in parts, each with its source."""
         tries, decided_at = self.trace.tries, self.trace.decided_at
         ends = [*(call.begun_at for call in tries[1:]), decided_at]
         for call, end in zip(tries, ends, strict=True):
-            yield from self.holds_of_call(call, min(end, decided_at))
+            yield from self.delays_of_call(call, min(end, decided_at))
 
-    def holds_of_call(self, call: CallTrace, end: int) -> Iterator[tuple[Blame, int]]:
-        """A call's time up to `end`: its attempts by their own causes, all other time by the call's end.
+    def delays_of_call(self, call: CallTrace, end: int) -> Iterator[Delay]:
+        """Yields a call's time up to `end`: its attempts by their own sources, the rest by its outcome.
 
-        Below the first tier a node queues calls at its limit, so the time before the first attempt is the
-        limit's.
+        After the first tier a node queues calls at its limit, so the time before the first attempt is
+        attributed to the limit.
         """
-        left = max(0, end - call.begun_at)
+        remaining = max(0, end - call.begun_at)
         if call.tier > 0 and call.attempts:
-            queued = min(left, call.attempts[0].sent_at - call.begun_at)
-            left -= queued
-            yield (Blame(LossCause.OWN_LIMIT, call.tier), queued)
+            queued = min(remaining, call.attempts[0].sent_at - call.begun_at)
+            remaining -= queued
+            yield Delay(LossSource(LossCause.OWN_LIMIT, call.tier), queued)
         for attempt in call.attempts:
-            stop = end if attempt.ended_at == UNENDED else min(end, attempt.ended_at)
-            time = min(left, max(0, stop - attempt.sent_at))
-            left -= time
-            yield from self.holds_of_attempt(attempt, time)
-        if left > 0:
-            yield (self.end_of_call(call), left)
-
-    def holds_of_attempt(self, attempt: AttemptTrace, time: int) -> Iterator[tuple[Blame, int]]:
-        """An attempt's time: by its failure, or by what it waited for where it was slow alone."""
-        blame = self.end_of_attempt(attempt)
-        if blame.cause != LossCause.DEADLINE or blame.tier != attempt.tier:
-            yield (blame, time)
+            attempt_end = end if attempt.ended_at == UNENDED else min(end, attempt.ended_at)
+            duration = min(remaining, max(0, attempt_end - attempt.sent_at))
+            remaining -= duration
+            yield from self.delays_of_attempt(attempt, duration)
+        if remaining > 0:
+            yield Delay(self.source_of_call(call), remaining)
+
+    def delays_of_attempt(self, attempt: AttemptTrace, duration: int) -> Iterator[Delay]:
+        """Yields an attempt's time: by its failure, or by what it waited for where it was only slow."""
+        source = self.source_of_attempt(attempt)
+        if source.cause != LossCause.DEADLINE or source.tier != attempt.tier:
+            yield Delay(source, duration)
             return
-        left = time
+        remaining = duration
+        end = attempt.sent_at + duration
         for call in attempt.calls:
-            end = attempt.sent_at + time
-            stop = end if call.ended_at == UNENDED else min(end, call.ended_at)
-            part = min(left, max(0, stop - call.begun_at))
-            left -= part
-            yield from self.holds_of_call(call, call.begun_at + part)
-        yield (blame, left)
+            call_end = end if call.ended_at == UNENDED else min(end, call.ended_at)
+            part = min(remaining, max(0, call_end - call.begun_at))
+            remaining -= part
+            yield from self.delays_of_call(call, call.begun_at + part)
+        yield Delay(source, remaining)
 
 
-def failed_call(attempt: AttemptTrace) -> CallTrace | None:
-    """The call to the next tier whose failure made an attempt fail."""
+def failed_dependency(attempt: AttemptTrace) -> CallTrace | None:
+    """Returns the call to the next tier whose failure made an attempt fail."""
     if attempt.calls and attempt.calls[-1].answer not in (Answer.OK, None):
         return attempt.calls[-1]
     return None
@@ -202,49 +229,58 @@
 
 @dataclass
 class Breakdown:
-    """Worth asked for and lost, over one day or several. Seconds are of the day."""
+    """Value requested and lost, over one day or several. Seconds are of the day.
+
+    Attributes:
+        requested: The value of all requests.
+        by_source: Lost value by its source.
+        requested_by_class: Value of the requests of each class.
+        by_class: Lost value by class and cause.
+        requested_by_second: Value of the requests due in each second.
+        by_second: Lost value by second and cause.
+    """
 
-    asked: float = 0.0
-    by_blame: Counter[Blame] = field(default_factory=Counter)
-    asked_by_class: Counter[int] = field(default_factory=Counter)
+    requested: float = 0.0
+    by_source: Counter[LossSource] = field(default_factory=Counter)
+    requested_by_class: Counter[int] = field(default_factory=Counter)
     by_class: Counter[tuple[int, LossCause]] = field(default_factory=Counter)
-    asked_by_second: Counter[int] = field(default_factory=Counter)
+    requested_by_second: Counter[int] = field(default_factory=Counter)
     by_second: Counter[tuple[int, LossCause]] = field(default_factory=Counter)
 
     @property
     def lost(self) -> float:
-        """The worth lost, over all causes."""
-        return sum(self.by_blame.values())
+        """The lost value, over all sources."""
+        return sum(self.by_source.values())
 
     def by_cause(self) -> Counter[LossCause]:
-        """The worth lost by cause, over all tiers."""
+        """Returns the lost value by cause, over all tiers."""
         causes: Counter[LossCause] = Counter()
-        for blame, worth in self.by_blame.items():
-            causes[blame.cause] += worth
+        for source, value in self.by_source.items():
+            causes[source.cause] += value
         return causes
 
-    def add_asked(self, klass: int, second: int, worth: float) -> None:
-        """Counts worth that was asked for."""
-        self.asked += worth
-        self.asked_by_class[klass] += worth  # type: ignore[assignment]
-        self.asked_by_second[second] += worth  # type: ignore[assignment]
+    def add_requested(self, request_class: int, second: int, value: float) -> None:
+        """Counts requested value."""
+        self.requested += value
+        self.requested_by_class[request_class] += value  # type: ignore[assignment]
+        self.requested_by_second[second] += value  # type: ignore[assignment]
 
-    def add_lost(self, klass: int, second: int, blame: Blame, worth: float) -> None:
-        """Counts worth that was lost."""
-        self.by_blame[blame] += worth  # type: ignore[assignment]
-        self.by_class[klass, blame.cause] += worth  # type: ignore[assignment]
-        self.by_second[second, blame.cause] += worth  # type: ignore[assignment]
+    def add_lost(self, request_class: int, second: int, source: LossSource, value: float) -> None:
+        """Counts lost value."""
+        self.by_source[source] += value  # type: ignore[assignment]
+        self.by_class[request_class, source.cause] += value  # type: ignore[assignment]
+        self.by_second[second, source.cause] += value  # type: ignore[assignment]
 
     def add(self, other: Breakdown, shift: int = 0) -> None:
         """Adds another day's figures, its seconds moved by `shift`."""
-        self.asked += other.asked
-        self.by_blame.update(other.by_blame)
-        self.asked_by_class.update(other.asked_by_class)
+        self.requested += other.requested
+        self.by_source.update(other.by_source)
+        self.requested_by_class.update(other.requested_by_class)
         self.by_class.update(other.by_class)
-        for second, worth in other.asked_by_second.items():
-            self.asked_by_second[second + shift] += worth
-        for (second, cause), worth in other.by_second.items():
-            self.by_second[second + shift, cause] += worth
+        for second, value in other.requested_by_second.items():
+            self.requested_by_second[second + shift] += value
+        for (second, cause), value in other.by_second.items():
+            self.by_second[second + shift, cause] += value
 
 
 def breakdown(log: TraceLog, rules: AttributionRules, lost_share: float, all_ended: bool = True) -> Breakdown:
@@ -252,23 +288,26 @@
 
     Args:
         log: The day's traces.
-        rules: What of its settings the attribution needs.
-        lost_share: The share of the worth asked for that the day's account has as lost.
-        all_ended: Whether every request had ended with the day; the worth of others is `UNFINISHED`.
+        rules: The day's settings that the attribution needs.
+        lost_share: The share of the requested value that was lost by the day's account.
+        all_ended: Whether every request had ended with the day; the value of others is `UNFINISHED`.
+
+    Returns:
+        The day's requested and lost value.
 
     Raises:
-        LossMismatchError: The causes do not sum to that loss.
+        LossMismatchError: The sources do not sum to that loss.
     """
-    found = Breakdown()
-    for (klass, second), worth in log.asked.items():
-        found.add_asked(klass, second, worth)
-    usual = {klass: int(median(times)) for klass, times in log.served_times.items()}
+    result = Breakdown()
+    for (request_class, second), value in log.asked.items():
+        result.add_requested(request_class, second, value)
+    usual_us = {request_class: int(median(times)) for request_class, times in log.served_times.items()}
     for trace in log.lost:
-        blame = Attribution(trace, rules, usual.get(trace.klass, 0)).blame()
-        found.add_lost(trace.klass, log.second(trace.due), blame, trace.lost_worth)
-    missing = lost_share * found.asked - found.lost
+        source = Attribution(trace, rules, usual_us.get(trace.klass, 0)).attribute()
+        result.add_lost(trace.klass, log.second(trace.due), source, trace.lost_worth)
+    missing = lost_share * result.requested - result.lost
     if not all_ended and missing > 0:
-        found.by_blame[Blame(LossCause.UNFINISHED, 0)] = missing  # type: ignore[assignment]
-    elif abs(missing) > TOLERANCE * max(1.0, found.asked):
-        raise LossMismatchError(f"causes sum to {found.lost:.6f}, {missing:+.6f} from the account's loss")
-    return found
+        result.by_source[LossSource(LossCause.UNFINISHED, 0)] = missing  # type: ignore[assignment]
+    elif abs(missing) > ROUNDING_TOLERANCE * max(1.0, result.requested):
+        raise LossMismatchError(f"causes sum to {result.lost:.6f}, {missing:+.6f} from the account's loss")
+    return result
