--- a/workbench/report/__init__.py
+++ b/workbench/report/__init__.py
@@ -1,1 +1,1 @@
-"""Tables and plots of what was played."""
+"""Reports of runs and experiments: tables on a terminal, plots and HTML pages."""
--- a/workbench/report/figures.py
+++ b/workbench/report/figures.py
@@ -1,25 +1,36 @@
-"""The figures of an experiment's report. Each is a picture, its caption and what it shows."""
+"""Figures of an experiment's report, each a picture with a caption that says what it shows."""
 
 from __future__ import annotations
 
 import io
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
 
-import msgspec
 import numpy as np
 from matplotlib import pyplot
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from workbench.experiment.compare import Comparison
-from workbench.report.plots import COLOURS, limit_panel, shade
-from workbench.report.series import Array, Days
-
-WIDE = 9.5
-ROW = 0.42
-Goals = dict[tuple[str, str], Array]
+from workbench.report.plots import COLOURS, limit_panel, shade_faults
+from workbench.report.series import (
+    OTHER_CAUSES,
+    Array,
+    ComparedAxes,
+    Goals,
+    LossShares,
+    RunGroup,
+    ScenarioSeries,
+    Sweep,
+)
+
+WIDTH = 9.5  # inches, as all sizes here
+ROW_HEIGHT = 0.42
+TIME_HEIGHT = 2.8  # of a figure over the time of the day
+GOAL_LABEL = "goal, 0 to 1"
+TIME_LABEL = "time of the day, s"
+NORMAL_QUANTILE = 1.96  # of a 95% interval
+MIN_LOGARITHMIC_RATIO = 20  # of the greatest value to the least: beyond it the axis is logarithmic
+PERCENTILE_MARKERS = {"p50": "o", "p90": "s", "p99": "^"}
 
 
 @dataclass
@@ -31,163 +42,213 @@
     png: bytes
 
 
-def picture(name: str, caption: str, height: float, draw: Callable[[Axes], None]) -> Picture:
-    """One set of axes, drawn and closed."""
-    figure, axes = pyplot.subplots(figsize=(WIDE, height), layout="constrained")
+def draw_picture(name: str, caption: str, height: float, draw: Callable[[Axes], None]) -> Picture:
+    """Returns a picture with one set of axes.
+
+    Args:
+        name: Of the picture.
+        caption: What it shows.
+        height: In inches.
+        draw: Draws on the axes.
+    """
+    figure, axes = pyplot.subplots(figsize=(WIDTH, height), layout="constrained")
     draw(axes)
     axes.grid(alpha=0.25)
-    return finished(name, caption, figure)
+    return Picture(name, caption, render_png(figure))
 
 
-def finished(name: str, caption: str, figure: Figure) -> Picture:
-    out = io.BytesIO()
-    figure.savefig(out, format="png", dpi=110)
+def render_png(figure: Figure) -> bytes:
+    """Renders a figure and closes it."""
+    png = io.BytesIO()
+    figure.savefig(png, format="png", dpi=110)
     pyplot.close(figure)
-    return Picture(name, caption, out.getvalue())
+    return png.getvalue()
 
 
-def beside(axes: Axes) -> None:
-    """The legend beside the axes, where it covers nothing."""
+def put_legend_beside(axes: Axes) -> None:
+    """Puts the legend beside the axes, where it covers nothing."""
     axes.legend(fontsize=7, loc="center left", bbox_to_anchor=(1.0, 0.5))
 
 
-def spread(values: Array) -> float:
-    """Half of a mean's 95% interval."""
-    return 1.96 * float(values.std(ddof=1)) / len(values) ** 0.5 if len(values) > 1 else 0.0
+def set_rows(axes: Axes, labels: list[str]) -> None:
+    """Labels the rows, the first on top."""
+    axes.set_yticks(range(len(labels)), labels)
+    axes.invert_yaxis()
+
+
+def row_offset(index: int, count: int, spread: float) -> float:
+    """Returns how far one of several variants is drawn from the middle of its row.
+
+    Args:
+        index: Of the variant.
+        count: Of the variants.
+        spread: The part of the row that they share.
+    """
+    return (index - (count - 1) / 2) * spread / count
+
+
+def interval_half_width(values: Array) -> float:
+    """Returns half the width of a mean's 95% interval."""
+    if len(values) <= 1:
+        return 0.0
+    half_width: float = NORMAL_QUANTILE * float(values.std(ddof=1)) / len(values) ** 0.5
+    return half_width
+
 
+def goal_figure(goals: Goals, compared: ComparedAxes) -> Picture:
+    """Draws the goals of all variants by scenario."""
+    scenarios, variants = compared.scenarios, compared.variants
 
-def goal_figure(goals: Goals, scenarios: list[str], variants: list[str]) -> Picture:
     def draw(axes: Axes) -> None:
-        for i, variant in enumerate(variants):
-            rows = [(y, goals[s, variant]) for y, s in enumerate(scenarios) if (s, variant) in goals]
-            at = [y + (i - (len(variants) - 1) / 2) * 0.7 / len(variants) for y, _ in rows]
-            means, errors = [float(g.mean()) for _, g in rows], [spread(g) for _, g in rows]
-            axes.errorbar(
-                means, at, xerr=errors, fmt="o", ms=4, capsize=2, color=COLOURS[i % 8], label=variant
-            )
-        axes.set_yticks(range(len(scenarios)), scenarios)
-        axes.invert_yaxis()
-        axes.set_xlabel("goal, 0 to 1")
-        beside(axes)
+        for index, variant in enumerate(variants):
+            offset = row_offset(index, len(variants), 0.7)
+            draw_goals(axes, goals, scenarios, variant, offset, COLOURS[index % len(COLOURS)])
+        set_rows(axes, scenarios)
+        axes.set_xlabel(GOAL_LABEL)
+        put_legend_beside(axes)
 
     caption = (
-        "Goal by scenario: the mean over the seeds, and its 95% interval from the spread between seeds. Days "
+        "Goal by scenario: the mean over the seeds, and its 95% interval from the spread between seeds. "
+        "Days differ far more than variants do; the next figure pairs them."
     )
-    caption += "differ far more than variants do; the next figure pairs them."
-    return picture("goal", caption, 1.5 + ROW * len(scenarios) * max(1, len(variants) / 2), draw)
+    height = 1.5 + ROW_HEIGHT * len(scenarios) * max(1, len(variants) / 2)
+    return draw_picture("goal", caption, height, draw)
+
 
+def draw_goals(
+    axes: Axes, goals: Goals, scenarios: list[str], variant: str, offset: float, colour: str
+) -> None:
+    """Draws one variant's mean goals with their intervals, a row for each scenario."""
+    rows = [row for row, name in enumerate(scenarios) if RunGroup(name, variant) in goals]
+    values = [goals[RunGroup(scenarios[row], variant)] for row in rows]
+    means = [float(goal.mean()) for goal in values]
+    errors = [interval_half_width(goal) for goal in values]
+    heights = [row + offset for row in rows]
+    axes.errorbar(means, heights, xerr=errors, fmt="o", ms=4, capsize=2, color=colour, label=variant)
+
+
+def pair_figure(differences: dict[str, Array], baseline: str, candidate: str) -> Picture:
+    """Draws the differences of paired goals by scenario."""
 
-def pair_figure(pairs: dict[str, Array], a: str, b: str) -> Picture:
     def draw(axes: Axes) -> None:
         rng = np.random.default_rng(1)
-        for y, (_, d) in enumerate(pairs.items()):
-            axes.plot(d, y + rng.uniform(-0.18, 0.18, len(d)), "o", ms=3, alpha=0.6, color=COLOURS[0])
-            axes.errorbar([d.mean()], [y], xerr=[spread(d)], fmt="D", ms=5, capsize=3, color=COLOURS[1])
+        for row, values in enumerate(differences.values()):
+            heights = row + rng.uniform(-0.18, 0.18, len(values))
+            error = interval_half_width(values)
+            axes.plot(values, heights, "o", ms=3, alpha=0.6, color=COLOURS[0])
+            axes.errorbar([values.mean()], [row], xerr=[error], fmt="D", ms=5, capsize=3, color=COLOURS[1])
         axes.axvline(0, color=COLOURS[7], lw=0.8)
-        axes.set_yticks(range(len(pairs)), list(pairs))
-        axes.invert_yaxis()
-        axes.set_xlabel(f"goal of {b} less goal of {a}, the same seed")
+        set_rows(axes, list(differences))
+        axes.set_xlabel(f"goal of {candidate} less goal of {baseline}, the same seed")
 
-    caption = f"{b} against {a}: a dot for each seed, right of the line where {b} is better; the "
-    caption += "diamond is the mean "
-    caption += "with its 95% interval."
-    return picture(f"pairs-{b}", caption, 1.3 + ROW * max(2, len(pairs)), draw)
+    caption = (
+        f"{candidate} against {baseline}: a dot for each seed, right of the line where {candidate} is "
+        "better; the diamond is the mean with its 95% interval."
+    )
+    height = 1.3 + ROW_HEIGHT * max(2, len(differences))
+    return draw_picture(f"pairs-{candidate}", caption, height, draw)
 
 
-def loss_figure(losses: dict[tuple[str, str], dict[str, float]]) -> Picture:
-    rows = sorted(losses)
-    causes = sorted({c for by in losses.values() for c in by}, key=lambda c: (c == "other", c))
+def loss_figure(losses: LossShares) -> Picture:
+    """Draws the lost value of each scenario and variant, stacked by cause."""
+    groups = sorted(losses)
+    causes = {cause for by_cause in losses.values() for cause in by_cause}
+    ordered_causes = sorted(causes, key=lambda cause: (cause == OTHER_CAUSES, cause))
 
     def draw(axes: Axes) -> None:
-        left = np.zeros(len(rows))
-        for cause, colour in zip(causes, COLOURS, strict=False):
-            shares = np.array([100 * losses[row].get(cause, 0.0) for row in rows])
-            axes.barh(range(len(rows)), shares, left=left, color=colour, label=cause, height=0.7)
+        left = np.zeros(len(groups))
+        for cause, colour in zip(ordered_causes, COLOURS, strict=False):
+            shares = np.array([100 * losses[group].get(cause, 0.0) for group in groups])
+            axes.barh(range(len(groups)), shares, left=left, color=colour, label=cause, height=0.7)
             left += shares
-        axes.set_yticks(range(len(rows)), [f"{s}: {v}" for s, v in rows], fontsize=8)
+        labels = [f"{group.scenario}: {group.variant}" for group in groups]
+        axes.set_yticks(range(len(groups)), labels, fontsize=8)
         axes.invert_yaxis()
         axes.set_xlabel("share of the worth asked for that was lost, %")
-        beside(axes)
+        put_legend_beside(axes)
 
     caption = "Where the lost worth went, by cause and tier (0 is the first), mean over the seeds."
-    return picture("losses", caption, 1.3 + 0.3 * len(rows), draw)
+    return draw_picture("losses", caption, 1.3 + 0.3 * len(groups), draw)
 
 
-def served_figure(days: Days) -> Picture:
+def served_figure(series: ScenarioSeries) -> Picture:
+    """Draws the share of the requested value that was served, by second of the day."""
+
     def draw(axes: Axes) -> None:
-        for i, (variant, share) in enumerate(days.served.items()):
-            axes.step(
-                range(len(share)), 100 * share, where="post", color=COLOURS[i % 8], lw=1.1, label=variant
-            )
-        shade(axes, {"fault": days.faults})
+        for index, (variant, share) in enumerate(series.served.items()):
+            colour = COLOURS[index % len(COLOURS)]
+            axes.step(range(len(share)), 100 * share, where="post", color=colour, lw=1.1, label=variant)
+        shade_faults(axes, series.faults)
         axes.set_ylim(0, 104)
-        axes.set_xlabel("time of the day, s")
+        axes.set_xlabel(TIME_LABEL)
         axes.set_ylabel("worth served, %")
-        beside(axes)
+        put_legend_beside(axes)
 
-    caption = f"{days.scenario}: worth served in time, by the second in which it was asked for, mean over "
-    caption += "the seeds; "
-    caption += "grey are the first seed's faults (other seeds draw other times)."
-    return picture(f"served-{days.scenario}", caption, 2.8, draw)
+    caption = (
+        f"{series.scenario}: worth served in time, by the second in which it was asked for, mean over the "
+        "seeds; grey are the first seed's faults (other seeds draw other times)."
+    )
+    return draw_picture(f"served-{series.scenario}", caption, TIME_HEIGHT, draw)
 
 
-def latency_figure(days: list[Days]) -> Picture:
+def latency_figure(scenarios: list[ScenarioSeries]) -> Picture:
+    """Draws percentiles of latency by scenario and variant."""
+
     def draw(axes: Axes) -> None:
-        variants = list(days[0].latency)
-        for i, variant in enumerate(variants):
-            for key, marker in (("p50", "o"), ("p90", "s"), ("p99", "^")):
-                at = [y + (i - (len(variants) - 1) / 2) * 0.6 / len(variants) for y in range(len(days))]
-                values = [d.latency.get(variant, {}).get(key, np.nan) for d in days]
-                axes.plot(values, at, marker, ms=5, color=COLOURS[i % 8], label=f"{variant} {key}", ls="")
+        variants = list(scenarios[0].latency)
+        for index, variant in enumerate(variants):
+            offset = row_offset(index, len(variants), 0.6)
+            heights = [row + offset for row in range(len(scenarios))]
+            colour = COLOURS[index % len(COLOURS)]
+            for key, marker in PERCENTILE_MARKERS.items():
+                values = [series.latency.get(variant, {}).get(key, np.nan) for series in scenarios]
+                axes.plot(values, heights, marker, ms=5, color=colour, label=f"{variant} {key}", ls="")
         axes.set_xscale("log")
-        axes.set_yticks(range(len(days)), [d.scenario for d in days])
-        axes.invert_yaxis()
+        set_rows(axes, [series.scenario for series in scenarios])
         axes.set_xlabel("latency of served requests, ms (logarithmic)")
-        beside(axes)
+        put_legend_beside(axes)
 
-    caption = "Latency at the client, over all tries, of the requests that were served: median, p90, "
-    caption += "p99, each the "
-    caption += "mean over the seeds."
-    return picture("latency", caption, 1.5 + ROW * 1.4 * len(days), draw)
+    caption = (
+        "Latency at the client, over all tries, of the requests that were served: median, p90, p99, each the "
+        "mean over the seeds."
+    )
+    return draw_picture("latency", caption, 1.5 + ROW_HEIGHT * 1.4 * len(scenarios), draw)
 
 
-def limit_figure(days: Days) -> Picture | None:
-    if not days.stats:
+def limit_figure(series: ScenarioSeries) -> Picture | None:
+    """Draws the limits of the first front nodes, where there are statistics."""
+    if not series.stats:
         return None
 
     def draw(axes: Axes) -> None:
-        limit_panel(axes, days.stats)
-        shade(axes, {"fault": days.faults})
-        axes.set_xlabel("time of the day, s")
+        limit_panel(axes, series.stats)
+        shade_faults(axes, series.faults)
+        axes.set_xlabel(TIME_LABEL)
 
-    caption = f"{days.scenario}, one seed: limit and calls in flight of the first front "
-    caption += "nodes, by their own statistics."
-    return picture(f"limits-{days.scenario}", caption, 2.8, draw)
+    caption = (
+        f"{series.scenario}, one seed: limit and calls in flight of the first front nodes, by their own "
+        "statistics."
+    )
+    return draw_picture(f"limits-{series.scenario}", caption, TIME_HEIGHT, draw)
 
 
-def sweep_figure(key: str, curves: dict[str, dict[float, Array]]) -> Picture:
+def sweep_figure(sweep: Sweep) -> Picture:
+    """Draws the goals over the values of a key, a curve for each variant."""
+
     def draw(axes: Axes) -> None:
-        for i, (variant, at) in enumerate(curves.items()):
-            xs = list(at)
-            means, errors = [float(at[x].mean()) for x in xs], [spread(at[x]) for x in xs]
+        for index, (variant, by_value) in enumerate(sweep.goals.items()):
+            means = [float(goals.mean()) for goals in by_value.values()]
+            errors = [interval_half_width(goals) for goals in by_value.values()]
+            colour = COLOURS[index % len(COLOURS)]
             axes.errorbar(
-                xs, means, yerr=errors, fmt="o-", ms=4, capsize=2, color=COLOURS[i % 8], label=variant
+                list(by_value), means, yerr=errors, fmt="o-", ms=4, capsize=2, color=colour, label=variant
             )
-        values = sorted({x for at in curves.values() for x in at})
-        if values[0] > 0 and values[-1] / values[0] >= 20:
+        values = sorted({value for by_value in sweep.goals.values() for value in by_value})
+        if values[0] > 0 and values[-1] / values[0] >= MIN_LOGARITHMIC_RATIO:
             axes.set_xscale("log")
-        axes.set_xlabel(key)
-        axes.set_ylabel("goal, 0 to 1")
-        beside(axes)
-
-    caption = f"Goal over {key}: means over the seeds, with their 95% intervals."
-    return picture("sweep", caption, 3.6, draw)
-
+        axes.set_xlabel(sweep.key)
+        axes.set_ylabel(GOAL_LABEL)
+        put_legend_beside(axes)
 
-def table_rows(found: Comparison) -> list[dict[str, Any]]:
-    """A comparison's lines for CSV and page."""
-    keys = ("scenario", "difference", "low", "high", "p", "pairs", "ups", "downs", "verdict")
-    return [
-        {"a": found.baseline, "b": found.candidate, **{k: e[k] for k in keys}}
-        for e in msgspec.to_builtins(found.results())
-    ]
+    caption = f"Goal over {sweep.key}: means over the seeds, with their 95% intervals."
+    return draw_picture("sweep", caption, 3.6, draw)
--- a/workbench/report/page.py
+++ b/workbench/report/page.py
@@ -1,5 +1,4 @@
-"""An experiment's report: one HTML page that opens without a network, with its numbers as CSV and JSON
-beside it."""
+"""An experiment's report: an HTML page that opens without a network, and its numbers as CSV and JSON."""
 
 from __future__ import annotations
 
@@ -12,14 +11,16 @@
 from typing import Any
 
 import msgspec
-import numpy as np
 
-from workbench.experiment.compare import Comparison, compare
+from workbench.experiment.compare import Comparison, Result, compare
 from workbench.experiment.store import Row, Store
 from workbench.files import replace_files
 from workbench.report import figures, series
 
-MOST_DAYS = 40  # whole results of a scenario and variant that go into its curves
+MAX_RESULTS = 40  # full results of a scenario and variant that go into its curves
+MAX_PROBLEMS = 50  # failed runs and broken rules that are listed
+COMPARISON_KEYS = ("scenario", "difference", "low", "high", "p", "pairs", "ups", "downs", "verdict")
+COMPARISON_HEADINGS = ("scenario", "difference", "95% interval", "p", "pairs", "up, down", "verdict")
 STYLE = """
 body { font: 15px/1.45 system-ui, sans-serif; max-width: 62em; margin: 2em auto; padding: 0 1em; color: #111 }
 table { border-collapse: collapse; margin: 1em 0; font-size: 13px }
@@ -31,72 +32,126 @@
 
 
 def report(store: Store, command: str, against: str = "") -> dict[str, bytes]:
-    """The files of a report, by name: `index.html`, `comparisons.csv`, `runs.csv`, `report.json`."""
+    """Returns the files of a report by name: `index.html`, `comparisons.csv`, `runs.csv`, `report.json`.
+
+    Args:
+        store: Holds the experiment.
+        command: Makes the report again; it is shown on the page.
+        against: The baseline; by default the usual one (`series.compared_axes`).
+
+    Raises:
+        StoreError: The store cannot be read.
+    """
     rows = store.rows()
-    scenarios, variants = series.names(rows, against)
-    found = [compare(rows, variants[0], b) for b in variants[1:]]
-    pictures = draw(store, rows, scenarios, variants)
-    lines = [line for f in found for line in figures.table_rows(f)]
-    runs = [
-        {"scenario": r.scenario, "variant": r.variant, "seed": r.seed, "goal": r.goal,
-         "broken": r.rule_violations, "error": (r.error or "").strip().splitlines()[-1:] or ""}
-        for r in rows
-    ]  # fmt: skip
-    numbers = {"comparisons": msgspec.to_builtins(found), "runs": runs}
+    compared = series.compared_axes(rows, against)
+    baseline, *candidates = compared.variants
+    comparisons = [compare(rows, baseline, candidate) for candidate in candidates]
+    pictures = draw_pictures(store, rows, compared)
+    lines = [line for comparison in comparisons for line in comparison_lines(comparison)]
+    runs = [run_line(row) for row in rows]
+    numbers = {"comparisons": msgspec.to_builtins(comparisons), "runs": runs}
     return {
-        "index.html": page(store.path.stem, rows, found, pictures, command).encode(),
-        "comparisons.csv": table(lines),
-        "runs.csv": table(runs),
+        "index.html": html_page(store.path.stem, rows, comparisons, pictures, command).encode(),
+        "comparisons.csv": csv_table(lines),
+        "runs.csv": csv_table(runs),
         "report.json": json.dumps(numbers, indent=1).encode(),
     }
 
 
-def draw(store: Store, rows: list[Row], scenarios: list[str], variants: list[str]) -> list[figures.Picture]:
-    goals = series.goals(rows)
+def comparison_lines(comparison: Comparison) -> list[dict[str, Any]]:
+    """Returns the lines of a comparison in the CSV file."""
+    return [
+        {
+            "a": comparison.baseline,
+            "b": comparison.candidate,
+            **{key: result[key] for key in COMPARISON_KEYS},
+        }
+        for result in msgspec.to_builtins(comparison.results())
+    ]
+
+
+def run_line(row: Row) -> dict[str, Any]:
+    """Returns the line of a run in the CSV file."""
+    return {
+        "scenario": row.scenario,
+        "variant": row.variant,
+        "seed": row.seed,
+        "goal": row.goal,
+        "broken": row.rule_violations,
+        "error": error_lines(row) or "",
+    }
+
+
+def error_lines(row: Row) -> list[str]:
+    """Returns the last line of a run's error, as a list that is empty where there is none."""
+    return (row.error or "").strip().splitlines()[-1:]
+
+
+def draw_pictures(store: Store, rows: list[Row], compared: series.ComparedAxes) -> list[figures.Picture]:
+    """Returns all pictures of a report, in the order of the page."""
     pictures = []
-    curves = series.sweep(rows)
-    if curves is not None:
-        pictures.append(figures.sweep_figure(*curves))
-    pictures.append(figures.goal_figure(goals, scenarios, variants))
-    first = variants[0]
-    by_seed = {(r.scenario, r.variant, r.seed): r.goal for r in rows if r.goal is not None}
-    for b in variants[1:]:
-        pairs = {}
-        for s in scenarios:
-            seeds = sorted(seed for (name, v, seed) in by_seed if name == s and v == b)
-            both = [seed for seed in seeds if (s, first, seed) in by_seed]
-            if both:
-                pairs[s] = np.array([by_seed[s, b, seed] - by_seed[s, first, seed] for seed in both])
-        if pairs:
-            pictures.append(figures.pair_figure(pairs, first, b))
-    lost = series.losses(rows)
-    if lost:
-        pictures.append(figures.loss_figure(lost))
-    days = [series.Days(store, rows, s, MOST_DAYS) for s in scenarios]
-    days = [d for d in days if d.served]
-    if days:
-        pictures.append(figures.latency_figure(days))
-    for d in days:
-        pictures.append(figures.served_figure(d))
-        limits = figures.limit_figure(d)
-        pictures += [limits] if limits else []
+    sweep = series.find_sweep(rows)
+    if sweep is not None:
+        pictures.append(figures.sweep_figure(sweep))
+    pictures.append(figures.goal_figure(series.goals_by_group(rows), compared))
+    pictures += pair_pictures(rows, compared)
+    losses = series.mean_loss_shares(rows)
+    if losses:
+        pictures.append(figures.loss_figure(losses))
+    pictures += scenario_pictures(store, rows, compared.scenarios)
     return pictures
 
 
-def table(rows: list[dict[str, Any]]) -> bytes:
-    out = io.StringIO()
-    if rows:
-        writer = csv.DictWriter(out, list(rows[0]), lineterminator="\n")
+def pair_pictures(rows: list[Row], compared: series.ComparedAxes) -> list[figures.Picture]:
+    """Returns a picture of each candidate against the baseline."""
+    baseline, *candidates = compared.variants
+    pictures = []
+    for candidate in candidates:
+        differences = series.paired_differences(rows, compared.scenarios, baseline, candidate)
+        if differences:
+            pictures.append(figures.pair_figure(differences, baseline, candidate))
+    return pictures
+
+
+def scenario_pictures(store: Store, rows: list[Row], scenarios: list[str]) -> list[figures.Picture]:
+    """Returns the pictures that need full results: latency, and each scenario's course of the day."""
+    all_series = [series.scenario_series(store, rows, scenario, MAX_RESULTS) for scenario in scenarios]
+    played = [scenario for scenario in all_series if scenario.served]
+    if not played:
+        return []
+    pictures = [figures.latency_figure(played)]
+    for scenario in played:
+        pictures.append(figures.served_figure(scenario))
+        limits = figures.limit_figure(scenario)
+        if limits is not None:
+            pictures.append(limits)
+    return pictures
+
+
+def csv_table(lines: list[dict[str, Any]]) -> bytes:
+    """Returns lines as CSV, their keys as its header."""
+    text = io.StringIO()
+    if lines:
+        writer = csv.DictWriter(text, list(lines[0]), lineterminator="\n")
         writer.writeheader()
-        writer.writerows(rows)
-    return out.getvalue().encode()
+        writer.writerows(lines)
+    return text.getvalue().encode()
 
 
-def page(
-    name: str, rows: list[Row], found: list[Comparison], pictures: list[figures.Picture], command: str
+def html_page(
+    name: str, rows: list[Row], comparisons: list[Comparison], pictures: list[figures.Picture], command: str
 ) -> str:
-    failed = [r for r in rows if r.error is not None]
-    broken = [r for r in rows if r.rule_violations]
+    """Returns the whole page.
+
+    Args:
+        name: The experiment's name, its title.
+        rows: The experiment's runs.
+        comparisons: Each candidate against the baseline.
+        pictures: In the order of the page.
+        command: Makes the page again.
+    """
+    failed = [row for row in rows if row.error is not None]
+    broken = [row for row in rows if row.rule_violations]
     parts = [
         f"<!doctype html><html lang=en><meta charset=utf-8><title>{escape(name)}</title>",
         f"<style>{STYLE}</style>",
@@ -104,36 +159,60 @@
         f"<p class=how>Made by <code>{escape(command)}</code>; the rule of the verdicts stands in "
         "docs/experiments.md.</p>",
     ]
-    for f in found:
-        parts.append(f"<h2>{escape(f.candidate)} against {escape(f.baseline)}</h2>{comparison(f)}")
-    for p in pictures:
-        data = base64.b64encode(p.png).decode()
-        parts.append(
-            f'<figure><img alt="{escape(p.caption)}" src="data:image/png;base64,{data}">'
-            f"<figcaption>{escape(p.caption)} Made again by "
-            f"<code>{escape(command)}</code>.</figcaption></figure>"
-        )
+    parts += [html_comparison(comparison) for comparison in comparisons]
+    parts += [html_picture(picture, command) for picture in pictures]
     if failed or broken:
-        parts.append("<h2>Failed runs and broken rules</h2><ul>")
-        for r in (failed + broken)[:50]:
-            what = (r.error or "").strip().splitlines()[-1:] or [f"{r.rule_violations} broken rules"]
-            parts.append(f"<li>{escape(what[0])}: <code>{escape(r.task.command())}</code></li>")
-        parts.append("</ul>")
+        parts += html_problems(failed + broken)
     return "\n".join(parts) + "</html>\n"
 
 
-def comparison(found: Comparison) -> str:
-    head = "<tr><th>scenario<th>difference<th>95% interval<th>p<th>pairs<th>up, down<th>verdict</tr>"
-    body = "".join(
-        f"<tr><td>{escape(e.scenario)}<td>{e.difference:+.4f}<td>{e.low:+.4f} to {e.high:+.4f}"
-        f"<td>{e.p_value:.3f}<td>{e.pairs}<td>{e.increases}, {e.decreases}"
-        f'<td class="{e.verdict.split()[0]}">{e.verdict}</tr>'
-        for e in found.results()
+def html_picture(picture: figures.Picture, command: str) -> str:
+    """Returns a picture with its caption; the image is part of the page."""
+    caption = escape(picture.caption)
+    data = base64.b64encode(picture.png).decode()
+    return (
+        f'<figure><img alt="{caption}" src="data:image/png;base64,{data}">'
+        f"<figcaption>{caption} Made again by <code>{escape(command)}</code>.</figcaption></figure>"
+    )
+
+
+def html_problems(rows: list[Row]) -> list[str]:
+    """Returns the list of failed runs and broken rules, each with the command that plays it again."""
+    parts = ["<h2>Failed runs and broken rules</h2><ul>"]
+    for row in rows[:MAX_PROBLEMS]:
+        problem = (error_lines(row) or [f"{row.rule_violations} broken rules"])[0]
+        parts.append(f"<li>{escape(problem)}: <code>{escape(row.task.command())}</code></li>")
+    parts.append("</ul>")
+    return parts
+
+
+def html_comparison(comparison: Comparison) -> str:
+    """Returns a comparison's heading and table."""
+    heading = f"<h2>{escape(comparison.candidate)} against {escape(comparison.baseline)}</h2>"
+    head = "".join(f"<th>{text}" for text in COMPARISON_HEADINGS)
+    body = "".join(html_result(result) for result in comparison.results())
+    return f"{heading}<table><tr>{head}</tr>{body}</table>"
+
+
+def html_result(result: Result) -> str:
+    """Returns a row of a comparison's table."""
+    return (
+        f"<tr><td>{escape(result.scenario)}<td>{result.difference:+.4f}"
+        f"<td>{result.low:+.4f} to {result.high:+.4f}"
+        f"<td>{result.p_value:.3f}<td>{result.pairs}<td>{result.increases}, {result.decreases}"
+        f'<td class="{result.verdict.split()[0]}">{result.verdict}</tr>'
     )
-    return f"<table>{head}{body}</table>"
 
 
 def write(files: dict[str, bytes], folder: Path) -> None:
-    """All files, each whole or not at all. OSError."""
+    """Writes a report's files, each complete or not at all.
+
+    Args:
+        files: By name.
+        folder: Created if it is missing.
+
+    Raises:
+        OSError: A file cannot be written.
+    """
     folder.mkdir(parents=True, exist_ok=True)
     replace_files({folder / name: data for name, data in files.items()})
--- a/workbench/report/plots.py
+++ b/workbench/report/plots.py
@@ -8,119 +8,123 @@
 import matplotlib
 
 matplotlib.use("Agg")
-from matplotlib import pyplot  # noqa: E402
-from matplotlib.axes import Axes  # noqa: E402
+from matplotlib import pyplot
+from matplotlib.axes import Axes
 
-# Told apart in print and by most colour-blind readers (Okabe and Ito).
+# Distinguishable in print and by most colour-blind readers (Okabe and Ito).
 COLOURS = ["#0072B2", "#D55E00", "#009E73", "#CC79A7", "#E69F00", "#56B4E9", "#F0E442", "#000000"]
 SHADE = "#bbbbbb"
-MOST_CAUSES = 6
+MAX_CAUSES = 6
+MAX_NODES = 4
+MIN_FAULT_WIDTH_S = 0.2  # a shorter fault would not be seen
 
 
 def plot_run(result: dict[str, Any], stats: list[dict[str, Any]], path: Path) -> None:
-    """Worth by second with the faults shaded, what was lost to what, latency, and the front nodes' limits."""
-    rows = result["seconds"]
+    """Draws a run: value by second with the faults shaded, causes of loss, latency, and the nodes' limits.
+
+    Args:
+        result: The run's result.
+        stats: The front nodes' statistics; empty where there are none, and then no limits are drawn.
+        path: The image, by its suffix.
+    """
+    seconds = result["seconds"]
     panels = 4 if stats else 3
     figure, axes = pyplot.subplots(
         panels, 1, figsize=(10, 2.6 * panels + 0.8), sharex=True, layout="constrained"
     )
-    at = [r["at_s"] for r in rows]
-    worth_panel(axes[0], at, rows)
-    loss_panel(axes[1], at, result)
-    latency_panel(axes[2], at, rows, result["day"])
+    times = [second["at_s"] for second in seconds]
+    value_panel(axes[0], times, seconds)
+    loss_panel(axes[1], times, result)
+    latency_panel(axes[2], times, seconds, result["day"])
     if stats:
         limit_panel(axes[3], stats)
-    for axis in axes:
-        shade(axis, result["day"])
-        axis.grid(alpha=0.25)
-        axis.margins(x=0)
+    for panel in axes:
+        shade_faults(panel, result["day"]["fault"])
+        panel.grid(alpha=0.25)
+        panel.margins(x=0)
     axes[-1].set_xlabel("time of the day, s")
-    made = result["made"]
-    title = result["day"]["title"] or "a day"
-    figure.suptitle(
-        f"{title}: goal {result['goal']:.3f} (policy {made['policy']}, seed {made['seed']})", fontsize=11
-    )
+    figure.suptitle(plot_title(result), fontsize=11)
     figure.savefig(path, dpi=110)
     pyplot.close(figure)
 
 
-def shade(axis: Axes, day: dict[str, Any]) -> None:
-    for fault in day["fault"]:
+def plot_title(result: dict[str, Any]) -> str:
+    """Returns a run's title, with its goal, policy and seed."""
+    made = result["made"]
+    title = result["day"]["title"] or "a day"
+    return f"{title}: goal {result['goal']:.3f} (policy {made['policy']}, seed {made['seed']})"
+
+
+def shade_faults(axes: Axes, faults: list[dict[str, Any]]) -> None:
+    """Shades and names the time of each fault."""
+    for fault in faults:
         start = fault["at_s"]
-        axis.axvspan(start, start + max(0.2, fault["for_s"]), color=SHADE, alpha=0.3, lw=0)
-        axis.text(
-            start,
-            1.0,
-            " " + fault["type"].replace("_", " "),
-            transform=axis.get_xaxis_transform(),
-            fontsize=7,
-            va="top",
-        )
-
-
-def worth_panel(axis: Axes, at: list[float], rows: list[dict[str, Any]]) -> None:
-    axis.step(at, [r["worth"] for r in rows], where="post", color=COLOURS[7], lw=1, label="asked for")
-    axis.fill_between(
-        at,
-        [r["served_worth"] for r in rows],
-        step="post",
-        color=COLOURS[0],
-        alpha=0.5,
-        label="served in time",
-    )
-    axis.set_ylabel("worth a second")
-    axis.set_ylim(bottom=0)
-    axis.legend(loc="lower right", fontsize=8)
-
-
-def loss_panel(axis: Axes, at: list[float], result: dict[str, Any]) -> None:
-    names = [t["name"] for t in result["day"]["tier"]]
-    top = [(e["cause"], e["tier"]) for e in result["account"]["lost"][:MOST_CAUSES]]
-    base = [0.0] * len(at)
-    for (cause, tier), colour in zip(top, COLOURS, strict=False):
-        worth = [
-            sum(e["worth"] for e in r["lost"] if (e["cause"], e["tier"]) == (cause, tier))
-            for r in result["seconds"]
-        ]
-        upper = [b + w for b, w in zip(base, worth, strict=True)]
-        axis.fill_between(
-            at, base, upper, step="post", color=colour, alpha=0.8, lw=0, label=f"{cause} ({names[tier]})"
-        )
-        base = upper
-    axis.set_ylabel("worth lost a second")
-    axis.set_ylim(bottom=0)
-    if top:
-        axis.legend(loc="upper right", fontsize=7)
-
-
-def latency_panel(axis: Axes, at: list[float], rows: list[dict[str, Any]], day: dict[str, Any]) -> None:
+        end = start + max(MIN_FAULT_WIDTH_S, fault["for_s"])
+        axes.axvspan(start, end, color=SHADE, alpha=0.3, lw=0)
+        label = " " + fault["type"].replace("_", " ")
+        axes.text(start, 1.0, label, transform=axes.get_xaxis_transform(), fontsize=7, va="top")
+
+
+def value_panel(axes: Axes, times: list[float], seconds: list[dict[str, Any]]) -> None:
+    """Draws the requested and the served value of each second."""
+    requested = [second["worth"] for second in seconds]
+    served = [second["served_worth"] for second in seconds]
+    axes.step(times, requested, where="post", color=COLOURS[7], lw=1, label="asked for")
+    axes.fill_between(times, served, step="post", color=COLOURS[0], alpha=0.5, label="served in time")
+    axes.set_ylabel("worth a second")
+    axes.set_ylim(bottom=0)
+    axes.legend(loc="lower right", fontsize=8)
+
+
+def loss_panel(axes: Axes, times: list[float], result: dict[str, Any]) -> None:
+    """Draws the lost value of each second, stacked by the day's largest causes."""
+    tiers = [tier["name"] for tier in result["day"]["tier"]]
+    largest = result["account"]["lost"][:MAX_CAUSES]
+    lower = [0.0] * len(times)
+    for loss, colour in zip(largest, COLOURS, strict=False):
+        cause, tier = loss["cause"], loss["tier"]
+        values = [lost_value(second, cause, tier) for second in result["seconds"]]
+        upper = [below + value for below, value in zip(lower, values, strict=True)]
+        label = f"{cause} ({tiers[tier]})"
+        axes.fill_between(times, lower, upper, step="post", color=colour, alpha=0.8, lw=0, label=label)
+        lower = upper
+    axes.set_ylabel("worth lost a second")
+    axes.set_ylim(bottom=0)
+    if largest:
+        axes.legend(loc="upper right", fontsize=7)
+
+
+def lost_value(second: dict[str, Any], cause: str, tier: int) -> float:
+    """Returns the value that one second lost to a cause in a tier."""
+    values: list[float] = [
+        loss["worth"] for loss in second["lost"] if loss["cause"] == cause and loss["tier"] == tier
+    ]
+    return sum(values)
+
+
+def latency_panel(axes: Axes, times: list[float], seconds: list[dict[str, Any]], day: dict[str, Any]) -> None:
+    """Draws the latency of served requests, and the strictest latency objective."""
     for key, colour in (("p50_ms", COLOURS[0]), ("p99_ms", COLOURS[1])):
-        axis.step(
-            at,
-            [r[key] or float("nan") for r in rows],
-            where="post",
-            color=colour,
-            lw=1,
-            label=key.removesuffix("_ms"),
-        )
-    aim = min(c["aim_s"] for c in day["class"]) * 1000
-    axis.axhline(aim, color=COLOURS[7], lw=0.8, ls="--", label="least aim")
-    axis.set_yscale("log")
-    axis.set_ylabel("latency, served, ms")
-    axis.legend(loc="lower right", fontsize=8)
-
-
-def limit_panel(axis: Axes, stats: list[dict[str, Any]]) -> None:
-    for node in sorted({s["node"] for s in stats})[:4]:
-        rows = [s for s in stats if s["node"] == node]
-        at = [s["at_s"] for s in rows]
+        latencies = [second[key] or float("nan") for second in seconds]
+        axes.step(times, latencies, where="post", color=colour, lw=1, label=key.removesuffix("_ms"))
+    objective_ms = min(request_class["aim_s"] for request_class in day["class"]) * 1000
+    axes.axhline(objective_ms, color=COLOURS[7], lw=0.8, ls="--", label="least aim")
+    axes.set_yscale("log")
+    axes.set_ylabel("latency, served, ms")
+    axes.legend(loc="lower right", fontsize=8)
+
+
+def limit_panel(axes: Axes, stats: list[dict[str, Any]]) -> None:
+    """Draws the concurrency limit and the calls in flight of the first nodes."""
+    nodes = sorted({sample["node"] for sample in stats})[:MAX_NODES]
+    for node in nodes:
+        samples = [sample for sample in stats if sample["node"] == node]
+        times = [sample["at_s"] for sample in samples]
+        limits = [sample["concurrency_limit"] for sample in samples]
+        in_flight = [sample["in_flight"] for sample in samples]
         colour = COLOURS[node % len(COLOURS)]
-        axis.plot(
-            at, [s["concurrency_limit"] for s in rows], color=colour, lw=1.2, label=f"limit, front/{node}"
-        )
-        axis.plot(
-            at, [s["in_flight"] for s in rows], color=colour, lw=0.7, ls=":", label="its calls in flight"
-        )
-    axis.set_ylabel("calls at a node")
-    axis.set_ylim(bottom=0)
-    axis.legend(loc="upper right", fontsize=7, ncols=2)
+        axes.plot(times, limits, color=colour, lw=1.2, label=f"limit, front/{node}")
+        axes.plot(times, in_flight, color=colour, lw=0.7, ls=":", label="its calls in flight")
+    axes.set_ylabel("calls at a node")
+    axes.set_ylim(bottom=0)
+    axes.legend(loc="upper right", fontsize=7, ncols=2)
--- a/workbench/report/series.py
+++ b/workbench/report/series.py
@@ -1,116 +1,225 @@
-"""What a report shows, gathered from a store: plain numbers, before anything is drawn."""
+"""Numbers of an experiment's report, read from a store before anything is drawn."""
 
 from __future__ import annotations
 
 from collections import defaultdict
-from typing import Any
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from typing import Any, NamedTuple
 
 import numpy as np
 
 from workbench.experiment.store import Row, Store
 
 Array = np.ndarray[Any, Any]
-CAUSES = 6  # shown one by one
+MAX_CAUSES = 6  # shown one by one
+OTHER_CAUSES = "other"
+MIN_SWEEP_POINTS = 3
+USUAL_BASELINES = ("baseline", "before", "today")  # by preference
 
 
-def names(rows: list[Row], against: str = "") -> tuple[list[str], list[str]]:
-    """Scenarios and variants in order; the one that the others are held against comes first: `against`, or
-    the first there is of baseline, before and today."""
-    scenarios = sorted({r.scenario for r in rows})
-    variants = sorted({r.variant for r in rows})
-    for name in (against, "baseline", "before", "today"):
+class RunGroup(NamedTuple):
+    """The runs of one scenario by one variant."""
+
+    scenario: str
+    variant: str
+
+
+Goals = dict[RunGroup, Array]
+LossShares = dict[RunGroup, dict[str, float]]
+
+
+@dataclass(frozen=True)
+class ComparedAxes:
+    """What an experiment compares.
+
+    Attributes:
+        scenarios: In alphabetical order.
+        variants: The baseline first, the others in alphabetical order.
+    """
+
+    scenarios: list[str]
+    variants: list[str]
+
+
+@dataclass(frozen=True)
+class Sweep:
+    """Goals over the values of one numeric key.
+
+    Attributes:
+        key: The key that differs between the scenarios.
+        goals: By variant (and scenario, where there are several), then by the key's value.
+    """
+
+    key: str
+    goals: dict[str, dict[float, Array]]
+
+
+@dataclass
+class ScenarioSeries:
+    """Figures of one scenario, means over its seeds.
+
+    Attributes:
+        scenario: Its name.
+        served: By variant, the share of the requested value that was served, by second of the day.
+        latency: By variant, percentiles of latency in milliseconds.
+        faults: The faults of one run.
+        stats: The front nodes' statistics of one run; empty where there are none.
+    """
+
+    scenario: str
+    served: dict[str, Array] = field(default_factory=dict)
+    latency: dict[str, dict[str, float]] = field(default_factory=dict)
+    faults: list[dict[str, Any]] = field(default_factory=list)
+    stats: list[dict[str, Any]] = field(default_factory=list)
+
+
+def compared_axes(rows: list[Row], baseline: str = "") -> ComparedAxes:
+    """Returns the scenarios and variants of an experiment.
+
+    Args:
+        rows: The experiment's runs.
+        baseline: The variant that comes first; if it is not there, the first of `USUAL_BASELINES` that is.
+    """
+    scenarios = sorted({row.scenario for row in rows})
+    variants = sorted({row.variant for row in rows})
+    for name in (baseline, *USUAL_BASELINES):
         if name in variants:
             variants.remove(name)
             variants.insert(0, name)
             break
-    return scenarios, variants
-
-
-def goals(rows: list[Row]) -> dict[tuple[str, str], Array]:
-    """Goals by scenario and variant, in order of seed."""
-    out: dict[tuple[str, str], list[float]] = defaultdict(list)
-    for r in sorted(rows, key=lambda r: r.seed):
-        if r.goal is not None:
-            out[r.scenario, r.variant].append(r.goal)
-    return {k: np.array(v) for k, v in out.items()}
-
-
-def losses(rows: list[Row]) -> dict[tuple[str, str], dict[str, float]]:
-    """Mean share of the worth lost, by scenario and variant, then by cause and tier; small causes
-    together."""
-    sums: dict[tuple[str, str], dict[str, float]] = defaultdict(lambda: defaultdict(float))
-    runs: dict[tuple[str, str], int] = defaultdict(int)
-    total: dict[str, float] = defaultdict(float)
-    for r in rows:
-        if r.goal is None:
+    return ComparedAxes(scenarios, variants)
+
+
+def goals_by_group(rows: list[Row]) -> Goals:
+    """Returns the goals of each scenario and variant, in order of seed."""
+    goals: dict[RunGroup, list[float]] = defaultdict(list)
+    for row in sorted(rows, key=lambda row: row.seed):
+        if row.goal is not None:
+            goals[RunGroup(row.scenario, row.variant)].append(row.goal)
+    return {group: np.array(values) for group, values in goals.items()}
+
+
+def paired_differences(
+    rows: list[Row], scenarios: list[str], baseline: str, candidate: str
+) -> dict[str, Array]:
+    """Returns the candidate's goals less the baseline's, by scenario, over the seeds that both have."""
+    by_seed = {(row.scenario, row.variant, row.seed): row.goal for row in rows if row.goal is not None}
+    differences: dict[str, Array] = {}
+    for scenario in scenarios:
+        seeds = sorted(seed for name, variant, seed in by_seed if name == scenario and variant == candidate)
+        common = [seed for seed in seeds if (scenario, baseline, seed) in by_seed]
+        if common:
+            differences[scenario] = np.array(
+                [by_seed[scenario, candidate, seed] - by_seed[scenario, baseline, seed] for seed in common]
+            )
+    return differences
+
+
+def mean_loss_shares(rows: list[Row]) -> LossShares:
+    """Returns the mean share of the requested value that each cause and tier took, small causes together."""
+    sums: dict[RunGroup, dict[str, float]] = defaultdict(lambda: defaultdict(float))
+    runs: dict[RunGroup, int] = defaultdict(int)
+    totals: dict[str, float] = defaultdict(float)
+    for row in rows:
+        if row.goal is None:
             continue
-        runs[r.scenario, r.variant] += 1
-        for e in r.losses:
-            label = f"{e.cause}, tier {e.tier}"
-            sums[r.scenario, r.variant][label] += e.share
-            total[label] += e.share
-    top = set(sorted(total, key=lambda k: -total[k])[:CAUSES])
-    out: dict[tuple[str, str], dict[str, float]] = {}
-    for key, by_cause in sums.items():
-        out[key] = defaultdict(float)
-        for label, share in by_cause.items():
-            out[key][label if label in top else "other"] += share / runs[key]
-    return {k: dict(v) for k, v in out.items()}
-
-
-class Days:
-    """Whole results of one scenario, read one by one: means over the seeds by second of the day."""
-
-    def __init__(self, store: Store, rows: list[Row], scenario: str, most: int) -> None:
-        self.scenario = scenario
-        self.served: dict[str, Array] = {}
-        self.latency: dict[str, dict[str, float]] = {}
-        self.faults: list[dict[str, Any]] = []
-        self.stats: list[dict[str, Any]] = []
-        by_variant: dict[str, list[dict[str, Any]]] = defaultdict(list)
-        for r in rows:
-            if r.scenario == scenario and r.goal is not None and len(by_variant[r.variant]) < most:
-                by_variant[r.variant].append(store.result(r.task))
-        for variant, results in by_variant.items():
-            self.served[variant] = mean_served(results)
-            keys = results[0]["account"]["latency_ms"]
-            self.latency[variant] = {
-                k: float(np.mean([r["account"]["latency_ms"].get(k, np.nan) for r in results])) for k in keys
-            }
-            self.faults = results[0]["day"]["fault"]
-            self.stats = results[0].get("stats", [])
-
-
-def mean_served(results: list[dict[str, Any]]) -> Array:
-    """Worth served of the worth asked for, by second, over all results."""
-    length = max(len(r["seconds"]) for r in results)
-    got, asked = np.zeros(length), np.zeros(length)
-    for r in results:
-        for i, s in enumerate(r["seconds"]):
-            got[i] += s["served_worth"]
-            asked[i] += s["worth"]
-    share: Array = got / np.maximum(asked, 1e-9)
+        group = RunGroup(row.scenario, row.variant)
+        runs[group] += 1
+        for loss in row.losses:
+            label = f"{loss.cause}, tier {loss.tier}"
+            sums[group][label] += loss.share
+            totals[label] += loss.share
+    largest = set(sorted(totals, key=lambda label: -totals[label])[:MAX_CAUSES])
+    return {group: mean_shares(by_cause, runs[group], largest) for group, by_cause in sums.items()}
+
+
+def mean_shares(sums: Mapping[str, float], runs: int, largest: set[str]) -> dict[str, float]:
+    """Returns each cause's mean over the runs; those that are not among the largest count together."""
+    shares: dict[str, float] = defaultdict(float)
+    for label, share in sums.items():
+        shares[label if label in largest else OTHER_CAUSES] += share / runs
+    return dict(shares)
+
+
+def scenario_series(store: Store, rows: list[Row], scenario: str, max_results: int) -> ScenarioSeries:
+    """Returns the figures of one scenario from the full results of its runs.
+
+    Args:
+        store: Holds the results.
+        rows: The experiment's runs.
+        scenario: The scenario's name.
+        max_results: How many results of each variant are read.
+    """
+    by_variant: dict[str, list[dict[str, Any]]] = defaultdict(list)
+    for row in rows:
+        if row.scenario != scenario or row.goal is None:
+            continue
+        results = by_variant[row.variant]
+        if len(results) < max_results:
+            results.append(store.result(row.task))
+    series = ScenarioSeries(scenario)
+    for variant, results in by_variant.items():
+        series.served[variant] = mean_served_share(results)
+        series.latency[variant] = mean_latency(results)
+        series.faults = results[0]["day"]["fault"]
+        series.stats = results[0].get("stats", [])
+    return series
+
+
+def mean_latency(results: list[dict[str, Any]]) -> dict[str, float]:
+    """Returns the mean over the results of each percentile of latency, in milliseconds."""
+    latencies = [result["account"]["latency_ms"] for result in results]
+    return {key: float(np.mean([latency.get(key, np.nan) for latency in latencies])) for key in latencies[0]}
+
+
+def mean_served_share(results: list[dict[str, Any]]) -> Array:
+    """Returns the share of the requested value that was served, by second, over all results."""
+    length = max(len(result["seconds"]) for result in results)
+    served, requested = np.zeros(length), np.zeros(length)
+    for result in results:
+        for index, second in enumerate(result["seconds"]):
+            served[index] += second["served_worth"]
+            requested[index] += second["worth"]
+    share: Array = served / np.maximum(requested, 1e-9)
     return share
 
 
-def sweep(rows: list[Row]) -> tuple[str, dict[str, dict[float, Array]]] | None:
-    """Where the scenarios are points of one numeric key: the key, and goals by variant (and scenario) and
-    value."""
-    found: dict[str, dict[float, list[float]]] = defaultdict(lambda: defaultdict(list))
+def find_sweep(rows: list[Row]) -> Sweep | None:
+    """Returns the goals over one numeric key, where the scenarios differ in that key alone."""
+    goals: dict[str, dict[float, list[float]]] = defaultdict(lambda: defaultdict(list))
     keys = set()
-    sources = {r.task.source for r in rows}
-    for r in rows:
-        point = r.scenario.removeprefix(r.task.source)
-        if not point.startswith("[") or "," in point or r.goal is None:
-            return None
-        key, _, value = point[1:-1].partition("=")
-        try:
-            number = float(value)
-        except ValueError:
+    sources = {row.task.source for row in rows}
+    for row in rows:
+        point = sweep_point(row)
+        if point is None or row.goal is None:
             return None
-        keys.add(key)
-        label = r.variant if len(sources) == 1 else f"{r.task.source}, {r.variant}"
-        found[label][number].append(r.goal)
-    if len(keys) != 1 or len(next(iter(found.values()))) < 3:
+        keys.add(point.key)
+        label = row.variant if len(sources) == 1 else f"{row.task.source}, {row.variant}"
+        goals[label][point.value].append(row.goal)
+    if len(keys) != 1 or len(next(iter(goals.values()))) < MIN_SWEEP_POINTS:
+        return None
+    arrays = {
+        label: {value: np.array(found) for value, found in sorted(by_value.items())}
+        for label, by_value in goals.items()
+    }
+    return Sweep(keys.pop(), arrays)
+
+
+class SweepPoint(NamedTuple):
+    """A numeric key and its value in one scenario."""
+
+    key: str
+    value: float
+
+
+def sweep_point(row: Row) -> SweepPoint | None:
+    """Returns the point that a scenario's name ends in, as in `quiet[nodes.count=2]`, if it has one."""
+    point = row.scenario.removeprefix(row.task.source)
+    if not point.startswith("[") or "," in point:
+        return None
+    key, _, value = point[1:-1].partition("=")
+    try:
+        return SweepPoint(key, float(value))
+    except ValueError:
         return None
-    return keys.pop(), {v: {x: np.array(g) for x, g in sorted(at.items())} for v, at in found.items()}
--- a/workbench/report/tables.py
+++ b/workbench/report/tables.py
@@ -1,4 +1,4 @@
-"""A run as an operator would read it, on a terminal."""
+"""Tables of one run on a terminal: by time, the account, losses, rules and speed."""
 
 from __future__ import annotations
 
@@ -8,99 +8,128 @@
 from rich.table import Table
 from rich.text import Text
 
-CAUSES_SHOWN = 2
+MAX_CAUSES_PER_ROW = 2
+MAX_CAUSES = 8
+MIN_SHOWN_PRICE = 5e-5
 
 
 def run_report(result: dict[str, Any], broken: list[str], profile: bool = False) -> Group:
-    """The whole report of a result: by 5 s, the account, the rules, the speed."""
-    parts: list[RenderableType] = [by_time(result), account(result), losses(result), rules(result, broken)]
-    parts.append(speed(result["speed"], profile))
+    """Returns the whole report of a run.
+
+    Args:
+        result: The run's result.
+        broken: A line for each violation of a rule.
+        profile: Whether the shares of processor time are shown.
+    """
+    parts: list[RenderableType] = [
+        time_table(result),
+        account_table(result),
+        loss_table(result),
+        rules_text(result, broken),
+        speed_text(result["speed"], profile),
+    ]
     return Group(*parts)
 
 
-def cause(entry: dict[str, Any], names: list[str]) -> str:
-    return f"{entry['cause']} ({names[entry['tier']]})"
+def cause_text(loss: dict[str, Any], tiers: list[str]) -> str:
+    """Returns the cause of a loss with the name of its tier."""
+    return f"{loss['cause']} ({tiers[loss['tier']]})"
 
 
 def tier_names(result: dict[str, Any]) -> list[str]:
-    return [str(t["name"]) for t in result["day"]["tier"]]
+    """Returns the names of the run's tiers, the first tier first."""
+    return [str(tier["name"]) for tier in result["day"]["tier"]]
 
 
-def by_time(result: dict[str, Any]) -> Table:
-    names = tier_names(result)
+def time_table(result: dict[str, Any]) -> Table:
+    """Returns the run's figures by time."""
+    tiers = tier_names(result)
     table = Table(box=None, pad_edge=False, header_style="bold")
-    for head in ("from s", "requests", "served %", "worth %", "tries", "attempts", "p50 ms", "p99 ms"):
-        table.add_column(head, justify="right")
+    for heading in ("from s", "requests", "served %", "worth %", "tries", "attempts", "p50 ms", "p99 ms"):
+        table.add_column(heading, justify="right")
     table.add_column("worth lost to, %", no_wrap=True)
     for row in result["table"]:
-        asked = max(1, row["asked"])
-        lost = sorted(row["lost"], key=lambda e: -e["worth"])[:CAUSES_SHOWN]
-        table.add_row(
-            f"{row['at_s']:.0f}",
-            str(row["asked"]),
-            f"{100 * row['served'] / asked:.1f}",
-            f"{100 * row['served_worth'] / (row['worth'] or 1):.1f}",
-            f"{row['tries'] / asked:.2f}",
-            f"{row['attempts'] / asked:.2f}",
-            f"{row['p50_ms']:.0f}",
-            f"{row['p99_ms']:.0f}",
-            ", ".join(f"{cause(e, names)} {100 * e['worth'] / (row['worth'] or 1):.1f}" for e in lost),
-        )
+        table.add_row(*time_cells(row, tiers))
     return table
 
 
-def account(result: dict[str, Any]) -> Table:
-    a = result["account"]
-    table = Table(box=None, pad_edge=False, show_header=False)
-    table.add_column()
-    table.add_column()
-    classes = ", ".join(f"{name} {share:.3f}" for name, share in a["classes"].items())
-    prices = (
-        ", ".join(f"{name} {price:.4f}" for name, price in a["prices"].items() if price >= 5e-5) or "none"
-    )
-    names = tier_names(result)
-    attempts = ", ".join(f"{n} {x:.2f}" for n, x in zip(names, a["attempts_a_call"], strict=True))
-    latency = ", ".join(f"{p} {ms:.0f} ms" for p, ms in a["latency_ms"].items())
-    rows = [
-        ("", ""),
-        ("goal", f"{result['goal']:.3f}"),
-        ("worth served", f"whole day {a['whole']:.3f}, worst window {a['worst_window']:.3f}"),
-        ("by class", classes),
-        ("prices", prices),
-        ("requests", f"{a['requests']}, {a['tries_a_request']:.2f} tries each"),
-        ("attempts a call", attempts),
-        ("latency, served", latency),
+def time_cells(row: dict[str, Any], tiers: list[str]) -> list[str]:
+    """Returns the cells of one period of the run."""
+    requests = max(1, row["asked"])
+    value = row["worth"] or 1
+    losses = sorted(row["lost"], key=lambda loss: -loss["worth"])[:MAX_CAUSES_PER_ROW]
+    causes = [f"{cause_text(loss, tiers)} {100 * loss['worth'] / value:.1f}" for loss in losses]
+    return [
+        f"{row['at_s']:.0f}",
+        str(row["asked"]),
+        f"{100 * row['served'] / requests:.1f}",
+        f"{100 * row['served_worth'] / value:.1f}",
+        f"{row['tries'] / requests:.2f}",
+        f"{row['attempts'] / requests:.2f}",
+        f"{row['p50_ms']:.0f}",
+        f"{row['p99_ms']:.0f}",
+        ", ".join(causes),
     ]
-    for row in rows:
-        table.add_row(*row)
+
+
+def account_table(result: dict[str, Any]) -> Table:
+    """Returns the run's account: its goal and what contributes to it."""
+    account = result["account"]
+    classes = [f"{name} {share:.3f}" for name, share in account["classes"].items()]
+    prices = [f"{name} {price:.4f}" for name, price in account["prices"].items() if price >= MIN_SHOWN_PRICE]
+    per_tier = zip(tier_names(result), account["attempts_a_call"], strict=True)
+    attempts = [f"{tier} {count:.2f}" for tier, count in per_tier]
+    latencies = [f"{name} {latency:.0f} ms" for name, latency in account["latency_ms"].items()]
+    table = table_of_pairs()
+    table.add_row("", "")
+    table.add_row("goal", f"{result['goal']:.3f}")
+    table.add_row(
+        "worth served", f"whole day {account['whole']:.3f}, worst window {account['worst_window']:.3f}"
+    )
+    table.add_row("by class", ", ".join(classes))
+    table.add_row("prices", ", ".join(prices) or "none")
+    table.add_row("requests", f"{account['requests']}, {account['tries_a_request']:.2f} tries each")
+    table.add_row("attempts a call", ", ".join(attempts))
+    table.add_row("latency, served", ", ".join(latencies))
     return table
 
 
-def losses(result: dict[str, Any]) -> Table:
-    names = tier_names(result)
-    lost = result["account"]["lost"][:8]
+def table_of_pairs() -> Table:
+    """Returns an empty table of names and values, without lines and headings."""
     table = Table(box=None, pad_edge=False, show_header=False)
     table.add_column()
     table.add_column()
-    text = "\n".join(f"{100 * e['share']:5.2f} %  {cause(e, names)}" for e in lost) or "nothing"
-    table.add_row("worth lost     ", text)
     return table
 
 
-def rules(result: dict[str, Any], broken: list[str]) -> Text:
-    counts = {name: n for name, n in result["rules"].items() if n}
-    if not counts:
+def loss_table(result: dict[str, Any]) -> Table:
+    """Returns the largest causes of lost value."""
+    tiers = tier_names(result)
+    losses = result["account"]["lost"][:MAX_CAUSES]
+    lines = [f"{100 * loss['share']:5.2f} %  {cause_text(loss, tiers)}" for loss in losses]
+    table = table_of_pairs()
+    table.add_row("worth lost     ", "\n".join(lines) or "nothing")
+    return table
+
+
+def rules_text(result: dict[str, Any], broken: list[str]) -> Text:
+    """Returns how often each rule was broken, with a line for each violation."""
+    violations = [f"{rule} {count}" for rule, count in result["rules"].items() if count]
+    if not violations:
         return Text("rules            all kept")
-    head = ", ".join(f"{name} {n}" for name, n in counts.items())
-    return Text("\n".join([f"rules            BROKEN: {head}", *(f"  {line}" for line in broken)]))
+    lines = [f"rules            BROKEN: {', '.join(violations)}"]
+    lines += [f"  {line}" for line in broken]
+    return Text("\n".join(lines))
 
 
-def speed(s: dict[str, Any], profile: bool) -> Text:
-    line = f"speed            {s['calls']} calls, {s['cpu_s']:.1f} s, {s['cpu_us_a_call']:.0f} us a call"
-    line += f", {s['peak_mb']:.0f} MB"
+def speed_text(speed: dict[str, Any], profile: bool) -> Text:
+    """Returns the run's cost; with `profile`, also the shares of the balancer and of the model."""
+    cpu_us_per_call = speed["cpu_us_a_call"]
+    text = f"speed            {speed['calls']} calls, {speed['cpu_s']:.1f} s, {cpu_us_per_call:.0f} us a call"
+    text += f", {speed['peak_mb']:.0f} MB"
     if profile:
-        share = s["module_share"]
-        mine = s["cpu_us_a_call"]
-        line += f"\nprofile          module {100 * share:.0f} % ({share * mine:.1f} us a call), "
-        line += f"world and clock {100 * (1 - share):.0f} % ({(1 - share) * mine:.1f} us a call)"
-    return Text(line)
+        module = speed["module_share"]
+        model = 1 - module
+        text += f"\nprofile          module {100 * module:.0f} % ({module * cpu_us_per_call:.1f} us a call), "
+        text += f"world and clock {100 * model:.0f} % ({model * cpu_us_per_call:.1f} us a call)"
+    return Text(text)
