--- a/balancer/fleet/membership/codec.py
+++ b/balancer/fleet/membership/codec.py
@@ -28,7 +28,8 @@
     key_id,
 )
 from balancer.fleet.membership.messages import MAX_DATAGRAM_BYTES
-from balancer.fleet.membership.replay_guard import MAX_SKEW_US, SenderStamps, Verdict
+from balancer.fleet.membership.replay_guard import SenderStamps
+from balancer.fleet.membership.stamp_window import MAX_SKEW_US, Verdict
 from balancer.fleet.membership.wire import MAX_SEQ, MembershipWire
 
 VERSION = 1
--- a/balancer/fleet/membership/replay_guard.py
+++ b/balancer/fleet/membership/replay_guard.py
@@ -19,26 +19,11 @@
 from balancer.fleet.membership.claims import Address
 from balancer.fleet.membership.messages import Kind, Message
 from balancer.fleet.membership.stamp_window import (
-    MAX_SKEW_US,
     MAX_TRANSIT_US,
-    WINDOW_SIZE,
     StampWindow,
     Verdict,
 )
 
-__all__ = [
-    "MAX_SKEW_US",
-    "MAX_TRANSIT_US",
-    "REJECTED",
-    "WINDOW_SIZE",
-    "Admission",
-    "Received",
-    "ReplayGuard",
-    "SenderStamps",
-    "StampWindow",
-    "Verdict",
-]
-
 MAX_SENDERS = 4096  # whose stamps are kept; beyond that, the sender registered first is evicted
 MAX_CHALLENGES = 256  # unanswered; beyond that, the oldest is dropped
 MAX_BUFFERED_PER_CHALLENGE = 4  # datagrams
--- a/tests/test_replay_guard.py
+++ b/tests/test_replay_guard.py
@@ -5,9 +5,10 @@
 import pytest
 from virtual_fleet import ATTACKER, HERE, NEW, SEC, STEPS, changes_since, changes_so_far, settled, view
 
-from balancer.fleet.membership import replay_guard
+from balancer.fleet.membership import replay_guard, stamp_window
 from balancer.fleet.membership.claims import Address
-from balancer.fleet.membership.replay_guard import Admission, Received, ReplayGuard, StampWindow, Verdict
+from balancer.fleet.membership.replay_guard import Admission, Received, ReplayGuard
+from balancer.fleet.membership.stamp_window import StampWindow, Verdict
 from balancer.fleet.membership.swim import Claim, Kind, Message, Status
 
 # ---- recorded datagrams on a virtual fleet ---------------------------------------------------------------
@@ -123,14 +124,14 @@
 
 @pytest.mark.parametrize(
     ("age", "is_accepted"),
-    [(1, True), (replay_guard.MAX_TRANSIT_US, True), (replay_guard.MAX_TRANSIT_US + 2, False)],
+    [(1, True), (stamp_window.MAX_TRANSIT_US, True), (stamp_window.MAX_TRANSIT_US + 2, False)],
 )
 def test_a_datagram_that_was_old_at_its_sender_s_proof_is_rejected(age: int, is_accepted: bool) -> None:
     guard = ReplayGuard("me", 1000, Counter())
     challenge = reply_of(guard.admit(SEC, received("a", 100 * SEC - age)))
     answer = guard.admit(SEC, received("a", 100 * SEC, Kind.ACK, challenge.seq))
     assert bool(answer.accepted) is is_accepted
-    assert guard.admit(SEC, received("a", 100 * SEC - 1 - replay_guard.MAX_TRANSIT_US)).accepted == ()
+    assert guard.admit(SEC, received("a", 100 * SEC - 1 - stamp_window.MAX_TRANSIT_US)).accepted == ()
 
 
 @pytest.mark.parametrize(
@@ -211,12 +212,12 @@
     [
         (100 * SEC, Verdict.REPLAY),  # the newest itself
         (100 * SEC + 1, Verdict.FRESH),
-        (110 * SEC + replay_guard.MAX_SKEW_US, Verdict.FRESH),
-        (110 * SEC + replay_guard.MAX_SKEW_US + 1, Verdict.DISTANT),
+        (110 * SEC + stamp_window.MAX_SKEW_US, Verdict.FRESH),
+        (110 * SEC + stamp_window.MAX_SKEW_US + 1, Verdict.DISTANT),
         (100 * SEC - 3, Verdict.FRESH),  # overtaken
         (90 * SEC, Verdict.FRESH),
         (90 * SEC - 1, Verdict.REPLAY),  # before the sender had proven itself
-        (110 * SEC - replay_guard.MAX_SKEW_US - 1, Verdict.DISTANT),
+        (110 * SEC - stamp_window.MAX_SKEW_US - 1, Verdict.DISTANT),
     ],
 )
 def test_stamps_are_judged_by_their_sender_s_earlier_ones(stamp: int, verdict: Verdict) -> None:
@@ -227,6 +228,6 @@
 
 def test_a_stamp_below_a_full_window_is_rejected() -> None:
     window = StampWindow(0, 0)
-    for stamp in range(1, replay_guard.WINDOW_SIZE + 2):
+    for stamp in range(1, stamp_window.WINDOW_SIZE + 2):
         window.record(stamp, 0)
-    assert window.judge(1, 0) == Verdict.REPLAY and len(window.seen) == replay_guard.WINDOW_SIZE
+    assert window.judge(1, 0) == Verdict.REPLAY and len(window.seen) == stamp_window.WINDOW_SIZE
--- a/tests/test_replay_guard_clock_steps.py
+++ b/tests/test_replay_guard_clock_steps.py
@@ -11,16 +11,13 @@
 from balancer.fleet.membership.claims import Address
 from balancer.fleet.membership.messages import Kind, Message
 from balancer.fleet.membership.replay_guard import (
-    MAX_SKEW_US,
-    MAX_TRANSIT_US,
     REJECTED,
-    WINDOW_SIZE,
     Admission,
     Received,
     ReplayGuard,
     SenderStamps,
-    Verdict,
 )
+from balancer.fleet.membership.stamp_window import MAX_SKEW_US, MAX_TRANSIT_US, WINDOW_SIZE, Verdict
 
 STEPS_BACK = (1, 2, 5, 6, 8, 10, 15, 25, 29, 31, 60, 3600)  # seconds, between two processes of one name
 MAX_TIME_TO_BE_HEARD = 2  # seconds, the others' next pings included
