--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -15,7 +15,8 @@
 from balancer.fleet.membership.keys import InvalidKeyError, authentication_tag, key_id, read_key
 from balancer.fleet.membership.messages import AnyMessage, OutgoingMessage
 from balancer.fleet.membership.swim import Claim, Kind, Message, Status, Swim
-from workbench.explore.members import KEY, Net
+from workbench.explore.members import Net
+from workbench.explore.virtual_network import GROUP_KEY
 
 SEC = 1_000_000
 A, S, D, L = Status.ALIVE, Status.SUSPECT, Status.DEAD, Status.LEFT
@@ -149,7 +150,7 @@
 
 
 def test_datagrams_are_decoded_as_encoded_and_fit() -> None:
-    codec, other = Codec([KEY]), Codec([KEY])
+    codec, other = Codec([GROUP_KEY]), Codec([GROUP_KEY])
     assert other.decode(codec.encode(MESSAGE, SEC), SEC) == MESSAGE
     full = Message(
         Kind.SYNC, "n" * 64, 0, "", tuple(Claim(f"{i:064}", ("h" * 64, 1), A, 1) for i in range(40))
@@ -171,13 +172,13 @@
     ],
 )
 def test_an_invalid_datagram_is_counted_and_dropped(corrupt: Callable[[bytes], bytes], reason: str) -> None:
-    codec = Codec([KEY])
+    codec = Codec([GROUP_KEY])
     assert codec.decode(corrupt(codec.encode(MESSAGE, SEC)), SEC) is None
     assert codec.dropped == {reason: 1}
 
 
 def test_replays_distant_stamps_and_rotated_keys() -> None:
-    codec, other = Codec([KEY]), Codec([b"another key, sixteen", KEY])
+    codec, other = Codec([GROUP_KEY]), Codec([b"another key, sixteen", GROUP_KEY])
     data = codec.encode(MESSAGE, SEC)
     late = [codec.encode(MESSAGE, SEC) for _ in range(3)]
     assert other.decode(data, SEC) and other.decode(data, SEC) is None
@@ -193,10 +194,10 @@
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.binary(max_size=1300), st.binary(max_size=300))
 def test_no_input_raises_in_the_decoder(noise: bytes, body: bytes) -> None:
-    codec = Codec([KEY])
+    codec = Codec([GROUP_KEY])
     assert codec.decode(noise, SEC) is None
-    signed = HEADER.pack(1, key_id(KEY), SEC) + body  # arbitrary content under a valid key
-    codec.decode(signed + authentication_tag(KEY, signed), SEC)
+    signed = HEADER.pack(1, key_id(GROUP_KEY), SEC) + body  # arbitrary content under a valid key
+    codec.decode(signed + authentication_tag(GROUP_KEY, signed), SEC)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_membership_scale.py
+++ b/tests/test_membership_scale.py
@@ -34,7 +34,8 @@
 from balancer.fleet.membership.timers import Deadlines
 from balancer.fleet.membership.timing import Timing
 from balancer.fleet.membership.view import ALL_BUCKETS, BUCKETS
-from workbench.explore.members import KEY, Net, measure_join_storm
+from workbench.explore.members import Net, measure_join_storm
+from workbench.explore.virtual_network import GROUP_KEY
 
 SEC = 1_000_000
 TraceFunction = Callable[[FrameType, str, Any], Any]
@@ -231,7 +232,7 @@
     empty = Swim("e" * 64, ("10.0.0.2", 2), 1, [full.me.address], Random(2), SEC)
     delivered = pump([full, empty], [(empty, s) for s in empty.tick(SEC)], SEC)
     assert len(empty.alive()) == 301
-    codec, other = Codec([KEY]), Codec([KEY])
+    codec, other = Codec([GROUP_KEY]), Codec([GROUP_KEY])
     for send in delivered:  # nothing was left out for the datagram's sake
         data = codec.encode(send.message, SEC)
         assert len(data) <= 1200 and other.decode(data, SEC) == send.message
@@ -240,7 +241,7 @@
 
 
 def test_a_shortened_page_is_not_the_last() -> None:
-    codec, other = Codec([KEY]), Codec([KEY])
+    codec, other = Codec([GROUP_KEY]), Codec([GROUP_KEY])
     claims = tuple(member(i, names="m" * 60) for i in range(30))
     got = other.decode(codec.encode(Page("n1", 1, True, claims), SEC), SEC)
     assert isinstance(got, Page)
@@ -334,9 +335,9 @@
     ],
 )
 def test_an_impossible_payload_is_counted_and_dropped(kind: Kind, body: object) -> None:
-    codec = Codec([KEY])
-    signed = HEADER.pack(1, key_id(KEY), SEC) + codec.encoder.encode((int(kind), "n1", 1, body))
-    assert codec.decode(signed + authentication_tag(KEY, signed), SEC) is None and codec.dropped == {
+    codec = Codec([GROUP_KEY])
+    signed = HEADER.pack(1, key_id(GROUP_KEY), SEC) + codec.encoder.encode((int(kind), "n1", 1, body))
+    assert codec.decode(signed + authentication_tag(GROUP_KEY, signed), SEC) is None and codec.dropped == {
         "form": 1
     }
 
--- a/tests/test_zone_membership_messages.py
+++ b/tests/test_zone_membership_messages.py
@@ -15,7 +15,7 @@
 from balancer.fleet.zone_membership.messages import ZoneMembershipKind, ZoneMembershipMessage
 from balancer.fleet.zone_membership.summaries import Gateway, Known, Refresh, Summary, Version, ZoneState
 from balancer.fleet.zone_membership.wire import ZoneMembershipWire
-from workbench.explore.regional import KEY
+from workbench.explore.virtual_network import GROUP_KEY
 from workbench.explore.zone_members import zone_name
 
 MAX_DATAGRAM_BYTES = 1200
@@ -123,7 +123,7 @@
         def shorter(self, message: ZoneMembershipMessage) -> None:
             return None
 
-    data = Codec([KEY], [Forged()]).encode(
+    data = Codec([GROUP_KEY], [Forged()]).encode(
         ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, "x", "z"), START
     )
     assert codec.decode(data, START) is None
@@ -136,7 +136,7 @@
             wire = ["b", "north", 5, 7, [], [], ["b-0", 1, 1, "more"], 0, "more"]
             return ["b", [wire], [], [], {"more": 1}]
 
-    data = Codec([KEY], [Later()]).encode(
+    data = Codec([GROUP_KEY], [Later()]).encode(
         ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, "x", "b"), START
     )
     assert decoded_summaries(data) == (summary(),)
@@ -144,6 +144,6 @@
 
 def test_a_version_without_these_kinds_counts_them_as_unknown() -> None:
     data = make_codec().encode(ZoneMembershipMessage(ZoneMembershipKind.ZONE_QUERY, "x", "z"), START)
-    old = Codec([KEY])
+    old = Codec([GROUP_KEY])
     assert old.decode(data, START) is None
     assert old.dropped == {"kind": 1}
--- a/tests/zone_membership_support.py
+++ b/tests/zone_membership_support.py
@@ -12,7 +12,7 @@
 from balancer.fleet.zone_membership.settings import ZoneMembershipSettings, ZoneMembershipTiming
 from balancer.fleet.zone_membership.summaries import Gateway, Summary, Version, ZoneState
 from balancer.fleet.zone_membership.wire import ZoneMembershipWire
-from workbench.explore.regional import KEY
+from workbench.explore.virtual_network import GROUP_KEY
 from workbench.explore.zone_members import SharedGroup, SharedMember, ZoneView
 
 SEC = 1_000_000
@@ -48,7 +48,7 @@
 
 def make_codec() -> Codec:
     """A codec that knows the messages between zones."""
-    return Codec([KEY], [ZoneMembershipWire()])
+    return Codec([GROUP_KEY], [ZoneMembershipWire()])
 
 
 def shared_member(name: str, port: int) -> SharedMember:
--- a/workbench/explore/members.py
+++ b/workbench/explore/members.py
@@ -13,11 +13,10 @@
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.messages import AnyMessage, OutgoingMessage
 from balancer.fleet.membership.swim import Address, Status, Swim
-from workbench.explore.virtual_network import POLL_INTERVAL_S, LinkFaults, VirtualNetwork
+from workbench.explore.virtual_network import GROUP_KEY, POLL_INTERVAL_S, LinkFaults, VirtualNetwork
 from workbench.simulator.heap import HeapClock
 
 SECOND_US = 1_000_000
-KEY = b"a key for the virtual network"
 JOIN_LIMIT_S = 180.0  # within which all members have to know one another
 DETECTION_LIMIT_S = 180.0  # within which all have to know of a death
 SETTLE_BEFORE_STORM_S = 60.0
@@ -79,7 +78,7 @@
         self.network: VirtualNetwork[Address, AnyMessage] = VirtualNetwork(
             self.clock, self.rng, faults=LinkFaults(loss=loss)
         )
-        self.codec = Codec([KEY]) if codec else None
+        self.codec = Codec([GROUP_KEY]) if codec else None
         self.bytes = 0
         self.sent: Counter[tuple[Address, int]] = Counter()  # datagrams by member and second
         self.members: dict[Address, Swim] = {}
--- a/workbench/explore/regional.py
+++ b/workbench/explore/regional.py
@@ -15,10 +15,9 @@
 
 from balancer.fleet.membership.codec import Codec, PayloadCodec
 from balancer.fleet.membership.swim import Address
-from workbench.explore.virtual_network import POLL_INTERVAL_S, Delay, LinkFaults, VirtualNetwork
+from workbench.explore.virtual_network import GROUP_KEY, POLL_INTERVAL_S, Delay, LinkFaults, VirtualNetwork
 from workbench.simulator.heap import HeapClock
 
-KEY = b"a key for the virtual network"
 START = 1_000_000  # microseconds
 DELAY_SPREAD = 0.5
 DELAY_WITHIN_REGION = Delay(1_000, DELAY_SPREAD)
@@ -63,8 +62,8 @@
 
     def __init__(self, seed: int, loss: float = 0.0, parts: Sequence[PayloadCodec] = ()) -> None:
         self.clock = HeapClock(START)
-        self.codec = Codec([KEY], parts)
-        self.old_codec = Codec([KEY])
+        self.codec = Codec([GROUP_KEY], parts)
+        self.old_codec = Codec([GROUP_KEY])
         self.endpoints: dict[Address, Endpoint] = {}
         self.network: VirtualNetwork[Address, bytes] = VirtualNetwork(
             self.clock, Random(seed), self._delay, LinkFaults(loss=loss)
--- a/workbench/explore/runtime_net.py
+++ b/workbench/explore/runtime_net.py
@@ -21,12 +21,11 @@
 from balancer.net.process.log import Log
 from balancer.policy.interface import ClassSettings, Effect, Settings
 from workbench.explore.machine_clocks import MachineClocks
-from workbench.explore.virtual_network import VirtualNetwork
+from workbench.explore.virtual_network import GROUP_KEY, VirtualNetwork
 from workbench.simulator.heap import HeapClock
 
 SECOND = 1_000_000
 MAX_MONOTONIC_START = 10**12  # monotonic clocks of machines begin anywhere up to here
-KEY = b"a key for the virtual network"
 PORT = 7400
 
 
@@ -189,7 +188,7 @@
         listen=machine.address,
         advertise=machine.address,
         seeds=tuple(m.address for m in machines),
-        keys=(KEY,),
+        keys=(GROUP_KEY,),
         voters=tuple(m.name for m in machines[:voters]),
         old_voters=(),
         lease=3 * SECOND,
--- a/workbench/explore/virtual_network.py
+++ b/workbench/explore/virtual_network.py
@@ -21,6 +21,7 @@
 MICROSECONDS_PER_SECOND = 1e6
 POLL_INTERVAL_S = 0.25
 LOOPBACK_DELAY = 1
+GROUP_KEY = b"a key for the virtual network"  # with which all processes on one sign their datagrams
 
 NodeAddress = TypeVar("NodeAddress", bound=Hashable)
 Payload = TypeVar("Payload")
--- a/workbench/scale/leader.py
+++ b/workbench/scale/leader.py
@@ -12,7 +12,7 @@
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.rolling_update.decisions import BROADCAST_INTERVAL_US, RollingUpdate
 from balancer.fleet.rolling_update.messages import RollingUpdateKind, RollingUpdateMessage, RollingUpdateWire
-from workbench.explore.members import KEY
+from workbench.explore.virtual_network import GROUP_KEY
 from workbench.scale.member import Stopwatch
 from workbench.scale.membership import Row
 
@@ -43,7 +43,7 @@
     group = Group(size)
     leader = RollingUpdate("n1", "z0", 1, group, NOW_US)
     plan = leader.begin(2, 1)
-    outgoing, incoming = Codec([KEY], [RollingUpdateWire()]), Codec([KEY], [RollingUpdateWire()])
+    outgoing, incoming = Codec([GROUP_KEY], [RollingUpdateWire()]), Codec([GROUP_KEY], [RollingUpdateWire()])
     watch = Stopwatch()
     datagrams = traffic = 0
     now = NOW_US
--- a/workbench/scale/member.py
+++ b/workbench/scale/member.py
@@ -20,7 +20,7 @@
 
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Claim, Kind, Message, Status, Swim
-from workbench.explore.members import KEY
+from workbench.explore.virtual_network import GROUP_KEY
 from workbench.scale.membership import Row, stop_dissemination
 
 if TYPE_CHECKING:  # earlier revisions, which are measured too, have it under another name
@@ -56,8 +56,8 @@
     def __init__(self, size: int, seed: int) -> None:
         self.rng = Random(seed)
         self.watch = Stopwatch()
-        self.outgoing = Codec([KEY])
-        self.incoming = Codec([KEY])
+        self.outgoing = Codec([GROUP_KEY])
+        self.incoming = Codec([GROUP_KEY])
         self.now = PERIOD_US
         self.names = [f"n{i}" for i in range(2, size + 1)]
         self.swim = Swim("n1", ("10.0.0.1", 1), 1, [], Random(seed), self.now)
--- a/workbench/scale/membership.py
+++ b/workbench/scale/membership.py
@@ -32,8 +32,7 @@
 
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Address, Claim, OutgoingMessage, Status, Swim
-from workbench.explore.members import KEY
-from workbench.explore.virtual_network import VirtualNetwork, Waited
+from workbench.explore.virtual_network import GROUP_KEY, VirtualNetwork, Waited
 from workbench.simulator.heap import HeapClock
 
 WARM_UP_S = 5.0
@@ -83,7 +82,7 @@
         self.rng = Random(seed)  # the network's, and of the members' seeds
         self.network: VirtualNetwork[Address, bytes] = VirtualNetwork(self.clock, self.rng)
         self.spent = Spent()
-        self.wire = Codec([KEY])
+        self.wire = Codec([GROUP_KEY])
         self.readers: dict[Address, Codec] = {}  # each member keeps its own window against replays
         self.members: dict[Address, Swim] = {}
         for i in range(count):
@@ -92,7 +91,7 @@
     def add(self, address: Address, seeds: list[Address], incarnation: int = 1) -> None:
         """Starts a member."""
         swim = Swim(f"n{address[1]}", address, incarnation, seeds, Random(self.rng.random()), self.clock.now)
-        self.readers[address] = Codec([KEY])
+        self.readers[address] = Codec([GROUP_KEY])
         self.members[address] = swim
         self.network.attach(address, partial(self.arrive, address))
         self.clock.call_at(swim.due(), self.on_timer, (address, swim))
