--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -8,7 +8,7 @@
 from support import BEFORE_RENAMING
 
 from balancer.policy.interface import Effect
-from workbench.emulator.address_block import AddressBlock as Places
+from workbench.emulator.address_block import AddressBlock
 from workbench.emulator.http import request_bytes
 from workbench.emulator.links import Link, Stream
 from workbench.lab.earlier import package_in, unpack
@@ -171,7 +171,7 @@
 
 
 def test_two_labs_never_share_an_address() -> None:
-    held = [Places(Random(7)) for _ in range(3)]
+    held = [AddressBlock(Random(7)) for _ in range(3)]
     assert len({p.block for p in held}) == 3
     for p in held:
         p.close()
--- a/tests/test_lab_checkers.py
+++ b/tests/test_lab_checkers.py
@@ -4,7 +4,7 @@
 from lab_histories import ALL, END, KILL, RUN, SEE, START, attempt, late, lease, process, request, view
 
 from workbench.lab.checkers import check
-from workbench.lab.ground_truth import GroundTruth as Truth
+from workbench.lab.ground_truth import GroundTruth
 from workbench.lab.history import HistoryError, read
 
 
@@ -143,7 +143,7 @@
 
 
 def test_how_long_the_views_took():
-    truth = Truth([RUN, *START, *ALL, *KILL, *SEE, *END])
+    truth = GroundTruth([RUN, *START, *ALL, *KILL, *SEE, *END])
     assert [(at, what, round(took, 2)) for at, what, took in truth.agreements()] == [(3.0, "n2 kill", 2.0)]
 
 
--- a/workbench/cli/lab.py
+++ b/workbench/cli/lab.py
@@ -10,9 +10,7 @@
 from rich.console import Console
 from rich.progress import BarColumn, Progress, TextColumn
 
-from workbench.cli.errors import InputError as Bad
-from workbench.cli.errors import writable
-from workbench.cli.errors import write_atomically as write_whole
+from workbench.cli.errors import InputError, writable, write_atomically
 from workbench.lab.checkers import check
 from workbench.lab.ground_truth import GroundTruth
 from workbench.lab.history import HistoryError, read
@@ -58,9 +56,9 @@
         scenario(drawn)
         outcome = with_progress(drawn, lambda progress: play(drawn, folder, progress))
     except PlanError as e:
-        raise Bad(str(e)) from None
+        raise InputError(str(e)) from None
     except (AddressBlockError, HistoryError) as e:
-        raise Bad(str(e)) from None
+        raise InputError(str(e)) from None
     violated = show_report(outcome.events)
     if outcome.stopped:
         raise click.Abort
@@ -80,7 +78,7 @@
     if target is not None:
         from workbench.lab.timeline_plot import plot
 
-        write_whole(target, lambda path: plot(GroundTruth(events), path))
+        write_atomically(target, lambda path: plot(GroundTruth(events), path))
     return 0
 
 
@@ -99,13 +97,13 @@
     """Returns the folder of `--keep`, made if need be; one that holds a history is refused."""
     folder = Path(keep)
     if folder.exists() and not folder.is_dir():
-        raise Bad(f"{keep}: is a file: a folder is wanted")
+        raise InputError(f"{keep}: is a file: a folder is wanted")
     if (folder / "history.jsonl").exists():
-        raise Bad(f"{keep}: holds a history already: name another folder")
+        raise InputError(f"{keep}: holds a history already: name another folder")
     try:
         folder.mkdir(parents=True, exist_ok=True)
     except OSError as e:
-        raise Bad(f"{keep}: cannot be made: {e.strerror}") from None
+        raise InputError(f"{keep}: cannot be made: {e.strerror}") from None
     return folder
 
 
@@ -115,7 +113,7 @@
     try:
         return read(str(path / "history.jsonl" if path.is_dir() else path))
     except HistoryError as e:
-        raise Bad(str(e)) from None
+        raise InputError(str(e)) from None
 
 
 def console() -> Console:
--- a/workbench/lab/plan.py
+++ b/workbench/lab/plan.py
@@ -13,14 +13,12 @@
 from workbench.emulator.address_block import MAX_NODES
 from workbench.model.streams import Streams
 from workbench.scenario import model
-from workbench.scenario.check import lower_end as low
-from workbench.scenario.check import type_errors
+from workbench.scenario.check import lower_end, type_errors
 from workbench.scenario.check import upper_end as top
 from workbench.scenario.load import ScenarioError, draw_ranges, load, read_toml, titles
-from workbench.scenario.model import Count, Number, Scenario, Share
+from workbench.scenario.model import Count, Number, Positive, Scenario, Share
 from workbench.scenario.model import NonNegative as From0
 from workbench.scenario.model import NonNegativeCount as Any0
-from workbench.scenario.model import Positive as Over0
 from workbench.scenario.model import PositiveCount as Some
 
 Value = int | float | str | bool | list[float]
@@ -107,21 +105,21 @@
     nodes: Some = 5
     zones: Some = 3
     regions: Some = 1
-    length_s: Over0 = 20.0
+    length_s: Positive = 20.0
     scenario: str = "lab"
     set: dict[str, Value] = field(default_factory=dict)  # keys of the scenario
     fleet: bool = True
     supervise: bool = False  # a process that exits by itself with status 0 is started again
-    period_ms: Over0 = 300.0  # of membership's probes
+    period_ms: Positive = 300.0  # of membership's probes
     voters: Any0 = 0  # the first so many nodes vote, and every node requests one lease
-    lease_ms: Over0 = 1500.0
+    lease_ms: Positive = 1500.0
     probe: bool = False  # ejected servers are probed by one node a zone
     remeasure: Share = 0.0  # of the nodes that recalculate minRTT at once; 0: each by itself
     near: bool = False  # calls keep to their zone, by `fleet.zones`
     by_zone: bool = False  # membership by zone: SWIM in each zone, gateways between them
-    ready_s: Over0 = 20.0  # that a process has to get ready
-    join_s: Over0 = 30.0  # that the processes have at most to join before the clients begin
-    agree_s: Over0 = 12.0  # so long after the last fault all views must agree
+    ready_s: Positive = 20.0  # that a process has to get ready
+    join_s: Positive = 30.0  # that the processes have at most to join before the clients begin
+    agree_s: Positive = 12.0  # so long after the last fault all views must agree
     earlier: str = ""  # the revision of faulty nodes of the kind `earlier`
     fault: list[Fault] = field(default_factory=list)
     trouble: list[model.Fault] = field(default_factory=list)  # of the servers, beside the scenario's own
@@ -166,7 +164,7 @@
     """Checks the numbers of nodes and regions."""
     if top(table.get("nodes", 5)) > MAX_NODES:
         yield f"nodes: {table['nodes']}: must be at most {MAX_NODES}"
-    if top(table.get("regions", 1)) > low(table.get("zones", 3)):
+    if top(table.get("regions", 1)) > lower_end(table.get("zones", 3)):
         yield f"regions: {table['regions']}: must be at most zones, {table.get('zones', 3)}"
 
 
@@ -192,7 +190,7 @@
 
 def fault_relations(key: str, fault: dict[str, Any], table: dict[str, Any]) -> Iterator[str]:
     """Checks one fault, with its key path, against the plan that has it."""
-    length = low(table.get("length_s", 20.0))
+    length = lower_end(table.get("length_s", 20.0))
     if top(fault.get("at_s", 3.0)) >= length:
         yield f"{key}.at_s: {fault.get('at_s', 3.0)}: must be under length_s, {length:g}"
     if table.get("by_zone") and fault["type"] in GROUP_WIDE:
@@ -219,14 +217,14 @@
     """Returns what does not fit in a fault of the type `clock`, with the key path and what is allowed."""
     out = []
     step, down, length = fault.get("offset_ms", 0.0), fault.get("down_s", 1.0), fault.get("for_s", 5.0)
-    if low(step) <= 0 <= top(step):
+    if lower_end(step) <= 0 <= top(step):
         out.append(f"{key}.offset_ms: {step}: must be a step other than 0 where type is 'clock'")
-    if max(abs(low(step)), abs(top(step))) > MAX_CLOCK_STEP_MS:
+    if max(abs(lower_end(step)), abs(top(step))) > MAX_CLOCK_STEP_MS:
         out.append(f"{key}.offset_ms: {step}: must be at most {MAX_CLOCK_STEP_MS:g} either way")
     restarts = fault.get("restart", "none") != "none"
     if "down_s" in fault and not restarts:
         out.append(f"{key}.down_s: {down}: must not be without restart, which is 'kill' or 'term'")
-    if restarts and fault.get("back", True) and top(down) >= low(length):
+    if restarts and fault.get("back", True) and top(down) >= lower_end(length):
         out.append(f"{key}.down_s: {down}: must be under for_s, {length}, after which the clock is set right")
     return out
 
--- a/workbench/scale/real.py
+++ b/workbench/scale/real.py
@@ -18,8 +18,7 @@
 from workbench.emulator.http import ConnectionPool
 from workbench.emulator.links import Link
 from workbench.emulator.nodes import NodeAdapter, NoProcessControl, Site
-from workbench.lab.management import READY_POLL_S as READY_LOOK
-from workbench.lab.management import fetch as ask
+from workbench.lab.management import READY_POLL_S, fetch
 from workbench.lab.process import Process, command
 from workbench.model.network import one_way
 from workbench.model.site import BEGIN, World
@@ -70,10 +69,10 @@
         end = self.loop.time() + READY_S
         try:
             while self.loop.time() < end and not self.ended.is_set():
-                reply = await ask(self.loop, lines, b"/ready", 1.0)
+                reply = await fetch(self.loop, lines, b"/ready", 1.0)
                 if reply is not None and reply.status == 200:
                     return
-                await asyncio.sleep(READY_LOOK)
+                await asyncio.sleep(READY_POLL_S)
         finally:
             lines.close()
         raise RealNodeError(f"{self.place.name}: not ready: {self.last_line()}")
@@ -84,7 +83,7 @@
 
     async def view(self) -> dict[str, Any]:
         """Its page `GET /fleet`. RealNodeError."""
-        reply = await ask(self.loop, self.pages, b"/fleet", PAGE_S)
+        reply = await fetch(self.loop, self.pages, b"/fleet", PAGE_S)
         if reply is None or reply.status != 200:
             raise RealNodeError(f"{self.place.name}: does not answer for its view: {self.last_line()}")
         page: dict[str, Any] = msgspec.json.decode(reply.body)
