--- a/balancer/net/discovery/__init__.py
+++ b/balancer/net/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The servers' list: calls to discovery, its form of the list, and the registry of servers."""
+"""The discovery client, the server list that it receives and the registry of servers."""
--- a/balancer/net/discovery/call.py
+++ b/balancer/net/discovery/call.py
@@ -1,4 +1,4 @@
-"""HTTP calls to discovery, over one connection."""
+"""HTTP GET calls to the discovery service over one connection."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 class ResponseStage(Enum):
-    """How much of a response has come."""
+    """How much of a response has been received."""
 
-    HEAD = "head"  # nothing, a part of its head, or an interim response
-    BODY = "body"  # its head
+    HEAD = "head"  # At most part of the head, possibly after interim responses.
+    BODY = "body"  # The complete head.
     COMPLETE = "complete"
 
 
 class DiscoveryCall(asyncio.Protocol):
-    """A connection to discovery, one call at a time.
+    """A connection to discovery, which carries one call at a time.
 
     Args:
-        loop: the event loop.
-        address: of discovery.
-        on_response: called with the body of each response, and with None once when a call has failed.
+        loop: The event loop.
+        address: The host and port of discovery.
+        on_response: Called with the body of each response, and once with None when a call has failed.
     """
 
     def __init__(
@@ -45,15 +45,15 @@
         self.task: asyncio.Task[None] | None = None
 
     def get(self, path: str, timeout: float) -> None:
-        """Makes a call, whose response must be complete within `timeout` seconds."""
+        """Request a path; the response must be complete `timeout` seconds after the request is written."""
         host = f"{self.address[0]}:{self.address[1]}"
         self.request = f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode()
         self.timeout = timeout
         self.parser = httptools.HttpResponseParser(self)
         self.body = b""
-        self.size = 0
+        self.received_bytes = 0
         self.stage = ResponseStage.HEAD
-        self.has_length = False  # the response states its length
+        self.has_length = False  # Whether it has a Content-Length or Transfer-Encoding header.
         if self.transport is None:
             self.set_timeout(CONNECT_TIMEOUT_S)
             self.task = self.loop.create_task(self.connect())
@@ -61,47 +61,48 @@
             self.write()
 
     async def connect(self) -> None:
-        """Opens the connection, whose protocol this is."""
+        """Open the connection with this object as its protocol."""
         try:
             await self.loop.create_connection(lambda: self, *self.address)
         except OSError:
             self.fail()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Sends the request that waits for the connection."""
+        """Store the transport and send the pending request."""
         self.transport = cast(asyncio.Transport, transport)
-        if self.ended:  # it came up as its time ran out
+        if self.ended:  # The connection was established as its timeout expired.
             self.disconnect()
         else:
             self.write()
 
     def write(self) -> None:
-        """Sends the request."""
+        """Send the request and start the timeout of its response."""
         self.set_timeout(self.timeout)
         assert self.transport is not None
         self.transport.write(self.request)
 
     def set_timeout(self, timeout: float) -> None:
-        """Gives the step that begins now so many seconds."""
+        """Restart the timer that fails the call after this many seconds."""
         if self.timer is not None:
             self.timer.cancel()
         self.timer = self.loop.call_later(timeout, self.fail)
 
     def data_received(self, data: bytes) -> None:
-        """Parses the response; one that is malformed or too large is a failure."""
+        """Parse the response; fail the call if it is malformed or too large."""
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.fail()
             return
-        self.size += len(data)
-        if self.size > MAX_RESPONSE_BYTES:  # its head counts: the parser keeps a line of it until it ends
+        self.received_bytes += len(data)
+        # The head counts as well, because the parser buffers each header line until its end.
+        if self.received_bytes > MAX_RESPONSE_BYTES:
             self.fail()
         elif self.stage is ResponseStage.COMPLETE and not self.ended:
             self.on_response_complete()
 
     def on_response_complete(self) -> None:
-        """Hands a complete response on."""
+        """Pass the body of a complete response to `on_response`; fail the call unless its status is 200."""
         if self.parser.get_status_code() != 200:
             self.fail()
             return
@@ -110,33 +111,35 @@
         self.on_response(self, self.body)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Looks for the headers that state where the response ends."""
-        if self.stage is ResponseStage.HEAD:  # or it is a trailer
+        """Record whether the head states where the response ends."""
+        if self.stage is ResponseStage.HEAD:  # Trailers are ignored.
             self.has_length = self.has_length or name.lower() in (b"content-length", b"transfer-encoding")
 
     def on_headers_complete(self) -> None:
-        """Notes the end of the head, unless it is that of an interim response."""
+        """Record the end of the head, unless it belongs to an interim response."""
         if self.stage is ResponseStage.HEAD and self.parser.get_status_code() >= 200:
             self.stage = ResponseStage.BODY
 
     def on_body(self, body: bytes) -> None:
-        """Collects the body, which may come in pieces."""
+        """Append a piece of the body."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        """Notes that the response is complete; an interim one is passed over."""
+        """Record the end of the response; ignore that of an interim response."""
         if self.parser.get_status_code() < 200:
-            # Failure prevented: an interim response counts as a failed call, each time, and no list comes.
+            # If interim responses counted as failures, no list would be learned from a discovery that
+            # sends them with each response.
             self.has_length = False
             return
         self.stage = ResponseStage.COMPLETE
-        self.keep_alive = self.parser.should_keep_alive()  # known here only: the parser then starts afresh
+        # The parser resets this state once the callback returns.
+        self.keep_alive = self.parser.should_keep_alive()
 
     def eof_received(self) -> None:
-        """Takes the connection's end for the end of a response that does not state its length.
+        """Complete a response without a stated length, which ends with its connection.
 
-        Failure prevented: no list is learned from a discovery that responds in this form. A reset is no
-        end.
+        Without this, no list would be learned from a discovery that responds in this form. A connection
+        reset does not complete a response.
         """
         if self.stage is ResponseStage.BODY and not self.has_length and not self.ended:
             self.stage = ResponseStage.COMPLETE
@@ -144,25 +147,25 @@
             self.on_response_complete()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fails the call in flight, if any, and the calls to come."""
+        """Fail the call in flight, if any, and all later calls."""
         if self.transport is not None:
             self.transport = None
             self.fail()
 
     def disconnect(self) -> None:
-        """Closes the connection; a further call opens a new one."""
+        """Close the connection; the next call opens a new one."""
         transport, self.transport = self.transport, None
         if transport is not None:
             transport.abort()
 
     def fail(self) -> None:
-        """Ends all calls, and reports the failure once."""
+        """End all calls and report the failure, once."""
         if not self.ended:
             self.end()
             self.on_response(self, None)
 
     def end(self) -> None:
-        """Ends all calls; nothing more is reported."""
+        """End all calls without reporting anything."""
         self.ended = True
         if self.timer is not None:
             self.timer.cancel()
--- a/balancer/net/discovery/client.py
+++ b/balancer/net/discovery/client.py
@@ -1,4 +1,4 @@
-"""A watch on discovery, renewed at once, and fetches of the full list."""
+"""The discovery client: a watch for changes of the server list, and fetches of the full list."""
 
 from __future__ import annotations
 
@@ -12,25 +12,28 @@
 from balancer.net.process.log import Log
 from balancer.policy.interface import ListKind
 
-MAX_WATCH_MS = 1_000  # the maximum time of a watch without an event...
-WATCH_JITTER = 0.25  # ...and up to this part less, so that nodes do not poll in step
-RESPONSE_TIMEOUT_S = 1.0  # after its wait, a watch without a response has failed
-FETCH_TIMEOUT_S = 2.0  # as long as a watch may go without a response
-MAX_OUTDATED = 2  # responses in a row older than the list in hand after which discovery counts as restarted
+MAX_WATCH_MS = 1_000  # The longest time that discovery holds a watch without an event.
+# The wait of each watch is shortened by up to this ratio, so that nodes do not poll in step.
+WATCH_JITTER_RATIO = 0.25
+RESPONSE_TIMEOUT_S = 1.0  # A watch fails this long after the end of its wait.
+# Equal to the longest time that a watch may go without a response.
+FETCH_TIMEOUT_S = 2.0
+# Discovery counts as restarted after this many consecutive responses older than the current list.
+RESTART_THRESHOLD_RESPONSES = 2
 
 OnServerList = Callable[[ServerList | None], None]
 
 
 class DiscoveryClient:
-    """Keeps a watch on discovery, and fetches the full list on request.
+    """A client that watches discovery for changes and fetches the full list on request.
 
     Args:
-        loop: the event loop.
-        address: of discovery.
-        version: of the list in hand.
-        on_list: called with each list or change before the watch is renewed, and with None at a failure.
-        log: gets a line for each response that cannot be used.
-        rng: the source of the watches' jitter.
+        loop: The event loop.
+        address: The host and port of discovery.
+        version: The version of the current list.
+        on_list: Called with each list or change before the watch is renewed, and with None on a failure.
+        log: The log for responses that cannot be used.
+        rng: The random number generator for the jitter of watches.
     """
 
     def __init__(
@@ -48,35 +51,35 @@
         self.version = version
         self.on_list = on_list
         self.log = log
-        self.watch_wanted = False  # the watch, also while one that has failed waits to be opened anew
-        self.outdated = 0  # responses in a row that were older than the list in hand
+        self.watch_enabled = False  # Also True between a failed watch and the next one.
+        self.outdated_responses = 0  # Consecutive responses older than the current list.
         self.watch_call: DiscoveryCall | None = None
         self.fetch_call: DiscoveryCall | None = None
 
-    def watch(self, on: bool) -> None:
-        """Begins or ends the watch. One that is on already stays."""
-        self.watch_wanted = on
-        if on and self.watch_call is None:
+    def watch(self, enabled: bool) -> None:
+        """Start or stop the watch; one that is already open stays open."""
+        self.watch_enabled = enabled
+        if enabled and self.watch_call is None:
             self.watch_call = DiscoveryCall(self.loop, self.address, self.on_watch_response)
             self.send_watch(self.watch_call)
-        elif not on and self.watch_call is not None:
+        elif not enabled and self.watch_call is not None:
             self.watch_call.end()
             self.watch_call = None
 
     def send_watch(self, call: DiscoveryCall) -> None:
-        """Makes the next call of a watch.
+        """Make the next call of a watch.
 
-        Failure prevented: a watch that has fallen silent is noticed only when its wait is over, and until
-        then the node sends to servers that have long been replaced.
+        The wait is short because an unresponsive watch is noticed only after it; until then the node sends
+        requests to servers that have been replaced.
         """
-        wait = int(MAX_WATCH_MS * (1 - WATCH_JITTER * self.rng.random()))
+        wait = int(MAX_WATCH_MS * (1 - WATCH_JITTER_RATIO * self.rng.random()))
         call.get(f"/v1/endpoints?since={self.version}&timeout_ms={wait}", wait / 1000 + RESPONSE_TIMEOUT_S)
 
     def on_watch_response(self, call: DiscoveryCall, body: bytes | None) -> None:
-        """Hands on a watch event, and renews the watch."""
+        """Pass a watch response to `on_list` and renew the watch; after a failure the watch ends."""
         server_list = self.parse(body)
         if server_list is None:
-            # Ended before the failure is reported, since the policy may respond with a new watch.
+            # The watch must end before the failure is reported: the policy may start a new one at once.
             call.end()
             self.watch_call = None
             self.on_list(None)
@@ -86,13 +89,13 @@
             self.send_watch(call)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Goes on at another address at once: the new one reports all that was missed.
+        """Restart the watch and the fetch in flight at another address at once.
 
-        Failure prevented: a call to the old one has just failed, and the watch waits out the backoff for
-        that one, longer than the node may take to be notified at the new one.
+        The new address reports all missed changes. If a call to the old address has just failed, waiting
+        for its backoff would take longer than a node may take to learn of a change at the new one.
         """
         self.address = address
-        if self.watch_wanted:
+        if self.watch_enabled:
             self.watch(False)
             self.watch(True)
         if self.fetch_call is not None:
@@ -101,19 +104,19 @@
             self.fetch()
 
     def fetch(self) -> None:
-        """Requests the full list, unless such a call is in flight."""
+        """Request the full list, unless a fetch is already in flight."""
         if self.fetch_call is None:
             self.fetch_call = DiscoveryCall(self.loop, self.address, self.on_fetch_response)
             self.fetch_call.get("/v1/endpoints", FETCH_TIMEOUT_S)
 
     def on_fetch_response(self, call: DiscoveryCall, body: bytes | None) -> None:
-        """Hands on the full list."""
+        """Pass the full list, or None for a failure, to `on_list`."""
         call.end()
         self.fetch_call = None
         self.on_list(self.parse(body))
 
     def parse(self, body: bytes | None) -> ServerList | None:
-        """The list of a response, or None for a failed call and for a response that cannot be used."""
+        """Return the list of a response, or None for a failed call or an invalid response."""
         if body is None:
             return None
         try:
@@ -124,22 +127,22 @@
         return self.accept_version(server_list)
 
     def accept_version(self, server_list: ServerList) -> ServerList:
-        """The list, or no change in place of one that is older than the list in hand.
+        """Return the list, or an empty change if it is older than the current list.
 
-        Failure prevented: an old response that was overtaken brings drained servers back; or, the other way,
-        discovery has begun its versions anew, and its lists are ignored for good. Two old responses in a row
-        prove the second case: then a full list is accepted, and where only changes came one is fetched.
+        A late response with an old version would bring drained servers back. However, if discovery has
+        restarted its version numbers, ignoring old versions would ignore its lists for good. Two consecutive
+        old responses indicate a restart: a full list is then accepted, and after changes one is fetched.
         """
         if server_list.version >= self.version:
-            self.outdated = 0
+            self.outdated_responses = 0
             self.version = server_list.version
             return server_list
-        self.outdated += 1
-        restarted = self.outdated >= MAX_OUTDATED
-        what = "begun anew" if restarted else "older than the list in hand"
-        self.log.line(f"discovery: version {server_list.version} after {self.version}: {what}")
+        self.outdated_responses += 1
+        restarted = self.outdated_responses >= RESTART_THRESHOLD_RESPONSES
+        reason = "begun anew" if restarted else "older than the list in hand"
+        self.log.line(f"discovery: version {server_list.version} after {self.version}: {reason}")
         if restarted and server_list.kind == ListKind.FULL:
-            self.outdated = 0
+            self.outdated_responses = 0
             self.version = server_list.version
             return server_list
         if restarted:
@@ -147,7 +150,7 @@
         return ServerList(ListKind.CHANGES, self.version, ())
 
     def close(self) -> None:
-        """Ends all calls."""
+        """End all calls."""
         for call in (self.watch_call, self.fetch_call):
             if call is not None:
                 call.end()
--- a/balancer/net/discovery/registry.py
+++ b/balancer/net/discovery/registry.py
@@ -1,4 +1,4 @@
-"""The registry of servers: lists from discovery, turned into endpoints for the pool and policy entries."""
+"""The registry of servers: turns lists from discovery into endpoints of the pool and policy entries."""
 
 from __future__ import annotations
 
@@ -21,20 +21,21 @@
 
 OnServers = Callable[[int, ListKind, Sequence[ServerEntry], Mapping[str, int]], None]
 
-PUSH_RETRY_S = 0.1  # seconds, half to one and a half of them, before a watch that has failed is opened again
+# The mean delay before a failed watch is reopened; the actual delay is 0.5 to 1.5 times as long.
+PUSH_RETRY_S = 0.1
 
 
 class ServerRegistry:
-    """The servers that discovery lists, by number.
+    """The servers listed by discovery, identified by their numbers.
 
     Args:
-        config: the configuration of the node.
-        loop: the event loop.
-        pool: its endpoints follow the list.
-        lifecycle: notified of each server list.
-        log: gets a line for each list.
-        strays: the log for responses that cannot be used.
-        event_queue: hands the list to the policy.
+        config: The configuration of the node.
+        loop: The event loop.
+        pool: The connection pool, whose endpoints are updated from each list.
+        lifecycle: The lifecycle of the node, which is notified of each list.
+        log: The log for received lists and failed calls.
+        invalid_response_log: The log for responses that cannot be used.
+        event_queue: The queue that passes each list to the policy.
     """
 
     def __init__(
@@ -44,7 +45,7 @@
         pool: ConnectionPool,
         lifecycle: Lifecycle,
         log: Log,
-        strays: Log,
+        invalid_response_log: Log,
         event_queue: EventQueue,
     ) -> None:
         self.config = config
@@ -53,17 +54,20 @@
         self.lifecycle = lifecycle
         self.log = log
         self.event_queue = event_queue
-        self.balancer: Balancer  # set once it is made
-        self.on_servers: OnServers | None = None  # called with what the policy gets, where there is a fleet
-        self.rng = Random(f"node {config.seed}")  # apart from the policy's
+        self.balancer: Balancer  # Set after its construction, which needs the registry.
+        # Called with the policy entries of each list if the node belongs to a fleet.
+        self.on_servers: OnServers | None = None
+        self.rng = Random(f"node {config.seed}")  # Independent of the policy's generator.
         version = config.known.version if config.known else 0
-        self.discovery = DiscoveryClient(loop, config.discovery, version, self.on_list, strays, self.rng)
+        self.discovery = DiscoveryClient(
+            loop, config.discovery, version, self.on_list, invalid_response_log, self.rng
+        )
         self.zones = {name: i for i, name in enumerate(config.zones)}
         self.kinds = {name: i for i, name in enumerate(config.kinds)}
-        self.states: dict[int, State] = {}  # of the servers in the list
+        self.states: dict[int, State] = {}  # The state of each listed server.
 
     def on_list(self, server_list: ServerList | None) -> None:
-        """Takes over a list or its changes; None stands for a call that has failed."""
+        """Apply a full list or a change; None stands for a failed call."""
         if server_list is None:
             if self.config.settings.list_on_request:
                 self.event_queue.post(self.balancer.server_list, ListKind.FAILED, ())
@@ -72,7 +76,7 @@
                 self.loop.call_later(wait, self.discovery.watch, True)
             self.log.line(f"list failed, version={self.discovery.version} stays")
             return
-        # The last of two entries of one server holds.
+        # If a server has several entries, the last one applies.
         latest = {server_number(record.id): record for record in server_list.servers}
         endpoints = self.pool.endpoints
         if server_list.kind != ListKind.CHANGES:
@@ -82,20 +86,20 @@
                     endpoint.retire()
         for number, record in latest.items():
             self.update_server(number, record)
-        for number in [n for n, e in endpoints.items() if not e.ready and not e.busy]:
+        for number in [n for n, e in endpoints.items() if not e.ready and not e.active_exchanges]:
             del endpoints[number]
         self.lifecycle.on_server_list()
         if server_list.servers:
             states = Counter(record.state.name.lower() for record in latest.values())
             counts = " ".join(f"{state}={count}" for state, count in states.items())
             self.log.line(f"list {server_list.kind.name.lower()} version={server_list.version} {counts}")
-        entries = [self.policy_entry(number, record) for number, record in latest.items()]
+        entries = [self.make_server_entry(number, record) for number, record in latest.items()]
         self.event_queue.post(self.balancer.server_list, server_list.kind, entries)
         if self.on_servers is not None:
             self.on_servers(self.event_queue.now(), server_list.kind, entries, self.zones)
 
     def update_server(self, number: int, record: ServerRecord) -> None:
-        """Takes over a server's address and state; connections to an old process are retired."""
+        """Apply the address and state of a server and retire connections to a previous process."""
         self.states[number] = record.state
         if record.state == State.GONE:
             del self.states[number]
@@ -104,19 +108,19 @@
             if endpoint is not None:
                 endpoint.retire()
             return
-        same = endpoint is not None and (endpoint.host, endpoint.port, endpoint.started) == (
+        is_same_process = endpoint is not None and (endpoint.host, endpoint.port, endpoint.started_us) == (
             record.host,
             record.port,
-            record.started,
+            record.started_us,
         )
-        if endpoint is None or not same:
+        if endpoint is None or not is_same_process:
             if endpoint is not None:
                 endpoint.retire()
-            endpoint = self.pool.endpoints[number] = Endpoint(record.host, record.port, record.started)
+            endpoint = self.pool.endpoints[number] = Endpoint(record.host, record.port, record.started_us)
         endpoint.ready = True
 
-    def policy_entry(self, number: int, record: ServerRecord) -> ServerEntry:
-        """What the policy gets of a server; zones and kinds that are new get the next number."""
+    def make_server_entry(self, number: int, record: ServerRecord) -> ServerEntry:
+        """Return the policy entry of a server; new zones and kinds get the next free number."""
         return ServerEntry(
             number,
             record.state,
@@ -124,10 +128,13 @@
             self.zones.setdefault(record.zone, len(self.zones)),
             self.kinds.setdefault(record.kind, len(self.kinds)),
             record.weight,
-            record.started,
+            record.started_us,
         )
 
 
 def server_number(name: str) -> int:
-    """A server's number: the same at every node, since all nodes share one shuffle of the numbers."""
+    """Return the number of a server, a hash of its name.
+
+    It is the same at every node, because all nodes use the same shuffled order of the numbers.
+    """
     return int.from_bytes(blake2b(name.encode(errors="surrogatepass"), digest_size=8).digest(), "big")
--- a/balancer/net/discovery/server_list.py
+++ b/balancer/net/discovery/server_list.py
@@ -1,4 +1,4 @@
-"""Discovery's form of the server list, parsed and validated."""
+"""Parsing and validation of the server lists that discovery sends."""
 
 from __future__ import annotations
 
@@ -11,12 +11,16 @@
 
 
 class ServerListError(ValueError):
-    """A server list that is no list at all; a field that is wrong is a ValueError of `Fields`."""
+    """Raised for JSON that is not an object; `Fields` raises a plain ValueError for an invalid field."""
 
 
 @dataclass(frozen=True)
 class ServerRecord:
-    """One server as discovery describes it."""
+    """A server as described by discovery.
+
+    Attributes:
+        started_us: The start of the server's process, in microseconds of Unix time; 0 for long ago.
+    """
 
     id: str
     host: str
@@ -26,12 +30,12 @@
     cell: int
     state: State
     weight: float
-    started: int  # microseconds of Unix time; 0 = long ago
+    started_us: int
 
 
 @dataclass(frozen=True)
 class ServerList:
-    """A list or its changes, with the version they lead to."""
+    """A full list or a change of it, with the version of the resulting list."""
 
     kind: ListKind
     version: int
@@ -39,17 +43,17 @@
 
 
 def parse_server_list(table: object, kind: ListKind | None = None) -> ServerList:
-    """A server list from decoded JSON.
+    """Parse a server list from decoded JSON.
 
-    Failure prevented: skipping one bad entry of a full list would remove a server that runs, so the
-    list is rejected, and the current one stays.
+    A list with one invalid entry is rejected as a whole, and the current list stays in use: skipping that
+    entry in a full list would remove a running server.
 
     Args:
-        table: the decoded JSON.
-        kind: of the list; None where the list states it itself.
+        table: The decoded JSON.
+        kind: The kind of the list; None if the list states it itself.
 
     Raises:
-        ValueError: anything in the list is wrong; names the field.
+        ValueError: The list is not an object or has an invalid field, which the message names.
     """
     if not isinstance(table, dict):
         raise ServerListError("list: not an object")
@@ -61,7 +65,7 @@
 
 
 def parse_server(entry: Fields) -> ServerRecord:
-    """One server. A state that is not known counts as draining: no new requests go there."""
+    """Parse a server entry; an unknown state counts as draining, so no new requests go to the server."""
     host, _, port = entry.text("addr").rpartition(":")
     if not (host and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
         raise entry.error("addr")
@@ -74,5 +78,5 @@
         cell=entry.whole("cell", 0),
         state=STATES.get(entry.text("state"), State.DRAINING),
         weight=entry.number("weight", 1.0),
-        started=entry.whole("started_ms", 0) * 1000,
+        started_us=entry.whole("started_ms", 0) * 1000,
     )
--- a/balancer/net/upstream/__init__.py
+++ b/balancer/net/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The side of the servers: connection pool, exchanges and the streaming of bodies."""
+"""Connections to servers: the connection pool, HTTP exchanges and the streaming of bodies."""
--- a/balancer/net/upstream/body_streaming.py
+++ b/balancer/net/upstream/body_streaming.py
@@ -1,87 +1,91 @@
-"""Streaming of long bodies: a request on its way to a server, a response on its way to a client."""
+"""Streaming of long bodies: requests from clients to servers and responses from servers to clients."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Protocol
 
-MAX_BUFFERED_BYTES = 65536  # a body up to this size is buffered, and its request can be retried
-MAX_BODY_BYTES = 32 << 20  # a longer body is rejected
+# A body up to this size is buffered, so its request can be retried; a longer one is streamed.
+MAX_BUFFERED_BYTES = 65536
+MAX_BODY_BYTES = 32 << 20  # Longer bodies are rejected.
 
 
 class RequestBodySink(Protocol):
-    """A connection to a server that takes a request's body."""
+    """The write side of a server connection, which receives the body of a request."""
 
     def write_body(self, data: bytes) -> None:
-        """Writes a piece of the body."""
+        """Write a piece of the body."""
 
     def end_body(self) -> None:
-        """Ends the body."""
+        """Mark the end of the body."""
 
     def is_write_blocked(self) -> bool:
-        """Whether it should get no more for now; `RequestBodyStream.on_drained` is called when it may."""
+        """Return whether the caller should stop writing until `RequestBodyStream.on_drained` is called."""
 
 
 class ResponseStream(Protocol):
-    """A client that a long response is streamed to."""
+    """The client side of a streamed response."""
 
     def write(self, data: bytes) -> None:
-        """Writes a piece of the body."""
+        """Write a piece of the body."""
 
     def end(self) -> None:
-        """Ends the response."""
+        """Mark the end of the response."""
 
     def abort(self) -> None:
-        """Aborts the response, so that the client notices that it is incomplete."""
+        """Abort the response in a way that the client recognizes as incomplete."""
 
 
 class ResponseSource(Protocol):
-    """A connection to a server that a response is streamed from."""
+    """The read side of a server connection that a response is streamed from."""
 
     def pause_reading(self) -> None:
-        """Reads no more: the client takes no more for now."""
+        """Stop reading from the server while the client cannot accept more data."""
 
     def resume_reading(self) -> None:
-        """Reads on: the client takes more."""
+        """Read from the server again once the client can accept more data."""
 
 
 class RequestBodyStream:
-    """A request's body that comes in pieces.
+    """The body of a request, forwarded to a server as its pieces arrive from the client.
+
+    Everything received is buffered until the server accepts it; a request whose buffer has been
+    discarded can no longer be retried on another server.
 
     Args:
-        length: in bytes; None where it comes in chunks, and ends when it ends.
-        on_writable: lets the client send on.
+        length: The length in bytes; None for a chunked body, whose length is not known in advance.
+        on_writable: Called when the client may send more of the body.
     """
 
     def __init__(self, length: int | None, on_writable: Callable[[], None]) -> None:
         self.length = length
         self.on_writable = on_writable
         self.size = 0
-        self.buffered: list[bytes] = []  # all that has come, until some of it is discarded
+        self.buffered: list[bytes] = []  # Every piece received, until the buffer is discarded.
         self.is_complete = False
-        self.is_discarded = False  # some was discarded: no other server can have it all
+        self.has_discarded_data = False  # Once True, no other server can get the complete body.
         self.sink: RequestBodySink | None = None
 
     def feed(self, data: bytes) -> None:
-        """Takes a piece of the body from the client."""
+        """Buffer a piece of the body from the client and forward it to the attached server."""
         self.size += len(data)
-        if not self.is_discarded:
+        if not self.has_discarded_data:
             self.buffered.append(data)
         if self.sink is not None:
             self.sink.write_body(data)
 
     def end(self) -> None:
-        """Takes note that the body is complete."""
+        """Mark the body as complete."""
         self.is_complete = True
         if self.sink is not None:
             self.sink.end_body()
 
     def is_blocked(self) -> bool:
-        """Whether the client must wait before it sends on."""
-        return self.sink is None or not self.is_discarded or self.sink.is_write_blocked()
+        """Return whether the client must wait before it sends more."""
+        return self.sink is None or not self.has_discarded_data or self.sink.is_write_blocked()
 
     def attach(self, sink: RequestBodySink) -> None:
-        """Hands the body to a server from now on."""
+        """Forward the body to a server, beginning with the pieces that are buffered."""
         self.sink = sink
         for data in self.buffered:
             sink.write_body(data)
@@ -91,12 +95,12 @@
             self.on_drained()
 
     def on_drained(self) -> None:
-        """Called when the sink can take more."""
+        """Discard the buffer and let the client send more, because the server can accept more."""
         if not self.is_complete:
-            self.is_discarded = True
+            self.has_discarded_data = True
             self.buffered.clear()
             self.on_writable()
 
     def detach(self) -> None:
-        """Hands the body to nobody: the attempt has ended."""
+        """Stop forwarding the body, because the attempt has ended."""
         self.sink = None
--- a/balancer/net/upstream/connection.py
+++ b/balancer/net/upstream/connection.py
@@ -1,6 +1,6 @@
-"""A connection to a server: one exchange at a time, its response parsed.
+"""A connection to a server, which carries one HTTP exchange at a time and parses its response.
 
-Long bodies are streamed: that of a request from a `RequestBodyStream`, that of a response to a
+Long bodies are streamed: a request's body from a `RequestBodyStream`, a response's body to a
 `ResponseStream`.
 """
 
@@ -22,7 +22,8 @@
 )
 from balancer.policy.interface import Outcome
 
-MAX_BYTES_WITHOUT_BODY = 128 << 10  # bytes of a response without any of its body, above all its head
+# Limit on consecutive bytes of a response outside its body: heads, interim responses and trailers.
+MAX_NON_BODY_BYTES = 128 << 10
 
 
 @dataclass
@@ -30,12 +31,12 @@
     """A server's response.
 
     Attributes:
-        status: the HTTP status.
-        body: all of it, or the first piece of one that is streamed.
-        content_type: the header's value.
-        rejected: the server marked it as rejected before any work was done.
-        report: the load report that came with it.
-        length: in bytes, of a streamed body, if the server states it.
+        status: The HTTP status code.
+        body: The complete body, or the first piece of a streamed one.
+        content_type: The value of the Content-Type header.
+        rejected: Whether the server marked the request as rejected before doing any work.
+        report: The load report of the X-Load-Report header.
+        length: The value of the Content-Length header; None if the server sent none.
     """
 
     status: int
@@ -47,73 +48,73 @@
 
 
 class ExchangeProtocol(Protocol):
-    """What a connection needs of its exchange."""
+    """The interface of an exchange that its connection uses."""
 
     timeout: float
 
     def set_timeout(self, seconds: float | None) -> None:
-        """Ends it unless it gets further within so many seconds; None for no limit."""
+        """Restart the timer that ends the exchange after this many seconds; None stops it."""
 
     def on_request_sent(self) -> None:
-        """Called when the request's last byte was written."""
+        """Record that the last byte of the request has been written."""
 
     def open_stream(self, response: Response, connection: Connection) -> ResponseStream | None:
-        """Where a long response is streamed to, if anywhere."""
+        """Return the stream for a long response; None if there is nothing to stream it to."""
 
     def finish(self, outcome: Outcome, response: Response | None) -> None:
-        """Ends it with this outcome."""
+        """End the exchange with this outcome."""
 
 
 class PoolProtocol(Protocol):
-    """What a connection needs of the pool that it belongs to."""
+    """The interface of the connection pool that its connections use."""
 
     loop: asyncio.AbstractEventLoop
     memory_budget: MemoryBudget
 
     def release(self, connection: Connection) -> None:
-        """Takes back an idle connection that may be reused."""
+        """Return an idle connection to the pool for reuse."""
 
     def on_connection_lost(self, connection: Connection) -> None:
-        """Counts the connection's end."""
+        """Remove a closed connection from the pool's accounting."""
 
 
 class Endpoint:
     """One server's address and this node's connections to it.
 
     Args:
-        host: its address.
-        port: its port.
-        started: when its process started, in microseconds of Unix time; 0 for long ago.
+        host: The IP address or host name of the server.
+        port: The TCP port.
+        started_us: The start of the server's process, in microseconds of Unix time; 0 for long ago.
     """
 
-    __slots__ = ("busy", "host", "idle", "port", "ready", "started")
+    __slots__ = ("active_exchanges", "host", "idle", "port", "ready", "started_us")
 
-    def __init__(self, host: str, port: int, started: int) -> None:
+    def __init__(self, host: str, port: int, started_us: int) -> None:
         self.host = host
         self.port = port
-        self.started = started
+        self.started_us = started_us
         self.ready = False
-        self.idle: list[Connection] = []  # the most recently used last
-        self.busy = 0  # exchanges that have begun and not ended
+        self.idle: list[Connection] = []  # Idle connections, the most recently used last.
+        self.active_exchanges = 0
 
     def retire(self) -> None:
-        """Starts no further exchange here; those in flight may finish."""
+        """Start no further exchanges on this endpoint and let those in flight finish."""
         self.ready = False
         self.close_idle()
 
     def close_idle(self) -> None:
-        """Closes the idle connections."""
+        """Close all idle connections."""
         for connection in self.idle:
             connection.close()
         self.idle.clear()
 
 
 class Connection(asyncio.BufferedProtocol):
-    """A connection to a server: one exchange at a time.
+    """A connection to a server, which carries one exchange at a time.
 
     Args:
-        pool: where it belongs.
-        endpoint: the server.
+        pool: The pool that the connection is returned to.
+        endpoint: The server.
     """
 
     def __init__(self, pool: PoolProtocol, endpoint: Endpoint) -> None:
@@ -121,74 +122,75 @@
         self.endpoint = endpoint
         self.exchange: ExchangeProtocol | None = None
         self.idle_since = 0.0
-        self.writing = False  # bytes are still in this process
+        self.write_pending = False  # Part of the written data has not reached the kernel yet.
         self.upload: RequestBodyStream | None = None
         self.stream: ResponseStream | None = None
         self.streamed_bytes = 0
-        self.reading_paused = False  # since the client takes no more
+        self.reading_paused = False  # True while the client cannot accept more data.
         self.last_progress_at = 0.0
-        self.bytes_without_body = 0  # in a row
-        self.is_counted = False
+        self.non_body_bytes = 0  # Consecutive bytes received outside the body.
+        self.is_counted = False  # Whether the connection is counted in the descriptor budget.
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport, with no write buffer allowed."""
+        """Store the transport and set its write buffer limit to zero."""
         self.transport = cast(asyncio.Transport, transport)
-        # With no buffer allowed, pause_writing is called at once if part of a request is unsent.
+        # With a limit of zero, pause_writing is called at once if part of a request remains unsent.
         self.transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
-        """Takes note that bytes wait in this process."""
-        self.writing = True
+        """Record that written data is buffered in this process."""
+        self.write_pending = True
 
     def resume_writing(self) -> None:
-        """Goes on with the body, or takes note that the request has been sent."""
-        self.writing = False
-        if self.unsent() and self.upload is not None:
+        """Request more of the body, or report that the whole request has been sent."""
+        self.write_pending = False
+        if self.has_unsent_data() and self.upload is not None:
             if self.exchange is not None:
                 self.exchange.set_timeout(None)
             self.upload.on_drained()
         else:
             self.on_request_sent()
 
-    def unsent(self) -> bool:
-        """Whether part of the request is still in this process."""
-        return self.writing or (self.upload is not None and not self.upload.is_complete)
+    def has_unsent_data(self) -> bool:
+        """Return whether part of the request has not been handed to the kernel."""
+        return self.write_pending or (self.upload is not None and not self.upload.is_complete)
 
     def on_request_sent(self) -> None:
-        """Notifies the exchange that the request's last byte was written."""
+        """Notify the exchange that the last byte of the request has been written."""
         if self.exchange is not None:
             self.exchange.on_request_sent()
 
-    # ---- a request's body that is streamed --------------------------------------------------------------
+    # ---- Streaming of the request's body ----------------------------------------------------------------
 
     def write_body(self, data: bytes) -> None:
-        """Writes a piece of the request's body, in chunks where its length is not known."""
+        """Write a piece of the request's body, as an HTTP chunk if the length is unknown."""
         if not self.transport.is_closing():
             assert self.upload is not None
             chunk = b"%x\r\n%b\r\n" % (len(data), data) if self.upload.length is None else data
             self.transport.write(chunk)
-            if self.writing and self.exchange is not None:
-                self.exchange.set_timeout(self.exchange.timeout)  # the server must take it in its time
+            if self.write_pending and self.exchange is not None:
+                # The server must accept this piece before the timeout.
+                self.exchange.set_timeout(self.exchange.timeout)
 
     def end_body(self) -> None:
-        """Ends the request's body."""
+        """Mark the end of the request's body, with the last chunk if it is chunked."""
         if self.transport.is_closing():
             return
         assert self.upload is not None
         if self.upload.length is None:
             self.transport.write(b"0\r\n\r\n")
-        if not self.writing:
+        if not self.write_pending:
             self.on_request_sent()
 
     def is_write_blocked(self) -> bool:
-        """Whether the server should get no more of the body for now."""
+        """Return whether the write buffer is full, so that the body must wait."""
         return self.transport.get_write_buffer_size() >= self.pool.memory_budget.chunk_bytes
 
-    # ---- an exchange ------------------------------------------------------------------------------------
+    # ---- The exchange -----------------------------------------------------------------------------------
 
     def send_request(self, exchange: ExchangeProtocol, data: bytes, upload: RequestBodyStream | None) -> None:
-        """Writes the exchange's request, and what there is of a body that is streamed."""
+        """Write a request, followed by what has arrived of its streamed body, if it has one."""
         self.exchange = exchange
         self.upload = upload
         self.parser = httptools.HttpResponseParser(self)
@@ -196,91 +198,97 @@
         self.body = b""
         self.stream = None
         self.reset_head()
-        self.complete = self.has_stray_bytes = self.keep_alive = False
-        self.bytes_without_body = 0
+        # has_protocol_error is set by malformed, unexpected and oversized data.
+        self.complete = self.has_protocol_error = self.keep_alive = False
+        self.non_body_bytes = 0
         if not self.transport.is_closing():
             self.transport.write(data)
         if self.transport.is_closing():
-            # It was lost before the write or by it, so the server cannot have the complete request.
-            self.writing = True
-            self.on_broken()
+            # The connection was lost before or during the write, so the server lacks the complete request.
+            self.write_pending = True
+            self.fail_exchange()
         elif upload is not None:
             upload.attach(self)
-        elif not self.writing:
+        elif not self.write_pending:
             self.on_request_sent()
 
     def reset_head(self) -> None:
-        """Forgets the head: no response has come yet, or only an interim one."""
+        """Clear the parsed head before the first response and after an interim one."""
         self.content_type = b""
         self.rejected = False
         self.report = b""
-        self.head_complete = False  # its head is complete
-        self.has_length = False  # it states where it ends
+        self.head_complete = False
+        self.has_length = False  # Whether the response has a Content-Length or Transfer-Encoding header.
         self.length: int | None = None
 
     def get_buffer(self, sizehint: int) -> bytearray:
-        """The buffer that all connections read into."""
+        """Return the read buffer that all connections share."""
         return self.pool.memory_budget.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Parses what has been read."""
+        """Parse the bytes that have been read."""
         data = memoryview(self.pool.memory_budget.read_buffer)[:nbytes]
         if self.exchange is None:
-            # Failure prevented: stray bytes would be taken for the next response.
+            # Data that arrives without a request would be taken for the response to the next request.
             self.close()
             return
-        self.bytes_without_body += nbytes
+        self.non_body_bytes += nbytes
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.complete = False
-            self.has_stray_bytes = True
-        if self.bytes_without_body > MAX_BYTES_WITHOUT_BODY and not self.complete:
-            # Failure prevented: a head, a trailer or interim responses without end fill the memory.
-            self.has_stray_bytes = True
+            self.has_protocol_error = True
+        if self.non_body_bytes > MAX_NON_BODY_BYTES and not self.complete:
+            # An endless head, trailer or run of interim responses must not exhaust the memory.
+            self.has_protocol_error = True
         self.last_progress_at = self.pool.loop.time()
         self.finish_if_complete()
 
     def eof_received(self) -> None:
-        """Completes a response that ends with its connection, since it states no length."""
+        """Complete a response without a stated length, which ends with its connection."""
         if (
             self.exchange is not None
             and self.head_complete
             and not self.has_length
-            and not self.has_stray_bytes
+            and not self.has_protocol_error
         ):
             self.status = self.parser.get_status_code()
             self.complete = True
             self.finish_if_complete()
 
     def finish_if_complete(self) -> None:
-        """Ends the exchange if what has come decides it."""
+        """End the exchange if the response is complete or invalid; start to stream a long response."""
         if self.exchange is None:
             return
-        if self.has_stray_bytes and not self.complete:
+        if self.has_protocol_error and not self.complete:
             self.fail_incomplete()
         elif self.complete and self.stream is not None:
             self.stream.end()
-            self.finish(Outcome.OK, None, self.keep_alive and not self.has_stray_bytes)
+            self.finish(Outcome.OK, None, self.keep_alive and not self.has_protocol_error)
         elif self.complete:
             response = self.make_response()
-            self.finish(outcome_of(response), response, self.keep_alive and not self.has_stray_bytes)
+            self.finish(
+                classify_response(response), response, self.keep_alive and not self.has_protocol_error
+            )
         elif self.head_complete and self.stream is None and self.body and not self.is_buffered():
             self.open_stream()
 
     def make_response(self) -> Response:
-        """The response as far as it has come."""
+        """Return the response with what has been received of its body."""
         return Response(
             self.status, self.body, self.content_type, self.rejected, self.report, length=self.length
         )
 
     def is_buffered(self) -> bool:
-        """Whether the response is buffered rather than streamed."""
+        """Return whether the response is buffered rather than streamed."""
         size = max(len(self.body), self.length or 0)
         return size <= MAX_BUFFERED_BYTES and self.pool.memory_budget.fits(0)
 
     def open_stream(self) -> None:
-        """Streams a response that is too long to buffer, if it is one for the client."""
+        """Start to stream a response too long to buffer; fail the exchange if it cannot be streamed.
+
+        Only a 200 response of an acceptable length is passed on to the client.
+        """
         self.status = self.parser.get_status_code()
         assert self.exchange is not None
         response = self.make_response()
@@ -295,31 +303,31 @@
         self.release_body()
 
     def release_body(self) -> None:
-        """Drops what is buffered of the response's body."""
+        """Discard the buffered part of the response's body."""
         self.pool.memory_budget.release(len(self.body))
         self.body = b""
 
     def pause_reading(self) -> None:
-        """Reads no more: the client takes no more for now."""
+        """Stop reading from the server while the client cannot accept more data."""
         if not self.reading_paused and not self.transport.is_closing():
             self.reading_paused = True
             self.transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Reads on: the client takes more."""
+        """Read from the server again once the client can accept more data."""
         self.last_progress_at = self.pool.loop.time()
         if self.reading_paused and not self.transport.is_closing():
             self.reading_paused = False
             self.transport.resume_reading()
 
     def on_message_begin(self) -> None:
-        """Begins a response; one behind a complete one is stray."""
-        self.has_stray_bytes = self.complete
+        """Prepare for a response; one that follows a complete response is a protocol error."""
+        self.has_protocol_error = self.complete
         self.reset_head()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes what matters from a header."""
-        if self.head_complete:  # a trailer
+        """Store the value of a header that the node uses; ignore the others."""
+        if self.head_complete:  # This header is a trailer.
             return
         key = name.lower()
         if key in (b"content-length", b"transfer-encoding"):
@@ -334,18 +342,18 @@
             self.report = value
 
     def on_headers_complete(self) -> None:
-        """Takes note of the end of the head, unless it is that of an interim response."""
+        """Record the end of the head, unless it belongs to an interim response."""
         self.head_complete = self.parser.get_status_code() >= 200
 
     def on_body(self, body: bytes) -> None:
-        """Buffers or streams a piece of the body."""
-        self.bytes_without_body = 0
-        if self.has_stray_bytes:
+        """Buffer or stream a piece of the body."""
+        self.non_body_bytes = 0
+        if self.has_protocol_error:
             return
         if self.stream is not None:
             self.streamed_bytes += len(body)
             if self.streamed_bytes > MAX_BODY_BYTES:
-                self.has_stray_bytes = True
+                self.has_protocol_error = True
             else:
                 self.stream.write(body)
         else:
@@ -353,63 +361,71 @@
             self.pool.memory_budget.reserve(len(body))
 
     def on_message_complete(self) -> None:
-        """Takes note of the end of the response."""
+        """Record the end of the response; interim and surplus responses are ignored."""
         status = self.parser.get_status_code()
-        if self.complete or status < 200:  # stray bytes, or an interim response
+        if self.complete or status < 200:
             return
         self.status = status
-        self.keep_alive = self.parser.should_keep_alive()  # known here only: the parser then starts afresh
+        # The parser resets this state once the callback returns.
+        self.keep_alive = self.parser.should_keep_alive()
         self.complete = True
 
     def finish(self, outcome: Outcome, response: Response | None, reuse: bool) -> None:
-        """Ends the exchange, and releases the connection or closes it."""
+        """End the exchange and return the connection to the pool, or close it if it cannot be reused."""
         exchange, self.exchange = self.exchange, None
         self.stream = None
         self.release_body()
-        reuse = reuse and not self.unsent()
+        reuse = reuse and not self.has_unsent_data()
         self.upload = None
         if reuse and self.endpoint.ready and not self.transport.is_closing():
-            self.resume_reading()  # its client may have taken no more just as the last of the response came
+            # The client may have paused reading as the last piece of the response arrived.
+            self.resume_reading()
             self.pool.release(self)
         else:
             self.close()
         if exchange is not None:
             exchange.finish(outcome, response)
 
-    def on_broken(self) -> None:
-        """Ends the exchange with its connection; whether it may have run depends on what was written."""
+    def fail_exchange(self) -> None:
+        """End the exchange because its connection is lost.
+
+        A server that lacks part of the request cannot have run it, so that attempt may be repeated safely.
+        """
         if self.exchange is not None:
-            if self.unsent() and self.stream is None:
+            if self.has_unsent_data() and self.stream is None:
                 self.finish(Outcome.CONNECT_FAILED, None, reuse=False)
             else:
                 self.fail_incomplete()
 
     def fail_incomplete(self) -> None:
-        """Ends the exchange without a complete response, and breaks off its stream."""
+        """End the exchange without a complete response and abort its stream."""
         if self.stream is not None:
             self.stream.abort()
         self.finish(Outcome.RESET, None, reuse=False)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Takes note of the end of the connection."""
+        """Remove the connection from the pool and end its exchange."""
         self.pool.on_connection_lost(self)
-        self.on_broken()
+        self.fail_exchange()
 
     def has_unread_data(self) -> bool:
-        """Whether an idle connection's end, or stray bytes, wait in the socket.
+        """Return whether the end of the connection, or unexpected data, is waiting in the socket.
 
-        Failure prevented: the server has closed it, the event loop has not come to that yet, and a request
-        that is not idempotent is written to it and counts as one that may have run.
+        The server may have closed an idle connection before the event loop has noticed. A request that is
+        not idempotent and is written to it then counts as possibly run and cannot be retried.
         """
         return has_event(self.transport, READABLE)
 
     def close(self) -> None:
-        """Ends the connection at once, with no wait for what the other side has not read."""
+        """Abort the connection without waiting for data that the server has not read."""
         self.transport.abort()
 
 
-def outcome_of(response: Response) -> Outcome:
-    """The outcome of an attempt. A 503 or 504 without the mark may come from a tier behind."""
+def classify_response(response: Response) -> Outcome:
+    """Return the outcome of an attempt with this response.
+
+    A 503 or 504 without the X-Rejected mark may come from a tier behind the server, so it is an error.
+    """
     if response.status == 200:
         return Outcome.OK
     if response.status in (503, 504) and response.rejected:
--- a/balancer/net/upstream/exchange.py
+++ b/balancer/net/upstream/exchange.py
@@ -1,6 +1,6 @@
-"""Exchanges with servers: one attempt or health check each, on one connection.
+"""HTTP exchanges with servers, each for one attempt or health check on one connection.
 
-Nothing is sent again by itself, and every exchange ends exactly once.
+An exchange never repeats its request by itself, and it ends exactly once.
 """
 
 from __future__ import annotations
@@ -14,8 +14,10 @@
 from balancer.net.upstream.pool import ConnectionPool
 from balancer.policy.interface import Outcome
 
-SERVER_SILENCE_S = 10.0  # in which a server that has begun to respond must go on
-CLIENT_SILENCE_S = 30.0  # in which a client must take something of a streamed response
+# A streamed response is aborted if its server sends nothing for this time.
+SERVER_STALL_TIMEOUT_S = 10.0
+# A streamed response is aborted if its client accepts nothing for this time.
+CLIENT_STALL_TIMEOUT_S = 30.0
 
 ComposeRequest = Callable[[], bytes | None]
 OnDone = Callable[[Outcome, Response | None], None]
@@ -24,16 +26,17 @@
 
 
 class Exchange:
-    """One request to one server, which ends exactly once by calling `on_done`.
+    """One request to one server, which ends with exactly one call of `on_done`.
 
     Args:
-        pool: the connections.
-        endpoint: the server.
-        compose: makes the request's bytes just before they are written; None if it may not be written.
-        on_done: called with the outcome, and the response unless it was streamed.
-        on_sent: called when the last byte has been written, those of `upload` included.
-        on_stream: offered a long response, which it may take as a stream.
-        upload: the request's body, if it is streamed.
+        pool: The pool of connections to servers.
+        endpoint: The server.
+        compose: Returns the bytes of the request just before they are written, or None if the request
+            must not be written any more.
+        on_done: Called with the outcome, and with the response unless it was streamed.
+        on_sent: Called when the last byte has been written, `upload` included.
+        on_stream: Called with a long response; returns the stream that accepts it, or None.
+        upload: The body of the request if it is streamed.
     """
 
     def __init__(
@@ -55,16 +58,16 @@
         self.upload = upload
         self.ended = False
         self.connection: Connection | None = None
-        self.connecting: asyncio.Task[None] | None = None
-        self.connect_time = 0.0  # seconds that a new connection took to come up
-        self.lacks_resources = False  # this machine lacks what it takes to open one
+        self.connect_task: asyncio.Task[None] | None = None
+        self.connect_duration_s = 0.0
+        self.lacks_resources = False  # Whether the last connect failed for lack of local resources.
         self.timer: asyncio.TimerHandle | None = None
-        endpoint.busy += 1
+        endpoint.active_exchanges += 1
 
     def start(self, timeout: float) -> None:
-        """Acquires an idle connection or opens one; the exchange may take `timeout` seconds in all.
+        """Start the exchange on an idle connection or a new one, with a limit of `timeout` seconds.
 
-        Of an upload's time, what the client takes does not count.
+        Time spent waiting for the client to send a streamed body does not count.
         """
         self.timeout = timeout
         self.set_timeout(timeout)
@@ -77,46 +80,46 @@
             self.finish(Outcome.CONNECT_FAILED, None)
 
     def open_connection(self) -> None:
-        """Begins to open a connection.
+        """Start to open a connection, which is counted in the budget at once.
 
-        Failure prevented: it is counted only as its task first runs, and all exchanges of one
-        iteration of the event loop find the same last place free.
+        If it were counted only when its task runs, all exchanges that start in one iteration of the event
+        loop would find the same last descriptor free.
         """
         connection = Connection(self.pool, self.endpoint)
         self.pool.on_connection_opened(connection)
-        self.connecting = self.pool.loop.create_task(self.connect(connection))
+        self.connect_task = self.pool.loop.create_task(self.connect(connection))
 
         def on_connect_ended(task: asyncio.Task[None]) -> None:
-            if task.cancelled() and connection.transport is None:  # perhaps before it ran at all
+            if task.cancelled() and connection.transport is None:  # It may not have run at all.
                 self.pool.on_connection_lost(connection)
 
-        self.connecting.add_done_callback(on_connect_ended)
+        self.connect_task.add_done_callback(on_connect_ended)
 
     async def connect(self, connection: Connection) -> None:
-        """Opens a connection within the connect time-out."""
+        """Open a connection within the connect timeout and send the request on it."""
         pool = self.pool
-        began = pool.loop.time()
+        started_at = pool.loop.time()
         try:
             async with asyncio.timeout(pool.connect_timeout):
                 await self.connect_with_retries(connection)
         except (OSError, TimeoutError, asyncio.CancelledError) as e:
-            # It may have come up in the iteration in which its time ran out.
+            # The connection may have been established in the loop iteration of the timeout.
             pool.on_connection_lost(connection)
             if connection.transport is not None:
                 connection.close()
             if isinstance(e, asyncio.CancelledError):
                 raise
-            self.finish(self.unconnected_outcome(), None)
+            self.finish(self.connect_failure_outcome(), None)
             return
-        self.connecting = None
-        self.connect_time = pool.loop.time() - began
+        self.connect_task = None
+        self.connect_duration_s = pool.loop.time() - started_at
         self.send(connection)
 
     async def connect_with_retries(self, connection: Connection) -> None:
-        """Opens the connection, again and again while this machine lacks descriptors, buffers or ports.
+        """Open the connection, and retry while this machine lacks descriptors, buffers or ports.
 
-        Failure prevented: a shortage of a moment uses up all attempts of each request within a millisecond,
-        and servers that were never contacted are ejected.
+        Without the retries, a brief shortage would use up all attempts of each request within a
+        millisecond, and servers that were never contacted would be ejected.
         """
         while True:
             self.lacks_resources = False
@@ -124,20 +127,20 @@
                 await self.pool.loop.create_connection(
                     lambda: connection, self.endpoint.host, self.endpoint.port
                 )
-            except OSError as fault:
-                if not never_left_machine(fault):
+            except OSError as error:
+                if not never_left_machine(error):
                     raise
             else:
                 return
             self.lacks_resources = True
             await asyncio.sleep(RETRY_INTERVAL)
 
-    def unconnected_outcome(self) -> Outcome:
-        """How an exchange ends that has no connection: a shortage here is no failure of the server."""
+    def connect_failure_outcome(self) -> Outcome:
+        """Return the outcome without a connection; a local shortage does not count against the server."""
         return Outcome.NOT_SENT if self.lacks_resources else Outcome.CONNECT_FAILED
 
     def send(self, connection: Connection) -> None:
-        """Writes the request, if it may still be written: the connection may have taken its time."""
+        """Write the request, unless it must no longer be sent by the time the connection is open."""
         data = None if self.ended or not self.endpoint.ready else self.compose()
         if data is None:
             if self.endpoint.ready:
@@ -152,7 +155,7 @@
             connection.send_request(self, data, self.upload)
 
     def set_timeout(self, seconds: float | None) -> None:
-        """Aborts the exchange unless it gets further within so many seconds; None for no limit."""
+        """Restart the timer that aborts the exchange after this many seconds; None stops it."""
         if self.timer is not None:
             self.timer.cancel()
         self.timer = (
@@ -160,22 +163,25 @@
         )
 
     def on_request_sent(self) -> None:
-        """Called when the request's last byte was written."""
+        """Start the timeout for the response to an upload, and notify `on_sent`."""
         if self.upload is not None:
             self.set_timeout(self.timeout)
         self.on_sent()
 
     def open_stream(self, response: Response, connection: Connection) -> ResponseStream | None:
-        """Where a long response is streamed to, if anywhere; then the exchange may last while it moves."""
+        """Return the stream for a long response, or None if there is none.
+
+        A streamed exchange has no total timeout; it may last as long as data is moving.
+        """
         stream = self.on_stream(response, connection) if self.on_stream is not None else None
         if stream is not None:
             self.set_timeout(None)
-            self.timer = self.pool.loop.call_later(SERVER_SILENCE_S, self.check_progress, connection)
+            self.timer = self.pool.loop.call_later(SERVER_STALL_TIMEOUT_S, self.check_progress, connection)
         return stream
 
     def check_progress(self, connection: Connection) -> None:
-        """Ends a stream in which nothing has moved for long."""
-        timeout = CLIENT_SILENCE_S if connection.reading_paused else SERVER_SILENCE_S
+        """Abort a streamed response that has made no progress before its stall timeout."""
+        timeout = CLIENT_STALL_TIMEOUT_S if connection.reading_paused else SERVER_STALL_TIMEOUT_S
         remaining = connection.last_progress_at + timeout - self.pool.loop.time()
         if remaining <= 0 and connection.exchange is self:
             connection.fail_incomplete()
@@ -183,14 +189,20 @@
             self.timer = self.pool.loop.call_later(max(remaining, 0.1), self.check_progress, connection)
 
     def on_timeout(self) -> None:
-        """Ends the exchange at its timeout; a server without the complete request has not run it."""
+        """Abort the exchange at its timeout.
+
+        A server that lacks part of the request cannot have run it, so that case is a connect failure.
+        """
         if self.connection is None:
-            self.abort(self.unconnected_outcome())
+            self.abort(self.connect_failure_outcome())
         else:
-            self.abort(Outcome.CONNECT_FAILED if self.connection.unsent() else Outcome.TIMEOUT)
+            self.abort(Outcome.CONNECT_FAILED if self.connection.has_unsent_data() else Outcome.TIMEOUT)
 
     def abort(self, outcome: Outcome) -> None:
-        """Ends the exchange and closes its connection, so that no late response meets another request."""
+        """End the exchange and close its connection.
+
+        A late response on a reused connection would be taken for the response to another request.
+        """
         if self.ended:
             return
         if self.connection is not None:
@@ -199,16 +211,16 @@
             self.connection.upload = None
             self.connection.release_body()
             self.connection.close()
-        elif self.connecting is not None:
-            self.connecting.cancel()
+        elif self.connect_task is not None:
+            self.connect_task.cancel()
         self.finish(outcome, None)
 
     def finish(self, outcome: Outcome, response: Response | None) -> None:
-        """Ends the exchange, unless it has ended, and reports the outcome."""
+        """End the exchange, unless it has ended, and report the outcome."""
         if self.ended:
             return
         self.ended = True
-        self.endpoint.busy -= 1
+        self.endpoint.active_exchanges -= 1
         if self.upload is not None:
             self.upload.detach()
         if self.timer is not None:
--- a/balancer/net/upstream/load_report.py
+++ b/balancer/net/upstream/load_report.py
@@ -1,4 +1,4 @@
-"""Load reports of servers."""
+"""Parsing of the load reports that servers send with their responses."""
 
 from __future__ import annotations
 
@@ -6,11 +6,13 @@
 
 
 def parse_load_report(text: bytes, names: Sequence[tuple[str, str]]) -> tuple[float, ...]:
-    """A load report's values in the order of `names`; nothing if one is missing or unreadable.
+    """Return the values of a load report in the order of `names`.
+
+    The result is empty if a value is missing or is not a number.
 
     Args:
-        text: `name=value` pairs with commas between them.
-        names: for each value the settings' name, and another that is accepted in its place.
+        text: Comma-separated `name=value` pairs.
+        names: For each value, its name in the settings and an alternative name that is also accepted.
     """
     values = dict(pair.strip().partition("=")[::2] for pair in text.decode("latin-1").split(","))
     try:
--- a/balancer/net/upstream/pool.py
+++ b/balancer/net/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to servers."""
+"""The pool of connections to servers, which reuses idle connections within a descriptor budget."""
 
 from __future__ import annotations
 
@@ -9,21 +9,24 @@
 from balancer.net.process.memory_budget import MemoryBudget
 from balancer.net.upstream.connection import Connection, Endpoint
 
-IDLE_MARGIN_S = 0.3  # before the server would close an idle connection
-MIN_REST_S = 0.02  # that a connection better rests after a response: a second one may be on its way
-UNUSED_AFTER_S = 1.0  # after which an idle connection gives way to a client that is writing
-SWEEP_INTERVAL_S = 0.5  # between two sweeps of idle connections
+# Idle connections are closed this long before the server would close them.
+IDLE_CLOSE_MARGIN_S = 0.3
+# Connections idle for this long are preferred: a duplicate response may still arrive on others.
+MIN_IDLE_BEFORE_REUSE_S = 0.02
+# A connection idle for this long may be closed in favor of a client that is sending a request.
+UNUSED_CONNECTION_AGE_S = 1.0
+SWEEP_INTERVAL_S = 0.5
 
 
 class ConnectionPool:
     """All connections to servers, within a budget of descriptors.
 
     Args:
-        loop: the event loop.
-        descriptor_budget: bounds the connections.
-        connect_timeout: in seconds.
-        idle_time: seconds after which servers close an idle connection.
-        memory_budget: bounds what is buffered of responses.
+        loop: The event loop.
+        descriptor_budget: The limit on the number of open connections.
+        connect_timeout: The time limit for opening a connection, in seconds.
+        idle_timeout_s: The time after which servers close an idle connection.
+        memory_budget: The limit on the buffered bytes of responses.
     """
 
     def __init__(
@@ -31,37 +34,40 @@
         loop: asyncio.AbstractEventLoop,
         descriptor_budget: DescriptorBudget,
         connect_timeout: float,
-        idle_time: float,
+        idle_timeout_s: float,
         memory_budget: MemoryBudget,
     ) -> None:
         self.loop = loop
         self.descriptor_budget = descriptor_budget
-        self.free_client: Callable[[], bool] = lambda: False  # closes a client connection without a request
+        # Closes a client connection that has no request in flight; returns whether there was one.
+        self.evict_client: Callable[[], bool] = lambda: False
         self.memory_budget = memory_budget
         self.connect_timeout = connect_timeout
-        self.idle_time = max(idle_time - IDLE_MARGIN_S, idle_time / 2)
-        self.opened_count = 0  # connections, since the start
+        self.idle_timeout_s = max(idle_timeout_s - IDLE_CLOSE_MARGIN_S, idle_timeout_s / 2)
+        self.opened_count = 0  # Connections opened since the start of the process.
         self.endpoints: dict[int, Endpoint] = {}
         self.sweep_scheduled = False
 
     def acquire(self, endpoint: Endpoint) -> Connection | None:
-        """The most recently used idle connection that is still good and has rested, or the most rested.
+        """Return a usable idle connection, or None if there is none.
 
-        Failure prevented: a server answers twice, the second time some milliseconds late, and the connection
-        that has just been given back carries another request by then, to which that response is attributed.
+        The most recently used connection that has been idle for `MIN_IDLE_BEFORE_REUSE_S` is preferred, then
+        the one that has been idle longest. If a server sends a duplicate response some milliseconds late, a
+        connection reused at once would deliver it as the response to another request.
         """
         now = self.loop.time()
         idle = endpoint.idle
         while idle:
-            rested = sum(now - c.idle_since >= MIN_REST_S for c in idle)  # the first ones: they came first
-            connection = idle.pop(max(0, rested - 1))
-            if now - connection.idle_since < self.idle_time and not connection.has_unread_data():
+            # The list is sorted by idle time, so the reusable connections are its first ones.
+            reusable_count = sum(now - c.idle_since >= MIN_IDLE_BEFORE_REUSE_S for c in idle)
+            connection = idle.pop(max(0, reusable_count - 1))
+            if now - connection.idle_since < self.idle_timeout_s and not connection.has_unread_data():
                 return connection
             connection.close()
         return None
 
     def release(self, connection: Connection) -> None:
-        """Takes back a connection, which is idle from now on."""
+        """Add a connection to the idle connections of its endpoint."""
         connection.idle_since = self.loop.time()
         connection.endpoint.idle.append(connection)
         if not self.sweep_scheduled:
@@ -69,48 +75,58 @@
             self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def sweep(self) -> None:
-        """Closes what has stood idle for long, before the server does."""
+        """Close connections that the server would soon close as idle."""
         now = self.loop.time()
         self.sweep_scheduled = False
         for endpoint in self.endpoints.values():
-            while endpoint.idle and now - endpoint.idle[0].idle_since > self.idle_time - SWEEP_INTERVAL_S:
+            while (
+                endpoint.idle and now - endpoint.idle[0].idle_since > self.idle_timeout_s - SWEEP_INTERVAL_S
+            ):
                 endpoint.idle.pop(0).close()
             self.sweep_scheduled = self.sweep_scheduled or bool(endpoint.idle)
         if self.sweep_scheduled:
             self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def shrink(self) -> None:
-        """Closes idle connections beyond the budget, which has shrunk."""
+        """Close idle connections in excess of a budget that has been reduced."""
         for _ in range(self.descriptor_budget.servers - self.descriptor_budget.max_servers()):
             self.close_oldest_idle()
 
     def has_capacity(self) -> bool:
-        """Whether one more connection fits the budget; an idle one is closed for it if need be."""
+        """Return whether one more connection fits the budget, after closing an idle one if necessary."""
         if self.descriptor_budget.servers >= self.descriptor_budget.max_servers():
             return self.close_oldest_idle()
-        return not self.descriptor_budget.exhausted() or self.free_client() or self.close_oldest_idle()
+        return not self.descriptor_budget.exhausted() or self.evict_client() or self.close_oldest_idle()
 
     def close_unused(self) -> bool:
-        """Closes the connection that was idle longest if it has been so for long."""
-        return self.close_oldest_idle(UNUSED_AFTER_S)
+        """Close the longest idle connection if it has been idle for `UNUSED_CONNECTION_AGE_S`.
+
+        Returns:
+            Whether a connection was closed.
+        """
+        return self.close_oldest_idle(UNUSED_CONNECTION_AGE_S)
 
     def close_oldest_idle(self, min_idle_s: float = 0.0) -> bool:
-        """Closes the connection that was idle longest, if one has been so for `min_idle_s` seconds."""
+        """Close the longest idle connection if it has been idle for `min_idle_s` seconds.
+
+        Returns:
+            Whether a connection was closed.
+        """
         since = self.loop.time() - min_idle_s
-        held = [e for e in self.endpoints.values() if e.idle and e.idle[0].idle_since <= since]
-        if held:
-            oldest = min(held, key=lambda e: e.idle[0].idle_since)
+        candidates = [e for e in self.endpoints.values() if e.idle and e.idle[0].idle_since <= since]
+        if candidates:
+            oldest = min(candidates, key=lambda e: e.idle[0].idle_since)
             oldest.idle.pop(0).close()
-        return bool(held)
+        return bool(candidates)
 
     def on_connection_opened(self, connection: Connection) -> None:
-        """Counts a connection that is being opened."""
+        """Count a connection in the budget as soon as it is being opened."""
         connection.is_counted = True
         self.descriptor_budget.add_server()
         self.opened_count += 1
 
     def on_connection_lost(self, connection: Connection) -> None:
-        """Counts a connection's end, once."""
+        """Remove a connection from the budget, once, and from the idle connections."""
         if connection.is_counted:
             connection.is_counted = False
             self.descriptor_budget.remove_server()
--- a/tests/test_connection_faults.py
+++ b/tests/test_connection_faults.py
@@ -1,4 +1,4 @@
-"""Connections to servers and of clients whose system calls fail, are short or are interrupted."""
+"""Server and client connections whose system calls fail, transfer few bytes or are interrupted."""
 
 import asyncio
 import signal
@@ -30,122 +30,125 @@
 
 pytestmark = pytest.mark.usefixtures("frequent_retries")
 
-# ---- connections to servers -------------------------------------------------------------------------------
+# ---- Connections to servers ----------------------------------------------------------------------
 
 
 @BOTH_LOOPS
-@pytest.mark.parametrize("klass", ["view", "invite"])
+@pytest.mark.parametrize("request_class", ["view", "invite"])
 @with_each(CONNECT_HERE)
-def test_this_machine_cannot_connect_for_a_moment(
-    run: Run, klass: str, error: int, monkeypatch: pytest.MonkeyPatch
+def test_local_connect_shortage_is_retried_without_ejection(
+    run: Run, request_class: str, error: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Failure prevented: a shortage uses up all attempts at once, and servers are ejected for it."""
+    """A brief local shortage must not use up all attempts or eject servers."""
 
-    async def scene() -> None:
-        bench = await Bench(one := Server(), two := Server()).start()
+    async def scenario() -> None:
+        bench = await Bench(server_a := Server(), server_b := Server()).start()
         outcomes = record_outcomes(bench)
-        fail_connects(monkeypatch, fault := Fault(error, times=4), one.port, two.port)
-        assert (await bench.once(call(klass)))[0] == 200
+        fail_connects(monkeypatch, fault := Fault(error, times=4), server_a.port, server_b.port)
+        assert (await bench.once(call(request_class)))[0] == 200
         assert fault.met == 4 and outcomes == [Outcome.OK]
-        assert len(one.requests + two.requests) == 1
+        assert len(server_a.requests + server_b.requests) == 1
 
-    play_on(run, scene)
+    play_on(run, scenario)
 
 
 @BOTH_LOOPS
 @with_each(CONNECT_HERE)
-def test_this_machine_cannot_connect_for_a_request_s_whole_time(
+def test_local_connect_shortage_until_deadline_returns_503(
     run: Run, error: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        bench = await Bench(one := Server(), two := Server()).start()
+        bench = await Bench(server_a := Server(), server_b := Server()).start()
         outcomes = record_outcomes(bench)
-        fail_connects(monkeypatch, fault := Fault(error), one.port, two.port)
+        fail_connects(monkeypatch, fault := Fault(error), server_a.port, server_b.port)
         client = await bench.client()
-        began = loop.time()
+        started_at = loop.time()
         status, headers, _ = await client.ask(call("invite", budget=100))
         attempts = len(outcomes)
         assert (status, set(outcomes)) == (503, {Outcome.NOT_SENT}) and "retry-after" in headers
-        assert fault.met <= attempts * max_retries(loop.time() - began)
+        assert fault.met <= attempts * max_retries(loop.time() - started_at)
         assert bench.node.balancer.stats()["ejected"] == 0
         fault.passes()
         assert (await client.ask(call("invite")))[0] == 200
-        assert len(one.requests + two.requests) == 1 and bench.node.descriptor_budget.servers == 1
+        assert len(server_a.requests + server_b.requests) == 1 and bench.node.descriptor_budget.servers == 1
 
-    play_on(run, scene)
+    play_on(run, scenario)
 
 
 @BOTH_LOOPS
-@pytest.mark.parametrize("klass", ["view", "invite"])
+@pytest.mark.parametrize("request_class", ["view", "invite"])
 @with_each(CONNECT_THERE)
-def test_a_connect_fails_on_its_way(
-    run: Run, klass: str, error: int, monkeypatch: pytest.MonkeyPatch
+def test_remote_connect_failure_is_retried_on_another_server(
+    run: Run, request_class: str, error: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It never ran, so a request of any class goes to another server at once."""
+    """The request cannot have run, so one of any class is sent to another server at once."""
 
-    async def scene() -> None:
-        bench = await Bench(one := Server(), two := Server()).start()
+    async def scenario() -> None:
+        bench = await Bench(server_a := Server(), server_b := Server()).start()
         outcomes = record_outcomes(bench)
-        fail_connects(monkeypatch, Fault(error, times=1), one.port, two.port)
+        fail_connects(monkeypatch, Fault(error, times=1), server_a.port, server_b.port)
         client = await bench.client()
-        assert (await client.ask(call(klass)))[0] == 200
+        assert (await client.ask(call(request_class)))[0] == 200
         assert outcomes == [Outcome.CONNECT_FAILED, Outcome.OK]
-        assert len(one.requests + two.requests) == 1
+        assert len(server_a.requests + server_b.requests) == 1
 
-    play_on(run, scene)
+    play_on(run, scenario)
 
 
 @BOTH_LOOPS
-@pytest.mark.parametrize(("klass", "status", "attempts"), [("view", 200, 2), ("invite", 502, 1)])
+@pytest.mark.parametrize(("request_class", "status", "attempts"), [("view", 200, 2), ("invite", 502, 1)])
 @with_each(BROKEN)
-def test_a_connection_breaks_under_a_request(
-    run: Run, klass: str, status: int, attempts: int, error: int, monkeypatch: pytest.MonkeyPatch
+def test_connection_failure_retries_only_safe_class(
+    run: Run, request_class: str, status: int, attempts: int, error: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It may have run: only what is safe to repeat goes out again, and there is one answer."""
+    """The request may have run, so only a class that is safe to repeat is retried."""
 
-    async def scene() -> None:
-        bench = await Bench(one := Server(), two := Server()).start()
+    async def scenario() -> None:
+        bench = await Bench(server_a := Server(), server_b := Server()).start()
         outcomes = record_outcomes(bench)
         fault = Fault(error, times=1)
-        for server in (one, two):
+        for server in (server_a, server_b):
             fail_reads(monkeypatch, Connection, fault, towards(server.port))
         client = await bench.client()
-        assert (await client.ask(call(klass)))[0] == status
+        assert (await client.ask(call(request_class)))[0] == status
         assert outcomes == [Outcome.RESET, Outcome.OK][:attempts] and fault.met == 1
-        assert len(one.requests + two.requests) == attempts
-        assert (await client.ask(call(klass)))[0] == 200
+        assert len(server_a.requests + server_b.requests) == attempts
+        assert (await client.ask(call(request_class)))[0] == 200
         assert bench.node.descriptor_budget.servers == sum(
             len(e.idle) for e in bench.node.pool.endpoints.values()
         )
 
-    play_on(run, scene)
+    play_on(run, scenario)
 
 
-@pytest.mark.parametrize("klass", ["view", "invite"])
+@pytest.mark.parametrize("request_class", ["view", "invite"])
 @with_each(BROKEN)
-def test_a_connection_breaks_as_a_request_is_written(
-    klass: str, error: int, monkeypatch: pytest.MonkeyPatch
+def test_write_failure_is_retried_on_another_server(
+    request_class: str, error: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """On asyncio's loop, where the write is a call of Python's; no byte has gone, so it never ran."""
+    """No byte was sent, so the request cannot have run and is retried whatever its class.
 
-    async def scene() -> None:
-        bench = await Bench(one := Server(), two := Server()).start()
+    Only asyncio's loop is tested, because it writes with a Python call that can be patched.
+    """
+
+    async def scenario() -> None:
+        bench = await Bench(server_a := Server(), server_b := Server()).start()
         outcomes = record_outcomes(bench)
         fault = Fault(error, times=1)
-        for server in (one, two):
+        for server in (server_a, server_b):
             fail_socket_calls(monkeypatch, "send", fault, towards(server.port))
-        assert (await bench.once(call(klass)))[0] == 200
+        assert (await bench.once(call(request_class)))[0] == 200
         assert outcomes == [Outcome.CONNECT_FAILED, Outcome.OK]
-        assert len(one.requests + two.requests) == 1
+        assert len(server_a.requests + server_b.requests) == 1
 
-    play_on(asyncio.run, scene)
+    play_on(asyncio.run, scenario)
 
 
 @BOTH_LOOPS
 @with_each(BROKEN)
-def test_an_idle_connection_breaks(run: Run, error: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene() -> None:
+def test_broken_idle_connection_is_replaced(run: Run, error: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
         bench = await Bench(server := Server()).start()
         fail_reads(monkeypatch, Connection, fault := Fault(error, times=0), towards(server.port))
         client = await bench.client()
@@ -156,47 +159,48 @@
         assert (await client.ask(call("invite")))[0] == 200
         assert server.connections == 2 and len(server.requests) == 2
 
-    play_on(run, scene)
+    play_on(run, scenario)
 
 
-# ---- connections of clients ---------------------------------------------------------------------------
+# ---- Connections of clients ----------------------------------------------------------------------
 
 
 @BOTH_LOOPS
 @with_each(BROKEN)
-def test_a_client_s_connection_breaks_under_its_request(
+def test_client_connection_failure_cancels_only_its_request(
     run: Run, error: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its attempt is given up, and the other clients' requests are answered."""
+    """The attempt of the broken connection is canceled, and other clients are still answered."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         release = asyncio.Event()
         bench = await Bench(server := Server(gated(release))).start()
         outcomes = record_outcomes(bench)
         fail_reads(monkeypatch, ClientConnection, fault := Fault(error, times=0), accepted_at(bench.port))
-        broken, well = await bench.client(), await bench.client()
+        broken, healthy = await bench.client(), await bench.client()
         broken.send(call())
         await until(lambda: len(server.requests) == 1)
-        well.send(call())
+        healthy.send(call())
         await until(lambda: len(server.requests) == 2)
         fault.comes(1)
         broken.send(b"G")
         await until(lambda: fault.met == 1 and len(bench.node.requests.pending) == 1)
         assert outcomes == [Outcome.CANCELLED]
         release.set()
-        assert (await well.receive())[0] == 200
+        assert (await healthy.receive())[0] == 200
         await until(lambda: bench.node.descriptor_budget.clients == 1)
 
-    play_on(run, scene)
+    play_on(run, scenario)
 
 
 @with_each(BROKEN)
-def test_a_client_s_connection_breaks_as_its_answer_is_written(
-    error: int, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """On asyncio's loop; the node goes on, for this client's next connection too."""
+def test_client_write_failure_leaves_node_serving(error: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The node goes on serving after a failed write, also a new connection of the same client.
+
+    Only asyncio's loop is tested, because it writes with a Python call that can be patched.
+    """
 
-    async def scene() -> None:
+    async def scenario() -> None:
         bench = await Bench(Server()).start()
         fault = Fault(error, times=1)
         client = await bench.client()
@@ -206,21 +210,21 @@
         await until(lambda: bench.node.descriptor_budget.clients == 0 and not bench.node.requests.pending)
         assert (await bench.once(call()))[0] == 200
 
-    play_on(asyncio.run, scene)
+    play_on(asyncio.run, scenario)
 
 
-# ---- short reads and writes, interrupted waits ----------------------------------------------------------
+# ---- Short reads and writes, interrupted waits ---------------------------------------------------
 
 
 @BOTH_LOOPS
-def test_reads_and_writes_are_short(run: Run, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each read brings a byte or two, and each write of asyncio's loop takes one."""
+def test_short_reads_and_writes_preserve_bodies(run: Run, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each read returns one byte, and each write of asyncio's loop sends one."""
     body = bytes(range(256)) * 2
 
     async def echo(request: Request, writer: asyncio.StreamWriter) -> bytes:
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(request.body), request.body)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         bench = await Bench(server := Server(echo)).start()
         bench.node.memory_budget.read_buffer = bytearray(1)
         if not is_uvloop():
@@ -232,16 +236,16 @@
         assert (status, answer) == (200, body)
         assert [request.body for request in server.requests] == [body]
 
-    play_on(run, scene)
+    play_on(run, scenario)
 
 
 @BOTH_LOOPS
-def test_waits_are_interrupted(run: Run) -> None:
-    """A signal comes every millisecond, so that waits of the loop return EINTR all the time."""
-    came = []
-    before = signal.signal(signal.SIGALRM, lambda number, frame: came.append(number))
+def test_interrupted_waits_leave_requests_unaffected(run: Run) -> None:
+    """A signal arrives every millisecond, so that waits of the event loop return EINTR."""
+    received_signals = []
+    previous_handler = signal.signal(signal.SIGALRM, lambda number, frame: received_signals.append(number))
 
-    async def scene() -> None:
+    async def scenario() -> None:
         bench = await Bench(server := Server(), config=OPERATED).start()
         client = await bench.client()
         for _ in range(20):
@@ -252,8 +256,8 @@
 
     signal.setitimer(signal.ITIMER_REAL, 0.001, 0.001)
     try:
-        play_on(run, scene)
+        play_on(run, scenario)
     finally:
         signal.setitimer(signal.ITIMER_REAL, 0)
-        signal.signal(signal.SIGALRM, before)
-    assert len(came) > 10
+        signal.signal(signal.SIGALRM, previous_handler)
+    assert len(received_signals) > 10
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Two events that cross, on loopback sockets, in both orders: rows of docs/crossings.md name these tests."""
+"""Races between two events on loopback sockets, in both orders; docs/crossings.md lists these tests."""
 
 import asyncio
 import json
@@ -26,97 +26,100 @@
 from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
 from balancer.policy.interface import Outcome
 
-LONG = bytes(4 * MAX_BUFFERED_BYTES)
-FLOWS = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(LONG), LONG)
+LONG_BODY = bytes(4 * MAX_BUFFERED_BYTES)
+STREAMED_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(LONG_BODY), LONG_BODY)
 
 
-# ---- connections to servers -------------------------------------------------------------------------------
+# ---- Connections to servers ----------------------------------------------------------------------
 
 
-def test_a_client_takes_no_more_as_the_last_piece_of_its_answer_comes(monkeypatch):
-    """Failure prevented: the connection goes back among the idle ones with its reading off, and is deaf."""
+def test_client_pause_on_last_piece_leaves_connection_reading(monkeypatch):
+    """A connection must not return to the pool with reading paused, or it would receive no response."""
 
-    async def scene():
-        bench = await Bench(server := Server(always(FLOWS))).start()
-        passed = 0
-        piece = ClientConnection.write_stream
+    async def scenario():
+        bench = await Bench(server := Server(always(STREAMED_RESPONSE))).start()
+        written_bytes = 0
+        write_stream = ClientConnection.write_stream
 
-        def last_fills(caller, data):
-            nonlocal passed
-            piece(caller, data)
-            passed += len(data)
-            if passed == len(LONG):
-                caller.pause_writing()  # as the transport does within this very write
+        def pause_at_last_piece(client_connection, data):
+            nonlocal written_bytes
+            write_stream(client_connection, data)
+            written_bytes += len(data)
+            if written_bytes == len(LONG_BODY):
+                client_connection.pause_writing()  # The transport does so within this write.
 
-        monkeypatch.setattr(ClientConnection, "write_stream", last_fills)
+        monkeypatch.setattr(ClientConnection, "write_stream", pause_at_last_piece)
         client = await bench.client()
-        assert (await client.ask(call()))[2] == LONG
-        (caller,) = bench.node.client_connections.connections
-        caller.resume_writing()
+        assert (await client.ask(call()))[2] == LONG_BODY
+        (client_connection,) = bench.node.client_connections.connections
+        client_connection.resume_writing()
         server.handle = always(OK)
         assert (await client.ask(call("invite", budget=5000)))[0] == 200
         assert server.connections == 1
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize("count", [2, 7])
-def test_exchanges_that_begin_in_one_turn_share_what_room_there_is(count):
-    """Failure prevented: each finds the last free place, and all of them open a connection."""
+def test_simultaneous_exchanges_share_remaining_capacity(count):
+    """Exchanges that start in one loop iteration must not all open a connection for one free descriptor."""
 
-    async def scene():
+    async def scenario():
         release = asyncio.Event()
         bench = await Bench(Server(gated(release)), Server(gated(release))).start()
         pool = bench.node.pool
         outcomes = record_outcomes(bench)
         pool.descriptor_budget.resize(40, 40)
-        pool.descriptor_budget.servers += pool.descriptor_budget.max_servers() - 1  # one place is left
+        pool.descriptor_budget.servers += pool.descriptor_budget.max_servers() - 1  # One descriptor is left.
         clients = [await bench.client() for _ in range(count)]
         await until(
             lambda: len([c for c in bench.node.client_connections.connections if c.transport]) == count
         )
-        for caller in list(bench.node.client_connections.connections):
+        for client_connection in list(bench.node.client_connections.connections):
             data = call("view")
             bench.node.memory_budget.read_buffer[: len(data)] = data
-            caller.buffer_updated(len(data))
+            client_connection.buffer_updated(len(data))
         assert pool.descriptor_budget.servers <= pool.descriptor_budget.max_servers()
         release.set()
         for client in clients:
             await client.receive()
         assert Outcome.CONNECT_FAILED in outcomes and pool.opened_count == 1
 
-    play(scene)
+    play(scenario)
 
 
-# ---- lists ------------------------------------------------------------------------------------------------
+# ---- Lists ---------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("part", [0, 1, 40, -1], ids=["empty", "a byte", "a part", "all but a byte"])
+@pytest.mark.parametrize("length", [0, 1, 40, -1], ids=["empty", "one byte", "partial", "last byte missing"])
 @pytest.mark.parametrize("signals", [1, 2])
-def test_a_configuration_half_written_at_the_signal_is_read_once_it_is_whole(tmp_path, part, signals, capsys):
-    """Failure prevented: no second signal comes, and the node asks an address that is given up for good."""
+def test_partially_written_config_is_reread_until_complete(tmp_path, length, signals, capsys):
+    """An incomplete file must be read again without a second signal.
 
-    async def scene():
+    The node would otherwise keep using a discovery address that is no longer in service.
+    """
+
+    async def scenario():
         bench = await Bench(Server()).start()
         await (second := Discovery()).start()
         file = tmp_path / "config.json"
-        whole = json.dumps({"name": "n0", "discovery": f"127.0.0.1:{second.port}"})
-        file.write_text(whole[:part])
+        complete = json.dumps({"name": "n0", "discovery": f"127.0.0.1:{second.port}"})
+        file.write_text(complete[:length])
         for _ in range(signals):
             bench.node.reload({"LB_CONFIG": str(file)})
         assert bench.node.reloading is not None and not second.connections
-        file.write_text(whole)
+        file.write_text(complete)
         bench.node.discovery.watch(True)
         await until(lambda: bool(second.requests))
         assert bench.node.reloading is None
 
-    play(scene)
+    play(scenario)
     lines = [line for line in capsys.readouterr().err.splitlines() if " reload" in line]
     assert len(lines) == signals + 1 and "will be read again" in lines[0]
 
 
-def test_a_configuration_that_stays_unreadable_is_given_up_with_a_line(tmp_path, monkeypatch, capsys):
-    async def scene():
+def test_unreadable_config_reload_is_abandoned_and_logged(tmp_path, monkeypatch, capsys):
+    async def scenario():
         monkeypatch.setattr(node_module, "RELOAD_RETRY_S", 0.0)
         bench = await Bench(Server()).start()
         address = bench.node.discovery.address
@@ -124,92 +127,92 @@
         await until(lambda: bench.node.reloading is None)
         assert bench.node.discovery.address == address
 
-    play(scene)
+    play(scenario)
     lines = [line for line in capsys.readouterr().err.splitlines() if " reload" in line]
     assert len(lines) == 2 and lines[1].endswith("given up")
 
 
-async def served(bench: Bench) -> set[str]:
-    """The names of the servers that the node takes for ready, by who answers."""
+async def ready_servers(bench: Bench) -> set[str]:
+    """Return the names of the servers that the node regards as ready."""
     return {f"s{i}" for i, s in enumerate(bench.servers) if any(
         e.ready and e.port == s.port for e in bench.node.pool.endpoints.values())}  # fmt: skip
 
 
 @pytest.mark.parametrize("full", [True, False])
 @pytest.mark.parametrize("between", [True, False])
-def test_an_answer_older_than_the_list_in_hand_brings_nobody_back(full, between, capsys):
-    """Both orders: the old answer after the newer one, once, and once more after a good one in between."""
-
-    async def scene():
-        bench = await Bench(gone := Server(), stays := Server(), discovery="push").start()
-        told = bench.discovery
-        told.say(50, True, stays.entry("s1"))
-        told.say(45, full, gone.entry("s0"), stays.entry("s1"))
+def test_response_older_than_current_list_restores_no_server(full, between, capsys):
+    """An old response follows a newer one, once, or twice with a current response in between."""
+
+    async def scenario():
+        bench = await Bench(removed := Server(), remaining := Server(), discovery="push").start()
+        discovery_service = bench.discovery
+        discovery_service.say(50, True, remaining.entry("s1"))
+        discovery_service.say(45, full, removed.entry("s0"), remaining.entry("s1"))
         if between:
-            told.say(51, False)
-            told.say(45, full, gone.entry("s0"), stays.entry("s1"))
-        told.say(52, False)
+            discovery_service.say(51, False)
+            discovery_service.say(45, full, removed.entry("s0"), remaining.entry("s1"))
+        discovery_service.say(52, False)
         await until(lambda: bench.node.discovery.version == 52)
-        assert await served(bench) == {"s1"}
-        await until(lambda: len(told.requests) == 4 + 2 * between)
+        assert await ready_servers(bench) == {"s1"}
+        await until(lambda: len(discovery_service.requests) == 4 + 2 * between)
         assert bench.node.discovery.fetch_call is None
 
-    play(scene)
+    play(scenario)
     lines = [line for line in capsys.readouterr().err.splitlines() if "older than the list" in line]
     assert len(lines) == 1 + between
 
 
-def test_a_discovery_that_began_its_versions_anew_is_believed_at_the_second_answer():
-    """Failure prevented: its changes are dropped as old for as long as its versions are lower."""
+def test_restarted_versions_are_accepted_at_second_response():
+    """The changes of a restarted discovery must not be dropped until its versions catch up."""
 
-    async def scene():
-        bench = await Bench(Server(), stays := Server(), discovery="push").start()
-        told = bench.discovery
-        told.say(50, True, *(s.entry(f"s{i}") for i, s in enumerate(bench.servers)))
-        told.say(2, True, stays.entry("s1"))
-        told.say(2, True, stays.entry("s1"))
+    async def scenario():
+        bench = await Bench(Server(), remaining := Server(), discovery="push").start()
+        discovery_service = bench.discovery
+        discovery_service.say(50, True, *(s.entry(f"s{i}") for i, s in enumerate(bench.servers)))
+        discovery_service.say(2, True, remaining.entry("s1"))
+        discovery_service.say(2, True, remaining.entry("s1"))
         await until(lambda: bench.node.discovery.version == 2)
-        assert await served(bench) == {"s1"}
+        assert await ready_servers(bench) == {"s1"}
 
-    play(scene)
+    play(scenario)
 
 
-@pytest.mark.parametrize("order", ["whole list first", "a change first"])
-def test_a_discovery_anew_that_tells_changes_alone_is_asked_for_the_whole_list(order):
-    """The watch's next answer and the whole list cross: whichever comes first, the last word is the newer."""
+@pytest.mark.parametrize("order", ["full list first", "change first"])
+def test_restarted_versions_with_changes_cause_full_fetch(order):
+    """The next watch response and the full list arrive in either order, and the newer version applies."""
 
-    async def scene():
-        bench = await Bench(Server(), stays := Server(), discovery="push").start()
-        told, node = bench.discovery, bench.node
-        told.say(50, True, *(s.entry(f"s{i}") for i, s in enumerate(bench.servers)))
-        told.say(2, False)
-        told.say(2, False)
+    async def scenario():
+        bench = await Bench(Server(), remaining := Server(), discovery="push").start()
+        discovery_service, node = bench.discovery, bench.node
+        discovery_service.say(50, True, *(s.entry(f"s{i}") for i, s in enumerate(bench.servers)))
+        discovery_service.say(2, False)
+        discovery_service.say(2, False)
         await until(lambda: node.discovery.fetch_call is not None and node.discovery.watch_call is not None)
-        whole = json.dumps({"version": 2, "full": True, "servers": [stays.entry("s1")]}).encode()
+        full_list = json.dumps({"version": 2, "full": True, "servers": [remaining.entry("s1")]}).encode()
         change = json.dumps({"version": 3, "full": False, "servers": []}).encode()
-        fetching, watching = node.discovery.fetch_call, node.discovery.watch_call
-        assert fetching is not None and watching is not None
-        if order == "a change first":
-            node.discovery.on_watch_response(watching, change)
-            node.discovery.on_fetch_response(fetching, whole)
+        fetch_call_in_flight, watch_call_in_flight = node.discovery.fetch_call, node.discovery.watch_call
+        assert fetch_call_in_flight is not None and watch_call_in_flight is not None
+        if order == "change first":
+            node.discovery.on_watch_response(watch_call_in_flight, change)
+            node.discovery.on_fetch_response(fetch_call_in_flight, full_list)
             node.discovery.on_watch_response(node.discovery.watch_call, change)
         else:
-            node.discovery.on_fetch_response(fetching, whole)
-            node.discovery.on_watch_response(watching, change)
-        assert await served(bench) == {"s1"} and node.discovery.version == 3
+            node.discovery.on_fetch_response(fetch_call_in_flight, full_list)
+            node.discovery.on_watch_response(watch_call_in_flight, change)
+        assert await ready_servers(bench) == {"s1"} and node.discovery.version == 3
 
-    play(scene)
+    play(scenario)
 
 
-# ---- ends -------------------------------------------------------------------------------------------------
+# ---- Ends ----------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("read", [True, False], ids=["half read", "in the socket"])
-@pytest.mark.parametrize("leaving", [True, False])
-def test_the_last_answer_is_written_as_the_next_request_has_begun_to_come(read, leaving):
-    """Failure prevented: the node leaves, and a request that its client has written is thrown away."""
+@pytest.mark.parametrize("is_read", [True, False], ids=["partly read", "unread"])
+@pytest.mark.parametrize("draining", [True, False])
+def test_response_is_written_while_next_request_is_arriving(is_read, draining):
+    """A draining node must not discard a request that its client has already begun to write."""
 
-    async def scene():
+    async def scenario():
         bench = await Bench(server := Server(always(None))).start()
         node = bench.node
         client = socket.create_connection(("127.0.0.1", bench.port))
@@ -217,82 +220,82 @@
         client.send(call())
         await until(lambda: len(server.requests) == 1)
         (request,) = node.requests.pending.values()
-        caller = request.client
-        assert caller is not None
-        if leaving:
+        client_connection = request.client
+        assert client_connection is not None
+        if draining:
             drain = asyncio.create_task(node.drain())
             await until(lambda: node.client_connections.is_draining)
         half = len(call()) // 2
         client.send(call()[:half])
-        if read:
-            await until(lambda: caller.partial is not None)
+        if is_read:
+            await until(lambda: client_connection.partial is not None)
         node.requests.respond(request.id, 504)
         server.handle = always(OK)
         client.send(call()[half:])
-        answers = b""
+        responses = b""
         loop = asyncio.get_running_loop()
-        while answers.count(b"HTTP/1.1 ") < 2:
-            more = await loop.sock_recv(client, 9999)
-            assert more, "the connection ended with a request unanswered"
-            answers += more
-        first, _, second = answers.partition(b"HTTP/1.1 200")
-        assert b"Connection: close" not in first and (b"Connection: close" in second) == leaving
+        while responses.count(b"HTTP/1.1 ") < 2:
+            data = await loop.sock_recv(client, 9999)
+            assert data, "the connection ended before the second response"
+            responses += data
+        first, _, second = responses.partition(b"HTTP/1.1 200")
+        assert b"Connection: close" not in first and (b"Connection: close" in second) == draining
         client.close()
-        if leaving:
+        if draining:
             await asyncio.wait_for(drain, 20)
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_listener_that_ends_without_room_keeps_its_queue(monkeypatch):
-    """Failure prevented: at SIGTERM all room is taken, and who waits in the queue is reset by the close."""
+def test_listener_stopped_at_capacity_keeps_accept_queue(monkeypatch):
+    """Clients in the accept queue must not be reset when a node at its connection limit gets SIGTERM."""
 
-    async def scene():
+    async def scenario():
         monkeypatch.setattr("balancer.net.downstream.client_connections.ACCEPT_AFTER_TERM_S", 0.0)
         bench = await Bench(Server()).start()
         listener = bench.node.client_connections.listener
-        room, listener.has_capacity = listener.has_capacity, lambda: False
+        has_capacity, listener.has_capacity = listener.has_capacity, lambda: False
         listener.update()
-        client = await bench.client()  # the system has taken it, the node has not
+        client = await bench.client()  # The kernel has accepted it, the node has not.
         client.send(call())
         drain = asyncio.create_task(bench.node.drain())
         await until(lambda: bench.node.client_connections.is_draining)
         listener.stop()
-        listener.has_capacity = room
+        listener.has_capacity = has_capacity
         assert (await client.receive())[0] == 200
         assert await client.ended()
         client.writer.close()
         await asyncio.wait_for(drain, 20)
         assert listener.socket is None
 
-    play(scene)
+    play(scenario)
 
 
-@pytest.mark.parametrize("waited", [0.0, 30.0])
-def test_the_time_of_a_request_runs_while_it_waits_behind_another(waited):
-    """Failure prevented: it is given its whole time as its turn comes, and is answered after its client's."""
+@pytest.mark.parametrize("queued_s", [0.0, 30.0])
+def test_pipelined_request_deadline_includes_queueing_time(queued_s):
+    """The budget of a pipelined request must run while it is queued, or it is answered after its deadline."""
 
-    async def scene():
+    async def scenario():
         release = asyncio.Event()
         bench = await Bench(server := Server(gated(release))).start()
         client = await bench.client()
         client.send(call() + call(budget=15000))
         await until(lambda: any(c.pipelined for c in bench.node.client_connections.connections))
-        (caller,) = bench.node.client_connections.connections
-        caller.pipelined[0].received_at -= waited
+        (client_connection,) = bench.node.client_connections.connections
+        client_connection.pipelined[0].received_at -= queued_s
         release.set()
         assert (await client.receive())[0] == 200
         status = (await client.receive())[0]
-        assert (status, len(server.requests)) == ((200, 2) if waited == 0 else (503, 1))
+        assert (status, len(server.requests)) == ((200, 2) if queued_s == 0 else (503, 1))
 
-    play(scene)
+    play(scenario)
 
 
-@pytest.mark.parametrize("order", ["whole first", "end first"])
-def test_a_long_body_comes_whole_as_the_node_is_told_to_end(order):
-    """Failure prevented: its time begins with its last byte, and lasts beyond the process's."""
+@pytest.mark.parametrize("order", ["body first", "drain first"])
+def test_long_upload_completes_within_drain_deadline(order):
+    """The deadline of a long upload, which starts at its last byte, must not exceed that of the drain."""
 
-    async def scene():
+    async def scenario():
         bench = await Bench(server := Server(always(None))).start()
         node = bench.node
         client = await bench.client()
@@ -301,60 +304,65 @@
         client.send(data + b"Content-Length: %d\r\n\r\n" % size + bytes(size - 1))
         await until(
             lambda: any(
-                r.message.upload and r.message.upload.is_discarded for r in node.requests.pending.values()
+                r.message.upload and r.message.upload.has_discarded_data
+                for r in node.requests.pending.values()
             )
         )
         (request,) = node.requests.pending.values()
-        if order == "whole first":
+        if order == "body first":
             client.send(b"x")
             await until(lambda: len(server.requests) == 1 and request.guard is not None)
         drain = asyncio.create_task(node.drain())
         await until(lambda: node.requests.last_answer is not None)
-        if order == "end first":
+        if order == "drain first":
             client.send(b"x")
             await until(lambda: len(server.requests) == 1 and request.guard is not None)
             assert node.requests.last_answer is not None and request.deadline <= node.requests.last_answer
         client.writer.transport.abort()
         await asyncio.wait_for(drain, 20)
 
-    play(scene)
+    play(scenario)
 
 
-BAD = {
-    "cut": b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{",
-    "spoilt": b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{}}",
-    "of another service": b'HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{"leader": 1}',
-    "no answer": b"SSH-2.0-OpenSSH\r\n\r\n",
-    "a failure": b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
-    "twice": OK + OK,
+BAD_RESPONSES = {
+    "truncated": b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{",
+    "malformed body": b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{}}",
+    "other service": b'HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{"leader": 1}',
+    "not HTTP": b"SSH-2.0-OpenSSH\r\n\r\n",
+    "error status": b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
+    "duplicate": OK + OK,
 }
 
 
-@pytest.mark.parametrize("answer", BAD.values(), ids=list(BAD))
-@pytest.mark.parametrize("at", ["once", "byte by byte"])
-def test_a_bad_answer_to_a_watch_leaves_the_list_and_is_asked_for_again(answer, at, capsys):
-    async def scene():
+@pytest.mark.parametrize("response", BAD_RESPONSES.values(), ids=list(BAD_RESPONSES))
+@pytest.mark.parametrize("delivery", ["at once", "byte by byte"])
+def test_bad_watch_response_keeps_list_and_renews_watch(response, delivery, capsys):
+    async def scenario():
         bench = await Bench(server := Server(), discovery="push").start()
-        told, node = bench.discovery, bench.node
-        told.say(50, True, server.entry("s0"))
-        await until(lambda: node.discovery.version == 50 and len(told.requests) == 2)
+        discovery_service, node = bench.discovery, bench.node
+        discovery_service.say(50, True, server.entry("s0"))
+        await until(lambda: node.discovery.version == 50 and len(discovery_service.requests) == 2)
         watch = node.discovery.watch_call
         assert watch is not None
-        for data in [answer] if at == "once" else [answer[i : i + 1] for i in range(len(answer))]:
+        for data in (
+            [response] if delivery == "at once" else [response[i : i + 1] for i in range(len(response))]
+        ):
             if not watch.ended:
                 watch.data_received(data)
-        if not watch.ended:  # the rest never comes: its time runs out
+        if not watch.ended:  # The rest of the response never arrives, so the watch times out.
             watch.fail()
-        watch.data_received(answer)  # and comes late
-        assert watch.transport is None and node.discovery.version == 50 and await served(bench) == {"s0"}
-        await until(lambda: len(told.requests) == 3)
-        assert told.requests[-1].target.startswith("/v1/endpoints?since=50&")
-        told.answers.put_nowait(None)  # what the call that is over was waiting for
-        told.say(51, True, server.entry("s0", "draining"))
+        watch.data_received(response)  # A response after the failure is ignored.
+        assert (
+            watch.transport is None and node.discovery.version == 50 and await ready_servers(bench) == {"s0"}
+        )
+        await until(lambda: len(discovery_service.requests) == 3)
+        assert discovery_service.requests[-1].target.startswith("/v1/endpoints?since=50&")
+        discovery_service.answers.put_nowait(None)  # Taken by the ended call.
+        discovery_service.say(51, True, server.entry("s0", "draining"))
         await until(lambda: node.discovery.version == 51)
-        assert await served(bench) == set()
+        assert await ready_servers(bench) == set()
 
-    play(scene)
+    play(scenario)
     lines = [
         line for line in capsys.readouterr().err.splitlines() if "discovery:" in line or "failed" in line
     ]
@@ -362,19 +370,19 @@
 
 
 @pytest.mark.parametrize("times", [1, 2])
-@pytest.mark.parametrize("watch", ["out", "connecting", "between two"])
-def test_discovery_moves_while_a_watch_is_out_or_coming_up(watch, times):
-    """The old address's answer, coming after all, tells nothing; one watch is out at the new one."""
+@pytest.mark.parametrize("watch_state", ["open", "connecting", "closed"])
+def test_discovery_address_change_replaces_open_watch(watch_state, times):
+    """A late response from the old address is ignored, and one watch is open at the new address."""
 
-    async def scene():
+    async def scenario():
         bench = await Bench(server := Server(), discovery="push").start()
-        told, discovery = bench.discovery, bench.node.discovery
+        discovery_service, discovery = bench.discovery, bench.node.discovery
         await (second := Discovery()).start()
-        if watch != "connecting":
-            await until(lambda: len(told.requests) == 1)
+        if watch_state != "connecting":
+            await until(lambda: len(discovery_service.requests) == 1)
         old = discovery.watch_call
         assert old is not None
-        if watch == "between two":
+        if watch_state == "closed":
             discovery.watch(False)
         for _ in range(times):
             discovery.change_address(("127.0.0.1", second.port))
@@ -386,57 +394,57 @@
         second.answers.put_nowait(None) if times == 2 and len(second.requests) == 2 else None
         second.say(60, False, server.entry("s0", "draining"))
         await until(lambda: discovery.version == 60)
-        assert await served(bench) == set()
+        assert await ready_servers(bench) == set()
 
-    play(scene)
+    play(scenario)
 
 
-@pytest.mark.parametrize("order", ["failure first", "move first"])
+@pytest.mark.parametrize("order", ["failure first", "change first"])
 @pytest.mark.parametrize("mode", ["ask", "push"])
-def test_discovery_moves_as_the_watch_has_failed(mode, order):
-    """The new address is asked at once, and not when the wait is over that the old one's silence began."""
+def test_discovery_address_change_skips_backoff_of_failed_watch(mode, order):
+    """The new address is queried at once, not after the backoff of the failed call to the old address."""
 
-    async def scene():
+    async def scenario():
         bench = await Bench(server := Server(), discovery=mode).start()
-        node, told, timers = bench.node, bench.discovery, []
+        node, discovery_service, timers = bench.node, bench.discovery, []
         node.set_timer = lambda delay, token: timers.append(token)
         node.server_registry.loop = SimpleNamespace(call_later=lambda delay, *call: timers.append(call))
         await (second := Discovery()).start()
-        await until(lambda: len(told.requests) == 1)
-        there = ("127.0.0.1", second.port)
-        if order == "move first":
-            node.discovery.change_address(there)
-            told.answers.put_nowait(None)
-            await until(lambda: told.closed == 1)
+        await until(lambda: len(discovery_service.requests) == 1)
+        new_address = ("127.0.0.1", second.port)
+        if order == "change first":
+            node.discovery.change_address(new_address)
+            discovery_service.answers.put_nowait(None)
+            await until(lambda: discovery_service.closed == 1)
         else:
-            told.answers.put_nowait(None)
+            discovery_service.answers.put_nowait(None)
             await until(lambda: len(timers) == 1)
-            node.discovery.change_address(there)
+            node.discovery.change_address(new_address)
         await until(lambda: len(second.requests) == 1)
         second.say(60, False, server.entry("s0", "draining"))
         await until(lambda: node.discovery.version == 60 and len(second.requests) == 2)
-        assert await served(bench) == set() and second.connections == 1
-        node.discovery.watch(True)  # what the old one's failure had left for later
+        assert await ready_servers(bench) == set() and second.connections == 1
+        node.discovery.watch(True)  # The retry that was scheduled after the failure.
         second.say(61, False)
         await until(lambda: len(second.requests) == 3)
         assert second.connections == 1 and len(timers) == (order == "failure first")
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_discovery_that_is_down_is_asked_often_enough_whatever_the_settings_allow():
-    """Failure prevented: it is back and a server drains, and the node still waits out its last failure."""
+def test_discovery_retry_delay_is_capped_despite_settings():
+    """A long backoff would hide the recovery of discovery, and a server that drains at that time."""
 
-    async def scene():
+    async def scenario():
         rules = settings()["rules"] | {"ask_within": 100 * MOMENT}
         bench = await Bench(Server(), discovery="ask", rules=rules).start()
-        node, told, waits = bench.node, bench.discovery, []
+        node, discovery_service, waits = bench.node, bench.discovery, []
         node.set_timer = lambda delay, token: waits.append(delay)
         for failures in range(1, 9):
-            told.answers.put_nowait(None)
+            discovery_service.answers.put_nowait(None)
             await until(lambda count=failures: len(waits) == count)
             node.discovery.watch(True)
-        # The page allows 6 s of silence, of which a silent watch takes two.
+        # A node may be without discovery for 6 s, of which an unanswered watch takes 2 s.
         assert max(waits) <= 1.5 * MOMENT and waits[-1] > waits[0]
 
-    play(scene)
+    play(scenario)
--- a/tests/test_crossings_repeats.py
+++ b/tests/test_crossings_repeats.py
@@ -1,4 +1,4 @@
-"""Events that cross between a request's attempts, in both orders: what may run twice, and what must not."""
+"""Races between the attempts of a request, in both orders: which requests may run twice."""
 
 import asyncio
 
@@ -19,81 +19,88 @@
 
 from balancer.policy.interface import Outcome
 
-FAILED = b"HTTP/1.1 500 Internal Server Error\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-WINDOW = MOMENT
+ERROR_RESPONSE = b"HTTP/1.1 500 Internal Server Error\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+WINDOW_US = MOMENT
 
 
-@pytest.mark.parametrize("klass", ["view", "offer"])
-@pytest.mark.parametrize("order", ["up first", "window first"])
-def test_a_repeat_s_window_ends_while_its_connection_comes_up(klass, order):
-    """A keyed repeat runs a second time once the servers have forgotten its key; a safe one may."""
+@pytest.mark.parametrize("request_class", ["view", "offer"])
+@pytest.mark.parametrize("order", ["connect first", "expiry first"])
+def test_idempotency_window_expiry_during_retry_connect(request_class, order):
+    """A retry after the window must not be sent if it relies on an idempotency key.
 
-    async def scene():
+    The servers have forgotten the key by then and would run the request a second time. A request of a safe
+    class may run twice.
+    """
+
+    async def scenario():
         release = asyncio.Event()
 
         async def fail(request, writer):
             await release.wait()
-            return FAILED
+            return ERROR_RESPONSE
 
         servers = [Server(fail), Server(fail)]
-        classes = [c | {"window": WINDOW} for c in settings()["classes"]]
+        classes = [c | {"window": WINDOW_US} for c in settings()["classes"]]
         bench = await Bench(*servers, classes=classes).start()
         node = bench.node
         outcomes = record_outcomes(bench)
         client = await bench.client()
-        client.send(call(klass))
+        client.send(call(request_class))
         await until(lambda: sum(len(s.requests) for s in servers) == 1)
         node.pool.loop = late = Late(asyncio.get_running_loop())
         release.set()
         await late.asked.wait()
-        if order == "window first":
-            node.event_queue.origin += WINDOW * 1000
+        if order == "expiry first":
+            node.event_queue.origin += WINDOW_US * 1000
         for server in servers:
             server.handle = always(OK)
         late.up.set()
         status = (await client.receive())[0]
-        kept = order == "up first" or klass == "view"
-        assert (status, sum(len(s.requests) for s in servers)) == ((200, 2) if kept else (502, 1))
-        assert outcomes == [Outcome.ERROR, Outcome.OK if kept else Outcome.NOT_SENT]
+        is_sent = order == "connect first" or request_class == "view"
+        assert (status, sum(len(s.requests) for s in servers)) == ((200, 2) if is_sent else (502, 1))
+        assert outcomes == [Outcome.ERROR, Outcome.OK if is_sent else Outcome.NOT_SENT]
         assert not node.requests.pending
 
-    play(scene)
+    play(scenario)
+
 
+@pytest.mark.parametrize("order", ["after next request", "before next request"])
+def test_late_duplicate_response_is_not_given_to_next_request(order):
+    """A late duplicate response would be taken for the response to the next request on its connection.
 
-@pytest.mark.parametrize("order", ["as the next request is out", "before it"])
-def test_a_second_answer_comes_late_on_the_connection_used_last(order):
-    """It seems to be the next request's answer on that connection: a rested one, if any, carries that."""
+    The next request is therefore sent on a connection that has been idle for some time, if there is one.
+    """
 
-    async def scene():
-        turns = [asyncio.Event() for _ in range(3)]
+    async def scenario():
+        releases = [asyncio.Event() for _ in range(3)]
 
         async def handle(request, writer):
             number = len(server.requests)
-            await turns[number - 1].wait()
+            await releases[number - 1].wait()
             return b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d" % number
 
         bench = await Bench(server := Server(handle)).start()
-        clients = [await bench.client() for _ in turns]
+        clients = [await bench.client() for _ in releases]
         (endpoint,) = bench.node.pool.endpoints.values()
         for number, client in enumerate(clients[:2]):
             client.send(call())
             await until(lambda count=number + 1: len(server.requests) == count)
-        for turn, client in zip(turns[:2], clients, strict=False):
-            turn.set()
+        for release, client in zip(releases[:2], clients, strict=False):
+            release.set()
             await client.receive()
-            rested, *fresh = endpoint.idle
-            rested.idle_since -= 1
+            settled, *recently_used = endpoint.idle
+            settled.idle_since -= 1
         late = server.writers[1]
-        if order == "before it":
+        if order == "before next request":
             late.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n2")
-            await until(lambda: endpoint.idle == [rested])
+            await until(lambda: endpoint.idle == [settled])
         clients[2].send(call())
         await until(lambda: len(server.requests) == 3)
-        if order != "before it":
-            assert endpoint.idle == fresh
+        if order != "before next request":
+            assert endpoint.idle == recently_used
             late.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n2")
             await until(lambda: not endpoint.idle)
-        turns[2].set()
+        releases[2].set()
         assert (await clients[2].receive())[2] == b"3"
 
-    play(scene)
+    play(scenario)
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -1,4 +1,4 @@
-"""Events that cross on connections to servers, in both orders: what has run, and what is counted."""
+"""Races on connections to servers, in both orders: which requests may have run, and the accounting."""
 
 import asyncio
 import os
@@ -31,37 +31,37 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Ends a server's side with a reset."""
-    held = writer.get_extra_info("socket")
-    held.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    """Close the server's side of a connection with a reset."""
+    server_socket = writer.get_extra_info("socket")
+    server_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
-def counted_once(bench: Bench) -> bool:
-    """Whether the connections that are counted are those that stand idle."""
+def only_idle_connections_counted(bench: Bench) -> bool:
+    """Return whether exactly the idle connections are counted in the descriptor budget."""
     idle = [c for e in bench.node.pool.endpoints.values() for c in e.idle]
     return bench.node.descriptor_budget.servers == len(idle) and all(c.is_counted for c in idle)
 
 
-# ---- has it run? ----------------------------------------------------------------------------------
+# ---- Whether a request may have run --------------------------------------------------------------
 
 
 @LOOPS
 @pytest.mark.parametrize("size", [0, 2000, 65536])
-@pytest.mark.parametrize("taken", ["nothing", "a part", "all"])
-@pytest.mark.parametrize("end", ["reset", "time-out", "given up"])
-def test_never_ran_is_said_only_where_the_last_byte_has_not_gone(run, size, taken, end, monkeypatch):
-    """The server takes nothing, a part or all of an unsafe request, and in that turn the attempt ends.
+@pytest.mark.parametrize("received", ["nothing", "part", "all"])
+@pytest.mark.parametrize("end", ["reset", "timeout", "abort"])
+def test_attempt_counts_as_not_run_only_before_its_last_byte(run, size, received, end, monkeypatch):
+    """The attempt ends after the server has received nothing, a part or all of an unsafe request.
 
-    Failure prevented: the last byte is with the system, the loop has not said so yet, and the request is sent
-    again as one that never ran.
+    Once the kernel has the last byte, the request may have run, even if the event loop has not reported the
+    write yet; sending it again could run it twice.
     """
     small_sends(monkeypatch)
 
-    async def scene():
+    async def scenario():
         listener = small_listener()
-        bench = await Bench(whole := Server(), config={"known": None}).start()
-        bench.discovery.say(42, True, whole.entry("half", addr=f"127.0.0.1:{listener.getsockname()[1]}"))
+        bench = await Bench(lister := Server(), config={"known": None}).start()
+        bench.discovery.say(42, True, lister.entry("half", addr=f"127.0.0.1:{listener.getsockname()[1]}"))
         await until(lambda: bench.node.lifecycle.serving)
         outcomes = record_outcomes(bench)
         client = await bench.client()
@@ -75,15 +75,19 @@
         (request,) = bench.node.requests.pending.values()
         exchange = request.exchange
         assert exchange is not None
-        got = b""
-        goal = {"nothing": 0, "a part": size // 2, "all": size + data.index(b"\r\n\r\n")}[taken]
+        received_data = b""
+        goal = {"nothing": 0, "part": size // 2, "all": size + data.index(b"\r\n\r\n")}[received]
         async with asyncio.timeout(PATIENCE):
-            while len(got) < goal or taken == "all" and not whole_request(got, size):
-                got += await asyncio.get_running_loop().sock_recv(connection, 65536)
+            while (
+                len(received_data) < goal
+                or received == "all"
+                and not is_complete_request(received_data, size)
+            ):
+                received_data += await asyncio.get_running_loop().sock_recv(connection, 65536)
         if end == "reset":
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             connection.close()
-        elif end == "time-out":
+        elif end == "timeout":
             exchange.on_timeout()
         else:
             exchange.abort(Outcome.CANCELLED)
@@ -91,24 +95,24 @@
         await until(lambda: bool(outcomes))
         if outcomes[0] == Outcome.CONNECT_FAILED:
             if end != "reset":
-                got += await rest_of(connection)
-            assert not whole_request(got, size)
-        if taken == "all":
+                received_data += await read_rest(connection)
+            assert not is_complete_request(received_data, size)
+        if received == "all":
             assert outcomes[0] in (Outcome.RESET, Outcome.TIMEOUT, Outcome.CANCELLED)
-        if size == 65536 and taken != "all" and end != "given up":
+        if size == 65536 and received != "all" and end != "abort":
             assert outcomes[0] == Outcome.CONNECT_FAILED
         connection.close()
 
-    run(asyncio.wait_for(scene(), 3 * PATIENCE))
+    run(asyncio.wait_for(scenario(), 3 * PATIENCE))
 
 
-def whole_request(got: bytes, size: int) -> bool:
-    head, end, body = got.partition(b"\r\n\r\n")
+def is_complete_request(data: bytes, size: int) -> bool:
+    head, end, body = data.partition(b"\r\n\r\n")
     return bool(end) and len(body) >= size
 
 
-async def rest_of(connection: socket.socket) -> bytes:
-    """What is still on its way on a connection that the node has ended."""
+async def read_rest(connection: socket.socket) -> bytes:
+    """Read the remaining data of a connection that the node has closed."""
     rest = b""
     try:
         while data := await asyncio.get_running_loop().sock_recv(connection, 65536):
@@ -118,77 +122,82 @@
     return rest
 
 
-@pytest.mark.parametrize("how", ["fin", "reset", "half closed", "bytes"])
-@pytest.mark.parametrize("order", ["before the look", "after the look"])
-def test_a_server_ends_an_idle_connection_as_it_is_used_again(how, order, monkeypatch):
-    """Seen before the write it is passed over; after it nobody can know, and nothing is repeated."""
+@pytest.mark.parametrize("ending", ["fin", "reset", "half closed", "data"])
+@pytest.mark.parametrize("order", ["before check", "after check"])
+def test_server_closing_idle_connection_during_reuse(ending, order, monkeypatch):
+    """A connection that has ended before the check is skipped; after it, the request may have run.
+
+    A request that may have run is not repeated, unless a reset makes the write itself fail.
+    """
 
-    async def scene():
+    async def scenario():
         loop = asyncio.get_running_loop()
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         bench = await Bench(lister := Server(), config={"known": None}).start()
         bench.discovery.say(42, True, lister.entry("s", addr=f"127.0.0.1:{listener.getsockname()[1]}"))
         await until(lambda: bench.node.lifecycle.serving)
-        heads = 0
+        request_count = 0
 
         async def serve() -> socket.socket:
-            nonlocal heads
+            nonlocal request_count
             connection, _ = await loop.sock_accept(listener)
             while not (await loop.sock_recv(connection, 65536)).endswith(b"\r\n\r\n"):
                 pass
-            heads += 1
+            request_count += 1
             await loop.sock_sendall(connection, OK)
             return connection
 
-        serving = asyncio.ensure_future(serve())
+        server_task = asyncio.ensure_future(serve())
         assert (await bench.once(call("invite")))[0] == 200
-        connection = await serving
-        await until(lambda: counted_once(bench) and bench.node.descriptor_budget.servers == 1)
+        connection = await server_task
+        await until(
+            lambda: only_idle_connections_counted(bench) and bench.node.descriptor_budget.servers == 1
+        )
 
         def end() -> None:
-            if how == "bytes":
+            if ending == "data":
                 connection.send(OK)
-            elif how == "half closed":
+            elif ending == "half closed":
                 connection.shutdown(socket.SHUT_WR)
             else:
-                on = struct.pack("ii", how == "reset", 0)
-                connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, on)
+                linger = struct.pack("ii", ending == "reset", 0)
+                connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
                 connection.close()
 
-        look = Connection.has_unread_data
+        has_unread_data = Connection.has_unread_data
 
-        def looked(connection: Connection) -> bool:
-            if order == "before the look":
+        def check_with_end(connection: Connection) -> bool:
+            if order == "before check":
                 end()
-            seen = look(connection)
-            if order == "after the look":
+            result = has_unread_data(connection)
+            if order == "after check":
                 end()
-            return seen
+            return result
 
-        monkeypatch.setattr(Connection, "has_unread_data", looked)
+        monkeypatch.setattr(Connection, "has_unread_data", check_with_end)
         outcomes = record_outcomes(bench)
-        serving = asyncio.ensure_future(serve())
+        server_task = asyncio.ensure_future(serve())
         status = (await bench.once(call("invite")))[0]
-        if order == "before the look":
-            assert (status, outcomes, heads) == (200, [Outcome.OK], 2)
-        elif how == "bytes":  # they cannot be told from an answer
-            assert (status, outcomes, heads) == (200, [Outcome.OK], 1)
-        elif how == "reset":  # the write itself says so, and it goes on at another connection
-            assert (status, outcomes, heads) == (200, [Outcome.CONNECT_FAILED, Outcome.OK], 2)
+        if order == "before check":
+            assert (status, outcomes, request_count) == (200, [Outcome.OK], 2)
+        elif ending == "data":  # It cannot be distinguished from a response.
+            assert (status, outcomes, request_count) == (200, [Outcome.OK], 1)
+        elif ending == "reset":  # The write fails, so the request is retried on another connection.
+            assert (status, outcomes, request_count) == (200, [Outcome.CONNECT_FAILED, Outcome.OK], 2)
         else:
-            assert (status, outcomes, heads) == (502, [Outcome.RESET], 1)
-        serving.cancel()
+            assert (status, outcomes, request_count) == (502, [Outcome.RESET], 1)
+        server_task.cancel()
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize("end", ["fin", "reset", "nothing"])
-def test_a_refusal_with_its_mark_and_the_connection_s_end_come_together(end):
-    """It never ran, whatever becomes of the connection: it goes to another server."""
+def test_marked_rejection_with_connection_end_is_retried(end):
+    """A marked rejection means that the request did not run, even if the connection ends with it."""
 
-    async def scene():
-        async def full(request, writer):
+    async def scenario():
+        async def reject(request, writer):
             writer.write(REJECTED)
             if end == "fin":
                 writer.write_eof()
@@ -196,179 +205,181 @@
                 reset(writer)
             return None
 
-        bench = await Bench(Server(full), Server(full)).start()
+        bench = await Bench(Server(reject), Server(reject)).start()
         outcomes = record_outcomes(bench)
         await bench.once(call("invite"))
         assert outcomes[:2] == [Outcome.REJECTED, Outcome.REJECTED]
-        await until(lambda: counted_once(bench))
+        await until(lambda: only_idle_connections_counted(bench))
 
-    play(scene)
+    play(scenario)
 
 
-@pytest.mark.parametrize("framing", [b"Content-Length: 2\r\n\r\nok", b"\r\nok"], ids=["length", "end"])
-def test_a_whole_answer_and_the_connection_s_end_come_in_one_segment(framing):
-    async def scene():
-        async def last(request, writer):
-            held = writer.get_extra_info("socket")
-            with socket.socket(fileno=os.dup(held.fileno())) as raw:
+@pytest.mark.parametrize(
+    "framing", [b"Content-Length: 2\r\n\r\nok", b"\r\nok"], ids=["length", "until close"]
+)
+def test_response_and_connection_end_in_one_segment_are_ok(framing):
+    async def scenario():
+        async def respond_and_close(request, writer):
+            server_socket = writer.get_extra_info("socket")
+            with socket.socket(fileno=os.dup(server_socket.fileno())) as raw:
                 raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_CORK, 1)
                 raw.send(b"HTTP/1.1 200 OK\r\n" + framing)
                 raw.shutdown(socket.SHUT_WR)
             return None
 
-        bench = await Bench(server := Server(last)).start()
+        bench = await Bench(server := Server(respond_and_close)).start()
         for count in (1, 2):
             status, _, body = await bench.once(call("invite"))
             assert (status, body, server.connections) == (200, b"ok", count)
         await until(lambda: bench.node.descriptor_budget.servers == 0)
 
-    play(scene)
+    play(scenario)
 
 
-# ---- connections that come up ---------------------------------------------------------------------
+# ---- Connections that are being opened -----------------------------------------------------------
 
 
-class Crossed(Late):
-    """A loop on which something happens in the very turn in which a connection has come up."""
+class CallbackOnConnect(Late):
+    """A loop that calls a function in the iteration in which a connection has been established."""
 
-    def __init__(self, loop, then):
+    def __init__(self, loop, on_connect):
         super().__init__(loop)
-        self.then = then
+        self.on_connect = on_connect
 
     async def create_connection(self, *args):
-        made = await self.loop.create_connection(*args)
-        self.then()
-        return made
+        result = await self.loop.create_connection(*args)
+        self.on_connect()
+        return result
 
 
 @pytest.mark.parametrize("outcome", [Outcome.CANCELLED, Outcome.CONNECT_FAILED])
-def test_an_attempt_ends_in_the_turn_in_which_its_connection_came_up(outcome):
-    async def scene():
+def test_attempt_abort_as_its_connection_opens_sends_nothing(outcome):
+    async def scenario():
         bench = await Bench(server := Server(), policy_limits={"max_attempts": 1}).start()
         requests = bench.node.requests
 
-        def then() -> None:
+        def on_connect() -> None:
             (request,) = requests.pending.values()
             if request.exchange is not None:
                 request.exchange.abort(outcome)
 
-        bench.node.pool.loop = Crossed(asyncio.get_running_loop(), then)
-        asked = asyncio.ensure_future(bench.once(call("invite")))
-        await until(lambda: server.connections == 1 and not requests.by_client or asked.done())
+        bench.node.pool.loop = CallbackOnConnect(asyncio.get_running_loop(), on_connect)
+        response_task = asyncio.ensure_future(bench.once(call("invite")))
+        await until(lambda: server.connections == 1 and not requests.by_client or response_task.done())
         bench.node.pool.loop = asyncio.get_running_loop()
         assert (await bench.once(call("invite")))[0] == 200
         assert len(server.requests) == 1
-        await until(lambda: counted_once(bench))
-        asked.cancel()
+        await until(lambda: only_idle_connections_counted(bench))
+        response_task.cancel()
 
-    play(scene)
+    play(scenario)
 
 
-def test_the_connect_time_out_comes_as_the_connection_is_up():
-    """Failure prevented: the transport is forgotten open, and its descriptor is counted no more."""
+def test_connect_timeout_as_connection_opens_closes_it():
+    """The transport must not stay open without being counted in the descriptor budget."""
 
-    async def scene():
+    async def scenario():
         bench = await Bench(server := Server()).start()
 
-        def then() -> None:
+        def on_connect() -> None:
             raise TimeoutError
 
-        bench.node.pool.loop = Crossed(asyncio.get_running_loop(), then)
+        bench.node.pool.loop = CallbackOnConnect(asyncio.get_running_loop(), on_connect)
         outcomes = record_outcomes(bench)
         await bench.once(call("invite"))
         assert set(outcomes) == {Outcome.CONNECT_FAILED}
         await until(lambda: server.closed == server.connections == len(outcomes))
         assert bench.node.descriptor_budget.servers == 0 and not server.requests
 
-    play(scene)
+    play(scenario)
 
 
-def test_an_attempt_is_given_up_before_its_connection_s_task_has_run():
-    """Failure prevented: what was counted as it was asked for is never given back."""
+def test_attempt_abort_before_connect_task_runs_is_uncounted():
+    """A connection is counted before its task runs, and must be uncounted if the task never runs."""
 
-    async def scene():
+    async def scenario():
         bench = await Bench(Server(), policy_limits={"max_attempts": 1}).start()
         client = await bench.client()
         await until(lambda: all(c.transport for c in bench.node.client_connections.connections))
-        (caller,) = bench.node.client_connections.connections
+        (client_connection,) = bench.node.client_connections.connections
         data = call()
         bench.node.memory_budget.read_buffer[: len(data)] = data
-        caller.buffer_updated(len(data))
+        client_connection.buffer_updated(len(data))
         (request,) = bench.node.requests.pending.values()
         assert request.exchange is not None and bench.node.descriptor_budget.servers == 1
         request.exchange.abort(Outcome.TIMEOUT)
         await client.receive()
         await until(lambda: bench.node.descriptor_budget.servers == 0)
 
-    play(scene)
+    play(scenario)
 
 
-@pytest.mark.parametrize("news", ["restarted", "draining", "gone", "left out", "drained and back"])
-@pytest.mark.parametrize("order", ["news first", "up first"])
-def test_a_server_changes_while_a_connection_to_it_comes_up(news, order):
-    """No byte goes to the process that was, unless it was written before the news."""
+@pytest.mark.parametrize("change", ["restarted", "draining", "gone", "unlisted", "drained and back"])
+@pytest.mark.parametrize("order", ["change first", "connect first"])
+def test_server_change_during_connect_prevents_stale_send(change, order):
+    """Nothing is sent to the previous process of a server after the change is known."""
 
-    async def scene():
+    async def scenario():
         bench = await Bench(server := Server(), other := Server(), discovery="push").start()
         bench.discovery.say(42, True, server.entry("s0"))
         await until(lambda: len(bench.discovery.requests) == 2)
         bench.node.pool.loop = late = Late(asyncio.get_running_loop())
-        asked = asyncio.ensure_future(bench.once(call("invite")))
+        response_task = asyncio.ensure_future(bench.once(call("invite")))
         await late.asked.wait()
-        if order == "up first":
+        if order == "connect first":
             late.up.set()
             await until(lambda: len(server.requests) == 1)
         lines = [other.entry("s1")]
-        if news == "restarted":
+        if change == "restarted":
             lines.append(server.entry("s0", started_ms=1))
-        elif news in ("draining", "gone"):
-            lines.append(server.entry("s0", news))
-        elif news == "drained and back":
+        elif change in ("draining", "gone"):
+            lines.append(server.entry("s0", change))
+        elif change == "drained and back":
             bench.discovery.say(43, False, server.entry("s0", "draining"))
             lines.append(server.entry("s0"))
-        bench.discovery.say(44, news == "left out", *lines)
+        bench.discovery.say(44, change == "unlisted", *lines)
         await until(lambda: bench.node.discovery.version == 44)
         late.up.set()
-        assert (await asked)[0] == 200
-        if order == "news first" and news in ("draining", "gone", "left out"):
+        assert (await response_task)[0] == 200
+        if order == "change first" and change in ("draining", "gone", "unlisted"):
             assert not server.requests and len(other.requests) == 1
-        if order == "news first" and news == "restarted" and server.requests:
-            assert server.connections == 2  # the one to the old process carried nothing
+        if order == "change first" and change == "restarted" and server.requests:
+            assert server.connections == 2  # The connection to the old process carried nothing.
         assert len(server.requests) + len(other.requests) == 1
-        await until(lambda: counted_once(bench))
+        await until(lambda: only_idle_connections_counted(bench))
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_server_goes_as_a_retry_to_it_is_chosen():
-    """The news comes within the event that chooses: the retry is told as never sent, and goes elsewhere."""
+def test_server_removed_as_retry_is_chosen_reports_not_sent():
+    """The server is removed within the event that chooses it, so the retry is reported as not sent."""
 
-    async def scene():
+    async def scenario():
         servers = [Server(always(REJECTED)), Server(always(REJECTED)), Server()]
         bench = await Bench(*servers, policy_limits={"max_attempts": 6, "connect_timeout": MOMENT}).start()
         node = bench.node
         send = node.balancer.actions.send
 
-        def gone_first(request, server, timeout):
+        def retire_and_send(request, server, timeout):
             if node.requests.pending[request].attempts == 1:
                 node.pool.endpoints[server].retire()
             send(request, server, timeout)
 
-        node.send = gone_first
+        node.send = retire_and_send
         outcomes = record_outcomes(bench)
         await bench.once(call("invite"))
         assert Outcome.RESET not in outcomes
         if len(outcomes) > 1:
             assert outcomes[1] == Outcome.NOT_SENT
 
-    play(scene)
+    play(scenario)
 
 
-# ---- what never ends -------------------------------------------------------------------------------
+# ---- Endless messages ----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
-    ("before", "again"),
+    ("prefix", "repeated"),
     [
         (b"HTTP/1.1 200 OK\r\nX-Load-Report: ", b"x" * 4096),
         (b"HTTP/1.1 200 OK\r\n", b"X-A: b\r\n" * 512),
@@ -376,20 +387,20 @@
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nX-T: ", b"x" * 4096),
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=", b"x" * 4096),
     ],
-    ids=["line", "lines", "interim", "trailer", "extension"],
+    ids=["endless header", "endless head", "interim", "trailer", "extension"],
 )
-def test_an_answer_that_never_ends_fails_before_it_fills_the_memory(before, again):
-    """Failure prevented: the parser keeps a line until it ends, and the process is killed for its memory."""
+def test_endless_response_fails_before_memory_fills(prefix, repeated):
+    """The parser buffers a line until its end, so an endless line would exhaust the memory."""
 
-    async def scene():
+    async def scenario():
         sent = 0
 
         async def endless(request, writer):
             nonlocal sent
-            writer.write(before)
+            writer.write(prefix)
             while not writer.transport.is_closing():
-                writer.write(again)
-                sent += len(again)
+                writer.write(repeated)
+                sent += len(repeated)
                 await writer.drain()
             return None
 
@@ -400,7 +411,7 @@
         await until(lambda: bench.node.descriptor_budget.servers == 0)
         assert bench.node.memory_budget.held_bytes == 0 and not bench.node.requests.pending
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize(
@@ -417,8 +428,8 @@
     ],
     ids=["head", "trailer", "extension"],
 )
-def test_a_request_that_never_ends_is_refused_and_reaches_no_server(data):
-    async def scene():
+def test_endless_request_is_rejected_and_reaches_no_server(data):
+    async def scenario():
         bench = await Bench(server := Server()).start()
         client = await bench.client()
         client.send(data)
@@ -428,4 +439,4 @@
         await until(lambda: not bench.node.client_connections.connections)
         assert not server.requests and bench.node.memory_budget.held_bytes == 0
 
-    play(scene)
+    play(scenario)
--- a/tests/test_discovery_delays.py
+++ b/tests/test_discovery_delays.py
@@ -1,4 +1,4 @@
-"""How soon a node has a change of the list, whatever failed before and in whichever form it comes."""
+"""Delay until a node has a list change, after failures of discovery and in each HTTP framing."""
 
 import asyncio
 import json
@@ -20,18 +20,20 @@
 from balancer.net.discovery import client as node_discovery
 from balancer.net.node import Node
 
-MAX_DELAY = 6.0  # seconds after discovery had a change and could be reached
-MAX_DELAY_AFTER_RELOAD = 4.0  # seconds after SIGHUP
+# The time limit for a change, from when discovery has it and can be reached.
+MAX_DELAY_S = 6.0
+# The time limit for a change at a new address, from the SIGHUP.
+MAX_DELAY_AFTER_RELOAD_S = 4.0
 
 
 @pytest.fixture
 def production_watch(monkeypatch, patient_watch):
-    """Watches wait as long as they do in service, which `conftest.py` has made longer."""
+    """Restore the production watch time, which `conftest.py` extends for the other tests."""
     monkeypatch.setattr(node_discovery, "MAX_WATCH_MS", patient_watch)
 
 
 def start_node(loop, mode, known=True):
-    """A node whose discovery is at port 1; it asks from now on."""
+    """Start a node with its discovery at port 1."""
     rules = settings()["rules"] | {"ask_within": 100 * MOMENT}
     table = node_table(1, settings(discovery=mode, rules=rules))
     table["known"] = table["known"] | {"version": 41} if known else None
@@ -45,11 +47,11 @@
 
 
 def time_of_version(loop, node, version, limit):
-    """When the node had this version, by the loop's clock."""
+    """Return the loop time at which the node has this version and serves; fail at the limit."""
 
     async def wait_for_version():
         while node.discovery.version != version or not node.lifecycle.serving:
-            assert loop.time() < limit, "still not notified"
+            assert loop.time() < limit, "the node did not get the version in time"
             await asyncio.sleep(0.02)
         return loop.time()
 
@@ -58,21 +60,21 @@
 
 @pytest.mark.parametrize("mode", ["push", "ask"])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_change_is_notified_in_time_whatever_went_wrong_before(fault, mode, production_watch):
-    """At each moment at which discovery can be back, also long after the first failure."""
-    draw = Random(f"{fault} {mode}")
-    longest = 0.0
+def test_list_change_arrives_in_time_after_any_failure(fault, mode, production_watch):
+    """Discovery recovers at random times, up to 40 s after the first failure."""
+    rng = Random(f"{fault} {mode}")
+    max_delay_s = 0.0
     for _ in range(40):
-        recovers_at = 1000 + draw.choice([2, 8, 40]) * draw.random()
+        recovers_at = 1000 + rng.choice([2, 8, 40]) * rng.random()
         loop = VirtualTimeLoop({1: FakeDiscovery(fault, recovers_at)})
         node = start_node(loop, mode)
-        longest = max(longest, time_of_version(loop, node, 42, recovers_at + 60) - recovers_at)
+        max_delay_s = max(max_delay_s, time_of_version(loop, node, 42, recovers_at + 60) - recovers_at)
         loop.close()
-    assert longest <= MAX_DELAY
+    assert max_delay_s <= MAX_DELAY_S
 
 
 class MixedFaultsDiscovery(FakeDiscovery):
-    """Discovery that fails in another way at each connection and at each request."""
+    """Discovery with a random fault for each connection and each request."""
 
     def __init__(self, seed, recovers_at):
         super().__init__("none", recovers_at)
@@ -88,44 +90,44 @@
 
 
 @pytest.mark.parametrize("mode", ["push", "ask"])
-def test_a_change_is_notified_in_time_after_failures_of_all_kinds(mode, production_watch):
+def test_list_change_arrives_in_time_after_mixed_failures(mode, production_watch):
     for seed in range(100):
         recovers_at = 1000 + 20 * Random(seed).random()
         loop = VirtualTimeLoop({1: MixedFaultsDiscovery(seed, recovers_at)})
         node = start_node(loop, mode)
-        assert time_of_version(loop, node, 42, recovers_at + 60) - recovers_at <= MAX_DELAY
+        assert time_of_version(loop, node, 42, recovers_at + 60) - recovers_at <= MAX_DELAY_S
         loop.close()
 
 
 @pytest.mark.parametrize("mode", ["push", "ask"])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_node_that_knows_no_server_is_ready_soon_after_discovery_is_back(fault, mode, production_watch):
-    """A process that starts while discovery is down has six seconds, and nine in ten have ten seconds."""
+def test_first_list_arrives_in_time_after_discovery_recovers(fault, mode, production_watch):
+    """A process that starts during an outage has 6 s to get its first list; nine in ten have 10 s."""
     for seed in range(20):
         recovers_at = 1000 + 8 * Random(seed).random()
         loop = VirtualTimeLoop({1: FakeDiscovery(fault, recovers_at)})
         node = start_node(loop, mode, known=False)
         assert not node.lifecycle.serving
-        assert time_of_version(loop, node, 42, recovers_at + 60) - recovers_at <= MAX_DELAY
+        assert time_of_version(loop, node, 42, recovers_at + 60) - recovers_at <= MAX_DELAY_S
         loop.close()
 
 
 @pytest.mark.parametrize("mode", ["push", "ask"])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_the_new_address_tells_in_time_whatever_the_old_one_did(fault, mode, production_watch):
-    """After SIGHUP the time is shorter, and the wait after the old one's failure doesn't count."""
+def test_new_discovery_address_is_used_without_backoff(fault, mode, production_watch):
+    """After SIGHUP the time limit is shorter, and the backoff of the old address must not apply."""
     for seed in range(20):
         loop = VirtualTimeLoop({1: FakeDiscovery(fault, 2000), 2: FakeDiscovery("refused", 0)})
         node = start_node(loop, mode)
         loop.run_until_complete(asyncio.sleep(8 * Random(seed).random()))
         reloaded_at = loop.time()
         node.discovery.change_address(("10.0.0.9", 2))
-        assert time_of_version(loop, node, 42, reloaded_at + 60) - reloaded_at <= MAX_DELAY_AFTER_RELOAD
+        assert time_of_version(loop, node, 42, reloaded_at + 60) - reloaded_at <= MAX_DELAY_AFTER_RELOAD_S
         loop.close()
 
 
 class RestartedDiscovery(FakeDiscovery):
-    """Discovery that has begun its versions anew; the first call for its whole list falls silent."""
+    """Discovery that has restarted its versions and never answers the first full fetch."""
 
     version = 2
 
@@ -145,28 +147,28 @@
 
 
 @pytest.mark.parametrize("mode", ["push", "ask"])
-def test_a_call_for_the_whole_list_that_falls_silent_is_made_anew_in_time(mode, production_watch):
-    """Failure prevented: it was waited for as long as the silence may last in all, beside the watch."""
+def test_silent_full_list_fetch_is_retried_in_time(mode, production_watch):
+    """The timeout of a full fetch must leave time for a second one within the delay limit."""
     loop = VirtualTimeLoop({1: RestartedDiscovery()})
     node = start_node(loop, mode)
     started_at = loop.time()
-    assert time_of_version(loop, node, 2, started_at + 60) - started_at <= MAX_DELAY
+    assert time_of_version(loop, node, 2, started_at + 60) - started_at <= MAX_DELAY_S
     loop.close()
 
 
-WHOLE_LIST = list_response(42)
-LIST_BODY = WHOLE_LIST.partition(b"\r\n\r\n")[2]
+FULL_LIST = list_response(42)
+LIST_BODY = FULL_LIST.partition(b"\r\n\r\n")[2]
 INTERIM = b"HTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\n"
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x;a=b\r\n%b\r\n0\r\nX-Sum: 1\r\n\r\n"
-FORMS = {
-    "a length": [WHOLE_LIST],
-    "chunks and a trailer": [CHUNKED % (len(LIST_BODY), LIST_BODY)],
-    "an interim answer": [INTERIM + WHOLE_LIST],
-    "an interim answer, then": [INTERIM, WHOLE_LIST],
-    "interim answers, then to the end": [INTERIM, INTERIM, b"HTTP/1.1 200 OK\r\n\r\n" + LIST_BODY, "end"],
-    "to the connection's end": [b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", LIST_BODY, "end"],
-    "HTTP/1.0, to the end": [b"HTTP/1.0 200 OK\r\n\r\n" + LIST_BODY, "end"],
-    "a length and the end": [
+FRAMINGS = {
+    "length": [FULL_LIST],
+    "chunks and trailer": [CHUNKED % (len(LIST_BODY), LIST_BODY)],
+    "interim response in one segment": [INTERIM + FULL_LIST],
+    "interim response in its own segment": [INTERIM, FULL_LIST],
+    "interim responses, until close": [INTERIM, INTERIM, b"HTTP/1.1 200 OK\r\n\r\n" + LIST_BODY, "end"],
+    "until close": [b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", LIST_BODY, "end"],
+    "HTTP/1.0, until close": [b"HTTP/1.0 200 OK\r\n\r\n" + LIST_BODY, "end"],
+    "length, then close": [
         b"HTTP/1.0 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(LIST_BODY), LIST_BODY),
         "end",
     ],
@@ -174,7 +176,7 @@
 
 
 class ScriptedDiscovery(FakeDiscovery):
-    """Discovery that answers in one form; `pieces` may hold "end" and "reset"."""
+    """Discovery that sends the given pieces, in which "end" and "reset" close the connection."""
 
     def __init__(self, pieces):
         super().__init__("none", 0)
@@ -189,18 +191,18 @@
             else:
                 connection.loop.call_soon(self.end_connection, connection, piece)
 
-    def end_connection(self, connection, how):
-        if not connection.closed and how == "end":
+    def end_connection(self, connection, ending):
+        if not connection.closed and ending == "end":
             connection.protocol.eof_received()
         connection.close()
 
 
 @pytest.mark.parametrize("mode", ["push", "ask"])
-@pytest.mark.parametrize("at", ["once", "byte by byte"])
-@pytest.mark.parametrize("form", FORMS)
-def test_a_list_comes_in_every_form_that_http_allows(form, at, mode, production_watch):
-    pieces = FORMS[form]
-    if at == "byte by byte":
+@pytest.mark.parametrize("delivery", ["at once", "byte by byte"])
+@pytest.mark.parametrize("framing", FRAMINGS)
+def test_list_is_accepted_in_every_http_framing(framing, delivery, mode, production_watch):
+    pieces = FRAMINGS[framing]
+    if delivery == "byte by byte":
         pieces = [
             p[i : i + 1] if p != "end" else p for p in pieces for i in range(len(p) if p != "end" else 1)
         ]
@@ -211,38 +213,40 @@
     loop.close()
 
 
-@pytest.mark.parametrize("body", [LIST_BODY, LIST_BODY[:-1]], ids=["whole", "cut"])
-@pytest.mark.parametrize("length", [b"", b"Content-Length: 4000\r\n"], ids=["no length", "more to come"])
-@pytest.mark.parametrize("how", ["end", "reset"])
-def test_what_is_no_whole_list_is_not_believed(how, length, body, production_watch):
-    """A reset is no end; nor is an end where more was to come, or in the middle of a list."""
-    loop = VirtualTimeLoop({1: ScriptedDiscovery([b"HTTP/1.1 200 OK\r\n%b\r\n" % length, body, how])})
+@pytest.mark.parametrize("body", [LIST_BODY, LIST_BODY[:-1]], ids=["complete", "truncated"])
+@pytest.mark.parametrize("length", [b"", b"Content-Length: 4000\r\n"], ids=["no length", "longer length"])
+@pytest.mark.parametrize("ending", ["end", "reset"])
+def test_incomplete_list_response_is_rejected(ending, length, body, production_watch):
+    """A list is accepted only if the connection is closed, not reset, after the complete response."""
+    loop = VirtualTimeLoop({1: ScriptedDiscovery([b"HTTP/1.1 200 OK\r\n%b\r\n" % length, body, ending])})
     node = start_node(loop, "push")
     loop.run_until_complete(asyncio.sleep(5))
-    whole = how == "end" and not length and body == LIST_BODY
-    assert (node.discovery.version == 42) == whole
+    is_complete = ending == "end" and not length and body == LIST_BODY
+    assert (node.discovery.version == 42) == is_complete
     loop.close()
 
 
 @pytest.mark.parametrize("mode", ["push", "ask"])
-def test_a_list_without_a_length_comes_over_a_socket(mode):
-    """As above with the event loop in service: the watch goes on, on a new connection each time."""
+def test_list_without_length_is_accepted_over_socket(mode):
+    """The watch continues on a new connection after each such response, with a real event loop."""
 
-    async def scene():
+    async def scenario():
         bench = Bench(server := Server(), discovery=mode)
 
-        async def to_the_end(request, writer):
+        async def respond_until_close(request, writer):
             version = 41 + len(bench.discovery.requests)
             body = json.dumps({"version": version, "full": False, "servers": [server.entry("s0")]}).encode()
             writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + body)
-            raise ConnectionResetError  # the stand-in then ends the connection once that is written
+            raise ConnectionResetError  # Makes the fake discovery close the connection after the write.
 
-        bench.discovery.handle = to_the_end
+        bench.discovery.handle = respond_until_close
         await bench.start()
-        failed = []
-        bench.node.server_registry.log.line = lambda text: failed.append(text) if "failed" in text else None
+        failure_lines = []
+        bench.node.server_registry.log.line = lambda text: (
+            failure_lines.append(text) if "failed" in text else None
+        )
         await until(lambda: bench.node.discovery.version >= 60)
-        assert not failed
+        assert not failure_lines
         bench.node.discovery.close()
 
-    play(scene)
+    play(scenario)
--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -1,4 +1,4 @@
-"""Processes while discovery is down: one descriptor is left for it, and a restarted process is ready."""
+"""Processes during an outage of discovery: the descriptor reserved for it, and restarts."""
 
 import asyncio
 import json
@@ -24,13 +24,13 @@
     until,
 )
 
-SOCKETS = 56  # descriptors that the process may have
-CROWD = 150
+MAX_DESCRIPTORS = 56  # The limit for the process.
+CLIENT_COUNT = 150
 READY = b"GET /ready HTTP/1.1\r\n\r\n"
 
 
 class ReturningDiscovery(Discovery):
-    """Answers nothing until it is back; then it responds that `s0` drains, and `s1` is there."""
+    """Discovery that sends no response until it is back, and then reports `s0` draining and `s1` ready."""
 
     def __init__(self, *servers: Server) -> None:
         super().__init__()
@@ -55,51 +55,54 @@
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
     def is_watched_again(self) -> bool:
-        """Whether the node has taken the change and watches on."""
+        """Return whether the node has applied the change and renewed its watch."""
         return any("since=43&" in request.target for request in self.requests)
 
 
 async def clients_that_fill_descriptors(behaviour: str, port: int) -> list[Client]:
-    """Clients that fill the descriptors: idle after an answer, with half a request, or waiting for one."""
+    """Open clients that are idle after a response, have sent half a request or wait for a response."""
     crowd = []
-    for _ in range(CROWD):
+    for _ in range(CLIENT_COUNT):
         client = await Client(port).open()
-        client.send({"stands idle": READY, "half a request": READY[:-2], "waits": call()}[behaviour])
+        client.send({"idle": READY, "half a request": READY[:-2], "waiting": call()}[behaviour])
         crowd.append(client)
         await asyncio.sleep(0)
     return crowd
 
 
-@pytest.mark.parametrize("behaviour", ["stands idle", "half a request", "waits"])
+@pytest.mark.parametrize("behaviour", ["idle", "half a request", "waiting"])
 @pytest.mark.parametrize("down", ["refused", "silent"])
-def test_a_crowd_that_fills_the_descriptors_leaves_one_for_discovery(
+def test_crowd_filling_descriptors_leaves_one_for_discovery(
     down: str, behaviour: str, tmp_path: Path
 ) -> None:
-    """The system itself holds the process to its limit here. The crowd stays until the change is known."""
+    """The node must keep a descriptor for discovery while clients use up the limit of the process.
 
-    async def scene() -> None:
+    The clients stay connected until the node has the change, and the kernel enforces the limit.
+    """
+
+    async def scenario() -> None:
         await (old := Server(gated(asyncio.Event()))).start()
         await (new := Server()).start()
         discovery = ReturningDiscovery(old, new)
-        port, its_port = free_port(), free_port()
+        port, discovery_port = free_port(), free_port()
         if down == "silent":
-            await discovery.listen(its_port)
-        table = node_table(its_port, settings(discovery="push"), f"127.0.0.1:{port}", old.entry("s0"))
-        process = await spawn(tmp_path, table | {"limits": {"sockets": SOCKETS}})
+            await discovery.listen(discovery_port)
+        table = node_table(discovery_port, settings(discovery="push"), f"127.0.0.1:{port}", old.entry("s0"))
+        process = await spawn(tmp_path, table | {"limits": {"sockets": MAX_DESCRIPTORS}})
         await connected(first := Client(port))
-        resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
-        held = f"/proc/{process.pid}/fd"
-        before = len(os.listdir(held))
+        resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (MAX_DESCRIPTORS, MAX_DESCRIPTORS))
+        descriptor_folder = f"/proc/{process.pid}/fd"
+        initial_descriptor_count = len(os.listdir(descriptor_folder))
         crowd = await clients_that_fill_descriptors(behaviour, port)
-        await until(lambda: len(os.listdir(held)) >= before + 8)
+        await until(lambda: len(os.listdir(descriptor_folder)) >= initial_descriptor_count + 8)
         discovery.back.set()
         if down == "refused":
-            await discovery.listen(its_port)
+            await discovery.listen(discovery_port)
         await until(discovery.is_watched_again)
-        assert len(os.listdir(held)) <= SOCKETS
+        assert len(os.listdir(descriptor_folder)) <= MAX_DESCRIPTORS
         for client in (first, *crowd):
             client.writer.close()
-        while not new.requests:  # once there is room
+        while not new.requests:  # Until the node has a free descriptor for a client.
             await (client := Client(port)).open()
             client.send(call())
             await client.reader.read(1)
@@ -108,28 +111,28 @@
         process.terminate()
         assert await asyncio.wait_for(process.wait(), 20) == 0
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize("mode", ["push", "ask"])
 @pytest.mark.parametrize("down", ["refused", "silent"])
-def test_a_restarted_process_is_ready_while_discovery_is_down(down: str, mode: str, tmp_path: Path) -> None:
-    """What it was told last is enough to begin with."""
+def test_restarted_process_is_ready_while_discovery_is_down(down: str, mode: str, tmp_path: Path) -> None:
+    """The last known server list, from the configuration, is enough to serve requests."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         await (server := Server()).start()
-        discovery, port, its_port = Discovery(), free_port(), free_port()
+        discovery, port, discovery_port = Discovery(), free_port(), free_port()
         if down == "silent":
             await discovery.start()
-            its_port = discovery.port
-        table = node_table(its_port, settings(discovery=mode), f"127.0.0.1:{port}", server.entry("s0"))
-        for end in ("kill", "terminate"):
+            discovery_port = discovery.port
+        table = node_table(discovery_port, settings(discovery=mode), f"127.0.0.1:{port}", server.entry("s0"))
+        for stop in ("kill", "terminate"):
             process = await spawn(tmp_path, table)
             await connected(client := Client(port))
             assert (await client.ask(READY))[0] == 200
             assert (await client.ask(call()))[0] == 200
             client.writer.close()
-            getattr(process, end)()
+            getattr(process, stop)()
             await process.wait()
 
-    play(scene)
+    play(scenario)
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""The node over loopback sockets: its watch of the list of servers, and what follows from a change."""
+"""The node's watch on discovery over loopback sockets, and the effects of list changes."""
 
 import json
 from random import Random
@@ -22,19 +22,19 @@
 from balancer.policy.interface import ListKind
 
 
-def test_ready_once_there_is_a_list():
-    async def scene():
+def test_node_is_ready_once_it_has_server_list():
+    async def scenario():
         bench = await Bench(server := Server(), config={"known": None}).start()
         assert (await bench.once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 503
         bench.discovery.say(42, True, server.entry("s0"))
         await until(lambda: bench.node.lifecycle.serving)
         assert (await bench.once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_watch_is_renewed_at_once_with_the_version_in_hand():
-    async def scene():
+def test_watch_is_renewed_at_once_with_current_version():
+    async def scenario():
         bench = await Bench(server := Server()).start()
         bench.discovery.say(43, False, server.entry("s0"))
         await until(lambda: len(bench.discovery.requests) == 2)
@@ -42,53 +42,53 @@
         assert "since=41&" in first and "since=43&" in second
         assert bench.discovery.connections == 1
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize("full", [False, True])
-def test_nothing_new_goes_to_a_server_that_drains_or_left(full):
-    """Failure prevented: an open connection, or a pooled one, carries requests to a server after its end."""
+def test_no_new_request_goes_to_draining_or_removed_server(full):
+    """Open and pooled connections to a server that drains or is removed must carry no new request."""
 
-    async def scene():
-        bench = await Bench(going := Server(), staying := Server()).start()
-        while not going.requests:
+    async def scenario():
+        bench = await Bench(draining := Server(), remaining := Server()).start()
+        while not draining.requests:
             assert (await bench.once(call()))[0] == 200
         if full:
-            bench.discovery.say(43, True, staying.entry("s1"))
+            bench.discovery.say(43, True, remaining.entry("s1"))
         else:
-            bench.discovery.say(43, False, going.entry("s0", "draining"))
-        await until(lambda: going.closed == going.connections)
-        sent = len(going.requests)
+            bench.discovery.say(43, False, draining.entry("s0", "draining"))
+        await until(lambda: draining.closed == draining.connections)
+        sent = len(draining.requests)
         for _ in range(10):
             assert (await bench.once(call()))[0] == 200
-        assert len(going.requests) == sent
+        assert len(draining.requests) == sent
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_server_that_drains_while_its_connection_comes_up_gets_no_byte():
-    """Failure prevented: the server was ready at the send, and the request is written after its drain."""
+def test_server_draining_during_connect_gets_no_bytes():
+    """A request must not be written if its server starts to drain while the connection is opened."""
 
-    async def scene():
-        bench = await Bench(going := Server(), staying := Server(), config={"known": None}).start()
-        bench.discovery.say(42, True, going.entry("s0"))
+    async def scenario():
+        bench = await Bench(draining := Server(), remaining := Server(), config={"known": None}).start()
+        bench.discovery.say(42, True, draining.entry("s0"))
         await until(lambda: bench.node.lifecycle.serving)
         start = bench.node.balancer.request
 
         def request(*args):
-            start(*args)  # a connection is being opened; then the news comes
-            body = {"version": 43, "full": True, "servers": [staying.entry("s1")]}
+            start(*args)  # The list change arrives while the connection is being opened.
+            body = {"version": 43, "full": True, "servers": [remaining.entry("s1")]}
             bench.node.discovery.on_watch_response(bench.node.discovery.watch_call, json.dumps(body).encode())
 
         bench.node.balancer.request = request
         assert (await bench.once(call("invite")))[0] == 200
-        assert not going.requests and len(staying.requests) == 1
+        assert not draining.requests and len(remaining.requests) == 1
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_changed_address_makes_old_connections_unusable():
-    async def scene():
+def test_address_change_retires_old_connections():
+    async def scenario():
         bench = await Bench(old := Server()).start()
         await Server.start(new := Server())
         assert (await bench.once(call()))[0] == 200
@@ -97,75 +97,79 @@
         assert (await bench.once(call()))[0] == 200
         assert len(new.requests) == 1
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize(
     "body",
     [b"{", b"[]", b'{"version":43,"full":true,"servers":[{"id":7}]}', b'{"full":true,"servers":[]}'],
 )
-def test_garbage_from_discovery_leaves_the_list_alone(body):
-    """Failure prevented: an answer that cannot be read empties the list, or ends the process."""
+def test_invalid_list_from_discovery_keeps_current_list(body):
+    """An invalid response must neither clear the list nor end the process."""
 
-    async def scene():
+    async def scenario():
         bench = await Bench(server := Server()).start()
         bench.discovery.raw(body)
         await until(lambda: len(bench.discovery.requests) == 2)
         assert (await bench.once(call()))[0] == 200 and server.requests
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_failed_watch_is_asked_for_again():
-    async def scene():
+def test_failed_watch_is_reopened():
+    async def scenario():
         bench = await Bench(Server()).start()
         bench.discovery.raw(b"", b"503 Busy")
         await until(lambda: len(bench.discovery.requests) == 2)
-        bench.discovery.answers.put_nowait(None)  # the connection breaks
+        bench.discovery.answers.put_nowait(None)  # Discovery closes the connection.
         await until(lambda: len(bench.discovery.requests) == 3)
         assert (await bench.once(call()))[0] == 200
 
-    play(scene)
+    play(scenario)
 
 
-@pytest.mark.parametrize("how", ["down", "cut off", "silent"])
-def test_the_watch_outlives_an_outage_of_discovery(how, monkeypatch):
-    """Failure prevented: a call that is never answered is waited for, and the list stays as it was."""
+@pytest.mark.parametrize("outage", ["refused", "unaccepting", "silent"])
+def test_watch_survives_discovery_outage(outage, monkeypatch):
+    """A call that is never answered must time out, or the node would keep an old list."""
 
-    async def scene():
+    async def scenario():
         monkeypatch.setattr("balancer.net.discovery.call.CONNECT_TIMEOUT_S", 0.2)
         monkeypatch.setattr("balancer.net.discovery.client.MAX_WATCH_MS", 200)
         monkeypatch.setattr("balancer.net.discovery.client.RESPONSE_TIMEOUT_S", 0.2)
-        rules = settings()["rules"] | {"ask_within": MOMENT}  # asks again soon
+        rules = settings()["rules"] | {"ask_within": MOMENT}
         bench = await Bench(old := Server(), rules=rules).start()
         await Server.start(new := Server())
         node = bench.node
-        failed = []
-        told = node.balancer.server_list
+        failures = []
+        apply_list = node.balancer.server_list
 
         def server_list(now, kind, entries):
-            failed.append(kind == ListKind.FAILED)
-            told(now, kind, entries)
+            failures.append(kind == ListKind.FAILED)
+            apply_list(now, kind, entries)
 
         node.balancer.server_list = server_list
-        with unaccepting_port() as nowhere:
-            if how != "silent":  # which the test's discovery is until it is told what to say
-                node.discovery.address = ("127.0.0.1", free_port() if how == "down" else nowhere)
-            await until(lambda: sum(failed) >= 3)
-            assert (await bench.once(call()))[0] == 200 and old.requests  # the last list holds
+        with unaccepting_port() as unaccepting:
+            # The fake discovery is silent until it is given a response to send.
+            if outage != "silent":
+                node.discovery.address = ("127.0.0.1", free_port() if outage == "refused" else unaccepting)
+            await until(lambda: sum(failures) >= 3)
+            assert (await bench.once(call()))[0] == 200 and old.requests  # The last list stays in use.
         await Server.start(back := Discovery())
         node.discovery.address = ("127.0.0.1", back.port)
         back.say(50, True, new.entry("s1"))
-        await until(lambda: not failed[-1])
-        seen = len(old.requests)
-        assert (await bench.once(call()))[0] == 200 and len(old.requests) == seen
+        await until(lambda: not failures[-1])
+        previous_count = len(old.requests)
+        assert (await bench.once(call()))[0] == 200 and len(old.requests) == previous_count
         assert len(new.requests) == 1
 
-    play(scene)
+    play(scenario)
 
 
-def test_watches_are_short_and_no_two_nodes_watch_in_step(monkeypatch, patient_watch):
-    """Failure prevented: a watch that has fallen silent holds up the list for most of a minute."""
+def test_watch_waits_are_short_and_jittered_per_node(monkeypatch, patient_watch):
+    """Watches must be short, or an unresponsive one would delay a list change by most of a minute.
+
+    The jitter keeps the watches of several nodes from being renewed in step.
+    """
     monkeypatch.setattr(node_discovery, "MAX_WATCH_MS", patient_watch)
 
     def waits(seed):
@@ -174,7 +178,7 @@
         call = SimpleNamespace(get=lambda path, time: calls.append((int(path.rpartition("=")[2]), time)))
         for _ in range(5):
             discovery.send_watch(call)
-        # Given up well before what it should have told counts as told, 2 s after the wait.
+        # A change counts as reported 2 s after the wait, so the watch must fail well before that.
         assert all(500 <= wait <= 1000 and wait / 1000 < time < wait / 1000 + 1.5 for wait, time in calls)
         return [wait for wait, _ in calls]
 
@@ -183,12 +187,12 @@
     assert len(set(waits(7))) > 1
 
 
-def test_a_pushed_list_is_watched_by_the_node_itself():
-    async def scene():
+def test_node_watches_server_list_itself_in_push_mode():
+    async def scenario():
         bench = await Bench(server := Server(), discovery="push", config={"known": None}).start()
         bench.discovery.raw(b"", b"503 Busy")
         bench.discovery.say(42, True, server.entry("s0"))
         await until(lambda: bench.node.lifecycle.serving)
         assert (await bench.once(call()))[0] == 200
 
-    play(scene)
+    play(scenario)
--- a/tests/test_response_streaming.py
+++ b/tests/test_response_streaming.py
@@ -1,4 +1,4 @@
-"""Long responses pass through the node in any framing, at the pace of their client."""
+"""Streaming of long responses: framings, flow control, timeouts and size limits."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "close"),
+    ("response", "close"),
     [
         (HEAD + b"Content-Length: %d\r\n\r\n" % len(LONG) + LONG, False),
         (HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(LONG, 3000, b";x=1", b"X-T: 1\r\n"), False),
@@ -23,11 +23,11 @@
         (HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(b"ok", 1, b"", b"X-Rejected: 1\r\n"), False),
     ],
 )  # fmt: skip
-def test_an_answer_in_any_form_reaches_the_client_unchanged(answer, close):
-    async def scene():
-        bench = await Bench(RawServer(answer, close)).start()
+def test_response_in_any_framing_reaches_client_unchanged(response, close):
+    async def scenario():
+        bench = await Bench(RawServer(response, close)).start()
         client = await bench.client()
-        expected = LONG if LONG in answer else None
+        expected = LONG if LONG in response else None
         for _ in range(3):
             client.send(call(extra=b"Connection: keep-alive\r\n"))
             head, body = await receive(client)
@@ -36,28 +36,31 @@
         assert bench.node.memory_budget.held_bytes == 0 and not bench.node.requests.pending
         assert bench.node.counters.finished[0] == {"answered": 3, "deferred": 0, "errored": 0}
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_client_that_knows_no_chunks_gets_a_long_answer_to_the_connection_s_end():
-    async def scene():
-        answer = HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(LONG, 5000)
-        bench = await Bench(RawServer(answer)).start()
+def test_http_1_0_client_gets_long_response_until_close():
+    async def scenario():
+        response = HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(LONG, 5000)
+        bench = await Bench(RawServer(response)).start()
         client = await bench.client()
         client.send(call().replace(b"HTTP/1.1", b"HTTP/1.0"))
         head, body = await receive(client)
         assert b"chunked" not in head and body == LONG
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_client_that_does_not_read_stops_its_server_and_nobody_else():
-    """Failure prevented: the rest of a long answer piles up in the process while its client is slow."""
+def test_slow_client_pauses_only_its_own_server_connection():
+    """Reading from the server must stop while the client is slow, or the response fills the memory.
 
-    async def scene():
+    Requests of other clients are still answered meanwhile.
+    """
+
+    async def scenario():
         total = 24 * len(LONG)
 
-        async def flood(request, writer):
+        async def send_long_response(request, writer):
             if request.target.startswith("/invite"):
                 return OK
             writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % total)
@@ -66,7 +69,7 @@
                 await writer.drain()
             return None
 
-        bench = await Bench(Server(flood)).start()
+        bench = await Bench(Server(send_long_response)).start()
         node = bench.node
         slow = await bench.client()
         slow.writer.transport.pause_reading()
@@ -82,42 +85,42 @@
             await slow.reader.readuntil(b"\r\n\r\n")
             assert len(await slow.reader.readexactly(total)) == total
 
-    play(scene)
+    play(scenario)
 
 
-def test_an_answer_that_flows_outlives_the_request_s_time(monkeypatch):
-    """Failure prevented: a time-out, the cut or the guard ends an answer that is on its way."""
+def test_streamed_response_may_outlast_request_deadline(monkeypatch):
+    """A response in transfer must not be ended by the attempt timeout, the deadline or the guard timer."""
 
-    async def scene():
+    async def scenario():
         release = asyncio.Event()
 
-        async def halves(request, writer):
+        async def send_in_two_parts(request, writer):
             writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % len(LONG) + LONG[:100])
             await release.wait()
             return LONG[100:]
 
-        bench = await Bench(Server(halves)).start()
+        bench = await Bench(Server(send_in_two_parts)).start()
         client = await bench.client()
         client.send(call(budget=300))
         await until(lambda: any(r.stream for r in bench.node.requests.pending.values()))
         (request,) = bench.node.requests.pending.values()
         head = await client.reader.readuntil(b"\r\n\r\n")
-        assert await client.reader.readexactly(100) == LONG[:100]  # not held back for the rest
+        assert await client.reader.readexactly(100) == LONG[:100]  # The first part is not held back.
         await until(lambda: bench.node.event_queue.now() > request.deadline + 100_000)
         release.set()
         assert head and await client.reader.readexactly(len(LONG) - 100) == LONG[100:]
         await until(lambda: not bench.node.requests.pending)
         assert bench.node.requests.guarded == 0
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize("framing", [b"Content-Length: %d" % len(LONG), b"Transfer-Encoding: chunked"])
 @pytest.mark.parametrize("version", [b"1.1", b"1.0"])
-def test_an_answer_that_breaks_off_is_seen_as_broken(framing, version):
-    """Failure prevented: a client takes half an answer for the whole."""
+def test_truncated_response_is_visible_to_client(framing, version):
+    """A client must be able to tell a truncated response from a complete one."""
 
-    async def scene():
+    async def scenario():
         half = HEAD + framing + b"\r\n\r\n" + (chunks(LONG, 9000) if b"chunked" in framing else LONG)
         bench = await Bench(RawServer(half[: len(LONG) // 2], close=True)).start()
         outcomes = record_outcomes(bench)
@@ -129,13 +132,13 @@
         assert bench.node.counters.finished[0]["errored"] == 1
         await until(lambda: not bench.node.requests.pending)
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_server_that_falls_silent_under_way_is_given_up(monkeypatch):
-    monkeypatch.setattr(node_exchange, "SERVER_SILENCE_S", 0.0)
+def test_stalled_server_response_is_aborted(monkeypatch):
+    monkeypatch.setattr(node_exchange, "SERVER_STALL_TIMEOUT_S", 0.0)
 
-    async def scene():
+    async def scenario():
         silent = HEAD + b"Content-Length: %d\r\n\r\n" % len(LONG) + LONG[:100]
         bench = await Bench(Server(always(silent))).start()
         client = await bench.client()
@@ -143,11 +146,11 @@
         with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
             await receive(client)
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_client_that_leaves_under_way_ends_its_attempt():
-    async def scene():
+def test_client_disconnect_during_stream_cancels_attempt():
+    async def scenario():
         half = HEAD + b"Content-Length: %d\r\n\r\n" % len(LONG) + LONG[:100]
         bench = await Bench(server := Server(always(half))).start()
         outcomes = record_outcomes(bench)
@@ -160,38 +163,37 @@
         assert not any(s.in_flight for s in bench.node.balancer.servers.values())
         assert not bench.node.balancer.streaming
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_long_answer_that_is_no_success_fails_the_attempt():
-    async def scene():
+def test_long_error_response_fails_attempt():
+    async def scenario():
         large = b"HTTP/1.1 500 Oops\r\nContent-Length: %d\r\n\r\n" % len(LONG) + LONG
         bench = await Bench(Server(always(large))).start()
         assert (await bench.once(call("invite")))[0] == 502
 
-    play(scene)
+    play(scenario)
 
 
-def test_an_answer_that_says_it_is_longer_than_any_fails_before_a_byte_is_passed_on():
-    """Failure prevented: a spoilt length makes a client take a part for an answer, where another attempt
-    would have served it."""
+def test_oversized_content_length_fails_before_streaming():
+    """A corrupt length must fail the attempt before any byte is passed on, so that a retry can succeed."""
 
-    async def scene():
-        spoilt = HEAD + b"Content-Length: 3000000000\r\n\r\n" + LONG[:10000]
-        bench = await Bench(Server(always(spoilt, OK))).start()
+    async def scenario():
+        oversized = HEAD + b"Content-Length: 3000000000\r\n\r\n" + LONG[:10000]
+        bench = await Bench(Server(always(oversized, OK))).start()
         outcomes = record_outcomes(bench)
         assert (await bench.once(call()))[2] == b"ok"
         assert outcomes == [Outcome.ERROR, Outcome.OK]
 
-    play(scene)
+    play(scenario)
 
 
-def test_what_grows_longer_than_any_is_cut(monkeypatch):
-    """Failure prevented: chunks without end keep a server, a client and their connections for good."""
+def test_endless_chunked_bodies_are_cut_at_size_limit(monkeypatch):
+    """Endless chunked bodies must not occupy a server, a client and their connections forever."""
     for module in ("downstream.request_parser", "upstream.connection"):
         monkeypatch.setattr(f"balancer.net.{module}.MAX_BODY_BYTES", 200_000)
 
-    async def scene():
+    async def scenario():
         endless = HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(LONG, 9000)[:-5]
         bench = await Bench(server := RawServer(endless)).start()
         client = await bench.client()
@@ -203,21 +205,21 @@
         head, _ = await receive(client)
         assert head.startswith(b"HTTP/1.1 413 ")
         await until(lambda: not bench.node.requests.pending)
-        assert len(server.bodies) == 1  # the first request's, which had none
+        assert len(server.bodies) == 1  # Only the request without a body reached the server.
 
-    play(scene)
+    play(scenario)
 
 
-def test_an_answer_for_which_there_is_no_room_flows_instead():
-    async def scene():
+def test_response_is_streamed_when_buffer_memory_is_full():
+    async def scenario():
         body = LONG[:30000]
-        answer = HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body
-        bench = await Bench(server := Server(always(answer[:20000]))).start()
+        response = HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body
+        bench = await Bench(server := Server(always(response[:20000]))).start()
         bench.node.memory_budget.max_held_bytes = 10000
         client = await bench.client()
         client.send(call())
         await until(lambda: any(r.stream for r in bench.node.requests.pending.values()))
-        server.writers[0].write(answer[20000:])
+        server.writers[0].write(response[20000:])
         assert (await receive(client))[1] == body
 
-    play(scene)
+    play(scenario)
