--- a/tests/test_retry_after_disconnect.py
+++ b/tests/test_retry_after_disconnect.py
@@ -1,4 +1,4 @@
-"""No retry goes out for a client that has closed its connection."""
+"""Retries after a client has closed its connection."""
 
 import asyncio
 import socket
@@ -18,21 +18,25 @@
 from balancer.net.upstream.exchange import Exchange
 from balancer.policy.interface import Outcome
 
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER
+# The value of SO_LINGER with which a close resets the connection.
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-@pytest.mark.parametrize("mode", [{}, {"policy_limits": {"cancel": False}}], ids=["cancel", "no cancel"])
+@pytest.mark.parametrize("overrides", [{}, {"policy_limits": {"cancel": False}}], ids=["cancel", "no cancel"])
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.TIMEOUT])
-@pytest.mark.parametrize("how", ["fin", "rst"])
-def test_no_retry_goes_to_an_idle_connection_once_the_client_has_gone(
-    how: str, outcome: Outcome, mode: dict[str, Any]
+@pytest.mark.parametrize("ending", ["fin", "rst"])
+def test_no_retry_on_idle_connection_after_client_disconnect(
+    ending: str, outcome: Outcome, overrides: dict[str, Any]
 ) -> None:
-    """The retry needs no turn of the event loop, so the loop cannot have seen the client's end before it."""
+    """The node must check the client's socket before a retry.
 
-    async def scene() -> None:
+    On an idle connection the retry is sent before the event loop can report the disconnect.
+    """
+
+    async def scenario() -> None:
         release = asyncio.Event()
         servers = [Server(), Server()]
-        bench = await Bench(*servers, **mode).start()
+        bench = await Bench(*servers, **overrides).start()
         endpoints = bench.node.pool.endpoints.values()
         while not all(endpoint.idle for endpoint in endpoints):
             assert (await bench.once(call()))[0] == 200
@@ -44,13 +48,13 @@
         client.sendall(call())
         await until(lambda: sum(len(server.requests) for server in servers) == 1)
         (request,) = bench.node.requests.pending.values()
-        if how == "rst":
+        if ending == "rst":
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         client.close()
-        cast(Exchange, request.exchange).abort(outcome)  # the policy follows it with a retry
+        cast(Exchange, request.exchange).abort(outcome)  # The policy responds with a retry.
         release.set()
         await until(lambda: not bench.node.client_connections.connections and not bench.node.requests.pending)
-        assert (await bench.once(call()))[0] == 200  # whatever was sent before has come by now
+        assert (await bench.once(call()))[0] == 200  # Anything sent earlier has arrived by now.
         assert sum(len(server.requests) for server in servers) == 2
 
-    play(scene)
+    play(scenario)
