--- a/balancer/net/downstream/attempts.py
+++ b/balancer/net/downstream/attempts.py
@@ -201,7 +201,7 @@
     def on_ended(self, outcome: Outcome, response: Response | None) -> None:
         """Takes the attempt's end: a response goes to the client at once, then the policy is notified."""
         request = self.request
-        connect_seconds = request.exchange.connect_time if request.exchange is not None else 0.0
+        connect_seconds = request.exchange.connect_duration_s if request.exchange is not None else 0.0
         request.exchange = None
         self.update_request(outcome)
         self.attempts.requests.counts[f"attempts_{outcome.name.lower()}"] += 1
--- a/balancer/net/downstream/pending_request.py
+++ b/balancer/net/downstream/pending_request.py
@@ -67,12 +67,12 @@
 
     def is_body_discarded(self) -> bool:
         """Whether part of its streamed body was discarded, so that no further attempt can send it."""
-        return self.message.upload is not None and self.message.upload.is_discarded
+        return self.message.upload is not None and self.message.upload.has_discarded_data
 
     def is_partly_written(self) -> bool:
         """Whether its attempt has begun, and its last byte has not left this process: it never ran."""
         connection = self.exchange.connection if self.exchange is not None else None
-        return self.incoming_body() is not None or (connection is not None and connection.unsent())
+        return self.incoming_body() is not None or (connection is not None and connection.has_unsent_data())
 
 
 class RequestCloser(Protocol):
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -81,7 +81,7 @@
         self.client_connections = ClientConnections(
             loop, self.descriptor_budget, self.requests, self.lifecycle, self.memory_budget
         )
-        self.pool.free_client = self.client_connections.evict_one
+        self.pool.evict_client = self.client_connections.evict_one
         self.client_connections.free_server_connection = self.pool.close_unused
         self.fleet = self.create_fleet_runtime()
         self.management = Management(loop, self.paths(), self.log_lines.line)
--- a/tests/test_operator_terms_answers.py
+++ b/tests/test_operator_terms_answers.py
@@ -8,7 +8,7 @@
 
 from balancer.net.downstream import requests
 from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
-from balancer.net.upstream.exchange import SERVER_SILENCE_S
+from balancer.net.upstream.exchange import SERVER_STALL_TIMEOUT_S
 
 GUARD_OUT_OF_REACH_US = 5_000_000  # far beyond what a busy machine is late by, within the test's patience
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (MAX_BUFFERED_BYTES, bytes(MAX_BUFFERED_BYTES))
@@ -128,8 +128,8 @@
         (request,) = requests.pending.values()
         exchange = request.exchange
         assert exchange is not None and exchange.connection is not None and exchange.timer is not None
-        assert exchange.timer.when() <= bench.node.loop.time() + SERVER_SILENCE_S
-        exchange.connection.last_progress_at -= SERVER_SILENCE_S  # as if it had been silent for so long
+        assert exchange.timer.when() <= bench.node.loop.time() + SERVER_STALL_TIMEOUT_S
+        exchange.connection.last_progress_at -= SERVER_STALL_TIMEOUT_S  # as if it had been silent for so long
         exchange.check_progress(exchange.connection)
         with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
             await client.receive()
--- a/tests/test_operator_terms_leaving.py
+++ b/tests/test_operator_terms_leaving.py
@@ -58,7 +58,7 @@
         await until(lambda: any(r.exchange and r.exchange.connection for r in requests.pending.values()))
         (request,) = requests.pending.values()
         assert request.exchange is not None and request.exchange.connection is not None
-        assert request.exchange.connection.unsent()
+        assert request.exchange.connection.has_unsent_data()
         end(client, how)
         await until(lambda: request.client is None)
         got = await asyncio.wait_for(read_to_end(connection), 20)
--- a/tests/test_request_body_streaming.py
+++ b/tests/test_request_body_streaming.py
@@ -94,7 +94,7 @@
         client.send(upload(LONG, b"Content-Length: %d" % (len(LONG) + 1)))
         await until(lambda: any(s.heads for s in bench.servers))
         (request,) = bench.node.requests.pending.values()
-        await until(lambda: request.message.upload.is_discarded)
+        await until(lambda: request.message.upload.has_discarded_data)
         next(s for s in bench.servers if s.heads).writers[0].transport.abort()
         head, _ = await receive(client)
         assert head.startswith(b"HTTP/1.1 503 ") and b"Retry-After" in head and b"Connection: close" in head
--- a/workbench/lab/faulty_nodes.py
+++ b/workbench/lab/faulty_nodes.py
@@ -107,7 +107,7 @@
     """Sends every request, and copies of it, to the server that was started last."""
 
     def send(go: Any, self: Any, request: int, server: int, timeout: int) -> None:
-        ready = {n: e.started for n, e in self.pool.endpoints.items() if e.ready}
+        ready = {n: e.started_us for n, e in self.pool.endpoints.items() if e.ready}
         newest = max(ready, key=lambda n: ready[n], default=server)
         go(self, request, newest, timeout)
         if ready.get(newest):
