--- a/balancer/net/downstream/__init__.py
+++ b/balancer/net/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""The side of the clients: their connections, request parsing, requests in flight and responses."""
+"""The downstream side of the node: client connections, request parsing, pending requests and responses."""
--- a/balancer/net/downstream/attempts.py
+++ b/balancer/net/downstream/attempts.py
@@ -18,19 +18,19 @@
 from balancer.policy import Balancer
 from balancer.policy.interface import NEVER_RAN, Effect, Outcome
 
-# Called with the server, the outcome, the latency in microseconds and the seconds to connect.
+# Callback with the server's number, the outcome, the latency in microseconds and the connect time in seconds.
 OnOutcome = Callable[[int, Outcome, int, float], None]
 
 
 class Attempts:
-    """Sends pending requests to servers, and reports how each attempt ended.
+    """Sends pending requests to servers, and reports the outcome of each attempt to the policy.
 
     Args:
-        config: the configuration of the node.
-        pool: the connections to servers.
-        event_queue: hands events to the policy.
-        counters: count what is sent.
-        requests: the pending requests.
+        config: The configuration of the node.
+        pool: The connections to servers.
+        event_queue: Passes events to the policy.
+        counters: Counts the attempts that were sent completely.
+        requests: The pending requests.
     """
 
     def __init__(
@@ -47,11 +47,16 @@
         self.event_queue = event_queue
         self.counters = counters
         self.requests = requests
-        self.balancer: Balancer  # the policy; it is made with these actions, and set then
-        self.on_outcome: OnOutcome | None = None  # called at each attempt's end, where the fleet has zones
+        # The policy is constructed with these actions, so it is assigned afterwards.
+        self.balancer: Balancer
+        # Receives the outcome of each attempt in a fleet with zones.
+        self.on_outcome: OnOutcome | None = None
 
     def send(self, request: int, server: int, timeout: int) -> None:
-        """Starts the request's next attempt. What may not be sent ends as NOT_SENT, after this event."""
+        """Start the request's next attempt at a server, with a timeout in microseconds.
+
+        An attempt that may not be sent is reported as NOT_SENT, after the current event.
+        """
         pending = self.requests.pending.get(request)
         endpoint = self.pool.endpoints.get(server)
         number = pending.attempts if pending is not None else 0
@@ -73,16 +78,18 @@
         Attempt(self, pending, number, server, timeout).start(endpoint)
 
     def cancel(self, request: int, attempt: int) -> None:
-        """Aborts an attempt; its outcome follows after this event."""
+        """Abort an attempt; its outcome is reported after the current event."""
         pending = self.requests.pending.get(request)
         if pending is not None and pending.exchange is not None and attempt == pending.attempts - 1:
             pending.exchange.abort(Outcome.CANCELLED)
 
     def may_write(self, request: PendingRequest, now: int) -> bool:
-        """Whether its class lets the request be written now, given what may have run.
+        """Return whether the request's class allows it to be written to a server now.
 
-        Failure prevented: a retry is decided on within its window, its connection takes time to come up, and
-        the servers that would have dropped it have forgotten the first attempt by then.
+        A request that may already have run is written again only if it is idempotent, or within the window in
+        which servers remember its idempotency key. The window is checked just before the write, because
+        connecting takes time: a retry that was decided on within the window could otherwise run a second time
+        at servers that have forgotten the first attempt.
         """
         settings = self.settings.classes[request.request_class]
         if request.ran_at is None or settings.effect == Effect.IDEMPOTENT:
@@ -94,22 +101,22 @@
     """One attempt of a request at one server.
 
     Args:
-        attempts: the connections, the queue and the policy it works with.
-        request: the request.
-        number: the attempt's, from 0.
-        server: the server's number.
-        timeout: how long it may take, in microseconds.
+        attempts: The connection pool, the event queue and the policy.
+        request: The pending request.
+        number: The attempt's number within its request, from 0.
+        server: The server's number.
+        timeout: The maximum duration of the attempt, in microseconds.
     """
 
     __slots__ = (
         "attempts",
-        "began_at",
         "event_queue",
         "expires_at",
         "had_incoming_body",
         "number",
         "request",
         "server",
+        "started_at",
     )
 
     def __init__(
@@ -120,12 +127,13 @@
         self.request = request
         self.number = number
         self.server = server
-        self.began_at = self.event_queue.now()
-        self.expires_at = min(self.began_at + timeout, request.deadline)
-        self.had_incoming_body = request.incoming_body() is not None  # as the attempt began
+        self.started_at = self.event_queue.now()
+        self.expires_at = min(self.started_at + timeout, request.deadline)
+        # Whether the client was still sending the body when the attempt started.
+        self.had_incoming_body = request.incoming_body() is not None
 
     def start(self, endpoint: Endpoint) -> None:
-        """Begins the attempt's exchange."""
+        """Start the attempt's exchange with the server."""
         request = self.request
         request.exchange = Exchange(
             self.attempts.pool,
@@ -139,10 +147,10 @@
         request.written_at = None
         if self.had_incoming_body:
             self.event_queue.post(self.attempts.balancer.upload, request.id, self.number, True)
-        request.exchange.start(max(0, self.expires_at - self.began_at) / 1e6)
+        request.exchange.start(max(0, self.expires_at - self.started_at) / 1e6)
 
     def compose(self) -> bytes | None:
-        """The request's bytes, just before they are written; None if it may not be written any more."""
+        """Return the encoded request just before it is written, or None if it may not be written any more."""
         request = self.request
         request.written_at = self.event_queue.now()
         remaining = self.expires_at - request.written_at
@@ -154,52 +162,54 @@
         ):
             return None
         if self.had_incoming_body:
-            # Until here its client may have waited for the node; from now on it sets the pace itself.
+            # The time that the client waited for a server counts against the deadline. From here on the
+            # client sets the pace of its upload, so the remaining time runs only once the upload is complete.
             request.remaining = request.deadline - request.written_at
         return encode_request(request.message, forwarded_budget_ms(remaining))
 
     def on_sent(self) -> None:
-        """Takes note that the request's last byte has left the process."""
+        """Count the attempt as sent when the request's last byte has left the process."""
         self.attempts.counters.count_send()
         if self.had_incoming_body:
             self.on_uploaded()
 
     def on_uploaded(self) -> None:
-        """Begins the request's time, as the last byte of its long body has gone to the server."""
+        """Start the request's deadline when the last byte of its streamed body has been sent."""
         request = self.request
         if request.client is not None:
             now = self.event_queue.now()
             request.remaining = self.attempts.requests.remaining_before_shutdown(now, request.remaining)
             request.deadline = now + request.remaining
             if request.stream is None:
-                self.attempts.requests.start_guard(request)
+                self.attempts.requests.start_deadline_timer(request)
         self.event_queue.post(self.attempts.balancer.upload, request.id, self.number, False)
 
     def on_stream(self, response: Response, source: ResponseSource) -> ClientResponseStream | None:
-        """Streams a long response to its client, past its deadline: its first byte is what has to be in time.
+        """Start to stream a long response to the client, or return None if the client has disconnected.
 
-        The exchange breaks it off once its server has been silent for long.
-        Failure prevented: a server that gives a long response slowly is taken for one that hangs.
+        Only the first byte of the response must meet the deadline. The rest may take longer, so that a server
+        that sends a long response slowly is not mistaken for one that hangs; the exchange aborts the response
+        when its server has been silent for too long.
         """
         request = self.request
         if request.client is None or request.exchange is None:
             return None
         now = self.event_queue.now()
         request.stream = ClientResponseStream(self.attempts.requests, request, request.client, now)
-        if request.guard is not None:
-            request.guard.cancel()
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
         request.client.begin_stream(source, response.length, content_type_header(response))
         self.event_queue.post(
             self.attempts.balancer.response_started,
             request.id,
             self.number,
             self.server,
-            now - self.began_at,
+            now - self.started_at,
         )
         return request.stream
 
     def on_ended(self, outcome: Outcome, response: Response | None) -> None:
-        """Takes the attempt's end: a response goes to the client at once, then the policy is notified."""
+        """Handle the end of the attempt: respond to the client at once, then notify the policy."""
         request = self.request
         connect_seconds = request.exchange.connect_time if request.exchange is not None else 0.0
         request.exchange = None
@@ -210,8 +220,8 @@
         is_final = request.client is None
         if is_final:
             self.attempts.requests.pending.pop(request.id, None)
-        ended_at = self.event_queue.now() if request.stream is None else request.stream.began
-        latency = ended_at - self.began_at
+        ended_at = self.event_queue.now() if request.stream is None else request.stream.first_byte_at
+        latency = ended_at - self.started_at
         if self.attempts.on_outcome is not None:
             self.attempts.on_outcome(self.server, outcome, latency, connect_seconds)
         self.event_queue.post(
@@ -226,7 +236,7 @@
         )
 
     def update_request(self, outcome: Outcome) -> None:
-        """Keeps whether the request may have run, and gives it its time again while its body is coming."""
+        """Record whether the request may have run, and renew its deadline during an upload."""
         request = self.request
         if outcome not in NEVER_RAN and request.ran_at is None:
             request.ran_at = request.written_at
@@ -234,19 +244,20 @@
             request.deadline = self.event_queue.now() + request.remaining
 
     def load_report(self, response: Response | None) -> tuple[float, ...]:
-        """The values of the load report that came with the response, if it is to have one."""
+        """Return the values of the load report in the response; empty unless reports are inline."""
         config = self.attempts.config
         if response is None or not config.inline_reports:
             return ()
         return parse_load_report(response.report, config.report_names)
 
     def respond(self, outcome: Outcome, response: Response | None) -> None:
-        """Responds to the client if this outcome is the last that the request can have."""
+        """Respond to the client if no further attempt can follow this outcome."""
         request, requests = self.request, self.attempts.requests
         if response is not None and outcome == Outcome.OK and request.client is not None:
             requests.respond(request.id, 200, response.body, content_type_header(response))
         if request.is_body_discarded():
-            # What was discarded can go to no other server. Before its last byte nothing has run.
+            # No other server can get the part of the body that was discarded. If the server did not get the
+            # last byte, the request has not run, and the client may retry.
             if outcome in NEVER_RAN:
                 requests.respond(request.id, 503, headers=requests.over_capacity_headers())
             else:
@@ -254,5 +265,5 @@
 
 
 def content_type_header(response: Response) -> bytes:
-    """The header line of a response's content type, if it has one."""
+    """Return the Content-Type header line of a response; empty if the response has none."""
     return b"Content-Type: %b\r\n" % response.content_type if response.content_type else b""
--- a/balancer/net/downstream/client_connection.py
+++ b/balancer/net/downstream/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: its requests one at a time in their order, and its lifetime."""
+"""A client's connection, which handles its requests one at a time and in order."""
 
 from __future__ import annotations
 
@@ -16,35 +16,42 @@
 from balancer.net.process.sockets import PEER_CLOSED, READABLE, has_event
 from balancer.net.upstream.body_streaming import ResponseSource
 
-PARSE_SLICE_BYTES = 8192  # parsed in one go
-MAX_PIPELINED_REQUESTS = 8  # complete requests that wait on one connection while an earlier one is in flight
-# Bytes that wait behind these; whoever sends more is rejected, and nothing of it is read but its end.
+# Bytes passed to the parser in one call.
+PARSE_SLICE_BYTES = 8192
+# Complete requests that may wait on one connection while an earlier one is in flight.
+MAX_PIPELINED_REQUESTS = 8
+# Unparsed bytes that may wait behind the pipelined requests. A client that sends more is rejected, and all
+# further input from it is dropped.
 MAX_PIPELINED_BYTES = 32768
-UNREAD_TIMEOUT_S = 30.0  # in which a client must take something of its last response
-# In which the client may read a last response, or send some more of what it is sending...
+# Time within which a client must read some of its last response.
+UNREAD_TIMEOUT_S = 30.0
+# Time that a client has to read its last response, renewed while it still sends data.
 LINGER_S = 1.0
-MAX_LINGER_S = 10.0  # ...and so long in all
+# Total time for which a client that still sends data may hold a connection that is being closed.
+MAX_LINGER_S = 10.0
 
 
 class InputState(Enum):
-    """Whether more is read from a client. There is no way back from a later state to an earlier one."""
+    """The state of a client's input. Transitions go from an earlier member to a later one only."""
 
     OPEN = "open"
-    STOPPED = "stopped"  # nothing further is read, and responses may still be written
-    DISCONNECTED = "disconnected"  # the client has gone, and its requests need no response
+    # No further input is processed; responses may still be written.
+    STOPPED = "stopped"
+    # The client has closed the connection, and its requests need no response.
+    DISCONNECTED = "disconnected"
 
 
-# Bound once for the hot path: a member that is looked up in its class takes more than twice as long.
+# Module-level aliases for the hot path: looking a member up in its class takes more than twice as long.
 INPUT_OPEN = InputState.OPEN
 INPUT_DISCONNECTED = InputState.DISCONNECTED
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """A client's connection; one request is in flight at a time, the next ones are pipelined.
+    """A client's connection; one request is in flight at a time, and later ones are pipelined.
 
     Args:
-        connections: all connections of clients, and what they share.
-        rejecting: every request is rejected, since there are too many connections.
+        connections: All client connections, with the resources that they share.
+        rejecting: Whether every request is rejected because there are too many connections.
     """
 
     def __init__(self, connections: ClientConnectionsProtocol[ClientConnection], rejecting: bool) -> None:
@@ -55,49 +62,52 @@
         self.read_deadline = ReadDeadline(connections.loop, self.last_active_at)
         self.parser = RequestParser(self, self.read_deadline)
         self.writer = ResponseWriter(connections.memory_budget)
-        self.unparsed = ReadQueue()  # has come and is not parsed yet
-        self.read_at = 0.0  # when what is being parsed was read
+        self.unparsed = ReadQueue()
+        # Loop time at which the bytes that are being parsed were read.
+        self.read_at = 0.0
         self.parsing = False
         self.pipelined: deque[ClientRequest] = deque()
-        self.current: ClientRequest | None = None
+        self.current_request: ClientRequest | None = None
         self.input_state = InputState.OPEN
         self.reading_paused = False
-        self.has_served = False  # it has had a response
-        self.finished_at = 0.0  # when it had its last response
+        # Whether the client has had at least one response.
+        self.has_served = False
+        # Loop time at which the last response was written and this side was closed; 0 before.
+        self.finished_at = 0.0
 
     @property
     def reading_stopped(self) -> bool:
-        """Whether nothing further is read from this client."""
+        """Whether no further input is taken from this client."""
         return self.input_state is not INPUT_OPEN
 
     @property
-    def is_gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has disconnected."""
         return self.input_state is INPUT_DISCONNECTED
 
     @property
-    def partial(self) -> ClientRequest | None:
-        """The request that is coming, if one has begun."""
-        return self.parser.partial
+    def partial_request(self) -> ClientRequest | None:
+        """The request that has been received in part, if any."""
+        return self.parser.partial_request
 
     @property
     def write_blocked(self) -> bool:
-        """Whether the client does not read its responses."""
+        """Whether writing is paused because the client does not read its responses."""
         return self.writer.blocked
 
     # ---- reading --------------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport, and bounds its write buffer."""
+        """Store the transport, and limit its write buffer."""
         self.transport = self.writer.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=self.connections.memory_budget.chunk_bytes)
 
     def get_buffer(self, sizehint: int) -> bytearray:
-        """The buffer that all connections read into."""
+        """Return the read buffer that all connections share."""
         return self.connections.memory_budget.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Takes what has been read, and parses it."""
+        """Queue the bytes that were read, and parse them."""
         self.last_active_at = self.connections.loop.time()
         if self.reading_stopped:
             return
@@ -106,32 +116,33 @@
         )
         self.parse()
         if len(self.unparsed) > MAX_PIPELINED_BYTES and not self.parser.is_upload_blocked():
-            # Failure prevented: the client's end stands behind bytes that nobody reads, and its
-            # remaining requests go to servers one after the other.
+            # Bytes beyond the bound are dropped rather than left in the socket. Otherwise the end of the
+            # input would not be seen behind unread bytes, and the remaining requests of a client that has
+            # disconnected would be sent to servers one after the other.
             self.unparsed.clear()
             self.reject(503)
 
     def parse(self) -> None:
-        """Parses what has come, as far as it can be handed on, and reads on if it could all be."""
+        """Parse the queued bytes as far as requests can be accepted, and update whether reading is paused."""
         if self.parsing:
             return
         self.parsing = True
         while True:
-            while self.unparsed and not self.reading_stopped and not self.is_blocked():
+            while self.unparsed and not self.reading_stopped and not self.is_parsing_blocked():
                 data, self.read_at = self.unparsed.take(PARSE_SLICE_BYTES)
                 self.parser.feed(data)
             self.start_next_request()
-            if not self.unparsed or self.reading_stopped or self.is_blocked():
+            if not self.unparsed or self.reading_stopped or self.is_parsing_blocked():
                 break
         self.parsing = False
         self.update_reading()
 
-    def is_blocked(self) -> bool:
-        """Whether what comes next must wait: for earlier requests, or for a server that takes the upload."""
+    def is_parsing_blocked(self) -> bool:
+        """Return whether parsing must wait for earlier requests, or for a server that receives the upload."""
         return len(self.pipelined) >= MAX_PIPELINED_REQUESTS or self.parser.is_upload_blocked()
 
     def update_reading(self) -> None:
-        """Reads, or leaves it to the client to wait."""
+        """Pause or resume reading, depending on whether a server can receive more of the upload."""
         stop = not self.reading_stopped and self.parser.is_upload_blocked()
         if stop == self.reading_paused or self.transport is None or self.transport.is_closing():
             return
@@ -140,45 +151,51 @@
             self.transport.pause_reading()
         else:
             self.transport.resume_reading()
-        if self.partial is not None and self.partial.upload is not None:
+        if self.partial_request is not None and self.partial_request.upload is not None:
             if stop:
                 self.read_deadline.suspend()
             else:
                 self.read_deadline.resume()
 
     def stop_reading(self) -> None:
-        """Reads nothing further from this client, whether it is still there or not."""
+        """Take no further input from this client, whether it is still connected or not."""
         if self.input_state is InputState.OPEN:
             self.input_state = InputState.STOPPED
 
     def on_upgrade_offered(self) -> None:
-        """Passes over the offer of another protocol, behind which the parser reads nothing."""
+        """Ignore the offer of another protocol, and close the connection after the responses that are due.
+
+        The parser processes nothing that follows such an offer.
+        """
         self.stop_reading()
-        for message in (self.current, *self.pipelined):
+        for message in (self.current_request, *self.pipelined):
             if message is not None:
                 message.keep_alive = False
 
     def on_head_complete(self, message: ClientRequest) -> None:
-        """Lets the client send the body, unless earlier requests are in its way."""
-        if self.current is None and not self.pipelined:
+        """Ask the client to send the body, unless earlier requests have no response yet."""
+        if self.current_request is None and not self.pipelined:
             self.send_continue(message)
 
     def send_continue(self, message: ClientRequest) -> None:
-        """Sends `100 Continue` to a client that waits for it before its body."""
+        """Send `100 Continue` if the client waits for it before it sends the body."""
         if message.expects_continue and not self.transport.is_closing():
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         message.expects_continue = False
 
     def on_upload_writable(self, message: ClientRequest) -> None:
-        """Lets the client send more of a streamed body."""
+        """Let the client send more of a streamed body."""
         self.send_continue(message)
         self.parse()
 
     def enqueue(self, message: ClientRequest) -> None:
-        """Pipelines a request that has come: complete, or with a streamed body."""
+        """Add a request that is complete or has a streamed body to the pipeline.
+
+        A request that does not fit the memory budget is rejected with 503: many clients that pipeline large
+        requests would otherwise exhaust the process's memory.
+        """
         if not self.connections.memory_budget.fits(message.size):
-            # Failure prevented: many clients that send large requests ahead end the process for its memory.
-            message.error, message.keep_alive = 503, False
+            message.error_status, message.keep_alive = 503, False
             message.upload, message.body, message.size = None, b"", 0
             self.stop_reading()
         self.connections.memory_budget.reserve(message.size)
@@ -186,7 +203,7 @@
         self.pipelined.append(message)
 
     def reject(self, status: int) -> None:
-        """Responds with an error and reads no further; the earlier requests still get their responses."""
+        """Respond with an error and stop reading; earlier requests still get their responses."""
         if self.reading_stopped:
             return
         self.stop_reading()
@@ -194,40 +211,40 @@
         self.read_deadline.clear()
         if partial is None or partial.upload is None:
             self.pipelined.append(ClientRequest(status))
-        elif partial is self.current:
+        elif partial is self.current_request:
             partial.keep_alive = False
             self.connections.handler.request_malformed(self, status)
         else:
-            partial.error, partial.keep_alive = status, False
+            partial.error_status, partial.keep_alive = status, False
 
     def start_next_request(self) -> None:
-        """Hands on the first pipelined request, once nothing is in its way."""
-        if self.current is not None or self.writer.blocked or self.is_gone:
+        """Handle the first pipelined request, unless an earlier one is in flight or writing is blocked."""
+        if self.current_request is not None or self.writer.blocked or self.has_disconnected:
             return
         if not self.pipelined:
-            if self.partial is not None and self.parser.is_reading_body():
-                self.send_continue(self.partial)
+            if self.partial_request is not None and self.parser.is_reading_body():
+                self.send_continue(self.partial_request)
             return
-        self.current = message = self.pipelined.popleft()
+        self.current_request = message = self.pipelined.popleft()
         self.connections.evict_idle()
-        if self.rejecting or message.error == 503:
+        if self.rejecting or message.error_status == 503:
             self.connections.handler.reject_over_capacity(self, message)
-        elif message.error:
-            self.respond(message.error)
+        elif message.error_status:
+            self.respond(message.error_status)
         else:
             self.connections.handler.on_request(self, message)
 
     # ---- responses ------------------------------------------------------------------------------------
 
     def respond(self, status: int, body: bytes = b"", headers: bytes = b"") -> None:
-        """Sends the one response to the current request.
+        """Send the one response to the current request.
 
         Args:
-            status: the HTTP status.
-            body: all of it.
-            headers: further header lines, each with its end.
+            status: The HTTP status.
+            body: The complete body.
+            headers: Further header lines, each ending in CRLF.
         """
-        message = self.current
+        message = self.current_request
         if message is None or self.writer.source is not None:
             return
         close = self.closes_after(message)
@@ -236,33 +253,34 @@
         self.finish_response(message, close)
 
     def closes_after(self, message: ClientRequest) -> bool:
-        """Whether the connection ends with the response to this request.
+        """Return whether the connection is closed after the response to this request.
 
-        Failure prevented: complete requests that were pipelined behind it are dropped as the node drains.
+        A draining node keeps the connection open while further requests wait on it, because closing it would
+        drop requests that were pipelined completely.
         """
         body_incomplete = message.upload is not None and not message.upload.is_complete
-        has_next_request = self.pipelined or self.unparsed or self.partial not in (None, message)
+        has_next_request = self.pipelined or self.unparsed or self.partial_request not in (None, message)
         draining = self.connections.lifecycle.draining and not has_next_request and not self.has_unread_data()
         return not message.keep_alive or self.rejecting or body_incomplete or draining
 
     def finish_response(self, message: ClientRequest, close: bool) -> None:
-        """Takes note that the current request has had its response."""
-        self.current = None
+        """Release the current request after its response, and close the connection or continue."""
+        self.current_request = None
         self.has_served = True
         self.connections.memory_budget.release(message.size)
         if self.transport.is_closing():
             return
         if close:
             self.close_gracefully()
-        elif self.pipelined or self.unparsed or self.partial is not None:
+        elif self.pipelined or self.unparsed or self.partial_request is not None:
             self.connections.loop.call_soon(self.parse)
 
     def begin_stream(self, source: ResponseSource, length: int | None, headers: bytes) -> None:
-        """Begins a streamed response; `write_stream` and then `end_stream` or `abort_stream` follow.
+        """Start a streamed response; `write_stream` and then `end_stream` or `abort_stream` follow.
 
-        Without a length it goes in chunks, or to a client that knows none to the connection's end.
+        A response without a length is chunked; to an HTTP/1.0 client, the end of the connection ends it.
         """
-        message = self.current
+        message = self.current_request
         assert message is not None
         self.writer.begin_stream(source, length, chunked=message.version == "1.1")
         if length is None and not self.writer.chunked:
@@ -272,14 +290,14 @@
         self.writer.write_stream_head(length, headers, close)
 
     def write_stream(self, data: bytes) -> None:
-        """Writes a piece of the streamed response."""
+        """Write part of the streamed response's body."""
         if data:
             self.last_active_at = self.connections.loop.time()
             self.writer.write_stream(data)
 
     def end_stream(self) -> None:
-        """Ends the streamed response, which is complete."""
-        message = self.current
+        """Finish the streamed response, whose body has been written completely."""
+        message = self.current_request
         if message is None:
             return
         if self.writer.chunked:
@@ -288,18 +306,18 @@
         self.finish_response(message, self.closes_after(message))
 
     def abort_stream(self) -> None:
-        """Aborts the streamed response: the connection ends before it, so that the client notices."""
-        message = self.current
+        """Abort the connection, so that the client detects that the streamed response is incomplete."""
+        message = self.current_request
         if message is not None and not self.writer.chunked and message.version != "1.1":
-            # To such a client the end of the connection may be the end of the response.
+            # An HTTP/1.0 client may take an orderly close for the end of the response.
             self.writer.reset_on_close()
         self.transport.abort()
 
     def close_gracefully(self) -> None:
-        """Closes after the last response.
+        """Close the connection after the last response.
 
-        Failure prevented: closing while the client still sends resets the connection, and the response is
-        lost on its way. This side is closed first, and what still comes is read and dropped.
+        The sending side is closed first, and further input is read and dropped: closing the socket while the
+        client still sends would reset the connection, and the client could lose the response.
         """
         self.stop_reading()
         self.unparsed.clear()
@@ -314,10 +332,15 @@
         )
 
     def linger(self, since: float, last_unread: int) -> None:
-        """Ends the connection, unless the client still reads its last response, or sends.
+        """Abort the connection unless the client still reads its last response or sends data.
 
-        Failure prevented: a client that is rejected while it sends a long body is disconnected before it
-        reads the response, and never gets its Retry-After.
+        In that case, check again later. A client that is rejected while it uploads a long body may read the
+        response only afterwards; without the extra time it would be disconnected before it gets the
+        Retry-After header.
+
+        Args:
+            since: The loop time at which the client last read some of the response.
+            last_unread: The bytes of the response that were unsent at the previous check.
         """
         if self.transport.is_closing():
             return
@@ -333,97 +356,103 @@
             self.transport.abort()
 
     def pause_writing(self) -> None:
-        """Takes note that the client does not read its responses."""
+        """Pause the response, because the client does not read it."""
         self.writer.pause()
 
     def resume_writing(self) -> None:
-        """Goes on as the client reads again."""
+        """Resume the response and the parsing of requests, because the client reads again."""
         self.writer.resume()
         self.parse()
 
-    # ---- ends -----------------------------------------------------------------------------------------
+    # ---- close ----------------------------------------------------------------------------------------
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Takes note of the end of the connection."""
-        self.on_client_gone()
+        """Release the connection's resources."""
+        self.on_disconnected()
         self.connections.connections.discard(self)
         self.connections.descriptor_budget.remove_client()
         self.writer.set_unsent_bytes(0)
 
     def eof_received(self) -> bool:
-        """Takes the end of the client's input for a disconnect; it may still read complete responses.
+        """Treat the end of the client's input as a disconnect; the client may still read complete responses.
 
-        Failure prevented: a transport that closes itself waits without end for a client that does not read.
+        A response that is not sent yet keeps the transport open, and the connection is closed with a timeout
+        here: a transport that closes itself would wait forever for a client that does not read.
         """
         is_response_unsent = self.writer.source is None and self.has_unsent_data()
-        self.on_client_gone()
+        self.on_disconnected()
         if is_response_unsent and not self.finished_at:
             self.close_gracefully()
         return is_response_unsent
 
-    def on_client_gone(self) -> None:
-        """Forgets what was sent by the client, which has gone: no further request is handed on."""
+    def on_disconnected(self) -> None:
+        """Drop all input of a client that has disconnected, so that no further request is handled."""
         self.input_state = InputState.DISCONNECTED
         self.unparsed.clear()
         self.parser.drop_partial()
         self.drop_pipelined()
-        if self.current is not None:
-            self.connections.memory_budget.release(self.current.size)
-            self.current = None
+        if self.current_request is not None:
+            self.connections.memory_budget.release(self.current_request.size)
+            self.current_request = None
             self.connections.handler.client_disconnected(self)
         self.writer.source = None
 
     def is_connected(self) -> bool:
-        """Whether the client is still there, by its socket; one that is not is disconnected now.
+        """Return whether the client is still connected; abort the connection if its socket says otherwise.
 
-        Failure prevented: while nothing is read from a client its end is not seen, and its requests are sent.
+        The socket is checked because the event loop reports no end of input while reading is paused; without
+        the check, requests of clients that have disconnected would be sent to servers.
         """
-        if not self.is_gone and has_event(self.transport, PEER_CLOSED):
-            self.on_client_gone()
+        if not self.has_disconnected and has_event(self.transport, PEER_CLOSED):
+            self.on_disconnected()
             self.transport.abort()
-        return not self.is_gone
+        return not self.has_disconnected
 
     def drop_pipelined(self) -> None:
-        """Drops the pipelined requests, which get no response."""
+        """Drop the pipelined requests without a response."""
         self.connections.memory_budget.release(sum(message.size for message in self.pipelined))
         self.pipelined.clear()
 
     def is_idle(self) -> bool:
-        """Whether no request is in flight, has begun or waits in the socket, and all responses have gone."""
-        begun = (
-            self.current is not None
-            or self.partial is not None
+        """Return whether no request is in flight, partial or unread, and all responses have been sent."""
+        has_request = (
+            self.current_request is not None
+            or self.partial_request is not None
             or self.pipelined
             or self.reading_stopped
             or self.unparsed
         )
-        return not begun and not self.has_unsent_data() and not self.has_unread_data()
+        return not has_request and not self.has_unsent_data() and not self.has_unread_data()
 
     def extend_body_deadline(self, now: float) -> bool:
-        """Whether the body that is due comes fast enough to be waited for; then it is due anew."""
-        partial = self.partial
+        """Extend the deadline of a body that makes progress; return False if the client is too slow."""
+        partial = self.partial_request
         if partial is None or not self.parser.is_reading_body():
             return False
         return self.read_deadline.extend_body(now, self.last_active_at, partial.upload is not None)
 
     def close_without_request(self) -> None:
-        """Ends a connection without a complete request; an incomplete one gets an error.
+        """Close a connection that has no complete request; a partial request gets a 503 response.
 
-        What waits in the socket is read first, and a complete request gets its response.
+        Bytes that wait in the socket are read first, and a request that they complete gets its response.
         """
-        if self.transport is None or self.is_gone or (self.has_unread_data() and not self.reading_paused):
+        if (
+            self.transport is None
+            or self.has_disconnected
+            or (self.has_unread_data() and not self.reading_paused)
+        ):
             return
-        if self.partial is not None:
+        if self.partial_request is not None:
             self.reject(503)
             self.start_next_request()
         elif self.is_idle():
             self.transport.abort()
 
     def has_unsent_data(self) -> bool:
-        """Whether bytes of a response wait in the process: closing now would cut it short."""
+        """Return whether part of a response is still buffered; closing now would truncate it."""
         return self.writer.has_unsent_data()
 
     def has_unread_data(self) -> bool:
-        """Whether bytes wait in the socket: closing now would reset a client that has just sent."""
+        """Return whether the socket has unread bytes; closing now would reset the client's connection."""
         is_open = self.transport is not None and not self.transport.is_closing()
         return is_open and has_event(self.transport, READABLE)
--- a/balancer/net/downstream/client_connections.py
+++ b/balancer/net/downstream/client_connections.py
@@ -1,4 +1,4 @@
-"""All connections of clients: their listener, eviction and draining, within a budget of descriptors."""
+"""All client connections: their listener, eviction and draining, within a budget of file descriptors."""
 
 from __future__ import annotations
 
@@ -16,22 +16,27 @@
 from balancer.net.process.listener import Listener
 from balancer.net.process.memory_budget import MemoryBudget
 
-MAX_REJECTING = 16  # connections, up to a sixteenth of the budget, that are open only to be rejected
-MAX_ACCEPTS = 64  # connections taken in one go
-ACCEPT_AFTER_TERM_S = 0.5  # after SIGTERM, in which new connections are still taken
-SETTLE_S = 0.2  # in which a connection that was just used may bring its next request
-DRAIN_CHECK_S = 0.02  # between two checks as the node drains
+# Connections that may be open only to have their requests rejected; at most a sixteenth of the budget.
+MAX_REJECTING_CONNECTIONS = 16
+# Connections accepted in one iteration of the event loop.
+MAX_ACCEPTS_PER_EVENT = 64
+# Time after SIGTERM during which new connections are still accepted.
+ACCEPT_AFTER_TERM_S = 0.5
+# Time that a connection is kept after its last use while the node drains: the next request may be on its way.
+SETTLE_S = 0.2
+# Time between two checks for idle connections while the node drains.
+DRAIN_CHECK_INTERVAL_S = 0.02
 
 
 class ClientConnections:
-    """The listener and its connections, within a budget of descriptors.
+    """The listener and its client connections, within a budget of file descriptors.
 
     Args:
-        loop: the event loop.
-        descriptor_budget: bounds the connections.
-        handler: what requests are handed to.
-        lifecycle: the stage of the node.
-        memory_budget: bounds what is held of requests and responses.
+        loop: The event loop.
+        descriptor_budget: Bounds the number of connections.
+        handler: Handles the clients' requests.
+        lifecycle: The stage of the node.
+        memory_budget: Bounds the bytes of requests and responses that are buffered.
     """
 
     def __init__(
@@ -45,46 +50,47 @@
         self.loop = loop
         self.descriptor_budget = descriptor_budget
         self.memory_budget = memory_budget
-        self.counts: Counter[str] = (
-            Counter()
-        )  # connections that were evicted, or closed for lack of a request
+        # Connections that were evicted or timed out, by reason.
+        self.counts: Counter[str] = Counter()
         self.handler = handler
         self.lifecycle = lifecycle
         self.connections: set[ClientConnection] = set()
         self.is_draining = False
-        self.shared = False
-        # Closes a connection to a server that is not needed.
-        self.free_server_connection: Callable[[], bool] = lambda: False
-        self.listener = Listener(loop, self.accept, self.has_capacity, MAX_ACCEPTS)
+        self.is_listener_shared = False
+        # Closes an unused connection to a server, and returns whether there was one.
+        self.close_unused_server_connection: Callable[[], bool] = lambda: False
+        self.listener = Listener(loop, self.accept, self.has_capacity, MAX_ACCEPTS_PER_EVENT)
         descriptor_budget.on_released = self.listener.update
-        self.stop_at = 0.0  # when an ending node stops listening...
-        self.close_at = 0.0  # ...and when it closes the connections without a request, new ones too
+        # Loop time at which a node that shuts down stops listening.
+        self.stop_listening_at = 0.0
+        # Loop time at which it closes all connections without a complete request, including new ones.
+        self.close_idle_at = 0.0
 
     def max_served(self) -> int:
-        """How many connections are served; a few more are open only to be rejected."""
+        """Return how many connections may be served; a few more may be open only to be rejected."""
         allowed = self.descriptor_budget.max_clients()
-        return allowed - min(MAX_REJECTING, max(1, allowed // 16))
+        return allowed - min(MAX_REJECTING_CONNECTIONS, max(1, allowed // 16))
 
     def shrink(self) -> None:
-        """Evicts connections without a request beyond the budget, which has shrunk."""
+        """Evict connections without a request until the rest fits the budget, after the budget has shrunk."""
         while len(self.connections) > self.max_served() and self.evict_one():
             pass
 
     def start(self, listener: socket.socket, shared: bool) -> None:
-        """Takes clients from this socket, which other processes may listen on too."""
-        self.shared = shared
+        """Accept clients from this socket; `shared` tells whether other processes listen on it too."""
+        self.is_listener_shared = shared
         self.listener.start(listener)
         self.loop.call_later(HEAD_TIMEOUT_S / 8, self.sweep)
 
     def has_capacity(self) -> bool:
-        """Whether one more connection fits the budget."""
+        """Return whether one more connection fits the budget."""
         return (
             self.descriptor_budget.clients < self.descriptor_budget.max_clients()
             and not self.descriptor_budget.exhausted()
         )
 
     def accept(self, connection: socket.socket) -> None:
-        """Takes over a connection; beyond the limit another is evicted, or its requests are rejected."""
+        """Serve an accepted connection; beyond the limit, evict another one or reject this one's requests."""
         connection.setblocking(False)
         self.descriptor_budget.add_client()
         max_served = self.max_served()
@@ -95,16 +101,20 @@
         self.loop.create_task(self.attach(client, connection))
 
     async def attach(self, client: ClientConnection, connection: socket.socket) -> None:
-        """Puts the accepted socket into the event loop."""
+        """Register the accepted socket with the event loop."""
         try:
             await self.loop.connect_accepted_socket(lambda: client, connection)
-        except OSError:  # gone already
+        except OSError:  # The client has already disconnected.
             connection.close()
             self.connections.discard(client)
             self.descriptor_budget.remove_client()
 
     def evict_one(self) -> bool:
-        """Evicts a connection, if any has no request; its client may open another."""
+        """Evict a connection without a request, or close an unused one to a server, if there is any.
+
+        Returns:
+            Whether a connection was closed.
+        """
         now = self.loop.time()
         candidates = [
             (priority, id(c), c)
@@ -112,7 +122,7 @@
             if (priority := eviction_priority(c, now)) is not None
         ]
         for (rank, _), _, client in sorted(candidates):
-            if rank == EvictionRank.WRITING_HEAD and self.free_server_connection():
+            if rank == EvictionRank.WRITING_HEAD and self.close_unused_server_connection():
                 return True
             if not client.has_unread_data():
                 self.counts["gave_way_idle" if rank == EvictionRank.IDLE else "gave_way_headless"] += 1
@@ -122,11 +132,11 @@
         return False
 
     def evict_idle(self) -> None:
-        """Evicts the connection that has been idle longest if clients have as many as they may."""
+        """Evict the connection that has been idle for the longest time if clients hold too many."""
         if len(self.connections) <= self.descriptor_budget.max_idle_clients:
             return
-        held = [c for c in self.connections if c.has_served or c.current is not None]
-        idle = [c for c in held if c.is_idle()] if len(held) > self.descriptor_budget.max_idle_clients else []
+        used = [c for c in self.connections if c.has_served or c.current_request is not None]
+        idle = [c for c in used if c.is_idle()] if len(used) > self.descriptor_budget.max_idle_clients else []
         if idle:
             oldest = min(idle, key=lambda c: c.last_active_at)
             self.counts["gave_way_idle"] += 1
@@ -134,9 +144,10 @@
             oldest.transport.abort()
 
     def sweep(self) -> None:
-        """Ends connections whose head is not complete in its time, or whose body comes too slowly.
+        """Time out connections whose request head is overdue or whose body arrives too slowly.
 
-        Failure prevented: peers that send nothing, or a request byte by byte, hold descriptors for good.
+        Peers that send nothing, or a request byte by byte, would otherwise hold file descriptors forever.
+        Reschedules itself.
         """
         now = self.loop.time()
         for client in list(self.connections):
@@ -145,9 +156,9 @@
             expires_at = client.read_deadline.expires_at
             if expires_at is None or now < expires_at or client.reading_stopped:
                 continue
-            if client.current is not None and client.current is not client.partial:
-                continue  # an earlier request is in flight
-            if client.partial is not None:
+            if client.current_request is not None and client.current_request is not client.partial_request:
+                continue  # The client waits for the response to an earlier request.
+            if client.partial_request is not None:
                 if client.extend_body_deadline(now):
                     continue
                 self.counts["late"] += 1
@@ -159,41 +170,43 @@
         self.loop.call_later(HEAD_TIMEOUT_S / 8, self.sweep)
 
     def start_draining(self) -> None:
-        """Starts draining: until the node is back in service, no connection outlives its response."""
+        """Start draining: each connection is closed after its response until the node is back in service."""
         if not self.is_draining:
             self.is_draining = True
             self.close_idle()
 
     def close_idle(self) -> None:
-        """Closes connections that have served and stand idle, and checks again soon.
+        """Close the connections that are idle after a response; reschedules itself while the node drains.
 
-        A new one keeps its time: its client may have connected before it could know, and be writing yet.
+        A new connection keeps its time to send a request, because its client may have connected before it
+        could know that the node drains. A node that shuts down also stops listening, and closes all
+        connections without a complete request, each at its time.
         """
         if not self.lifecycle.draining:
             self.is_draining = False
             return
         now = self.loop.time()
-        ending = self.lifecycle.stage == Stage.ENDING and self.listener.socket is not None
-        if ending and now >= self.stop_at:
+        is_closing_listener = self.lifecycle.stage == Stage.ENDING and self.listener.socket is not None
+        if is_closing_listener and now >= self.stop_listening_at:
             self.listener.stop()
-        last = self.lifecycle.stage == Stage.ENDING and now >= self.close_at
+        close_all = self.lifecycle.stage == Stage.ENDING and now >= self.close_idle_at
         for client in list(self.connections):
-            if last:
+            if close_all:
                 client.close_without_request()
             elif client.has_served and now - client.last_active_at > SETTLE_S and client.is_idle():
                 client.transport.abort()
-        self.loop.call_later(DRAIN_CHECK_S, self.close_idle)
+        self.loop.call_later(DRAIN_CHECK_INTERVAL_S, self.close_idle)
 
     async def drain(self, grace: float) -> None:
-        """Ends the service: all accepted requests get their response, and no connection outlives it.
+        """Respond to all accepted requests, and return when all connections are closed.
 
-        After `grace` seconds no further request is accepted on any connection.
-        Failure prevented: a request comes on a connection that is still open as the process is killed.
+        After `grace` seconds no further request is accepted on any connection, so that none is pending when
+        the process is killed.
         """
-        if self.shared:
+        if self.is_listener_shared:
             self.listener.release()
         now = self.loop.time()
-        self.stop_at, self.close_at = now + ACCEPT_AFTER_TERM_S, now + grace
+        self.stop_listening_at, self.close_idle_at = now + ACCEPT_AFTER_TERM_S, now + grace
         self.start_draining()
         while self.listener.socket is not None or self.connections:
-            await asyncio.sleep(DRAIN_CHECK_S)
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
--- a/balancer/net/downstream/message.py
+++ b/balancer/net/downstream/message.py
@@ -1,10 +1,10 @@
-"""A client's request as it was parsed, and the reason phrases of responses."""
+"""A client's parsed request, and the reason phrases of responses."""
 
 from __future__ import annotations
 
 from balancer.net.upstream.body_streaming import RequestBodyStream
 
-REASONS = {
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -21,19 +21,19 @@
 
 
 class ClientRequest:
-    """A request as it came, or why it could not be parsed.
+    """A request as it was received, or the error for one that cannot be handled.
 
     Args:
-        error: the status of the response if it could not be parsed; 0 if it was.
+        error_status: The status of the response if the request is rejected unhandled; 0 otherwise.
     """
 
     __slots__ = (
         "body",
-        "error",
+        "error_status",
         "expects_continue",
+        "header_lines",
         "headers",
         "keep_alive",
-        "lines",
         "method",
         "received_at",
         "size",
@@ -42,16 +42,22 @@
         "version",
     )
 
-    def __init__(self, error: int = 0) -> None:
-        self.error = error
+    def __init__(self, error_status: int = 0) -> None:
+        self.error_status = error_status
         self.method = b""
         self.target = b""
         self.version = "1.1"
-        self.lines: list[tuple[bytes, bytes, bytes]] = []  # headers: lower-case name, name, value
-        self.headers: dict[bytes, bytes] = {}  # by lower-case name; of several the first
+        # Header lines in order, each as the lower-case name, the name as received and the value.
+        self.header_lines: list[tuple[bytes, bytes, bytes]] = []
+        # Header values by lower-case name; the first one if a header is repeated.
+        self.headers: dict[bytes, bytes] = {}
         self.body = b""
-        self.upload: RequestBodyStream | None = None  # the body, if it is long and streamed
-        self.expects_continue = False  # the client waits for `100 Continue` before it sends the body
-        self.keep_alive = error == 0
-        self.received_at = 0.0  # when its last byte was read, or its head's where the body is streamed
-        self.size = 0  # bytes reserved while it is pipelined or pending
+        # The streamed body, if the body is too long to be buffered.
+        self.upload: RequestBodyStream | None = None
+        # Whether the client waits for `100 Continue` before it sends the body.
+        self.expects_continue = False
+        self.keep_alive = error_status == 0
+        # Loop time at which the last byte of the request was read; of the head if the body is streamed.
+        self.received_at = 0.0
+        # Bytes reserved in the memory budget while the request is pipelined or pending.
+        self.size = 0
--- a/balancer/net/downstream/pending_request.py
+++ b/balancer/net/downstream/pending_request.py
@@ -1,4 +1,4 @@
-"""A request that is pending, and its response while that is streamed."""
+"""A pending request, and its response while that is streamed."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 
 class PendingRequest:
-    """A request that has been admitted and has no response, or whose attempt is still in flight.
+    """A request that has been admitted and has no response yet, or whose attempt is still in flight.
 
     Args:
-        number: its number for the policy.
-        client: where it came from.
-        message: the request as it came.
-        request_class: its class, by number.
-        now: the time, in microseconds.
-        remaining: of its time, in microseconds.
+        number: The number that identifies the request to the policy.
+        client: The connection of the client that sent it.
+        message: The request as it was received.
+        request_class: The number of the request's class.
+        now: The current time, in microseconds.
+        remaining: The time until the request's deadline, in microseconds.
     """
 
     __slots__ = (
         "attempts",
         "client",
         "deadline",
+        "deadline_timer",
         "exchange",
-        "guard",
         "id",
         "message",
         "ran_at",
@@ -48,70 +48,76 @@
         remaining: int,
     ) -> None:
         self.id = number
-        self.client: ClientConnection | None = client  # None once it has its response or has disconnected
+        # None once the client has its response or has disconnected.
+        self.client: ClientConnection | None = client
         self.message = message
         self.request_class = request_class
-        self.remaining = remaining  # of its time, when it came, or when a server began to take its long body
+        # Time until the deadline, in microseconds, as of the request's arrival, or as of the time at which a
+        # server started to receive its streamed body.
+        self.remaining = remaining
         self.deadline = now + remaining
         self.attempts = 0
         self.exchange: Exchange | None = None
-        self.written_at: int | None = None  # when its attempt's first byte was written
-        self.ran_at: int | None = None  # the same of the first attempt that may have run
-        self.guard: asyncio.TimerHandle | None = None
-        self.stream: ClientResponseStream | None = None  # its response, once it is streamed
+        # Time at which the first byte of the current attempt was written, in microseconds.
+        self.written_at: int | None = None
+        # The same time of the first attempt that may have run.
+        self.ran_at: int | None = None
+        self.deadline_timer: asyncio.TimerHandle | None = None
+        # The response, once it is being streamed.
+        self.stream: ClientResponseStream | None = None
 
     def incoming_body(self) -> RequestBodyStream | None:
-        """Its body, if that is still on its way from the client."""
+        """Return the streamed body if the client has not sent all of it yet."""
         upload = self.message.upload
         return upload if upload is not None and not upload.is_complete else None
 
     def is_body_discarded(self) -> bool:
-        """Whether part of its streamed body was discarded, so that no further attempt can send it."""
+        """Return whether part of the streamed body was discarded, so that no further attempt can send it."""
         return self.message.upload is not None and self.message.upload.is_discarded
 
     def is_partly_written(self) -> bool:
-        """Whether its attempt has begun, and its last byte has not left this process: it never ran."""
+        """Return whether the request's last byte is still in this process, so that no server has run it."""
         connection = self.exchange.connection if self.exchange is not None else None
         return self.incoming_body() is not None or (connection is not None and connection.unsent())
 
 
 class RequestCloser(Protocol):
-    """What a response stream needs of the pending requests."""
+    """The interface of the pending requests that a response stream uses."""
 
     def close_request(self, request: PendingRequest, status: int) -> None:
-        """Counts a request at its end."""
+        """Count a finished request, and detach its client."""
 
 
 class ClientResponseStream:
-    """A response on its way from a server to a client.
+    """A response that is streamed from a server to a client.
 
     Args:
-        requests: where the request is pending.
-        request: the request.
-        client: the client that the response is streamed to.
-        began: when its first byte came, in microseconds.
+        requests: The pending requests.
+        request: The request.
+        client: The connection of the client.
+        first_byte_at: The time at which the response's first byte was received, in microseconds.
     """
 
     def __init__(
-        self, requests: RequestCloser, request: PendingRequest, client: ClientConnection, began: int
+        self, requests: RequestCloser, request: PendingRequest, client: ClientConnection, first_byte_at: int
     ) -> None:
         self.requests = requests
         self.request = request
         self.client = client
-        self.began = began
+        self.first_byte_at = first_byte_at
 
     def write(self, data: bytes) -> None:
-        """Writes a piece of the response."""
+        """Write part of the response's body."""
         self.client.write_stream(data)
 
     def end(self) -> None:
-        """Ends the response, which is complete."""
+        """Finish the response, whose body has been written completely."""
         if self.request.client is not None:
             self.requests.close_request(self.request, 200)
             self.client.end_stream()
 
     def abort(self) -> None:
-        """Breaks the response off."""
+        """Abort the response and its connection, so that the client detects the truncation."""
         if self.request.client is not None:
             self.requests.close_request(self.request, 502)
             self.client.abort_stream()
--- a/balancer/net/downstream/protocols.py
+++ b/balancer/net/downstream/protocols.py
@@ -1,4 +1,4 @@
-"""What a client's connection needs of those around it."""
+"""Interfaces that a client's connection uses."""
 
 from __future__ import annotations
 
@@ -10,34 +10,35 @@
 from balancer.net.process.lifecycle import Lifecycle
 from balancer.net.process.memory_budget import MemoryBudget
 
-Connection = TypeVar("Connection")  # the class of the client's connection, which imports this module
+# The class of client connections; a type variable, because its module imports this one.
+Connection = TypeVar("Connection")
 ConnectionIn = TypeVar("ConnectionIn", contravariant=True)
 
 
 class RequestHandler(Protocol[ConnectionIn]):
-    """What a connection hands its requests to."""
+    """The handler of the requests that a connection receives."""
 
     def on_request(self, client: ConnectionIn, message: ClientRequest) -> None:
-        """Takes a request, complete or with a streamed body.
+        """Handle a request that is complete or has a streamed body.
 
-        One `client.respond` or `client.begin_stream` must follow.
+        Exactly one call of `client.respond` or `client.begin_stream` must follow.
         """
 
     def reject_over_capacity(self, client: ConnectionIn, message: ClientRequest) -> None:
-        """Takes a request for which there is no capacity; `client.respond` must be called once for it."""
+        """Reject a request for which there is no capacity; must call `client.respond` once."""
 
     def request_malformed(self, client: ConnectionIn, status: int) -> None:
-        """Called when the body of the current request will not go on.
+        """Handle a current request whose body is malformed, too large or overdue, and will not be completed.
 
-        `client.respond` must be called unless it has been.
+        Must call `client.respond` with the status unless the request has its response.
         """
 
     def client_disconnected(self, client: ConnectionIn) -> None:
-        """Called when the client has gone while its request was in flight."""
+        """Handle a client that has disconnected while its request was in flight."""
 
 
 class ClientConnectionsProtocol(Protocol[Connection]):
-    """What a connection needs of the connections that it is one of."""
+    """The interface of all client connections that a single connection uses."""
 
     loop: asyncio.AbstractEventLoop
     memory_budget: MemoryBudget
@@ -47,4 +48,4 @@
     handler: RequestHandler[Connection]
 
     def evict_idle(self) -> None:
-        """Evicts an idle connection if clients hold all that they may."""
+        """Evict an idle connection if clients hold too many."""
--- a/balancer/net/downstream/read_deadline.py
+++ b/balancer/net/downstream/read_deadline.py
@@ -4,18 +4,20 @@
 
 import asyncio
 
-# In which the head of a new connection's request, or of one that has begun, must come...
+# Time within which a client must send a request head, counted from the accept or from the head's first byte.
 HEAD_TIMEOUT_S = 2.2
-MIN_BODY_BYTES = 8192  # ...and of a body so much, or the rest of it
-MAX_BODY_PAUSE_S = 0.3  # in which some of a body must have come when that time is over
+# Bytes of a body that a client must send in each period of `HEAD_TIMEOUT_S`, unless less than that is left.
+MIN_BODY_PROGRESS_BYTES = 8192
+# Longest pause in a buffered body at the end of its deadline for which the deadline is still extended.
+MAX_BODY_PAUSE_S = 0.3
 
 
 class ReadDeadline:
-    """When a client must have sent more of its request, if it must.
+    """The deadline by which a client must have sent more of its request, if any.
 
     Args:
-        loop: its clock is used.
-        now: its time, when the connection was accepted and the time of its first head begins.
+        loop: The event loop, for its clock.
+        now: The loop time at which the connection was accepted; the first head is due from then.
     """
 
     __slots__ = ("body_bytes", "body_expires_at", "expires_at", "loop")
@@ -23,18 +25,22 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, now: float) -> None:
         self.loop = loop
         self.expires_at: float | None = now + HEAD_TIMEOUT_S
-        self.body_expires_at = 0.0  # when a body that still comes must be complete, or much of it have come
-        self.body_bytes = 0  # bytes of a body that have come since `expires_at` was set
+        # Loop time by which a body must be complete or have made the minimum progress.
+        self.body_expires_at = 0.0
+        # Bytes of the body received in the current period.
+        self.body_bytes = 0
 
     def start_head(self) -> None:
-        """Begins the time of a head, unless one runs already."""
+        """Set the deadline for a head, unless a deadline is set already."""
         if self.expires_at is None:
             self.expires_at = self.loop.time() + HEAD_TIMEOUT_S
 
     def start_body(self) -> None:
-        """Begins the time of a body, whose head is complete.
+        """Set the deadlines for a body, whose head is complete.
 
-        Failure prevented: a client that stops in its body has its head's time again and stays over 3 s.
+        The client must send some of the body before the head's deadline, or within `MAX_BODY_PAUSE_S` if that
+        is later. If the body got the full `HEAD_TIMEOUT_S` again, a client that stalls in its body would hold
+        the connection for more than 3 s.
         """
         now = self.loop.time()
         self.expires_at = max(self.expires_at or 0.0, now + MAX_BODY_PAUSE_S)
@@ -42,31 +48,31 @@
         self.body_bytes = 0
 
     def suspend(self) -> None:
-        """Stops the time of a streamed body: a client that is made to wait cannot be late."""
+        """Suspend the deadline of a streamed body while the client is made to wait."""
         self.expires_at = None
         self.body_bytes = 0
 
     def resume(self) -> None:
-        """Begins the time of a streamed body anew, as its client may send on."""
+        """Restart the deadline of a streamed body when the client may continue to send."""
         self.expires_at = self.loop.time() + HEAD_TIMEOUT_S
         self.body_bytes = 0
 
     def clear(self) -> None:
-        """Ends all times: the request is complete, or is read no further."""
+        """Clear the deadline, because the request is complete or is not read any further."""
         self.expires_at = None
 
     def extend_body(self, now: float, last_read_at: float, is_streamed: bool) -> bool:
-        """Whether a body that is due comes fast enough to be waited for; then it is due anew.
+        """Extend the deadline of a body that makes progress; return False if the client is too slow.
 
         Args:
-            now: the loop's time.
-            last_read_at: when something was last read from the client.
-            is_streamed: whether the body is streamed.
+            now: The loop time.
+            last_read_at: The loop time at which bytes were last read from the client.
+            is_streamed: Whether the body is streamed.
         """
-        is_coming = is_streamed or now - last_read_at < MAX_BODY_PAUSE_S
-        if is_coming and self.body_bytes >= MIN_BODY_BYTES:
+        is_active = is_streamed or now - last_read_at < MAX_BODY_PAUSE_S
+        if is_active and self.body_bytes >= MIN_BODY_PROGRESS_BYTES:
             self.body_expires_at, self.body_bytes = now + HEAD_TIMEOUT_S, 0
-        if not is_coming or now >= self.body_expires_at:
+        if not is_active or now >= self.body_expires_at:
             return False
         self.expires_at = self.body_expires_at if is_streamed else now + MAX_BODY_PAUSE_S
         return True
--- a/balancer/net/downstream/read_queue.py
+++ b/balancer/net/downstream/read_queue.py
@@ -1,4 +1,4 @@
-"""Bytes that have been read from a client and wait to be parsed, each with the time of its reading."""
+"""A queue of the bytes that have been read from a client and wait to be parsed, with their read times."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 class ReadQueue:
-    """A queue of bytes. `len` is the number of bytes, not of reads."""
+    """A queue of bytes; `len` returns the number of bytes, not of reads."""
 
     def __init__(self) -> None:
         self.reads: deque[tuple[bytes, float]] = deque()
         self.size = 0
 
     def __len__(self) -> int:
-        """The number of bytes."""
+        """Return the number of bytes in the queue."""
         return self.size
 
     def append(self, data: bytes, read_at: float) -> None:
-        """Adds what one read brought."""
+        """Add the bytes of one read, with the loop time of the read."""
         self.reads.append((data, read_at))
         self.size += len(data)
 
     def take(self, max_bytes: int) -> tuple[bytes, float]:
-        """The first bytes, at most `max_bytes` and all of one read, and when they were read."""
+        """Remove and return the first bytes, at most `max_bytes` and from one read, and its time."""
         data, read_at = self.reads.popleft()
         if len(data) > max_bytes:
             self.reads.appendleft((data[max_bytes:], read_at))
@@ -31,6 +31,6 @@
         return data, read_at
 
     def clear(self) -> None:
-        """Drops all bytes."""
+        """Discard all bytes."""
         self.reads.clear()
         self.size = 0
--- a/balancer/net/downstream/request_parser.py
+++ b/balancer/net/downstream/request_parser.py
@@ -1,4 +1,4 @@
-"""Bytes from a client, parsed into requests."""
+"""The parser of the requests on a client's connection."""
 
 from __future__ import annotations
 
@@ -15,57 +15,59 @@
 
 
 class RequestReceiver(Protocol):
-    """What a parser hands requests to."""
+    """The receiver of the requests that a parser has parsed."""
 
     @property
     def reading_stopped(self) -> bool:
-        """Whether nothing further is taken from this client."""
+        """Whether no further input is taken from this client."""
 
     def enqueue(self, message: ClientRequest) -> None:
-        """Takes a request: complete, or with a streamed body."""
+        """Accept a request that is complete or has a streamed body."""
 
     def reject(self, status: int) -> None:
-        """Called when the request that is coming is invalid; nothing further is read."""
+        """Reject the partial request, which is invalid, and stop reading."""
 
     def on_upgrade_offered(self) -> None:
-        """Called when the client offers another protocol, behind which the parser reads nothing."""
+        """Handle an offer of another protocol; the parser processes nothing that follows it."""
 
     def on_head_complete(self, message: ClientRequest) -> None:
-        """Called when a head is valid and its body is not streamed yet."""
+        """Handle a valid head whose body is not streamed yet."""
 
     def on_upload_writable(self, message: ClientRequest) -> None:
-        """Called when the client may send more of a streamed body."""
+        """Let the client send more of a streamed body."""
 
 
 class RequestParser:
-    """Parses one connection's requests; the callbacks of httptools are its `on_...` methods.
+    """Parses the requests of one connection; httptools calls its `on_...` methods.
 
     Args:
-        receiver: takes the requests.
-        deadline: follows the progress of the request that is coming.
+        receiver: Receives the parsed requests.
+        deadline: The read deadline, which follows the progress of the partial request.
     """
 
     def __init__(self, receiver: RequestReceiver, deadline: ReadDeadline) -> None:
         self.receiver = receiver
         self.deadline = deadline
-        self.http = httptools.HttpRequestParser(self)
-        self.partial: ClientRequest | None = None
-        self.head_incomplete = False  # its head is still coming
-        self.bytes_without_body = 0  # bytes of it that have come in a row and were none of its body
+        self.http_parser = httptools.HttpRequestParser(self)
+        self.partial_request: ClientRequest | None = None
+        # Whether the head of the partial request is still incomplete.
+        self.head_incomplete = False
+        # Consecutive bytes of the partial request that contained nothing of its body.
+        self.bytes_without_body = 0
 
     def feed(self, data: bytes) -> None:
-        """Parses a slice, small beside the bound on a head, which is checked after each slice."""
-        partial, body_bytes = self.partial, self.deadline.body_bytes
+        """Parse a slice of bytes, small compared with `MAX_HEAD_BYTES`, which is checked after each slice."""
+        partial, body_bytes = self.partial_request, self.deadline.body_bytes
         try:
-            self.http.feed_data(data)
+            self.http_parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             self.receiver.on_upgrade_offered()
         except httptools.HttpParserError:
             self.receiver.reject(400)
-        if self.partial is None or self.receiver.reading_stopped:
+        if self.partial_request is None or self.receiver.reading_stopped:
             return
-        # A trailer, like a head, is kept by the parser until it ends.
-        if self.partial is partial and self.deadline.body_bytes == body_bytes:
+        # The limit applies to trailers as well, because the parser buffers them like a head.
+        if self.partial_request is partial and self.deadline.body_bytes == body_bytes:
             self.bytes_without_body += len(data)
         else:
             self.bytes_without_body = len(data)
@@ -73,53 +75,55 @@
             self.receiver.reject(431)
 
     def drop_partial(self) -> ClientRequest | None:
-        """Forgets the request that is coming, and returns it."""
-        partial, self.partial = self.partial, None
+        """Discard the partial request, and return it."""
+        partial, self.partial_request = self.partial_request, None
         return partial
 
     def is_reading_body(self) -> bool:
-        """Whether the head of a request is complete and the rest of it is coming."""
-        return self.partial is not None and not self.head_incomplete
+        """Return whether a request's head is complete and its body is not."""
+        return self.partial_request is not None and not self.head_incomplete
 
     def is_upload_blocked(self) -> bool:
-        """Whether the client is to send no more of a body for now."""
+        """Return whether the client must wait before it sends more of a streamed body."""
         return (
-            self.partial is not None and self.partial.upload is not None and self.partial.upload.is_blocked()
+            self.partial_request is not None
+            and self.partial_request.upload is not None
+            and self.partial_request.upload.is_blocked()
         )
 
     def on_message_begin(self) -> None:
-        """Begins a request."""
+        """Start a new request."""
         if self.receiver.reading_stopped:
             return
-        self.partial = ClientRequest()
+        self.partial_request = ClientRequest()
         self.head_incomplete = True
         self.deadline.start_head()
 
     def on_url(self, url: bytes) -> None:
-        """Collects the target, which may come in pieces."""
-        if self.partial is not None:
-            self.partial.target += url
+        """Append to the request target, which may be split over several calls."""
+        if self.partial_request is not None:
+            self.partial_request.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keeps a header."""
-        if self.partial is not None and self.head_incomplete:  # or it is a trailer, which ends here
+        """Add a header to the request, or ignore a trailer."""
+        if self.partial_request is not None and self.head_incomplete:
             key = name.lower()
-            self.partial.lines.append((key, name, value))
-            self.partial.headers.setdefault(key, value)
-            if len(self.partial.lines) > MAX_HEADER_LINES:
+            self.partial_request.header_lines.append((key, name, value))
+            self.partial_request.headers.setdefault(key, value)
+            if len(self.partial_request.header_lines) > MAX_HEADER_LINES:
                 self.receiver.reject(431)
 
     def on_headers_complete(self) -> None:
-        """Checks the head, and decides whether the body is streamed."""
+        """Check the complete head, and decide whether the body is streamed."""
         self.head_incomplete = False
-        message = self.partial
+        message = self.partial_request
         if message is None:
             return
-        message.method = self.http.get_method()
-        message.version = self.http.get_http_version()
-        message.keep_alive = self.http.should_keep_alive()
+        message.method = self.http_parser.get_method()
+        message.version = self.http_parser.get_http_version()
+        message.keep_alive = self.http_parser.should_keep_alive()
         message.expects_continue = b"expect" in message.headers and message.version == "1.1"
-        message.size = len(message.target) + sum(len(n) + len(v) for _, n, v in message.lines)
+        message.size = len(message.target) + sum(len(n) + len(v) for _, n, v in message.header_lines)
         self.deadline.start_body()
         length = message.headers.get(b"content-length", b"")
         if length.isdigit() and int(length) > MAX_BODY_BYTES:
@@ -130,7 +134,7 @@
             self.receiver.on_head_complete(message)
 
     def stream_body(self, message: ClientRequest, length: int | None) -> None:
-        """Hands on a request whose body is long, with what has come of it."""
+        """Pass on a request whose long body is streamed, starting with the part received so far."""
 
         def on_writable() -> None:
             self.receiver.on_upload_writable(message)
@@ -142,8 +146,8 @@
         self.receiver.enqueue(message)
 
     def on_body(self, body: bytes) -> None:
-        """Buffers or streams a piece of the body."""
-        message = self.partial
+        """Buffer or stream part of the body."""
+        message = self.partial_request
         if message is None or self.receiver.reading_stopped:
             return
         self.deadline.body_bytes += len(body)
@@ -157,7 +161,7 @@
             self.stream_body(message, None)
 
     def on_message_complete(self) -> None:
-        """Hands a complete request on, or ends its streamed body."""
+        """Pass on a complete request, or end its streamed body."""
         message = self.drop_partial()
         self.deadline.clear()
         if message is None or self.receiver.reading_stopped:
--- a/balancer/net/downstream/request_validation.py
+++ b/balancer/net/downstream/request_validation.py
@@ -1,4 +1,4 @@
-"""Validation of a request's head: class, method, identity and time budget."""
+"""Validation of a request's head: its class, method, identifiers, tenant and time budget."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class InvalidRequestError(Exception):
-    """A request whose head is not acceptable.
+    """Error raised for a request whose head is invalid.
 
     Args:
-        status: the HTTP status of the response.
-        headers: header lines of the response, each with its end.
+        status: The HTTP status of the response.
+        headers: Header lines of the response, each ending in CRLF.
     """
 
     def __init__(self, status: int, headers: bytes = b"") -> None:
@@ -32,12 +32,12 @@
 
 @dataclass(slots=True)
 class RequestParameters:
-    """What the policy needs to know of a valid request.
+    """The parameters of a valid request that are passed to the policy.
 
     Attributes:
-        tenant: by number; the count of all for one that is unknown.
-        budget_us: the time that the client gives, in microseconds.
-        is_repeat: the client has sent it before.
+        tenant: The tenant's number; the number of configured tenants for an unknown tenant.
+        budget_us: The client's time budget, in microseconds.
+        is_repeat: Whether the client has sent the request before.
     """
 
     tenant: int
@@ -46,10 +46,10 @@
 
 
 class RequestValidator:
-    """Checks the heads of requests.
+    """Validates the heads of requests.
 
     Args:
-        config: the configuration of the node.
+        config: The configuration of the node.
     """
 
     def __init__(self, config: Config) -> None:
@@ -58,15 +58,15 @@
         self.tenants = {name.encode(): i for i, name in enumerate(config.tenants)}
 
     def class_of(self, message: ClientRequest) -> int | None:
-        """The class that the first part of a request's path names, if there is such a class."""
+        """Return the number of the class that the first segment of the request's path names, or None."""
         path = message.target.partition(b"?")[0]
         return self.classes.get(path[1:].partition(b"/")[0]) if path[:1] == b"/" else None
 
     def parse(self, message: ClientRequest, request_class: int) -> RequestParameters:
-        """The parameters of a request of this class.
+        """Return the parameters of a request of this class.
 
         Raises:
-            InvalidRequestError: its method is not that of its class, or a header is missing or invalid.
+            InvalidRequestError: The method is not that of the class, or a header is missing or invalid.
         """
         effect = self.settings.classes[request_class].effect
         method = METHOD_BY_EFFECT[effect]
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,7 +1,7 @@
-"""Clients that leave while their request waits, on loopback sockets: nothing of it goes to a server any more.
+"""Clients that disconnect while their request waits: no server gets the request, or any more of it.
 
-The client's end is in the node's socket before the step that could send the request on. Whether the event
-loop has seen it by then differs: `seen` waits until it has, the other orders never give it a turn.
+The client's close has reached the node's socket before the step that could send the request. With the order
+"disconnect seen", the event loop has noticed it by then; with the other orders it has not.
 """
 
 import asyncio
@@ -11,50 +11,53 @@
 import pytest
 from loopback import OK, REJECTED, Bench, Late, Server, always, call, gated, play, until
 
-from balancer.net.downstream import client_connection as node_caller
+from balancer.net.downstream import client_connection as client_connection_module
 from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
 from balancer.policy.gradient import GradientController
 from balancer.policy.interface import Outcome
 
-HOW = pytest.mark.parametrize("how", ["fin", "rst"])
-FORBIDDEN = {"policy_limits": {"cancel": False}}
-LATER = {"layers": ["front", "store"], "tier": 1}
-EVERYWHERE = pytest.mark.parametrize(
-    "where", [{}, FORBIDDEN, LATER], ids=["usual", "no cancel", "later tier"]
+CLOSE_MODES = pytest.mark.parametrize("mode", ["fin", "rst"])
+CANCEL_DISABLED = {"policy_limits": {"cancel": False}}
+LATER_TIER = {"layers": ["front", "store"], "tier": 1}
+SETTINGS_VARIANTS = pytest.mark.parametrize(
+    "changes", [{}, CANCEL_DISABLED, LATER_TIER], ids=["default", "no cancel", "later tier"]
+)
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (
+    MAX_BUFFERED_BYTES,
+    bytes(MAX_BUFFERED_BYTES),
 )
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (MAX_BUFFERED_BYTES, bytes(MAX_BUFFERED_BYTES))
 
 
-class Leaver:
-    """A client on a plain socket, which ends when it is told and not a turn of the loop later."""
+class DisconnectingClient:
+    """A client on a plain socket, which closes at once and not in a later iteration of the event loop."""
 
     def __init__(self, bench: Bench) -> None:
         self.socket = socket.create_connection(("127.0.0.1", bench.port))
 
-    def go(self, how: str) -> None:
-        if how == "rst":
+    def close(self, mode: str) -> None:
+        if mode == "rst":
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.socket.close()
 
 
-async def only_caller(bench: Bench):
+async def only_connection(bench: Bench):
     await until(lambda: len(bench.node.client_connections.connections) == 1)
     return next(iter(bench.node.client_connections.connections))
 
 
-async def full_client(bench: Bench, server: Server):
-    """A client that reads nothing, and of whose answers no more can be written."""
-    client = Leaver(bench)
-    caller = await only_caller(bench)
-    while not caller.write_blocked:
+async def blocked_client(bench: Bench, server: Server):
+    """Return a client that does not read its responses, and its connection, to which writing is blocked."""
+    client = DisconnectingClient(bench)
+    connection = await only_connection(bench)
+    while not connection.write_blocked:
         client.socket.sendall(call())
         sent = len(server.requests) + 1
-        await until(lambda sent=sent: len(server.requests) == sent and caller.current is None)
-    return client, caller
+        await until(lambda sent=sent: len(server.requests) == sent and connection.current_request is None)
+    return client, connection
 
 
-async def nothing_came(bench: Bench, *sent: tuple[Server, int]) -> None:
-    """So many requests came, one more of a client that stays does, and nothing is left over."""
+async def assert_nothing_more_sent(bench: Bench, *sent: tuple[Server, int]) -> None:
+    """Check that only these numbers of requests were sent, and that all resources are released."""
     node = bench.node
     await until(lambda: not node.client_connections.connections and not node.requests.by_client)
     assert (await bench.once(call()))[0] == 200
@@ -64,56 +67,56 @@
     assert node.descriptor_budget.servers == sum(len(e.idle) for e in node.pool.endpoints.values())
 
 
-@HOW
-@EVERYWHERE
-@pytest.mark.parametrize("ahead", [2, 20])
-@pytest.mark.parametrize("order", ["seen", "answer first", "sweep first"])
-def test_behind_others_on_its_connection(how, where, ahead, order):
-    """Up to its answer the loop has not seen the end, or it has, or the sweep comes in between."""
+@CLOSE_MODES
+@SETTINGS_VARIANTS
+@pytest.mark.parametrize("pipelined_count", [2, 20])
+@pytest.mark.parametrize("order", ["disconnect seen", "response first", "sweep first"])
+def test_disconnect_drops_pipelined_requests(mode, changes, pipelined_count, order):
+    """The disconnect is seen before the first response, only after it, or by the periodic sweep."""
 
-    async def scene():
+    async def scenario():
         release = asyncio.Event()
-        bench = await Bench(server := Server(gated(release)), **where).start()
-        client = Leaver(bench)
-        client.socket.sendall(call() * ahead)
+        bench = await Bench(server := Server(gated(release)), **changes).start()
+        client = DisconnectingClient(bench)
+        client.socket.sendall(call() * pipelined_count)
         await until(lambda: len(server.requests) == 1)
-        caller = await only_caller(bench)
-        await until(lambda: len(caller.pipelined) == ahead - 1)
-        client.go(how)
-        if order == "seen":
-            await until(lambda: caller.is_gone)
+        connection = await only_connection(bench)
+        await until(lambda: len(connection.pipelined) == pipelined_count - 1)
+        client.close(mode)
+        if order == "disconnect seen":
+            await until(lambda: connection.has_disconnected)
         elif order == "sweep first":
             bench.node.client_connections.sweep()
         release.set()
-        await nothing_came(bench, (server, 1))
+        await assert_nothing_more_sent(bench, (server, 1))
 
-    play(scene)
+    play(scenario)
 
 
-@HOW
-def test_behind_more_than_the_socket_holds(how):
-    """Failure prevented: the end stands behind bytes that nobody reads, and what was left is sent on."""
+@CLOSE_MODES
+def test_disconnect_behind_full_socket_drops_requests(mode):
+    """The close is seen behind more bytes than the node buffers; no server gets the remaining requests."""
 
-    async def scene():
+    async def scenario():
         release = asyncio.Event()
         bench = await Bench(server := Server(gated(release))).start()
-        client = Leaver(bench)
+        client = DisconnectingClient(bench)
         loop = asyncio.get_running_loop()
         await loop.run_in_executor(None, client.socket.sendall, call() * 50_000)
-        caller = await only_caller(bench)
+        connection = await only_connection(bench)
         await until(lambda: len(server.requests) == 1)
-        client.go(how)
-        await until(lambda: caller.is_gone)
+        client.close(mode)
+        await until(lambda: connection.has_disconnected)
         release.set()
-        await nothing_came(bench, (server, 1))
+        await assert_nothing_more_sent(bench, (server, 1))
 
-    play(scene)
+    play(scenario)
 
 
-def test_one_who_stays_and_sends_too_much_ahead_is_refused_in_turn():
-    """What it sent first is served, then it is told when to come back, and the connection ends."""
+def test_excess_pipelined_bytes_get_503_after_earlier_responses():
+    """The first requests are served; then the client gets a 503 with Retry-After and a close."""
 
-    async def scene():
+    async def scenario():
         bench = await Bench(server := Server()).start()
         client = await bench.client()
         release = asyncio.Event()
@@ -126,83 +129,83 @@
             status, headers, _ = await client.receive()
             statuses.append(status)
         assert status == 503 and headers["connection"] == "close" and float(headers["retry-after"]) > 0
-        assert len(server.requests) == len(statuses) - 1 >= node_caller.MAX_PIPELINED_REQUESTS
+        assert len(server.requests) == len(statuses) - 1 >= client_connection_module.MAX_PIPELINED_REQUESTS
         client.writer.close()
         await until(lambda: not bench.node.client_connections.connections)
         assert bench.node.memory_budget.held_bytes == 0
 
-    play(scene)
+    play(scenario)
 
 
-def test_sent_ahead_by_one_who_does_not_read_and_ends():
-    """The end comes while answers wait to be written: they are written, and the rest goes nowhere."""
+def test_half_close_of_unread_client_drops_pipelined_requests():
+    """A client half-closes while responses are unsent: it gets them, and later requests are dropped."""
 
-    async def scene():
-        bench = await Bench(server := Server(always(ANSWER))).start()
-        client, caller = await full_client(bench, server)
+    async def scenario():
+        bench = await Bench(server := Server(always(RESPONSE))).start()
+        client, connection = await blocked_client(bench, server)
         client.socket.sendall(call() * 3)
-        await until(lambda: len(caller.pipelined) == 3)
+        await until(lambda: len(connection.pipelined) == 3)
         client.socket.shutdown(socket.SHUT_WR)
-        await until(lambda: caller.is_gone)
+        await until(lambda: connection.has_disconnected)
         count = len(server.requests)
         client.socket.setblocking(False)
         read = 0
         while data := await asyncio.get_running_loop().sock_recv(client.socket, 1 << 20):
             read += len(data)
-        assert read == count * len(ANSWER)
+        assert read == count * len(RESPONSE)
         client.socket.close()
-        await nothing_came(bench, (server, count))
+        await assert_nothing_more_sent(bench, (server, count))
 
-    play(scene)
+    play(scenario)
 
 
-def test_one_who_ends_and_never_reads_gives_its_descriptor_back(monkeypatch):
-    """Failure prevented: a transport that closes itself waits for such a client without end."""
+def test_half_closed_client_that_never_reads_is_closed(monkeypatch):
+    """A transport that closes itself would wait forever for a client that reads nothing."""
 
-    async def scene():
-        monkeypatch.setattr(node_caller, "UNREAD_TIMEOUT_S", 0.0)
-        monkeypatch.setattr(node_caller, "LINGER_S", 0.0)
-        bench = await Bench(server := Server(always(ANSWER))).start()
-        client, caller = await full_client(bench, server)
+    async def scenario():
+        monkeypatch.setattr(client_connection_module, "UNREAD_TIMEOUT_S", 0.0)
+        monkeypatch.setattr(client_connection_module, "LINGER_S", 0.0)
+        bench = await Bench(server := Server(always(RESPONSE))).start()
+        client, connection = await blocked_client(bench, server)
         client.socket.shutdown(socket.SHUT_WR)
         await until(lambda: not bench.node.client_connections.connections)
         assert bench.node.descriptor_budget.clients == 0 and bench.node.memory_budget.held_bytes == 0
 
-    play(scene)
+    play(scenario)
 
 
-@HOW
-@EVERYWHERE
-@pytest.mark.parametrize("order", ["seen", "failure first"])
+@CLOSE_MODES
+@SETTINGS_VARIANTS
+@pytest.mark.parametrize("order", ["disconnect seen", "failure first"])
 @pytest.mark.parametrize("failure", [Outcome.CONNECT_FAILED, Outcome.REJECTED, Outcome.TIMEOUT])
-def test_for_a_retry(how, where, order, failure):
-    """The attempt fails after the client's end, in the same turn of the loop or after it was seen."""
+def test_disconnect_prevents_retry(mode, changes, order, failure):
+    """The attempt fails after the client's close, before or after the event loop has seen the close."""
 
-    async def scene():
+    async def scenario():
         release = asyncio.Event()
         server, other = Server(gated(release)), Server(gated(release))
-        bench = await Bench(server, other, **where).start()
-        client = Leaver(bench)
+        bench = await Bench(server, other, **changes).start()
+        client = DisconnectingClient(bench)
         client.socket.sendall(call())
         await until(lambda: len(server.requests) + len(other.requests) == 1)
-        caller = await only_caller(bench)
+        connection = await only_connection(bench)
         (request,) = bench.node.requests.pending.values()
-        client.go(how)
-        if order == "seen":
-            await until(lambda: caller.is_gone)
+        client.close(mode)
+        if order == "disconnect seen":
+            await until(lambda: connection.has_disconnected)
         if request.exchange is not None:
             request.exchange.abort(failure)
         release.set()
-        await nothing_came(bench, (server, 1), (other, 0))
+        await assert_nothing_more_sent(bench, (server, 1), (other, 0))
 
-    play(scene)
+    play(scenario)
 
 
-@HOW
-def test_refused_by_every_member(how):
-    """Every server turns it away; the client leaves before the last of them does."""
+@CLOSE_MODES
+def test_disconnect_before_rejection_prevents_retry(mode):
+    """The client disconnects before the first of two servers rejects its request."""
 
-    async def scene():
+    async def scenario():
         release = asyncio.Event()
 
         async def full(request, writer):
@@ -211,149 +214,150 @@
 
         servers = [Server(full), Server(full)]
         bench = await Bench(*servers).start()
-        client = Leaver(bench)
+        client = DisconnectingClient(bench)
         client.socket.sendall(call())
         await until(lambda: sum(len(s.requests) for s in servers) == 1)
-        client.go(how)
+        client.close(mode)
         release.set()
         await until(lambda: not bench.node.client_connections.connections and not bench.node.requests.pending)
         for server in servers:
             server.handle = always(OK)
-        await nothing_came(bench, (servers[0], 1), (servers[1], 0))
+        await assert_nothing_more_sent(bench, (servers[0], 1), (servers[1], 0))
 
-    play(scene)
+    play(scenario)
 
 
-@HOW
-@EVERYWHERE
-@pytest.mark.parametrize("order", ["seen", "up first"])
-@pytest.mark.parametrize("klass", ["view", "invite"])
-def test_for_a_connection_that_comes_up_late(how, where, order, klass):
-    async def scene():
-        bench = await Bench(server := Server(), **where).start()
+@CLOSE_MODES
+@SETTINGS_VARIANTS
+@pytest.mark.parametrize("order", ["disconnect seen", "connect first"])
+@pytest.mark.parametrize("class_name", ["view", "invite"])
+def test_disconnect_during_server_connect_prevents_send(mode, changes, order, class_name):
+    async def scenario():
+        bench = await Bench(server := Server(), **changes).start()
         bench.node.pool.loop = late = Late(asyncio.get_running_loop())
-        client = Leaver(bench)
-        client.socket.sendall(call(klass))
+        client = DisconnectingClient(bench)
+        client.socket.sendall(call(class_name))
         await late.asked.wait()
-        caller = await only_caller(bench)
-        client.go(how)
-        if order == "seen":
-            await until(lambda: caller.is_gone)
+        connection = await only_connection(bench)
+        client.close(mode)
+        if order == "disconnect seen":
+            await until(lambda: connection.has_disconnected)
         late.up.set()
-        await nothing_came(bench, (server, 0))
+        await assert_nothing_more_sent(bench, (server, 0))
 
-    play(scene)
+    play(scenario)
 
 
-@HOW
-@pytest.mark.parametrize("order", ["seen", "room first"])
-def test_at_the_limit_of_a_later_tier(how, order, monkeypatch):
-    """There the module holds it until there is room under the limit."""
+@CLOSE_MODES
+@pytest.mark.parametrize("order", ["disconnect seen", "capacity first"])
+def test_disconnect_while_queued_at_later_tier_prevents_send(mode, order, monkeypatch):
+    """At a later tier, the policy queues the request until its concurrency limit admits it."""
 
-    async def scene():
-        bench = await Bench(server := Server(), **LATER).start()
+    async def scenario():
+        bench = await Bench(server := Server(), **LATER_TIER).start()
         balancer = bench.node.balancer
         assert (await bench.once(call()))[0] == 200
         await until(lambda: not bench.node.client_connections.connections)
         admits = GradientController.admits
         monkeypatch.setattr(GradientController, "admits", lambda self, now, spare: False)
-        client = Leaver(bench)
+        client = DisconnectingClient(bench)
         client.socket.sendall(call())
         await until(lambda: len(balancer.lifecycle.queue) == 1)
-        caller = await only_caller(bench)
-        client.go(how)
-        if order == "seen":
-            await until(lambda: caller.is_gone)
+        connection = await only_connection(bench)
+        client.close(mode)
+        if order == "disconnect seen":
+            await until(lambda: connection.has_disconnected)
         monkeypatch.setattr(GradientController, "admits", admits)
         balancer.lifecycle.serve_queue(bench.node.event_queue.now())
-        await nothing_came(bench, (server, 1))
+        await assert_nothing_more_sent(bench, (server, 1))
 
-    play(scene)
+    play(scenario)
 
 
-@HOW
-def test_for_room_among_connections(how):
-    """It waits in the listener's queue while there is no room, and its client leaves there."""
+@CLOSE_MODES
+def test_disconnect_in_accept_queue_prevents_send(mode):
+    """The connection waits in the listener's queue for capacity when its client closes it."""
 
-    async def scene():
+    async def scenario():
         bench = await Bench(server := Server()).start()
         listener = bench.node.client_connections.listener
-        room, listener.has_capacity = listener.has_capacity, lambda: False
+        has_capacity, listener.has_capacity = listener.has_capacity, lambda: False
         listener.update()
-        client = Leaver(bench)
+        client = DisconnectingClient(bench)
         client.socket.sendall(call())
-        client.go(how)
-        listener.has_capacity = room
+        client.close(mode)
+        listener.has_capacity = has_capacity
         listener.update()
-        await nothing_came(bench, (server, 0))
+        await assert_nothing_more_sent(bench, (server, 0))
 
-    play(scene)
+    play(scenario)
 
 
-@HOW
+@CLOSE_MODES
 @pytest.mark.parametrize(
     ("order", "size"),
     [
-        ("seen", 10),
-        ("seen", MAX_BUFFERED_BYTES),
-        ("up first", 10),
-        ("up first", MAX_BUFFERED_BYTES),
-        ("up first", 4 * MAX_BUFFERED_BYTES),
+        ("disconnect seen", 10),
+        ("disconnect seen", MAX_BUFFERED_BYTES),
+        ("connect first", 10),
+        ("connect first", MAX_BUFFERED_BYTES),
+        ("connect first", 4 * MAX_BUFFERED_BYTES),
     ],
 )
-def test_for_its_own_body(how, order, size):
-    """A part of the body has come; of a long one so much that nothing more is read before a server takes it.
+def test_disconnect_during_own_body_prevents_send(mode, order, size):
+    """The client disconnects within its request's body.
 
-    Of the longest the end stands behind bytes that the socket has no room for: it is seen as they are read.
+    Reading a long body pauses until a server receives it. Of the longest body, more is sent than the socket
+    buffers, so that the close is seen only when the rest is read.
     """
 
-    async def scene():
+    async def scenario():
         bench = await Bench(server := Server()).start()
         bench.node.pool.loop = late = Late(asyncio.get_running_loop())
-        client = Leaver(bench)
+        client = DisconnectingClient(bench)
         head = call("offer").partition(b"Content-Length")[0]
         client.socket.sendall(head + b"Content-Length: %d\r\n\r\n" % (size + 1) + bytes(size))
-        caller = await only_caller(bench)
-        await until(lambda: caller.partial is not None)
+        connection = await only_connection(bench)
+        await until(lambda: connection.partial_request is not None)
         if size >= MAX_BUFFERED_BYTES:
             await late.asked.wait()
-            await until(lambda: caller.reading_paused)
-        client.go(how)
-        if order == "seen":
+            await until(lambda: connection.reading_paused)
+        client.close(mode)
+        if order == "disconnect seen":
             bench.node.client_connections.sweep()
-            await until(lambda: caller.is_gone)
+            await until(lambda: connection.has_disconnected)
         late.up.set()
-        await nothing_came(bench, (server, 0))
+        await assert_nothing_more_sent(bench, (server, 0))
 
-    play(scene)
+    play(scenario)
 
 
-@HOW
-def test_in_the_turn_in_which_its_answer_comes(how):
-    """Its own answer is written or not, but what waits behind it goes nowhere."""
+@CLOSE_MODES
+def test_disconnect_as_response_arrives_drops_pipelined_request(mode):
+    """Whether or not the response is written, the request that is pipelined behind it is not sent."""
 
-    async def scene():
+    async def scenario():
         bench = await Bench(server := Server(always(None))).start()
-        client = Leaver(bench)
+        client = DisconnectingClient(bench)
         client.socket.sendall(call() * 2)
         await until(lambda: len(server.requests) == 1)
-        caller = await only_caller(bench)
-        await until(lambda: len(caller.pipelined) == 1)
+        connection = await only_connection(bench)
+        await until(lambda: len(connection.pipelined) == 1)
         (request,) = bench.node.requests.pending.values()
-        client.go(how)
-        bench.node.requests.respond(request.id, 504)  # as its guard does
+        client.close(mode)
+        bench.node.requests.respond(request.id, 504)  # The deadline timer responds in the same way.
         assert request.exchange is not None
         request.exchange.abort(Outcome.TIMEOUT)
         server.handle = always(OK)
-        await nothing_came(bench, (server, 1))
+        await assert_nothing_more_sent(bench, (server, 1))
 
-    play(scene)
+    play(scenario)
 
 
-def test_one_who_stays_is_served_in_full_behind_others():
-    """The look at the socket takes nobody who stays for one who has left."""
+def test_connected_client_gets_all_pipelined_responses():
+    """The check of the socket does not mistake a connected client for one that has disconnected."""
 
-    async def scene():
+    async def scenario():
         bench = await Bench(server := Server(), config={"limits": {"sockets": 1024}}).start()
         client = await bench.client()
         client.send(call() * 20)
@@ -363,4 +367,4 @@
         client.writer.close()
         await until(lambda: not bench.node.client_connections.connections)
 
-    play(scene)
+    play(scenario)
--- a/tests/test_node_limits.py
+++ b/tests/test_node_limits.py
@@ -1,4 +1,4 @@
-"""The node over loopback sockets: limits on memory, descriptors, requests and the time of clients."""
+"""Limits of a node on loopback sockets: memory, file descriptors, pending requests and client timeouts."""
 
 import asyncio
 import os
@@ -25,10 +25,10 @@
 from balancer.net.downstream.read_deadline import HEAD_TIMEOUT_S
 
 
-def test_requests_sent_ahead_are_held_within_a_bound():
-    """Failure prevented: many clients that send large requests ahead end the process for its memory."""
+def test_pipelined_requests_stay_within_memory_budget():
+    """Requests over the budget get a 503; many large ones would otherwise exhaust the process's memory."""
 
-    async def scene():
+    async def scenario():
         release = asyncio.Event()
 
         bench = await Bench(server := Server(gated(release))).start()
@@ -43,41 +43,42 @@
         assert status == 503 and float(headers["retry-after"]) > 0
         second.writer.transport.abort()
         await until(lambda: memory_budget.held_bytes < 120_000)
-        first.send(large)  # waits behind its first
+        first.send(large)  # This request is pipelined behind the first one.
         await until(lambda: memory_budget.held_bytes > 120_000)
         release.set()
         assert (await first.receive())[0] == 200 and (await first.receive())[0] == 200
         assert memory_budget.held_bytes == 0
 
-    play(scene)
+    play(scenario)
 
 
-def test_clients_beyond_the_budget_are_refused_and_idle_ones_make_room():
-    """Failure prevented: more clients than descriptors end the process or stop it from taking anyone."""
+def test_excess_clients_rejected_and_idle_ones_evicted():
+    """More clients than file descriptors must neither end the process nor keep it from accepting others."""
 
-    async def scene():
+    async def scenario():
         bench = await Bench(Server(), config={"limits": {"sockets": 48}}).start()
-        bench.node.balancer.request = lambda *args: None  # all stay open
+        bench.node.balancer.request = lambda *args: None  # All requests stay pending.
         idle = await bench.client()
-        most = bench.node.client_connections.max_served()
-        assert most >= 4  # a small budget too is mostly for clients that are served
+        max_served = bench.node.client_connections.max_served()
+        assert max_served >= 4  # Even of a small budget, most is for clients that are served.
         clients = []
-        for _ in range(most):
+        for _ in range(max_served):
             clients.append(await bench.client())
             clients[-1].send(call("invite"))
             await until(lambda: len(bench.node.requests.by_client) == len(clients))
         assert await idle.ended()
         status, headers, _ = await bench.once(call("invite"))
-        assert status == 503 and float(headers["retry-after"]) > 0  # or it would be back at once
+        # Without a delay, the client would retry at once.
+        assert status == 503 and float(headers["retry-after"]) > 0
         clients[0].writer.close()
-        await until(lambda: len(bench.node.client_connections.connections) < most)
+        await until(lambda: len(bench.node.client_connections.connections) < max_served)
         assert (await bench.once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
 
-    play(scene)
+    play(scenario)
 
 
-def test_requests_beyond_the_settings_are_refused_with_advice():
-    async def scene():
+def test_requests_over_max_open_get_503_with_retry_after():
+    async def scenario():
         bench = await Bench(server := Server(always(None)), policy_limits={"max_open": 1}).start()
         (first := await bench.client()).send(call())
         await until(lambda: len(server.requests) == 1)
@@ -88,11 +89,11 @@
         await until(lambda: not bench.node.requests.pending)
         assert (await bench.once(call()))[0] == 200
 
-    play(scene)
+    play(scenario)
 
 
-def test_connects_beyond_the_budget_fail_and_idle_ones_make_room():
-    async def scene():
+def test_server_connects_over_budget_evict_idle_or_fail():
+    async def scenario():
         bench = await Bench(first := Server(), second := Server()).start()
         bench.node.descriptor_budget.max_servers = lambda: 1
         while not (first.requests and second.requests):
@@ -102,13 +103,13 @@
             endpoint.close_idle()
         assert (await bench.once(call("invite")))[0] == 503
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_crowd_of_clients_keeps_the_process_within_its_descriptors(tmp_path):
-    """Failure prevented: a process over its limit is killed, or cannot open what it needs."""
+def test_many_clients_stay_within_descriptor_limit(tmp_path):
+    """A process over its descriptor limit would be killed, or could not open what it needs."""
 
-    async def scene():
+    async def scenario():
         await (server := Server()).start()
         await (discovery := Discovery()).start()
         port = free_port()
@@ -116,17 +117,17 @@
         process = await spawn(tmp_path, table | {"limits": {"sockets": 56}})
         await connected(first := Client(port))
         before = len(os.listdir(f"/proc/{process.pid}/fd"))
-        crowd = []
+        clients = []
         for _ in range(150):
-            crowd.append(client := await Client(port).open())
-            # Half a request, and at once: an idle client would make room for the next, and how many are
-            # held in the end would depend on how fast they came.
+            clients.append(client := await Client(port).open())
+            # Each client sends half a request at once: idle clients would be evicted for the next ones, and
+            # the number of connections in the end would depend on how fast they are opened.
             client.send(b"GET /ready HTTP/1.1\r\n")
         await until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) >= before + 8)
         for _ in range(200):
             assert len(os.listdir(f"/proc/{process.pid}/fd")) <= 56
             await asyncio.sleep(0)
-        for client in (first, *crowd):
+        for client in (first, *clients):
             client.writer.close()
         while True:
             client = await Client(port).open()
@@ -137,41 +138,46 @@
         process.terminate()
         assert await asyncio.wait_for(process.wait(), 20) == 0
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_request_that_never_comes_whole_is_given_up():
-    """Failure prevented: clients that send half a request hold descriptors for good."""
+def test_incomplete_head_gets_408_and_close():
+    """A client that sends half a request must not hold a file descriptor forever."""
 
-    async def scene():
+    async def scenario():
         bench = await Bench(Server()).start()
         client = await bench.client()
         client.send(b"GET /view HTTP/1.1\r\nX-Call-Id: 1\r\n")
-        await until(lambda: any(c.partial for c in bench.node.client_connections.connections))
-        (caller,) = bench.node.client_connections.connections
-        client.send(b"X-More: 1\r\n")  # it is still at it
-        caller.read_deadline.expires_at -= 1000  # as if it were long ago
+        await until(lambda: any(c.partial_request for c in bench.node.client_connections.connections))
+        (connection,) = bench.node.client_connections.connections
+        client.send(b"X-More: 1\r\n")  # The client is still sending.
+        connection.read_deadline.expires_at -= 1000  # The deadline is now in the past.
         bench.node.client_connections.sweep()
         assert (await client.receive())[0] == 408 and await client.ended()
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_peer_that_sends_nothing_is_closed_within_three_seconds_and_a_client_is_kept(monkeypatch):
-    """Failure prevented: whoever connects and says nothing holds a descriptor for good."""
-    assert HEAD_TIMEOUT_S + HEAD_TIMEOUT_S / 8 < 3  # what a peer is owed, counted from its connecting
+def test_silent_peer_closed_within_3_s_and_idle_client_kept(monkeypatch):
+    """A peer that connects and sends nothing must not hold a file descriptor forever."""
+    assert HEAD_TIMEOUT_S + HEAD_TIMEOUT_S / 8 < 3  # The sweep runs every `HEAD_TIMEOUT_S / 8`.
 
-    async def scene():
+    async def scenario():
         bench = await Bench(Server()).start()
-        callers = bench.node.client_connections
-        kept = await bench.client()
-        assert (await kept.ask(call()))[0] == 200
+        client_connections = bench.node.client_connections
+        idle = await bench.client()
+        assert (await idle.ask(call()))[0] == 200
         silent = await bench.client()
-        await until(lambda: len(callers.connections) == 2 and all(c.transport for c in callers.connections))
+        await until(
+            lambda: (
+                len(client_connections.connections) == 2
+                and all(c.transport for c in client_connections.connections)
+            )
+        )
         now = bench.node.loop.time()
-        monkeypatch.setattr(callers, "loop", Clock(bench.node.loop, now + HEAD_TIMEOUT_S))
-        callers.sweep()
+        monkeypatch.setattr(client_connections, "loop", Clock(bench.node.loop, now + HEAD_TIMEOUT_S))
+        client_connections.sweep()
         assert await silent.ended()
-        assert (await kept.ask(call()))[0] == 200
+        assert (await idle.ask(call()))[0] == 200
 
-    play(scene)
+    play(scenario)
--- a/tests/test_operator_terms_leaving.py
+++ b/tests/test_operator_terms_leaving.py
@@ -1,4 +1,4 @@
-"""The operators' term on clients that have gone, where an attempt's bytes wait in the process."""
+"""The operators' terms for clients that disconnect while part of an attempt is still in the process."""
 
 import asyncio
 import socket
@@ -8,42 +8,42 @@
 import pytest
 from loopback import Bench, Late, Server, call, play, small_listener, small_sends, until
 
-BODY = 65536
-CANCEL = pytest.mark.parametrize("cancel", [True, False], ids=["cancel", "no cancel"])
-ENDS = pytest.mark.parametrize("how", ["closed", "half closed", "reset"])
+BODY_BYTES = 65536
+CANCEL_SETTINGS = pytest.mark.parametrize("cancel", [True, False], ids=["cancel", "no cancel"])
+CLOSE_MODES = pytest.mark.parametrize("mode", ["closed", "half closed", "reset"])
 
 
-def end(connection: socket.socket, how: str) -> None:
-    """Ends a client's connection."""
-    if how == "half closed":
+def close_connection(connection: socket.socket, mode: str) -> None:
+    """Close a client's connection in this mode."""
+    if mode == "half closed":
         connection.shutdown(socket.SHUT_WR)
         return
-    if how == "reset":
+    if mode == "reset":
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     connection.close()
 
 
 async def read_to_end(connection: socket.socket) -> bytes:
-    """What a server reads up to the end of a connection."""
+    """Return what a server reads up to the end of a connection."""
     data = b""
     loop = asyncio.get_running_loop()
     try:
-        while more := await loop.sock_recv(connection, 65536):
-            data += more
+        while chunk := await loop.sock_recv(connection, 65536):
+            data += chunk
     except ConnectionResetError:
         pass
     return data
 
 
-@ENDS
-@CANCEL
-def test_the_rest_of_a_request_goes_nowhere_once_its_client_has_gone(
-    cancel: bool, how: str, monkeypatch: pytest.MonkeyPatch
+@CLOSE_MODES
+@CANCEL_SETTINGS
+def test_disconnect_discards_unsent_part_of_request(
+    cancel: bool, mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The server takes a part of the request, the client leaves, and then the server takes all it can get."""
+    """The server reads part of the request, the client disconnects, then the server reads all it can get."""
     small_sends(monkeypatch)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         listener = small_listener()
         changes = {"policy_limits": {"cancel": cancel}}
         bench = await Bench(other := Server(), config={"known": None}, **changes).start()
@@ -51,7 +51,7 @@
         await until(lambda: bench.node.lifecycle.serving)
         client = socket.create_connection(("127.0.0.1", bench.port))
         loop = asyncio.get_running_loop()
-        await loop.run_in_executor(None, client.sendall, call("offer", body=bytes(BODY)))
+        await loop.run_in_executor(None, client.sendall, call("offer", body=bytes(BODY_BYTES)))
         connection, _ = await loop.sock_accept(listener)
         connection.setblocking(False)
         requests = bench.node.requests
@@ -59,27 +59,27 @@
         (request,) = requests.pending.values()
         assert request.exchange is not None and request.exchange.connection is not None
         assert request.exchange.connection.unsent()
-        end(client, how)
+        close_connection(client, mode)
         await until(lambda: request.client is None)
-        got = await asyncio.wait_for(read_to_end(connection), 20)
-        assert len(got) < BODY
+        received = await asyncio.wait_for(read_to_end(connection), 20)
+        assert len(received) < BODY_BYTES
         await until(lambda: not requests.pending)
-        for each in (client, connection, listener):
-            each.close()
+        for open_socket in (client, connection, listener):
+            open_socket.close()
 
-    play(scene)
+    play(scenario)
 
 
-@ENDS
-@CANCEL
+@CLOSE_MODES
+@CANCEL_SETTINGS
 @pytest.mark.parametrize("version", [b"1.0", b"1.1"])
 @pytest.mark.parametrize("draining", [False, True], ids=["serving", "draining"])
-def test_no_attempt_begins_once_the_client_has_gone(
-    draining: bool, version: bytes, cancel: bool, how: str
+def test_disconnect_before_server_connect_prevents_attempt(
+    draining: bool, version: bytes, cancel: bool, mode: str
 ) -> None:
-    """Its connection to a server comes up after the client's end."""
+    """The connection to a server is established after the client's close."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         bench = await Bench(server := Server(), policy_limits={"cancel": cancel}).start()
         late = Late(asyncio.get_running_loop())
         bench.node.pool.loop = cast(asyncio.AbstractEventLoop, late)
@@ -87,7 +87,7 @@
         client.sendall(call().replace(b"HTTP/1.1", b"HTTP/" + version))
         await late.asked.wait()
         drain = asyncio.create_task(bench.node.drain()) if draining else None
-        end(client, how)
+        close_connection(client, mode)
         late.up.set()
         await until(lambda: not bench.node.requests.pending)
         assert server.requests == []
@@ -95,4 +95,4 @@
         if drain is not None:
             await asyncio.wait_for(drain, 20)
 
-    play(scene)
+    play(scenario)
--- a/tests/test_request_body_streaming.py
+++ b/tests/test_request_body_streaming.py
@@ -1,4 +1,4 @@
-"""Long request bodies pass through the node in any framing, at the pace of their server."""
+"""Long request bodies are streamed through the node in any framing, at the pace of their server."""
 
 import pytest
 from loopback import REJECTED, Bench, call, play, record_outcomes, until
@@ -15,36 +15,36 @@
         upload(chunks(LONG, 100_000), b"Transfer-Encoding: chunked"),
     ],
 )
-def test_a_long_body_reaches_its_server_whole_and_the_next_request_follows(request_bytes):
-    async def scene():
+def test_long_body_forwarded_whole_and_next_request_served(request_bytes):
+    async def scenario():
         bench = await Bench(server := RawServer()).start()
         client = await bench.client()
         client.send(request_bytes + call("offer", body=b"next") + request_bytes)
         for _ in range(3):
             assert (await receive(client))[1] == b"ok"
         assert server.bodies == [LONG, b"next", LONG]
-        assert all(b"other" not in head for head in server.heads)  # a trailer ends at this hop
+        assert all(b"other" not in head for head in server.heads)  # Trailers are not forwarded.
         assert bench.node.memory_budget.held_bytes == 0 and bench.node.counters.sends == 3
         assert not any(s.in_flight or s.uploads for s in bench.node.balancer.servers.values())
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_short_body_in_chunks_is_taken_whole():
-    async def scene():
+def test_short_chunked_body_is_buffered_and_retried():
+    async def scenario():
         bench = await Bench(first := RawServer(REJECTED), second := RawServer(REJECTED)).start()
         client = await bench.client()
         client.send(upload(chunks(b"x" * 3000, 7), b"Transfer-Encoding: chunked"))
         assert (await receive(client))[0].startswith(b"HTTP/1.1 503 ")
-        assert (first.bodies + second.bodies) == [b"x" * 3000] * 3  # it could be tried again
+        assert (first.bodies + second.bodies) == [b"x" * 3000] * 3  # The body could be retried.
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_server_that_does_not_read_stops_its_client():
-    """Failure prevented: a body piles up in the process while its server is slow."""
+def test_slow_server_pauses_reading_from_client():
+    """A body must not accumulate in the process while its server is slow."""
 
-    async def scene():
+    async def scenario():
         body = LONG * 32
         bench = await Bench(server := RawServer()).start()
         server.read.clear()
@@ -61,31 +61,31 @@
             request.exchange.connection.transport.get_write_buffer_size()
             <= 3 * node.memory_budget.chunk_bytes
         )
-        assert client_connection.read_deadline.expires_at is None  # it is not the client that is late
+        assert client_connection.read_deadline.expires_at is None  # The client is not late.
         server.read.set()
         assert (await receive(client))[1] == b"ok"
         assert server.bodies[0] == body
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_body_that_has_gone_nowhere_yet_can_go_to_another_server():
-    async def scene():
-        bench = await Bench(dead := RawServer(), alive := RawServer()).start()
-        dead.server.close()
+def test_unsent_long_body_is_retried_on_another_server():
+    async def scenario():
+        bench = await Bench(unreachable := RawServer(), alive := RawServer()).start()
+        unreachable.server.close()
         for _ in range(6):
             client = await bench.client()
             client.send(upload(LONG, b"Content-Length: %d" % len(LONG)))
             assert (await receive(client))[1] == b"ok"
         assert alive.bodies == [LONG] * 6
 
-    play(scene)
+    play(scenario)
 
 
-def test_an_upload_that_breaks_is_refused_with_advice_and_goes_nowhere_else():
-    """Failure prevented: half a body is sent to a second server, or the client waits for its whole time."""
+def test_broken_upload_gets_503_and_is_not_retried():
+    """Half a body must not be sent to a second server, and the client must not wait for its whole budget."""
 
-    async def scene():
+    async def scenario():
         bench = await Bench(RawServer(), RawServer()).start()
         for server in bench.servers:
             server.read.clear()
@@ -102,11 +102,11 @@
         assert sum(len(s.heads) for s in bench.servers) == 1
         assert bench.node.counters.sends == 0
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_client_that_leaves_while_it_writes_ends_its_attempt():
-    async def scene():
+def test_disconnect_during_upload_ends_attempt():
+    async def scenario():
         bench = await Bench(server := RawServer()).start()
         client = await bench.client()
         client.send(upload(LONG, b"Content-Length: %d" % (2 * len(LONG))))
@@ -115,26 +115,26 @@
         await until(lambda: server.closed == 1 and not bench.node.requests.pending)
         assert not any(s.in_flight or s.uploads for s in bench.node.balancer.servers.values())
 
-    play(scene)
+    play(scenario)
 
 
-def test_the_time_of_a_request_begins_when_its_body_has_come():
-    """Failure prevented: a client that needs longer to write than its request may take gets no answer."""
+def test_deadline_starts_when_body_is_complete():
+    """A client that needs longer for its upload than the request's budget must still get its response."""
 
-    async def scene():
+    async def scenario():
         bench = await Bench(server := RawServer()).start()
         client = await bench.client()
         data = upload(LONG, b"Content-Length: %d" % len(LONG)).replace(b"15000", b"600")
         client.send(data[:-1])
         await until(lambda: bool(server.heads))
         (request,) = bench.node.requests.pending.values()
-        began = bench.node.event_queue.now()
-        await until(lambda: bench.node.event_queue.now() > began + 800_000)
-        assert request.guard is None
+        start_us = bench.node.event_queue.now()
+        await until(lambda: bench.node.event_queue.now() > start_us + 800_000)
+        assert request.deadline_timer is None
         client.send(data[-1:])
         assert (await receive(client))[1] == b"ok"
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize(
@@ -149,8 +149,8 @@
         upload(chunks(LONG, 9000)[:-5] + b"what?\r\n", b"Transfer-Encoding: chunked"),
     ],
 )
-def test_bad_framing_gets_400_and_a_close_and_reaches_no_server_whole(data):
-    async def scene():
+def test_invalid_framing_gets_400_and_close(data):
+    async def scenario():
         bench = await Bench(server := RawServer()).start()
         client = await bench.client()
         client.send(data)
@@ -160,4 +160,4 @@
         assert not server.bodies
         await until(lambda: not bench.node.requests.pending)
 
-    play(scene)
+    play(scenario)
--- a/tests/test_request_forwarding.py
+++ b/tests/test_request_forwarding.py
@@ -1,4 +1,4 @@
-"""The node over loopback sockets: requests and responses pass through it in order and unchanged."""
+"""Requests and responses on loopback sockets are forwarded in order and unchanged."""
 
 import asyncio
 
@@ -13,31 +13,31 @@
     until,
 )
 
-MANY_LINES = b"GET /view HTTP/1.1\r\n" + b"a: b\r\n" * 1000
+TOO_MANY_HEADERS = b"GET /view HTTP/1.1\r\n" + b"a: b\r\n" * 1000
 
 
-def test_a_request_and_its_answer_go_through_unchanged():
+def test_request_and_response_are_forwarded_unchanged():
     body = bytes(range(256)) * 256
 
-    async def scene():
+    async def scenario():
         async def echo(request, writer):
             return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(request.body), request.body)
 
         bench = await Bench(server := Server(echo)).start()
-        status, _, answer = await bench.once(call("offer", 9000, b"X-Trace: 7\r\n", body))
-        assert (status, answer) == (200, body)
-        (got,) = server.requests
-        assert (got.method, got.target, got.body) == ("POST", "/offer?obj=7f", body)
-        assert got.headers["x-call-id"] == "9b1f" and got.headers["idempotency-key"] == "5c0f"
-        assert got.headers["x-trace"] == "7" and 0 < int(got.headers["x-budget-ms"]) <= 9000
+        status, _, response = await bench.once(call("offer", 9000, b"X-Trace: 7\r\n", body))
+        assert (status, response) == (200, body)
+        (received,) = server.requests
+        assert (received.method, received.target, received.body) == ("POST", "/offer?obj=7f", body)
+        assert received.headers["x-call-id"] == "9b1f" and received.headers["idempotency-key"] == "5c0f"
+        assert received.headers["x-trace"] == "7" and 0 < int(received.headers["x-budget-ms"]) <= 9000
 
-    play(scene)
+    play(scenario)
 
 
-def test_the_size_of_a_head_does_not_count_what_came_before_it():
-    """Failure prevented: a request whose head begins behind another's body is refused as too large."""
+def test_head_size_excludes_preceding_bytes():
+    """A request whose head follows another request's body must not be rejected as too large."""
 
-    async def scene():
+    async def scenario():
         bench = await Bench(server := Server()).start()
         client = await bench.client()
         data = call("invite", body=b"x" * 60000) + call()
@@ -46,32 +46,32 @@
         client.send(data[-10:])
         assert (await client.receive())[0] == 200 and (await client.receive())[0] == 200
 
-    play(scene)
+    play(scenario)
 
 
-def test_headers_that_are_for_this_hop_end_here():
-    """Failure prevented: what a client agreed with the node alone is taken up by the server."""
+def test_hop_by_hop_headers_are_not_forwarded():
+    """Headers that a client agreed on with the node alone must not reach the server."""
 
-    async def scene():
+    async def scenario():
         bench = await Bench(server := Server()).start()
         extra = b"Connection: X-Trace, keep-alive\r\nX-Trace: 5\r\nConnection: x-call-id\r\nX-Kept: 6\r\n"
         assert (await bench.once(call(extra=extra)))[0] == 200
         (request,) = server.requests
         assert "x-trace" not in request.headers and "connection" not in request.headers
         assert request.headers["x-kept"] == "6"
-        assert request.headers["x-call-id"] == "9b1f"  # part of the contract, whatever a client says
+        assert request.headers["x-call-id"] == "9b1f"  # This header is always forwarded.
 
-    play(scene)
+    play(scenario)
 
 
-def test_requests_in_pieces_and_in_a_row_are_answered_in_order():
-    """Failure prevented: a request cut anywhere by the network, or sent before the last answer, is lost."""
+def test_split_and_pipelined_requests_answered_in_order():
+    """No request is lost that is split at any byte, or sent before the previous response."""
 
-    async def scene():
-        async def name(request, writer):
+    async def scenario():
+        async def respond_with_number(request, writer):
             return b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + request.headers["x-n"].encode()
 
-        bench = await Bench(Server(name)).start()
+        bench = await Bench(Server(respond_with_number)).start()
         client = await bench.client()
         for byte in call(extra=b"X-N: 1\r\n"):
             client.send(bytes([byte]))
@@ -80,18 +80,18 @@
         client.send(b"".join(call(extra=b"X-N: %d\r\n" % n) for n in range(2, 10)))
         assert [(await client.receive())[2] for _ in range(8)] == [b"%d" % n for n in range(2, 10)]
 
-    play(scene)
+    play(scenario)
 
 
-def test_connections_to_a_server_are_used_again():
-    async def scene():
+def test_server_connections_are_reused():
+    async def scenario():
         bench = await Bench(server := Server()).start()
         client = await bench.client()
         for _ in range(5):
             assert (await client.ask(call()))[0] == 200
         assert server.connections == 1
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize(
@@ -110,24 +110,26 @@
         (call("invite").replace(b"POST", b"GET"), 405),
         (call("offer").replace(b"Content-Length: 0", b"Content-Length: 60000000"), 413),
         (b"GET /view HTTP/1.1\r\nX-Long: " + b"x" * 40000, 431),
-        (MANY_LINES, 431),
+        (TOO_MANY_HEADERS, 431),
     ],
 )
-def test_bad_input_gets_its_status_and_harms_nobody(data, status):
-    """Failure prevented: what comes from outside ends the process, or a request with no right to a repeat
-    is taken for one that has it."""
+def test_invalid_request_gets_error_status(data, status):
+    """Invalid input does not end the process or reach a server, and later requests are served.
 
-    async def scene():
+    A request that may not be repeated must not be taken for one that may.
+    """
+
+    async def scenario():
         bench = await Bench(server := Server()).start()
         assert (await bench.once(data))[0] == status
         assert not server.requests
         assert (await bench.once(call()))[0] == 200
 
-    play(scene)
+    play(scenario)
 
 
-def test_headers_that_come_twice_and_offers_of_other_protocols():
-    async def scene():
+def test_repeated_headers_forwarded_and_upgrade_ignored():
+    async def scenario():
         bench = await Bench(server := Server()).start()
         extra = b"X-Tag: 1\r\nX-Tag: 2\r\nUpgrade: h2c\r\nConnection: Upgrade\r\n"
         client = await bench.client()
@@ -136,17 +138,17 @@
         assert [v for k, v in server.requests[0].lines if k == "x-tag"] == ["1", "2"]
         assert not {"upgrade", "connection"} & set(server.requests[0].headers)
 
-    play(scene)
+    play(scenario)
 
 
-def test_stray_bytes_on_an_idle_connection_close_it():
-    """Failure prevented: bytes left over from one answer are served as the next one."""
+def test_stray_bytes_close_idle_server_connection():
+    """Bytes that follow one response must not be served as the next response."""
 
-    async def scene():
+    async def scenario():
         bench = await Bench(server := Server(always(OK + OK.replace(b"ok", b"no")))).start()
         client = await bench.client()
         for _ in range(2):
             assert (await client.ask(call()))[2] == b"ok"
         assert server.connections == 2
 
-    play(scene)
+    play(scenario)
--- a/tests/test_streaming_timeouts.py
+++ b/tests/test_streaming_timeouts.py
@@ -1,4 +1,4 @@
-"""The time that a client has for its bodies and its last response, and the room that they may take."""
+"""Time limits for a client's uploads and its last response, and the memory that they may use."""
 
 import asyncio
 import socket
@@ -12,11 +12,11 @@
 from balancer.net.downstream.read_deadline import HEAD_TIMEOUT_S
 from balancer.net.process.memory_budget import MAX_CHUNK_BYTES, MIN_CHUNK_BYTES, MIN_HELD_BYTES, MemoryBudget
 
-# ---- the client's time -------------------------------------------------------------------------------
+# ---- time limits ------------------------------------------------------------------------------------
 
 
-def test_a_client_that_expects_100_continue_gets_it_when_there_is_a_server():
-    async def scene():
+def test_100_continue_sent_before_each_valid_body():
+    async def scenario():
         bench = await Bench(server := RawServer()).start()
         client = await bench.client()
         for body in (LONG, b"short"):
@@ -29,14 +29,14 @@
             assert (await receive(client))[1] == b"ok"
         assert server.bodies == [LONG, b"short"]
         client.send(head.replace(b"/offer", b"/nothing").replace(b": 5", b": 99999") + b"\r\n\r\n")
-        head, _ = await receive(client)  # the response, and no 100 Continue before it
+        head, _ = await receive(client)  # No 100 Continue precedes the response.
         assert head.startswith(b"HTTP/1.1 404 ")
 
-    play(scene)
+    play(scenario)
 
 
-def test_100_continue_does_not_come_before_an_earlier_response():
-    async def scene():
+def test_100_continue_follows_earlier_response():
+    async def scenario():
         release = asyncio.Event()
 
         bench = await Bench(server := Server(gated(release))).start()
@@ -50,13 +50,13 @@
         client.send(rest)
         assert (await client.receive())[2] == b"ok"
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_body_must_get_on_and_one_that_does_is_kept(monkeypatch):
-    """Failure prevented: a slow client is cut off though it writes, or a silent one holds a server."""
+def test_body_without_progress_in_a_period_gets_408(monkeypatch):
+    """A slow client that makes progress is kept; one that makes none must not occupy a server."""
 
-    async def scene():
+    async def scenario():
         bench = await Bench(server := RawServer()).start()
         client_connections = bench.node.client_connections
         client = await bench.client()
@@ -83,17 +83,17 @@
         await until(lambda: server.closed == 1 and not bench.node.requests.pending)
         assert request.client is None and not server.bodies
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_client_that_reads_its_last_answer_slowly_gets_all_of_it(monkeypatch):
-    """Failure prevented: the connection is ended while a part of the answer is still in the process."""
+def test_slow_reader_gets_complete_last_response(monkeypatch):
+    """The connection must not be closed while part of the response is still in the process."""
     monkeypatch.setattr("balancer.net.downstream.client_connection.LINGER_S", 0.0)
 
-    async def scene():
+    async def scenario():
         body = LONG * 16
-        answer = HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body
-        bench = await Bench(RawServer(answer)).start()
+        response = HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body
+        bench = await Bench(RawServer(response)).start()
         client = await bench.client()
         client.writer.transport.pause_reading()
         client.send(call(extra=b"Connection: close\r\n"))
@@ -103,32 +103,32 @@
         client.writer.transport.resume_reading()
         assert (await receive(client))[1] == body
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_cut_connection_without_an_end_of_its_own_is_reset():
-    """Failure prevented: to a client that knows no chunks the end of a broken answer looks whole."""
+def test_aborted_http_1_0_response_resets_connection():
+    """An HTTP/1.0 client would take an orderly close for the end of a complete response."""
 
-    async def scene():
-        half = HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(LONG, 9000)[: len(LONG) // 2]
-        bench = await Bench(RawServer(half, close=True)).start()
-        with socket.create_connection(("127.0.0.1", bench.port)) as plain:
-            plain.setblocking(False)
-            plain.send(call().replace(b"HTTP/1.1", b"HTTP/1.0"))
+    async def scenario():
+        partial_response = HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(LONG, 9000)[: len(LONG) // 2]
+        bench = await Bench(RawServer(partial_response, close=True)).start()
+        with socket.create_connection(("127.0.0.1", bench.port)) as client_socket:
+            client_socket.setblocking(False)
+            client_socket.send(call().replace(b"HTTP/1.1", b"HTTP/1.0"))
             loop = asyncio.get_running_loop()
             with pytest.raises(ConnectionResetError):
                 async with asyncio.timeout(20):
-                    while await loop.sock_recv(plain, 65536):
+                    while await loop.sock_recv(client_socket, 65536):
                         pass
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_client_that_is_refused_while_it_writes_may_finish_writing(monkeypatch):
-    """Failure prevented: it is cut off before it has looked for an answer."""
+def test_rejected_client_may_finish_its_upload(monkeypatch):
+    """The client must not be disconnected before it has looked for a response."""
 
-    async def scene():
-        bench = await Bench().start()  # no servers: every request is refused
+    async def scenario():
+        bench = await Bench().start()  # Without servers, every request is rejected.
         client_connections = bench.node.client_connections
         client = await bench.client()
         data = upload(LONG, b"Content-Length: %d" % len(LONG))
@@ -147,7 +147,7 @@
         assert eviction_priority(client_connection, client_connections.loop.time()) == (
             0,
             client_connection.finished_at,
-        )  # it gives way first
+        )  # The connection is evicted first.
         monkeypatch.setattr(
             client_connections,
             "loop",
@@ -156,14 +156,14 @@
         client_connection.linger(client_connection.finished_at, 0)
         assert client_connection.transport.is_closing()
 
-    play(scene)
+    play(scenario)
 
 
-# ---- room --------------------------------------------------------------------------------------------
+# ---- memory ------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(("memory", "sockets"), [(16, 64), (32, 256), (80, 384), (192, 1024)])
-def test_what_may_be_held_follows_from_the_limits(memory, sockets):
+def test_memory_budget_follows_from_limits(memory, sockets):
     memory_budget = MemoryBudget(memory << 20, sockets)
     assert MIN_HELD_BYTES <= memory_budget.max_held_bytes <= max(MIN_HELD_BYTES, memory << 18)
     assert MIN_CHUNK_BYTES <= memory_budget.chunk_bytes <= MAX_CHUNK_BYTES
