--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -82,7 +82,7 @@
             loop, self.descriptor_budget, self.requests, self.lifecycle, self.memory_budget
         )
         self.pool.evict_client = self.client_connections.evict_one
-        self.client_connections.free_server_connection = self.pool.close_unused
+        self.client_connections.close_unused_server_connection = self.pool.close_unused
         self.fleet = self.create_fleet_runtime()
         self.management = Management(loop, self.paths(), self.log_lines.line)
         self.server_registry = ServerRegistry(
@@ -296,9 +296,9 @@
             self.reloading.cancel()
         self.discovery.close()
         self.handover.close()
-        if self.requests.guarded:
+        if self.requests.overdue_count:
             self.log_lines.line(
-                f"{self.requests.guarded} requests were failed at their deadline by the guard"
+                f"{self.requests.overdue_count} requests were failed at their deadline by the guard"
             )
 
     # ---- events ---------------------------------------------------------------------------------------
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -228,7 +228,7 @@
         half = len(call()) // 2
         client.send(call()[:half])
         if is_read:
-            await until(lambda: client_connection.partial is not None)
+            await until(lambda: client_connection.partial_request is not None)
         node.requests.respond(request.id, 504)
         server.handle = always(OK)
         client.send(call()[half:])
@@ -311,13 +311,16 @@
         (request,) = node.requests.pending.values()
         if order == "body first":
             client.send(b"x")
-            await until(lambda: len(server.requests) == 1 and request.guard is not None)
+            await until(lambda: len(server.requests) == 1 and request.deadline_timer is not None)
         drain = asyncio.create_task(node.drain())
-        await until(lambda: node.requests.last_answer is not None)
+        await until(lambda: node.requests.last_response_at is not None)
         if order == "drain first":
             client.send(b"x")
-            await until(lambda: len(server.requests) == 1 and request.guard is not None)
-            assert node.requests.last_answer is not None and request.deadline <= node.requests.last_answer
+            await until(lambda: len(server.requests) == 1 and request.deadline_timer is not None)
+            assert (
+                node.requests.last_response_at is not None
+                and request.deadline <= node.requests.last_response_at
+            )
         client.writer.transport.abort()
         await asyncio.wait_for(drain, 20)
 
--- a/tests/test_crossings_ends.py
+++ b/tests/test_crossings_ends.py
@@ -84,7 +84,7 @@
         if came == "after it":
             assert (await client.ask(READY))[0] == 200
             drain = asyncio.create_task(bench.node.drain())
-            await until(lambda: bench.node.requests.last_answer is not None)
+            await until(lambda: bench.node.requests.last_response_at is not None)
         client.send(call(effect, budget=200))
         await until(lambda: bool(bench.node.requests.by_client))
         drain = drain or asyncio.create_task(bench.node.drain())
@@ -93,7 +93,7 @@
         assert await client.ended()
         client.writer.close()
         await asyncio.wait_for(drain, 20)
-        assert bench.node.requests.guarded == 0 and bench.node.descriptor_budget.clients == 0
+        assert bench.node.requests.overdue_count == 0 and bench.node.descriptor_budget.clients == 0
 
     play(scene)
 
@@ -110,7 +110,7 @@
         await until(lambda: len(told.requests) == 2)
         client = await bench.client()
         drain = asyncio.create_task(bench.node.drain())
-        await until(lambda: bench.node.requests.last_answer is not None)
+        await until(lambda: bench.node.requests.last_response_at is not None)
         told.say(43, False, going.entry("s0", state), other.entry("s1"))
         await until(lambda: bench.node.discovery.version == 43)
         release.set()
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -208,7 +208,7 @@
             with socket.socket(fileno=os.dup(caller.transport.get_extra_info("socket").fileno())) as end:
                 end.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             await loop.sock_sendall(slow, call())
-            await until(lambda: caller.has_served and caller.current is None)
+            await until(lambda: caller.has_served and caller.current_request is None)
             assert caller.transport.get_write_buffer_size() and not caller.is_idle()
             bench.node.take_out()
             assert eviction_priority(caller, bench.node.loop.time()) is None
@@ -229,7 +229,7 @@
         client = await bench.client()
         assert (await client.ask(READY))[0] == 200
         drain = asyncio.create_task(bench.node.drain())
-        await until(lambda: bench.node.requests.last_answer is not None)
+        await until(lambda: bench.node.requests.last_response_at is not None)
         assert (await operate(bench, "/control/in-service", "PUT"))[0] == 409
         client.send(call("invite", budget=19000))
         await until(lambda: len(server.requests) == 1)
--- a/tests/test_response_streaming.py
+++ b/tests/test_response_streaming.py
@@ -77,7 +77,9 @@
         await until(lambda: any(r.stream for r in node.requests.pending.values()))
         (request,) = node.requests.pending.values()
         await until(lambda: request.exchange.connection.reading_paused)
-        (client_connection,) = (c for c in node.client_connections.connections if c.current is not None)
+        (client_connection,) = (
+            c for c in node.client_connections.connections if c.current_request is not None
+        )
         assert client_connection.transport.get_write_buffer_size() <= 3 * node.memory_budget.chunk_bytes
         assert (await bench.once(call("invite")))[0] == 200
         slow.writer.transport.resume_reading()
@@ -110,7 +112,7 @@
         release.set()
         assert head and await client.reader.readexactly(len(LONG) - 100) == LONG[100:]
         await until(lambda: not bench.node.requests.pending)
-        assert bench.node.requests.guarded == 0
+        assert bench.node.requests.overdue_count == 0
 
     play(scenario)
 
