--- a/balancer/fleet/zone_membership/batches.py
+++ b/balancer/fleet/zone_membership/batches.py
@@ -1,4 +1,4 @@
-"""The split of many summaries into messages that each fit into a datagram."""
+"""Batches of summaries that each fit into one datagram."""
 
 from __future__ import annotations
 
@@ -6,14 +6,16 @@
 
 from balancer.fleet.zone_membership.summaries import Summary
 
-MAX_BATCH_BYTES = 1000  # of the summaries in one datagram, by `estimated_bytes`
-SUMMARY_OVERHEAD_BYTES = 48  # of a summary's numbers and lengths
+# Sum of `estimate_size_bytes` over the summaries in one datagram.
+MAX_BATCH_BYTES = 1000
+# Encoded size of a summary's numbers and length prefixes.
+SUMMARY_OVERHEAD_BYTES = 48
 GATEWAY_OVERHEAD_BYTES = 8
 FACT_OVERHEAD_BYTES = 4
 
 
-def estimated_bytes(summary: Summary) -> int:
-    """Returns an upper estimate of a summary's bytes in a datagram."""
+def estimate_size_bytes(summary: Summary) -> int:
+    """Return an upper estimate of a summary's encoded size in bytes."""
     state = summary.state
     size = SUMMARY_OVERHEAD_BYTES + len(state.zone) + len(state.region) + len(summary.version.origin)
     size += sum(GATEWAY_OVERHEAD_BYTES + len(g.name) + len(g.address[0]) for g in state.gateways)
@@ -21,15 +23,15 @@
     return size + facts
 
 
-def batches(summaries: Iterable[Summary]) -> list[tuple[Summary, ...]]:
-    """Splits summaries, in their order, into batches of one datagram each."""
-    found: list[list[Summary]] = []
+def split_into_batches(summaries: Iterable[Summary]) -> list[tuple[Summary, ...]]:
+    """Split summaries, in their order, into batches that each fit into one datagram."""
+    result: list[list[Summary]] = []
     remaining_bytes = 0
     for summary in summaries:
-        size = estimated_bytes(summary)
+        size = estimate_size_bytes(summary)
         if size > remaining_bytes:
-            found.append([])
+            result.append([])
             remaining_bytes = MAX_BATCH_BYTES
-        found[-1].append(summary)
+        result[-1].append(summary)
         remaining_bytes -= size
-    return [tuple(batch) for batch in found]
+    return [tuple(batch) for batch in result]
--- a/balancer/fleet/zone_membership/component.py
+++ b/balancer/fleet/zone_membership/component.py
@@ -13,13 +13,15 @@
 from balancer.fleet.zone_membership.settings import ZoneMembershipSettings, ZoneMembershipTiming
 from balancer.fleet.zone_membership.wire import ZoneMembershipWire
 
-RANDOM_STREAM = "federation"  # the name is part of the seed, so it stays as it was
+# Renaming the stream would change its seed, and with it the runs of a simulation.
+RANDOM_STREAM = "federation"
 
 
 class ZoneMembershipComponent(Component):
-    """Publishes this zone's summary to the other zones, and keeps theirs.
+    """The component that publishes this zone's summary to the other zones and stores theirs.
 
-    Its messages go to addresses: the gateways of other zones are no members of the own group.
+    Messages are sent to addresses instead of member names, since gateways of other zones are not members of
+    the own zone's group.
 
     Args:
         runtime: The fleet runtime.
@@ -37,7 +39,7 @@
         return (ZoneMembershipWire(),)
 
     def open(self) -> None:
-        """Starts with no summaries of other zones."""
+        """Create the state machine, without any summaries of other zones."""
         runtime = self.runtime
         config = runtime.config
         self.zone_membership = ZoneMembership(
@@ -52,31 +54,31 @@
         )
 
     def close(self) -> None:
-        """Drops all state."""
+        """Discard the state machine and its summaries."""
         self.zone_membership = None
 
     def on_event(self, event: ZoneEvent) -> None:
-        """Logs that a zone was found, or that the freshness of its summary has changed."""
+        """Log that a zone was discovered or that the freshness of its summary changed."""
         self.runtime.log.line(f"fleet zone {event.zone}: summary {event.kind}")
 
-    # ---- time and messages ------------------------------------------------------------------------------
+    # ---- Time and messages ------------------------------------------------------------------------------
 
     def deadline(self, now: int) -> int | None:
-        """Returns when `tick` is due."""
+        """Return the time at which `tick` is due, or None while closed."""
         return self.zone_membership.deadline() if self.zone_membership is not None else None
 
     def tick(self, now: int) -> Sequence[Outgoing]:
-        """Does what is due."""
+        """Send the queries and exchanges that are due."""
         return self.zone_membership.tick(now) if self.zone_membership is not None else []
 
     def received(self, now: int, sender: Address, message: Any) -> Sequence[Outgoing]:
-        """Handles a message of another node."""
+        """Handle a message from another node and return the responses."""
         if self.zone_membership is None:
             return []
         return self.zone_membership.received(now, sender, message)
 
-    # ---- status page ------------------------------------------------------------------------------------
+    # ---- Status page ------------------------------------------------------------------------------------
 
     def status(self, now: int) -> dict[str, Any]:
-        """Returns the key `regions` of the status page."""
+        """Return the key `regions` of the status page."""
         return {"regions": self.zone_membership.status(now) if self.zone_membership is not None else None}
--- a/balancer/fleet/zone_membership/decisions.py
+++ b/balancer/fleet/zone_membership/decisions.py
@@ -1,9 +1,9 @@
-"""Membership by zone as a state machine that is handed time and messages.
+"""Membership by zone as a state machine; its caller passes in the time and received messages.
 
 The members of a zone form a SWIM group of their own. The first few of them by rendezvous hashing are the
 zone's gateways. A gateway periodically exchanges its zone's summary with one gateway of each other zone, and
-every member periodically queries a gateway of its zone for younger summaries than its own. A gateway that
-does not respond counts as unresponsive, and the next member in the order takes its place. Times are integer
+every member periodically queries a gateway of its zone for summaries newer than those it holds. A gateway
+that does not respond counts as unresponsive, and the next member in hash order replaces it. Times are integer
 microseconds.
 """
 
@@ -35,11 +35,12 @@
 from balancer.fleet.zone_membership.status import record_status
 from balancer.fleet.zone_membership.timers import SequenceNumbers
 
-GATEWAY_INDEX_BITS = 8  # of the random index of the first gateway
+# Size of the random index of the first gateway to contact.
+GATEWAY_INDEX_BITS = 8
 
 
 def ignore_event(event: ZoneEvent) -> None:
-    """Does nothing; the default where nobody observes events."""
+    """Ignore an event; the default for nodes without an event handler."""
 
 
 class ZoneMembership:
@@ -51,11 +52,11 @@
         zone: Name of the own zone.
         region: Name of its region.
         group: The zone's SWIM group.
-        settings: The configuration.
-        timing: Intervals and limits.
-        rng: The random stream of this component.
+        settings: Seeds of the other zones.
+        timing: Intervals and limits of the protocol.
+        rng: Random stream of this component.
         now: The current time.
-        notify: Called with each event.
+        notify: Callback for each event on a zone.
     """
 
     def __init__(
@@ -75,7 +76,7 @@
         self.counts = self.records.counts
         self.selection = GatewaySelection(group, Rendezvous(zone), timing.gateways)
         self.local_summary = LocalSummary(zone, region, group, self.selection, timing.max_summary_reuse)
-        # The order of these four draws is part of the behaviour on a seed.
+        # Changing the order of these four random draws would change the behaviour for a given seed.
         first_exchange_at = now + timing.startup_delay + int(timing.exchange_interval * rng.random())
         first_query_at = now + int(timing.response_timeout * rng.random())
         first_gateway = rng.getrandbits(GATEWAY_INDEX_BITS)
@@ -97,35 +98,35 @@
         )
         self.responder = Responder(self.local_summary, self.records, timing, self.counts)
 
-    # ---- the own zone ---------------------------------------------------------------------------------
+    # ---- Own zone -------------------------------------------------------------------------------------
 
     @property
     def is_gateway(self) -> bool:
-        """Whether this node was a gateway when an exchange was last due."""
+        """Whether this node was a gateway at the time of the last scheduled exchange."""
         return self.exchanges.is_gateway
 
     def gateways(self, now: int) -> list[str]:
-        """Returns the names of the own zone's gateways."""
+        """Return the names of the own zone's gateways."""
         return self.selection.gateways(now)
 
     def set_fact(self, key: str, value: str) -> None:
-        """Attaches a fact to the own zone's summary, to go out while this node is a gateway.
+        """Attach a fact to the own zone's summary, which is sent while this node is a gateway.
 
         Raises:
-            ZoneFactsError: The facts would be more than a summary may contain.
+            ZoneFactsError: The facts would exceed the bounds of a summary.
         """
         self.local_summary.set_fact(key, value)
 
-    # ---- time and messages ----------------------------------------------------------------------------
+    # ---- Time and messages ----------------------------------------------------------------------------
 
     def deadline(self) -> int:
-        """Returns when `tick` is due."""
+        """Return the time at which `tick` is due."""
         next_at = min(self.queries.deadline(), self.exchanges.next_at)
         records_due = self.records.deadline()
         return next_at if records_due is None else min(next_at, records_due)
 
     def tick(self, now: int) -> list[OutgoingZoneMessage]:
-        """Does what is due."""
+        """Update the freshness of the records and send the queries and exchanges that are due."""
         self.records.tick(now)
         queries = self.queries.tick(now)
         return queries + self.exchanges.tick(now)
@@ -133,18 +134,19 @@
     def received(
         self, now: int, source: Address, message: ZoneMembershipMessage
     ) -> list[OutgoingZoneMessage]:
-        """Handles a message.
+        """Store the summaries in a message and return the responses to it.
 
         Args:
             now: The current time.
-            source: Address that the message came from; a response goes there.
-            message: The message.
+            source: Address of the sender, to which the response is sent.
+            message: The received message.
         """
         if message.sender == self.group.me.name:
             return []
         self.selection.mark_responsive(message.sender)
         if message.zone != self.zone and message.sender in self.group.members:
-            self.counts["members_of_other_zones"] += 1  # the groups of two zones were joined by mistake
+            # A misconfigured seed has joined the SWIM groups of two zones.
+            self.counts["members_of_other_zones"] += 1
         self._store(now, message)
         match message.kind:
             case ZoneMembershipKind.ZONE_QUERY:
@@ -163,15 +165,15 @@
         for refresh in message.refreshes:
             self.records.refresh(now, refresh)
 
-    # ---- status ---------------------------------------------------------------------------------------
+    # ---- Status ---------------------------------------------------------------------------------------
 
     def known_zones(self) -> Sequence[str]:
-        """Returns the other zones of which there is a summary that is not lost."""
+        """Return the names of the other zones whose summary is not lost."""
         records = self.records.zones.items()
         return sorted(zone for zone, record in records if record.freshness != Freshness.LOST)
 
     def status(self, now: int) -> dict[str, Any]:
-        """Returns the part `regions` of the status page, as JSON values; ages in seconds."""
+        """Return the value of the key `regions` of the status page, with ages in seconds."""
         size = len(self.group.alive()) + 1
         records = sorted(self.records.zones.items())
         return {
--- a/balancer/fleet/zone_membership/errors.py
+++ b/balancer/fleet/zone_membership/errors.py
@@ -4,19 +4,19 @@
 
 
 class ZoneMessageError(ValueError):
-    """A received message has a field outside its bounds.
+    """A field of a received message that is outside its bounds.
 
     Args:
-        field: What is out of bounds.
+        field: Name of the field.
     """
 
     def __init__(self, field: str) -> None:
-        super().__init__(field)
+        super().__init__(f"{field} out of bounds")
         self.field = field
 
 
 class ZoneFactsError(ValueError):
-    """The facts of a zone are more than a summary may contain."""
+    """Facts of a zone that are too many or too long for a summary."""
 
     def __init__(self) -> None:
-        super().__init__("facts")
+        super().__init__("too many facts, or facts too long")
--- a/balancer/fleet/zone_membership/exchanges.py
+++ b/balancer/fleet/zone_membership/exchanges.py
@@ -1,4 +1,4 @@
-"""The exchanges of a gateway with the gateways of other zones."""
+"""Exchanges of summaries between a gateway and the gateways of other zones."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 from balancer.fleet.zone_membership.queries import GatewayQueries
 from balancer.fleet.zone_membership.records import Records
 from balancer.fleet.zone_membership.settings import ZoneMembershipTiming
-from balancer.fleet.zone_membership.timers import SequenceNumbers, jittered
+from balancer.fleet.zone_membership.timers import SequenceNumbers, add_jitter
 
 
 class GatewayExchanges:
-    """Sends the own zone's summary to one gateway of each other zone while this node is a gateway.
+    """Periodic exchanges with one gateway of each other zone while this node is a gateway.
 
     Args:
         selection: The own zone's gateways.
         local_summary: The own zone's summary.
-        queries: Makes the query that goes to one of the gateways.
+        queries: Builds the query that is sent to one of the gateways.
         records: The summaries of the other zones.
         zone_seeds: Addresses of other zones' nodes, by zone.
-        timing: Intervals.
-        rng: Chooses the gateway that is queried, and intervals.
-        sequence: Numbers of requests.
-        first_at: When the first exchange is due.
-        first_gateway: Which of a zone's gateways comes first, modulo their number.
+        timing: Intervals of the protocol.
+        rng: Random stream for the choice of the gateway to query and for jitter.
+        sequence: Sequence numbers of requests.
+        first_at: Time of the first exchange.
+        first_gateway: Index of the first gateway of a zone to contact, modulo the number of its gateways.
     """
 
     def __init__(
@@ -60,23 +60,24 @@
         self.next_at = first_at
         self.gateway_index = first_gateway
         self.is_gateway = False
-        self.unacknowledged: dict[str, int] = {}  # exchanges in a row, by zone
+        # Number of consecutive exchanges without an acknowledgement, by zone.
+        self.unacknowledged: dict[str, int] = {}
 
     def tick(self, now: int) -> list[OutgoingZoneMessage]:
-        """Exchanges with every other zone if that is due."""
+        """Send an exchange to every other zone if the next one is due."""
         if now < self.next_at:
             return []
-        self.next_at = now + jittered(self.timing.exchange_interval, self.rng)
+        self.next_at = now + add_jitter(self.timing.exchange_interval, self.rng)
         return self._exchange(now)
 
     def acknowledged(self, zone: str) -> None:
-        """Takes note that a gateway of a zone has answered."""
+        """Reset the count of unacknowledged exchanges with a zone."""
         self.unacknowledged.pop(zone, None)
 
     def _exchange(self, now: int) -> list[OutgoingZoneMessage]:
-        """Sends the own summary to one gateway of each other zone, and a query to one of these gateways.
+        """Send the own summary to one gateway of each other zone, and a query to one of these gateways.
 
-        By the query, two zones that do not reach each other get each other's summaries from a third.
+        The query lets two zones that cannot reach each other get each other's summaries from a third one.
         """
         me = self.selection.group.me.name
         own_zone = self.records.own_zone
@@ -89,17 +90,17 @@
         message = ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, me, own_zone, seq, summaries)
         outgoing: list[OutgoingZoneMessage] = []
         for zone in sorted({*self.records.zones, *self.zone_seeds} - {own_zone}):
-            to = self._target(zone)
-            if to is None:
+            target = self._target(zone)
+            if target is None:
                 continue
             self.unacknowledged[zone] = self.unacknowledged.get(zone, 0) + 1
-            outgoing.append(AddressedMessage(to, message))
+            outgoing.append(AddressedMessage(target, message))
         if outgoing:
             outgoing.append(AddressedMessage(self.rng.choice(outgoing).to, self.queries.message(now)))
         return outgoing
 
     def _target(self, zone: str) -> Address | None:
-        """Returns a zone's next gateway, or one of its seeds while no gateway is known or none answers."""
+        """Return the next address of a zone: of a gateway, or also of a seed while no gateway responds."""
         record = self.records.zones.get(zone)
         addresses = [gateway.address for gateway in record.state.gateways] if record is not None else []
         if self.unacknowledged.get(zone, 0) >= len(addresses):
--- a/balancer/fleet/zone_membership/gateway_selection.py
+++ b/balancer/fleet/zone_membership/gateway_selection.py
@@ -1,4 +1,4 @@
-"""Which members this node takes for the gateways of its zone."""
+"""The gateways of a zone as selected by one of its members."""
 
 from __future__ import annotations
 
@@ -7,35 +7,36 @@
 
 
 class GatewaySelection:
-    """The first members in the order of rendezvous hashing, without the unresponsive ones.
+    """Selection of the first members in the order of rendezvous hashing, except unresponsive ones.
 
     Args:
         group: The zone's SWIM group.
         rendezvous: The order of its members.
-        count: How many gateways a zone has.
+        count: Number of gateways of a zone.
     """
 
     def __init__(self, group: Group, rendezvous: Rendezvous, count: int) -> None:
         self.group = group
         self.rendezvous = rendezvous
         self.count = count
-        self.unresponsive_until: dict[str, int] = {}  # by name
+        # End of the exclusion of each unresponsive member, by its name.
+        self.unresponsive_until: dict[str, int] = {}
 
     def gateways(self, now: int) -> list[str]:
-        """Returns the names of the gateways, this node's included if it is one."""
+        """Return the names of the gateways, including this node if it is one."""
         self.unresponsive_until = {
             name: until for name, until in self.unresponsive_until.items() if until > now
         }
         names = [*self.group.alive(), self.group.me.name]
         if len(self.rendezvous.scores) > 2 * len(names):
-            self.rendezvous.keep_only(names)
+            self.rendezvous.retain_only(names)
         candidates = (name for name in names if name not in self.unresponsive_until)
         return self.rendezvous.first(candidates, self.count)
 
     def mark_unresponsive(self, name: str, until: int) -> None:
-        """Excludes a member until a point in time."""
+        """Exclude a member from the selection until a point in time."""
         self.unresponsive_until[name] = until
 
     def mark_responsive(self, name: str) -> None:
-        """Ends a member's exclusion: a message of it has arrived."""
+        """End a member's exclusion, since a message from it has arrived."""
         self.unresponsive_until.pop(name, None)
--- a/balancer/fleet/zone_membership/gateways.py
+++ b/balancer/fleet/zone_membership/gateways.py
@@ -1,6 +1,6 @@
 """Rendezvous hashing over the members of a zone.
 
-All nodes that see the same members choose the same gateways without an election. Source: Thaler and
+Nodes with the same view of the members select the same gateways without an election. Source: Thaler and
 Ravishankar, "Using name-based mappings to increase hit rates" (1998).
 """
 
@@ -21,28 +21,28 @@
         self.key = blake2b(zone.encode(), digest_size=16).digest()
 
     def __missing__(self, name: str) -> int:
-        """Returns the hash of a member that has not been looked up before."""
+        """Compute and cache the hash of a member on its first lookup."""
         hashed = blake2b(name.encode(), digest_size=8, key=self.key, person=b"gateway")
         score = self[name] = int.from_bytes(hashed.digest(), "big")
         return score
 
 
 class Rendezvous:
-    """The order of a zone's members, and the digest of a set of them."""
+    """The order of a zone's members by their hashes, and the digest of a set of members."""
 
     def __init__(self, zone: str) -> None:
         self.scores = Scores(zone)
 
     def first(self, names: Iterable[str], count: int) -> list[str]:
-        """Returns the members with the lowest hashes, the lowest first."""
+        """Return the `count` members with the lowest hashes in ascending order."""
         return nsmallest(count, names, key=self.scores.__getitem__)
 
     def digest(self, names: Iterable[str]) -> int:
-        """Returns a hash of a set of names that does not depend on their order."""
+        """Return a hash of a set of names that does not depend on their order."""
         return sum(map(self.scores.__getitem__, names)) & DIGEST_MASK
 
-    def keep_only(self, names: Iterable[str]) -> None:
-        """Drops the cached hashes of all other members."""
+    def retain_only(self, names: Iterable[str]) -> None:
+        """Remove the cached hashes of all members that are not in `names`."""
         retained = set(names)
         for name in [name for name in self.scores if name not in retained]:
             del self.scores[name]
--- a/balancer/fleet/zone_membership/group.py
+++ b/balancer/fleet/zone_membership/group.py
@@ -1,4 +1,4 @@
-"""What membership by zone uses of the SWIM group of its own zone."""
+"""The interface of the own zone's SWIM group that membership by zone depends on."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
     @property
     def claim(self) -> Claim:
-        """The member's latest claim, which has its address."""
+        """The member's latest claim, which contains its address."""
 
 
 class Group(Protocol):
-    """The zone's SWIM group as this node sees it."""
+    """This node's view of the zone's SWIM group."""
 
     @property
     def me(self) -> Claim:
-        """This node."""
+        """This node's own claim."""
 
     @property
     def members(self) -> Mapping[str, GroupMember]:
-        """The other members by name, dead ones included."""
+        """The other members by name, including dead ones."""
 
     def alive(self) -> list[str]:
-        """Returns the names of the other members that count as alive."""
+        """Return the names of the other members that are considered alive."""
 
 
 def address_of(group: Group, name: str) -> Address:
-    """Returns the address of a member of the group or of this node."""
+    """Return the address of a member of the group or of this node."""
     return group.me.address if name == group.me.name else group.members[name].claim.address
--- a/balancer/fleet/zone_membership/local_summary.py
+++ b/balancer/fleet/zone_membership/local_summary.py
@@ -1,11 +1,11 @@
-"""The summary that this node makes of its own zone."""
+"""The summary of the own zone, created by this node."""
 
 from __future__ import annotations
 
 from balancer.fleet.zone_membership.gateway_selection import GatewaySelection
 from balancer.fleet.zone_membership.group import Group, address_of
 from balancer.fleet.zone_membership.summaries import (
-    MAX_GATEWAYS,
+    MAX_GATEWAYS_PER_SUMMARY,
     Gateway,
     Summary,
     Version,
@@ -15,14 +15,14 @@
 
 
 class LocalSummary:
-    """Makes the own zone's summary, and makes it anew once the last one has some age.
+    """The own zone's summary, which is created on demand and reused up to a maximum age.
 
     Args:
         zone: Name of the own zone.
         region: Name of its region.
         group: The zone's SWIM group.
         selection: The zone's gateways.
-        max_reuse: Microseconds for which a summary is sent again unchanged.
+        max_reuse: Time in microseconds for which a summary is reused unchanged.
     """
 
     def __init__(
@@ -39,10 +39,10 @@
         self.made_at = 0
 
     def set_fact(self, key: str, value: str) -> None:
-        """Attaches a fact to this and all later summaries.
+        """Attach a fact to the current summary and all later ones.
 
         Raises:
-            ZoneFactsError: The facts would be more than a summary may contain.
+            ZoneFactsError: The facts would exceed the bounds of a summary.
         """
         facts = self.facts | {key: value}
         check_facts(facts.items())
@@ -50,16 +50,16 @@
         self.latest = None
 
     def get(self, now: int) -> Summary:
-        """Returns the summary with its age."""
+        """Return the current summary with its age, and create a new one if it is too old."""
         if self.latest is None or now - self.made_at >= self.max_reuse:
-            self.latest = self._make(now)
+            self.latest = self._create(now)
             self.made_at = now
         return Summary(self.latest.state, self.latest.version, now - self.made_at)
 
-    def _make(self, now: int) -> Summary:
+    def _create(self, now: int) -> Summary:
         me = self.group.me
         names = [*self.group.alive(), me.name]
-        selected = self.selection.gateways(now)[:MAX_GATEWAYS]
+        selected = self.selection.gateways(now)[:MAX_GATEWAYS_PER_SUMMARY]
         gateways = tuple(Gateway(name, address_of(self.group, name)) for name in selected)
         digest = self.selection.rendezvous.digest(names)
         facts = tuple(sorted(self.facts.items()))
--- a/balancer/fleet/zone_membership/messages.py
+++ b/balancer/fleet/zone_membership/messages.py
@@ -1,4 +1,4 @@
-"""The messages between gateways, and between members and the gateways of their zone."""
+"""Messages between gateways, and between members and the gateways of their zone."""
 
 from __future__ import annotations
 
@@ -7,30 +7,32 @@
 
 from balancer.fleet.addressed_message import AddressedMessage
 from balancer.fleet.membership.swim import Address
-from balancer.fleet.zone_membership.summaries import Known, Refresh, Summary
+from balancer.fleet.zone_membership.summaries import KnownSummary, Refresh, Summary
 
 
 class ZoneMembershipKind(IntEnum):
     """Message kinds; the numbers are distinct from those of other components."""
 
-    ZONE_EXCHANGE = 80  # the sender's own summary; to be answered with the receiver's
+    # Carries the summary of the sender's zone; acknowledged with the summary of the receiver's zone.
+    ZONE_EXCHANGE = 80
     ZONE_EXCHANGE_ACK = 81
-    ZONE_QUERY = 82  # the ages of all that the sender has; to be answered with what is younger
+    # Carries the ages of all summaries that the sender holds; answered with newer summaries.
+    ZONE_QUERY = 82
     ZONE_RESPONSE = 83
 
 
 @dataclass(frozen=True)
 class ZoneMembershipMessage:
-    """A message of any kind.
+    """A message of membership by zone.
 
     Attributes:
-        kind: Which message it is.
-        sender: Name of the node that sends it.
+        kind: Kind of the message.
+        sender: Name of the sending node.
         zone: Zone of the sender.
-        seq: Sequence number; a response has that of its request.
+        seq: Sequence number; a response carries the number of its request.
         summaries: Complete summaries.
-        refreshes: New versions of states that the receiver has.
-        known: Of a query: what its sender has.
+        refreshes: New versions of states that the receiver holds.
+        known_summaries: Fingerprints and ages of the summaries that the sender of a query holds.
     """
 
     kind: ZoneMembershipKind
@@ -39,7 +41,7 @@
     seq: int = 0
     summaries: tuple[Summary, ...] = ()
     refreshes: tuple[Refresh, ...] = ()
-    known: tuple[Known, ...] = ()
+    known_summaries: tuple[KnownSummary, ...] = ()
 
 
 OutgoingZoneMessage = AddressedMessage[Address, ZoneMembershipMessage]
--- a/balancer/fleet/zone_membership/queries.py
+++ b/balancer/fleet/zone_membership/queries.py
@@ -1,4 +1,4 @@
-"""The queries of a member to the gateways of its own zone."""
+"""Queries of a member to the gateways of its own zone."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 )
 from balancer.fleet.zone_membership.records import Records
 from balancer.fleet.zone_membership.settings import ZoneMembershipTiming
-from balancer.fleet.zone_membership.timers import SequenceNumbers, jittered
+from balancer.fleet.zone_membership.timers import SequenceNumbers, add_jitter
 
 
 @dataclass(frozen=True)
 class PendingQuery:
-    """A query that has not been answered; `expires_at` is when it counts as unanswered."""
+    """A query without a response so far; it counts as unanswered from `expires_at` on."""
 
     gateway: str
     seq: int
@@ -29,17 +29,17 @@
 
 
 class GatewayQueries:
-    """Queries one gateway at a time; one that does not respond repeatedly counts as unresponsive.
+    """Queries to one gateway at a time; gateways that repeatedly do not respond become unresponsive.
 
     Args:
         group: The zone's SWIM group.
         selection: The zone's gateways.
         records: The summaries of the other zones.
-        timing: Intervals and limits.
-        rng: Chooses gateways and intervals.
-        sequence: Numbers of requests.
-        first_at: When the first query is due.
-        counts: Counters of the status page.
+        timing: Intervals and limits of the protocol.
+        rng: Random stream for the choice of gateways and for jitter.
+        sequence: Sequence numbers of requests.
+        first_at: Time of the first query.
+        counts: Counters that are shown on the status page.
     """
 
     def __init__(
@@ -62,14 +62,15 @@
         self.next_at = first_at
         self.counts = counts
         self.pending: PendingQuery | None = None
-        self.unanswered: dict[str, int] = {}  # queries in a row, by gateway
+        # Number of consecutive unanswered queries, by gateway.
+        self.unanswered: dict[str, int] = {}
 
     def deadline(self) -> int:
-        """Returns when `tick` is due."""
+        """Return the time at which `tick` is due."""
         return self.next_at if self.pending is None else self.pending.expires_at
 
     def tick(self, now: int) -> list[OutgoingZoneMessage]:
-        """Expires the pending query, and sends the next one if it is due."""
+        """Expire the pending query if it has timed out, and send the next one if it is due."""
         if self.pending is not None and now >= self.pending.expires_at:
             self._expire(now, self.pending)
         if self.pending is None and now >= self.next_at:
@@ -77,28 +78,28 @@
         return []
 
     def message(self, now: int) -> ZoneMembershipMessage:
-        """Returns a query with the latest sequence number."""
+        """Return a query with the latest sequence number."""
         return ZoneMembershipMessage(
             ZoneMembershipKind.ZONE_QUERY,
             self.group.me.name,
             self.records.own_zone,
             self.sequence.latest,
-            known=self.records.known(now),
+            known_summaries=self.records.known_summaries(now),
         )
 
     def response_received(self, now: int, seq: int) -> None:
-        """Ends the pending query if the response is to it."""
+        """Complete the pending query if the response carries its sequence number."""
         if self.pending is None or seq != self.pending.seq:
             return
         self.unanswered.pop(self.pending.gateway, None)
         self.pending = None
-        # Without the shorter interval, a node whose gateway has just started as well would get an empty
-        # response and know no other zone for a full interval.
+        # A gateway that has just started may send an empty response. With the shorter interval this node need
+        # not wait for a full query interval to learn of the other zones.
         interval = self.timing.query_interval if self.records.zones else self.timing.response_timeout
-        self.next_at = now + jittered(interval, self.rng)
+        self.next_at = now + add_jitter(interval, self.rng)
 
     def _query(self, now: int) -> list[OutgoingZoneMessage]:
-        """Queries a gateway; one whose last query was not answered is queried again first."""
+        """Query a random gateway, or first retry one whose last query was not answered."""
         me = self.group.me.name
         gateways = [name for name in self.selection.gateways(now) if name != me]
         if not gateways:
--- a/balancer/fleet/zone_membership/records.py
+++ b/balancer/fleet/zone_membership/records.py
@@ -1,9 +1,9 @@
-"""The summaries that a node has of the other zones: one a zone, with its age.
+"""The latest summary of each other zone that a node holds, with its age.
 
-Copies of summaries of one origin are ordered by version. Those of two origins (a zone has several gateways)
-are ordered by when they were made, according to their ages. An age grows by the time that a copy stays at
-each node on its way; the clocks of two nodes are never compared. The transmission time is not counted, so an
-age may be too small by that; of two copies of one version the greater age is taken.
+Summaries of one origin are ordered by version. Summaries of two origins (a zone has several gateways) are
+ordered by the time of their creation, which is derived from their ages. An age grows by the time that a copy
+spends at each node that forwards it; the clocks of two nodes are never compared. Transmission times are not
+counted, so an age may be too small by that amount; of two copies of one version the greater age is used.
 """
 
 from __future__ import annotations
@@ -13,14 +13,15 @@
 from dataclasses import dataclass, field
 from enum import IntEnum, StrEnum
 
-from balancer.fleet.zone_membership.summaries import Known, Refresh, Summary, Version, ZoneState
+from balancer.fleet.zone_membership.summaries import KnownSummary, Refresh, Summary, Version, ZoneState
 
-MAX_RECORDS = 64  # zones
-MAX_ORIGINS = 8  # of a zone, whose newest versions are remembered
+MAX_RECORDS = 64
+# Origins of one zone whose newest versions are stored.
+MAX_ORIGINS_PER_ZONE = 8
 
 
 class Freshness(IntEnum):
-    """A summary's age in relation to its bounds."""
+    """Class of a summary by its age."""
 
     FRESH = 0
     STALE = 1
@@ -28,7 +29,7 @@
 
 
 class ZoneEventKind(StrEnum):
-    """What has happened to the summary of a zone."""
+    """Kinds of events on the summary of a zone."""
 
     FOUND = "found"
     FRESH = "fresh"
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True)
 class ZoneEvent:
-    """A zone was found, or the freshness of its summary has changed."""
+    """The discovery of a zone, or a change in the freshness of its summary."""
 
     zone: str
     kind: ZoneEventKind
@@ -59,9 +60,9 @@
         state: The zone's state.
         fingerprint: Hash of the state.
         version: Version of the summary.
-        made_at: When the summary was made, by this process's clock.
-        freshness: Its age in relation to its bounds, as last reported.
-        newest_by_origin: Sort keys of the newest versions, by origin; the origin heard of last at the end.
+        made_at: Time at which the summary was created, by this process's clock.
+        freshness: Class of its age in the last event that was reported.
+        newest_by_origin: Sort keys of the newest versions by origin, with the most recent origin last.
     """
 
     state: ZoneState
@@ -72,14 +73,14 @@
     newest_by_origin: dict[str, tuple[int, int]] = field(default_factory=dict)
 
     def age(self, now: int) -> int:
-        """Returns the microseconds since the summary was made."""
+        """Return the microseconds since the creation of the summary."""
         return max(0, now - self.made_at)
 
     def remember_version(self, version: Version) -> None:
-        """Stores the newest version of an origin, and drops the origin that was heard of longest ago."""
+        """Store the newest version of an origin, and evict the least recently updated origin."""
         self.newest_by_origin.pop(version.origin, None)
         self.newest_by_origin[version.origin] = version.order
-        while len(self.newest_by_origin) > MAX_ORIGINS:
+        while len(self.newest_by_origin) > MAX_ORIGINS_PER_ZONE:
             del self.newest_by_origin[next(iter(self.newest_by_origin))]
 
 
@@ -87,10 +88,10 @@
     """The records of all other zones, by name.
 
     Args:
-        own_zone: Name of the own zone, of which no summary is accepted.
-        stale_after: Age, in microseconds, from which a summary is stale.
-        lost_after: Age from which it is lost.
-        notify: Called with each event.
+        own_zone: Name of the own zone, whose summaries are rejected.
+        stale_after: Age in microseconds from which a summary is stale.
+        lost_after: Age in microseconds from which a summary is lost.
+        notify: Callback for each event on a zone.
     """
 
     def __init__(
@@ -103,10 +104,10 @@
         self.zones: dict[str, Record] = {}
         self.counts: Counter[str] = Counter()
 
-    # ---- copies that come in --------------------------------------------------------------------------
+    # ---- Received copies ------------------------------------------------------------------------------
 
     def accept(self, now: int, summary: Summary) -> bool:
-        """Stores a summary if it is newer than the one of its zone; returns whether it was."""
+        """Store a summary if it is newer than the record of its zone, and return whether it was stored."""
         zone = summary.state.zone
         if zone == self.own_zone:
             self.counts["own_zone"] += 1
@@ -121,7 +122,7 @@
         return True
 
     def refresh(self, now: int, refresh: Refresh) -> bool:
-        """Stores a newer version and age if the state is the same; returns whether it was stored."""
+        """Store a newer version and age of an unchanged state, and return whether they were stored."""
         record = self.zones.get(refresh.zone)
         if record is None or record.fingerprint != refresh.fingerprint:
             self.counts["refresh_of_other_state"] += 1
@@ -132,13 +133,14 @@
         return True
 
     def _is_newer(self, now: int, record: Record, version: Version, age: int) -> bool:
-        """Returns whether a copy replaces the record; of the same version the greater age is taken over."""
+        """Return whether a copy replaces the record; for the same version, keep the greater age."""
         made_at = now - age
         if version == record.version:
             record.made_at = min(record.made_at, made_at)
             return False
         if record.freshness == Freshness.LOST:
-            # Otherwise an origin whose clock, and so its incarnation, was set back would be refused for ever.
+            # Incarnations are taken from the clock. If versions were compared here, an origin whose clock was
+            # set back would be rejected for ever.
             return made_at > record.made_at
         newest = record.newest_by_origin.get(version.origin)
         if newest is not None and version.order < newest:
@@ -159,7 +161,7 @@
         return True
 
     def _evict(self) -> bool:
-        """Drops the oldest lost record; returns whether there was one."""
+        """Evict the oldest lost record, and return whether there was one."""
         lost = [
             (record.made_at, zone)
             for zone, record in self.zones.items()
@@ -177,15 +179,15 @@
         record.remember_version(version)
         self._update_freshness(now, zone, record)
 
-    # ---- ages -----------------------------------------------------------------------------------------
+    # ---- Ages and freshness ---------------------------------------------------------------------------
 
     def tick(self, now: int) -> None:
-        """Reports which summaries have become stale or lost."""
+        """Report the summaries that have become stale or lost."""
         for zone, record in self.zones.items():
             self._update_freshness(now, zone, record)
 
     def deadline(self) -> int | None:
-        """Returns when the next summary becomes stale or lost, unless it is renewed; None if none does."""
+        """Return the next time at which a summary becomes stale or lost unless renewed, or None."""
         bounds = {Freshness.FRESH: self.stale_after, Freshness.STALE: self.lost_after}
         return min(
             (
@@ -207,32 +209,34 @@
             record.freshness = freshness
             self.notify(ZoneEvent(zone, EVENT_OF_FRESHNESS[freshness]))
 
-    # ---- copies that go out ---------------------------------------------------------------------------
+    # ---- Copies to send -------------------------------------------------------------------------------
 
-    def known(self, now: int) -> tuple[Known, ...]:
-        """Returns fingerprint and age of each summary, for a query."""
-        return tuple(Known(zone, record.fingerprint, record.age(now)) for zone, record in self.zones.items())
+    def known_summaries(self, now: int) -> tuple[KnownSummary, ...]:
+        """Return the fingerprint and age of each summary, as sent in a query."""
+        return tuple(
+            KnownSummary(zone, record.fingerprint, record.age(now)) for zone, record in self.zones.items()
+        )
 
-    def younger(
-        self, now: int, known: tuple[Known, ...], min_age_difference: int
+    def find_updates(
+        self, now: int, known_summaries: tuple[KnownSummary, ...], min_age_difference: int
     ) -> tuple[list[Summary], list[Refresh]]:
-        """Returns what the sender of a query lacks.
+        """Return the summaries and refreshes that the sender of a query does not have.
 
         Args:
             now: The current time.
-            known: What the sender has.
-            min_age_difference: A copy that is younger by no more than this is not sent.
+            known_summaries: Fingerprints and ages of the summaries that the sender holds.
+            min_age_difference: Microseconds by which a copy must be newer than the sender's to be sent.
 
         Returns:
-            Summaries of the states that the sender does not have, and refreshes of those that it has.
+            Summaries for states that the sender does not hold, and refreshes for states that it holds.
         """
-        known_by_zone = {entry.zone: entry for entry in known}
+        known_by_zone = {entry.zone: entry for entry in known_summaries}
         summaries, refreshes = [], []
         for zone, record in self.zones.items():
-            age, other = record.age(now), known_by_zone.get(zone)
-            if other is not None and age + min_age_difference >= other.age:
+            age, sender_copy = record.age(now), known_by_zone.get(zone)
+            if sender_copy is not None and age + min_age_difference >= sender_copy.age:
                 continue
-            if other is not None and other.fingerprint == record.fingerprint:
+            if sender_copy is not None and sender_copy.fingerprint == record.fingerprint:
                 refreshes.append(Refresh(zone, record.fingerprint, record.version, age))
             else:
                 summaries.append(Summary(record.state, record.version, age))
--- a/balancer/fleet/zone_membership/responses.py
+++ b/balancer/fleet/zone_membership/responses.py
@@ -1,4 +1,4 @@
-"""The responses of a node to exchanges and queries."""
+"""Responses to exchanges and queries."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from balancer.fleet.addressed_message import AddressedMessage
 from balancer.fleet.membership.rate_limit import RateLimit
 from balancer.fleet.membership.swim import Address
-from balancer.fleet.zone_membership.batches import batches
+from balancer.fleet.zone_membership.batches import split_into_batches
 from balancer.fleet.zone_membership.local_summary import LocalSummary
 from balancer.fleet.zone_membership.messages import (
     OutgoingZoneMessage,
@@ -20,15 +20,15 @@
 
 
 class Responder:
-    """Answers requests, at most so many a second.
+    """Responses to requests, up to a limit per second.
 
-    Without the limit, the queries of all nodes of a zone that start at once would take a gateway's processor.
+    The limit keeps the queries of a whole zone that starts at once from saturating a gateway's processor.
 
     Args:
         local_summary: The own zone's summary.
         records: The summaries of the other zones.
-        timing: The rate of responses, and which difference of ages is not worth a response.
-        counts: Counters of the status page.
+        timing: Limit on the rate of responses, and the least difference of ages that is worth sending.
+        counts: Counters that are shown on the status page.
     """
 
     def __init__(
@@ -47,35 +47,37 @@
     def answer_exchange(
         self, now: int, source: Address, request: ZoneMembershipMessage
     ) -> list[OutgoingZoneMessage]:
-        """Returns the own zone's summary, whether this node is a gateway or not: it names the gateways."""
+        """Return the own zone's summary, which lists the gateways even if this node is not one."""
         if request.zone == self.records.own_zone or not self._admit(now):
             return []
         summaries = (self.local_summary.get(now),)
-        return [self._answer(ZoneMembershipKind.ZONE_EXCHANGE_ACK, source, request, summaries)]
+        return [self._response(ZoneMembershipKind.ZONE_EXCHANGE_ACK, source, request, summaries)]
 
     def answer_query(
         self, now: int, source: Address, request: ZoneMembershipMessage
     ) -> list[OutgoingZoneMessage]:
-        """Returns what is younger here than at the sender, and at least an empty response."""
+        """Return the summaries that are newer here than at the sender, or an empty response if none is."""
         if not self._admit(now):
             return []
-        summaries, refreshes = self.records.younger(now, request.known, self.min_age_difference)
+        summaries, refreshes = self.records.find_updates(
+            now, request.known_summaries, self.min_age_difference
+        )
         summaries = [summary for summary in summaries if summary.state.zone != request.zone]
         refreshes = [refresh for refresh in refreshes if refresh.zone != request.zone]
         if request.zone != self.records.own_zone:
             summaries.append(self.local_summary.get(now))
         kind = ZoneMembershipKind.ZONE_RESPONSE
-        answers: list[OutgoingZoneMessage] = []
+        responses: list[OutgoingZoneMessage] = []
         if refreshes or not summaries:
-            answers.append(self._answer(kind, source, request, refreshes=tuple(refreshes)))
-        for batch in batches(summaries):
-            answers.append(self._answer(kind, source, request, batch))
-        return answers
+            responses.append(self._response(kind, source, request, refreshes=tuple(refreshes)))
+        for batch in split_into_batches(summaries):
+            responses.append(self._response(kind, source, request, batch))
+        return responses
 
-    def _answer(
+    def _response(
         self,
         kind: ZoneMembershipKind,
-        to: Address,
+        receiver: Address,
         request: ZoneMembershipMessage,
         summaries: tuple[Summary, ...] = (),
         refreshes: tuple[Refresh, ...] = (),
@@ -83,10 +85,10 @@
         me = self.local_summary.group.me.name
         own_zone = self.records.own_zone
         message = ZoneMembershipMessage(kind, me, own_zone, request.seq, summaries, refreshes)
-        return AddressedMessage(to, message)
+        return AddressedMessage(receiver, message)
 
     def _admit(self, now: int) -> bool:
-        """Returns whether one more response may be sent now."""
+        """Return whether the rate limit admits one more response; count the request as refused if not."""
         if self.rate_limit.take(now):
             return True
         self.counts["answers_refused"] += 1
--- a/balancer/fleet/zone_membership/settings.py
+++ b/balancer/fleet/zone_membership/settings.py
@@ -9,12 +9,13 @@
 from balancer.fleet.config_section import ConfigSection
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.zone_membership.summaries import MAX_NAME_CHARACTERS
-from balancer.fleet.zone_membership.wire import MAX_ZONES
+from balancer.fleet.zone_membership.wire import MAX_ZONES_PER_MESSAGE
 
 MAX_SEEDS_PER_ZONE = 16
-MAX_GROUP_SIZE = 400  # members of a zone's group; a larger zone is to be split
+# The status page reports a zone with more members as too large; such a zone should be split.
+MAX_GROUP_SIZE = 400
 SCOPES = ("zone", "fleet")
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 SCALED_INTERVALS = (
     "exchange_interval",
     "query_interval",
@@ -29,10 +30,10 @@
 
 @dataclass(frozen=True)
 class ZoneMembershipSettings:
-    """The configuration.
+    """The configuration of membership by zone.
 
     Attributes:
-        zone_seeds: A few addresses of each other zone, contacted while no gateway of it is known or responds.
+        zone_seeds: Addresses by zone, contacted while no gateway of that zone is known or responds.
     """
 
     zone_seeds: Mapping[str, tuple[Address, ...]] = field(default_factory=dict)
@@ -40,17 +41,17 @@
 
 @dataclass(frozen=True)
 class ZoneMembershipTiming:
-    """Intervals, in microseconds, and limits of the protocol for SWIM periods of a second.
+    """Intervals in microseconds, and limits of the protocol, for a SWIM period of one second.
 
     Attributes:
-        gateways: How many gateways a zone has.
-        exchange_interval: From one exchange of a gateway to its next.
-        query_interval: From the response to a member's query to its next query.
-        response_timeout: How long a query may remain unanswered.
-        max_unanswered_queries: So many in a row make a gateway unresponsive.
-        unresponsive_for: How long an unresponsive member is not taken for a gateway.
-        max_summary_reuse: How long the own summary is sent again unchanged.
-        startup_delay: From the start until a node may act as a gateway.
+        gateways: Number of gateways of a zone.
+        exchange_interval: Time between two exchanges of a gateway.
+        query_interval: Time between the response to a member's query and its next query.
+        response_timeout: Time after which a query counts as unanswered.
+        max_unanswered_queries: Consecutive unanswered queries after which a gateway is unresponsive.
+        unresponsive_for: Time for which an unresponsive member is not selected as a gateway.
+        max_summary_reuse: Time for which the own summary is reused unchanged.
+        startup_delay: Time after its start from which a node may act as a gateway.
         stale_after: Age from which a summary is stale.
         lost_after: Age from which a summary is lost.
         responses_per_second: Limit on the responses of one node.
@@ -69,20 +70,20 @@
     responses_per_second: int = 200
 
     def scaled(self, period: int) -> ZoneMembershipTiming:
-        """Returns the timing for SWIM periods of another length, in microseconds."""
-        intervals = {name: getattr(self, name) * period // SECOND for name in SCALED_INTERVALS}
+        """Return the timing for a SWIM period of `period` microseconds."""
+        intervals = {name: getattr(self, name) * period // SECOND_US for name in SCALED_INTERVALS}
         return replace(self, **intervals)
 
 
 def read_membership(section: ConfigSection, table: object) -> ZoneMembershipSettings | None:
-    """Reads the table `membership` of the configuration section `fleet`.
+    """Read the table `membership` of the configuration section `fleet`.
 
     Args:
         section: The configuration section `fleet`; faults are added to it.
         table: The value of its key `membership`.
 
     Returns:
-        The settings, or None where one group spans the fleet or the table is not valid.
+        The settings, or None if one group spans the fleet or the table is invalid.
     """
     if not isinstance(table, dict):
         section.fault("membership", table, "must be a table")
@@ -102,15 +103,15 @@
 def read_zone_seeds(
     membership: ConfigSection, table: Any, own_zone: object
 ) -> dict[str, tuple[Address, ...]]:
-    """Reads the addresses of other zones' nodes, by zone.
+    """Read the addresses of other zones' nodes, by zone.
 
     Args:
         membership: The configuration section `fleet.membership`; faults are added to it.
         table: The value of its key `zone_seeds`.
         own_zone: Name of the own zone.
     """
-    if not isinstance(table, dict) or len(table) > MAX_ZONES:
-        membership.fault("zone_seeds", table, f"must be a table of at most {MAX_ZONES} zones")
+    if not isinstance(table, dict) or len(table) > MAX_ZONES_PER_MESSAGE:
+        membership.fault("zone_seeds", table, f"must be a table of at most {MAX_ZONES_PER_MESSAGE} zones")
         return {}
     seeds = {}
     for zone, addresses in table.items():
--- a/balancer/fleet/zone_membership/status.py
+++ b/balancer/fleet/zone_membership/status.py
@@ -1,4 +1,4 @@
-"""The part of the status page `GET /fleet` that shows the zones."""
+"""The zones on the status page `GET /fleet`."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def record_status(record: Record, now: int) -> dict[str, Any]:
-    """Returns a zone's summary as JSON values; its age in seconds."""
+    """Return a zone's summary as JSON values, with its age in seconds."""
     return {
         "region": record.state.region,
         "size": record.state.size,
--- a/balancer/fleet/zone_membership/summaries.py
+++ b/balancer/fleet/zone_membership/summaries.py
@@ -13,12 +13,15 @@
 from balancer.fleet.zone_membership.errors import ZoneFactsError
 
 MAX_NAME_CHARACTERS = 64
-MAX_HOST_CHARACTERS = 45  # the longest spelling of an IPv6 address
-MAX_GATEWAYS = 4  # of a zone, in a summary
-MAX_FACTS = 8
+# Length of the longest textual form of an IPv6 address.
+MAX_HOST_CHARACTERS = 45
+MAX_GATEWAYS_PER_SUMMARY = 4
+MAX_FACTS_PER_SUMMARY = 8
 MAX_FACT_KEY_CHARACTERS = 32
-MAX_FACTS_BYTES = 256  # of all keys and values of a summary
-MAX_ZONE_SIZE = 1_000_000  # members
+# Total size of the keys and values in a summary.
+MAX_FACTS_BYTES_PER_SUMMARY = 256
+# Exclusive bound of the number of members of a zone.
+ZONE_SIZE_BOUND = 1_000_000
 FINGERPRINT_BYTES = 8
 
 
@@ -32,14 +35,14 @@
 
 @dataclass(frozen=True)
 class ZoneState:
-    """What a gateway publishes about its zone.
+    """The state of a zone as published by one of its gateways.
 
     Attributes:
         zone: Name of the zone.
         region: Name of its region; may be empty.
-        size: Number of members alive.
-        digest: Hash over the names of the members alive.
-        gateways: The gateways, in the order of preference.
+        size: Number of alive members.
+        digest: Hash of the names of the alive members.
+        gateways: The gateways in order of preference.
         facts: Keys and values that components attach.
     """
 
@@ -51,9 +54,9 @@
     facts: tuple[tuple[str, str], ...] = ()
 
     def fingerprint(self) -> int:
-        """Returns a hash of the state.
+        """Return a hash of the state.
 
-        A node that has a state with the same fingerprint needs its new version and age alone.
+        A node that holds a state with the same fingerprint needs only its new version and age.
         """
         fields = [self.zone, self.region, str(self.size), str(self.digest)]
         fields += [f"{g.name} {g.address[0]} {g.address[1]}" for g in self.gateways]
@@ -67,9 +70,9 @@
     """The version of a summary, ordered among the summaries of the same origin.
 
     Attributes:
-        origin: Name of the node that made the summary.
+        origin: Name of the node that created the summary.
         incarnation: The origin's incarnation.
-        counter: Number of the summary within this incarnation.
+        counter: Sequence number of the summary within this incarnation.
     """
 
     origin: str
@@ -78,13 +81,13 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        """The sort key among versions of one origin; the greater is the newer."""
+        """The sort key among versions of one origin; newer versions have greater keys."""
         return self.incarnation, self.counter
 
 
 @dataclass(frozen=True)
 class Summary:
-    """A zone's state, its version, and the microseconds since it was made."""
+    """A zone's state, its version, and its age in microseconds."""
 
     state: ZoneState
     version: Version
@@ -93,7 +96,7 @@
 
 @dataclass(frozen=True)
 class Refresh:
-    """A newer version of a state that the receiver already has."""
+    """A newer version and age of a state that the receiver already holds."""
 
     zone: str
     fingerprint: int
@@ -102,8 +105,8 @@
 
 
 @dataclass(frozen=True)
-class Known:
-    """Fingerprint and age of the summary that the sender of a query has of a zone."""
+class KnownSummary:
+    """Fingerprint and age of the summary of a zone that the sender of a query holds."""
 
     zone: str
     fingerprint: int
@@ -111,7 +114,7 @@
 
 
 def check_facts(facts: Iterable[tuple[str, str]]) -> None:
-    """Checks the facts of a summary against their bounds.
+    """Check that the facts of a summary are within their bounds.
 
     Raises:
         ZoneFactsError: There are too many facts, or they are too long.
@@ -119,5 +122,5 @@
     listed = list(facts)
     size = sum(len(key.encode()) + len(value.encode()) for key, value in listed)
     bad_key = any(not 0 < len(key) <= MAX_FACT_KEY_CHARACTERS for key, _ in listed)
-    if len(listed) > MAX_FACTS or size > MAX_FACTS_BYTES or bad_key:
+    if len(listed) > MAX_FACTS_PER_SUMMARY or size > MAX_FACTS_BYTES_PER_SUMMARY or bad_key:
         raise ZoneFactsError
--- a/balancer/fleet/zone_membership/timers.py
+++ b/balancer/fleet/zone_membership/timers.py
@@ -1,26 +1,27 @@
-"""Sequence numbers and jitter that the parts of the protocol share."""
+"""Sequence numbers and jitter, shared by queries and exchanges."""
 
 from __future__ import annotations
 
 from random import Random
 
-SEQUENCE_BITS = 24  # of the first sequence number
-MIN_JITTER = 0.9
-JITTER_RANGE = 0.2
+# Size of the random first sequence number.
+SEQUENCE_BITS = 24
+MIN_JITTER_FACTOR = 0.9
+JITTER_FACTOR_RANGE = 0.2
 
 
 class SequenceNumbers:
-    """Counts up from a random number, so that responses to an earlier incarnation match no request."""
+    """Sequence numbers that start at random, so that responses to an earlier incarnation match no request."""
 
     def __init__(self, rng: Random) -> None:
         self.latest = rng.getrandbits(SEQUENCE_BITS)
 
     def advance(self) -> int:
-        """Returns the next number."""
+        """Advance to the next sequence number and return it."""
         self.latest += 1
         return self.latest
 
 
-def jittered(interval: int, rng: Random) -> int:
-    """Returns an interval that is up to a tenth shorter or longer."""
-    return int(interval * (MIN_JITTER + JITTER_RANGE * rng.random()))
+def add_jitter(interval: int, rng: Random) -> int:
+    """Return an interval that is randomly shortened or lengthened by up to a tenth."""
+    return int(interval * (MIN_JITTER_FACTOR + JITTER_FACTOR_RANGE * rng.random()))
--- a/balancer/fleet/zone_membership/wire.py
+++ b/balancer/fleet/zone_membership/wire.py
@@ -1,7 +1,7 @@
-"""The encoding of the messages as MessagePack.
+"""MessagePack encoding of the messages.
 
-Structs are arrays without field names: a later version may add fields at the end, which this one skips.
-Ages go out in milliseconds.
+Structs are encoded as arrays without field names. A later version may append fields, which this version
+skips. Ages are sent in milliseconds.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from balancer.fleet.zone_membership.errors import ZoneMessageError
 from balancer.fleet.zone_membership.messages import ZoneMembershipKind, ZoneMembershipMessage
 from balancer.fleet.zone_membership.summaries import (
-    MAX_GATEWAYS,
+    MAX_GATEWAYS_PER_SUMMARY,
     MAX_HOST_CHARACTERS,
     MAX_NAME_CHARACTERS,
-    MAX_ZONE_SIZE,
+    ZONE_SIZE_BOUND,
     Gateway,
-    Known,
+    KnownSummary,
     Refresh,
     Summary,
     Version,
@@ -26,10 +26,10 @@
     check_facts,
 )
 
-MAX_ZONES = 64  # in one message
+MAX_ZONES_PER_MESSAGE = 64
 MICROSECONDS_PER_MILLISECOND = 1000
 
-# Exclusive bounds of numbers.
+# Exclusive upper bounds of received numbers.
 PORT_BOUND = 1 << 16
 HASH_BOUND = 1 << 64
 COUNTER_BOUND = 1 << 62
@@ -74,8 +74,8 @@
     age_ms: int
 
 
-class WireKnown(msgspec.Struct, array_like=True):
-    """A `Known` on the wire."""
+class WireKnownSummary(msgspec.Struct, array_like=True):
+    """A `KnownSummary` on the wire."""
 
     zone: str
     fingerprint: int
@@ -83,16 +83,16 @@
 
 
 class WireBody(msgspec.Struct, array_like=True):
-    """A `ZoneMembershipMessage` on the wire, without what the datagram's envelope has."""
+    """A `ZoneMembershipMessage` on the wire, without the fields of the datagram's envelope."""
 
     zone: str
     summaries: list[WireSummary]
     refreshes: list[WireRefresh]
-    known: list[WireKnown]
+    known_summaries: list[WireKnownSummary]
 
 
 class ZoneMembershipWire:
-    """Encoder and decoder of the message bodies, to be registered with the codec."""
+    """Encoder and decoder of the message bodies, registered with the codec."""
 
     kinds = frozenset(int(kind) for kind in ZoneMembershipKind)
 
@@ -100,24 +100,28 @@
         self.decoder = msgspec.msgpack.Decoder(WireBody)
 
     def pack(self, message: ZoneMembershipMessage) -> WireBody:
-        """Returns the body of a message."""
+        """Return the wire form of a message's body."""
         return WireBody(
             message.zone,
             [pack_summary(summary) for summary in message.summaries],
             [pack_refresh(refresh) for refresh in message.refreshes],
-            [pack_known(known) for known in message.known],
+            [pack_known_summary(entry) for entry in message.known_summaries],
         )
 
     def shorter(self, message: ZoneMembershipMessage) -> ZoneMembershipMessage | None:
-        """Returns a message that is too long without its last entry, or None if it has no entries."""
+        """Return a message without its last entry to make it shorter, or None if it has no entries."""
         if message.summaries:
             return replace(message, summaries=message.summaries[:-1])
         if message.refreshes:
             return replace(message, refreshes=message.refreshes[:-1])
-        return replace(message, known=message.known[:-1]) if message.known else None
+        return (
+            replace(message, known_summaries=message.known_summaries[:-1])
+            if message.known_summaries
+            else None
+        )
 
     def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> ZoneMembershipMessage:
-        """Returns the message of a received body.
+        """Decode and validate the body of a received message.
 
         Raises:
             ZoneMessageError: A field is out of its bounds.
@@ -126,7 +130,7 @@
         """
         wire = self.decoder.decode(body)
         check_name(wire.zone)
-        if max(len(wire.summaries), len(wire.refreshes), len(wire.known)) > MAX_ZONES:
+        if max(len(wire.summaries), len(wire.refreshes), len(wire.known_summaries)) > MAX_ZONES_PER_MESSAGE:
             raise ZoneMessageError("zones")
         return ZoneMembershipMessage(
             ZoneMembershipKind(kind),
@@ -135,48 +139,53 @@
             seq,
             tuple(unpack_summary(summary) for summary in wire.summaries),
             tuple(unpack_refresh(refresh) for refresh in wire.refreshes),
-            tuple(unpack_known(known) for known in wire.known),
+            tuple(unpack_known_summary(entry) for entry in wire.known_summaries),
         )
 
 
 def pack_version(version: Version) -> WireVersion:
-    """Returns a version as it goes out."""
+    """Return the wire form of a version."""
     return WireVersion(version.origin, version.incarnation, version.counter)
 
 
 def pack_refresh(refresh: Refresh) -> WireRefresh:
-    """Returns a refresh as it goes out."""
+    """Return the wire form of a refresh."""
     version = pack_version(refresh.version)
-    return WireRefresh(refresh.zone, refresh.fingerprint, version, milliseconds(refresh.age))
+    return WireRefresh(refresh.zone, refresh.fingerprint, version, to_milliseconds(refresh.age))
 
 
-def pack_known(known: Known) -> WireKnown:
-    """Returns an entry of a query as it goes out."""
-    return WireKnown(known.zone, known.fingerprint, milliseconds(known.age))
+def pack_known_summary(entry: KnownSummary) -> WireKnownSummary:
+    """Return the wire form of an entry of a query."""
+    return WireKnownSummary(entry.zone, entry.fingerprint, to_milliseconds(entry.age))
 
 
 def pack_summary(summary: Summary) -> WireSummary:
-    """Returns a summary as it goes out."""
+    """Return the wire form of a summary."""
     state = summary.state
     return WireSummary(
         state.zone,
         state.region,
         state.size,
         state.digest,
-        [WireGateway(g.name, *g.address) for g in state.gateways[:MAX_GATEWAYS]],
+        [WireGateway(g.name, *g.address) for g in state.gateways[:MAX_GATEWAYS_PER_SUMMARY]],
         list(state.facts),
         pack_version(summary.version),
-        milliseconds(summary.age),
+        to_milliseconds(summary.age),
     )
 
 
 def unpack_summary(wire: WireSummary) -> Summary:
-    """Returns a received summary, or raises as `ZoneMembershipWire.unpack` does."""
+    """Validate and return a received summary.
+
+    Raises:
+        ZoneMessageError: A field is out of its bounds.
+        ZoneFactsError: There are too many facts, or they are too long.
+    """
     check_name(wire.zone)
     check_name(wire.region, min_characters=0)
-    check_range(wire.size, MAX_ZONE_SIZE)
+    check_range(wire.size, ZONE_SIZE_BOUND)
     check_range(wire.digest, HASH_BOUND)
-    if len(wire.gateways) > MAX_GATEWAYS:
+    if len(wire.gateways) > MAX_GATEWAYS_PER_SUMMARY:
         raise ZoneMessageError("gateways")
     check_facts(wire.facts)
     gateways = tuple(unpack_gateway(gateway) for gateway in wire.gateways)
@@ -185,7 +194,7 @@
 
 
 def unpack_gateway(wire: WireGateway) -> Gateway:
-    """Returns a received gateway; raises ZoneMessageError."""
+    """Return a received gateway, or raise ZoneMessageError if a field is out of its bounds."""
     check_name(wire.name)
     if not 0 < len(wire.host) <= MAX_HOST_CHARACTERS or not 0 < wire.port < PORT_BOUND:
         raise ZoneMessageError("address")
@@ -193,7 +202,7 @@
 
 
 def unpack_version(wire: WireVersion) -> Version:
-    """Returns a received version; raises ZoneMessageError."""
+    """Return a received version, or raise ZoneMessageError if a field is out of its bounds."""
     check_name(wire.origin)
     check_range(wire.incarnation, COUNTER_BOUND)
     check_range(wire.counter, COUNTER_BOUND)
@@ -201,37 +210,37 @@
 
 
 def unpack_refresh(wire: WireRefresh) -> Refresh:
-    """Returns a received refresh; raises ZoneMessageError."""
+    """Return a received refresh, or raise ZoneMessageError if a field is out of its bounds."""
     check_name(wire.zone)
     check_range(wire.fingerprint, HASH_BOUND)
     return Refresh(wire.zone, wire.fingerprint, unpack_version(wire.version), unpack_age(wire.age_ms))
 
 
-def unpack_known(wire: WireKnown) -> Known:
-    """Returns a received entry of a query; raises ZoneMessageError."""
+def unpack_known_summary(wire: WireKnownSummary) -> KnownSummary:
+    """Return a received entry of a query, or raise ZoneMessageError if a field is out of its bounds."""
     check_name(wire.zone)
     check_range(wire.fingerprint, HASH_BOUND)
-    return Known(wire.zone, wire.fingerprint, unpack_age(wire.age_ms))
+    return KnownSummary(wire.zone, wire.fingerprint, unpack_age(wire.age_ms))
 
 
 def unpack_age(age_ms: int) -> int:
-    """Returns a received age in microseconds; raises ZoneMessageError."""
+    """Return a received age in microseconds, or raise ZoneMessageError if it is out of its bounds."""
     check_range(age_ms, AGE_MS_BOUND)
     return age_ms * MICROSECONDS_PER_MILLISECOND
 
 
-def milliseconds(age: int) -> int:
-    """Returns an age in milliseconds, rounded up: a copy never looks younger than it is."""
+def to_milliseconds(age: int) -> int:
+    """Return an age in milliseconds, rounded up so that a copy never appears newer than it is."""
     return -(-age // MICROSECONDS_PER_MILLISECOND)
 
 
 def check_name(name: str, min_characters: int = 1) -> None:
-    """Raises ZoneMessageError if a name's length is out of its bounds."""
+    """Raise ZoneMessageError unless a name's length is within its bounds."""
     if not min_characters <= len(name) <= MAX_NAME_CHARACTERS:
         raise ZoneMessageError("name")
 
 
 def check_range(number: int, bound: int) -> None:
-    """Raises ZoneMessageError unless a number is from 0 to below its bound."""
+    """Raise ZoneMessageError unless a number is at least 0 and below its bound."""
     if not 0 <= number < bound:
         raise ZoneMessageError("number")
--- a/balancer/fleet/zone_routing/__init__.py
+++ b/balancer/fleet/zone_routing/__init__.py
@@ -1,6 +1,7 @@
-"""Which zones a node's calls go to, and how much to each.
+"""Zone routing: the share of a node's calls that each zone gets.
 
-`traffic.py` connects the policy's events with the parts: `failure_evidence.py` judges zones by the outcomes
-of calls, `zone_states.py` takes zones out of service and back, `shares.py` divides the calls, `router.py`
-joins these, and `directives.py` spreads operators' directives. The design is in `docs/zone-routing.md`.
+`traffic.py` connects the policy to this package. `failure_evidence.py` assesses zones by the outcomes
+of calls, `zone_states.py` evacuates zones and returns them to service, `shares.py` divides the calls,
+`router.py` combines these, and `directives.py` distributes operators' directives. The design is described in
+`docs/zone-routing.md`.
 """
--- a/balancer/fleet/zone_routing/directives.py
+++ b/balancer/fleet/zone_routing/directives.py
@@ -1,12 +1,13 @@
-"""Operators' directives on zones, spread to all members: the newest directive on a zone holds until its end.
+"""Distribution of operators' directives on zones; the newest directive on a zone applies until its end.
 
-A directive is first sent to all members a few times; then each member passes it on to one other member each
-second, so that members that missed it or came later learn of it. The newest directive is the one with the
-highest version, wherever it was given.
+A directive is first broadcast to all members a few times. After that each member sends it to one random
+member per second, so that members that missed it or joined later learn of it. The newest directive is the one
+with the highest version, regardless of the process that issued it.
 
-Members' wall clocks need not agree and may be stepped. What remains of a directive's duration is kept by the
-monotonic clock: a message has its sender's wall clock beside each directive's end, and the receiver takes the
-difference of the two. Versions are Unix time, advanced by the monotonic clock from the newest version seen.
+Members' wall clocks may differ and may be stepped. The remaining duration of a directive is therefore tracked
+by the monotonic clock: a message carries its sender's wall clock together with each directive's end, and the
+receiver uses the difference of the two. Versions are Unix time, advanced by the monotonic clock from the
+newest version seen.
 
 Times are microseconds of this process's monotonic clock, except in messages.
 """
@@ -21,8 +22,8 @@
 from balancer.fleet.zone_routing.known_directive import (
     MAX_DURATION_US,
     KnownDirective,
-    issued_directive,
-    received_directive,
+    convert_directive,
+    create_directive,
 )
 from balancer.fleet.zone_routing.messages import (
     MAX_DIRECTIVES,
@@ -32,18 +33,20 @@
 )
 
 GOSSIP_INTERVAL_US = 1_000_000
-BROADCAST_ROUNDS = 3  # times that a new directive is sent to all members
-GOSSIP_AFTER_OLDER_US = 60_000_000  # passed on again for so long after an older directive was received
+# Number of times that a new directive is sent to all members.
+BROADCAST_ROUNDS = 3
+# Time for which a directive is gossiped again after an older one on the same zone was received.
+GOSSIP_AFTER_OLDER_US = 60_000_000
 
 
 class ZoneDirectives:
-    """The directives that one process knows.
+    """The directives that one process has issued or received, and their distribution to other members.
 
     Args:
         name: This process's name.
-        alive: Returns the names of the other members that are alive.
-        wall: Returns the wall clock, microseconds of Unix time.
-        rng: Chooses the member that directives are passed on to.
+        alive: Returns the names of the other alive members.
+        wall_clock: Returns the wall clock in microseconds of Unix time.
+        rng: Random stream for the choice of the member to gossip with.
         now: Returns the monotonic clock.
     """
 
@@ -51,137 +54,139 @@
         self,
         name: str,
         alive: Callable[[], Sequence[str]],
-        wall: Callable[[], int],
+        wall_clock: Callable[[], int],
         rng: Random,
         now: Callable[[], int],
     ) -> None:
         self.name = name
         self.alive = alive
-        self.wall = wall
+        self.wall_clock = wall_clock
         self.rng = rng
         self.now = now
         self.by_zone: dict[str, KnownDirective] = {}
-        self.version_lead: int | None = None  # of the newest version seen, ahead of `now`
+        # Difference between the newest version seen and the monotonic clock, or None before the first.
+        self.version_lead: int | None = None
         self.broadcasts_remaining = 0
         self.next_tick_at = now()
 
     def issue(self, zone: str, duration: int) -> bool:
-        """Take an operator's directive given at this process.
+        """Issue an operator's directive at this process.
 
         Args:
             zone: The zone's name.
-            duration: Microseconds for which no calls go to the zone; 0 if it may return.
+            duration: Microseconds for which no calls are sent to the zone; 0 if it may return.
 
         Returns:
-            False if there are too many directives for one datagram; nothing changes then.
+            False if there are already too many directives for one datagram; the directive is then not issued.
         """
         now = self.now()
-        if not self.make_room(now, zone):
+        if not self.ensure_capacity(now, zone):
             return False
         version = self.next_version(now, zone)
-        self.by_zone[zone] = issued_directive(version, duration, now)
+        self.by_zone[zone] = create_directive(version, duration, now)
         self.record_version(now, version)
         self.broadcasts_remaining = BROADCAST_ROUNDS
         return True
 
     def next_version(self, now: int, zone: str) -> int:
-        """Return a version above that of each directive seen so far, whatever wall clock gave it."""
-        known = self.by_zone.get(zone)
-        lowest = known.version + 1 if known is not None else 0
-        carried_on = now + self.version_lead if self.version_lead is not None else 0
-        return max(self.wall(), carried_on, lowest)
+        """Return a version above all versions seen so far, including those of members with a fast clock."""
+        current = self.by_zone.get(zone)
+        lowest = current.version + 1 if current is not None else 0
+        advanced = now + self.version_lead if self.version_lead is not None else 0
+        return max(self.wall_clock(), advanced, lowest)
 
     def record_version(self, now: int, version: int) -> None:
-        """Record a version that was seen, so that later ones given here are above it."""
+        """Record a version that was seen, so that versions issued here later are above it."""
         lead = version - now
         self.version_lead = lead if self.version_lead is None else max(lead, self.version_lead)
 
-    def make_room(self, now: int, zone: str) -> bool:
-        """Free a place for a directive on a zone, if need be by dropping the one that ended first.
+    def ensure_capacity(self, now: int, zone: str) -> bool:
+        """Ensure that a directive on a zone can be stored, if necessary by evicting the one that ended first.
 
         Returns:
-            Whether there is a free place.
+            Whether the directive can be stored.
         """
         if zone in self.by_zone or len(self.by_zone) < MAX_DIRECTIVES:
             return True
         ended = [
-            (directive.ends_at, name) for name, directive in self.by_zone.items() if directive.is_over(now)
+            (directive.ends_at, name) for name, directive in self.by_zone.items() if directive.has_ended(now)
         ]
         if ended:
             _, oldest = min(ended)
             del self.by_zone[oldest]
         return bool(ended)
 
-    def remaining(self) -> dict[str, int]:
-        """Return the zones that get no calls by a directive, and for how many microseconds still."""
+    def remaining_durations(self) -> dict[str, int]:
+        """Return the zones evacuated by a directive with their remaining durations in microseconds."""
         now = self.now()
         return {
             zone: directive.ends_at - now
             for zone, directive in self.by_zone.items()
-            if not directive.is_over(now)
+            if not directive.has_ended(now)
         }
 
-    def returned(self) -> set[str]:
-        """Return the zones whose newest directive lets them return."""
+    def returning_zones(self) -> set[str]:
+        """Return the zones whose newest directive allows them to return."""
         return {zone for zone, directive in self.by_zone.items() if directive.allows_return}
 
-    def gossiped(self, now: int) -> dict[str, KnownDirective]:
-        """Return the directives that are still passed on. The others are kept while there are free places."""
+    def directives_to_gossip(self, now: int) -> dict[str, KnownDirective]:
+        """Return the directives that are still gossiped; others are stored until their space is needed."""
         return {zone: directive for zone, directive in self.by_zone.items() if now < directive.gossip_until}
 
     def deadline(self) -> int | None:
-        """Return when `tick` is due, or None if there is nothing to pass on."""
-        return self.next_tick_at if self.gossiped(self.next_tick_at) else None
+        """Return the time at which `tick` is due, or None if there is nothing to gossip."""
+        return self.next_tick_at if self.directives_to_gossip(self.next_tick_at) else None
 
     def tick(self, now: int) -> list[Outgoing]:
-        """Return the messages that are due: to all members for a new directive, else to one."""
+        """Return the messages that are due: to all members after a new directive, otherwise to one."""
         if now < self.next_tick_at:
             return []
         self.next_tick_at = now + GOSSIP_INTERVAL_US
-        gossiped, members = self.gossiped(now), list(self.alive())
-        if not gossiped or not members:
+        directives, members = self.directives_to_gossip(now), list(self.alive())
+        if not directives or not members:
             return []
         receivers = members if self.broadcasts_remaining else [self.rng.choice(members)]
         self.broadcasts_remaining = max(0, self.broadcasts_remaining - 1)
         return [
             AddressedMessage(receiver, message)
-            for message in self.messages(now, gossiped)
+            for message in self.messages(now, directives)
             for receiver in receivers
         ]
 
-    def messages(self, now: int, gossiped: Mapping[str, KnownDirective]) -> list[ZoneMessage]:
-        """Return messages with the directives given.
+    def messages(self, now: int, directives: Mapping[str, KnownDirective]) -> list[ZoneMessage]:
+        """Return messages that carry the given directives.
 
-        Directives whose end is measured go by this process's wall clock as it stands; the others as a process
-        of an earlier version sends them.
+        Ends that are tracked by the monotonic clock are converted to this process's wall clock. Other ends
+        are sent unchanged in the format of an earlier version, which has no wall clock of the sender.
         """
-        wall = max(MAX_DURATION_US, self.wall())  # ends by a clock before 1970 would be negative
-        measured, unmeasured = [], []
-        for zone, directive in sorted(gossiped.items()):
+        # Ends would be negative, and could not be encoded, if the wall clock were before 1970.
+        wall_clock = max(MAX_DURATION_US, self.wall_clock())
+        converted, unconverted = [], []
+        for zone, directive in sorted(directives.items()):
             if directive.allows_return:
-                measured.append(ZoneDirective(zone, directive.version, 0))
-            elif directive.unmeasured_end is None:
-                measured.append(ZoneDirective(zone, directive.version, wall + directive.ends_at - now))
+                converted.append(ZoneDirective(zone, directive.version, 0))
+            elif directive.unconverted_end is None:
+                converted.append(ZoneDirective(zone, directive.version, wall_clock + directive.ends_at - now))
             else:
-                unmeasured.append(ZoneDirective(zone, directive.version, directive.unmeasured_end))
-        batches = ((measured, wall), (unmeasured, 0))
+                unconverted.append(ZoneDirective(zone, directive.version, directive.unconverted_end))
+        batches = ((converted, wall_clock), (unconverted, 0))
         return [
-            ZoneMessage(ZoneKind.DIRECTIVES, self.name, tuple(directives), seq)
-            for directives, seq in batches
-            if directives
+            ZoneMessage(ZoneKind.DIRECTIVES, self.name, tuple(entries), sender_clock)
+            for entries, sender_clock in batches
+            if entries
         ]
 
     def received(self, message: ZoneMessage) -> None:
-        """Take over the directives of a message that supersede those known."""
+        """Store the directives in a message that supersede the stored ones."""
         now = self.now()
         for entry in message.directives:
             self.record_version(now, entry.version)
-            known = self.by_zone.get(entry.zone)
-            directive = received_directive(entry, now, message.seq, self.wall())
-            if known is None or directive.supersedes(known):
-                if self.make_room(now, entry.zone):
+            current = self.by_zone.get(entry.zone)
+            directive = convert_directive(entry, now, message.seq, self.wall_clock())
+            if current is None or directive.supersedes(current):
+                if self.ensure_capacity(now, entry.zone):
                     self.by_zone[entry.zone] = directive
-            elif directive.version < known.version:
-                # Failure prevented: a member comes back from a long partition, and a directive that was
-                # withdrawn holds again.
-                known.gossip_until = max(known.gossip_until, now + GOSSIP_AFTER_OLDER_US)
+            elif directive.version < current.version:
+                # A member that returns from a long partition may still spread a directive that has been
+                # withdrawn; gossiping the newer directive again supersedes it.
+                current.gossip_until = max(current.gossip_until, now + GOSSIP_AFTER_OLDER_US)
--- a/balancer/fleet/zone_routing/failure_evidence.py
+++ b/balancer/fleet/zone_routing/failure_evidence.py
@@ -1,4 +1,4 @@
-"""How each zone does, judged by the outcomes of this node's own calls over the last window.
+"""The health of each zone, assessed by the outcomes of this node's own calls in the last windows.
 
 Times are microseconds of this process's monotonic clock.
 """
@@ -11,8 +11,9 @@
 
 from balancer.fleet.zone_routing.settings import ZoneSettings
 
-MAX_CONNECT_TIMES = 16  # that are kept for a zone, the last ones
-MIN_CALLS_TO_JUDGE_SERVER = 2
+# Number of most recent connect times that are stored for a zone.
+MAX_CONNECT_TIMES = 16
+MIN_CALLS_TO_ASSESS_SERVER = 2
 
 
 @dataclass
@@ -20,9 +21,9 @@
     """Outcomes of calls in a window.
 
     Attributes:
-        calls: Calls that have ended.
-        failures: Those that failed.
-        latency: Latency of those that were answered, summed.
+        calls: Number of completed calls.
+        failures: Number of failed calls.
+        latency: Sum of the latencies of the answered calls in microseconds.
     """
 
     calls: int = 0
@@ -31,11 +32,11 @@
 
     @property
     def answered(self) -> int:
-        """Calls that did not fail."""
+        """The number of calls that did not fail."""
         return self.calls - self.failures
 
     def record(self, ok: bool, latency: int) -> None:
-        """Count one call."""
+        """Count one call; the latency is added only if the call succeeded."""
         self.calls += 1
         if ok:
             self.latency += latency
@@ -43,14 +44,14 @@
             self.failures += 1
 
     def add(self, other: CallCounter) -> None:
-        """Add another counter's calls."""
+        """Add the counts of another counter to this one."""
         self.calls += other.calls
         self.failures += other.failures
         self.latency += other.latency
 
 
-def total(counters: Mapping[int, CallCounter]) -> CallCounter:
-    """Return the calls to all servers together."""
+def sum_counters(counters: Mapping[int, CallCounter]) -> CallCounter:
+    """Return the sum of the counters of all servers."""
     result = CallCounter()
     for counter in counters.values():
         result.add(counter)
@@ -59,26 +60,26 @@
 
 @dataclass
 class ZoneEvidence:
-    """What this node has seen of one zone.
+    """Outcomes of this node's calls to one zone, and what is derived from them.
 
     Attributes:
         current: Calls in the current window, by server.
-        previous: Calls in the window before, by server.
-        usual_latency: Smoothed latency in windows in which the zone did well; 0 if not known yet.
-        consecutive_failures: The zone's last calls that failed, in a row.
-        pace: The part of its usual work that the zone does, from 0 to 1.
-        connect_times: How long the last connections took to come up.
+        previous: Calls in the previous window, by server.
+        baseline_latency: Smoothed latency of windows in which the zone was healthy; 0 if still unknown.
+        consecutive_failures: Number of failed calls since the last success.
+        performance: Share of answered calls times speed relative to the baseline, from 0 to 1.
+        connect_times: Times in microseconds that opening the last connections took.
     """
 
     current: dict[int, CallCounter] = field(default_factory=dict)
     previous: dict[int, CallCounter] = field(default_factory=dict)
-    usual_latency: float = 0.0
+    baseline_latency: float = 0.0
     consecutive_failures: int = 0
-    pace: float = 1.0
+    performance: float = 1.0
     connect_times: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_CONNECT_TIMES))
 
     def both_windows(self) -> dict[int, CallCounter]:
-        """Return the calls of both windows by server: the current one alone may have just begun."""
+        """Return the calls of both windows by server, since the current window may have just begun."""
         joined: dict[int, CallCounter] = {}
         for window in (self.previous, self.current):
             for server, counter in window.items():
@@ -86,39 +87,40 @@
         return joined
 
     def clear(self) -> None:
-        """Forget the outcomes; the usual latency and the connect times stay."""
+        """Discard the outcomes, but not the baseline latency and the connect times."""
         self.current, self.previous = {}, {}
         self.consecutive_failures = 0
-        self.pace = 1.0
+        self.performance = 1.0
 
     def close_window(self, span: int, settings: ZoneSettings) -> None:
-        """Begin a new window after one of `span` microseconds, and follow the usual latency."""
-        self.update_usual_latency(span, settings)
+        """Begin a new window after one of `span` microseconds, and update the baseline latency."""
+        self.update_baseline_latency(span, settings)
         self.previous, self.current = self.current, {}
 
-    def update_usual_latency(self, span: int, settings: ZoneSettings) -> None:
-        """Follow the current window's latency if the zone did well in it."""
-        window = total(self.current)
-        did_well = window.answered > window.calls * (1 - settings.failure_rate_threshold)
-        if window.answered < settings.min_calls or not did_well:
+    def update_baseline_latency(self, span: int, settings: ZoneSettings) -> None:
+        """Update the baseline latency from the current window if the zone was healthy in it."""
+        window = sum_counters(self.current)
+        is_healthy = window.answered > window.calls * (1 - settings.failure_rate_threshold)
+        if window.answered < settings.min_calls or not is_healthy:
             return
         mean = window.latency / window.answered
-        if self.usual_latency == 0:
-            self.usual_latency = mean
-        elif mean < settings.slow_factor / 2 * self.usual_latency:
-            # Failure prevented: a zone that slows down little by little counts as usual in the end.
-            self.usual_latency += min(1.0, span / settings.baseline_time) * (mean - self.usual_latency)
+        if self.baseline_latency == 0:
+            self.baseline_latency = mean
+        elif mean < settings.slow_factor / 2 * self.baseline_latency:
+            # Windows far above the baseline are skipped. Otherwise the slow latency of a zone that slows down
+            # gradually would become its baseline.
+            self.baseline_latency += min(1.0, span / settings.baseline_time) * (mean - self.baseline_latency)
 
 
 @dataclass(frozen=True)
-class Verdict:
-    """The judgement on one zone, by two windows at most.
+class ZoneAssessment:
+    """The assessment of one zone by the calls of the current and the previous window.
 
     Attributes:
-        calls: Calls to the zone.
-        answered: Those that did not fail.
-        bad_share: Share of its judged servers that are bad.
-        is_unreachable: Its last calls failed in a row, however few they were.
+        calls: Number of calls to the zone.
+        answered: Number of calls that did not fail.
+        bad_share: Share of bad servers among the zone's assessed servers.
+        is_unreachable: Whether so many of its last calls failed in a row that it counts as unreachable.
     """
 
     calls: int
@@ -132,43 +134,43 @@
         return 2 * self.answered > self.calls
 
     def is_conclusive(self, min_calls: int) -> bool:
-        """Return whether there were enough calls to judge the zone."""
+        """Return whether there is enough evidence to assess the zone."""
         return self.is_unreachable or self.calls >= min_calls
 
 
 class FailureEvidence:
-    """What this node has seen of all zones, by the zones' names."""
+    """Outcomes of this node's calls to all zones."""
 
     def __init__(self, settings: ZoneSettings, now: int) -> None:
         self.settings = settings
         self.zones: dict[str, ZoneEvidence] = {}
         self.window_began_at = now
 
-    def of(self, zone: str) -> ZoneEvidence:
-        """Return what was seen of a zone, empty at first."""
+    def get_or_create(self, zone: str) -> ZoneEvidence:
+        """Return the evidence on a zone; it is empty for a new zone."""
         return self.zones.setdefault(zone, ZoneEvidence())
 
     def record_outcome(self, zone: str, server: int, ok: bool, latency: int) -> None:
-        """Record the end of a call."""
-        evidence = self.of(zone)
+        """Record the outcome of a call."""
+        evidence = self.get_or_create(zone)
         evidence.consecutive_failures = 0 if ok else evidence.consecutive_failures + 1
         evidence.current.setdefault(server, CallCounter()).record(ok, latency)
 
     def record_connection(self, zone: str, connect_time: int) -> None:
-        """Record a connection to a server of the zone that came up."""
-        self.of(zone).connect_times.append(connect_time)
+        """Record the time in microseconds that opening a connection to a server of the zone took."""
+        self.get_or_create(zone).connect_times.append(connect_time)
 
     def clear(self, zone: str) -> None:
-        """Forget the outcomes of calls to a zone: they show nothing of how it is after an evacuation."""
-        self.of(zone).clear()
+        """Discard the outcomes of calls to a zone, which do not reflect its state after an evacuation."""
+        self.get_or_create(zone).clear()
 
     def extra_round_trip(self, zone: str, home: str) -> int:
-        """Return how much longer a round trip to a zone takes than one at home; 0 if it is not known."""
-        there, here = self.of(zone).connect_times, self.of(home).connect_times
-        return max(0, min(there) - min(here)) if there and here else 0
+        """Return the extra time of a round trip to a zone over one in the home zone; 0 if unknown."""
+        remote, local = self.get_or_create(zone).connect_times, self.get_or_create(home).connect_times
+        return max(0, min(remote) - min(local)) if remote and local else 0
 
-    def close_window_if_over(self, now: int) -> None:
-        """Begin a new window once the current one has lasted for its time."""
+    def close_window_if_ended(self, now: int) -> None:
+        """Begin a new window if the current one has ended."""
         span = now - self.window_began_at
         if span < self.settings.window:
             return
@@ -176,55 +178,58 @@
         for evidence in self.zones.values():
             evidence.close_window(span, self.settings)
 
-    def pace(self, zone: str) -> float:
-        """Return the part of its usual work that a zone did when it was last measured."""
-        return self.of(zone).pace
+    def performance(self, zone: str) -> float:
+        """Return the last measured performance of a zone relative to its baseline."""
+        return self.get_or_create(zone).performance
 
-    def measure_pace(self, zone: str) -> None:
-        """Measure a zone's pace anew: the part of calls that are answered, and how fast.
+    def measure_performance(self, zone: str) -> None:
+        """Measure a zone's performance: the share of answered calls times their relative speed.
 
-        Small delays, which any load brings, do not count. Without calls the pace returns to 1 gradually.
+        Small delays, which occur under any load, are ignored. Without enough calls the performance gradually
+        returns to 1.
         """
-        settings, evidence = self.settings, self.of(zone)
+        settings, evidence = self.settings, self.get_or_create(zone)
         if evidence.consecutive_failures >= settings.consecutive_failures:
-            evidence.pace = settings.initial_weight
+            evidence.performance = settings.initial_weight
             return
-        counter = total(evidence.current)
+        counter = sum_counters(evidence.current)
         if counter.calls < settings.min_calls:
-            counter = total(evidence.both_windows())
+            counter = sum_counters(evidence.both_windows())
         if counter.calls < settings.min_calls:
-            evidence.pace += settings.pace_recovery * (1 - evidence.pace)
+            evidence.performance += settings.performance_recovery * (1 - evidence.performance)
             return
         mean = counter.latency / max(1, counter.answered)
-        is_comparable = evidence.usual_latency and mean
-        speed = min(1.0, settings.latency_slack * evidence.usual_latency / mean) if is_comparable else 1.0
-        evidence.pace = max(settings.initial_weight, speed * counter.answered / counter.calls)
+        is_comparable = evidence.baseline_latency and mean
+        speed = min(1.0, settings.latency_slack * evidence.baseline_latency / mean) if is_comparable else 1.0
+        evidence.performance = max(settings.initial_weight, speed * counter.answered / counter.calls)
 
-    def verdict(self, zone: str, ejected: Collection[int]) -> Verdict:
-        """Judge a zone.
+    def assess(self, zone: str, ejected: Collection[int]) -> ZoneAssessment:
+        """Assess a zone by the outcomes of calls to its servers.
 
         Args:
             zone: The zone's name.
-            ejected: Its servers that are ejected now; they count as bad.
+            ejected: Its currently ejected servers, which count as bad.
         """
-        evidence = self.of(zone)
+        evidence = self.get_or_create(zone)
         counters = evidence.both_windows()
-        judged, bad = set(ejected), set(ejected)
+        assessed, bad = set(ejected), set(ejected)
         for server, counter in counters.items():
-            if counter.calls < MIN_CALLS_TO_JUDGE_SERVER:
+            if counter.calls < MIN_CALLS_TO_ASSESS_SERVER:
                 continue
-            judged.add(server)
-            if self.is_bad(counter, evidence.usual_latency):
+            assessed.add(server)
+            if self.is_bad(counter, evidence.baseline_latency):
                 bad.add(server)
-        calls = total(counters)
+        all_calls = sum_counters(counters)
         is_unreachable = evidence.consecutive_failures >= self.settings.consecutive_failures
-        bad_share = len(bad) / len(judged) if judged else 0.0
-        return Verdict(calls.calls, calls.answered, 1.0 if is_unreachable else bad_share, is_unreachable)
+        bad_share = len(bad) / len(assessed) if assessed else 0.0
+        return ZoneAssessment(
+            all_calls.calls, all_calls.answered, 1.0 if is_unreachable else bad_share, is_unreachable
+        )
 
-    def is_bad(self, counter: CallCounter, usual_latency: float) -> bool:
-        """Return whether a server fails too many of its calls, or is far slower than is usual in its zone."""
+    def is_bad(self, counter: CallCounter, baseline_latency: float) -> bool:
+        """Return whether a server's failure rate is too high or its latency far above the zone's baseline."""
         settings = self.settings
         if counter.failures >= settings.failure_rate_threshold * counter.calls:
             return True
-        slowest_latency = settings.slow_factor * usual_latency * counter.answered
-        return bool(usual_latency and counter.answered and counter.latency > slowest_latency)
+        slowest_latency = settings.slow_factor * baseline_latency * counter.answered
+        return bool(baseline_latency and counter.answered and counter.latency > slowest_latency)
--- a/balancer/fleet/zone_routing/known_directive.py
+++ b/balancer/fleet/zone_routing/known_directive.py
@@ -1,4 +1,4 @@
-"""A directive on a zone by this process's monotonic clock, and which of two directives holds."""
+"""A directive on a zone with its end by this process's monotonic clock, and the order of directives."""
 
 from __future__ import annotations
 
@@ -7,72 +7,76 @@
 from balancer.fleet.zone_routing.messages import ZoneDirective
 
 MAX_DURATION_US = 86_400_000_000
-GOSSIP_AFTER_END_US = 3_600_000_000  # passed on for so long after its end, to supersede older directives
+# Time for which a directive is gossiped after its end, so that it supersedes older directives.
+GOSSIP_AFTER_END_US = 3_600_000_000
 
 
 @dataclass
 class KnownDirective:
-    """The newest directive on a zone, as this process knows it.
+    """The newest directive on a zone that this process has issued or received.
 
     Attributes:
-        version: The directive with the highest version on a zone holds.
-        allows_return: The zone may return; otherwise no calls go there until `ends_at`.
-        ends_at: In microseconds of the monotonic clock. If the zone may return: when the directive was given.
-        gossip_until: When this process stops passing it on, by the monotonic clock.
-        unmeasured_end: The end in microseconds of Unix time, if it is by a wall clock that is not known. It
-            is passed on as received.
+        version: Version of the directive; the highest version on a zone applies.
+        allows_return: Whether the zone may return; otherwise no calls are sent to it until `ends_at`.
+        ends_at: End by the monotonic clock in microseconds; for a directive that allows the return, the time
+            at which it was issued.
+        gossip_until: Time by the monotonic clock at which this process stops gossiping the directive.
+        unconverted_end: End in microseconds of Unix time if it was received without the sender's wall clock,
+            and is therefore forwarded unchanged; otherwise None.
     """
 
     version: int
     allows_return: bool
     ends_at: int
     gossip_until: int
-    unmeasured_end: int | None = None
+    unconverted_end: int | None = None
 
     def supersedes(self, other: KnownDirective) -> bool:
-        """Return whether this one replaces the other: it is newer, or a better measure of the same one."""
+        """Return whether this directive is newer, or the same one with a more accurate end."""
         if self.version != other.version:
             return self.version > other.version
         if self.allows_return or other.allows_return:
-            # Two operators in one microsecond: all members choose the same one.
+            # Of two directives issued in the same microsecond, all members choose the evacuation.
             return other.allows_return and not self.allows_return
-        if self.unmeasured_end is not None:
+        if self.unconverted_end is not None:
             return False
-        # The earlier end spent less time on its way here.
-        return other.unmeasured_end is not None or self.ends_at < other.ends_at
+        # An end grows by the transmission time, so the earlier of two ends is more accurate.
+        return other.unconverted_end is not None or self.ends_at < other.ends_at
 
-    def is_over(self, now: int) -> bool:
-        """Return whether the directive no longer keeps calls from the zone."""
+    def has_ended(self, now: int) -> bool:
+        """Return whether the directive no longer evacuates the zone."""
         return self.allows_return or self.ends_at <= now
 
 
-def issued_directive(version: int, duration: int, now: int) -> KnownDirective:
-    """Return a directive that an operator gives at this process.
+def create_directive(version: int, duration: int, now: int) -> KnownDirective:
+    """Create a directive that an operator issues at this process.
 
     Args:
-        version: Its version.
-        duration: Microseconds for which no calls go to the zone; 0 if it may return.
+        version: Version of the directive.
+        duration: Microseconds for which no calls are sent to the zone; 0 if it may return.
         now: The monotonic clock.
     """
     ends_at = now + min(duration, MAX_DURATION_US)
     return KnownDirective(version, not duration, ends_at, ends_at + GOSSIP_AFTER_END_US)
 
 
-def received_directive(directive: ZoneDirective, now: int, sender_wall: int, own_wall: int) -> KnownDirective:
-    """Return a received directive by this process's monotonic clock.
+def convert_directive(
+    directive: ZoneDirective, now: int, sender_wall_clock: int, own_wall_clock: int
+) -> KnownDirective:
+    """Convert a received directive to this process's monotonic clock.
 
     Args:
-        directive: As it came.
+        directive: The directive as received.
         now: The monotonic clock.
-        sender_wall: The sender's wall clock when it sent the directive. Processes of earlier versions send
-            0; their wall clock is assumed to agree with this process's.
-        own_wall: This process's wall clock.
+        sender_wall_clock: The sender's wall clock at the time of sending. Processes of earlier versions send
+            0; their wall clock is assumed to agree with that of this process.
+        own_wall_clock: This process's wall clock.
     """
-    wall = sender_wall or own_wall
+    wall_clock = sender_wall_clock or own_wall_clock
     if not directive.until:
-        # It has no end: its age follows from its version, which is the time at which it was given.
-        ends_at = now - min(max(0, wall - directive.version), GOSSIP_AFTER_END_US)
+        # A directive that allows the return has no end. Its version is the Unix time at which it was issued.
+        ends_at = now - min(max(0, wall_clock - directive.version), GOSSIP_AFTER_END_US)
         return KnownDirective(directive.version, True, ends_at, ends_at + GOSSIP_AFTER_END_US)
-    ends_at = now + min(directive.until - wall, MAX_DURATION_US)
-    unmeasured_end = None if sender_wall else directive.until
-    return KnownDirective(directive.version, False, ends_at, ends_at + GOSSIP_AFTER_END_US, unmeasured_end)
+    ends_at = now + min(directive.until - wall_clock, MAX_DURATION_US)
+    unconverted_end = None if sender_wall_clock else directive.until
+    return KnownDirective(directive.version, False, ends_at, ends_at + GOSSIP_AFTER_END_US, unconverted_end)
--- a/balancer/fleet/zone_routing/messages.py
+++ b/balancer/fleet/zone_routing/messages.py
@@ -1,4 +1,4 @@
-"""Operators' directives on zones as members send them to one another, and their wire format."""
+"""Messages that carry operators' directives on zones, and their wire format."""
 
 from __future__ import annotations
 
@@ -8,16 +8,18 @@
 import msgspec
 
 MAX_ZONE_NAME_CHARACTERS = 64
-MAX_DIRECTIVES = 12  # in a datagram
-INTEGER_LIMIT = 1 << 62  # versions and ends are below it
+# Directives that fit into one datagram.
+MAX_DIRECTIVES = 12
+# Exclusive upper bound of versions and ends.
+INTEGER_BOUND = 1 << 62
 
 
 class ZoneMessageError(ValueError):
-    """A message's body holds values that no sender of any version writes."""
+    """A value in the body of a received message that is outside its bounds."""
 
 
 class ZoneKind(IntEnum):
-    """Kinds of zone messages. The numbers are distinct from those of all other components."""
+    """Kinds of zone messages; the numbers are distinct from those of other components."""
 
     DIRECTIVES = 64
 
@@ -27,9 +29,9 @@
     """A directive on the wire.
 
     Attributes:
-        zone: The name of the zone.
-        version: The directive with the highest version on a zone holds.
-        until: Its end by the sender's wall clock, in microseconds of Unix time; 0 if the zone may return.
+        zone: Name of the zone.
+        version: Version of the directive; the highest version on a zone applies.
+        until: End by the sender's wall clock in microseconds of Unix time; 0 if the zone may return.
     """
 
     zone: str
@@ -39,14 +41,14 @@
 
 @dataclass(frozen=True)
 class ZoneMessage:
-    """Directives that a member passes on.
+    """A message that carries directives from one member to another.
 
     Attributes:
-        kind: The only kind there is.
-        sender: The name of the member that sent the message.
-        directives: At most `MAX_DIRECTIVES`.
-        seq: The wall clock by which the ends are to be read, as it stood when the message was sent; 0 if it
-            is not known. Processes of earlier versions send 0 and ignore it.
+        kind: Always `ZoneKind.DIRECTIVES`.
+        sender: Name of the sending member.
+        directives: At most `MAX_DIRECTIVES` directives.
+        seq: The sender's wall clock at the time of sending, to which the ends refer; 0 if it is unknown.
+            Processes of earlier versions send 0 and ignore the field.
     """
 
     kind: ZoneKind
@@ -59,7 +61,7 @@
 
 
 class ZoneWire:
-    """Converts zone messages to the bodies of datagrams and back."""
+    """Encoder and decoder of zone messages, registered with the codec."""
 
     kinds = frozenset(int(kind) for kind in ZoneKind)
 
@@ -67,35 +69,35 @@
         self.decoder = msgspec.msgpack.Decoder(Body)
 
     def pack(self, message: ZoneMessage) -> Body:
-        """Return the message's body, of plain types."""
+        """Return the wire form of a message's body."""
         return [(directive.zone, directive.version, directive.until) for directive in message.directives]
 
     def shorter(self, message: ZoneMessage) -> ZoneMessage | None:
-        """Return the message without its last directive, or None if it has none."""
+        """Return a message without its last directive to make it shorter, or None if it has none."""
         return replace(message, directives=message.directives[:-1]) if message.directives else None
 
     def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> ZoneMessage:
-        """Return the message that a body stands for.
+        """Decode and validate the body of a received message.
 
         Raises:
-            ZoneMessageError: A value is out of its range.
-            msgspec.MsgspecError: The body is not of the expected types.
+            ZoneMessageError: A value is out of its bounds.
+            msgspec.MsgspecError: The body is malformed.
         """
         entries = self.decoder.decode(body)
         if len(entries) > MAX_DIRECTIVES:
-            raise ZoneMessageError("too many directives")
-        directives = tuple(checked_directive(*entry) for entry in entries)
+            raise ZoneMessageError(f"{len(entries)} directives, more than {MAX_DIRECTIVES}")
+        directives = tuple(validate_directive(*entry) for entry in entries)
         return ZoneMessage(ZoneKind(kind), sender, directives, seq)
 
 
-def checked_directive(zone: str, version: int, until: int) -> ZoneDirective:
-    """Return a directive whose values are in range.
+def validate_directive(zone: str, version: int, until: int) -> ZoneDirective:
+    """Validate and return a received directive.
 
     Raises:
-        ZoneMessageError: One of them is not.
+        ZoneMessageError: A value is out of its bounds.
     """
     if not 0 < len(zone) <= MAX_ZONE_NAME_CHARACTERS:
-        raise ZoneMessageError("zone name out of range")
-    if not (0 <= version < INTEGER_LIMIT and 0 <= until < INTEGER_LIMIT):
-        raise ZoneMessageError("version or end out of range")
+        raise ZoneMessageError(f"zone name of {len(zone)} characters, not 1 to {MAX_ZONE_NAME_CHARACTERS}")
+    if not (0 <= version < INTEGER_BOUND and 0 <= until < INTEGER_BOUND):
+        raise ZoneMessageError(f"version {version} or end {until} of zone {zone!r} out of bounds")
     return ZoneDirective(zone, version, until)
--- a/balancer/fleet/zone_routing/traffic.py
+++ b/balancer/fleet/zone_routing/traffic.py
@@ -1,8 +1,8 @@
-"""Connects zone routing with one node's policy.
+"""The connection between zone routing and one node's policy.
 
-Feeds the router with discovery's list, outcomes of attempts and operators' directives, and publishes the
-shares that follow to the policy. Times are microseconds; `now` and `wall` are the process's monotonic clock
-and Unix time.
+The router receives discovery's list, the outcomes of attempts and operators' directives; the resulting shares
+are published to the policy. Times are microseconds; `now` is the process's monotonic clock, and `wall_clock`
+is Unix time.
 """
 
 from __future__ import annotations
@@ -21,27 +21,30 @@
 from balancer.fleet.zone_routing.settings import ZoneSettings
 from balancer.policy.interface import ListKind, Outcome, ServerEntry, Settings, State
 
-OUTCOMES_WITHOUT_EVIDENCE = (Outcome.CANCELLED, Outcome.NOT_SENT)  # they show nothing of the server
+# Outcomes that say nothing about the health of the server.
+OUTCOMES_WITHOUT_EVIDENCE = (Outcome.CANCELLED, Outcome.NOT_SENT)
 
 
 class ZoneTraffic:
-    """Zone routing of one process, open from `open` to `close`, any number of times.
+    """Zone routing of one process, which can be opened and closed repeatedly.
 
-    Discovery's list and the published shares survive `close`.
+    Discovery's list and the published shares are kept while closed.
 
     Args:
-        config: The process's name and zone.
-        zone_settings: Thresholds and times of zone routing.
+        config: Configuration of the fleet, with the process's name and zone.
+        zone_settings: Settings of zone routing.
         settings: The policy's settings.
         now: Returns the monotonic clock.
-        wall: Returns Unix time.
-        schedule: To be called when the deadline has changed.
-        log_line: Takes a line for the log.
-        publish: Takes shares and extra round-trip times by zone number.
+        wall_clock: Returns the wall clock in microseconds of Unix time.
+        schedule: Callback that reschedules the timer after a change of the deadline.
+        log_line: Writes a line to the log.
+        publish: Callback for shares and extra round-trip times, both by zone number.
     """
 
-    kinds = frozenset(ZoneKind)  # of the messages for `received`
-    router_class = ZoneRouter  # the workbench measures it against another
+    # Kinds of the messages that `received` handles.
+    kinds = frozenset(ZoneKind)
+    # The workbench replaces the class by baselines.
+    router_class = ZoneRouter
 
     def __init__(
         self,
@@ -49,7 +52,7 @@
         zone_settings: ZoneSettings,
         settings: Settings,
         now: Callable[[], int],
-        wall: Callable[[], int],
+        wall_clock: Callable[[], int],
         schedule: Callable[[], None],
         log_line: Callable[[str], None],
         publish: Publish,
@@ -58,7 +61,7 @@
         self.zone_settings = zone_settings
         self.settings = settings
         self.now = now
-        self.wall = wall
+        self.wall_clock = wall_clock
         self.schedule = schedule
         self.log_line = log_line
         self.publisher = SharePublisher(publish)
@@ -70,11 +73,11 @@
         self.zone_numbers: Mapping[str, int] = {}
 
     def open(self, alive: Callable[[], Sequence[str]], rng: Random) -> None:
-        """Begin a new incarnation.
+        """Start routing with a new router and without directives.
 
         Args:
-            alive: Returns the names of the other members that are alive.
-            rng: Chooses the members that directives are passed on to.
+            alive: Returns the names of the other alive members.
+            rng: Random stream for the choice of members to gossip with.
         """
         self.alive = alive
         self.router = self.router_class(
@@ -86,30 +89,33 @@
             self.rank,
             self.log_line,
         )
-        self.directives = ZoneDirectives(self.config.name, alive, self.wall, rng, self.now)
+        self.directives = ZoneDirectives(self.config.name, alive, self.wall_clock, rng, self.now)
         self.update_router()
 
     def close(self) -> None:
-        """Stop. The policy keeps the last shares, since it cannot route to zones without any."""
+        """Discard the router and the directives.
+
+        The policy keeps the last shares, since it cannot route to zones without shares.
+        """
         self.router = self.directives = None
 
     def rank(self) -> float:
-        """Return this node's place among the members, from 0 to 1."""
+        """Return this node's position among the sorted member names, from 0 to below 1."""
         names = sorted([*self.alive(), self.config.name])
         return names.index(self.config.name) / len(names)
 
-    # ---- what the node sees -----------------------------------------------------------------------------
+    # ---- Servers and outcomes ---------------------------------------------------------------------------
 
     def server_list(
         self, now: int, kind: ListKind, entries: Sequence[ServerEntry], zone_numbers: Mapping[str, int]
     ) -> None:
-        """Take a list, or changes of it, as the policy gets it from discovery.
+        """Update the servers from a full list of discovery or from the changes to it.
 
         Args:
             now: Discovery's clock.
-            kind: Whether the entries are all servers or only those that changed. A failure changes nothing.
+            kind: Kind of the list: all servers, or only those that changed; a failed list is ignored.
             entries: The servers.
-            zone_numbers: The policy's numbers of zones by name.
+            zone_numbers: The policy's zone numbers by zone name.
         """
         if kind == ListKind.FAILED:
             return
@@ -125,7 +131,7 @@
         self.update_router()
 
     def update_router(self) -> None:
-        """Give the list to the router."""
+        """Pass the ready servers to the router."""
         if self.router is None or not self.ready_servers:
             return
         names = {number: name for name, number in self.zone_numbers.items()}
@@ -138,13 +144,13 @@
         self.schedule()
 
     def attempt_ended(self, server: int, outcome: Outcome, latency: int, connect_seconds: float) -> None:
-        """Take the outcome of an attempt.
+        """Record the outcome of an attempt.
 
         Args:
             server: The server's number.
-            outcome: How the attempt ended.
-            latency: Microseconds from its begin to its end.
-            connect_seconds: What a new connection for it took, or 0.
+            outcome: Outcome of the attempt.
+            latency: Duration of the attempt in microseconds.
+            connect_seconds: Time in seconds to open a new connection for the attempt; 0 if none was opened.
         """
         if self.router is None or outcome in OUTCOMES_WITHOUT_EVIDENCE:
             return
@@ -154,15 +160,15 @@
             self.router.record_connection(server, int(connect_seconds * 1e6))
 
     def allows(self, server: int) -> bool:
-        """Return whether the server's zone takes calls from here."""
+        """Return whether calls may be sent to the server's zone."""
         return self.router is None or self.router.allows(server)
 
-    def set_ejected(self, server: int, ejected: bool) -> None:
-        """Take that the policy has ejected a server, or does not eject it any more."""
+    def set_ejected(self, server: int, is_ejected: bool) -> None:
+        """Record that the policy has ejected or readmitted a server."""
         if self.router is not None:
-            self.router.set_ejected(server, ejected)
+            self.router.set_ejected(server, is_ejected)
 
-    # ---- time and messages ------------------------------------------------------------------------------
+    # ---- Time and messages ------------------------------------------------------------------------------
 
     def deadlines(self) -> list[int | None]:
         """Return the times at which `tick` is due."""
@@ -171,22 +177,24 @@
         return [self.router.deadline(), self.directives.deadline()]
 
     def tick(self, now: int) -> list[Outgoing]:
-        """Do what is due, and return messages to be sent."""
+        """Evaluate the zones and publish their shares if that is due; return directives to send."""
         if self.router is None or self.directives is None:
             return []
         if self.ready_servers and self.router.tick(now):
-            self.router.apply_directives(self.directives.remaining(), self.directives.returned())
+            self.router.apply_directives(
+                self.directives.remaining_durations(), self.directives.returning_zones()
+            )
             shares, round_trips = self.router.shares(now), self.router.extra_round_trips()
             self.publisher.update(shares, round_trips, self.zone_numbers)
         return self.directives.tick(now)
 
     def received(self, message: ZoneMessage) -> None:
-        """Take over operators' directives that another member passes on."""
+        """Store operators' directives received from another member."""
         if self.directives is not None:
             self.directives.received(message)
 
-    # ---- what operators see -----------------------------------------------------------------------------
+    # ---- Status page ------------------------------------------------------------------------------------
 
     def status(self, now: int) -> dict[str, Any]:
-        """Return the key `zones` of the operators' page, or nothing while this is closed."""
+        """Return the key `zones` of the operators' page, or an empty dictionary while closed."""
         return {"zones": self.router.status(now)} if self.router is not None else {}
--- a/tests/test_zone_directives.py
+++ b/tests/test_zone_directives.py
@@ -1,4 +1,4 @@
-"""Directives on zones where wall clocks differ or step, and beside processes of earlier versions."""
+"""Directives on zones with wall clocks that differ or step, and compatibility with earlier versions."""
 
 from __future__ import annotations
 
@@ -24,45 +24,47 @@
 SEC = 1_000_000
 HOUR = 3600 * SEC
 UNIX = 1_700_000_000 * SEC
-TRANSIT = 5_000  # microseconds
-MONOTONIC_OFFSET = 1000 * SEC  # between the monotonic clocks of two members
-STEPS = [-3600, -5, 5, 3600]
-END_TOLERANCE = 2 * SEC  # from a directive's end until it is over at each member
+TRANSIT_US = 5_000
+# Difference between the monotonic clocks of two members.
+MONOTONIC_OFFSET = 1000 * SEC
+CLOCK_STEPS_S = [-3600, -5, 5, 3600]
+# Time after a directive's end within which it has ended at each member.
+END_TOLERANCE = 2 * SEC
 
 
 class EarlierZoneDirectives:
-    """The implementation of the version before: ends and versions by wall clocks that agree."""
+    """The implementation of an earlier version, which requires that all wall clocks agree."""
 
     def __init__(
         self,
         name: str,
         alive: Callable[[], Sequence[str]],
-        wall: Callable[[], int],
+        wall_clock: Callable[[], int],
         rng: Random,
         now: Callable[[], int],
     ) -> None:
-        self.name, self.alive, self.wall, self.rng = name, alive, wall, rng
+        self.name, self.alive, self.wall_clock, self.rng = name, alive, wall_clock, rng
         self.by_zone: dict[str, ZoneDirective] = {}
         self.broadcasts_remaining, self.next_tick_at = 0, now()
 
     def issue(self, zone: str, duration: int) -> bool:
-        wall, known = self.wall(), self.by_zone.get(zone)
-        version = max(wall, known.version + 1 if known is not None else 0)
+        wall_clock, current = self.wall_clock(), self.by_zone.get(zone)
+        version = max(wall_clock, current.version + 1 if current is not None else 0)
         self.by_zone[zone] = ZoneDirective(
-            zone, version, wall + min(duration, MAX_DURATION_US) if duration else 0
+            zone, version, wall_clock + min(duration, MAX_DURATION_US) if duration else 0
         )
         self.broadcasts_remaining = 3
         return True
 
-    def remaining(self) -> dict[str, int]:
-        wall = self.wall()
+    def remaining_durations(self) -> dict[str, int]:
+        wall_clock = self.wall_clock()
         return {
-            zone: min(directive.until - wall, MAX_DURATION_US)
+            zone: min(directive.until - wall_clock, MAX_DURATION_US)
             for zone, directive in self.by_zone.items()
-            if directive.until > wall
+            if directive.until > wall_clock
         }
 
-    def returned(self) -> set[str]:
+    def returning_zones(self) -> set[str]:
         return {zone for zone, directive in self.by_zone.items() if not directive.until}
 
     def deadline(self) -> int | None:
@@ -72,11 +74,11 @@
         if not self.by_zone or now < self.next_tick_at:
             return []
         self.next_tick_at = now + SEC
-        wall = self.wall()
+        wall_clock = self.wall_clock()
         self.by_zone = {
             zone: directive
             for zone, directive in self.by_zone.items()
-            if max(directive.until, directive.version) + HOUR > wall
+            if max(directive.until, directive.version) + HOUR > wall_clock
         }
         directives = tuple(directive for _, directive in sorted(self.by_zone.items()))
         message = ZoneMessage(ZoneKind.DIRECTIVES, self.name, directives)
@@ -87,9 +89,9 @@
 
     def received(self, message: ZoneMessage) -> None:
         for directive in message.directives:
-            known = self.by_zone.get(directive.zone)
+            current = self.by_zone.get(directive.zone)
             order = (directive.version, directive.until)
-            if known is None or order > (known.version, known.until):
+            if current is None or order > (current.version, current.until):
                 self.by_zone[directive.zone] = directive
 
 
@@ -97,10 +99,10 @@
 
 
 class Fleet:
-    """Members that share one true time.
+    """Members whose clocks are derived from one true time.
 
-    Each has a wall clock that is off by `steps` and a monotonic clock of its own. Messages go through
-    the codec and take `TRANSIT`.
+    Each member's wall clock is wrong by its entry in `steps`, in seconds, and its monotonic clock has an
+    offset of its own. Messages are encoded and decoded, and take `TRANSIT_US`.
     """
 
     def __init__(self, count: int, earlier: Collection[int] = ()):
@@ -114,7 +116,7 @@
         self.members = [self.new_member(i) for i in range(count)]
 
     def restart(self, i: int) -> None:
-        """Replace a member by one that knows nothing."""
+        """Replace a member by a new one without directives."""
         self.members[i] = self.new_member(i)
 
     def new_member(self, i: int) -> Member:
@@ -129,20 +131,20 @@
 
     def run(self, seconds: float, interval: int = SEC // 2) -> Fleet:
         for _ in range(int(seconds * SEC / interval)):
-            self.true_time += interval - TRANSIT
+            self.true_time += interval - TRANSIT_US
             sent = [
                 (sender, int(cast(str, outgoing.to)[1:]), cast(ZoneMessage, outgoing.message))
                 for sender, member in enumerate(self.members)
                 for outgoing in member.tick(self.true_time + sender * MONOTONIC_OFFSET)
             ]
-            self.true_time += TRANSIT
+            self.true_time += TRANSIT_US
             for sender, receiver, message in sent:
                 if not {sender, receiver} & self.partitioned:
-                    self.members[receiver].received(self.through_codec(message))
+                    self.members[receiver].received(self.encode_and_decode(message))
         return self
 
-    def through_codec(self, message: ZoneMessage) -> ZoneMessage:
-        """Encode and decode a message; the codec itself is tested for clocks that disagree elsewhere."""
+    def encode_and_decode(self, message: ZoneMessage) -> ZoneMessage:
+        """Encode and decode a message; the tests of the codec cover clocks that disagree."""
         data = self.codec.encode(message, UNIX)
         assert len(data) <= MAX_DATAGRAM_BYTES
         decoded = self.codec.decode(data, self.codec.last_stamp)
@@ -150,25 +152,23 @@
         return cast(ZoneMessage, decoded)
 
     def run_partitioned(self, seconds: int) -> Fleet:
-        """Let time pass while no message arrives."""
+        """Run while no message is delivered."""
         self.partitioned = set(range(len(self.members)))
         self.run(seconds, interval=10 * SEC)
         self.partitioned = set()
         return self
 
     def zones_evacuated(self) -> list[str]:
-        return ["".join(sorted(m.remaining())) for m in self.members]
+        return ["".join(sorted(m.remaining_durations())) for m in self.members]
 
     def seconds_remaining(self) -> list[int]:
-        return [round(m.remaining().get("a", 0) / SEC) for m in self.members]
+        return [round(m.remaining_durations().get("a", 0) / SEC) for m in self.members]
 
 
-@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.parametrize("step", CLOCK_STEPS_S)
 @pytest.mark.parametrize("when", ["before", "after"])
 @pytest.mark.parametrize("stepped", [0, 1], ids=["issuer", "receiver"])
-def test_a_directive_lasts_its_duration_at_each_member_whatever_the_wall_clocks(
-    step: int, when: str, stepped: int
-) -> None:
+def test_directive_duration_is_independent_of_wall_clocks(step: int, when: str, stepped: int) -> None:
     fleet = Fleet(4)
     if when == "before":
         fleet.steps[stepped] = step
@@ -180,8 +180,8 @@
     assert fleet.run(1 + END_TOLERANCE / SEC).zones_evacuated() == [""] * 4
 
 
-@pytest.mark.parametrize("step", STEPS)
-def test_a_member_restarted_with_a_stepped_clock_learns_the_remaining_duration(step: int) -> None:
+@pytest.mark.parametrize("step", CLOCK_STEPS_S)
+def test_restarted_member_with_stepped_clock_gets_remaining_time(step: int) -> None:
     fleet = Fleet(4)
     fleet.members[0].issue("a", 60 * SEC)
     fleet.run(10)
@@ -191,10 +191,10 @@
     assert fleet.run(30 + END_TOLERANCE / SEC).zones_evacuated() == [""] * 4
 
 
-@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.parametrize("step", CLOCK_STEPS_S)
 @pytest.mark.parametrize("restart", [False, True], ids=["running", "restarting"])
-def test_the_later_directive_wins_wherever_the_earlier_one_was_issued(step: int, restart: bool) -> None:
-    """First at the member whose clock is off, then at another, and the other way round."""
+def test_later_directive_wins_regardless_of_its_issuer(step: int, restart: bool) -> None:
+    """The member whose clock is wrong issues the earlier directive in one run and the later in another."""
     for first, second in ((0, 1), (1, 0)):
         fleet = Fleet(4)
         fleet.steps[0] = step
@@ -209,8 +209,8 @@
             assert fleet.seconds_remaining() == [max(0, durations[1] // SEC - 20)] * 4
 
 
-@pytest.mark.parametrize("step", STEPS)
-def test_a_step_of_the_wall_clock_keeps_the_order_of_a_running_member_s_directives(step: int) -> None:
+@pytest.mark.parametrize("step", CLOCK_STEPS_S)
+def test_wall_clock_step_preserves_order_of_directives(step: int) -> None:
     fleet = Fleet(3)
     fleet.members[0].issue("a", 600 * SEC)
     fleet.run(5)
@@ -222,8 +222,11 @@
     assert fleet.run(5).zones_evacuated() == ["a"] * 3
 
 
-def test_two_partitioned_members_are_ordered_by_time_above_a_fast_clock() -> None:
-    """After a directive an hour ahead, those of two partitioned members stay in order."""
+def test_directives_of_partitioned_members_are_ordered_by_time() -> None:
+    """A directive from a member whose clock is an hour fast raises the versions of all members.
+
+    The directives that two partitioned members issue after that must still be ordered by time.
+    """
     fleet = Fleet(3)
     fleet.steps[0] = 3600
     fleet.members[0].issue("a", 600 * SEC)
@@ -236,8 +239,11 @@
     assert fleet.run(20).zones_evacuated() == [""] * 3
 
 
-def test_a_withdrawn_directive_stays_withdrawn_after_a_long_partition() -> None:
-    """Failure prevented: an hour after a return all forget it, and a member spreads the directive before."""
+def test_withdrawn_directive_is_not_revived_after_long_partition() -> None:
+    """A return must supersede the directive before it even after its gossip has ended.
+
+    Members that discarded the return would accept the older directive again from a partitioned member.
+    """
     fleet = Fleet(4)
     fleet.members[0].issue("a", MAX_DURATION_US)
     fleet.run(5)
@@ -245,10 +251,10 @@
     fleet.members[1].issue("a", 0)
     fleet.run(5).run_partitioned(3 * 3600)
     assert fleet.run(60).zones_evacuated() == [""] * 4
-    assert all(m.returned() == {"a"} for m in fleet.members)
+    assert all(m.returning_zones() == {"a"} for m in fleet.members)
 
 
-def test_an_ended_directive_is_gossiped_for_an_hour_and_kept_while_there_is_room() -> None:
+def test_ended_directive_is_gossiped_for_an_hour_then_evictable() -> None:
     fleet = Fleet(2)
     for i in range(MAX_DIRECTIVES):
         fleet.members[0].issue(f"z{i:02}", (i + 10) * SEC)
@@ -261,8 +267,8 @@
     assert len(fleet.members[0].by_zone) == MAX_DIRECTIVES
 
 
-def test_gossip_of_a_return_ends_although_members_join() -> None:
-    """A member that joins takes over the directive's age and does not begin its hour anew."""
+def test_gossip_of_return_ends_although_members_join() -> None:
+    """A joining member adopts the age of the directive, and does not gossip it for another full hour."""
     fleet = Fleet(3)
     fleet.members[0].issue("a", 0)
     fleet.run(5)
@@ -273,7 +279,7 @@
     assert all(m.deadline() is None for m in fleet.members)
 
 
-def test_a_clock_before_1970_gives_ends_that_can_be_encoded() -> None:
+def test_wall_clock_before_1970_gives_encodable_ends() -> None:
     fleet = Fleet(3)
     fleet.steps[0] = -2 * UNIX // SEC
     fleet.members[0].issue("a", 60 * SEC)
@@ -282,12 +288,12 @@
     assert fleet.zones_evacuated() == [""] * 3
 
 
-# ---- beside processes of an earlier version ---------------------------------------------------------------
+# ---- Compatibility with processes of an earlier version ---------------------------------------------------
 
 
 @pytest.mark.parametrize("earlier", [(0,), (1,), (0, 1), (0, 2, 3)])
-def test_both_versions_agree_in_one_fleet(earlier: tuple[int, ...]) -> None:
-    """With wall clocks that agree, as the version before needs them."""
+def test_current_and_earlier_versions_agree_in_one_fleet(earlier: tuple[int, ...]) -> None:
+    """Wall clocks agree in this test, since the earlier version requires it."""
     fleet = Fleet(4, earlier)
     for issuer in range(4):
         fleet.members[issuer].issue("a", 60 * SEC)
@@ -300,9 +306,9 @@
     assert fleet.run(1 + END_TOLERANCE / SEC).zones_evacuated() == [""] * 4
 
 
-@pytest.mark.parametrize("step", STEPS)
-def test_an_end_passed_on_by_an_earlier_version_is_replaced_by_a_measured_one(step: int) -> None:
-    """Member 3's clock is off. It gets the end from an earlier version, then a measured one."""
+@pytest.mark.parametrize("step", CLOCK_STEPS_S)
+def test_end_from_earlier_version_is_replaced_by_accurate_end(step: int) -> None:
+    """Member 3, whose clock is wrong, gets the end from an earlier version and then an accurate one."""
     fleet = Fleet(4, earlier=(1,))
     fleet.steps[3] = step
     fleet.members[0].issue("a", 600 * SEC)
--- a/tests/test_zone_membership_messages.py
+++ b/tests/test_zone_membership_messages.py
@@ -1,4 +1,4 @@
-"""Messages of membership by zone: encoding, bounds and compatibility between versions."""
+"""Encoding, bounds and compatibility between versions of the messages of membership by zone."""
 
 from __future__ import annotations
 
@@ -11,9 +11,16 @@
 from zone_membership_support import START, make_codec, summary, zone_state
 
 from balancer.fleet.membership.codec import Codec
-from balancer.fleet.zone_membership.batches import batches
+from balancer.fleet.zone_membership.batches import split_into_batches
 from balancer.fleet.zone_membership.messages import ZoneMembershipKind, ZoneMembershipMessage
-from balancer.fleet.zone_membership.summaries import Gateway, Known, Refresh, Summary, Version, ZoneState
+from balancer.fleet.zone_membership.summaries import (
+    Gateway,
+    KnownSummary,
+    Refresh,
+    Summary,
+    Version,
+    ZoneState,
+)
 from balancer.fleet.zone_membership.wire import ZoneMembershipWire
 from workbench.explore.virtual_network import GROUP_KEY
 from workbench.explore.zone_members import zone_name
@@ -22,7 +29,7 @@
 
 
 def decoded_summaries(data: bytes) -> tuple[Summary, ...]:
-    """The summaries of a datagram."""
+    """Return the summaries in a datagram."""
     message = make_codec().decode(data, START)
     assert isinstance(message, ZoneMembershipMessage)
     return message.summaries
@@ -50,43 +57,48 @@
     st.integers(0, 1 << 61),
     st.lists(st.builds(Summary, states, versions, ages), max_size=3).map(tuple),
     st.lists(st.builds(Refresh, names, digests, versions, ages), max_size=5).map(tuple),
-    st.lists(st.builds(Known, names, digests, ages), max_size=5).map(tuple),
+    st.lists(st.builds(KnownSummary, names, digests, ages), max_size=5).map(tuple),
 )
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(messages)
-def test_a_message_is_decoded_as_it_was_or_without_its_last_entries(message: ZoneMembershipMessage) -> None:
+def test_message_round_trips_or_loses_only_its_last_entries(message: ZoneMembershipMessage) -> None:
     codec = make_codec()
     data = codec.encode(message, START)
-    found = make_codec().decode(data, START)
+    decoded = make_codec().decode(data, START)
     whole = msgspec.msgpack.encode(ZoneMembershipWire().pack(message))
     if len(whole) < MAX_DATAGRAM_BYTES - 200:
-        assert found == message
-    elif found is not None:  # names of wider characters than the bound allows for are dropped
-        assert found.summaries == message.summaries[: len(found.summaries)]
-        assert found.refreshes == message.refreshes[: len(found.refreshes)]
-        assert found.known == message.known[: len(found.known)]
+        assert decoded == message
+    # A message is dropped if its names are too long in bytes for a datagram even without entries.
+    elif decoded is not None:
+        assert decoded.summaries == message.summaries[: len(decoded.summaries)]
+        assert decoded.refreshes == message.refreshes[: len(decoded.refreshes)]
+        assert decoded.known_summaries == message.known_summaries[: len(decoded.known_summaries)]
 
 
-def test_the_longest_summary_fits_into_a_datagram() -> None:
+def test_longest_summary_fits_into_one_datagram() -> None:
     gateways = [Gateway("g" * 63 + str(i), ("f" * 45, 65535)) for i in range(4)]
-    longest = ZoneState("z" * 64, "r" * 64, 999_999, (1 << 64) - 1, tuple(gateways), (("k" * 32, "v" * 224),))
-    biggest = Summary(longest, Version("o" * 64, (1 << 62) - 1, (1 << 62) - 1), 1 << 40)
-    message = ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, "s" * 64, "z" * 64, 1 << 61, (biggest,))
+    longest_state = ZoneState(
+        "z" * 64, "r" * 64, 999_999, (1 << 64) - 1, tuple(gateways), (("k" * 32, "v" * 224),)
+    )
+    longest_summary = Summary(longest_state, Version("o" * 64, (1 << 62) - 1, (1 << 62) - 1), 1 << 40)
+    message = ZoneMembershipMessage(
+        ZoneMembershipKind.ZONE_EXCHANGE, "s" * 64, "z" * 64, 1 << 61, (longest_summary,)
+    )
     data = make_codec().encode(message, START)
     assert len(data) <= MAX_DATAGRAM_BYTES
     assert make_codec().decode(data, START) is not None
 
 
-def test_a_long_response_is_split_into_datagrams_without_loss() -> None:
+def test_long_response_is_split_into_datagrams_without_loss() -> None:
     gateways = [Gateway(f"zone-1-{i}", (f"10.1.0.{i}", 7400)) for i in range(4)]
     all_zones = [
         Summary(zone_state(zone_name(i), 246, gateways), Version("x" * 12, 1 << 50, 9), 0) for i in range(13)
     ]
-    split = batches(all_zones)
-    assert [s for batch in split for s in batch] == all_zones
-    for batch in split:
+    batches = split_into_batches(all_zones)
+    assert [s for batch in batches for s in batch] == all_zones
+    for batch in batches:
         message = ZoneMembershipMessage(ZoneMembershipKind.ZONE_RESPONSE, "zone-0-1", "zone-0", 5, batch)
         data = make_codec().encode(message, START)
         assert decoded_summaries(data) == batch
@@ -113,37 +125,37 @@
 
 
 @pytest.mark.parametrize("body", MALFORMED_BODIES)
-def test_an_authentic_datagram_with_a_malformed_body_is_dropped_and_counted(body: object) -> None:
+def test_authentic_datagram_with_malformed_body_is_dropped(body: object) -> None:
     codec = make_codec()
 
-    class Forged(ZoneMembershipWire):
+    class MalformedBodyWire(ZoneMembershipWire):
         def pack(self, message: ZoneMembershipMessage) -> Any:
             return body
 
         def shorter(self, message: ZoneMembershipMessage) -> None:
             return None
 
-    data = Codec([GROUP_KEY], [Forged()]).encode(
+    data = Codec([GROUP_KEY], [MalformedBodyWire()]).encode(
         ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, "x", "z"), START
     )
     assert codec.decode(data, START) is None
     assert codec.dropped["form"] + codec.dropped["length"] == 1
 
 
-def test_fields_that_a_later_version_adds_are_skipped() -> None:
-    class Later(ZoneMembershipWire):
+def test_fields_added_by_later_versions_are_skipped() -> None:
+    class LaterVersionWire(ZoneMembershipWire):
         def pack(self, message: ZoneMembershipMessage) -> Any:
             wire = ["b", "north", 5, 7, [], [], ["b-0", 1, 1, "more"], 0, "more"]
             return ["b", [wire], [], [], {"more": 1}]
 
-    data = Codec([GROUP_KEY], [Later()]).encode(
+    data = Codec([GROUP_KEY], [LaterVersionWire()]).encode(
         ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, "x", "b"), START
     )
     assert decoded_summaries(data) == (summary(),)
 
 
-def test_a_version_without_these_kinds_counts_them_as_unknown() -> None:
+def test_version_without_these_kinds_counts_them_as_unknown() -> None:
     data = make_codec().encode(ZoneMembershipMessage(ZoneMembershipKind.ZONE_QUERY, "x", "z"), START)
-    old = Codec([GROUP_KEY])
-    assert old.decode(data, START) is None
-    assert old.dropped == {"kind": 1}
+    earlier_codec = Codec([GROUP_KEY])
+    assert earlier_codec.decode(data, START) is None
+    assert earlier_codec.dropped == {"kind": 1}
--- a/tests/test_zone_membership_node.py
+++ b/tests/test_zone_membership_node.py
@@ -1,4 +1,4 @@
-"""Membership by zone in the configuration and on the status page of nodes on loopback sockets."""
+"""Membership by zone in the configuration, and on the status page of nodes on loopback sockets."""
 
 import subprocess
 import sys
@@ -21,14 +21,14 @@
     return read_membership(section, table), section.faults
 
 
-def test_the_table_is_read():
-    found, faults = read({"scope": "zone", "zone_seeds": {"b": ["10.0.1.5:7400"]}})
-    assert faults == [] and found.zone_seeds == {"b": (("10.0.1.5", 7400),)}
+def test_valid_membership_table_is_read():
+    membership, faults = read({"scope": "zone", "zone_seeds": {"b": ["10.0.1.5:7400"]}})
+    assert faults == [] and membership.zone_seeds == {"b": (("10.0.1.5", 7400),)}
     assert read({"scope": "zone"}) == (ZoneMembershipSettings({}), [])
     assert read({"scope": "fleet"}) == (None, [])
 
 
-def test_all_faults_of_the_table_are_reported_at_once():
+def test_all_faults_of_membership_table_are_reported_at_once():
     _, faults = read(
         {"scope": "city", "zone_seeds": {"a": ["10.0.0.1:1"], "b": [], "c": ["there:7"]}, "more": 1}
     )
@@ -45,14 +45,14 @@
     assert len(read({"scope": "fleet", "zone_seeds": {}})[1]) == 1
 
 
-def test_all_intervals_scale_with_the_period():
+def test_all_intervals_scale_with_swim_period():
     scaled = ZoneMembershipTiming().scaled(SEC // 10)
     for name, value in vars(ZoneMembershipTiming()).items():
-        same = name in ("gateways", "max_unanswered_queries", "responses_per_second")
-        assert getattr(scaled, name) == (value if same else value // 10), name
+        is_unscaled = name in ("gateways", "max_unanswered_queries", "responses_per_second")
+        assert getattr(scaled, name) == (value if is_unscaled else value // 10), name
 
 
-def test_without_the_table_nothing_of_the_package_is_imported():
+def test_package_is_not_imported_without_membership_table():
     code = (
         "import sys; import balancer.fleet.runtime; "
         "sys.exit(any(m.startswith('balancer.fleet.zone_membership') for m in sys.modules))"
@@ -60,7 +60,7 @@
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
 
 
-# ---- nodes on loopback sockets ---------------------------------------------------------------------------
+# ---- Nodes on loopback sockets ---------------------------------------------------------------------------
 
 
 def start_node(tmp_path, zone, port, seeds, membership):
@@ -77,8 +77,8 @@
     return Bench(config=config, peers=False).start()
 
 
-def test_nodes_of_two_zones_show_each_others_zone_but_only_members_of_their_own(tmp_path):
-    async def scene():
+def test_nodes_list_own_zone_members_and_other_zone_summaries(tmp_path):
+    async def scenario():
         a, b, c = free_udp_port(), free_udp_port(), free_udp_port()
         to_b = {"scope": "zone", "zone_seeds": {"b": [f"127.0.0.1:{c}"]}}
         nodes = [
@@ -95,22 +95,22 @@
         page = fleets[1].view()
         assert [m["name"] for m in page["members"]] == [f"n{a}"]
         assert page["regions"]["zone"] == "a" and page["regions"]["size"] == 2
-        shown = page["regions"]["zones"]["b"]
-        assert (shown["region"], shown["size"], shown["gateways"]) == ("north", 1, [f"n{c}"])
-        assert shown["state"] == "fresh" and not shown["stale"] and 0 <= shown["age_s"] < 3
+        summary = page["regions"]["zones"]["b"]
+        assert (summary["region"], summary["size"], summary["gateways"]) == ("north", 1, [f"n{c}"])
+        assert summary["state"] == "fresh" and not summary["stale"] and 0 <= summary["age_s"] < 3
         assert fleets[0].sent["zone_exchange"] and fleets[2].sent["zone_exchange_ack"]
         assert fleets[1].sent["zone_query"] and fleets[0].sent["zone_response"]
         for fleet in fleets:
             fleet.close()
         assert fleets[0].view()["regions"] is None
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_node_without_the_table_has_no_zones_on_its_status_page(tmp_path):
-    async def scene():
-        one = await start_node(tmp_path, "a", free_udp_port(), [], None)
-        assert "regions" not in one.node.fleet.view()
-        one.node.fleet.close()
+def test_status_page_without_membership_table_has_no_regions(tmp_path):
+    async def scenario():
+        bench = await start_node(tmp_path, "a", free_udp_port(), [], None)
+        assert "regions" not in bench.node.fleet.view()
+        bench.node.fleet.close()
 
-    play(scene)
+    play(scenario)
--- a/tests/test_zone_membership_protocol.py
+++ b/tests/test_zone_membership_protocol.py
@@ -1,4 +1,4 @@
-"""The protocol of one node: selection of gateways, queries, exchanges and responses."""
+"""The protocol of one node: gateway selection, queries, exchanges and responses."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 DIGEST_OF_ZONE_0 = 6103755008981008060
 
 
-def test_the_selection_of_gateways_is_the_same_in_all_versions() -> None:
-    """Fixed for ever: another hash would make nodes of two versions choose different gateways."""
+def test_gateway_selection_is_stable_across_versions() -> None:
+    """With a different hash, nodes of two versions in one zone would select different gateways."""
     names = [f"n{i}" for i in range(12)]
     assert Rendezvous("zone-0").first(names, 4) == FIRST_OF_ZONE_0
     assert Rendezvous("zone-1").first(names, 4) == FIRST_OF_ZONE_1
@@ -32,16 +32,16 @@
 
 @settings(derandomize=True)
 @given(st.sets(st.integers(0, 300), min_size=5, max_size=40), st.data())
-def test_the_end_of_a_member_changes_no_other_gateway(numbers: set[int], data: st.DataObject) -> None:
+def test_removal_of_a_member_keeps_the_other_gateways(numbers: set[int], data: st.DataObject) -> None:
     names = sorted(f"n{i}" for i in numbers)
     rendezvous = Rendezvous("z")
     before = rendezvous.first(names, 4)
-    gone = data.draw(st.sampled_from(names))
-    after = rendezvous.first([n for n in names if n != gone], 4)
-    assert [n for n in before if n != gone] == after[: 4 - (gone in before)]
+    removed = data.draw(st.sampled_from(names))
+    after = rendezvous.first([n for n in names if n != removed], 4)
+    assert [n for n in before if n != removed] == after[: 4 - (removed in before)]
 
 
-def test_hashes_of_former_members_are_dropped() -> None:
+def test_cached_hashes_of_former_members_are_removed() -> None:
     node, view = make_node()
     for generation in range(20):
         view.members = {f"n{generation}-{i}": shared_member(f"n{generation}-{i}", i + 2) for i in range(10)}
@@ -50,12 +50,12 @@
 
 
 def exchange_targets(node: ZoneMembership, now: int) -> set[Address]:
-    """The node' addresses that an exchange goes to."""
+    """Return the addresses to which the node sends its next exchange."""
     node.exchanges.next_at = now
     return {m.to for m in node.tick(now) if m.message.kind == ZoneMembershipKind.ZONE_EXCHANGE}
 
 
-def test_seeds_are_contacted_until_gateways_are_known_and_again_when_none_responds() -> None:
+def test_seeds_are_contacted_while_no_gateway_responds() -> None:
     seeds = {"b": (("s", 1), ("s", 2))}
     node, _ = make_node(seeds)
     now = START + 10 * SEC
@@ -69,15 +69,15 @@
         (Summary(zone_state(gateways=gateways), Version("b-1", 1, 1), 0),),
     )
     node.received(now, ("g", 1), reply)
-    known = {a for i in range(2) for a in exchange_targets(node, now + (i + 1) * 5 * SEC)}
-    assert known == {("g", 1), ("g", 2)}
-    unanswered = {a for i in range(8) for a in exchange_targets(node, now + (i + 3) * 5 * SEC)}
-    assert unanswered == {("g", 1), ("g", 2), ("s", 1), ("s", 2)}
+    gateway_targets = {a for i in range(2) for a in exchange_targets(node, now + (i + 1) * 5 * SEC)}
+    assert gateway_targets == {("g", 1), ("g", 2)}
+    targets_without_response = {a for i in range(8) for a in exchange_targets(node, now + (i + 3) * 5 * SEC)}
+    assert targets_without_response == {("g", 1), ("g", 2), ("s", 1), ("s", 2)}
 
 
-def test_a_gateway_that_leaves_two_queries_unanswered_is_replaced_by_another() -> None:
+def test_gateway_is_replaced_after_two_unanswered_queries() -> None:
     node, view = make_node(members=[(f"n{i}", i + 2) for i in range(8)])
-    first = node.gateways(START)
+    initial_gateways = node.gateways(START)
     now, queried = START, []
     for _ in range(40):
         now += SEC
@@ -86,20 +86,24 @@
             for m in node.tick(now)
             if m.message.kind == ZoneMembershipKind.ZONE_QUERY and node.queries.pending
         ]
-    assert queried[0] == queried[1] and queried[1] != queried[2]  # once more, for a lost datagram
+    # The first query is repeated once, since its datagram may have been lost.
+    assert queried[0] == queried[1] and queried[1] != queried[2]
     assert set(queried) == set(view.members) and node.counts["silent_gateways"] == 8
-    assert node.gateways(now) == ["me"]  # never none
-    assert node.gateways(now + ZoneMembershipTiming().unresponsive_for) == first
+    # With all others unresponsive, the node itself remains as a gateway.
+    assert node.gateways(now) == ["me"]
+    assert node.gateways(now + ZoneMembershipTiming().unresponsive_for) == initial_gateways
     node.received(now, ("h", 2), ZoneMembershipMessage(ZoneMembershipKind.ZONE_QUERY, queried[-1], "a"))
     assert queried[-1] not in node.selection.unresponsive_until
 
 
-def test_a_response_to_another_query_is_ignored() -> None:
+def test_response_with_wrong_sequence_number_is_ignored() -> None:
     node, _ = make_node(members=[("n1", 2)])
     node.tick(START + 2 * SEC)
     assert node.queries.pending is not None
-    stray = ZoneMembershipMessage(ZoneMembershipKind.ZONE_RESPONSE, "n1", "a", node.queries.pending.seq + 1)
-    node.received(START + 2 * SEC, ("h", 2), stray)
+    unrelated_response = ZoneMembershipMessage(
+        ZoneMembershipKind.ZONE_RESPONSE, "n1", "a", node.queries.pending.seq + 1
+    )
+    node.received(START + 2 * SEC, ("h", 2), unrelated_response)
     assert node.queries.pending is not None
     node.received(
         START + 2 * SEC,
@@ -112,23 +116,23 @@
 def test_responses_are_limited_per_second() -> None:
     node, _ = make_node()
     query = ZoneMembershipMessage(ZoneMembershipKind.ZONE_QUERY, "x", "a", 1)
-    answers = sum(len(node.received(START, ("h", 9), query)) for _ in range(1000))
-    assert answers == ZoneMembershipTiming().responses_per_second
+    response_count = sum(len(node.received(START, ("h", 9), query)) for _ in range(1000))
+    assert response_count == ZoneMembershipTiming().responses_per_second
     assert node.counts["answers_refused"] == 800
     assert node.received(START + SEC, ("h", 9), query)
 
 
-def test_summaries_of_the_own_zone_are_refused_and_joined_groups_are_counted() -> None:
+def test_own_zone_summary_is_refused_and_joined_group_counted() -> None:
     node, _ = make_node(members=[("n1", 2)])
-    own = summary("a", size=99)
+    own_summary = summary("a", size=99)
     node.received(
-        START, ("h", 9), ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, "n1", "b", 0, (own,))
+        START, ("h", 9), ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, "n1", "b", 0, (own_summary,))
     )
     assert "a" not in node.records.zones
     assert node.counts["own_zone"] == 1 and node.counts["members_of_other_zones"] == 1
 
 
-def test_facts_go_out_with_the_zones_summary_and_are_bounded() -> None:
+def test_facts_are_sent_with_own_summary_and_bounded() -> None:
     node, _ = make_node()
     node.set_fact("config", "17")
     reply = node.received(START, ("h", 9), ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, "x", "b"))
@@ -138,14 +142,14 @@
     assert node.local_summary.facts == {"config": "17"}
 
 
-def test_a_node_acts_as_gateway_only_after_the_startup_delay() -> None:
+def test_node_becomes_gateway_only_after_startup_delay() -> None:
     node, _ = make_node({"b": (("s", 1),)})
     sent = [m.message.kind for at in range(10) for m in node.tick(START + at * SEC)]
     assert ZoneMembershipKind.ZONE_EXCHANGE not in sent and not node.is_gateway
     assert node.deadline() <= START + 15 * SEC
 
 
-def test_the_age_of_an_own_summary_counts_from_when_it_was_made() -> None:
+def test_age_of_own_summary_counts_from_its_creation() -> None:
     node, _ = make_node()
     exchange = ZoneMembershipMessage(ZoneMembershipKind.ZONE_EXCHANGE, "x", "b")
     ages = [
--- a/tests/test_zone_membership_records.py
+++ b/tests/test_zone_membership_records.py
@@ -1,4 +1,4 @@
-"""Records of other zones: which copy wins, ages and their bounds, and what a query gets."""
+"""Records of other zones: precedence of copies, ages and their bounds, and updates for a query."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 from zone_membership_support import SEC, START, make_records, summary
 
 from balancer.fleet.zone_membership.records import (
-    MAX_ORIGINS,
+    MAX_ORIGINS_PER_ZONE,
     MAX_RECORDS,
     Freshness,
     Records,
     ZoneEventKind,
 )
-from balancer.fleet.zone_membership.summaries import Known, Refresh, Version
+from balancer.fleet.zone_membership.summaries import KnownSummary, Refresh, Version
 
 
-def test_an_age_grows_at_each_node_and_goes_along_with_the_copy() -> None:
+def test_age_accumulates_over_forwarding_nodes() -> None:
     sender, receiver = make_records(), make_records()
     sender.accept(START, summary(age=4 * SEC))
     later = START + 10 * SEC
-    copies, _ = sender.younger(later, (), SEC)
+    copies, _ = sender.find_updates(later, (), SEC)
     assert copies[0].age == 14 * SEC
     another_clock = 5_000 * SEC
     receiver.accept(another_clock, copies[0])
     assert receiver.zones["b"].age(another_clock + SEC) == 15 * SEC
 
 
-def test_of_one_origin_the_newer_version_wins_whatever_its_age() -> None:
+def test_newer_version_of_one_origin_wins_regardless_of_age() -> None:
     records = make_records()
     records.accept(START, summary(counter=5, size=5))
     assert not records.accept(START + SEC, summary(counter=4, size=4))
@@ -38,7 +38,7 @@
     assert records.zones["b"].state.size == 7
 
 
-def test_of_one_version_the_greater_age_wins() -> None:
+def test_greater_age_wins_for_the_same_version() -> None:
     records = make_records()
     records.accept(START, summary(age=0))
     records.accept(START, summary(age=8 * SEC))
@@ -47,16 +47,17 @@
     assert records.zones["b"].age(START) == 8 * SEC
 
 
-def test_of_two_origins_the_summary_made_later_wins() -> None:
+def test_later_created_summary_wins_between_two_origins() -> None:
     records = make_records()
     records.accept(START, summary(origin="b-0", counter=9, age=3 * SEC, size=5))
     assert not records.accept(START, summary(origin="b-1", counter=99, age=4 * SEC, size=6))
     assert records.accept(START, summary(origin="b-1", counter=1, age=2 * SEC, size=7))
-    assert not records.accept(START, summary(origin="b-0", counter=8, age=0, size=8))  # overtaken on its way
+    # This copy was overtaken by version 9 of the same origin.
+    assert not records.accept(START, summary(origin="b-0", counter=8, age=0, size=8))
     assert records.zones["b"].state.size == 7
 
 
-def test_a_summary_that_is_not_renewed_turns_stale_then_lost_and_is_kept_with_its_age() -> None:
+def test_unrenewed_summary_becomes_stale_then_lost_but_is_kept() -> None:
     events: list[tuple[str, ZoneEventKind]] = []
     records = make_records(events)
     records.accept(START, summary(age=5 * SEC))
@@ -72,7 +73,7 @@
     assert events == [("b", "found"), ("b", "stale"), ("b", "lost"), ("b", "fresh")]
 
 
-def test_an_origin_whose_clock_was_set_back_is_accepted_again_once_its_zone_is_lost() -> None:
+def test_origin_with_clock_set_back_is_accepted_after_loss() -> None:
     records = make_records()
     records.accept(START, summary(incarnation=9))
     assert not records.accept(START + SEC, summary(incarnation=3))
@@ -81,7 +82,7 @@
     assert records.zones["b"].freshness == Freshness.FRESH
 
 
-def test_a_refresh_renews_only_the_state_with_its_fingerprint() -> None:
+def test_refresh_renews_only_state_with_same_fingerprint() -> None:
     records = make_records()
     records.accept(START, summary(counter=1, age=20 * SEC))
     fingerprint = records.zones["b"].fingerprint
@@ -92,8 +93,8 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_ages_are_exact_and_versions_increase_over_any_relays_between_differing_clocks(seed: int) -> None:
-    """Two origins summarize a zone; four nodes with clocks of their own query one another at random."""
+def test_ages_are_exact_and_versions_increase_over_relays(seed: int) -> None:
+    """Two origins summarize one zone, and four nodes with different clocks query each other at random."""
     rng = Random(seed)
     nodes = [Records("a", 30 * SEC, 60 * SEC, lambda event: None) for _ in range(4)]
     offsets = [rng.randrange(10**12) for _ in nodes]
@@ -108,8 +109,8 @@
             made_at[origin, step] = now
             size = rng.randrange(3)
             nodes[i].accept(offsets[i] + now, summary(origin=origin, counter=step, size=size))
-        known = nodes[i].known(offsets[i] + now) if rng.random() < 0.9 else ()
-        summaries, refreshes = nodes[j].younger(offsets[j] + now, known, 0)
+        known_summaries = nodes[i].known_summaries(offsets[i] + now) if rng.random() < 0.9 else ()
+        summaries, refreshes = nodes[j].find_updates(offsets[j] + now, known_summaries, 0)
         for sent in summaries:
             nodes[i].accept(offsets[i] + now, sent)
         for refresh in refreshes:
@@ -122,22 +123,22 @@
     assert all(len(n) == 2 for n in newest)
 
 
-def test_a_query_gets_missing_states_whole_and_refreshes_of_the_others() -> None:
+def test_query_gets_missing_states_and_refreshes_of_others() -> None:
     records = make_records()
     for zone, age in (("b", 0), ("c", 0), ("d", 9 * SEC), ("e", 0)):
         records.accept(START, summary(zone, age=age))
     fingerprints = {zone: r.fingerprint for zone, r in records.zones.items()}
-    known = (
-        Known("b", fingerprints["b"], 5 * SEC),
-        Known("c", fingerprints["c"] ^ 1, 5 * SEC),
-        Known("d", fingerprints["d"], 5 * SEC),
+    known_summaries = (
+        KnownSummary("b", fingerprints["b"], 5 * SEC),
+        KnownSummary("c", fingerprints["c"] ^ 1, 5 * SEC),
+        KnownSummary("d", fingerprints["d"], 5 * SEC),
     )
-    summaries, refreshes = records.younger(START, known, SEC)
+    summaries, refreshes = records.find_updates(START, known_summaries, SEC)
     assert [s.state.zone for s in summaries] == ["c", "e"]
     assert [r.zone for r in refreshes] == ["b"]
 
 
-def test_records_are_bounded_and_the_oldest_lost_zone_goes_first() -> None:
+def test_records_are_bounded_and_oldest_lost_zone_is_evicted() -> None:
     records = make_records()
     for i in range(MAX_RECORDS):
         records.accept(START, summary(f"z{i}", age=i * SEC))
@@ -150,4 +151,4 @@
     assert fresh.counts["zones_refused"] == 1 and len(fresh.zones) == MAX_RECORDS
     for i in range(50):
         fresh.accept(START + i * SEC, summary("z0", origin=f"o{i}"))
-    assert len(fresh.zones["z0"].newest_by_origin) <= MAX_ORIGINS
+    assert len(fresh.zones["z0"].newest_by_origin) <= MAX_ORIGINS_PER_ZONE
--- a/tests/test_zone_routing.py
+++ b/tests/test_zone_routing.py
@@ -1,4 +1,4 @@
-"""Zone routing: shares by strength and capacity, evacuation by evidence, recovery in steps."""
+"""Zone routing: shares by strength and capacity, evacuation by evidence, and stepwise recovery."""
 
 import re
 from collections.abc import Collection, Mapping
@@ -8,9 +8,9 @@
 
 import pytest
 from support import SEC
-from zone_routing_support import SETTINGS, USUAL_LATENCY, router_of, run_calls, servers_in, statuses
+from zone_routing_support import BASELINE_LATENCY_US, SETTINGS, router_of, run_calls, servers_in, statuses
 
-from balancer.fleet.zone_routing.failure_evidence import Verdict
+from balancer.fleet.zone_routing.failure_evidence import ZoneAssessment
 from balancer.fleet.zone_routing.router import ListedServer, ZoneRouter
 from balancer.fleet.zone_routing.settings import ZoneSettings
 from balancer.fleet.zone_routing.zone_states import ZoneStatus
@@ -23,26 +23,29 @@
     return {zone: round(share, 2) for zone, share in shares.items()}
 
 
-# ---- shares -----------------------------------------------------------------------------------------------
+# ---- Shares -----------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
     ("counts", "ejected", "costs", "expected"),
     [
         ({"a": 10, "b": 10, "c": 10}, {}, {}, {"a": 1.0, "b": 0.0, "c": 0.0}),
-        ({"a": 10, "b": 10, "c": 10}, {"a": 2}, {}, {"a": 1.0, "b": 0.0, "c": 0.0}),  # within the capacity
+        # The remaining servers of the home zone have enough capacity.
+        ({"a": 10, "b": 10, "c": 10}, {"a": 2}, {}, {"a": 1.0, "b": 0.0, "c": 0.0}),
         ({"a": 10, "b": 10, "c": 10}, {"a": 5}, {}, {"a": 0.84, "b": 0.08, "c": 0.08}),
         ({"a": 10, "b": 10, "c": 10}, {"a": 5}, {"c": 2}, {"a": 0.84, "b": 0.16, "c": 0.0}),
         ({"a": 10, "b": 10, "c": 20}, {"a": 5}, {}, {"a": 0.6, "b": 0.05, "c": 0.35}),
         ({"a": 2, "b": 50}, {}, {}, {"a": 0.11, "b": 0.89}),
         ({"a": 10, "b": 10, "c": 10}, {"a": 10}, {}, {"a": 0.0, "b": 0.5, "c": 0.5}),
         ({"a": 10, "b": 10, "c": 10}, {"a": 10, "b": 5}, {}, {"a": 0.0, "b": 0.18, "c": 0.82}),
-        ({"b": 10, "c": 10}, {}, {}, {"b": 0.5, "c": 0.5}),  # the home zone has none, or a wrong name
+        # The home zone has no servers, or its configured name is wrong.
+        ({"b": 10, "c": 10}, {}, {}, {"b": 0.5, "c": 0.5}),
         ({"a": 10}, {}, {}, {"a": 1.0}),
-        ({"a": 10, "b": 10}, {"a": 10, "b": 10}, {}, {"a": 0.5, "b": 0.5}),  # all ejected: as if none were
+        # If all servers are ejected, the ejections are ignored.
+        ({"a": 10, "b": 10}, {"a": 10, "b": 10}, {}, {"a": 0.5, "b": 0.5}),
     ],
 )
-def test_calls_stay_in_the_home_zone_and_spill_over_by_capacity(
+def test_calls_stay_in_home_zone_and_spill_over_by_capacity(
     counts: dict[str, Any], ejected: dict[str, int], costs: dict[str, float], expected: dict[str, float]
 ) -> None:
     router = router_of(settings=ZoneSettings(costs=costs), **counts)
@@ -55,7 +58,7 @@
 
 
 class AllOrNothingRouter(ZoneRouter):
-    """Broken on purpose: one zone gets all calls."""
+    """A deliberately faulty router that sends all calls to one zone."""
 
     def shares(self, now: int) -> dict[str, float]:
         shares = super().shares(now)
@@ -64,7 +67,7 @@
 
 
 def largest_share_change(router: ZoneRouter) -> float:
-    """The largest change of a share as the servers of zone a are ejected one after the other."""
+    """Return the largest change of a share while the servers of zone a are ejected one by one."""
     largest, before = 0.0, router.shares(0)
     for server in servers_in(router, "a"):
         router.set_ejected(server, True)
@@ -74,12 +77,12 @@
     return largest
 
 
-def test_shares_change_gradually_with_the_number_of_servers() -> None:
+def test_shares_change_gradually_with_number_of_servers() -> None:
     assert largest_share_change(router_of(a=60, b=60, c=60)) < 0.05
     assert largest_share_change(router_of(router_class=AllOrNothingRouter, a=60, b=60, c=60)) == 1.0
 
 
-def test_shares_add_up_to_one_whatever_is_ejected_evacuated_or_lost() -> None:
+def test_shares_sum_to_one_for_random_zone_states() -> None:
     rng = Random(7)
     for _ in range(500):
         counts: dict[str, Any] = {zone: rng.choice((0, 1, 2, 50)) for zone in "abcd"}
@@ -87,8 +90,8 @@
         for server in list(router.servers):
             router.set_ejected(server, rng.random() < 0.3)
         for zone in router.zones():
-            router.states.of(zone).weight = rng.choice((0.0, 0.02, 0.5, 1.0))
-            router.evidence.of(zone).pace = rng.choice((0.02, 0.7, 1.0))
+            router.states.get_or_create(zone).weight = rng.choice((0.0, 0.02, 0.5, 1.0))
+            router.evidence.get_or_create(zone).performance = rng.choice((0.02, 0.7, 1.0))
         router.apply_directives({zone: SEC for zone in "abcd" if rng.random() < 0.2})
         router.is_isolated = rng.random() < 0.2
         shares = router.shares(0)
@@ -100,7 +103,7 @@
         assert set(shares) == usable or not any(router.strengths(0)[zone] for zone in usable)
 
 
-def test_servers_in_slow_start_count_by_their_progress() -> None:
+def test_servers_in_slow_start_are_weighted_by_progress() -> None:
     router = router_of(a=10, b=10)
     router.update_servers(
         {
@@ -108,42 +111,45 @@
             for number, server in router.servers.items()
         }
     )
-    cold, half, warm = (router.shares(at)["a"] for at in (0, 2 * SEC, 10 * SEC))
-    assert round(cold, 2) == round(2 * 1.4 * 2 / 12, 2) and cold < half < warm == 1.0
+    initial, halfway, final = (router.shares(at)["a"] for at in (0, 2 * SEC, 10 * SEC))
+    assert round(initial, 2) == round(2 * 1.4 * 2 / 12, 2) and initial < halfway < final == 1.0
 
 
-# ---- evacuation and recovery ------------------------------------------------------------------------------
+# ---- Evacuation and recovery ------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
     ("home", "bad_zones", "fault", "expected"),
     [
         ("a", "", {}, "iii"),
-        ("a", "a", {}, "oii"),  # dead, or failing half of its calls
+        # The zone fails half of its calls, which also stands for a dead zone.
+        ("a", "a", {}, "oii"),
         ("a", "a", {"failure_share": 0.3}, "oii"),
         ("a", "a", {"failure_share": 0.0, "slowdown": 6.0}, "oii"),
         ("a", "a", {"failure_share": 0.0, "slowdown": 2.0}, "iii"),
         ("a", "a", {"bad_servers": 1}, "iii"),
-        ("a", "abc", {}, "iii"),  # a bad release everywhere
-        ("a", "b", {}, "iii"),  # not called from here: no evidence
+        # A bad release runs in all zones.
+        ("a", "abc", {}, "iii"),
+        # Zone b gets no calls from this node, so there is no evidence.
+        ("a", "b", {}, "iii"),
     ],
 )
-def test_a_zone_is_evacuated_only_if_it_is_bad_as_a_whole(
+def test_zone_is_evacuated_only_if_bad_as_a_whole(
     home: str, bad_zones: str, fault: dict[str, Any], expected: str
 ) -> None:
     router = router_of(home, a=10, b=10, c=10)
     run_calls(router, 20)
     for zone in "bc":
-        router.evidence.of(zone).usual_latency = USUAL_LATENCY
+        router.evidence.get_or_create(zone).baseline_latency = BASELINE_LATENCY_US
     run_calls(router, 8, bad_zones, **fault)
-    found = statuses(router)
-    assert found == expected or (bad_zones == "abc" and "o" not in found), found
+    actual = statuses(router)
+    assert actual == expected or (bad_zones == "abc" and "o" not in actual), actual
     if "o" in expected:
         shares = router.shares(router.next_evaluation_at)
         assert "a" not in shares and not router.allows(100) and router.allows(200)
 
 
-def test_consecutive_failures_are_evaluated_at_once() -> None:
+def test_consecutive_failures_trigger_immediate_evaluation() -> None:
     router = router_of(a=10, b=10, c=10)
     run_calls(router, 10)
     now = router.next_evaluation_at - 400_000
@@ -151,40 +157,43 @@
     must_evaluate = [router.record_outcome(now, 100 + i, False, 1000) for i in range(count)]
     assert must_evaluate == [False] * (count - 1) + [True] and router.tick(now)
     assert router.shares(now)["a"] < 0.1
-    router.record_outcome(now, 100, True, USUAL_LATENCY)  # one answer: it was not the zone
+    # A single success shows that the zone is reachable.
+    router.record_outcome(now, 100, True, BASELINE_LATENCY_US)
     router.tick(router.next_evaluation_at)
     assert router.shares(router.next_evaluation_at)["a"] > 0.5
 
 
 def test_no_remote_zone_is_evacuated_if_all_look_bad() -> None:
-    """Failure prevented: a node that is partitioned evacuates all other zones, one after the other."""
-    router = router_of(a=4, b=10, c=10)  # home has little capacity, so the others are called
+    """A partitioned node must not evacuate all other zones one after another."""
+    # The home zone has little capacity, so the other zones get calls.
+    router = router_of(a=4, b=10, c=10)
     run_calls(router, 20)
     assert sum(router.shares(router.next_evaluation_at)[zone] for zone in "bc") > 0.3
     run_calls(router, 4, "bc", failure_share=1.0, calls=400)
-    remote = {router.states.of(zone).status for zone in "bc"}
+    remote = {router.states.get_or_create(zone).status for zone in "bc"}
     assert router.is_isolated and ZoneStatus.EVACUATED not in remote
     assert router.shares(router.next_evaluation_at)["a"] > 0.9
-    run_calls(router, 20, calls=400)  # the links are back
+    # The links have recovered.
+    run_calls(router, 20, calls=400)
     assert not router.is_isolated and router.shares(router.next_evaluation_at)["a"] < 0.8
 
 
 class NeverIsolatedRouter(ZoneRouter):
-    """Broken on purpose: never takes a fault for its own."""
+    """A deliberately faulty router that never detects its own isolation."""
 
-    def check_isolation(self, verdicts: Mapping[str, Verdict], bad: Collection[str]) -> None:
+    def check_isolation(self, assessments: Mapping[str, ZoneAssessment], bad: Collection[str]) -> None:
         self.is_isolated = False
 
 
-def test_without_the_check_for_isolation_remote_zones_are_evacuated() -> None:
+def test_remote_zones_are_evacuated_without_isolation_check() -> None:
     router = router_of(router_class=NeverIsolatedRouter, a=4, b=10, c=10)
     run_calls(router, 20, calls=400)
     run_calls(router, 6, "bc", failure_share=1.0, calls=400)
-    assert ZoneStatus.EVACUATED in {router.states.of(zone).status for zone in "bc"}
+    assert ZoneStatus.EVACUATED in {router.states.get_or_create(zone).status for zone in "bc"}
 
 
 @pytest.mark.parametrize("failure_share", [0.5, 1.0])
-def test_a_zone_recovers_in_steps_and_later_each_time(failure_share: float) -> None:
+def test_zone_recovers_in_steps_with_growing_evacuation_time(failure_share: float) -> None:
     router = router_of(a=10, b=10, c=10)
     run_calls(router, 20)
     run_calls(router, 6, "a", failure_share=failure_share)
@@ -198,23 +207,26 @@
     is_stepwise = all(later <= 2.1 * earlier for earlier, later in zip(rising, rising[1:], strict=False))
     assert is_stepwise and statuses(router)[0] == "i"
     run_calls(router, 6, "a", failure_share=failure_share)
-    state = router.states.of("a")
+    state = router.states.get_or_create("a")
     expected_time = SETTINGS.evacuation_backoff * SETTINGS.evacuation_time
     assert statuses(router)[0] == "o" and state.evacuation_time == expected_time
-    for _ in range(40):  # it stays bad: each recovery is small, and the next one later
+    # While the zone stays bad, its weight remains low in each recovery and evacuations last longer.
+    for _ in range(40):
         called = run_calls(router, 2, "a", failure_share=failure_share)
         assert "a" not in called or state.weight <= 4 * SETTINGS.initial_weight
     assert state.evacuation_time >= 4 * SETTINGS.evacuation_time
 
 
-def test_a_remote_zone_without_calls_recovers_in_time() -> None:
+def test_remote_zone_without_calls_recovers_eventually() -> None:
     router = router_of(a=10, b=10, c=10)
     router.apply_directives({"b": SEC})
     router.apply_directives({})
-    assert router.states.of("b").status == ZoneStatus.RECOVERING
-    assert "b" not in run_calls(router, 60) and router.states.of("b").status == ZoneStatus.RECOVERING
+    assert router.states.get_or_create("b").status == ZoneStatus.RECOVERING
+    assert (
+        "b" not in run_calls(router, 60) and router.states.get_or_create("b").status == ZoneStatus.RECOVERING
+    )
     run_calls(router, 40)
-    assert router.states.of("b").status == ZoneStatus.IN_SERVICE
+    assert router.states.get_or_create("b").status == ZoneStatus.IN_SERVICE
 
 
 def test_no_second_zone_is_evacuated_while_one_is_lost() -> None:
@@ -222,7 +234,7 @@
     run_calls(router, 20)
     router.update_servers({number: server for number, server in router.servers.items() if server.zone != "c"})
     run_calls(router, 8, "a")
-    assert router.states.of("a").status == ZoneStatus.IN_SERVICE
+    assert router.states.get_or_create("a").status == ZoneStatus.IN_SERVICE
 
 
 def test_nodes_return_to_a_zone_at_different_times() -> None:
@@ -231,24 +243,25 @@
         router = router_of(rank=rank, a=10, b=10)
         run_calls(router, 20)
         run_calls(router, 6, "a")
-        return_times.append(router.states.of("a").next_step_at)
+        return_times.append(router.states.get_or_create("a").next_step_at)
     first, second, third = return_times
     assert second - first == SETTINGS.return_stagger // 2 and third > second
 
 
-def test_extra_round_trips_follow_from_connect_times() -> None:
+def test_extra_round_trips_are_derived_from_connect_times() -> None:
     router = router_of(a=2, b=2)
     for connect_time in (900, 1000, 5000):
         router.record_connection(100, connect_time)
         router.record_connection(200, connect_time + 16_000)
     assert router.extra_round_trips() == {"b": 16_000}
-    assert router_of(a=1, b=1).extra_round_trips() == {"b": 0}  # nothing known yet
+    # Without any connect times the extra round trip is 0.
+    assert router_of(a=1, b=1).extra_round_trips() == {"b": 0}
 
 
-# ---- log lines ------------------------------------------------------------------------------------------
+# ---- Log lines ------------------------------------------------------------------------------------------
 
 
-def test_each_log_line_is_on_the_on_call_page() -> None:
+def test_each_log_line_is_documented_on_on_call_page() -> None:
     page = (ROOT / "docs" / "on-call.md").read_text()
     sources = (ROOT / "balancer" / "fleet" / "zone_routing").glob("*.py")
     found = {line for file in sources for line in LOG_LINE.findall(file.read_text())}
--- a/tests/test_zone_slow_start.py
+++ b/tests/test_zone_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start in a zone's strength where the wall clock, by which discovery's starts are read, is off."""
+"""Slow start in a zone's strength if the wall clock, to which discovery's start times refer, is wrong."""
 
 from dataclasses import replace
 from random import Random
@@ -15,13 +15,15 @@
 
 SEC = 1_000_000
 SLOW_START = 10 * SEC
-NODE_START = 100 * SEC  # by the true clock
-UNIX = 1_700_000_000 * SEC  # at zero of the true clock
-STEPS = [-3600, -5, 5, 3600]
+# Start of the node by the true clock.
+NODE_START = 100 * SEC
+# Unix time at zero of the true clock.
+UNIX = 1_700_000_000 * SEC
+CLOCK_STEPS_S = [-3600, -5, 5, 3600]
 
 
 class Node:
-    """A node whose wall clock is off by `step` seconds; discovery's starts are Unix time."""
+    """A node whose wall clock is wrong by `step` seconds; discovery's start times are Unix time."""
 
     def __init__(self, step: int) -> None:
         self.step = step * SEC
@@ -31,21 +33,21 @@
             zone_settings=ZoneSettings(),
             settings=replace(BASE, slow_start_time=SLOW_START, slow_start_share=0.2),
             now=lambda: self.time,
-            wall=self.wall,
+            wall_clock=self.wall_clock,
             schedule=lambda: None,
             log_line=lambda line: None,
             publish=lambda shares, round_trips: None,
         )
         self.traffic.open(tuple, Random(1))
 
-    def wall(self) -> int:
+    def wall_clock(self) -> int:
         return UNIX + self.time + self.step
 
     def receive_list(self, *entries: ServerEntry, kind: ListKind = ListKind.CHANGES) -> None:
-        self.traffic.server_list(self.wall(), kind, entries, {"a": 0, "b": 1})
+        self.traffic.server_list(self.wall_clock(), kind, entries, {"a": 0, "b": 1})
 
     def strength(self) -> float:
-        """Strength of zone b, which has one server: 0.2 when its slow start begins, 1 when it is over."""
+        """Return the strength of zone b with its one server: 0.2 at the start of slow start, 1 at its end."""
         assert self.traffic.router is not None
         return round(self.traffic.router.strengths(self.time)["b"], 3)
 
@@ -54,19 +56,20 @@
     return ServerEntry(1, zone=1, ready_at=UNIX + at)
 
 
-@pytest.mark.parametrize("step", STEPS)
-def test_no_server_counts_as_starting_for_longer_than_a_slow_start(step: int) -> None:
+@pytest.mark.parametrize("step", CLOCK_STEPS_S)
+def test_slow_start_never_exceeds_its_configured_duration(step: int) -> None:
     node = Node(step)
     node.receive_list(started(node.time), kind=ListKind.FULL)
-    for _ in range(5):  # a list that comes again does not begin the slow start anew
+    # Receiving the same list again does not restart the slow start.
+    for _ in range(5):
         node.time += SLOW_START // 5
         node.receive_list(started(NODE_START), kind=ListKind.FULL)
     assert node.strength() == 1.0
 
 
 @pytest.mark.parametrize("kind", [ListKind.FULL, ListKind.CHANGES])
-@pytest.mark.parametrize("step", STEPS)
-def test_a_witnessed_start_counts_from_when_the_node_learned_of_it(step: int, kind: ListKind) -> None:
+@pytest.mark.parametrize("step", CLOCK_STEPS_S)
+def test_observed_restart_counts_from_when_node_learned_of_it(step: int, kind: ListKind) -> None:
     node = Node(step)
     node.receive_list(ServerEntry(1, zone=1), ServerEntry(2), kind=ListKind.FULL)
     assert node.strength() == 1.0
@@ -82,7 +85,7 @@
     assert node.strength() == 1.0
 
 
-def test_a_server_that_a_full_list_lacks_is_forgotten() -> None:
+def test_server_missing_from_full_list_is_removed() -> None:
     node = Node(0)
     node.receive_list(*(ServerEntry(i, zone=1, ready_at=UNIX) for i in range(1, 100)), kind=ListKind.FULL)
     node.receive_list(ServerEntry(1, zone=1, ready_at=UNIX), kind=ListKind.FULL)
--- a/tests/test_zone_states.py
+++ b/tests/test_zone_states.py
@@ -1,60 +1,60 @@
-"""How long a zone is evacuated by evidence, also where an operator's directive came before or between."""
+"""Duration of a zone's evacuations by evidence, also before and after operators' directives."""
 
 from collections import Counter
 
 import pytest
 
-from balancer.fleet.zone_routing.failure_evidence import FailureEvidence, Verdict
+from balancer.fleet.zone_routing.failure_evidence import FailureEvidence, ZoneAssessment
 from balancer.fleet.zone_routing.settings import ZoneSettings
 from balancer.fleet.zone_routing.zone_states import ZoneStates, ZoneStatus
 
 SEC = 1_000_000
 SETTINGS = ZoneSettings()
-FIRST = SETTINGS.evacuation_time
+FIRST_TIME = SETTINGS.evacuation_time
 BACKOFF = SETTINGS.evacuation_backoff
-BAD = Verdict(calls=100, answered=0, bad_share=1.0, is_unreachable=False)
-GOOD = Verdict(calls=100, answered=100, bad_share=0.0, is_unreachable=False)
-UNUSED = Verdict(calls=0, answered=0, bad_share=0.0, is_unreachable=False)
+BAD = ZoneAssessment(calls=100, answered=0, bad_share=1.0, is_unreachable=False)
+GOOD = ZoneAssessment(calls=100, answered=100, bad_share=0.0, is_unreachable=False)
+UNUSED = ZoneAssessment(calls=0, answered=0, bad_share=0.0, is_unreachable=False)
 
 
 class Zones:
-    """Three zones, of which zone a is the one that fails; ticks as often as a node's router."""
+    """The states of three zones, of which zone a fails, with ticks at the router's evaluation interval."""
 
     def __init__(self) -> None:
         self.now = 1000 * SEC
         self.log_lines: list[str] = []
         evidence = FailureEvidence(SETTINGS, self.now)
         self.states = ZoneStates(SETTINGS, evidence, lambda: 0.0, self.log_lines.append, Counter())
-        self.states.set_present(["a", "b", "c"])
+        self.states.set_listed_zones(["a", "b", "c"])
 
     @property
     def status(self) -> ZoneStatus:
-        return self.states.of("a").status
+        return self.states.get_or_create("a").status
 
-    def tick(self, verdict: Verdict) -> None:
+    def tick(self, assessment: ZoneAssessment) -> None:
         self.now += SETTINGS.evaluation_interval
-        self.states.advance(self.now, "a", verdict, is_bad=verdict is BAD)
+        self.states.advance(self.now, "a", assessment, is_bad=assessment is BAD)
 
-    def tick_until(self, status: ZoneStatus, verdict: Verdict) -> None:
+    def tick_until(self, status: ZoneStatus, assessment: ZoneAssessment) -> None:
         for _ in range(10_000):
             if self.status == status:
                 return
-            self.tick(verdict)
+            self.tick(assessment)
         raise AssertionError(f"zone a is {self.status} and never {status}")
 
-    def pass_time(self, duration: int, verdict: Verdict) -> None:
+    def pass_time(self, duration: int, assessment: ZoneAssessment) -> None:
         end = self.now + duration
         while self.now < end:
-            self.tick(verdict)
+            self.tick(assessment)
 
-    def direct(self, duration: int) -> None:
-        """An operator evacuates zone a for so long."""
+    def evacuate_by_directive(self, duration: int) -> None:
+        """Evacuate zone a by an operator's directive of a duration."""
         self.states.apply_directives(self.now, {"a": duration}, ())
         self.pass_time(duration, UNUSED)
         self.states.apply_directives(self.now, {}, ())
 
-    def evacuation_time(self) -> int:
-        """Zone a fails until it is evacuated; returns for how long it stays so."""
+    def measure_evacuation_time(self) -> int:
+        """Let zone a fail until it is evacuated, and return the duration of the evacuation."""
         self.tick_until(ZoneStatus.EVACUATED, BAD)
         evacuated_at = self.now
         self.tick_until(ZoneStatus.RECOVERING, UNUSED)
@@ -67,59 +67,60 @@
 
 
 @pytest.mark.parametrize("recovers_first", [False, True])
-def test_the_first_evacuation_by_evidence_after_a_directive_has_the_full_time(
-    zones: Zones, recovers_first: bool
-) -> None:
-    """Failure prevented: the backoff multiplies 0 s, and a failing zone is called again at once for ever."""
-    zones.direct(30 * SEC)
+def test_first_evacuation_after_directive_has_full_duration(zones: Zones, recovers_first: bool) -> None:
+    """The backoff must not multiply a duration of 0 s, with which a failing zone would get calls at once."""
+    zones.evacuate_by_directive(30 * SEC)
     if recovers_first:
         zones.tick_until(ZoneStatus.IN_SERVICE, GOOD)
-    times = [zones.evacuation_time() for _ in range(4)]
-    assert times == [FIRST, BACKOFF * FIRST, SETTINGS.max_evacuation_time, SETTINGS.max_evacuation_time]
+    times = [zones.measure_evacuation_time() for _ in range(4)]
+    assert times == [
+        FIRST_TIME,
+        BACKOFF * FIRST_TIME,
+        SETTINGS.max_evacuation_time,
+        SETTINGS.max_evacuation_time,
+    ]
     assert not [line for line in zones.log_lines if "evacuated for 0 s" in line]
 
 
 @pytest.mark.parametrize("recovers_first", [False, True])
-def test_an_evacuation_long_before_a_directive_does_not_lengthen_the_next(
-    zones: Zones, recovers_first: bool
-) -> None:
-    assert zones.evacuation_time() == FIRST
+def test_old_evacuation_before_directive_does_not_cause_backoff(zones: Zones, recovers_first: bool) -> None:
+    assert zones.measure_evacuation_time() == FIRST_TIME
     zones.tick_until(ZoneStatus.IN_SERVICE, GOOD)
     zones.pass_time(SETTINGS.relapse_window, GOOD)
-    zones.direct(30 * SEC)
+    zones.evacuate_by_directive(30 * SEC)
     if recovers_first:
         zones.tick_until(ZoneStatus.IN_SERVICE, GOOD)
-    assert [zones.evacuation_time() for _ in range(2)] == [FIRST, BACKOFF * FIRST]
+    assert [zones.measure_evacuation_time() for _ in range(2)] == [FIRST_TIME, BACKOFF * FIRST_TIME]
 
 
-def test_a_directive_soon_after_a_recovery_does_not_hide_a_relapse(zones: Zones) -> None:
-    assert zones.evacuation_time() == FIRST
+def test_directive_soon_after_recovery_does_not_hide_relapse(zones: Zones) -> None:
+    assert zones.measure_evacuation_time() == FIRST_TIME
     zones.tick_until(ZoneStatus.IN_SERVICE, GOOD)
-    zones.direct(10 * SEC)
-    assert zones.evacuation_time() == BACKOFF * FIRST
+    zones.evacuate_by_directive(10 * SEC)
+    assert zones.measure_evacuation_time() == BACKOFF * FIRST_TIME
 
 
-def test_a_zone_without_calls_does_not_recover_while_a_directive_holds(zones: Zones) -> None:
-    """Failure prevented: the log says "recovered" of a zone that no call has gone to; its relapse is none."""
-    assert zones.evacuation_time() == FIRST
-    zones.direct(600 * SEC)
+def test_zone_does_not_complete_recovery_during_directive(zones: Zones) -> None:
+    """A zone must not recover without a call; otherwise a failure after that would not count as a relapse."""
+    assert zones.measure_evacuation_time() == FIRST_TIME
+    zones.evacuate_by_directive(600 * SEC)
     assert zones.status == ZoneStatus.RECOVERING
     assert not [line for line in zones.log_lines if line.endswith("recovered")]
-    assert zones.evacuation_time() == BACKOFF * FIRST
+    assert zones.measure_evacuation_time() == BACKOFF * FIRST_TIME
 
 
-def test_a_zone_that_an_operator_lets_return_too_early_backs_off(zones: Zones) -> None:
+def test_zone_returned_too_early_by_operator_backs_off(zones: Zones) -> None:
     zones.tick_until(ZoneStatus.EVACUATED, BAD)
     zones.states.apply_directives(zones.now, {}, ("a",))
     assert zones.status == ZoneStatus.RECOVERING
-    assert zones.evacuation_time() == BACKOFF * FIRST
+    assert zones.measure_evacuation_time() == BACKOFF * FIRST_TIME
 
 
-def test_a_relapse_counts_as_one_within_its_window_only(zones: Zones) -> None:
-    assert zones.evacuation_time() == FIRST
+def test_relapse_counts_only_within_relapse_window(zones: Zones) -> None:
+    assert zones.measure_evacuation_time() == FIRST_TIME
     zones.tick_until(ZoneStatus.IN_SERVICE, GOOD)
     zones.pass_time(SETTINGS.relapse_window // 2, GOOD)
-    assert zones.evacuation_time() == BACKOFF * FIRST
+    assert zones.measure_evacuation_time() == BACKOFF * FIRST_TIME
     zones.tick_until(ZoneStatus.IN_SERVICE, GOOD)
     zones.pass_time(SETTINGS.relapse_window, GOOD)
-    assert zones.evacuation_time() == FIRST
+    assert zones.measure_evacuation_time() == FIRST_TIME
