--- a/tests/zone_routing_support.py
+++ b/tests/zone_routing_support.py
@@ -8,7 +8,7 @@
 from balancer.fleet.zone_routing.settings import ZoneSettings
 
 SETTINGS = ZoneSettings()
-USUAL_LATENCY = 50_000
+BASELINE_LATENCY_US = 50_000
 FIRST_SERVER = {zone: 100 * (i + 1) for i, zone in enumerate("abcdef")}
 
 
@@ -63,7 +63,7 @@
             is_bad = zone in bad_zones and (bad_servers is None or index < bad_servers)
             called.add(zone)
             ok = not (is_bad and rng.random() < failure_share)
-            latency = int(USUAL_LATENCY * (slowdown if is_bad else 1))
+            latency = int(BASELINE_LATENCY_US * (slowdown if is_bad else 1))
             router.record_outcome(now, servers[index], ok, latency)
         now = router.next_evaluation_at
         router.tick(now)
@@ -72,4 +72,6 @@
 
 def statuses(router: ZoneRouter) -> str:
     """The first letters of the zones' statuses on the page: in, leaving, out, returning."""
-    return "".join(router.states.of(zone).status.value[0] for zone in sorted(router.states.by_zone))
+    return "".join(
+        router.states.get_or_create(zone).status.value[0] for zone in sorted(router.states.by_zone)
+    )
