--- a/balancer/fleet/rolling_update/component.py
+++ b/balancer/fleet/rolling_update/component.py
@@ -57,7 +57,7 @@
 
         Failure prevented: voters are replaced faster than they vote again, and there is no majority left.
         """
-        return self.runtime.lifecycle.serving and not self.leases.abstains(self.runtime.now())
+        return self.runtime.lifecycle.is_serving and not self.leases.abstains(self.runtime.now())
 
     @property
     def lease_client(self) -> LeaseClient | None:
--- a/balancer/net/discovery/registry.py
+++ b/balancer/net/discovery/registry.py
@@ -58,7 +58,7 @@
         # Called with the policy entries of each list if the node belongs to a fleet.
         self.on_servers: OnServers | None = None
         self.rng = Random(f"node {config.seed}")  # Independent of the policy's generator.
-        version = config.known.version if config.known else 0
+        version = config.cached_list.version if config.cached_list else 0
         self.discovery = DiscoveryClient(
             loop, config.discovery, version, self.on_list, invalid_response_log, self.rng
         )
--- a/balancer/net/downstream/client_connection.py
+++ b/balancer/net/downstream/client_connection.py
@@ -194,7 +194,7 @@
         A request that does not fit the memory budget is rejected with 503: many clients that pipeline large
         requests would otherwise exhaust the process's memory.
         """
-        if not self.connections.memory_budget.fits(message.size):
+        if not self.connections.memory_budget.can_reserve(message.size):
             message.error_status, message.keep_alive = 503, False
             message.upload, message.body, message.size = None, b"", 0
             self.stop_reading()
@@ -260,7 +260,9 @@
         """
         body_incomplete = message.upload is not None and not message.upload.is_complete
         has_next_request = self.pipelined or self.unparsed or self.partial_request not in (None, message)
-        draining = self.connections.lifecycle.draining and not has_next_request and not self.has_unread_data()
+        draining = (
+            self.connections.lifecycle.is_draining and not has_next_request and not self.has_unread_data()
+        )
         return not message.keep_alive or self.rejecting or body_incomplete or draining
 
     def finish_response(self, message: ClientRequest, close: bool) -> None:
@@ -349,7 +351,7 @@
         since = now if unread != last_unread else since
         is_sending = now - self.last_active_at < LINGER_S and now - self.finished_at < MAX_LINGER_S
         if (unread and now - since < UNREAD_TIMEOUT_S) or (
-            is_sending and not self.connections.lifecycle.draining
+            is_sending and not self.connections.lifecycle.is_draining
         ):
             self.connections.loop.call_later(LINGER_S, self.linger, since, unread)
         else:
--- a/balancer/net/downstream/client_connections.py
+++ b/balancer/net/downstream/client_connections.py
@@ -86,7 +86,7 @@
         """Return whether one more connection fits the budget."""
         return (
             self.descriptor_budget.clients < self.descriptor_budget.max_clients()
-            and not self.descriptor_budget.exhausted()
+            and not self.descriptor_budget.is_exhausted()
         )
 
     def accept(self, connection: socket.socket) -> None:
@@ -182,7 +182,7 @@
         could know that the node drains. A node that shuts down also stops listening, and closes all
         connections without a complete request, each at its time.
         """
-        if not self.lifecycle.draining:
+        if not self.lifecycle.is_draining:
             self.is_draining = False
             return
         now = self.loop.time()
--- a/balancer/net/downstream/requests.py
+++ b/balancer/net/downstream/requests.py
@@ -117,7 +117,7 @@
         elif message.method != b"GET":
             client.respond(405, headers=b"Allow: GET\r\n")
         else:
-            client.respond(200 if self.lifecycle.serving else 503)
+            client.respond(200 if self.lifecycle.is_serving else 503)
 
     def remaining_before_shutdown(self, now: int, remaining: int) -> int:
         """Return the remaining time of a request in microseconds, limited while the node shuts down.
--- a/balancer/net/upstream/connection.py
+++ b/balancer/net/upstream/connection.py
@@ -282,7 +282,7 @@
     def is_buffered(self) -> bool:
         """Return whether the response is buffered rather than streamed."""
         size = max(len(self.body), self.length or 0)
-        return size <= MAX_BUFFERED_BYTES and self.pool.memory_budget.fits(0)
+        return size <= MAX_BUFFERED_BYTES and self.pool.memory_budget.can_reserve(0)
 
     def open_stream(self) -> None:
         """Start to stream a response too long to buffer; fail the exchange if it cannot be streamed.
--- a/balancer/net/upstream/exchange.py
+++ b/balancer/net/upstream/exchange.py
@@ -8,7 +8,7 @@
 import asyncio
 from collections.abc import Callable
 
-from balancer.net.process.system_faults import RETRY_INTERVAL, never_left_machine
+from balancer.net.process.system_faults import RETRY_INTERVAL, is_local_failure
 from balancer.net.upstream.body_streaming import RequestBodyStream, ResponseSource, ResponseStream
 from balancer.net.upstream.connection import Connection, Endpoint, Response
 from balancer.net.upstream.pool import ConnectionPool
@@ -128,7 +128,7 @@
                     lambda: connection, self.endpoint.host, self.endpoint.port
                 )
             except OSError as error:
-                if not never_left_machine(error):
+                if not is_local_failure(error):
                     raise
             else:
                 return
--- a/balancer/net/upstream/pool.py
+++ b/balancer/net/upstream/pool.py
@@ -96,7 +96,7 @@
         """Return whether one more connection fits the budget, after closing an idle one if necessary."""
         if self.descriptor_budget.servers >= self.descriptor_budget.max_servers():
             return self.close_oldest_idle()
-        return not self.descriptor_budget.exhausted() or self.evict_client() or self.close_oldest_idle()
+        return not self.descriptor_budget.is_exhausted() or self.evict_client() or self.close_oldest_idle()
 
     def close_unused(self) -> bool:
         """Close the longest idle connection if it has been idle for `UNUSED_CONNECTION_AGE_S`.
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -107,11 +107,11 @@
         file.write_text(complete[:length])
         for _ in range(signals):
             bench.node.reload({"LB_CONFIG": str(file)})
-        assert bench.node.reloading is not None and not second.connections
+        assert bench.node.reload_timer is not None and not second.connections
         file.write_text(complete)
         bench.node.discovery.watch(True)
         await until(lambda: bool(second.requests))
-        assert bench.node.reloading is None
+        assert bench.node.reload_timer is None
 
     play(scenario)
     lines = [line for line in capsys.readouterr().err.splitlines() if " reload" in line]
@@ -124,7 +124,7 @@
         bench = await Bench(Server()).start()
         address = bench.node.discovery.address
         bench.node.reload({"LB_CONFIG": str(tmp_path / "none.json")})
-        await until(lambda: bench.node.reloading is None)
+        await until(lambda: bench.node.reload_timer is None)
         assert bench.node.discovery.address == address
 
     play(scenario)
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -62,7 +62,7 @@
         listener = small_listener()
         bench = await Bench(lister := Server(), config={"known": None}).start()
         bench.discovery.say(42, True, lister.entry("half", addr=f"127.0.0.1:{listener.getsockname()[1]}"))
-        await until(lambda: bench.node.lifecycle.serving)
+        await until(lambda: bench.node.lifecycle.is_serving)
         outcomes = record_outcomes(bench)
         client = await bench.client()
         data = call("invite", body=b"x" * size)
@@ -136,7 +136,7 @@
         listener.setblocking(False)
         bench = await Bench(lister := Server(), config={"known": None}).start()
         bench.discovery.say(42, True, lister.entry("s", addr=f"127.0.0.1:{listener.getsockname()[1]}"))
-        await until(lambda: bench.node.lifecycle.serving)
+        await until(lambda: bench.node.lifecycle.is_serving)
         request_count = 0
 
         async def serve() -> socket.socket:
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -123,7 +123,7 @@
         client.send(call().partition(b"\r\n")[2])
         assert (await client.receive())[0] == 200
         budget.servers += 2  # Two more connections to servers are simulated.
-        assert budget.exhausted()
+        assert budget.is_exhausted()
         assert bench.node.pool.has_capacity()
         assert await client.ended()  # The client has had its response.
         assert bench.node.pool.has_capacity()
@@ -138,10 +138,10 @@
     budget = DescriptorBudget(total, total + 39)
     for _ in range(budget.max_clients()):
         budget.add_client()
-    assert not budget.exhausted()  # A quarter is reserved for connections to servers.
+    assert not budget.is_exhausted()  # A quarter is reserved for connections to servers.
     releases = []
     budget.on_released = lambda: releases.append(1)
-    while not budget.exhausted() and budget.servers < budget.max_servers():
+    while not budget.is_exhausted() and budget.servers < budget.max_servers():
         budget.add_server()
     assert budget.clients + budget.servers <= total
     budget.remove_client()
--- a/tests/test_discovery_delays.py
+++ b/tests/test_discovery_delays.py
@@ -39,8 +39,8 @@
     table["known"] = table["known"] | {"version": 41} if known else None
     node = Node(read(table | {"discovery": "10.0.0.9:1"}), loop)
     node.event_queue.post(node.balancer.start)
-    if node.config.known is not None:
-        node.server_registry.on_list(node.config.known)
+    if node.config.cached_list is not None:
+        node.server_registry.on_list(node.config.cached_list)
     if mode == "push":
         node.discovery.watch(True)
     return node
@@ -50,7 +50,7 @@
     """Return the loop time at which the node has this version and serves; fail at the limit."""
 
     async def wait_for_version():
-        while node.discovery.version != version or not node.lifecycle.serving:
+        while node.discovery.version != version or not node.lifecycle.is_serving:
             assert loop.time() < limit, "the node did not get the version in time"
             await asyncio.sleep(0.02)
         return loop.time()
@@ -107,7 +107,7 @@
         recovers_at = 1000 + 8 * Random(seed).random()
         loop = VirtualTimeLoop({1: FakeDiscovery(fault, recovers_at)})
         node = start_node(loop, mode, known=False)
-        assert not node.lifecycle.serving
+        assert not node.lifecycle.is_serving
         assert time_of_version(loop, node, 42, recovers_at + 60) - recovers_at <= MAX_DELAY_S
         loop.close()
 
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -27,7 +27,7 @@
         bench = await Bench(server := Server(), config={"known": None}).start()
         assert (await bench.once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 503
         bench.discovery.say(42, True, server.entry("s0"))
-        await until(lambda: bench.node.lifecycle.serving)
+        await until(lambda: bench.node.lifecycle.is_serving)
         assert (await bench.once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
 
     play(scenario)
@@ -72,7 +72,7 @@
     async def scenario():
         bench = await Bench(draining := Server(), remaining := Server(), config={"known": None}).start()
         bench.discovery.say(42, True, draining.entry("s0"))
-        await until(lambda: bench.node.lifecycle.serving)
+        await until(lambda: bench.node.lifecycle.is_serving)
         start = bench.node.balancer.request
 
         def request(*args):
@@ -192,7 +192,7 @@
         bench = await Bench(server := Server(), discovery="push", config={"known": None}).start()
         bench.discovery.raw(b"", b"503 Busy")
         bench.discovery.say(42, True, server.entry("s0"))
-        await until(lambda: bench.node.lifecycle.serving)
+        await until(lambda: bench.node.lifecycle.is_serving)
         assert (await bench.once(call()))[0] == 200
 
     play(scenario)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -92,7 +92,7 @@
     config = load(node_file(tmp_path))
     assert config.fleet is None
     with_fleet = load(node_file(tmp_path, fleet=fleet_section(tmp_path)))
-    assert with_fleet.reserved == config.reserved + 1
+    assert with_fleet.reserved_descriptors == config.reserved_descriptors + 1
     code = (
         "import asyncio, os, sys, balancer.__main__ as m;"
         "from balancer.net.node import Node; c = m.load(os.environ);"
@@ -151,11 +151,11 @@
         second = Bench(config=given, peers=False)
         with pytest.raises(OSError):
             await second.start()
-        second.node.handover.shared = True
+        second.node.handover.is_shared = True
         await second.node.open_fleet()
         assert fleet_of(second).transport is None
         first.node.handover.is_older = True
-        first.node.share(True)
+        first.node.on_shared(True)
         await until(lambda: fleet_of(second).swim is not None)
         assert fleet_of(second).membership.me.incarnation > fleet_of(first).membership.me.incarnation
         fleet_of(second).close()
--- a/tests/test_request_outcomes.py
+++ b/tests/test_request_outcomes.py
@@ -117,7 +117,7 @@
         bench = await Bench(server := Server(), config={"known": None}).start()
         entry = server.entry("half", addr=f"127.0.0.1:{listener.getsockname()[1]}")
         bench.discovery.say(42, True, entry)
-        await until(lambda: bench.node.lifecycle.serving)
+        await until(lambda: bench.node.lifecycle.is_serving)
         outcomes = record_outcomes(bench)
         client = await bench.client()
         client.send(call("invite", body=b"x" * 65536))
--- a/workbench/scale/hollow.py
+++ b/workbench/scale/hollow.py
@@ -183,7 +183,7 @@
         """Begins a life from nothing. `changed` hears of each change of its view."""
         log = QuietLog()
         life = Lifecycle(log)
-        life.move(Stage.SERVING)
+        life.enter(Stage.SERVING)
         self.member_loop = MemberLoop(self.loop, self.network, self.place, held, self.defect == "deaf")
         config = read_fleet(self.group.fleet_table(self.place, self.key), self.place.name)
         seed = self.group.seed * 100_003 + self.place.index
