--- a/balancer/__init__.py
+++ b/balancer/__init__.py
@@ -1,3 +1,3 @@
-"""balancer: the decisions of a load balancer for services that call services."""
+"""A load balancer for services that call other services."""
 
 __version__ = "0.1.0"
--- a/balancer/policy/__init__.py
+++ b/balancer/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The policy: every decision of a node, one concern a module. `interface` is what a host must know of it."""
+"""The load-balancing policy of a node, one concern a module. Hosts depend on `interface` alone."""
 
 from balancer.policy.balancer import Balancer
 
--- a/balancer/policy/attempt_metrics.py
+++ b/balancer/policy/attempt_metrics.py
@@ -1,34 +1,36 @@
-"""What the ends of attempts show: round-trip times, failures, and the measurements taken once a window."""
+"""Metrics from ended attempts: round-trip times, failures, and the measurements taken once a window."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
 from balancer.policy.ejection import OutlierEjection
-from balancer.policy.gradient import WINDOW, GradientController
+from balancer.policy.gradient import SAMPLE_WINDOW_US, GradientController
 from balancer.policy.interface import Outcome
 from balancer.policy.load_shedding import LoadShedder
 from balancer.policy.request import Request
-from balancer.policy.server import PRIOR, SMOOTH, SMOOTH_ALL, Average, Server
+from balancer.policy.server import PRIOR_WEIGHT, SERVER_SAMPLE_WEIGHT, SUBSET_SAMPLE_WEIGHT, Average, Server
 from balancer.policy.slow_start import SlowStart
 from balancer.policy.spillover import ZoneSpillover
 from balancer.policy.subset import Subset
 
-MAX_RTT_RATIO = 8.0  # a round-trip counts as this multiple of the mean at most
-MAX_DEVIATION = 2.0  # the limit takes no samples of a member that is slower than its kind by this factor
+# Longer round-trips enter a server's average as this multiple of the class's mean.
+MAX_RTT_RATIO = 8.0
+# A member that is slower than its kind by this factor adds no samples to the gradient controller.
+MAX_SAMPLED_DEVIATION = 2.0
 
 
 class AttemptMetrics:
-    """Records each attempt's end with the parts of the policy that learn from it.
+    """The recorder of attempts, which passes their outcomes and latencies to the components that use them.
 
     Args:
-        mean_rtt: The mean round-trip time by class in microseconds; kept up to date here.
-        controller: Gets the samples of round-trip times.
-        subset: Knows whether the local zone has members.
-        spillover: Gets latencies by zone.
-        load_shedder: Gets latencies.
-        slow_start: Gets the number of responses from warm servers.
-        ejection: Gets the outcomes.
+        mean_rtt: The mean round-trip time by class in microseconds, which this object updates.
+        controller: Receives round-trip time samples.
+        subset: Provides the available members of the local zone.
+        spillover: Receives latencies by zone.
+        load_shedder: Receives latencies.
+        slow_start: Receives the number of responses from warm servers.
+        ejection: Receives outcomes.
     """
 
     def __init__(
@@ -42,27 +44,29 @@
         ejection: OutlierEjection,
     ) -> None:
         self.mean_rtt = mean_rtt
-        self.rtt = [Average(mean, PRIOR, SMOOTH_ALL) for mean in mean_rtt]
+        self.rtt_averages = [Average(mean, PRIOR_WEIGHT, SUBSET_SAMPLE_WEIGHT) for mean in mean_rtt]
         self.controller = controller
         self.subset = subset
         self.spillover = spillover
         self.load_shedder = load_shedder
         self.slow_start = slow_start
         self.ejection = ejection
-        self.additional_rtt: Mapping[int, int] = {}  # how much longer a round-trip to a zone is
+        # Additional round-trip time to each remote zone, in microseconds.
+        self.additional_rtt: Mapping[int, int] = {}
         self.window_start = 0
 
     def end_attempt(
         self, now: int, server: Server, request: Request | None, outcome: Outcome, latency: int
     ) -> None:
-        """Records an attempt's end: in flight, samples, the server's averages, ejection."""
+        """Update the attempts in flight, the samples, the server's averages and the outlier ejection."""
         server.in_flight -= 1
         controller = self.controller
         if not server.outside_limit:
             controller.record_in_flight(now, -1)
         server.last_outcome_at = now
         if outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
-            # Failure prevented: a client disconnects during a probe, and no other probe ever follows.
+            # If the attempt is a probe, it ends without a result, for example because the client
+            # disconnected. If it stayed marked as in flight, the server would never be probed again.
             server.probe_in_flight = False
             return
         ok = outcome == Outcome.OK
@@ -71,37 +75,37 @@
             if ok or outcome == Outcome.TIMEOUT:
                 self.record_latency(now, server, request_class, latency)
             rate = server.rejection_rates.get(request_class, 0.0)
-            server.rejection_rates[request_class] = rate + SMOOTH * (
+            server.rejection_rates[request_class] = rate + SERVER_SAMPLE_WEIGHT * (
                 float(outcome == Outcome.REJECTED) - rate
             )
         if not server.ejected and outcome != Outcome.REJECTED:
-            controller.loss_rate += SMOOTH_ALL * ((0.0 if ok else 1.0) - controller.loss_rate)
+            controller.loss_rate += SUBSET_SAMPLE_WEIGHT * ((0.0 if ok else 1.0) - controller.loss_rate)
         if ok:
             self.slow_start.warm_served += server.slow_start_until <= now
         self.ejection.record(now, server, outcome)
 
     def record_latency(self, now: int, server: Server, request_class: int, latency: int) -> None:
-        """Records the latency of a response, or the timeout of an attempt that timed out."""
+        """Record the latency of a response, or the duration of an attempt that timed out."""
         controller = self.controller
-        if server.deviation.value < MAX_DEVIATION and not server.ejected:
-            own_latency = latency - self.additional_rtt.get(server.zone, 0)
-            controller.sample(now, request_class, max(1, own_latency))
+        if server.deviation.value < MAX_SAMPLED_DEVIATION and not server.ejected:
+            local_latency = latency - self.additional_rtt.get(server.zone, 0)
+            controller.sample(now, request_class, max(1, local_latency))
         ratio = min(latency / self.mean_rtt[request_class], MAX_RTT_RATIO)
         server.deviation.add(ratio / server.kind.value)
         server.kind.add(ratio)
         latency_ratio = latency / controller.target[request_class]
         self.spillover.record(server.zone, latency_ratio)
         self.load_shedder.record(latency_ratio)
-        self.rtt[request_class].add(latency)
-        self.mean_rtt[request_class] = self.rtt[request_class].value
-        if now - self.window_start >= WINDOW:
+        self.rtt_averages[request_class].add(latency)
+        self.mean_rtt[request_class] = self.rtt_averages[request_class].value
+        if now - self.window_start >= SAMPLE_WINDOW_US:
             self.close_window(now)
 
     def close_window(self, now: int) -> None:
-        """Updates what is measured once a window: warm rate, ranks of classes, spillover between zones."""
+        """Update the rate of warm members, the ranks of the classes and the zone spillover."""
         span = now - self.window_start
         self.window_start = now
         self.slow_start.measure_warm_rate(now, span)
         self.load_shedder.rank_classes()
-        if self.spillover.zoned and self.subset.local:
+        if self.spillover.zone_aware and self.subset.available_local:
             self.spillover.adjust()
--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -1,12 +1,12 @@
-"""The policy: one instance's decisions, from the events of its host to the actions that it asks for.
-
-How a server is picked. All instances of a tier share a shuffle of the servers; this instance's slice of it is
-its small subset, wider the more attempts it has in flight. A request first passes the gradient controller: at
-the limit it is rejected, or queued where the caller is a server. Then two members are picked at random, slow
-ones skipped as often as they are slower, and the one with fewer of this instance's attempts in flight, in
-expected time, gets the request. A request is rejected beyond the limit, beyond its tenant's quota while the
-fleet is overloaded, or when no attempt can be made; it is retried only where class, group, time and budget
-allow. Times are integer microseconds.
+"""The policy of one instance, which turns the events of its host into actions.
+
+All instances of a tier use the same shuffle of the servers. The instance's slice of it is its subset, which
+grows with its attempts in flight. A request first passes the gradient controller: at the limit it is
+rejected, or queued if the client is a server. Then two random choices: two members are picked at random, slow
+ones with a lower probability, and the request goes to the one with the shorter expected time for this
+instance's attempts in flight. A request is rejected beyond the limit, beyond its tenant's quota while the
+fleet is overloaded, or when no attempt can be made. It is retried only if class, group, time and retry budget
+allow it. Times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 from balancer.policy.request import Request
 from balancer.policy.request_lifecycle import RequestLifecycle
 from balancer.policy.selection import Selection
-from balancer.policy.server import SMOOTH, Server
+from balancer.policy.server import SERVER_SAMPLE_WEIGHT, Server
 from balancer.policy.server_list import ServerList
 from balancer.policy.slow_start import SlowStart
 from balancer.policy.spillover import ZoneSpillover
@@ -40,13 +40,13 @@
 
 
 class Balancer:
-    """One instance: implements `interface.Events` for one node, from that node's own traffic alone.
+    """The implementation of `interface.Events` for one node, based on that node's own traffic.
 
     Args:
         settings: The settings of this instance.
-        seed: The seed of its random stream. The same events on the same seed lead to the same actions.
-        actions: What it asks of its host.
-        fleet: What the processes of a fleet decide together; None for an instance that stands alone.
+        seed: The seed of the random number generator. The same events and seed lead to the same actions.
+        actions: The actions of the host.
+        fleet: The coordination with the other processes of a fleet; None for a single process.
     """
 
     def __init__(self, settings: Settings, seed: int, actions: Actions, fleet: Fleet | None = None) -> None:
@@ -55,13 +55,15 @@
         self.actions = actions
         self.rng = rng = Random(seed)
         self.servers: dict[int, Server] = {}
-        self.streaming: set[int] = set()  # requests whose responses have begun: their attempts are recorded
+        # Requests with a streaming response. The end of their attempts has been recorded already.
+        self.streaming: set[int] = set()
         share = OBJECTIVE_SHARE * (settings.tiers - settings.tier) / settings.tiers
         allowance = [int(c.latency_objective * share) for c in settings.classes]
         self.controller = GradientController(allowance, settings.max_open, rng, 0, self.fleet)
-        self.mean_rtt = [c.latency_objective * share / 2 for c in settings.classes]  # until measured
+        # The initial values apply until round-trip times have been measured.
+        self.mean_rtt = [c.latency_objective * share / 2 for c in settings.classes]
         self.spillover = ZoneSpillover(settings)
-        self.subset = Subset(settings, self.servers, self.controller, self.spillover.zoned)
+        self.subset = Subset(settings, self.servers, self.controller, self.spillover.zone_aware)
         self.slow_start = SlowStart(settings, self.subset)
         self.ejection = OutlierEjection(self.subset, self.mean_rtt, actions, self.fleet, rng)
         self.load_shedder = LoadShedder(settings, rng, self.mean_rtt)
@@ -79,10 +81,8 @@
             settings, actions, rng, self.servers, self.subset, self.ejection, self.controller, self.spillover
         )
 
-    # ---- events ---------------------------------------------------------------------------------------
-
     def start(self, now: int) -> None:
-        """Begins: the first minRTT is to be measured, and the server list to be had."""
+        """Begin the first minRTT recalculation, and subscribe to the server list if it must be polled."""
         self.controller.start_recalculation(now)
         self.metrics.window_start = self.slow_start.counted_since = now
         self.load_shedder.start(now)
@@ -90,44 +90,47 @@
             self.actions.watch(True)
 
     def server_list(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
-        """Records a server list; see `interface.Events`."""
+        """Update the servers from a server list or its changes."""
         self.listed_servers.update(now, kind, entries)
 
     def request(
         self, now: int, request: int, request_class: int, tenant: int, remaining: int, repeat: bool
     ) -> None:
-        """Admits a request and sends its first attempt, or queues it, or rejects it."""
+        """Admit a request and start its first attempt, or queue it, or reject it."""
         settings = self.settings
-        # Failure prevented: a request of an unknown class gets the retry rights of some other class.
-        known = request_class < len(settings.classes)
+        # A request of an unknown class is treated as not idempotent, so that it does not get the retries
+        # of the class whose other settings it uses.
+        is_known_class = request_class < len(settings.classes)
         request_class = min(request_class, len(settings.classes) - 1)
         c = settings.classes[request_class]
-        useful = remaining
-        if c.late_worth <= 0 and c.latency_objective - 2 * settings.tick < useful:
-            # A response after the latency objective is worth nothing here, so nothing waits for it.
-            useful = max(settings.tick, c.latency_objective - 2 * settings.tick)
-        opened = Request(request, request_class, c.effect if known else Effect.NOT_IDEMPOTENT, now, useful)
+        time_limit = remaining
+        if c.late_worth <= 0 and c.latency_objective - 2 * settings.tick < time_limit:
+            # A response of this class is worth nothing after the latency objective, so attempts end there.
+            time_limit = max(settings.tick, c.latency_objective - 2 * settings.tick)
+        open_request = Request(
+            request, request_class, c.effect if is_known_class else Effect.NOT_IDEMPOTENT, now, time_limit
+        )
         lifecycle = self.lifecycle
-        lifecycle.requests[request] = opened
+        lifecycle.requests[request] = open_request
         if not repeat:
             self.slow_start.count_request(now)
         controller = self.controller
         lifecycle.retry_budget.refill(controller.limit)
-        if not self.subset.fits():
-            # Failure prevented: a node that suddenly gets much of the traffic overloads a few servers.
-            self.listed_servers.refill()
+        if not self.subset.fits_load():
+            # A node whose traffic suddenly grows would overload the few servers of a small subset.
+            self.listed_servers.reselect_members()
         if settings.tier == 0:
-            # Trunk reservation: a class of lesser worth for its time leaves sqrt(limit) slots for
-            # what is worth more, a tenant beyond its quota twice that.
-            over, clear = self.load_shedder.exceeds_quota(now, tenant)
-            spare = self.load_shedder.rank[request_class] + 2 * over
-            if (clear and self.load_shedder.sheds()) or not controller.admits(now, spare):
-                lifecycle.reject_at_limit(opened)
+            # Trunk reservation: a class of lesser worth for its time leaves sqrt(limit) slots free for
+            # classes of greater worth, and a tenant beyond its quota leaves twice as many.
+            is_excess, is_clear_excess = self.load_shedder.exceeds_quota(now, tenant)
+            reserved = self.load_shedder.rank[request_class] + 2 * is_excess
+            if (is_clear_excess and self.load_shedder.sheds()) or not controller.admits(now, reserved):
+                lifecycle.reject_at_limit(open_request)
                 return
         elif not controller.admits(now, 0):
-            lifecycle.enqueue(now, opened)
+            lifecycle.enqueue(now, open_request)
             return
-        lifecycle.attempt(now, opened)
+        lifecycle.start_attempt(now, open_request)
 
     def outcome(
         self,
@@ -140,66 +143,70 @@
         final: bool,
         report: Sequence[float],
     ) -> None:
-        """Records an attempt's end, and retries or answers its request where that is still open."""
+        """Record an attempt's end, and retry or answer its request if that is still open."""
         lifecycle = self.lifecycle
         target = self.servers.get(server)
-        opened = lifecycle.requests.get(request)
-        if opened is not None and opened.uploading:
-            lifecycle.set_uploading(now, opened, attempt, False)
+        open_request = lifecycle.requests.get(request)
+        if open_request is not None and open_request.uploading:
+            lifecycle.set_uploading(now, open_request, attempt, False)
         if request in self.streaming:
             self.streaming.discard(request)
             if target is not None and outcome not in (Outcome.OK, Outcome.CANCELLED):
-                target.failure_rate += SMOOTH * (1 - target.failure_rate)
+                target.failure_rate += SERVER_SAMPLE_WEIGHT * (1 - target.failure_rate)
         elif target is not None and target.in_flight > 0:
-            self.metrics.end_attempt(now, target, opened, outcome, latency)
-        if opened is not None and opened.server is not None and attempt == opened.attempts - 1:
-            opened.server = None
+            self.metrics.end_attempt(now, target, open_request, outcome, latency)
+        if (
+            open_request is not None
+            and open_request.server is not None
+            and attempt == open_request.attempts - 1
+        ):
+            open_request.server = None
             if final or outcome == Outcome.OK:
                 del lifecycle.requests[request]
-            elif opened.responding:
-                lifecycle.finish(opened, reject=False)
+            elif open_request.responding:
+                lifecycle.finish(open_request, reject=False)
             else:
-                lifecycle.after_failure(now, opened, target, outcome)
+                lifecycle.retry_or_finish(now, open_request, target, outcome)
         if lifecycle.queue:
             lifecycle.serve_queue(now)
 
     def response_started(self, now: int, request: int, attempt: int, server: int, latency: int) -> None:
-        """Records the attempt's end as far as the server is concerned: now the client sets the pace."""
-        opened = self.lifecycle.requests.get(request)
-        if opened is None or opened.server is None or opened.responding:
+        """Record the attempt as ended with success, since the client determines the time that is left."""
+        open_request = self.lifecycle.requests.get(request)
+        if open_request is None or open_request.server is None or open_request.responding:
             return
-        opened.responding = True
-        if opened.uploading:
-            self.lifecycle.set_uploading(now, opened, attempt, False)
-        # Failure prevented: clients that read slowly fill the limit, and the time that they take counts
-        # as the server's.
+        open_request.responding = True
+        if open_request.uploading:
+            self.lifecycle.set_uploading(now, open_request, attempt, False)
+        # Otherwise clients that read slowly would fill the limit, and their reading time would count as
+        # the server's latency.
         self.streaming.add(request)
-        if opened.server.in_flight > 0:
-            self.metrics.end_attempt(now, opened.server, opened, Outcome.OK, latency)
+        if open_request.server.in_flight > 0:
+            self.metrics.end_attempt(now, open_request.server, open_request, Outcome.OK, latency)
 
     def upload(self, now: int, request: int, attempt: int, on: bool) -> None:
-        """The request's body is still on its way to the server, or has arrived there."""
-        opened = self.lifecycle.requests.get(request)
-        if opened is not None:
-            self.lifecycle.set_uploading(now, opened, attempt, on)
+        """Record the start (`on`) or the end of the upload of a request's body."""
+        open_request = self.lifecycle.requests.get(request)
+        if open_request is not None:
+            self.lifecycle.set_uploading(now, open_request, attempt, on)
 
     def client_disconnected(self, now: int, request: int) -> None:
-        """Forgets the request, and cancels its attempt where that is allowed."""
+        """Forget the request, and cancel its attempt if the settings allow it."""
         requests = self.lifecycle.requests
-        opened = requests.get(request)
-        if opened is None:
+        open_request = requests.get(request)
+        if open_request is None:
             return
-        if opened.uploading:
-            self.lifecycle.set_uploading(now, opened, opened.attempts - 1, False)
+        if open_request.uploading:
+            self.lifecycle.set_uploading(now, open_request, open_request.attempts - 1, False)
         del requests[request]
-        if opened.server is not None and self.settings.cancel and not opened.responding:
-            self.actions.cancel(request, opened.attempts - 1)
+        if open_request.server is not None and self.settings.cancel and not open_request.responding:
+            self.actions.cancel(request, open_request.attempts - 1)
 
     def health_checked(self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]) -> None:
-        """Not used: half-open probes are real requests."""
+        """Ignore the result: ejected servers are probed with real requests."""
 
     def trial_result(self, now: int, server: int, healthy: bool) -> None:
-        """Records another node's probe of a server, which counts for one that is ejected here."""
+        """Readmit a server that another node's probe found healthy, or extend its ejection."""
         target = self.servers.get(server)
         if target is not None and target.ejected and not target.probe_in_flight:
             if healthy:
@@ -208,12 +215,12 @@
                 self.ejection.eject(now, target, target.silent)
 
     def zone_shares(self, now: int, shares: Mapping[int, float], additional_rtt: Mapping[int, int]) -> None:
-        """Sets each zone's share of the requests; members are taken from each of these zones."""
+        """Set each zone's share of the requests, and select members in every zone."""
         self.subset.shares, self.metrics.additional_rtt = shares, additional_rtt
-        self.listed_servers.refill()
+        self.listed_servers.reselect_members()
 
     def timer(self, now: int, token: int) -> None:
-        """Polls the server list again, or ends a request's time in the queue."""
+        """Poll the server list again, or reject a request that has been queued for too long."""
         kind, value = parse_token(token)
         if kind == TimerKind.POLL_LIST:
             self.actions.watch(True)
@@ -221,10 +228,10 @@
             self.lifecycle.queue_timeout(value)
 
     def peer_message(self, now: int, peer: int, data: bytes) -> None:
-        """Not used: a node decides from its own traffic."""
+        """Ignore the message: a node decides on the basis of its own traffic."""
 
     def stats(self) -> dict[str, float]:
-        """Statistics, named as in Envoy's adaptive concurrency filter where it has them."""
+        """Return statistics, named as in Envoy's adaptive concurrency filter where that has them."""
         controller = self.controller
         return {
             "concurrency_limit": controller.allowed(),
@@ -232,12 +239,12 @@
             "burst_queue_size": controller.headroom(),
             "min_rtt_msecs": max(controller.min_rtt) / 1000,
             "sample_rtt_ratio": controller.sample_rtt,
-            "rq_blocked": self.lifecycle.blocked,
+            "rq_blocked": self.lifecycle.rejected_at_limit,
             "min_rtt_calculation_active": float(controller.recalculating),
             "in_flight": controller.in_flight,
             "members": len(self.subset.members),
             "ejected": len(self.ejection.ejected),
-            "spill": self.spillover.spill,
-            "shed": self.load_shedder.shed,
+            "spill": self.spillover.spill_ratio,
+            "shed": self.load_shedder.shed_ratio,
             "lost": controller.loss_rate,
         }
--- a/balancer/policy/ejection.py
+++ b/balancer/policy/ejection.py
@@ -1,44 +1,49 @@
-"""Outlier ejection: members that fail or fall silent get no requests but single probes."""
+"""Outlier ejection: a member that fails or does not respond gets only single probe requests."""
 
 from __future__ import annotations
 
 from random import Random
 
 from balancer.policy.interface import Actions, Fleet, Outcome
-from balancer.policy.server import SMOOTH, SMOOTH_ALL, Server
+from balancer.policy.server import SERVER_SAMPLE_WEIGHT, SUBSET_SAMPLE_WEIGHT, Server
 from balancer.policy.slow_start import SlowStart
 from balancer.policy.subset import Subset
 
-SILENT_FACTOR = 4  # a member is silent after this many mean round-trips without any outcome
-MAX_EJECTED_SHARE = 0.34  # of the members, at most
-MIN_FAILURES = 3  # minimum number of failures in a row, or of recent requests, before ejection
-MIN_EXCESS_FAILURE_RATE = 0.3  # failure rate above the subset's own that ejects
-BASE_EJECTION_TIME = 2_000_000  # first ejection; doubles up to 16 times
-EJECTION_JITTER = 0.1  # of that time, at most, is added at random
+# The number of mean round-trips without any outcome after which a member counts as silent.
+SILENCE_TIMEOUT_FACTOR = 4
+MAX_EJECTED_RATIO = 0.34
+# The minimum number of consecutive failures, or of recorded outcomes, before a member is ejected.
+MIN_FAILURES = 3
+# A member is ejected when its failure rate exceeds that of the subset by this much.
+MIN_EXCESS_FAILURE_RATE = 0.3
+# The duration of a first ejection. It doubles with each further ejection, up to 16 times the base.
+BASE_EJECTION_TIME_US = 2_000_000
+# The maximum random extension of an ejection, relative to its duration.
+EJECTION_JITTER_RATIO = 0.1
 
 
 class OutlierEjection:
-    """The ejected members, and the failure rate that a member is measured against."""
+    """Outlier detection by the subset's failure rate, with ejection and readmission of members."""
 
     def __init__(
         self, subset: Subset, mean_rtt: list[float], actions: Actions, fleet: Fleet, rng: Random
     ) -> None:
         self.subset = subset
-        self.mean_rtt = mean_rtt  # by class; kept up to date by the balancer
+        self.mean_rtt = mean_rtt  # Mean round-trip times by class, which AttemptMetrics updates.
         self.actions = actions
         self.fleet = fleet
         self.rng = rng
         self.ejected: list[Server] = []
         self.next_probe_at = 0
-        self.failure_rate = 0.0  # of the entire subset, smoothed
+        self.failure_rate = 0.0  # The smoothed failure rate of the entire subset.
 
     def record(self, now: int, server: Server, outcome: Outcome) -> None:
-        """Records an attempt's outcome, which may eject its server or end its ejection."""
+        """Record an attempt's outcome, and eject or readmit its server accordingly."""
         ok = outcome == Outcome.OK
-        server.calls += 1
+        server.outcome_count += 1
         failed = 0.0 if ok or outcome in (Outcome.TIMEOUT, Outcome.REJECTED) else 1.0
-        server.failure_rate += SMOOTH * (failed - server.failure_rate)
-        self.failure_rate += SMOOTH_ALL * (failed - self.failure_rate)
+        server.failure_rate += SERVER_SAMPLE_WEIGHT * (failed - server.failure_rate)
+        self.failure_rate += SUBSET_SAMPLE_WEIGHT * (failed - self.failure_rate)
         if ok:
             server.consecutive_failures = 0
             if server.ejected and (server.probe_in_flight or server.silent):
@@ -51,22 +56,22 @@
             elif (
                 server.consecutive_failures >= MIN_FAILURES and server.failure_rate > self.failure_rate * 2
             ) or (
-                server.calls >= MIN_FAILURES
+                server.outcome_count >= MIN_FAILURES
                 and server.failure_rate > MIN_EXCESS_FAILURE_RATE + self.failure_rate
             ):
-                # Failure prevented: a member that fails quickly has little in flight and is picked often.
+                # A member that fails quickly has few attempts in flight and would be picked often.
                 self.eject(now, server, silent=False)
         elif server.probe_in_flight:
             self.eject(now, server, silent=server.silent)
         server.probe_in_flight = False
 
     def eject(self, now: int, server: Server, silent: bool) -> None:
-        """Ejects a member, or extends its ejection, unless too many members are ejected already."""
-        # Failure prevented: a drained server's last requests fail, it is ejected and later gets a probe.
+        """Eject a member, or extend its ejection, unless too many members are ejected already."""
+        # A drained server whose last requests fail must not be ejected, since it would then get a probe.
         if not server.member:
             return
         if not server.ejected:
-            if len(self.ejected) + 1 > MAX_EJECTED_SHARE * len(self.subset.members):
+            if len(self.ejected) + 1 > MAX_EJECTED_RATIO * len(self.subset.members):
                 return
             server.ejected = True
             self.ejected.append(server)
@@ -75,7 +80,8 @@
             )
         server.silent = silent
         server.probe_at = now + int(
-            (BASE_EJECTION_TIME << min(server.ejections, 4)) * (1 + EJECTION_JITTER * self.rng.random())
+            (BASE_EJECTION_TIME_US << min(server.ejections, 4))
+            * (1 + EJECTION_JITTER_RATIO * self.rng.random())
         )
         server.ejections += 1
         self.next_probe_at = min(e.probe_at for e in self.ejected)
@@ -83,7 +89,7 @@
         self.subset.update_available()
 
     def readmit(self, server: Server, healthy: bool = False) -> None:
-        """Ends an ejection. `healthy`: because a probe of this instance has shown the server healthy."""
+        """End an ejection. `healthy` says that a request of this instance succeeded on the server."""
         server.ejected = False
         server.silent = False
         server.failure_rate = self.failure_rate
@@ -96,18 +102,22 @@
         self.fleet.server_readmitted(server.id, healthy)
         self.subset.update_available()
 
-    def is_silent(self, now: int, server: Server) -> bool:
-        """Ejects a member that has attempts in flight and ended none for several mean round-trips.
+    def eject_if_silent(self, now: int, server: Server) -> bool:
+        """Eject a member that has ended none of its attempts in flight for several mean round-trips.
 
-        One request alone may be a long one: it counts only after twice that time.
+        A single attempt may be a long one, so its time limit is twice as long. Return whether the member
+        is ejected.
         """
-        patience = SILENT_FACTOR * max(self.mean_rtt) * (2 if server.in_flight == 1 else 1)
-        if server.in_flight and now - server.last_outcome_at > patience:
+        timeout = SILENCE_TIMEOUT_FACTOR * max(self.mean_rtt) * (2 if server.in_flight == 1 else 1)
+        if server.in_flight and now - server.last_outcome_at > timeout:
             self.eject(now, server, silent=True)
         return server.ejected
 
     def take_probe_target(self, now: int, slow_start: SlowStart) -> Server | None:
-        """Returns an ejected server whose probe is due, for one request. Some are ejected."""
+        """Return an ejected server whose probe is due and mark the probe as in flight, or return None.
+
+        At least one server must be ejected.
+        """
         if now < self.next_probe_at:
             return None
         for server in self.ejected:
@@ -115,6 +125,6 @@
                 continue
             if slow_start.may_send(now, server):
                 server.probe_in_flight = True
-                server.probe_at = now + BASE_EJECTION_TIME
+                server.probe_at = now + BASE_EJECTION_TIME_US
                 return server
         return None
--- a/balancer/policy/gradient.py
+++ b/balancer/policy/gradient.py
@@ -8,60 +8,79 @@
 
 from balancer.policy.interface import Fleet, Standalone
 
-# The source's figures, kept as they are.
-WINDOW = 100_000  # minimum length of a sampling window
-PERCENTILE = 0.9  # of a window's samples, and of a recalculation's
-MIN_LIMIT = 3  # of the limit, in a recalculation too; for all nodes together, requests a member
-MIN_RTT_INTERVAL = 60_000_000
-MIN_RTT_JITTER = 0.1
-WINDOWS_AT_MIN = 5  # so many windows at the floor start a minRTT recalculation
-MIN_RTT_CALLS = 50  # so many requests make a recalculation
-GRADIENT_LOW, GRADIENT_HIGH = 0.5, 2.0  # one window moves the limit by this much at most
-
-# What the design leaves open.
-CALLS_PER_MEMBER = 6  # in a recalculation: an idle server holds some that wait for the tiers behind it
-WINDOW_SAMPLES = 80  # a window stays open until it holds so many samples...
-MAX_WINDOW_MULTIPLE = 10  # ...or has lasted so many times its minimum length
-FULL_WINDOW = 8  # fewer samples move the limit by their part of this only
-MAX_SMOOTHING_TIME = 1_000_000  # the longest time over which attempts in flight are averaged
-BUFFER = 0.25  # minimum buffer_pct
-OBJECTIVE_SHARE = 0.5  # the buffer reaches up to this share of a class's latency objective
-MAX_TARGET_SHARE = 0.75  # min_rtt + B stays within this share of it
-MAX_LOST_SHARE = 0.05  # when more of the entire subset's requests fail, failures count as overload
-USUAL_TIME = 3_000_000  # over so long the usual number of attempts in flight is smoothed
-STARTUP_RTTS = 2  # ...and, after a start, over so many mean round-trips
-USUAL_FADE = 12_000_000  # over so long it is given up while requests are lost
-MAX_LIMIT_OVER_USUAL = 2.0  # the limit stays within so many times that number
+# Parameters whose values are taken from Envoy's gradient controller.
+SAMPLE_WINDOW_US = 100_000  # The minimum length of a sampling window.
+RTT_QUANTILE = 0.9  # The quantile of the samples of a window or of a recalculation.
+# The minimum limit, also during a recalculation. The sum over all nodes is this number for each member.
+MIN_LIMIT = 3
+MIN_RTT_INTERVAL_US = 60_000_000
+MIN_RTT_JITTER_RATIO = 0.1
+# This number of consecutive windows at the minimum limit starts a minRTT recalculation.
+MAX_WINDOWS_AT_FLOOR = 5
+MIN_RECALCULATION_REQUESTS = 50
+MIN_GRADIENT, MAX_GRADIENT = 0.5, 2.0
+
+# Parameters that Envoy's design does not have.
+# The limit for each idle member, also during a recalculation. An idle server can have several requests in
+# flight that wait for the tiers behind it.
+REQUESTS_PER_IDLE_MEMBER = 6
+# A window closes when it has this number of samples, or at this multiple of its minimum length.
+MIN_WINDOW_SAMPLES = 80
+MAX_WINDOW_FACTOR = 10
+# A window with fewer samples than this changes the limit in proportion to their number.
+FULL_WEIGHT_SAMPLES = 8
+MAX_SMOOTHING_TIME_US = 1_000_000  # The longest time over which attempts in flight are averaged.
+MIN_BUFFER_RATIO = 0.25  # The minimum of Envoy's buffer_pct.
+OBJECTIVE_SHARE = 0.5  # The buffer extends to this share of a class's latency objective.
+MAX_TARGET_SHARE = 0.75  # The maximum of min_rtt + buffer as a share of the latency objective.
+# A higher failure rate of the entire subset counts as overload.
+MAX_LOSS_RATE = 0.05
+# The time constant of the sustained attempts in flight; after a start, this number of mean round-trips if
+# that is shorter.
+SUSTAINED_SMOOTHING_TIME_US = 3_000_000
+STARTUP_SMOOTHING_RTTS = 2
+# The time constant with which the sustained attempts in flight decay while requests are lost.
+SUSTAINED_DECAY_TIME_US = 12_000_000
+# The maximum limit as a multiple of the sustained attempts in flight.
+MAX_LIMIT_FACTOR = 2.0
 
 
 def percentile(samples: list[float], share: float) -> float:
-    """The nearest-rank percentile of a non-empty list, which is sorted in place."""
+    """Return the nearest-rank percentile of a non-empty list, which is sorted in place."""
     samples.sort()
     return samples[ceil(len(samples) * share) - 1]
 
 
 class SampleWindow:
-    """The samples of the sampling window that is open."""
+    """The samples of the current sampling window."""
 
     def __init__(self, now: int) -> None:
-        self.rtts: list[float] = []  # relative to min_rtt + B
+        self.rtts: list[float] = []  # Round-trip times relative to the target of their class.
         self.restart(now)
 
     def restart(self, now: int) -> None:
-        """Opens a new window."""
+        """Open a new window."""
         self.rtts.clear()
         self.start = now
-        self.flight_sum = self.latency_sum = 0
+        self.in_flight_sum = self.latency_sum = 0
 
 
 class GradientController:
     """The adaptive limit on this instance's attempts in flight, over its entire subset.
 
-    A sample counts relative to what its class can bear, min_rtt + B. With one class this is the source's
-    gradient (min_rtt + B) / sample_rtt; with several, a shift of their mix no longer looks like overload. B =
-    min_rtt x buffer_pct, where buffer_pct is BUFFER or more: as much as lets min_rtt + B reach `allowance`,
-    the part of the class's latency objective that a round-trip may use up, since a response within the
-    latency objective has its full worth.
+    The controller follows Envoy's adaptive concurrency filter. A sample is taken relative to the target of
+    its class, min_rtt + buffer. With one class this is Envoy's gradient (min_rtt + buffer) / sample_rtt; with
+    several classes, a change of their proportions does not look like overload. The buffer is at least
+    min_rtt x MIN_BUFFER_RATIO, and large enough for the target to reach the `allowance`: the part of the
+    class's latency objective that a round-trip may use, since a response within the latency objective
+    has its full worth.
+
+    Args:
+        allowance: The allowance by class in microseconds.
+        ceiling: The upper bound of the limit.
+        rng: The source of the jitter between recalculations.
+        now: The time in microseconds.
+        fleet: The coordination with other processes; None for a single process.
     """
 
     def __init__(
@@ -79,13 +98,14 @@
         self.ceiling = ceiling
         self.limit = float(MIN_LIMIT)
         self.in_flight = 0
-        self.smoothed_in_flight = 0.0  # what the limit is set against
+        self.smoothed_in_flight = 0.0  # The number of attempts that is compared with the limit.
         self.smoothed_at = now
-        self.starting_up = True  # since the start the limit bound, and no window was above target
-        self.loss_rate = 0.0  # share of requests that ended without a response, smoothed
-        self.usual_in_flight = 0.0  # attempts in flight while latency was good, smoothed
+        # True until the first window that is above target or uses less than half the limit.
+        self.starting_up = True
+        self.loss_rate = 0.0  # The smoothed share of requests that ended without a response.
+        self.sustained_in_flight = 0.0  # The smoothed attempts in flight while latency was good.
         self.window = SampleWindow(now)
-        self.sample_rtt = 0.0  # relative to min_rtt + B
+        self.sample_rtt = 0.0  # The last window's round-trip time relative to the target.
         self.gradient = 1.0
         self.windows_at_floor = 0
         self.rng = rng
@@ -93,160 +113,177 @@
         self.start_recalculation(now)
 
     def resize(self, members: int, instances: float) -> None:
-        """Updates the bounds for the subset's size and of the number of instances that share each member."""
+        """Update the bounds of the limit for the subset's size and the number of instances per member."""
         self.members = members
         self.instances = instances
         self.update_bounds()
         self.limit = max(self.limit, 2 * self.min_rtt_limit if self.recalculations == 0 else self.floor)
 
     def update_bounds(self) -> None:
-        """How many instances share what this one may do: fewer, the more requests it has in flight itself.
+        """Compute the minimum limit, and the number of instances that share the headroom.
 
-        The floor is that of all instances together. An instance with many requests in flight feels the
-        overload it makes, as the source has it. Where each has hardly one, the headroom is that of all
-        instances together too, and so, by the root of their number, is a recalculation's: an idle member adds
-        a request without queueing.
+        The minimum limit is divided among all instances. An instance with many requests in flight observes
+        the overload that it causes, as Envoy assumes, and keeps the full headroom. If each instance has
+        hardly one request in flight, the headroom is divided among them too, and the limit during a
+        recalculation by the square root of their number, since an idle member takes one more request
+        without queueing.
         """
-        self.instances_per_server = max(1.0, self.instances / (1 + self.usual_in_flight))
+        self.instances_per_server = max(1.0, self.instances / (1 + self.sustained_in_flight))
         self.floor = MIN_LIMIT * self.members / max(1.0, self.instances)
         self.min_rtt_limit = max(
-            float(MIN_LIMIT), CALLS_PER_MEMBER * self.members / sqrt(self.instances_per_server)
+            float(MIN_LIMIT), REQUESTS_PER_IDLE_MEMBER * self.members / sqrt(self.instances_per_server)
         )
 
     def headroom(self) -> float:
-        """The square root of the limit, for all instances that share the servers: each adds its part."""
+        """Return this instance's part of the headroom, the square root of the limit of all instances."""
         return sqrt(self.limit / self.instances_per_server)
 
     def record_in_flight(self, now: int, change: int = 0) -> None:
-        """Brings the level up to date and records requests that start (or end).
-
-        The level is what the limit is set against. For an instance that has its servers to itself it is its
-        attempts in flight. Where many instances share them, it is their mean over a time, up to
-        MAX_SMOOTHING_TIME.
-        Failure prevented: an instance with less than one attempt in flight on average has two at times by
-        chance alone; all instances together have not, and rejecting the second request gives no server any
-        rest.
+        """Update the smoothed attempts in flight, and record attempts that start or end (`change`).
+
+        The smoothed number is compared with the limit. For an instance that shares its servers with no other
+        it is the number of attempts in flight. Where many instances share them, it is the mean over up to
+        MAX_SMOOTHING_TIME_US: an instance with less than one attempt in flight on average sometimes has two
+        by chance, while all instances together do not, and rejecting the second request relieves no server.
         """
         span = (
-            MAX_SMOOTHING_TIME * (1 - 1 / self.instances_per_server) * min(1.0, (MIN_LIMIT / self.limit) ** 2)
+            MAX_SMOOTHING_TIME_US
+            * (1 - 1 / self.instances_per_server)
+            * min(1.0, (MIN_LIMIT / self.limit) ** 2)
         )
-        part = (now - self.smoothed_at) / span if span > 0 else 1.0
-        self.smoothed_in_flight += min(1.0, part) * (self.in_flight - self.smoothed_in_flight)
+        weight = (now - self.smoothed_at) / span if span > 0 else 1.0
+        self.smoothed_in_flight += min(1.0, weight) * (self.in_flight - self.smoothed_in_flight)
         self.smoothed_at = now
         self.in_flight += change
         if span == 0:
             self.smoothed_in_flight = float(self.in_flight)
 
-    def admits(self, now: int, spare: float) -> bool:
-        """Whether a request may start, `spare` headrooms below the limit."""
+    def admits(self, now: int, reserved: float) -> bool:
+        """Return whether a request may start if `reserved` times the headroom stays free below the limit."""
         self.record_in_flight(now)
-        return self.smoothed_in_flight + spare * self.headroom() < self.allowed()
+        return self.smoothed_in_flight + reserved * self.headroom() < self.allowed()
 
     def allowed(self) -> float:
-        """The limit in force: the gradient's, or the recalculation's while one is on."""
+        """Return the limit in force, which is lower during a minRTT recalculation."""
         return min(self.limit, self.min_rtt_limit) if self.recalculating else self.limit
 
     def start_recalculation(self, now: int) -> None:
-        """Begins to measure minRTT anew, with the limit held low."""
+        """Begin a minRTT recalculation, which holds the limit low."""
         self.recalculating = True
         self.min_rtt_samples: list[list[float]] = [[] for _ in self.allowance]
-        self.min_rtt_calls = MIN_RTT_CALLS
-        self.min_rtt_until = now + WINDOW * MAX_WINDOW_MULTIPLE
+        self.requests_to_measure = MIN_RECALCULATION_REQUESTS
+        self.earliest_recalculation_end = now + SAMPLE_WINDOW_US * MAX_WINDOW_FACTOR
         self.windows_at_floor = 0
 
     def end_recalculation(self, now: int) -> None:
-        """Takes the minRTT measured for each class that has enough samples, and sets its target."""
+        """Set the minRTT and the target of each class that has enough samples."""
         for request_class, samples in enumerate(self.min_rtt_samples):
             if len(samples) >= MIN_LIMIT:
-                self.min_rtt[request_class] = percentile(samples, PERCENTILE)
-                # Failure prevented: a min_rtt measured under load lets queues outgrow the objective.
+                self.min_rtt[request_class] = percentile(samples, RTT_QUANTILE)
+                # A min_rtt measured under load would let queues grow beyond the latency objective.
                 max_target = MAX_TARGET_SHARE / OBJECTIVE_SHARE * self.allowance[request_class]
-                target = max(self.min_rtt[request_class] * (1 + BUFFER), self.allowance[request_class])
+                target = max(
+                    self.min_rtt[request_class] * (1 + MIN_BUFFER_RATIO), self.allowance[request_class]
+                )
                 self.target[request_class] = min(target, max_target)
         self.recalculating = False
         self.fleet.min_rtt_recalculated()
         self.recalculations += 1
-        self.next_recalculation = now + int(MIN_RTT_INTERVAL * (1 + MIN_RTT_JITTER * self.rng.random()))
+        self.next_recalculation_at = now + int(
+            MIN_RTT_INTERVAL_US * (1 + MIN_RTT_JITTER_RATIO * self.rng.random())
+        )
         self.window.restart(now)
 
     def sample(self, now: int, request_class: int, latency: int) -> None:
-        """A served request's latency, or the timeout of one that timed out."""
+        """Record the latency of a response, or the duration of an attempt that timed out."""
         if self.recalculating:
             self.min_rtt_samples[request_class].append(latency)
-            self.min_rtt_calls -= 1
-            # Failure prevented: a recalculation that ends at its last response has seen the short ones only.
-            if now >= self.min_rtt_until + (
-                0 if self.min_rtt_calls <= 0 else 2 * WINDOW * MAX_WINDOW_MULTIPLE
+            self.requests_to_measure -= 1
+            # A recalculation that ended at its last response would have measured the short requests only.
+            if now >= self.earliest_recalculation_end + (
+                0 if self.requests_to_measure <= 0 else 2 * SAMPLE_WINDOW_US * MAX_WINDOW_FACTOR
             ):
                 self.end_recalculation(now)
             return
         window = self.window
         window.rtts.append(latency / self.target[request_class])
-        window.flight_sum += self.in_flight
+        window.in_flight_sum += self.in_flight
         window.latency_sum += latency
         self.close_window(now)
 
     def close_window(self, now: int) -> None:
-        """Closes the window when it has lasted and holds enough; an empty window changes nothing."""
+        """Set the limit from the window and restart it, if it is long enough and has enough samples.
+
+        A window without samples stays open and changes nothing.
+        """
         window = self.window
         age = now - window.start
         count = len(window.rtts)
-        if age < WINDOW or count == 0 or (count < WINDOW_SAMPLES and age < WINDOW * MAX_WINDOW_MULTIPLE):
+        if (
+            age < SAMPLE_WINDOW_US
+            or count == 0
+            or (count < MIN_WINDOW_SAMPLES and age < SAMPLE_WINDOW_US * MAX_WINDOW_FACTOR)
+        ):
             return
-        self.sample_rtt = percentile(window.rtts, PERCENTILE)
-        self.gradient = min(GRADIENT_HIGH, max(GRADIENT_LOW, 1.0 / max(self.sample_rtt, 1e-9)))
+        self.sample_rtt = percentile(window.rtts, RTT_QUANTILE)
+        self.gradient = min(MAX_GRADIENT, max(MIN_GRADIENT, 1.0 / max(self.sample_rtt, 1e-9)))
         limit = self.gradient * self.limit + self.headroom()
-        # Failure prevented: in thin traffic a window's percentile is one request's, and halves the limit.
-        limit = self.limit + min(1.0, count / FULL_WINDOW) * (limit - self.limit)
-        self.follow_usual(age, count)
+        # With little traffic the percentile of a window is that of a single request, which could halve the
+        # limit.
+        limit = self.limit + min(1.0, count / FULL_WEIGHT_SAMPLES) * (limit - self.limit)
+        self.update_sustained_in_flight(age, count)
         window.restart(now)
         self.update_bounds()
         self.limit = max(min(limit, self.max_limit(), self.ceiling), self.min_limit(age))
-        # Failure prevented: any overload lowers the limit to the usual; recalculations follow one another.
+        # Only windows at the floor count. Any overload lowers the limit to the sustained attempts in flight,
+        # and if those windows counted, one recalculation would follow another.
         self.windows_at_floor = self.windows_at_floor + 1 if self.limit <= self.floor else 0
-        due = self.windows_at_floor >= WINDOWS_AT_MIN or now >= self.next_recalculation
+        due = self.windows_at_floor >= MAX_WINDOWS_AT_FLOOR or now >= self.next_recalculation_at
         if due and self.fleet.may_recalculate_min_rtt():
             self.start_recalculation(now)
 
-    def follow_usual(self, age: int, count: int) -> None:
-        """Smooths the requests in flight while latency is good.
+    def update_sustained_in_flight(self, age: int, count: int) -> None:
+        """Update the sustained attempts in flight, their smoothed number while latency is good.
 
-        Failure prevented: an instance that starts into full traffic rejects half of it for five seconds,
-        since "usual" starts at nothing. It follows within STARTUP_RTTS, up to the first window that is above
-        target or in which the limit does not bind.
+        They start at zero, so an instance that starts under full traffic would reject half of it for five
+        seconds. Therefore they follow within STARTUP_SMOOTHING_RTTS round-trips until the first window that
+        is above target or in which less than half the limit is used.
         """
-        mean_in_flight = self.window.flight_sum / count
-        span = USUAL_TIME
+        mean_in_flight = self.window.in_flight_sum / count
+        span = SUSTAINED_SMOOTHING_TIME_US
         if self.sample_rtt > 1:
             self.starting_up = False
         elif self.starting_up:
-            span = min(span, int(STARTUP_RTTS * self.window.latency_sum / count))
+            span = min(span, int(STARTUP_SMOOTHING_RTTS * self.window.latency_sum / count))
             self.starting_up = mean_in_flight >= 0.5 * self.limit
         if self.sample_rtt <= 1 and (
-            mean_in_flight > self.usual_in_flight or mean_in_flight < 0.8 * self.limit
+            mean_in_flight > self.sustained_in_flight or mean_in_flight < 0.8 * self.limit
         ):
-            self.usual_in_flight += min(1.0, age / max(span, 1)) * (mean_in_flight - self.usual_in_flight)
+            self.sustained_in_flight += min(1.0, age / max(span, 1)) * (
+                mean_in_flight - self.sustained_in_flight
+            )
 
     def max_limit(self) -> float:
-        """How far the limit may grow.
+        """Return the maximum limit.
 
-        Failure prevented: a limit that requests never reach is not measured by their latency; it grows
-        without end in quiet times, and a burst then meets no limit. It stays near twice the usual requests.
-        Failure prevented: what one instance alone could do with idle members, each of many does, and together
-        they overload every server. They burst by chance, so the sum grows with the root of their number.
+        Latency does not confirm a limit that requests never reach. Without a maximum it would grow without
+        bound in quiet times, and a burst would then meet no limit; so it stays near twice the sustained
+        attempts in flight. The limit for idle members is divided by the square root of the number of
+        instances: the full limit at each of many instances would overload every server, but their bursts
+        coincide by chance only.
         """
-        part = CALLS_PER_MEMBER * self.members / sqrt(max(1.0, self.instances))
-        return max(part, MAX_LIMIT_OVER_USUAL * self.usual_in_flight + MIN_LIMIT)
+        idle_limit = REQUESTS_PER_IDLE_MEMBER * self.members / sqrt(max(1.0, self.instances))
+        return max(idle_limit, MAX_LIMIT_FACTOR * self.sustained_in_flight + MIN_LIMIT)
 
     def min_limit(self, age: int) -> float:
-        """How far the limit may fall: to what was in flight while latency was good.
+        """Return the minimum limit: the attempts in flight that were sustained while latency was good.
 
-        Failure prevented: when everything is slow at once no lower limit makes it faster, and the gradient
-        would close the fleet.
+        When all servers are slow at once, a lower limit makes them no faster, and the gradient would reduce
+        the limit until the fleet rejects nearly everything.
         """
-        success_factor = (1 - self.loss_rate) ** 2 if self.loss_rate > MAX_LOST_SHARE else 1.0
-        if self.sample_rtt > 1 and self.loss_rate > MAX_LOST_SHARE:
-            # Failure prevented: servers that slow down under overload stay overloaded, and slow, at what
-            # they had before. Where requests are not only late but lost, less in flight gives them rest.
-            self.usual_in_flight -= min(1.0, age / USUAL_FADE) * self.usual_in_flight
-        return max(self.floor, self.usual_in_flight * success_factor)
+        success_factor = (1 - self.loss_rate) ** 2 if self.loss_rate > MAX_LOSS_RATE else 1.0
+        if self.sample_rtt > 1 and self.loss_rate > MAX_LOSS_RATE:
+            # Servers that slow down under overload would stay overloaded at their previous load. If requests
+            # are not only late but lost, fewer attempts in flight let the servers recover.
+            self.sustained_in_flight -= min(1.0, age / SUSTAINED_DECAY_TIME_US) * self.sustained_in_flight
+        return max(self.floor, self.sustained_in_flight * success_factor)
--- a/balancer/policy/interface.py
+++ b/balancer/policy/interface.py
@@ -1,7 +1,7 @@
 """The policy's interface: settings, servers, outcomes, actions and events.
 
 Times are integer microseconds of one monotonic clock that the host passes in as `now`.
-Everything a host must know to embed `balancer.policy.Balancer` is in this file.
+This file is the complete contract between `balancer.policy.Balancer` and the host that embeds it.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 
 class Effect(IntEnum):
-    """What a repeat of a request does."""
+    """The effect of running a request more than once."""
 
-    IDEMPOTENT = 0  # may run any number of times
-    IDEMPOTENCY_KEY = 1  # a group of servers discards repeats for a while
-    NOT_IDEMPOTENT = 2  # must never run twice (also: any effect the host does not recognise)
+    IDEMPOTENT = 0  # The request may run any number of times.
+    IDEMPOTENCY_KEY = 1  # A group of servers discards repeats of the request for a limited time.
+    NOT_IDEMPOTENT = 2  # The request must never run twice. Also stands for effects unknown to the host.
 
 
 class Group(IntEnum):
-    """Which servers discard the repeats of a request with an idempotency key."""
+    """The servers that discard repeats of a request with an idempotency key."""
 
     ALL = 0
     ZONE = 1
@@ -29,9 +29,9 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt ended. The first three prove that the server never ran it."""
+    """The way an attempt ended. The first three prove that the server never ran the request."""
 
-    REJECTED = 0  # rejected before it was processed: queue full or draining
+    REJECTED = 0  # The server rejected the attempt before processing: its queue was full or it was draining.
     CONNECT_FAILED = 1
     NOT_SENT = 2
     OK = 3
@@ -39,14 +39,14 @@
     TIMEOUT = 5
     RESET = 6
     CANCELLED = 7
-    UNKNOWN = 8  # any outcome the host does not recognise: it may have run
+    UNKNOWN = 8  # The host does not recognise the outcome; the request may have run.
 
 
 NEVER_RAN = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 
 
 class State(IntEnum):
-    """A server's state in the list."""
+    """The state of a server in the server list."""
 
     GONE = 0
     READY = 1
@@ -54,31 +54,31 @@
 
 
 class ListKind(IntEnum):
-    """What a server-list event contains."""
+    """The content of a server-list event."""
 
     CHANGES = 0
     FULL = 1
-    CACHED = 2  # a full list from before this instance started, possibly stale
-    FAILED = 3  # a watch or fetch failed; keep the list in hand
+    CACHED = 2  # A full list from before this instance started, which may be stale.
+    FAILED = 3  # A watch or fetch failed; the previous list remains valid.
 
 
 @dataclass(frozen=True)
 class ClassSettings:
-    """One class of requests."""
+    """The settings of one class of requests."""
 
     effect: Effect
-    latency_objective: int  # a response within this time earns the full worth
-    deadline: int  # the client's timeout, over all its attempts
-    worth: float  # the priority weight: what a response in time is worth
-    late_worth: float = 0.0  # share of the worth for a response after the latency objective
+    latency_objective: int  # A response within this time earns the full worth.
+    deadline: int  # The client's timeout over all attempts.
+    worth: float  # The priority weight: the value of a response within the latency objective.
+    late_worth: float = 0.0  # The share of the worth that a response after the latency objective earns.
     group: Group = Group.ALL
-    window: int = 0  # how long a group remembers an idempotency key
+    window: int = 0  # The time for which a group remembers an idempotency key.
     stream: bool = False
 
 
 @dataclass(frozen=True)
 class TenantSettings:
-    """One tenant: its share of the service, in requests per second over all nodes (0 = no quota)."""
+    """The settings of one tenant. The quota is in requests per second over all nodes; 0 means no quota."""
 
     quota: float = 0.0
 
@@ -89,12 +89,12 @@
 
     classes: Sequence[ClassSettings]
     tenants: Sequence[TenantSettings] = ()
-    tier: int = 0  # the tier this instance sends to; above 0 its callers are servers
+    tier: int = 0  # The tier that this instance sends to. Above 0 its clients are servers.
     tiers: int = 1
     zone: int = 0
-    instances: int = 1  # instances that send to this tier, this one included
+    instances: int = 1  # The number of instances that send to this tier, this one included.
     index: int = 0
-    tick: int = 1000  # minimum time between two batches of events
+    tick: int = 1000  # The minimum time between two batches of events.
     max_attempts: int = 1
     cancel: bool = False
     probes: bool = False
@@ -103,54 +103,55 @@
     retry_after: bool = False
     max_retry_after: int = 0
     max_open: int = 20000
-    list_on_request: bool = False  # the server list must be polled
-    max_list_poll_interval: int = 0  # where it must be polled: the longest interval allowed
-    list_weights: bool = False  # entries have comparable weights
-    slow_start_time: int = 0  # a server that has started is warm within this time
-    slow_start_share: float = 1.0  # and starts at this share of its capacity or more
-    fall_multiple: float = 0.0  # sent more than this multiple of its present capacity
-    fall_time: int = 0  # for this long, it falls over
+    list_on_request: bool = False  # The server list must be polled.
+    max_list_poll_interval: int = 0  # The longest interval allowed between polls of the server list.
+    list_weights: bool = False  # Weights of server entries can be compared.
+    slow_start_time: int = 0  # The time within which a started server is warm.
+    slow_start_share: float = 1.0  # The minimum share of its capacity that a server has when it starts.
+    fall_multiple: float = 0.0  # The multiple of its present capacity beyond which a server fails.
+    fall_time: int = 0  # The time for which a server withstands such a load.
     answer_slack: int = 0
     cross_zone_price: float = 0.0
     over_share_worth: float = 1.0
     report_fields: Sequence[str] = ()
 
     def __post_init__(self) -> None:
-        """Raises a ValueError that names the first setting with an impossible value."""
+        """Raise a ValueError that names the first setting with an impossible value."""
 
-        def need(ok: bool, key: str) -> None:
-            if not ok:  # comparisons with a NaN are false as well
+        def require(ok: bool, key: str) -> None:
+            # A comparison with NaN is false, so NaN is refused as well.
+            if not ok:
                 raise ValueError(f"settings: impossible value for {key}")
 
-        need(len(self.classes) > 0, "classes")
+        require(len(self.classes) > 0, "classes")
         for i, c in enumerate(self.classes):
-            need(c.latency_objective > 0, f"classes[{i}].aim")
-            need(c.deadline > 0, f"classes[{i}].deadline")
-            need(c.worth >= 0, f"classes[{i}].worth")
-            need(c.late_worth >= 0, f"classes[{i}].late_worth")
-            need(c.window >= 0, f"classes[{i}].window")
+            require(c.latency_objective > 0, f"classes[{i}].aim")
+            require(c.deadline > 0, f"classes[{i}].deadline")
+            require(c.worth >= 0, f"classes[{i}].worth")
+            require(c.late_worth >= 0, f"classes[{i}].late_worth")
+            require(c.window >= 0, f"classes[{i}].window")
         for i, t in enumerate(self.tenants):
-            need(t.quota >= 0, f"tenants[{i}].quota")
-        need(0 <= self.tier < self.tiers, "tier")
-        need(self.instances >= 1, "instances")
-        need(self.max_attempts >= 1, "max_attempts")
-        need(self.max_open >= 1, "max_open")
-        need(self.tick > 0, "tick")
-        need(self.slow_start_time >= 0, "cold_time")
-        need(0 < self.slow_start_share <= 1, "cold_share")
-        need(self.fall_multiple >= 0, "fall_multiple")
-        need(self.fall_time >= 0, "fall_time")
-        need(self.index >= 0, "index")
-        need(self.zone >= 0, "zone")
-        need(self.max_retry_after >= 0, "max_retry_after")
-        need(self.max_list_poll_interval >= 0, "list_ask_within")
-        need(self.cross_zone_price >= 0, "cross_zone_price")
-        need(self.over_share_worth >= 0, "over_share_worth")
+            require(t.quota >= 0, f"tenants[{i}].quota")
+        require(0 <= self.tier < self.tiers, "tier")
+        require(self.instances >= 1, "instances")
+        require(self.max_attempts >= 1, "max_attempts")
+        require(self.max_open >= 1, "max_open")
+        require(self.tick > 0, "tick")
+        require(self.slow_start_time >= 0, "cold_time")
+        require(0 < self.slow_start_share <= 1, "cold_share")
+        require(self.fall_multiple >= 0, "fall_multiple")
+        require(self.fall_time >= 0, "fall_time")
+        require(self.index >= 0, "index")
+        require(self.zone >= 0, "zone")
+        require(self.max_retry_after >= 0, "max_retry_after")
+        require(self.max_list_poll_interval >= 0, "list_ask_within")
+        require(self.cross_zone_price >= 0, "cross_zone_price")
+        require(self.over_share_worth >= 0, "over_share_worth")
 
 
 @dataclass(frozen=True)
 class ServerEntry:
-    """One line of the server list."""
+    """One entry of the server list."""
 
     server: int
     state: State = State.READY
@@ -158,35 +159,35 @@
     zone: int = 0
     kind: int = 0
     weight: float = 1.0
-    ready_at: int = 0  # when it last started; 0 = long ago
+    ready_at: int = 0  # The time of the server's last start; 0 stands for long ago.
 
 
 class Actions(Protocol):
-    """What a Balancer requests of its host. Actions take effect at the `now` of the event being handled."""
+    """The actions of a host that a Balancer calls, which take effect at the time of the current event."""
 
     def send(self, request: int, server: int, timeout: int) -> None:
-        """Start the request's next attempt; exactly one `outcome` follows, by the timeout."""
+        """Start the request's next attempt. Exactly one `outcome` event follows, by the timeout."""
 
     def cancel(self, request: int, attempt: int) -> None:
-        """Stop waiting for an attempt; its outcome still follows."""
+        """Stop waiting for an attempt. Its `outcome` event still follows."""
 
     def reject(self, request: int, retry_after: int) -> None:
-        """Final answer: not served, a retry does no harm."""
+        """Give the final answer that the request was not served and that a retry is safe."""
 
     def fail(self, request: int) -> None:
-        """Final answer: not served, with no promise about effects."""
+        """Give the final answer that the request failed and that it may have had effects."""
 
     def check_health(self, server: int) -> None:
-        """Check a server's health; one `health_checked` event follows."""
+        """Check a server's health. One `health_checked` event follows."""
 
     def set_timer(self, delay: int, token: int) -> None:
-        """Request a `timer` event; timers cannot be cancelled."""
+        """Request a `timer` event after a delay. Timers cannot be cancelled."""
 
     def send_to_peer(self, peer: int, data: bytes) -> None:
-        """Send a short message to another instance of this tier (-1: to all)."""
+        """Send a short message to another instance of this tier, or to all of them if `peer` is -1."""
 
     def watch(self, on: bool) -> None:
-        """Subscribe to changes of the server list."""
+        """Subscribe to changes of the server list, or unsubscribe."""
 
     def fetch(self) -> None:
         """Poll the complete server list once."""
@@ -195,80 +196,83 @@
         """Close idle connections to a server."""
 
     def log(self, text: str) -> None:
-        """Record a change of state."""
+        """Log a change of state."""
 
 
 class Fleet(Protocol):
-    """What the processes of a fleet decide together. A Balancer that stands alone has `Standalone`.
+    """The decisions that a Balancer coordinates with the other processes of its fleet.
 
-    Called while an event is being handled, as `Actions` are. What other nodes find comes by the events
-    `trial_result` and `zone_shares`.
+    Like `Actions`, these methods are called while an event is being handled. The results of other nodes
+    arrive as `trial_result` and `zone_shares` events. A Balancer without a fleet uses `Standalone`.
     """
 
     def may_recalculate_min_rtt(self) -> bool:
-        """Whether the minRTT recalculation that is due may begin now. Called again while it may not."""
+        """Return whether the minRTT recalculation that is due may begin now. False leads to another call."""
 
     def min_rtt_recalculated(self) -> None:
-        """A minRTT recalculation has ended."""
+        """Report that a minRTT recalculation has ended."""
 
     def may_probe(self, server: int) -> bool:
-        """Whether this node sends the probe that is due for a server that it has ejected."""
+        """Return whether this node sends the probe that is due for a server that it has ejected."""
 
     def server_ejected(self, server: int, wait: int) -> None:
-        """A server was ejected, or its probe failed; the next probe is due in `wait`."""
+        """Report that a server was ejected, or that its probe failed. The next probe is due in `wait`."""
 
     def server_readmitted(self, server: int, healthy: bool) -> None:
-        """A server is no longer ejected.
+        """Report that a server is no longer ejected.
 
-        `healthy`: a probe of this node succeeded. Otherwise the server is gone, new, or not a member.
+        Args:
+            server: The server.
+            healthy: A probe of this node succeeded. Otherwise the server was removed from the list, was
+                replaced by a new process, left the subset, or was found healthy by another node.
         """
 
 
 class Standalone:
-    """A Balancer without a fleet: recalculations and probes begin when they are due."""
+    """The `Fleet` of a single process: recalculations and probes begin when they are due."""
 
     def may_recalculate_min_rtt(self) -> bool:
-        """Always."""
+        """Return True: no other process recalculates its minRTT."""
         return True
 
     def min_rtt_recalculated(self) -> None:
-        """Nobody needs to know."""
+        """Do nothing: there is no other process to inform."""
 
     def may_probe(self, server: int) -> bool:
-        """Always."""
+        """Return True: no other process probes the server."""
         return True
 
     def server_ejected(self, server: int, wait: int) -> None:
-        """Nobody needs to know."""
+        """Do nothing: there is no other process to inform."""
 
     def server_readmitted(self, server: int, healthy: bool) -> None:
-        """Nobody needs to know."""
+        """Do nothing: there is no other process to inform."""
 
 
 class Events(Protocol):
-    """What a host notifies a Balancer of. A Balancer implements all of these.
+    """The events of a host that a Balancer handles.
 
-    `now` never goes back. `start` comes first and once; then a server list, so that requests find servers.
-    Actions are requested while an event is being handled, never later. An event about a request, attempt
-    or server that is no longer known is ignored.
+    `now` never goes back. `start` is called first and once, then `server_list`, so that requests find
+    servers. Actions are called only while an event is being handled. An event for an unknown request,
+    attempt or server is ignored.
     """
 
     def start(self, now: int) -> None:
-        """The instance begins to run. Where the list must be polled, it polls."""
+        """Start the instance, which subscribes to the server list if the list must be polled."""
 
     def server_list(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
-        """The endpoint list or its changes, in order of version; a failed poll has no entries.
+        """Handle a server list or its changes, in order of version. A failed poll has no entries.
 
-        From here on nothing new goes to a server that is not ready, or that a full list leaves out.
+        From now on no attempt starts on a server that is not ready or that a full list does not contain.
         """
 
     def request(
         self, now: int, request: int, request_class: int, tenant: int, remaining: int, repeat: bool
     ) -> None:
-        """A request with a fresh id. One final answer is owed within `remaining`.
+        """Handle a request with an unused id, which must get one final answer within `remaining`.
 
-        That is `reject`, `fail` or an outcome that is final. A class that the settings lack gets no right
-        to a repeat, a tenant that they lack has no quota.
+        The final answer is `reject`, `fail` or a final outcome. A request of a class that is not in the
+        settings is never run twice; a tenant that is not in the settings has no quota.
         """
 
     def outcome(
@@ -282,47 +286,48 @@
         final: bool,
         report: Sequence[float],
     ) -> None:
-        """An attempt ended; exactly one for each `send`, also after its request's end.
+        """Handle the end of an attempt. Exactly one follows each `send`, also after the request's end.
 
-        `final`: nothing more is owed for the request, as after a response that was forwarded. If
-        it is false and the request is open, a response or a retry follows at once.
+        `final` says that the request needs no further answer, for example because a response was
+        forwarded. If it is false and the request is open, a final answer or a retry follows at once.
         """
 
     def response_started(self, now: int, request: int, attempt: int, server: int, latency: int) -> None:
-        """A response has begun to stream: the request is bound to this attempt, which still gets its outcome.
+        """Handle the start of a streamed response. The request cannot be retried; an `outcome` still follows.
 
-        From here on the client sets the pace: the attempt takes no slot and its end no sample of time.
+        From now on the client determines the speed, so the attempt no longer counts against the limit and
+        its duration is not a latency sample.
         """
 
     def upload(self, now: int, request: int, attempt: int, on: bool) -> None:
-        """The request's body is still on its way to the server, or is complete there.
+        """Handle the start (`on`) or the end of the upload of a request's body to the server.
 
-        Until then the server cannot respond, so neither limit nor silence counts the attempt, and
-        the request's time begins anew at the end.
+        During the upload the server cannot respond, so the attempt counts neither against the limit nor
+        for the detection of silent servers, and the request's time is counted from the end of the upload.
         """
 
     def client_disconnected(self, now: int, request: int) -> None:
-        """The client is gone; nothing is owed. Attempts in flight still get their outcomes."""
+        """Handle a client's disconnect. No answer is needed; attempts in flight still get their outcomes."""
 
     def health_checked(self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]) -> None:
-        """The result of a `check_health`."""
+        """Handle the result of a `check_health` action."""
 
     def trial_result(self, now: int, server: int, healthy: bool) -> None:
-        """Another node of the fleet has probed an ejected server."""
+        """Handle the result of another node's probe of an ejected server."""
 
     def zone_shares(self, now: int, shares: Mapping[int, float], additional_rtt: Mapping[int, int]) -> None:
-        """How requests are spread over the zones from now on.
+        """Set the distribution of requests over the zones.
 
         Args:
             now: The time.
             shares: Each zone's share of the requests, in order of preference; other zones get none.
-            additional_rtt: How much longer a round-trip to a zone is, for those where it is.
+            additional_rtt: The additional round-trip time to each remote zone, in microseconds.
 
         Without this event the policy spreads requests over zones itself.
         """
 
     def timer(self, now: int, token: int) -> None:
-        """A timer that was set is due, `token` as it was given. Never during the event that set it."""
+        """Handle a timer that is due, with the token of its `set_timer`, in an event after that one."""
 
     def peer_message(self, now: int, peer: int, data: bytes) -> None:
-        """Another instance of this tier has sent bytes by `send_to_peer`."""
+        """Handle a message that another instance of this tier sent with `send_to_peer`."""
--- a/balancer/policy/load_shedding.py
+++ b/balancer/policy/load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: what is rejected first, by tenant and by class, while the fleet is overloaded."""
+"""Load shedding: the requests that are rejected first under overload, by tenant and by class."""
 
 from __future__ import annotations
 
@@ -7,76 +7,89 @@
 
 from balancer.policy.interface import Settings
 
-TENANT_WINDOW = 8_000_000  # a tenant's traffic is counted over so long
-EXCESS = 1.25  # it is clearly beyond its share at so many times its part...
-EXCESS_NOISE = 1.5  # ...and so many standard deviations of a count
-SHED_THRESHOLD = 0.6  # above this ratio of mean latency to target, more and more of clear excess is rejected
-SHED_GAIN = 0.06  # by so much for each response
+TENANT_WINDOW_US = 8_000_000
+# A tenant clearly exceeds its quota when its traffic exceeds this multiple of its entitlement and, in
+# addition, this number of standard deviations of a count, so that chance alone does not count as excess.
+CLEAR_EXCESS_FACTOR = 1.25
+CLEAR_EXCESS_DEVIATIONS = 1.5
+# Above this ratio of latency to target, an increasing share of clear excess is rejected.
+MAX_UNSHED_LATENCY_RATIO = 0.6
+# The change of that share for each response, per unit of the ratio above the threshold.
+SHED_GAIN = 0.06
 
 
 class Tenant:
-    """What this instance knows of one tenant: its part of the quota, and what came lately."""
+    """This instance's share of one tenant's quota, and the tenant's recent requests."""
 
-    __slots__ = ("at", "entitled", "rate", "recent")
+    __slots__ = ("entitlement", "rate", "recent_requests", "updated_at")
 
     def __init__(self, rate: float) -> None:
-        self.rate = rate  # requests a second
-        self.at = 0
-        self.recent = 0.0  # requests of the last TENANT_WINDOW, fading
-        self.entitled = 1.0  # the quota's part for the same time, and one to start with
+        self.rate = rate  # This instance's part of the quota, in requests per second.
+        self.updated_at = 0
+        self.recent_requests = 0.0  # Requests of the last TENANT_WINDOW_US, decaying.
+        # Requests that the quota allows for the same time. It starts at one, so that a first request is
+        # within the quota.
+        self.entitlement = 1.0
 
-    def fade(self, now: int) -> None:
-        """Lets the counts fade with the time that has passed."""
-        keep = max(0.0, 1 - (now - self.at) / TENANT_WINDOW)
-        self.recent *= keep
-        self.entitled = self.entitled * keep + self.rate * (now - self.at) / 1e6
-        self.at = now
+    def decay(self, now: int) -> None:
+        """Decay the counts by the time that has passed since the last call."""
+        remaining = max(0.0, 1 - (now - self.updated_at) / TENANT_WINDOW_US)
+        self.recent_requests *= remaining
+        self.entitlement = self.entitlement * remaining + self.rate * (now - self.updated_at) / 1e6
+        self.updated_at = now
 
 
 class LoadShedder:
-    """Detects tenants' excess and classes of lesser worth; sheds clear excess while latency is high."""
+    """The detection of tenants beyond quota and of classes of lesser worth, and the shedding of excess."""
 
     def __init__(self, settings: Settings, rng: Random, mean_rtt: list[float]) -> None:
         self.classes = settings.classes
         self.rng = rng
-        self.mean_rtt = mean_rtt  # by class; kept up to date by the balancer
-        self.shed = 1.0  # the share of clear excess that is rejected
+        self.mean_rtt = mean_rtt  # Mean round-trip times by class, which AttemptMetrics updates.
+        self.shed_ratio = 1.0  # The share of clear excess that is rejected.
         self.tenants = [Tenant(t.quota / settings.instances) for t in settings.tenants]
         self.rank_classes()
 
     def start(self, now: int) -> None:
-        """Begins to count."""
+        """Begin to count the tenants' requests."""
         for t in self.tenants:
-            t.at = now
+            t.updated_at = now
 
     def record(self, latency_ratio: float) -> None:
-        """Records a response's latency, relative to its class's target."""
-        self.shed += SHED_GAIN * (min(latency_ratio, 3.0) - SHED_THRESHOLD)
-        self.shed = min(1.0, max(0.0, self.shed))
+        """Adjust the share of clear excess to reject to a response's latency relative to its target."""
+        self.shed_ratio += SHED_GAIN * (min(latency_ratio, 3.0) - MAX_UNSHED_LATENCY_RATIO)
+        self.shed_ratio = min(1.0, max(0.0, self.shed_ratio))
 
     def sheds(self) -> bool:
-        """Whether a request that is clear excess is rejected."""
-        return self.rng.random() < self.shed
+        """Return whether a request that is clear excess is rejected."""
+        return self.rng.random() < self.shed_ratio
 
     def exceeds_quota(self, now: int, tenant: int) -> tuple[bool, bool]:
-        """Whether the request counts as beyond its tenant's quota, and whether that is beyond doubt.
+        """Return whether the request counts as beyond its tenant's quota, and whether it is clear excess.
 
-        What came of the tenant lately is set against this instance's equal part of the quota. An instance
-        that gets far more than its part of all traffic is recognised by its median tenant.
+        The tenant's recent requests are compared with this instance's equal part of the quota. If the
+        median tenant exceeds its part, the instance gets more than its part of all traffic, and the
+        entitlement is scaled accordingly.
         """
         if tenant >= len(self.tenants) or self.tenants[tenant].rate <= 0:
             return False, False
-        mine = self.tenants[tenant]
+        sender = self.tenants[tenant]
         for t in self.tenants:
-            t.fade(now)
-        mine.recent += 1
-        parts = sorted((t.recent - sqrt(t.recent)) / t.entitled for t in self.tenants if t.rate > 0)
-        entitled = mine.entitled * max(1.0, parts[(len(parts) - 1) // 2])
-        over = self.rng.random() * mine.recent > entitled
-        return over, over and mine.recent > EXCESS * entitled + EXCESS_NOISE * sqrt(entitled) + 1
+            t.decay(now)
+        sender.recent_requests += 1
+        usage_ratios = sorted(
+            (t.recent_requests - sqrt(t.recent_requests)) / t.entitlement for t in self.tenants if t.rate > 0
+        )
+        entitlement = sender.entitlement * max(1.0, usage_ratios[(len(usage_ratios) - 1) // 2])
+        is_excess = self.rng.random() * sender.recent_requests > entitlement
+        return is_excess, (
+            is_excess
+            and sender.recent_requests
+            > CLEAR_EXCESS_FACTOR * entitlement + CLEAR_EXCESS_DEVIATIONS * sqrt(entitlement) + 1
+        )
 
     def rank_classes(self) -> None:
-        """Rank 1 for classes whose worth for their time is under half the best class's."""
+        """Rank a class 1 if its worth per mean round-trip time is below half the best class's, else 0."""
         density = [c.worth / max(1.0, self.mean_rtt[i]) for i, c in enumerate(self.classes)]
         best = max(density)
         self.rank = [int(d < best / 2) for d in density]
--- a/balancer/policy/request.py
+++ b/balancer/policy/request.py
@@ -1,4 +1,4 @@
-"""A request that is open, with the attempts made for it."""
+"""An open request and the attempts made for it."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 class Request:
     """An open request. At most one attempt is in flight at a time."""
 
-    def __init__(self, request: int, request_class: int, effect: Effect, now: int, patience: int) -> None:
+    def __init__(self, request: int, request_class: int, effect: Effect, now: int, time_limit: int) -> None:
         self.id = request
         self.request_class = request_class
         self.effect = effect
-        self.patience = patience
-        self.useful_until = now + patience
+        self.time_limit = time_limit
+        self.expires_at = now + time_limit
         self.uploading = False
         self.attempts = 0
         self.server: Server | None = None
-        self.first_run_on: Server | None = None  # the first server that may have run it
+        self.first_run_server: Server | None = None  # The first server that may have run the request.
         self.first_run_at = 0
         self.responding = False
         self.queued = False
--- a/balancer/policy/request_lifecycle.py
+++ b/balancer/policy/request_lifecycle.py
@@ -1,10 +1,10 @@
-"""A request's course: queueing, attempts, retries and the one final answer."""
+"""The lifecycle of a request: queueing, attempts, retries and the final answer."""
 
 from __future__ import annotations
 
 from collections import deque
 
-from balancer.policy.ejection import SILENT_FACTOR
+from balancer.policy.ejection import SILENCE_TIMEOUT_FACTOR
 from balancer.policy.gradient import GradientController
 from balancer.policy.interface import NEVER_RAN, Actions, Effect, Outcome, Settings
 from balancer.policy.request import Request
@@ -15,20 +15,22 @@
 from balancer.policy.subset import Subset
 from balancer.policy.timers import TimerKind, timer_token
 
-ATTEMPT_TIMEOUT_FACTOR = 8  # an attempt may take so many mean round-trips while another can follow
-RETRY_AFTER_SHARE = 8  # Retry-After is this part of the class's latency objective
+# The number of mean round-trips that an attempt may take while another attempt can follow.
+ATTEMPT_TIMEOUT_FACTOR = 8
+# Retry-After is the class's latency objective divided by this.
+RETRY_AFTER_DIVISOR = 8
 
 
 class RequestLifecycle:
-    """The open requests, and what is done with each from its admission to its final answer.
+    """The open requests and their handling from admission to the final answer.
 
     Args:
         settings: The instance's settings.
         actions: The host's actions.
-        mean_rtt: The mean round-trip time by class in microseconds; kept up to date elsewhere.
+        mean_rtt: The mean round-trip time by class in microseconds, which AttemptMetrics updates.
         controller: The limit on attempts in flight.
-        subset: The members, of which some must be available for a request to be queued.
-        slow_start: Counts what is sent to warm servers.
+        subset: The members. A request is queued only if one is available.
+        slow_start: Counts the attempts sent to warm servers.
         selection: Picks a server for each attempt.
     """
 
@@ -52,13 +54,13 @@
         self.retry_budget = RetryBudget()
         self.requests: dict[int, Request] = {}
         self.queue: deque[Request] = deque()
-        self.blocked = 0  # requests rejected at the limit: rq_blocked
+        self.rejected_at_limit = 0  # The number of rejected requests, rq_blocked in the statistics.
 
-    def attempt(self, now: int, request: Request) -> None:
-        """Sends the request to the server picked for it, or answers it when there is none."""
+    def start_attempt(self, now: int, request: Request) -> None:
+        """Send the request to a picked server, or give the final answer if there is none."""
         server = self.selection.pick_server(now, request)
         if server is None:
-            self.finish(request, reject=request.first_run_on is None)
+            self.finish(request, reject=request.first_run_server is None)
             return
         timeout = self.attempt_timeout(now, request, server)
         if server.in_flight == 0:
@@ -75,49 +77,50 @@
         self.actions.send(request.id, server.id, timeout)
 
     def attempt_timeout(self, now: int, request: Request, server: Server) -> int:
-        """How long this attempt may take: the time remaining, or less where that leaves time for another.
+        """Return the attempt's timeout: the remaining time, or less if another attempt can follow.
 
-        Failure prevented: a response that never comes costs the request all of its time.
+        Otherwise a response that never arrives would use up all the time of the request.
         """
-        remaining = request.useful_until - now
+        remaining = request.expires_at - now
         if request.effect == Effect.NOT_IDEMPOTENT:
             return remaining
         mean = self.mean_rtt[request.request_class]
-        if server.outside_limit:  # a probe of an ejected server
-            return min(remaining, max(self.settings.tick, int(SILENT_FACTOR * mean)))
-        # Failure prevented: under overload every instance aborts attempts that are half done, their work is
-        # lost at this tier and all behind it, and the next attempts overload the tier again.
-        patience = max(self.settings.tick, int(ATTEMPT_TIMEOUT_FACTOR * mean))
+        if server.outside_limit:
+            # The attempt is a probe of an ejected server.
+            return min(remaining, max(self.settings.tick, int(SILENCE_TIMEOUT_FACTOR * mean)))
+        # With a shorter timeout, every instance would abort half-done attempts under overload. Their work
+        # would be lost at this tier and all tiers behind it, and the retries would overload them again.
+        min_timeout = max(self.settings.tick, int(ATTEMPT_TIMEOUT_FACTOR * mean))
         if request.attempts + 1 < self.settings.max_attempts and self.retry_budget.allows(Outcome.TIMEOUT):
-            return min(remaining, max(remaining // 2, patience))
+            return min(remaining, max(remaining // 2, min_timeout))
         return remaining
 
-    def after_failure(self, now: int, request: Request, server: Server | None, outcome: Outcome) -> None:
-        """Retries where class, time, budget and the cap on attempts allow it; else answers."""
-        if outcome not in NEVER_RAN and request.first_run_on is None:
-            request.first_run_on = server
+    def retry_or_finish(self, now: int, request: Request, server: Server | None, outcome: Outcome) -> None:
+        """Retry if class, time, budget and the maximum number of attempts allow it; else give the answer."""
+        if outcome not in NEVER_RAN and request.first_run_server is None:
+            request.first_run_server = server
             request.first_run_at = request.sent_at
         if (
-            self.may_run_again(now, request)
+            self.is_retry_safe(now, request)
             and request.attempts < self.settings.max_attempts
             and self.retry_budget.allows(outcome)
-            and now + self.mean_rtt[request.request_class] < request.useful_until
+            and now + self.mean_rtt[request.request_class] < request.expires_at
         ):
             self.retry_budget.spend(outcome)
-            self.attempt(now, request)
+            self.start_attempt(now, request)
             return
-        never_ran = request.first_run_on is None
+        never_ran = request.first_run_server is None
         self.finish(request, reject=never_ran or request.effect == Effect.IDEMPOTENT)
 
-    def may_run_again(self, now: int, request: Request) -> bool:
-        """Whether a retry has no effect beyond that of the attempts before it."""
-        if request.first_run_on is None or request.effect == Effect.IDEMPOTENT:
+    def is_retry_safe(self, now: int, request: Request) -> bool:
+        """Return whether a retry has no effect beyond that of the earlier attempts."""
+        if request.first_run_server is None or request.effect == Effect.IDEMPOTENT:
             return True
         window = self.settings.classes[request.request_class].window
         return request.effect == Effect.IDEMPOTENCY_KEY and now < request.first_run_at + window
 
     def finish(self, request: Request, reject: bool) -> None:
-        """Gives the one final answer. `reject` only where a retry by the client is known to do no harm."""
+        """Give the final answer. `reject` is true only if a retry by the client is safe."""
         del self.requests[request.id]
         if not reject:
             self.actions.fail(request.id)
@@ -125,49 +128,50 @@
         retry_after = 0
         if self.settings.retry_after:
             objective = self.settings.classes[request.request_class].latency_objective
-            retry_after = min(self.settings.max_retry_after, int(objective / RETRY_AFTER_SHARE))
+            retry_after = min(self.settings.max_retry_after, int(objective / RETRY_AFTER_DIVISOR))
         self.actions.reject(request.id, retry_after)
 
     def reject_at_limit(self, request: Request) -> None:
-        """Rejects a request that the limit leaves no room for."""
-        self.blocked += 1
+        """Reject a request that would exceed the limit."""
+        self.rejected_at_limit += 1
         self.finish(request, reject=True)
 
     def enqueue(self, now: int, request: Request) -> None:
-        """Queues a request until there is room below the limit.
+        """Queue a request until the limit admits it.
 
-        Below the first tier a rejection wastes the work already done above. So this acts only where callers
-        are servers, at the limit, for up to half the time remaining, for as many requests as the limit.
+        Below the first tier a rejection wastes the work that the tiers above have already done. Therefore
+        requests whose clients are servers are queued at the limit, for up to half their remaining time and
+        up to as many as the limit.
         """
         if not self.subset.available or len(self.queue) >= self.controller.limit:
             self.reject_at_limit(request)
             return
         request.queued = True
         self.queue.append(request)
-        longest = max(1, (request.useful_until - now) // 2)
+        longest = max(1, (request.expires_at - now) // 2)
         self.actions.set_timer(longest, timer_token(TimerKind.QUEUE_TIMEOUT, request.id))
 
     def queue_timeout(self, request_id: int) -> None:
-        """A request has been queued for as long as it may be."""
+        """Reject a request that has been queued for the maximum time."""
         request = self.requests.get(request_id)
         if request is not None and request.queued:
             request.queued = False
             self.reject_at_limit(request)
 
     def serve_queue(self, now: int) -> None:
-        """Starts queued requests, in order, as far as the limit allows."""
+        """Start queued requests in order until the limit is reached."""
         queue = self.queue
         while queue and (not queue[0].queued or self.controller.admits(now, 0)):
             request = queue.popleft()
             if request.queued and request.id in self.requests:
                 request.queued = False
-                self.attempt(now, request)
+                self.start_attempt(now, request)
 
     def set_uploading(self, now: int, request: Request, attempt: int, uploading: bool) -> None:
-        """The body that an attempt sends is on its way now, or has arrived.
+        """Record the start or the end of the upload of an attempt's request body.
 
-        Failure prevented: clients that send slowly fill the limit, and the server they send to is ejected as
-        silent.
+        During the upload the attempt does not count as in flight. Otherwise clients that send slowly would
+        fill the limit, and the server would be ejected as silent.
         """
         server = request.server
         if server is None or request.uploading == uploading or attempt != request.attempts - 1:
@@ -177,7 +181,7 @@
         server.uploads += 1 if uploading else -1
         request.uploading = uploading
         request.sent_at = now
-        request.useful_until = now + request.patience
+        request.expires_at = now + request.time_limit
         change = -1 if uploading else 1
         server.in_flight += change
         if not server.outside_limit:
--- a/balancer/policy/selection.py
+++ b/balancer/policy/selection.py
@@ -1,4 +1,4 @@
-"""Selection: which server takes a request."""
+"""The selection of a server for an attempt."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from balancer.policy.spillover import ZoneSpillover
 from balancer.policy.subset import Subset
 
-MAX_SKIPS = 10  # so many members may be skipped for being slow
+MAX_SKIPS = 10  # The number of random members that one pick may skip because they are slow.
 
 
-def not_attempted(pool: list[Server], request: Request) -> list[Server]:
-    """Returns those of the pool that the request has not been sent to; all of them if there is no other."""
+def exclude_attempted(pool: list[Server], request: Request) -> list[Server]:
+    """Return the servers of the pool that the request has not been sent to, or all if there are none."""
     return (
         [m for m in pool if m not in request.attempted_servers] or pool if request.attempted_servers else pool
     )
 
 
 class Selection:
-    """Picks a server for an attempt, by all parts that it depends on."""
+    """The selection of a server by zone, load, latency, slow start and ejection."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         ejection: OutlierEjection,
     ) -> None:
         self.settings = settings
-        self.mean_rtt = mean_rtt  # by class; kept up to date by the balancer
+        self.mean_rtt = mean_rtt  # Mean round-trip times by class, which AttemptMetrics updates.
         self.rng = rng
         self.subset = subset
         self.slow_start = slow_start
@@ -44,16 +44,14 @@
         self.ejection = ejection
 
     def pick_server(self, now: int, request: Request) -> Server | None:
-        """Picks a server for an attempt: the one of two random members with less in flight.
+        """Pick the less loaded of two random members for an attempt; None if no server may get one.
 
-        A retry is picked in the same way.
-
-        Failure prevented: a member that has just rejected a request has few attempts in flight, wins the pick
-        for its next attempt too and rejects it again. The source, too, retries on another host where it
-        can.
+        A retry goes to a server without an earlier attempt of the request if there is one, as in Envoy. A
+        member that has just rejected the request has few attempts in flight; otherwise it would be picked
+        for the next attempt too and reject it again.
         """
         effect = request.effect
-        if request.first_run_on is not None and effect == Effect.IDEMPOTENCY_KEY:
+        if request.first_run_server is not None and effect == Effect.IDEMPOTENCY_KEY:
             return self.pick_in_group(now, request)
         if self.ejection.ejected and effect != Effect.NOT_IDEMPOTENT:
             probed = self.ejection.take_probe_target(now, self.slow_start)
@@ -61,23 +59,31 @@
                 return probed
         if self.subset.shares:
             picked = self.rng.choices([*self.subset.shares], [*self.subset.shares.values()])
-            # Where a zone is down, a retry there fails too.
-            failed = request.attempted_servers[-1].zone if request.attempted_servers else -1
-            for zone in sorted([*picked, *self.subset.shares], key=lambda zone: zone == failed):
+            # The zone of the last attempt comes last, since a retry would fail too if the zone is down.
+            failed_zone = request.attempted_servers[-1].zone if request.attempted_servers else -1
+            for zone in sorted([*picked, *self.subset.shares], key=lambda zone: zone == failed_zone):
                 server = self.pick_of_two(
-                    now, request.request_class, not_attempted(self.subset.by_zone[zone], request)
+                    now,
+                    request.request_class,
+                    exclude_attempted(self.subset.available_by_zone[zone], request),
                 )
                 if server is not None:
                     return server
             return None
-        if self.spillover.zoned and self.subset.local and self.rng.random() >= self.spillover.spill:
-            server = self.pick_of_two(now, request.request_class, not_attempted(self.subset.local, request))
+        if (
+            self.spillover.zone_aware
+            and self.subset.available_local
+            and self.rng.random() >= self.spillover.spill_ratio
+        ):
+            server = self.pick_of_two(
+                now, request.request_class, exclude_attempted(self.subset.available_local, request)
+            )
             if server is not None:
                 return server
-        return self.pick_of_two(now, request.request_class, not_attempted(self.subset.available, request))
+        return self.pick_of_two(now, request.request_class, exclude_attempted(self.subset.available, request))
 
     def pick_of_two(self, now: int, request_class: int, pool: list[Server]) -> Server | None:
-        """Picks the one of two random servers of the pool that has less in flight, in expected time."""
+        """Pick the one of two random servers of the pool with the shorter expected time for its attempts."""
         n = len(pool)
         if n == 0:
             return None
@@ -89,8 +95,8 @@
             b = self.pick_member(now, request_class, pool, mean, a)
             if b.load(now, request_class, mean) < a.load(now, request_class, mean):
                 a, b = b, a
-            b_silent = self.ejection.is_silent(now, b)
-            if not self.ejection.is_silent(now, a) and self.slow_start.may_send(now, a):
+            b_silent = self.ejection.eject_if_silent(now, b)
+            if not self.ejection.eject_if_silent(now, a) and self.slow_start.may_send(now, a):
                 return a
             if not b_silent and self.slow_start.may_send(now, b):
                 return b
@@ -102,10 +108,11 @@
     def pick_member(
         self, now: int, request_class: int, pool: list[Server], mean: float, other: Server | None = None
     ) -> Server:
-        """A random member but `other`. One slower than the mean is skipped as often as it is slower.
+        """Return a random member other than `other`, slow members with a lower probability.
 
-        Failure prevented: of few members two slow ones are picked together each few requests, and what one of
-        them gets keeps it overloaded. After a few skips whoever comes is taken.
+        A member that is slower than the mean by some factor is picked with the inverse of that factor as
+        probability. Otherwise, in a small subset, the two choices are often both slow, and the requests
+        that one of them gets keep it overloaded. After MAX_SKIPS skips any member is returned.
         """
         while True:
             for _ in range(MAX_SKIPS):
@@ -116,8 +123,8 @@
                 return server
 
     def pick_in_group(self, now: int, request: Request) -> Server | None:
-        """Picks a server that would discard the repeat of a request that may have run."""
-        first = request.first_run_on
+        """Pick a server of the group that discards repeats of a request that may have run."""
+        first = request.first_run_server
         group = self.settings.classes[request.request_class].group
         assert first is not None
         pool = [
--- a/balancer/policy/server.py
+++ b/balancer/policy/server.py
@@ -1,19 +1,27 @@
-"""What is known of one server: its state, and its averages of round-trips and failures."""
+"""The state of one server, and its averages of round-trip times and failures."""
 
 from __future__ import annotations
 
 from balancer.policy.interface import ServerEntry
 from balancer.policy.start_times import ServerStart
 
-SMOOTH = 0.1  # weight of the newest sample in a server's averages
-PRIOR = 3.0  # an average starts as if it had seen so many samples of its first value
-SMOOTH_ALL = 0.02  # the same for averages over the entire subset
-FADE = 5_000_000  # what is known of a member's speed is forgotten after so long without an outcome
-FAIL_WEIGHT = 8  # a member that fails all its requests counts as so many times slower
+SERVER_SAMPLE_WEIGHT = 0.1  # The weight of a new sample in the averages of one server.
+PRIOR_WEIGHT = 3.0  # The number of samples that the initial value of an average stands for.
+SUBSET_SAMPLE_WEIGHT = 0.02  # The weight of a new sample in averages over the entire subset.
+# A member's measured speed has no effect after this time without an outcome.
+DEVIATION_DECAY_TIME_US = 5_000_000
+# A member that fails all its requests counts as this many times slower.
+FAILURE_SLOWNESS_FACTOR = 8
 
 
 class Average:
-    """A running mean: plain while samples are few, exponential later. `prior` samples of `value` start it."""
+    """A running mean of samples, arithmetic at first and exponential later.
+
+    Args:
+        value: The initial value.
+        prior: The number of samples that the initial value stands for.
+        min_weight: The minimum weight of a new sample, which the mean reaches as samples accumulate.
+    """
 
     __slots__ = ("min_weight", "value", "weight")
 
@@ -23,24 +31,25 @@
         self.min_weight = min_weight
 
     def add(self, sample: float) -> None:
-        """Adds a sample."""
+        """Add a sample."""
         self.weight += 1
         self.value += max(self.min_weight, 1 / self.weight) * (sample - self.value)
 
 
 class Server:
-    """What this instance knows of one server."""
+    """This instance's view of one server."""
 
     def __init__(self, entry: ServerEntry, kind: Average) -> None:
         self.id = entry.server
         self.kind_id = entry.kind
-        self.kind = kind  # round-trips of servers of this kind, relative to the class's mean
+        # Round-trip times of servers of this kind, relative to the mean of the class.
+        self.kind = kind
         self.in_list = False
         self.member = False
         self.in_flight = 0
-        self.uploads = 0  # attempts whose request bodies are still on their way
+        self.uploads = 0  # The number of attempts whose request bodies are being uploaded.
         self.ejected = False
-        self.outside_limit = False  # its requests do not count against the limit
+        self.outside_limit = False  # Attempts on this server do not count against the limit.
         self.probe_in_flight = False
         self.ready_at = -1
         self.last_outcome_at = 0
@@ -48,14 +57,15 @@
         self.reset(entry)
 
     def reset(self, entry: ServerEntry) -> None:
-        """Forgets what was learned of the server's former process."""
+        """Reset the measurements and the ejection state, since they are those of an earlier process."""
         self.ready_at = entry.ready_at
         self.start = ServerStart(entry.ready_at, 0, running=False, clock_trusted=False)
-        self.deviation = Average(1.0, PRIOR, SMOOTH)  # this server's round-trips, relative to its kind's
+        # Round-trip times of this server, relative to those of its kind.
+        self.deviation = Average(1.0, PRIOR_WEIGHT, SERVER_SAMPLE_WEIGHT)
         self.failure_rate = 0.0
-        self.rejection_rates: dict[int, float] = {}  # by class: share of requests rejected, smoothed
+        self.rejection_rates: dict[int, float] = {}  # Smoothed share of rejected requests by class.
         self.consecutive_failures = 0
-        self.calls = 0
+        self.outcome_count = 0
         self.silent = False
         self.probe_at = 0
         self.ejections = 0
@@ -64,22 +74,23 @@
         self.tokens_at = 0
 
     def slowness(self, now: int, request_class: int, mean_rtt: float) -> float:
-        """The round-trip expected of it, relative to the mean: by its kind, its own past and its failures.
+        """Return the expected round-trip time relative to the mean, by kind, measurements and failures.
 
-        Failure prevented: a member once found slow is never picked again, so its estimate is never renewed.
-        What is its own fades while no outcome comes.
-        Failure prevented: a member that rejects one class alone has few of its attempts in flight and wins
-        picks.
+        The server's own measurements decay while it has no outcomes. Without the decay a member once
+        measured as slow would never be picked, and its estimate would never be updated. Rejections count
+        by class, since a member that rejects one class has few of its attempts in flight and would
+        otherwise be picked for it.
         """
-        fade = max(0.0, 1 - (now - self.last_outcome_at) / FADE)
-        failing = self.failure_rate + self.rejection_rates.get(request_class, 0.0)
-        own = self.deviation.value * (1 + FAIL_WEIGHT * failing)
-        slowness = self.kind.value * (1 + (own - 1) * fade)
+        confidence = max(0.0, 1 - (now - self.last_outcome_at) / DEVIATION_DECAY_TIME_US)
+        unserved_rate = self.failure_rate + self.rejection_rates.get(request_class, 0.0)
+        measured_slowness = self.deviation.value * (1 + FAILURE_SLOWNESS_FACTOR * unserved_rate)
+        slowness = self.kind.value * (1 + (measured_slowness - 1) * confidence)
         if self.in_flight and now - self.last_outcome_at > mean_rtt:
-            # Failure prevented: a member that has just slowed down looks as before until its attempts end.
+            # A member that has just slowed down shows no change in its averages until its attempts end, so
+            # the time since its last outcome counts too.
             slowness *= (now - self.last_outcome_at) / mean_rtt
         return slowness
 
     def load(self, now: int, request_class: int, mean_rtt: float) -> float:
-        """Attempts in flight, this one included, in expected time: the measure of a pick."""
+        """Return the attempts in flight, including the one to be picked, times the slowness."""
         return (self.in_flight + 1) * self.slowness(now, request_class, mean_rtt)
--- a/balancer/policy/server_list.py
+++ b/balancer/policy/server_list.py
@@ -1,4 +1,4 @@
-"""The listed servers: takes in the events of the server list, and keeps the subset up to date with it."""
+"""The listed servers, updated from server-list events together with the subset."""
 
 from __future__ import annotations
 
@@ -8,29 +8,30 @@
 from balancer.policy.ejection import OutlierEjection
 from balancer.policy.gradient import GradientController
 from balancer.policy.interface import Actions, ListKind, ServerEntry, Settings, State
-from balancer.policy.server import PRIOR, SMOOTH_ALL, Average, Server
+from balancer.policy.server import PRIOR_WEIGHT, SUBSET_SAMPLE_WEIGHT, Average, Server
 from balancer.policy.spillover import ZoneSpillover
 from balancer.policy.start_times import StartTimes
 from balancer.policy.subset import Subset
 from balancer.policy.timers import TimerKind, timer_token
 
-POLLS_PER_INTERVAL = 20  # the first backoff is this part of the longest interval allowed between polls
-MAX_BACKOFF_SHARE = 4  # and the longest one this part of it
+# The first and the longest backoff are the longest interval allowed between polls divided by these.
+BASE_BACKOFF_DIVISOR = 20
+MAX_BACKOFF_DIVISOR = 4
 MAX_BACKOFF_DOUBLINGS = 3
 
 
 class ServerList:
-    """The servers that are listed, and those that still have attempts in flight.
+    """The servers that are listed or still have attempts in flight.
 
     Args:
         settings: The instance's settings.
         actions: The host's actions.
-        rng: The instance's random stream.
+        rng: The instance's random number generator.
         servers: The servers by id, shared with the subset.
-        subset: The members taken from them.
-        ejection: The members that are ejected.
-        controller: The limit, whose bounds depend on the number of members.
-        spillover: The share of remote zones, whose minimum depends on the members.
+        subset: The members, which are selected from the listed servers.
+        ejection: The ejected members.
+        controller: The concurrency limit, whose bounds depend on the number of members.
+        spillover: The share of requests for remote zones, whose minimum depends on the members.
     """
 
     def __init__(
@@ -54,17 +55,17 @@
         self.spillover = spillover
         self.start_times = StartTimes(settings.slow_start_time)
         self.average_by_kind: dict[int, Average] = {}
-        self.has_initial_list = False  # one that is not from before this process
+        self.has_initial_list = False  # A list other than a cached one has arrived.
         self.poll_failures = 0
 
     def update(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
-        """Records a list, a part of one, or that a poll has failed."""
+        """Record a list, a part of one, or that a poll has failed."""
         if kind == ListKind.FAILED:
             self.retry_poll()
             return
         if kind != ListKind.CACHED:
             self.poll_failures = 0
-        latest = {entry.server: entry for entry in entries}  # of an entry that comes twice the last holds
+        latest = {entry.server: entry for entry in entries}  # The last entry for a server applies.
         if self.start_times.observe(now, latest.values(), len(self.servers.keys() | latest.keys())):
             for server in self.servers.values():
                 self.correct_slow_start(server)
@@ -74,32 +75,34 @@
             self.apply(now, entry)
         self.has_initial_list |= kind != ListKind.CACHED
         self.forget_removed()
-        self.refill()
+        self.reselect_members()
 
     def retry_poll(self) -> None:
-        """Schedules the next poll: exponential backoff with jitter, well inside the longest interval."""
+        """Schedule the next poll with exponential backoff and jitter, well within the longest interval."""
         self.poll_failures += 1
         longest = self.settings.max_list_poll_interval
-        base = max(self.settings.tick, longest // POLLS_PER_INTERVAL)
+        base = max(self.settings.tick, longest // BASE_BACKOFF_DIVISOR)
         doubled = base << min(self.poll_failures - 1, MAX_BACKOFF_DOUBLINGS)
-        delay = min(doubled, max(base, longest // MAX_BACKOFF_SHARE))
+        delay = min(doubled, max(base, longest // MAX_BACKOFF_DIVISOR))
         self.actions.set_timer(int(delay * (0.5 + self.rng.random())), timer_token(TimerKind.POLL_LIST))
 
     def remove_unlisted(self, listed: Mapping[int, ServerEntry]) -> None:
-        """Removes the servers that a full list leaves out."""
+        """Remove the servers that a full list does not contain."""
         for server in self.servers.values():
             if server.in_list and server.id not in listed:
                 self.remove(server)
 
     def apply(self, now: int, entry: ServerEntry) -> None:
-        """Records one entry of a list."""
+        """Add, update or remove a server according to one entry of a list."""
         server = self.servers.get(entry.server)
         if entry.state != State.READY:
             if server is not None:
                 self.remove(server)
             return
         if server is None:
-            average = self.average_by_kind.setdefault(entry.kind, Average(1.0, PRIOR, SMOOTH_ALL))
+            average = self.average_by_kind.setdefault(
+                entry.kind, Average(1.0, PRIOR_WEIGHT, SUBSET_SAMPLE_WEIGHT)
+            )
             server = self.servers[entry.server] = Server(entry, average)
             self.begin_slow_start(now, server, entry)
         elif server.ready_at != entry.ready_at:
@@ -111,35 +114,35 @@
         server.cell, server.zone = entry.cell, entry.zone
 
     def begin_slow_start(self, now: int, server: Server, entry: ServerEntry) -> None:
-        """Begins the slow start of a server that is new or has restarted.
+        """Begin the slow start of a server that is new or has restarted.
 
-        Failure prevented: a restarted server looks idle and attracts more requests than it can serve.
+        Without it a restarted server, which looks idle, would get more requests than it can serve.
         """
         server.start = self.start_times.record(now, entry, self.has_initial_list)
         server.tokens_at = now
         self.correct_slow_start(server)
 
     def correct_slow_start(self, server: Server) -> None:
-        """Sets the end of a server's slow start by what is known of its start now."""
+        """Set the end of a server's slow start according to the current estimate of its start time."""
         server.slow_start_until = self.start_times.slow_start_until(server.start)
 
     def remove(self, server: Server) -> None:
-        """The server is draining or gone: no new attempt goes to it from now on."""
+        """Remove a server that is draining or gone from the list, so that no attempt starts on it."""
         server.in_list = False
         if server.ejected:
             self.ejection.readmit(server)
         server.member = False
 
     def forget_removed(self) -> None:
-        """Forgets the servers that are not listed and have no attempts in flight."""
+        """Forget the servers that are not listed and have no attempts in flight."""
         for key, server in list(self.servers.items()):
             if not server.in_list and server.in_flight == 0 and server.uploads == 0:
                 self.start_times.remember(key, server.start)
                 del self.servers[key]
 
-    def refill(self) -> None:
-        """Selects the members anew, and updates everything that depends on their number."""
-        self.subset.refill()
+    def reselect_members(self) -> None:
+        """Select the members again, and update everything that depends on their number."""
+        self.subset.select_members()
         for server in [e for e in self.ejection.ejected if not e.member]:
             self.ejection.readmit(server)
         members = self.subset.members
--- a/balancer/policy/slow_start.py
+++ b/balancer/policy/slow_start.py
@@ -1,46 +1,52 @@
-"""Slow start: a server that has just started gets less than a warm one, and more as it warms up."""
+"""Slow start: a server that has just started gets a growing share of the requests of a warm one."""
 
 from __future__ import annotations
 
 from math import exp
 
-from balancer.policy.gradient import MAX_WINDOW_MULTIPLE, WINDOW
+from balancer.policy.gradient import MAX_WINDOW_FACTOR, SAMPLE_WINDOW_US
 from balancer.policy.interface import Settings
 from balancer.policy.server import Server
 from balancer.policy.subset import Subset
 
-MAX_EVEN_SHARES = 2.5  # with no warm member, a warming one takes its share of so many even parts
-PEAK_FADE = 30.0  # seconds in which the maximum that a warm member answered fades to a third
-MAX_MULTIPLE_SHARE = 0.8  # of the multiple of warm members' responses beyond which a server is overloaded
+# Without a warm member, the rate of a fully warm one is taken to be at most this multiple of the even share.
+MAX_EVEN_SHARES = 2.5
+# The time constant with which the peak rate of responses from a warm member decays.
+PEAK_DECAY_TIME_S = 30.0
+# The part of the settings' `fall_multiple`, the overload that makes a server fail, that the rate may use.
+FALL_MULTIPLE_SHARE = 0.8
 
 
 class SlowStart:
-    """Measures what a warm member gets of this instance, and limits warming ones to a part of it."""
+    """The limit on requests to warming members, as a share of the measured rate of a warm member.
+
+    Rates are per second and per member.
+    """
 
     def __init__(self, settings: Settings, subset: Subset) -> None:
         self.settings = settings
         self.subset = subset
-        self.warm_rate = 0.0  # sends a second to a warm member, smoothed
+        self.warm_rate = 0.0  # Smoothed rate of attempts sent to a warm member.
         self.warm_sent = 0
-        self.served_rate = 0.0  # responses a second from a warm member, smoothed
-        self.peak_served_rate = 0.0  # the maximum of that; it fades
+        self.served_rate = 0.0  # Smoothed rate of responses from a warm member.
+        self.peak_served_rate = 0.0  # The decaying maximum of the served rate.
         self.warm_served = 0
-        self.requests = 0  # requests, without clients' repeats, since `counted_since`
+        self.requests = 0  # The number of requests since `counted_since`, without clients' retries.
         self.counted_since = 0
-        self.request_rate = 0.0  # of them a second, smoothed
+        self.request_rate = 0.0  # Smoothed rate of requests to this instance.
 
     def count_request(self, now: int) -> None:
-        """Keeps the rate of requests, the measure of a server's share while no member is warm."""
+        """Update the request rate, which determines a server's share while no member is warm."""
         self.requests += 1
         span = now - self.counted_since
-        if span >= WINDOW * MAX_WINDOW_MULTIPLE:
+        if span >= SAMPLE_WINDOW_US * MAX_WINDOW_FACTOR:
             rate = self.requests * 1e6 / span
             weight = min(1.0, span / 2e6) if self.request_rate else 1.0
             self.request_rate += weight * (rate - self.request_rate)
             self.requests, self.counted_since = 0, now
 
     def measure_warm_rate(self, now: int, span: int) -> None:
-        """Records what warm members were sent and answered in the window that ends now."""
+        """Update the rates of warm members from their attempts and responses in the window ending now."""
         warm = 0
         for m in self.subset.members:
             warm += m.slow_start_until <= now and not m.ejected
@@ -48,36 +54,36 @@
             weight = min(1.0, span / 2e6)
             self.warm_rate += weight * (self.warm_sent * 1e6 / span / warm - self.warm_rate)
             self.served_rate += weight * (self.warm_served * 1e6 / span / warm - self.served_rate)
-            faded = self.peak_served_rate * exp(-span / 1e6 / PEAK_FADE)
-            self.peak_served_rate = max(self.served_rate, faded)
+            decayed_peak = self.peak_served_rate * exp(-span / 1e6 / PEAK_DECAY_TIME_S)
+            self.peak_served_rate = max(self.served_rate, decayed_peak)
         self.warm_sent = self.warm_served = 0
 
     def fair_rate(self, now: int) -> float:
-        """What a warm member gets of this instance, in requests a second; or would get, where none is warm.
+        """Return the rate of requests that a warm member gets or, if no member is warm, would get.
 
-        Failure prevented: a node that starts among servers that are all warming up has seen no warm one,
-        takes their share of nothing, and sends nothing until the first is warm.
-        Failure prevented: the last warm members get all requests; their rate then overloads warming ones.
-        Failure prevented: under overload they are sent several times what they can do, and what they reject
-        sets the pace of warming ones. A multiple of what they answer bounds it, or an even part where they
-        hang.
-        Failure prevented: the even part under overload is more than a warm member can do. The maximum of what
-        one answered bounds it in turn.
+        - If no member is warm, the rate is based on the even share of the requests. Otherwise a node that
+          starts among warming servers would have no rate to take a share of, and would send nothing until
+          the first of them is warm. The even share also bounds the rate, since the last warm members get
+          all requests and their rate would overload warming members.
+        - If a member is warm, the rate is at most a multiple of its responses, because under overload warm
+          members are sent several times what they can serve. If they do not respond at all, the even share
+          applies.
+        - The even share may exceed what a warm member can serve under overload, so the peak rate of
+          responses bounds it in turn.
         """
         even = self.request_rate / max(1, len(self.subset.members))
-        multiple = max(1.0, MAX_MULTIPLE_SHARE * self.settings.fall_multiple)
+        multiple = max(1.0, FALL_MULTIPLE_SHARE * self.settings.fall_multiple)
         peak = self.peak_served_rate or MAX_EVEN_SHARES * even
         if any(m.slow_start_until <= now and not m.ejected for m in self.subset.members):
             return min(self.warm_rate, max(multiple * self.served_rate, min(even, peak)))
         return min(max(self.warm_rate, even), MAX_EVEN_SHARES * even, multiple * peak)
 
     def may_send(self, now: int, server: Server) -> bool:
-        """Whether a server may get a request now, which in slow start costs one of its tokens.
-
-        A warming server gets its present share of what a warm member gets of this instance.
+        """Return whether a server may get a request now, and take a token for it during slow start.
 
-        Failure prevented: all nodes together overload a warming server. A bucket of one request that starts
-        empty keeps this instance's part within any window.
+        A warming server gets its current share of a warm member's rate. Its bucket holds one token and
+        starts empty, so that this instance stays within its part in any window of time; otherwise all nodes
+        together could overload the server.
         """
         if server.slow_start_until <= now:
             return True
--- a/balancer/policy/spillover.py
+++ b/balancer/policy/spillover.py
@@ -1,61 +1,67 @@
-"""Zone spillover: requests keep to this instance's zone, and leave it as far as its servers are slower."""
+"""Zone spillover: requests stay in the local zone, and a share leaves it when its servers are slower."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
 from balancer.policy.interface import Settings
-from balancer.policy.server import SMOOTH, SMOOTH_ALL, Server
+from balancer.policy.server import SERVER_SAMPLE_WEIGHT, SUBSET_SAMPLE_WEIGHT, Server
 
-SPILL_GAIN = 0.1  # a window moves the share of requests that may leave the zone by this part of the imbalance
-SPILL_STEP = 0.04  # and by so much at most
-ZONE_PRICE = 0.01  # requests keep to their zone only where a crossing costs this share of a request's worth
-CROSSING_COST = 10  # twice the latency is taken to cost a tenth of a request's worth
+# The change of the spill ratio in one window, relative to the imbalance of latencies, and its maximum.
+SPILL_GAIN = 0.1
+MAX_SPILL_STEP = 0.04
+# Requests stay in their zone only if leaving it costs at least this share of a request's worth.
+MIN_CROSS_ZONE_PRICE = 0.01
+# Converts a price into tolerated extra latency: twice the latency costs a tenth of a request's worth.
+LATENCY_TOLERANCE_FACTOR = 10
 
 
 class ZoneSpillover:
-    """The share of requests that may leave the zone."""
+    """The controller of the share of requests that may leave the local zone."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.zoned = settings.cross_zone_price >= ZONE_PRICE
-        self.local_ratio = 0.5  # mean latency over what the class can bear, for servers of this zone...
-        self.remote_ratio = 0.5  # ...and of the others
+        self.zone_aware = settings.cross_zone_price >= MIN_CROSS_ZONE_PRICE
+        # Mean latency relative to the target of the class, for local and for remote servers.
+        self.local_ratio = 0.5
+        self.remote_ratio = 0.5
         self.best_ratio = 0.0
-        self.spill = 0.0 if self.zoned else 1.0  # share of requests that may leave the zone
-        self.min_spill = self.spill
+        # The share of requests that may leave the zone.
+        self.spill_ratio = 0.0 if self.zone_aware else 1.0
+        self.min_spill = self.spill_ratio
 
     def record(self, zone: int, latency_ratio: float) -> None:
-        """Records a response's latency, relative to its class's target."""
+        """Record a response's latency, relative to the target of its class."""
         if zone == self.settings.zone:
-            self.local_ratio += SMOOTH_ALL * (latency_ratio - self.local_ratio)
+            self.local_ratio += SUBSET_SAMPLE_WEIGHT * (latency_ratio - self.local_ratio)
         else:
-            self.remote_ratio += SMOOTH_ALL * (latency_ratio - self.remote_ratio)
+            self.remote_ratio += SUBSET_SAMPLE_WEIGHT * (latency_ratio - self.remote_ratio)
 
     def resize(self, members: Sequence[Server]) -> None:
-        """Updates the minimum share for new members.
+        """Update the minimum spill ratio for new members.
 
-        Failure prevented: a zone with few servers takes all requests of the one node beside it. At least
-        what exceeds the zone's part of all members leaves it, were all nodes alike.
+        The requests that exceed the local servers' part of all members leave the zone, on the assumption
+        that all nodes get the same traffic. Otherwise few servers in a zone would get all requests of a
+        node there.
         """
-        if not self.zoned or not members:
+        if not self.zone_aware or not members:
             return
-        near = sum(m.zone == self.settings.zone for m in members)
-        self.min_spill = max(0.0, 1 - near * self.settings.instances / len(members))
-        self.spill = max(self.spill, self.min_spill)
+        local_members = sum(m.zone == self.settings.zone for m in members)
+        self.min_spill = max(0.0, 1 - local_members * self.settings.instances / len(members))
+        self.spill_ratio = max(self.spill_ratio, self.min_spill)
 
     def adjust(self) -> None:
-        """Moves the share by a step, once a window, while the zone has servers that may be picked.
+        """Change the spill ratio by one step; called once a window if the zone has available servers.
 
-        Failure prevented: one zone's servers are overloaded while another's stand idle. Unvisited, the other
-        zones are taken to do as well as this one did at its best.
+        Without spillover one zone's servers can be overloaded while those of another are idle. While hardly
+        any requests leave the zone, the remote latency is estimated as the best local latency.
         """
         if self.local_ratio < self.best_ratio or self.best_ratio == 0:
             self.best_ratio = self.local_ratio
-        if self.spill < 0.05:
-            self.remote_ratio += SMOOTH * (self.best_ratio - self.remote_ratio)
+        if self.spill_ratio < 0.05:
+            self.remote_ratio += SERVER_SAMPLE_WEIGHT * (self.best_ratio - self.remote_ratio)
         self.best_ratio *= 1.001
-        tolerance = 1 + CROSSING_COST * self.settings.cross_zone_price
+        tolerance = 1 + LATENCY_TOLERANCE_FACTOR * self.settings.cross_zone_price
         step = SPILL_GAIN * (self.local_ratio / max(self.remote_ratio, 1e-9) - tolerance)
-        self.spill += min(SPILL_STEP, max(-SPILL_STEP, step))
-        self.spill = min(1.0, max(self.min_spill, self.spill))
+        self.spill_ratio += min(MAX_SPILL_STEP, max(-MAX_SPILL_STEP, step))
+        self.spill_ratio = min(1.0, max(self.min_spill, self.spill_ratio))
--- a/balancer/policy/start_times.py
+++ b/balancer/policy/start_times.py
@@ -1,12 +1,12 @@
-"""Estimates when servers started, whatever the wall clocks say that the listed times come from.
+"""Estimates of servers' start times that tolerate wrong wall clocks.
 
-A start is listed in Unix time, and the process's clock counts from its own wall clock at its start. Both may
+A start is listed in Unix time, and the process's clock is based on its own wall clock at its start. Both may
 be wrong by seconds or by an hour. No server can have started after the process was notified of it, so the
 clock is fast by at most the smallest age of any start in the lists. The clock is assumed to be that fast, so
-no server is taken to have started earlier than it did. A start of which the process is notified promptly
-shows that the clock is right: discovery alone may take so long, and a clock that is fast by no more shortens
-a slow start by a fifth at most. Where more than `MAX_UNPROVEN_SHARE` of a process's first servers would be in
-slow start by this assumption alone, the clock is trusted: the others could not carry the load meanwhile.
+that no start time is estimated too early. A start that the process sees promptly shows that the clock is
+right: the delay of discovery alone may be as long, and a clock error within it shortens a slow start by a
+fifth at most. If this assumption alone would put more than `MAX_UNPROVEN_SHARE` of a process's first servers
+into slow start, the clock is trusted, because the other servers could not carry the load.
 """
 
 from __future__ import annotations
@@ -16,54 +16,58 @@
 
 from balancer.policy.interface import ServerEntry
 
-MAX_CLOCK_ERROR = 3_660_000_000  # a clock is wrong by an hour at most, or by some seconds more
-PROMPT_SHARE = 0.2  # a start learned of within this share of a slow start was learned of promptly...
-MIN_PROMPT_DELAY = 1_000_000  # ...as is one with no more delay, however short slow starts are
-MAX_PROMPT_DELAY = 4_000_000  # but none with more, however long they are
-MAX_LIST_DELAY = 10_000_000  # a start learned of while the process runs is no older than this
-MAX_UNPROVEN_SHARE = 1 / 3  # of the servers in a process's first lists
-MAX_REMEMBERED = 1024  # starts of servers that have left the list
+MAX_CLOCK_ERROR_US = 3_660_000_000  # The assumed maximum error of a clock, an hour and some seconds.
+# A start is seen promptly if its age is within this share of the slow start time, or within the minimum
+# delay. A start with more than the maximum delay is never prompt.
+PROMPT_SHARE = 0.2
+MIN_PROMPT_DELAY_US = 1_000_000
+MAX_PROMPT_DELAY_US = 4_000_000
+# The maximum age of a start that first appears in the list while the process is running.
+MAX_LIST_DELAY_US = 10_000_000
+# The clock is trusted if more than this share of the servers in the first lists has an unproven age.
+MAX_UNPROVEN_SHARE = 1 / 3
+MAX_REMEMBERED_STARTS = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class ServerStart:
     """One start of a server, as the process was notified of it."""
 
-    ready_at: int  # as listed
+    ready_at: int  # The listed start time.
     notified_at: int
-    running: bool  # while this process ran, after its first lists
-    clock_trusted: bool  # as listed, the start is taken for right
+    running: bool  # The server started while this process was running, after its first lists.
+    clock_trusted: bool  # The listed start time is used without correction.
 
 
 def prompt_delay(slow_start_time: int) -> int:
-    """The longest delay with which a start counts as learned of promptly.
+    """Return the maximum age with which a start counts as seen promptly.
 
-    Failure prevented: in a rolling release the delay of discovery is taken for an error of the clock, and
-    each process holds all servers that are warming up back for that much longer.
+    Without this tolerance, the delay of discovery in a rolling release would count as a clock error, and each
+    process would extend the slow start of all warming servers by that error.
     """
-    return max(MIN_PROMPT_DELAY, min(MAX_PROMPT_DELAY, int(PROMPT_SHARE * slow_start_time)))
+    return max(MIN_PROMPT_DELAY_US, min(MAX_PROMPT_DELAY_US, int(PROMPT_SHARE * slow_start_time)))
 
 
 class StartTimes:
-    """Corrects listed start times. All times are microseconds."""
+    """The correction of listed start times. All times are in microseconds."""
 
     def __init__(self, slow_start_time: int) -> None:
         self.slow_start_time = slow_start_time
         self.prompt_delay = prompt_delay(slow_start_time)
-        self.clock_error = MAX_CLOCK_ERROR  # the clock is fast by no more than this
+        self.clock_error = MAX_CLOCK_ERROR_US  # The maximum time by which the clock may be fast.
         self.first_list_at: int | None = None
-        self.clock_trusted = False  # for the servers of the first lists
-        self.remembered: dict[int, ServerStart] = {}
+        self.clock_trusted = False  # Listed start times are used for the servers of the first lists.
+        self.remembered: dict[int, ServerStart] = {}  # Starts of servers that left the list.
 
     def observe(self, now: int, entries: Iterable[ServerEntry], listed: int) -> bool:
-        """Records the starts that a list of the servers names, `listed` of which there are then.
+        """Update the clock error from the entries of a list, after which `listed` servers are listed.
 
-        True if starts corrected before are to be corrected anew.
+        Return whether start times that were estimated before must be estimated again.
         """
         if self.first_list_at is None:
             self.first_list_at = now
         ages = [max(0, now - entry.ready_at) for entry in entries if entry.ready_at > 0]
-        error = min(ages, default=MAX_CLOCK_ERROR)
+        error = min(ages, default=MAX_CLOCK_ERROR_US)
         if error <= self.prompt_delay:
             error = 0
         corrected = error < self.clock_error
@@ -73,7 +77,10 @@
         return corrected
 
     def record(self, now: int, entry: ServerEntry, running: bool) -> ServerStart:
-        """A server is new in the list, or has started anew. One that was listed before keeps its start."""
+        """Return the start of a server that is new in the list or has restarted.
+
+        A server that returns to the list without a restart keeps its earlier start.
+        """
         start = self.remembered.pop(entry.server, None)
         if start is not None and start.ready_at == entry.ready_at:
             return start
@@ -81,31 +88,31 @@
         return ServerStart(entry.ready_at, now, running, self.clock_trusted and not running)
 
     def has_run_for_long(self, now: int) -> bool:
-        """Whether a start that is listed now, and was not before, was made while this process ran.
+        """Return whether a start that is new in the list happened while this process was running.
 
-        Failure prevented: servers that restart together before anything has followed a process's cached list
-        count among its first servers, and as warm where its clock is an hour fast.
+        The first list may be a cached one. Without this check servers that restart together before the next
+        list would count among the first servers, and as warm if the clock is an hour fast.
         """
-        return self.first_list_at is not None and now - self.first_list_at > MAX_LIST_DELAY
+        return self.first_list_at is not None and now - self.first_list_at > MAX_LIST_DELAY_US
 
     def remember(self, server: int, start: ServerStart) -> None:
-        """The server has left the list, and may come back as it was."""
+        """Keep the start of a server that has left the list, in case it returns without a restart."""
         if start.ready_at <= 0:
             return
         self.remembered[server] = start
-        if len(self.remembered) > MAX_REMEMBERED:
+        if len(self.remembered) > MAX_REMEMBERED_STARTS:
             del self.remembered[next(iter(self.remembered))]
 
     def slow_start_until(self, start: ServerStart) -> int:
-        """The end of the slow start, by the latest time at which the server may have started.
+        """Return the end of the slow start, based on the latest time at which the server may have started.
 
-        Failure prevented: a server that has just started counts as warm where the clock is fast, and stays in
-        slow start for as long as the clock is slow.
+        Without the correction a server that has just started would count as warm if the clock is fast, and
+        its slow start would be longer by the clock's error if the clock is slow.
         """
         if start.ready_at <= 0:
             return 0
         error = 0 if start.clock_trusted else self.clock_error
         started_at = min(start.notified_at, start.ready_at + error)
-        if start.running and started_at < start.notified_at - MAX_LIST_DELAY:
+        if start.running and started_at < start.notified_at - MAX_LIST_DELAY_US:
             started_at = start.notified_at
         return started_at + self.slow_start_time
--- a/balancer/policy/subset.py
+++ b/balancer/policy/subset.py
@@ -1,4 +1,4 @@
-"""The subset: the few servers that this instance sends to, out of all that are listed."""
+"""The subset of the listed servers that this instance sends to."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from balancer.policy.interface import Settings
 from balancer.policy.server import Server
 
-MIN_SUBSET_SIZE = 4  # members of an instance that has hardly any attempt in flight
-MAX_SUBSET_SIZE = 24  # and of any other
-MEMBERS_PER_CALL = 2  # in between: so many for each attempt in flight
-SMOOTH_FLIGHT = 0.05  # weight of the newest sample in the mean number of attempts in flight
+MIN_SUBSET_SIZE = 4
+MAX_SUBSET_SIZE = 24
+MEMBERS_PER_ATTEMPT = 2  # The members for each attempt in flight, between the minimum and the maximum size.
+IN_FLIGHT_SAMPLE_WEIGHT = 0.05  # The weight of a new sample in the mean number of attempts in flight.
 
 
-def mix(number: int, round_number: int) -> int:
-    """A shuffle of the servers' numbers that is the same in every instance, another one for each round."""
+def shuffle_key(number: int, round_number: int) -> int:
+    """Return a number's sort key in a shuffle, which is the same in every instance and new in each round."""
     x = (number + round_number * 0x9E3779B97F4A7C15) & 0xFFFFFFFFFFFFFFFF
     x = (x ^ (x >> 30)) * 0xBF58476D1CE4E5B9 & 0xFFFFFFFFFFFFFFFF
     x = (x ^ (x >> 27)) * 0x94D049BB133111EB & 0xFFFFFFFFFFFFFFFF
@@ -24,83 +24,87 @@
 
 
 class Subset:
-    """The members, their number, and those of them that may be picked."""
+    """The members, their number, and the available ones among them."""
 
     def __init__(
-        self, settings: Settings, servers: Mapping[int, Server], controller: GradientController, zoned: bool
+        self,
+        settings: Settings,
+        servers: Mapping[int, Server],
+        controller: GradientController,
+        zone_aware: bool,
     ) -> None:
         self.settings = settings
         self.servers = servers
         self.controller = controller
-        self.zoned = zoned  # members are taken from each zone, also without shares
+        self.zone_aware = zone_aware  # Members are selected in each zone, even without zone shares.
         self.members: list[Server] = []
-        self.size = MIN_SUBSET_SIZE  # wanted when the members were last selected
-        self.mean_in_flight = 0.0  # attempts in flight, smoothed
-        self.local: list[Server] = []  # members in this zone that may be picked
-        self.available: list[Server] = []  # all members that may be picked
-        self.shares: Mapping[int, float] = {}  # of the requests, by zone, as the fleet has it
-        self.by_zone: dict[int, list[Server]] = {}  # those of `available`, where there are shares
-
-    def fits(self) -> bool:
-        """Whether the size still suits the attempts in flight, whose mean takes in a sample."""
-        self.mean_in_flight += SMOOTH_FLIGHT * (self.controller.in_flight - self.mean_in_flight)
-        return self.size / 2 <= self.wanted_size() <= self.size * 1.25
-
-    def wanted_size(self) -> int:
-        """The size that suits the attempts in flight."""
-        return min(MAX_SUBSET_SIZE, max(MIN_SUBSET_SIZE, ceil(MEMBERS_PER_CALL * self.mean_in_flight)))
-
-    def slice(self, servers: list[Server]) -> list[Server]:
-        """This instance's slice of a shuffle in which the machines of each kind lie evenly spread.
-
-        Failure prevented: by chance an instance's few members are all of a slow kind, and it keeps them
-        overloaded while others' fast ones stand idle.
+        self.size = MIN_SUBSET_SIZE  # The target size when the members were last selected.
+        self.mean_in_flight = 0.0
+        self.available_local: list[Server] = []  # Available members in the local zone.
+        self.available: list[Server] = []  # Members that are not ejected.
+        self.shares: Mapping[int, float] = {}  # Shares of the requests by zone, if the fleet has set them.
+        self.available_by_zone: dict[int, list[Server]] = {}  # Available members of the zones with shares.
+
+    def fits_load(self) -> bool:
+        """Update the mean of the attempts in flight, and return whether the size is still suitable."""
+        self.mean_in_flight += IN_FLIGHT_SAMPLE_WEIGHT * (self.controller.in_flight - self.mean_in_flight)
+        return self.size / 2 <= self.target_size() <= self.size * 1.25
+
+    def target_size(self) -> int:
+        """Return the suitable size for the mean number of attempts in flight."""
+        return min(MAX_SUBSET_SIZE, max(MIN_SUBSET_SIZE, ceil(MEMBERS_PER_ATTEMPT * self.mean_in_flight)))
+
+    def select_slice(self, servers: list[Server]) -> list[Server]:
+        """Return this instance's slice of a shuffle in which the servers of each kind are spread evenly.
+
+        Otherwise, by chance, all members of an instance could be of a slow kind and stay overloaded while
+        the fast members of other instances are idle.
         """
         n = len(servers)
-        parts = max(1, n // MIN_SUBSET_SIZE)
-        round_number, part = divmod(self.settings.index, parts)
-        servers.sort(key=lambda server: (mix(server.id, round_number), server.id))
+        slices = max(1, n // MIN_SUBSET_SIZE)
+        round_number, slice_index = divmod(self.settings.index, slices)
+        servers.sort(key=lambda server: (shuffle_key(server.id, round_number), server.id))
         kinds: dict[int, list[Server]] = {}
         for server in servers:
             kinds.setdefault(server.kind_id, []).append(server)
         positions = []
-        for kind, alike in sorted(kinds.items()):
-            shift = mix(kind, round_number) / 2**64
-            positions += [((i + shift) / len(alike), server.id, server) for i, server in enumerate(alike)]
+        for kind, group in sorted(kinds.items()):
+            shift = shuffle_key(kind, round_number) / 2**64
+            positions += [((i + shift) / len(group), server.id, server) for i, server in enumerate(group)]
         order = [server for _, _, server in sorted(positions, key=lambda position: position[:2])]
-        start, end = part * n // parts, (part + 1) * n // parts
+        start, end = slice_index * n // slices, (slice_index + 1) * n // slices
         return [order[i % n] for i in range(start, min(max(end, start + self.size), start + n))]
 
-    def refill(self) -> None:
-        """Selects the members anew: this instance's slice of a shuffle that all instances share.
+    def select_members(self) -> None:
+        """Select the members again: this instance's slice of a shuffle that is the same in all instances.
 
-        Instances whose numbers follow one another take slices that follow one another; once round, the
-        next ones go by another shuffle. So each server belongs to equally many instances, without a message,
-        a new server gets its part as soon as it is listed, and a change of the list moves few members.
+        Consecutive instance indices take consecutive slices. After the last slice a new round begins with
+        another shuffle. So each server belongs to the same number of instances without any coordination, a
+        new server gets its part as soon as it is listed, and a change of the list moves few members.
         """
         listed = [server for server in self.servers.values() if server.in_list]
-        self.size = self.wanted_size()
+        self.size = self.target_size()
         for server in self.members:
             server.member = False
         self.members = []
-        if self.zoned or self.shares:
-            # Failure prevented: a subset over all zones has one member or none where requests should stay.
+        if self.zone_aware or self.shares:
+            # A subset selected over all zones could have few members or none in the local zone.
             for zone in sorted({server.zone for server in listed}):
-                self.members += self.slice([server for server in listed if server.zone == zone])
+                self.members += self.select_slice([server for server in listed if server.zone == zone])
         else:
-            self.members = self.slice(listed)
+            self.members = self.select_slice(listed)
         for server in self.members:
             server.member = True
 
     def update_available(self) -> None:
-        """Sorts the members into those that may be picked, by zone, and those that are ejected."""
+        """Update the available members, also by zone, and exclude ejected members from the limit."""
         self.available = []
         for m in self.members:
             if not m.ejected:
                 self.available.append(m)
             if m.ejected != m.outside_limit:
-                # Failure prevented: requests stuck on a silent member fill the limit for all the others.
+                # Requests stuck on a silent member must not use up the limit of the other members.
                 self.controller.in_flight += -m.in_flight if m.ejected else m.in_flight
                 m.outside_limit = m.ejected
-        self.local = [m for m in self.available if m.zone == self.settings.zone]
-        self.by_zone = {zone: [m for m in self.available if m.zone == zone] for zone in self.shares}
+        self.available_local = [m for m in self.available if m.zone == self.settings.zone]
+        self.available_by_zone = {zone: [m for m in self.available if m.zone == zone] for zone in self.shares}
--- a/balancer/policy/timers.py
+++ b/balancer/policy/timers.py
@@ -1,4 +1,4 @@
-"""The tokens of the policy's timers: what a timer is for, and a value that belongs to it."""
+"""The tokens of the policy's timers, which encode a timer's kind and a value."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class TimerKind(IntEnum):
-    """What a timer is for."""
+    """The purpose of a timer."""
 
-    POLL_LIST = 1  # poll the server list again
-    QUEUE_TIMEOUT = 2  # a request has been queued for as long as it may be; the value is its id
+    POLL_LIST = 1  # The server list must be polled again.
+    QUEUE_TIMEOUT = 2  # A request has been queued for the maximum time. The value is its id.
 
 
 def timer_token(kind: TimerKind, value: int = 0) -> int:
-    """The token for a timer. `value` is less than 2 to the power of VALUE_BITS."""
+    """Return the token for a timer. `value` must be less than 2 to the power of VALUE_BITS."""
     return kind << VALUE_BITS | value
 
 
 def parse_token(token: int) -> tuple[int, int]:
-    """A token's kind, which may be an unknown one, and value."""
+    """Return a token's kind, which may be unknown, and its value."""
     return token >> VALUE_BITS, token & ((1 << VALUE_BITS) - 1)
--- a/balancer/simulator_adapter.py
+++ b/balancer/simulator_adapter.py
@@ -1,6 +1,7 @@
-"""Serves the policy in the simulator's wire format on standard input and output; decides nothing itself.
+"""A server of the policy in the simulator's wire format, on standard input and output.
 
-A frame that cannot be read ends the process with status 2 and one line on standard error.
+Structures and methods have the names of the wire format's records. A frame that cannot be read ends the
+process with status 2 and one line on standard error.
 """
 
 from __future__ import annotations
@@ -57,32 +58,32 @@
 LIST_KINDS = (ListKind.CHANGES, ListKind.FULL, ListKind.CACHED, ListKind.FAILED)
 STATES = {0: State.GONE, 1: State.READY, 2: State.DRAINING}
 REPEAT_FLAG = 2
-HEALTHY = 200  # the status of a health check that succeeded
+HEALTHY = 200  # The status of a successful health check.
 MAX_REPORT_VALUES = 255
 MAX_TIMER_US = 4_260_000_000
 ALL_PEERS = 0xFFFF
 
 
 class WireError(Exception):
-    """Input that is not a valid frame."""
+    """An invalid frame in the input."""
 
 
 def read_settings(text: bytes) -> Settings:
-    """Reads the settings of a CREATE event.
+    """Parse the settings of a CREATE event.
 
     Raises:
         WireError: The text is not JSON.
         ValueError: A value is missing or impossible; the message names its key.
     """
     try:
-        env = json.loads(text)
+        settings = json.loads(text)
     except (ValueError, RecursionError) as e:
         raise WireError(f"settings are not JSON: {e}") from None
-    return parse_settings(env)
+    return parse_settings(settings)
 
 
 class WireActions:
-    """One instance's actions, packed into the process's reply; implements `interface.Actions`."""
+    """An implementation of `interface.Actions` that packs one instance's actions into the reply."""
 
     __slots__ = ("node", "reply")
 
@@ -91,78 +92,78 @@
         self.node = node
 
     def send(self, request: int, server: int, timeout: int) -> None:
-        """Writes RELAY."""
+        """Write RELAY."""
         self.reply += RELAY.pack(65, self.node, request, server, min(max(timeout, 1), 0xFFFFFFFF))
 
     def cancel(self, request: int, attempt: int) -> None:
-        """Writes WITHDRAW."""
+        """Write WITHDRAW."""
         self.reply += WITHDRAW.pack(68, self.node, request, attempt)
 
     def reject(self, request: int, retry_after: int) -> None:
-        """Writes BOUNCE."""
+        """Write BOUNCE."""
         self.reply += BOUNCE.pack(66, self.node, request, min(max(retry_after, 0), 0xFFFFFFFF))
 
     def fail(self, request: int) -> None:
-        """Writes END_FAILED."""
+        """Write END_FAILED."""
         self.reply += END_FAILED.pack(67, self.node, request)
 
     def check_health(self, server: int) -> None:
-        """Writes PROBE."""
+        """Write PROBE."""
         self.reply += PROBE.pack(70, self.node, server)
 
     def set_timer(self, delay: int, token: int) -> None:
-        """Writes NOTIFY_ME."""
+        """Write NOTIFY_ME."""
         self.reply += NOTIFY_ME.pack(69, self.node, min(max(delay, 0), MAX_TIMER_US), token)
 
     def send_to_peer(self, peer: int, data: bytes) -> None:
-        """Writes NOTIFY; to all peers where `peer` is negative."""
+        """Write NOTIFY, to all peers if `peer` is negative."""
         self.reply += NOTIFY.pack(72, self.node, ALL_PEERS if peer < 0 else peer, len(data)) + data
 
     def watch(self, on: bool) -> None:
-        """Writes LISTEN."""
+        """Write LISTEN."""
         self.reply += LISTEN.pack(75, self.node, on)
 
     def fetch(self) -> None:
-        """Writes QUERY_ALL."""
+        """Write QUERY_ALL."""
         self.reply += QUERY_ALL.pack(76, self.node)
 
     def close(self, server: int) -> None:
-        """Writes RELEASE."""
+        """Write RELEASE."""
         self.reply += RELEASE.pack(71, self.node, server)
 
     def log(self, text: str) -> None:
-        """Writes JOURNAL_LINE."""
+        """Write JOURNAL_LINE."""
         data = text.encode()[:0xFFFF]
         self.reply += JOURNAL_LINE.pack(73, self.node, len(data)) + data
 
     def fault(self, text: str) -> None:
-        """Writes BAIL_OUT: the instance has failed, and gets no more events."""
+        """Write BAIL_OUT: the instance has failed and gets no more events."""
         data = text.encode()[:0xFFFF]
         self.reply += BAIL_OUT.pack(74, self.node, len(data)) + data
 
 
 class Host:
-    """The instances of one process. They share nothing but the numbered server lists."""
+    """The instances of one process, which share only the numbered server lists."""
 
     def __init__(self) -> None:
         self.reply = bytearray()
         self.nodes: dict[int, Balancer] = {}
         self.server_lists: dict[int, list[ServerEntry]] = {}
 
-    def batch(self, count: int, body: bytes, now: int) -> bytes:
-        """Handles one batch of `count` records and returns the framed reply."""
+    def process_batch(self, count: int, body: bytes, now: int) -> bytes:
+        """Handle one batch of `count` records and return the framed reply."""
         self.reply.clear()
         pos = 0
         for record in range(count):
             try:
                 code = body[pos]
-                reader = READERS[code]
+                handler = RECORD_HANDLERS[code]
             except IndexError:
                 raise WireError(f"record {record}: batch ends early") from None
             except KeyError:
                 raise WireError(f"record {record} at byte {pos}: unknown event code {body[pos]}") from None
             try:
-                pos = reader(self, now, body, pos + 1)
+                pos = handler(self, now, body, pos + 1)
             except struct.error:
                 raise WireError(f"record {record} at byte {pos}: event {code} is cut short") from None
         if pos != len(body):
@@ -170,39 +171,39 @@
         return LENGTH.pack(len(self.reply)) + self.reply
 
     def dispatch(self, node: int, event: str, *args: Any) -> None:
-        """Calls an instance's event; an exception there ends the instance and becomes a fault action."""
+        """Call an instance's event method. An exception removes the instance and becomes a fault action."""
         balancer = self.nodes.get(node)
         if balancer is None:
             return
         try:
             getattr(balancer, event)(*args)
-        except Exception as e:  # any failure of the policy is to be reported, whatever it is
+        except Exception as e:  # Any failure of the policy is reported as a fault.
             del self.nodes[node]
             WireActions(self.reply, node).fault(f"{event}: {type(e).__name__}: {e}")
 
-    def create(self, now: int, body: bytes, pos: int) -> int:
-        """CREATE: a new instance, which starts at once."""
+    def handle_create(self, now: int, body: bytes, pos: int) -> int:
+        """Handle CREATE: create an instance and start it."""
         node, seed, size = CREATE.unpack_from(body, pos)
         pos += CREATE.size
-        text = take(body, pos, size)
+        text = take_bytes(body, pos, size)
         balancer = Balancer(read_settings(text), seed, WireActions(self.reply, node))
         self.nodes[node] = balancer
         self.dispatch(node, "start", now)
         return pos + int(size)
 
-    def directory(self, now: int, body: bytes, pos: int) -> int:
-        """DIRECTORY: a numbered server list, for the TARGETS that follow."""
+    def handle_directory(self, now: int, body: bytes, pos: int) -> int:
+        """Handle DIRECTORY: store a numbered server list for later TARGETS events."""
         number, count = DIRECTORY.unpack_from(body, pos)
         pos += DIRECTORY.size
-        raw = take(body, pos, count * ENTRY.size)
+        raw = take_bytes(body, pos, count * ENTRY.size)
         self.server_lists[number] = [
             ServerEntry(server, STATES.get(state, State.DRAINING), cell, zone, kind, weight, ready_at)
             for server, cell, ready_at, zone, weight, state, kind in ENTRY.iter_unpack(raw)
         ]
         return pos + int(count) * ENTRY.size
 
-    def targets(self, now: int, body: bytes, pos: int) -> int:
-        """TARGETS: an instance gets the server list of this number."""
+    def handle_targets(self, now: int, body: bytes, pos: int) -> int:
+        """Handle TARGETS: give an instance the server list with a number."""
         node, kind, _, number = TARGETS.unpack_from(body, pos)
         if kind >= len(LIST_KINDS):
             raise WireError(f"unknown list kind {kind}")
@@ -215,56 +216,56 @@
         self.dispatch(node, "server_list", now, list_kind, entries)
         return pos + TARGETS.size
 
-    def accept(self, now: int, body: bytes, pos: int) -> int:
-        """ACCEPT: a request."""
+    def handle_accept(self, now: int, body: bytes, pos: int) -> int:
+        """Handle ACCEPT: give an instance a request."""
         node, request, _, tenant, flags, remaining, _, request_class = ACCEPT.unpack_from(body, pos)
         self.dispatch(
             node, "request", now, request, request_class, tenant, remaining, bool(flags & REPEAT_FLAG)
         )
         return pos + ACCEPT.size
 
-    def client_left(self, now: int, body: bytes, pos: int) -> int:
-        """CLIENT_LEFT: a client has disconnected."""
+    def handle_client_left(self, now: int, body: bytes, pos: int) -> int:
+        """Handle CLIENT_LEFT: tell an instance that a client has disconnected."""
         node, request = CLIENT_LEFT.unpack_from(body, pos)
         self.dispatch(node, "client_disconnected", now, request)
         return pos + CLIENT_LEFT.size
 
-    def check_result(self, now: int, body: bytes, pos: int) -> int:
-        """CHECK_RESULT: a health check has ended."""
+    def handle_check_result(self, now: int, body: bytes, pos: int) -> int:
+        """Handle CHECK_RESULT: give an instance the result of a health check."""
         node, latency, status, server, count = CHECK_RESULT.unpack_from(body, pos)
         pos += CHECK_RESULT.size
         self.dispatch(
-            node, "health_checked", now, server, status == HEALTHY, latency, floats(body, pos, count)
+            node, "health_checked", now, server, status == HEALTHY, latency, unpack_floats(body, pos, count)
         )
         return pos + 4 * int(count)
 
-    def opened(self, now: int, body: bytes, pos: int) -> int:
-        """OPENED: a response has begun."""
+    def handle_opened(self, now: int, body: bytes, pos: int) -> int:
+        """Handle OPENED: tell an instance that a response has begun."""
         node, request, attempt, server, latency = OPENED.unpack_from(body, pos)
         self.dispatch(node, "response_started", now, request, attempt, server, latency)
         return pos + OPENED.size
 
-    def wake(self, now: int, body: bytes, pos: int) -> int:
-        """WAKE: a timer is due."""
+    def handle_wake(self, now: int, body: bytes, pos: int) -> int:
+        """Handle WAKE: tell an instance that a timer is due."""
         node, token = WAKE.unpack_from(body, pos)
         self.dispatch(node, "timer", now, token)
         return pos + WAKE.size
 
-    def shutdown(self, now: int, body: bytes, pos: int) -> int:
-        """SHUTDOWN: an instance ends."""
+    def handle_shutdown(self, now: int, body: bytes, pos: int) -> int:
+        """Handle SHUTDOWN: remove an instance."""
         (node,) = SHUTDOWN.unpack_from(body, pos)
         self.nodes.pop(node, None)
         return pos + SHUTDOWN.size
 
-    def peer_data(self, now: int, body: bytes, pos: int) -> int:
-        """PEER_DATA: a message from another instance."""
+    def handle_peer_data(self, now: int, body: bytes, pos: int) -> int:
+        """Handle PEER_DATA: give an instance a message from another one."""
         node, peer, size = PEER_DATA.unpack_from(body, pos)
         pos += PEER_DATA.size
-        self.dispatch(node, "peer_message", now, peer, take(body, pos, size))
+        self.dispatch(node, "peer_message", now, peer, take_bytes(body, pos, size))
         return pos + int(size)
 
-    def verdict(self, now: int, body: bytes, pos: int) -> int:
-        """VERDICT: an attempt has ended."""
+    def handle_verdict(self, now: int, body: bytes, pos: int) -> int:
+        """Handle VERDICT: give an instance the outcome of an attempt."""
         node, request, attempt, latency, server, final, status, count = VERDICT.unpack_from(body, pos)
         pos += VERDICT.size
         self.dispatch(
@@ -277,42 +278,51 @@
             OUTCOMES.get(status, Outcome.UNKNOWN),
             latency,
             bool(final),
-            floats(body, pos, count) if count else (),
+            unpack_floats(body, pos, count) if count else (),
         )
         return pos + 4 * int(count)
 
 
-# Each handles one record, whose body begins at a position, and returns the position after it.
-READERS: dict[int, Callable[[Host, int, bytes, int], int]] = {
-    1: Host.directory,
-    2: Host.wake,
-    3: Host.accept,
-    4: Host.peer_data,
-    5: Host.check_result,
-    6: Host.create,
-    7: Host.targets,
-    8: Host.verdict,
-    9: Host.shutdown,
-    10: Host.opened,
-    11: Host.client_left,
+# Handlers by event code. Each handles the record whose body begins at a position and returns the position
+# after it.
+RECORD_HANDLERS: dict[int, Callable[[Host, int, bytes, int], int]] = {
+    1: Host.handle_directory,
+    2: Host.handle_wake,
+    3: Host.handle_accept,
+    4: Host.handle_peer_data,
+    5: Host.handle_check_result,
+    6: Host.handle_create,
+    7: Host.handle_targets,
+    8: Host.handle_verdict,
+    9: Host.handle_shutdown,
+    10: Host.handle_opened,
+    11: Host.handle_client_left,
 }
 FLOATS = [Struct(f"<{n}f") for n in range(MAX_REPORT_VALUES + 1)]
 
 
-def take(body: bytes, pos: int, size: int) -> bytes:
-    """Returns `size` bytes of a record; struct.error where it is cut short."""
+def take_bytes(body: bytes, pos: int, size: int) -> bytes:
+    """Return `size` bytes of a record.
+
+    Raises:
+        struct.error: The record is cut short.
+    """
     if pos + size > len(body):
         raise struct.error("cut short")
     return body[pos : pos + size]
 
 
-def floats(body: bytes, pos: int, count: int) -> tuple[float, ...]:
-    """Returns `count` little-endian floats."""
+def unpack_floats(body: bytes, pos: int, count: int) -> tuple[float, ...]:
+    """Return `count` little-endian floats at a position."""
     return FLOATS[count].unpack_from(body, pos)
 
 
 def read_exactly(stream: BinaryIO, size: int, what: str) -> bytes:
-    """Reads `size` bytes of `what`; WireError where the input ends before."""
+    """Read `size` bytes of `what`, the part of the input that errors name.
+
+    Raises:
+        WireError: The input ends before.
+    """
     data = stream.read(size)
     if len(data) != size:
         raise WireError(f"{what}: input ends after {len(data)} of {size} bytes")
@@ -320,10 +330,10 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Replies to batches until the input ends.
+    """Reply to batches until the input ends.
 
     Raises:
-        WireError: A frame cannot be read; the message says which.
+        WireError: A frame cannot be read. The message names the frame.
         ValueError: Settings are missing or impossible.
     """
     host = Host()
@@ -338,7 +348,7 @@
             raise WireError(f"{where} header: length {size} is too short")
         body = read_exactly(source, size - 8, where)
         try:
-            reply = host.batch(count, body, now)
+            reply = host.process_batch(count, body, now)
         except WireError as e:
             raise WireError(f"{where}: {e}") from None
         sink.write(reply)
@@ -347,7 +357,7 @@
 
 
 def main() -> int:
-    """Runs the adapter until its input ends, and returns the exit status."""
+    """Run the adapter until its input ends, and return the exit status."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, ValueError) as e:
--- a/tests/test_policy_balancer.py
+++ b/tests/test_policy_balancer.py
@@ -1,4 +1,4 @@
-"""The four rules for each effect, and the course of a request."""
+"""Tests of the Balancer: requests of each effect from admission to the final answer."""
 
 import pytest
 from support import BASE, KEYED, SAFE, SEC, UNSAFE, ask, balancer, end
@@ -17,7 +17,7 @@
 MAY_HAVE_RUN = [o for o in Outcome if o not in NEVER_RAN and o != Outcome.OK]
 
 
-def test_rejected_at_the_limit_at_once_with_retry_after():
+def test_request_at_limit_is_rejected_with_retry_after():
     node, rec = balancer(1)
     limit = int(node.controller.allowed())
     answers = [ask(node, rec, 0, i)[0] for i in range(limit + 1)]
@@ -38,14 +38,14 @@
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
-def test_unsafe_is_failed_once_it_may_have_run(outcome):
+def test_non_idempotent_request_that_may_have_run_fails(outcome):
     node, rec = balancer()
     _, _, server, _ = ask(node, rec, 0, 1, 2)
     assert end(node, rec, 1000, 1, 0, server, outcome) == [("fail", 1)]
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
-def test_an_idempotent_request_is_retried_then_rejected_at_the_attempt_cap(outcome):
+def test_idempotent_request_is_rejected_after_max_attempts(outcome):
     node, rec = balancer(max_attempts=2)
     _, _, server, _ = ask(node, rec, 0, 1, 0)
     ((action, _, other, _),) = end(node, rec, 1000, 1, 0, server, outcome)
@@ -54,21 +54,21 @@
     assert action == "reject"
 
 
-def test_retries_are_capped_by_a_budget():
-    """Retries multiply through tiers: a subset that fails everything gets few further attempts."""
+def test_retries_are_limited_by_the_retry_budget():
+    """Retries multiply through tiers, so a subset that fails all requests gets few retries."""
     node, rec = balancer(4)
     sends = 0
     for i in range(100):
-        todo = [ask(node, rec, i * 1000, i)]
+        actions = [ask(node, rec, i * 1000, i)]
         attempt = 0
-        while todo and todo[0][0] == "send":
+        while actions and actions[0][0] == "send":
             sends += 1
-            todo = end(node, rec, i * 1000 + 500, i, attempt, todo[0][2], Outcome.ERROR)
+            actions = end(node, rec, i * 1000 + 500, i, attempt, actions[0][2], Outcome.ERROR)
             attempt += 1
     assert 100 < sends <= 100 + 100 * 0.1 + 4
 
 
-def test_time_out_at_the_deadline_gets_the_final_answer():
+def test_timeout_at_the_deadline_gets_the_final_answer():
     for request_class, answer in ((0, "reject"), (1, "fail"), (2, "fail")):
         node, rec = balancer(max_attempts=1)
         _, _, server, timeout = ask(node, rec, 0, 1, request_class)
@@ -78,18 +78,19 @@
         assert not node.lifecycle.requests
 
 
-def test_many_instances_do_not_abort_the_attempts_of_an_overloaded_member():
-    """Failure prevented: all instances abort what is half done under overload, and its work is done anew."""
+def test_slow_attempt_on_overloaded_member_is_not_aborted():
+    """If all instances aborted half-done attempts under overload, their work would be done again."""
     for seed in range(7):
         node, rec = balancer(seed=seed, instances=7)
         node.mean_rtt[:] = [SEC // 4] * 3
         for request_class in (0, 1):
             _, _, _, timeout = ask(node, rec, 0, request_class, request_class)
-            assert 1_900_000 < timeout < 3 * SEC  # an answer after seven mean round-trips is still taken
+            # A response after seven mean round-trips still arrives in time.
+            assert 1_900_000 < timeout < 3 * SEC
 
 
-def test_an_answer_that_never_comes_leaves_time_for_another_attempt():
-    """Answers that stall on an open connection cost a request its whole time, and then it is failed."""
+def test_stalled_attempt_leaves_time_for_another():
+    """A response that stalls on an open connection must not use up all the time of the request."""
     for request_class in (0, 1):
         node, rec = balancer()
         node.mean_rtt[:] = [SEC // 10] * 3
@@ -99,30 +100,33 @@
         assert second != first and rest == 3 * SEC - timeout
 
 
-def test_an_attempt_has_the_whole_time_where_no_other_can_follow_or_calls_are_long():
+def test_attempt_without_a_successor_gets_all_remaining_time():
     node, rec = balancer()
-    assert ask(node, rec, 0, 1, 2)[3] == 3 * SEC  # unsafe: never sent again once it may have run
+    # A request that is not idempotent cannot be retried after a timeout.
+    assert ask(node, rec, 0, 1, 2)[3] == 3 * SEC
+    # The retry budget is used up.
     node.lifecycle.retry_budget.tokens = 0.0
-    assert ask(node, rec, 0, 2)[3] == 3 * SEC  # the budget is spent
+    assert ask(node, rec, 0, 2)[3] == 3 * SEC
+    # Eight mean round-trips are more than half the remaining time.
     node.lifecycle.retry_budget.tokens = 3.0
     node.mean_rtt[0] = 350_000.0
-    assert ask(node, rec, 0, 3)[3] == 2_800_000  # eight means: it may well be on its way
+    assert ask(node, rec, 0, 3)[3] == 2_800_000
 
 
-def test_a_class_without_late_worth_is_not_waited_for_beyond_its_aim():
-    """Late work is waste."""
+def test_class_without_late_worth_times_out_by_its_objective():
+    """A late response of this class is worth nothing, so waiting for it would waste capacity."""
     request_class = ClassSettings(Effect.IDEMPOTENT, latency_objective=SEC, deadline=3 * SEC, worth=1)
     node, rec = balancer(classes=(request_class,))
     assert ask(node, rec, 0, 1)[3] < SEC
 
 
-def test_no_eligible_server_is_an_answer_at_once():
+def test_no_available_server_rejects_at_once():
     for request_class in (0, 1, 2):
         node, rec = balancer(0)
         assert ask(node, rec, 0, 1, request_class)[0] == "reject"
 
 
-def test_nothing_new_goes_to_a_draining_or_gone_server():
+def test_draining_or_removed_server_gets_no_new_attempts():
     for state in (State.DRAINING, State.GONE):
         node, rec = balancer(4)
         node.server_list(10, ListKind.CHANGES, [ServerEntry(2, state)])
@@ -137,7 +141,7 @@
         assert servers == {1, 3, 4}
 
 
-def test_a_full_list_removes_what_it_does_not_name():
+def test_full_list_removes_unlisted_servers():
     node, rec = balancer(4)
     node.server_list(10, ListKind.FULL, [ServerEntry(1), ServerEntry(1, zone=3), ServerEntry(4)])
     assert sorted(m.id for m in node.subset.members) == [1, 4]
@@ -147,7 +151,7 @@
 
 
 def test_lower_tier_queues_at_the_limit_instead_of_rejecting():
-    """A refusal below the first tier throws away the work already done above."""
+    """A rejection below the first tier wastes the work that the tiers above have already done."""
     node, rec = balancer(1, tier=1, tiers=2)
     sent = []
     for i in range(7):
@@ -162,7 +166,7 @@
     assert rec.take()[0][:2] == ("reject", 9)
 
 
-def test_a_client_that_left_is_cancelled_and_gets_no_answer():
+def test_client_disconnect_cancels_without_answer():
     node, rec = balancer()
     _, _, server, _ = ask(node, rec, 0, 1)
     node.client_disconnected(10, 1)
@@ -175,14 +179,14 @@
     assert rec.take() == []
 
 
-def test_a_begun_stream_is_never_tried_again():
+def test_started_stream_is_not_retried():
     node, rec = balancer()
     _, _, server, _ = ask(node, rec, 0, 1)
     node.response_started(10, 1, 0, server, 10)
     assert end(node, rec, 20, 1, 0, server, Outcome.RESET) == [("fail", 1)]
 
 
-def test_odd_events_are_ignored():
+def test_events_with_unknown_ids_are_ignored():
     node, rec = balancer()
     node.client_disconnected(0, 5)
     node.outcome(0, 5, 0, 77, Outcome.OK, 1, True, ())
@@ -197,7 +201,7 @@
     assert node.controller.in_flight == 0
 
 
-def test_an_asked_for_list_is_watched_and_asked_again_with_back_off():
+def test_polled_list_is_retried_with_backoff():
     node, rec = balancer(list_on_request=True, max_list_poll_interval=10 * SEC)
     node.start(0)
     assert rec.take("watch") == [("watch", True)]
@@ -222,7 +226,7 @@
         ("tier", "tier"),
     ],
 )
-def test_impossible_settings_name_their_key(field, key):
+def test_invalid_settings_name_their_key(field, key):
     values = {f: getattr(BASE, f) for f in BASE.__dataclass_fields__}
     values[field] = () if field == "classes" else -1
     with pytest.raises(ValueError, match=key):
@@ -237,10 +241,10 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET])
 def test_failed_attempts_add_no_sample(outcome):
-    """One member in four fails quickly while the others answer well: the limit must not close for all."""
+    """One member in four fails quickly while the others respond well: the limit must not fall for all."""
     node, rec = balancer(4)
     node.controller.end_recalculation(0)
-    node.controller.limit = node.controller.usual_in_flight = 40.0
+    node.controller.limit = node.controller.sustained_in_flight = 40.0
     now = 0
     for i in range(400):
         now += 10_000
@@ -249,7 +253,7 @@
     assert node.controller.sample_rtt < 1 and node.controller.limit >= 12
 
 
-def test_a_time_out_adds_a_sample_at_its_time_out_value():
+def test_timeout_adds_a_sample_of_its_duration():
     node, rec = balancer(4)
     node.controller.end_recalculation(0)
     _, _, server, timeout = ask(node, rec, 0, 1, 2)
@@ -257,7 +261,7 @@
     assert node.controller.sample_rtt == pytest.approx(timeout / node.controller.target[2])
 
 
-def test_a_slow_member_does_not_speak_for_the_subset():
+def test_slow_member_adds_no_samples_to_the_limit():
     node, rec = balancer(4)
     node.controller.end_recalculation(0)
     node.servers[1].deviation.value = 3.0
@@ -270,14 +274,14 @@
     assert counts == [0, 1]
 
 
-def test_an_unknown_class_gets_no_right_to_a_repeat():
-    """It was treated as the last class of the settings, whatever that one may."""
+def test_unknown_class_is_not_retried():
+    """An unknown class must not get the retries of the last class of the settings."""
     node, rec = balancer(classes=(UNSAFE, SAFE))
     server = ask(node, rec, 0, 1, request_class=9)[2]
     assert [a[0] for a in end(node, rec, 10_000, 1, 0, server, Outcome.ERROR)] == ["fail"]
 
 
-def test_the_end_of_a_request_already_gone_is_passed_over():
+def test_outcome_of_a_finished_request_is_ignored():
     node, rec = balancer()
     server = ask(node, rec, 0, 1)[2]
     end(node, rec, 10_000, 1, 0, server, Outcome.OK)
--- a/tests/test_policy_selection.py
+++ b/tests/test_policy_selection.py
@@ -1,4 +1,4 @@
-"""Selection: which member an attempt goes to."""
+"""Tests of the selection of a server for an attempt."""
 
 import pytest
 from support import SEC, ask, balancer, end
@@ -7,24 +7,24 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.ERROR])
-def test_a_further_attempt_goes_to_a_server_not_tried_before(outcome):
-    """The one that has just turned the call away holds the fewest calls and would win the next draw too."""
+def test_retry_goes_to_a_server_not_attempted_before(outcome):
+    """The member that has just rejected the request has the fewest attempts and would be picked again."""
     for seed in range(20):
         node, rec = balancer(4, seed=seed)
-        tried = [ask(node, rec, 0, 1)[2]]
+        attempted = [ask(node, rec, 0, 1)[2]]
         for attempt in range(3):
-            ((_, _, server, _),) = end(node, rec, 1000, 1, attempt, tried[-1], outcome)
-            tried.append(server)
-        assert len(set(tried)) == 4
+            ((_, _, server, _),) = end(node, rec, 1000, 1, attempt, attempted[-1], outcome)
+            attempted.append(server)
+        assert len(set(attempted)) == 4
 
 
-def test_with_no_other_server_a_further_attempt_goes_to_the_same():
+def test_retry_goes_to_the_only_server():
     node, rec = balancer(1)
     _, _, server, _ = ask(node, rec, 0, 1)
     assert end(node, rec, 1000, 1, 0, server, Outcome.REJECTED)[0][2] == server
 
 
-def test_retries_with_an_idempotency_key_stay_in_the_group_and_window():
+def test_keyed_retries_stay_in_their_group_and_window():
     for group, field in ((Group.CELL, "cell"), (Group.ZONE, "zone")):
         entries = [ServerEntry(i + 1, **{field: i % 2}) for i in range(8)]
         request_class = ClassSettings(
@@ -44,14 +44,14 @@
             assert end(node, rec, SEC + 1, 1, 1, other, Outcome.ERROR) == [("fail", 1)]
 
 
-def test_a_request_with_an_idempotency_key_fails_when_its_group_has_no_other_server():
+def test_keyed_request_fails_without_another_server_in_group():
     node, rec = balancer([ServerEntry(1, cell=1), ServerEntry(2, cell=2)])
     _, _, server, _ = ask(node, rec, 0, 1, 1)
     assert end(node, rec, 1000, 1, 0, server, Outcome.RESET) == [("fail", 1)]
 
 
-def test_a_member_that_has_just_slowed_down_loses_picks_before_its_attempts_end():
-    """Its averages still look good: what tells is that its calls have been out for longer than the mean."""
+def test_member_that_just_slowed_down_loses_picks():
+    """A slowdown shows in the time that attempts have been in flight before it shows in the averages."""
     node, rec = balancer(2)
     slow, quick = node.subset.members
     slow.in_flight, slow.last_outcome_at = 1, 0
@@ -60,29 +60,29 @@
     assert slow.load(1_000_000, 0, 250_000.0) > quick.load(1_000_000, 0, 250_000.0)
 
 
-def test_a_slow_member_is_drawn_less_often():
-    """Equal calls in flight hide a slow machine where an instance has hardly any in flight."""
+def test_slow_member_is_picked_less_often():
+    """With hardly any attempts in flight their number does not show that a server is slow."""
     node, rec = balancer(4)
-    now, hits = 0, 0
+    now, picks = 0, 0
     for i in range(400):
         now += 400_000
         server = ask(node, rec, now, i)[2]
-        hits += server == 1
+        picks += server == 1
         end(node, rec, now, i, 0, server, Outcome.OK, 300_000 if server == 1 else 100_000)
-    assert hits < 60
+    assert picks < 60
 
 
-def test_a_failing_member_loses_draws_before_it_is_ejected():
+def test_failing_member_loses_picks_before_ejection():
     node, rec = balancer(4)
     node.servers[1].failure_rate = 0.25
     node.servers[1].last_outcome_at = 0
     assert node.servers[1].load(0, 0, 100_000.0) == pytest.approx(3 * node.servers[2].load(0, 0, 100_000.0))
 
 
-def test_a_member_that_turns_away_one_class_loses_its_draws_and_keeps_the_others():
-    """It holds few calls of that class, so own calls in flight alone would send it most of them."""
+def test_member_that_rejects_one_class_loses_only_its_picks():
+    """A member that rejects one class has few of its attempts in flight, which alone would attract more."""
     node, rec = balancer(4)
-    hits = [0, 0]
+    picks = [0, 0]
     for i in range(600):
         now, request_class = i * 10_000, i % 2
         _, _, server, _ = ask(node, rec, now, i, request_class)
@@ -92,20 +92,21 @@
                     end(node, rec, now + 5_000, i, 1, action[2], Outcome.OK, 250_000)
         else:
             end(node, rec, now + 5_000, i, 0, server, Outcome.OK, 250_000)
-        hits[request_class] += server == 1 and i >= 100
-    assert hits[1] < 15 and hits[0] > 45  # of 250 each; an equal part is 62
+        picks[request_class] += server == 1 and i >= 100
+    # Each class has 250 requests, of which an equal part is 62.
+    assert picks[1] < 15 and picks[0] > 45
 
 
 @pytest.mark.usefixtures("wide")
-def test_when_the_drawn_are_all_cold_another_member_serves():
+def test_warm_member_serves_when_picked_ones_are_warming_up():
     entries = [ServerEntry(i + 1, ready_at=SEC) for i in range(11)] + [ServerEntry(12)]
     node, rec = balancer(entries)
     assert {ask(node, rec, SEC + 1000 * i, i)[2] for i in range(20)} == {12}
 
 
 @pytest.mark.usefixtures("wide")
-def test_a_server_is_known_by_its_kind_before_it_is_called():
-    """At a call a second an instance would take a minute to find out each slow machine by itself."""
+def test_new_server_starts_with_the_average_of_its_kind():
+    """At one request a second an instance would take a minute to measure each slow server by itself."""
     node, rec = balancer([ServerEntry(i + 1, kind=i % 2) for i in range(8)])
     now = 0
     for i in range(60):
@@ -116,7 +117,7 @@
     assert node.servers[10].load(now, 0, 1e6) > 1.5 * node.servers[9].load(now, 0, 1e6)
 
 
-def test_a_retry_with_an_idempotency_key_finds_its_group_beyond_the_subset():
+def test_keyed_retry_finds_its_group_outside_the_subset():
     entries = [ServerEntry(i + 1, cell=i % 30) for i in range(60)]
     node, rec = balancer(entries, instances=50)
     first = ask(node, rec, 0, 1, 1)[2]
@@ -125,13 +126,13 @@
 
 
 @pytest.mark.usefixtures("wide")
-def test_slow_members_together_get_little_of_the_traffic():
-    """Of few members two slow ones are drawn together each few calls, which keeps them overloaded."""
+def test_two_slow_members_get_little_traffic():
+    """In a small subset both random choices are often slow, which would keep the slow members overloaded."""
     node, rec = balancer(4)
-    now, slow = 0, 0
+    now, slow_picks = 0, 0
     for i in range(600):
         now += 200_000
         server = ask(node, rec, now, i)[2]
-        slow += i >= 100 and server <= 2
+        slow_picks += i >= 100 and server <= 2
         end(node, rec, now, i, 0, server, Outcome.OK, 800_000 if server <= 2 else 100_000)
-    assert slow < 500 / 10
+    assert slow_picks < 500 / 10
--- a/tests/test_policy_zone_shares.py
+++ b/tests/test_policy_zone_shares.py
@@ -1,4 +1,4 @@
-"""The policy with shares of zones: picks, retries, groups and the minRTT by zone."""
+"""Tests of the policy with zone shares: picks, retries, groups and the minRTT."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -12,11 +12,11 @@
 
 
 def policy_with_shares(
-    shares: dict[int, float], extra_round_trips: dict[int, int] | None = None, **changes: Any
+    shares: dict[int, float], additional_rtt: dict[int, int] | None = None, **changes: Any
 ) -> tuple[Balancer, Recorder]:
-    """A policy before thirty servers in zones 0, 1 and 2, and what records its actions."""
+    """Return a policy with thirty servers in zones 0, 1 and 2, and the recorder of its actions."""
     node, recorder = balancer([ServerEntry(i, zone=i % 3, cell=i) for i in range(1, 31)], **changes)
-    node.zone_shares(1, shares, extra_round_trips or {})
+    node.zone_shares(1, shares, additional_rtt or {})
     return node, recorder
 
 
@@ -31,7 +31,7 @@
     outcome: Callable[[int], Outcome] = lambda server: Outcome.OK,
     latency: Callable[[int], int] = lambda server: 10_000,
 ) -> list[int]:
-    """Servers in the order of the attempts that went to them, with a request each 20 ms."""
+    """Return the servers of all attempts in order, with a request each 20 ms."""
     servers, now = [], 1000
     for request in range(count):
         now += 20_000
@@ -47,16 +47,16 @@
     return servers
 
 
-def test_calls_go_to_the_zones_by_their_shares() -> None:
+def test_requests_are_spread_over_zones_by_their_shares() -> None:
     node, recorder = policy_with_shares({0: 0.7, 1: 0.3, 2: 0.0})
     zones = [zone_of(server) for server in attempted_servers(node, recorder, 600)]
     assert 2 not in zones and 0.25 < zones.count(1) / 600 < 0.35
     node, recorder = balancer([ServerEntry(i, zone=i % 3, cell=i) for i in range(1, 31)])
-    called = {zone_of(server) for server in attempted_servers(node, recorder, 200)}
-    assert called == {0, 1, 2}  # without shares, as ever
+    zones_without_shares = {zone_of(server) for server in attempted_servers(node, recorder, 200)}
+    assert zones_without_shares == {0, 1, 2}
 
 
-def test_a_retry_goes_to_another_zone_but_never_to_an_evacuated_one() -> None:
+def test_retry_changes_zone_but_avoids_evacuated_ones() -> None:
     def outcome(server: int) -> Outcome:
         return Outcome.CONNECT_FAILED if zone_of(server) == 0 else Outcome.OK
 
@@ -65,7 +65,7 @@
     assert zones[:2] == [0, 1] and 2 not in zones
 
 
-def test_a_keyed_request_that_may_have_run_stays_in_its_group() -> None:
+def test_keyed_request_that_may_have_run_stays_in_its_group() -> None:
     zone_group = replace(KEYED, group=Group.ZONE, window=3 * SEC)
     node, recorder = policy_with_shares({0: 1.0, 1: 0.0}, classes=(SAFE, zone_group))
     for request in range(10):
@@ -76,28 +76,30 @@
         assert all(action[0] != "send" or zone_of(action[2]) == zone_of(first) for action in actions)
 
 
-def controller_after_remote_calls(extra_round_trips: dict[int, int]) -> GradientController:
-    """The concurrency controller after three in ten calls have gone to a zone that is 15 ms away."""
+def remote_controller(additional_rtt: dict[int, int]) -> GradientController:
+    """Return the gradient controller after 30 % of the requests have gone to a zone that is 15 ms away."""
 
     def latency(server: int) -> int:
         return 20_000 + (15_000 if zone_of(server) == 1 else 0)
 
-    node, recorder = policy_with_shares({0: 0.7, 1: 0.3}, extra_round_trips)
+    node, recorder = policy_with_shares({0: 0.7, 1: 0.3}, additional_rtt)
     attempted_servers(node, recorder, 1500, latency=latency)
     return node.controller
 
 
-def test_the_extra_round_trip_of_remote_calls_does_not_enter_the_min_rtt() -> None:
-    """Failure prevented: distance is taken for queueing, and the limit follows the remote calls."""
-    known, unknown = controller_after_remote_calls({1: 15_000}), controller_after_remote_calls({})
-    assert max(known.min_rtt) == 20_000 and max(unknown.min_rtt) == 35_000
-    assert known.sample_rtt < unknown.sample_rtt
+def test_additional_rtt_of_remote_zones_is_not_in_min_rtt() -> None:
+    """Network distance must not look like queueing, or the limit would depend on the remote requests."""
+    corrected, uncorrected = remote_controller({1: 15_000}), remote_controller({})
+    assert max(corrected.min_rtt) == 20_000 and max(uncorrected.min_rtt) == 35_000
+    assert corrected.sample_rtt < uncorrected.sample_rtt
 
 
-def test_lists_without_the_home_zone_or_with_new_zones_do_no_harm() -> None:
-    node, recorder = policy_with_shares({0: 1.0, 7: 0.0})  # a zone that no server has
+def test_zones_without_servers_or_shares_get_no_requests() -> None:
+    # Zone 7 has no server.
+    node, recorder = policy_with_shares({0: 1.0, 7: 0.0})
     assert attempted_servers(node, recorder, 20)
+    # Zone 5 has no share, so its servers get no requests until the shares are updated.
     node.server_list(SEC, ListKind.FULL, [ServerEntry(i, zone=5) for i in range(40, 44)])
-    assert attempted_servers(node, recorder, 3) == []  # no zone may be called until the shares follow
+    assert attempted_servers(node, recorder, 3) == []
     node.zone_shares(2 * SEC, {5: 1.0}, {})
     assert set(attempted_servers(node, recorder, 10)) <= set(range(40, 44))
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: what a retry takes from it, by the failure before it."""
+"""Tests of the retry budget: the cost of a retry by the outcome of the attempt before it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from balancer.policy.retry_budget import CONNECT_COST, FULL_COST, RETRY_RATIO, RetryBudget
 
 REQUESTS = 100
-INTERVAL = SEC // 50  # between requests
+REQUEST_INTERVAL_US = SEC // 50
 
 NEVER_CONNECTED = [Outcome.CONNECT_FAILED, Outcome.NOT_SENT]
 OTHER_FAILURES = [
@@ -17,30 +17,30 @@
 ]  # fmt: skip
 
 
-def retries_granted(outcome: Outcome) -> int:
-    """How many of a sequence of requests are retried where each first attempt ends so."""
+def count_retries(outcome: Outcome) -> int:
+    """Return the number of requests that are retried if each first attempt has this outcome."""
     node, recorder = balancer()
-    granted = 0
+    retries = 0
     for number in range(REQUESTS):
-        now = number * INTERVAL
+        now = number * REQUEST_INTERVAL_US
         _, _, server, _ = ask(node, recorder, now, number)
         ((action, *rest),) = end(node, recorder, now + 1000, number, 0, server, outcome)
         if action == "send":
-            granted += 1
+            retries += 1
             end(node, recorder, now + 2000, number, 1, rest[1], Outcome.OK)
-    return granted
+    return retries
 
 
 @pytest.mark.parametrize("outcome", NEVER_CONNECTED)
-def test_each_request_may_be_retried_once_where_no_connection_came_up(outcome: Outcome) -> None:
-    """Failure prevented: late connections use up the budget, and requests that no server has seen fail."""
-    assert retries_granted(outcome) == REQUESTS
+def test_each_failed_connect_may_be_retried_once(outcome: Outcome) -> None:
+    """Slow connections must not use up the budget, since requests that no server has received would fail."""
+    assert count_retries(outcome) == REQUESTS
 
 
 @pytest.mark.parametrize("outcome", OTHER_FAILURES)
-def test_all_other_retries_are_a_small_share_of_the_requests(outcome: Outcome) -> None:
-    """Failure prevented: servers that fail or are overloaded get the load again, several times."""
-    assert 0 < retries_granted(outcome) <= REQUESTS * RETRY_RATIO + 4
+def test_other_retries_are_a_small_share_of_requests(outcome: Outcome) -> None:
+    """Without a limit, servers that fail or are overloaded would get the same load several times."""
+    assert 0 < count_retries(outcome) <= REQUESTS * RETRY_RATIO + 4
 
 
 def test_failed_connects_leave_the_budget_for_other_retries() -> None:
@@ -52,7 +52,7 @@
     assert budget.tokens == pytest.approx(before - CONNECT_COST - FULL_COST)
 
 
-def test_a_budget_too_low_for_a_full_retry_allows_one_after_a_failed_connect() -> None:
+def test_low_budget_allows_only_retries_of_failed_connects() -> None:
     budget = RetryBudget()
     budget.tokens = (CONNECT_COST + FULL_COST) / 2
     assert budget.allows(Outcome.CONNECT_FAILED) and not budget.allows(Outcome.TIMEOUT)
@@ -60,16 +60,16 @@
     assert not budget.allows(Outcome.CONNECT_FAILED)
 
 
-def test_retries_after_failed_connects_have_a_bound_where_nothing_is_reached() -> None:
-    """Failure prevented: where all servers are cut off, each request costs four connections."""
+def test_retries_of_failed_connects_are_bounded() -> None:
+    """Without a limit, each request would make four connections while no server is reachable."""
     node, recorder = balancer()
     sent = 0
     for number in range(REQUESTS):
-        now = number * INTERVAL
-        todo = [ask(node, recorder, now, number)]
+        now = number * REQUEST_INTERVAL_US
+        actions = [ask(node, recorder, now, number)]
         attempt = 0
-        while todo and todo[0][0] == "send":
+        while actions and actions[0][0] == "send":
             sent += 1
-            todo = end(node, recorder, now + 1000, number, attempt, todo[0][2], Outcome.CONNECT_FAILED)
+            actions = end(node, recorder, now + 1000, number, attempt, actions[0][2], Outcome.CONNECT_FAILED)
             attempt += 1
     assert sent <= REQUESTS + REQUESTS * RETRY_RATIO / CONNECT_COST + 40
