--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The wire codec both ways, and each malformed case."""
+"""Tests of the simulator's wire format: decoding, encoding and malformed input."""
 
 import io
 import json
@@ -63,15 +63,16 @@
     assert size == 19 and reply[4 + size :] == b"\0\0\0\0"
 
 
-def test_an_outcome_with_a_report_is_read_to_its_end():
+def test_outcome_with_a_report_is_parsed_completely():
     verdict = struct.pack("<BHQBIIBHB2f", 8, 3, 1, 0, 900, 11, 0, 502, 2, 1.0, 2.0)
     host = Host()
-    host.batch(3, create() + members(servers=(11,)), 0)
-    host.batch(1, accept(request_class=1), 0)
-    assert host.batch(1, verdict, 900)[4] == 67  # an unknown effect counts as unsafe: failed
+    host.process_batch(3, create() + members(servers=(11,)), 0)
+    host.process_batch(1, accept(request_class=1), 0)
+    # An unknown effect counts as not idempotent, so the request fails.
+    assert host.process_batch(1, verdict, 900)[4] == 67
 
 
-def test_every_other_event_is_read():
+def test_every_other_event_is_parsed():
     records = [
         struct.pack("<BHQ", 2, 3, 77),
         struct.pack("<BHQ", 11, 3, 5),
@@ -84,10 +85,11 @@
     ]
     reply = run(frame(create(), members(), *records))
     assert struct.unpack_from("<I", reply)[0] == len(reply) - 4
-    assert b"\x41\x03\x00" not in reply[4:7]  # the instance was stopped before the request came
+    # The instance was shut down before the request, so there is no RELAY.
+    assert b"\x41\x03\x00" not in reply[4:7]
 
 
-def test_every_action_is_written_in_the_wire_s_layout():
+def test_every_action_has_the_wire_layout():
     out = bytearray()
     actions = WireActions(out, 3)
     expected = b""
@@ -116,7 +118,7 @@
     assert bytes(out) == expected
 
 
-def test_an_exception_in_the_module_becomes_a_fault(monkeypatch):
+def test_exception_in_the_policy_becomes_a_fault(monkeypatch):
     def broken(*args):
         raise RuntimeError("boom")
 
@@ -125,7 +127,7 @@
     assert reply[4] == 74 and b"request: RuntimeError: boom" in reply
 
 
-def changed(table: str, **values) -> dict:
+def changed_settings(table: str, **values) -> dict:
     return {**ENV, table: {**ENV[table], **values}}
 
 
@@ -144,32 +146,32 @@
     "infinite": (frame(create({**ENV, "over_share_worth": float("inf")})), "over_share_worth"),
     "nan": (frame(create({**ENV, "tick": float("nan")})), "tick"),
     "boolean for a number": (frame(create({**ENV, "group_size": True})), "group_size"),
-    "number for a flag": (frame(create(changed("policy_limits", cancel=1))), "policy_limits.cancel"),
+    "number for a flag": (frame(create(changed_settings("policy_limits", cancel=1))), "policy_limits.cancel"),
     "null limits": (frame(create({**ENV, "policy_limits": None})), "policy_limits"),
     "limits a list": (frame(create({**ENV, "policy_limits": []})), "policy_limits"),
     "rules a number": (frame(create({**ENV, "rules": 3})), "rules"),
-    "negative time": (frame(create(changed("rules", cold=-1))), "cold_time"),
+    "negative time": (frame(create(changed_settings("rules", cold=-1))), "cold_time"),
     "null classes": (frame(create({**ENV, "classes": None})), "classes"),
     "no class": (frame(create({**ENV, "classes": []})), "classes"),
     "class not an object": (frame(create({**ENV, "classes": [3]})), r"classes\[0\]"),
-    "class without an aim": (
+    "class without a latency objective": (
         frame(create({**ENV, "classes": [{"effect": "free"}]})),
         r"classes\[0\].goal_time",
     ),
     "tenants an object": (frame(create({**ENV, "tenants": {"a": 1}})), "tenants"),
-    "tenant a word": (frame(create({**ENV, "tenants": ["a"]})), r"tenants\[0\]"),
-    "quota a word": (frame(create({**ENV, "tenants": [{"quota_rps": "9"}]})), r"tenants\[0\].quota_rps"),
-    "layers a word": (frame(create({**ENV, "layers": "ab"})), "layers"),
+    "tenant a string": (frame(create({**ENV, "tenants": ["a"]})), r"tenants\[0\]"),
+    "quota a string": (frame(create({**ENV, "tenants": [{"quota_rps": "9"}]})), r"tenants\[0\].quota_rps"),
+    "layers a string": (frame(create({**ENV, "layers": "ab"})), "layers"),
     "columns of objects": (frame(create({**ENV, "report": {"columns": [{}]}})), "report.columns"),
     "settings a list": (frame(create(b"[]")), "not an object"),
     "settings not text": (frame(create(b"\xff\xfe{")), "not JSON"),
-    "unsent list": (frame(create(), struct.pack("<BHBII", 7, 3, 1, 1, 9)), "list 9"),
+    "unknown list": (frame(create(), struct.pack("<BHBII", 7, 3, 1, 1, 9)), "list 9"),
     "unknown list kind": (frame(create(), members(kind=8)), "list kind 8"),
 }
 
 
 @pytest.mark.parametrize("name", MALFORMED)
-def test_malformed_input_is_named(name):
+def test_malformed_input_is_described(name):
     data, message = MALFORMED[name]
     with pytest.raises((WireError, ValueError), match=message):
         run(data)
@@ -184,65 +186,67 @@
     assert capsys.readouterr().err.count("\n") == 1
 
 
-def test_optional_keys_may_be_absent_or_null_and_unknown_ones_are_ignored():
+def test_optional_keys_may_be_null_and_unknown_are_ignored():
     env = {**ENV, "tenants": None, "deductions": None, "report": None, "zone": None, "novel": [1]}
     del env["discovery"]
     assert read_settings(json.dumps(env).encode()).tenants == ()
 
 
-def test_the_process_exits_plainly():
-    def start(data):
+def test_process_exit_status_and_output():
+    def run_adapter(data):
         command = [sys.executable, "-m", "balancer.simulator_adapter"]
         return subprocess.run(command, input=data, capture_output=True, cwd=ROOT, timeout=60)
 
-    bad = start(MALFORMED["unknown code"][0])
-    assert bad.returncode == 2 and bad.stderr.count(b"\n") == 1 and b"unknown event code" in bad.stderr
-    good = start(frame(create(), members(), accept()))
-    assert good.returncode == 0 and good.stderr == b"" and good.stdout[4] == 65
+    failed = run_adapter(MALFORMED["unknown code"][0])
+    assert (
+        failed.returncode == 2 and failed.stderr.count(b"\n") == 1 and b"unknown event code" in failed.stderr
+    )
+    succeeded = run_adapter(frame(create(), members(), accept()))
+    assert succeeded.returncode == 0 and succeeded.stderr == b"" and succeeded.stdout[4] == 65
 
 
-def test_settings_are_read_with_their_own_names():
+def test_settings_keys_map_to_settings_fields():
     s = read_settings(json.dumps(ENV).encode())
     assert s.report_fields == ("inflight", "odd") and s.instances == 2 and s.tiers == 2
     assert [int(c.effect) for c in s.classes] == [1, 2]
 
 
-def day(env: dict, nodes: tuple[int, ...]) -> list[bytes]:
-    """The replies of one process that hosts these instances, over some requests and outcomes."""
+def replies_of_process(env: dict, nodes: tuple[int, ...]) -> list[bytes]:
+    """Return the replies of one process that hosts these instances to a series of requests and outcomes."""
     host = Host()
     replies = []
     for node in nodes:
-        replies.append(host.batch(3, create(env, node) + members(node, servers=(11, 12, 13)), 0))
+        replies.append(host.process_batch(3, create(env, node) + members(node, servers=(11, 12, 13)), 0))
     for i in range(60):
         for node in nodes:
-            reply = host.batch(1, accept(node, i, request_class=i % 2), 1000 * i)
+            reply = host.process_batch(1, accept(node, i, request_class=i % 2), 1000 * i)
             replies.append(reply)
             if reply[4:5] == b"\x41":
                 server = struct.unpack_from("<I", reply, 15)[0]
                 status = 502 if i % 7 == 0 else 200
                 verdict = struct.pack("<BHQBIIBHB", 8, node, i, 0, 900, server, status == 200, status, 0)
-                replies.append(host.batch(1, verdict, 1000 * i + 900))
+                replies.append(host.process_batch(1, verdict, 1000 * i + 900))
     return replies
 
 
-def test_names_do_not_matter():
-    def named(prefix: str) -> dict:
+def test_names_do_not_change_decisions():
+    def named_settings(prefix: str) -> dict:
         classes = [{**c, "name": f"{prefix}{i}"} for i, c in enumerate(ENV["classes"])]
         tenants = [{"name": prefix, "quota_rps": 5.0}]
         names = {"kinds": [prefix], "dcs": [prefix + "z"], "layers": [prefix + "a", prefix + "b"]}
         return {**ENV, **names, "classes": classes, "tenants": tenants}
 
-    replies = day(named("alpha"), (3,))
-    assert replies == day(named("other"), (3,))
+    replies = replies_of_process(named_settings("alpha"), (3,))
+    assert replies == replies_of_process(named_settings("other"), (3,))
     assert sum(r[4:5] == b"\x41" for r in replies) > 20
 
 
-def test_instances_act_alike_in_one_process_and_in_several():
-    together = day(ENV, (3, 4))
-    apart = {node: day(ENV, (node,)) for node in (3, 4)}
+def test_instances_act_alike_in_one_process_and_several():
+    shared_process = replies_of_process(ENV, (3, 4))
+    separate_processes = {node: replies_of_process(ENV, (node,)) for node in (3, 4)}
     by_node = {3: [], 4: []}
-    for reply in together:
+    for reply in shared_process:
         if len(reply) > 4:
             by_node[struct.unpack_from("<H", reply, 5)[0]].append(reply)
     for node in (3, 4):
-        assert by_node[node] == [r for r in apart[node] if len(r) > 4]
+        assert by_node[node] == [r for r in separate_processes[node] if len(r) > 4]
