--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -221,7 +221,7 @@
     Raises:
         ConfigError: The limit leaves fewer than MIN_CONNECTIONS descriptors for connections.
     """
-    limit = limits.whole("sockets", 1024)
+    limit = limits.integer("sockets", 1024)
     reserved = (
         BASE_RESERVED_DESCRIPTORS + (management.RESERVED_DESCRIPTORS if has_management else 0) + has_fleet
     )
@@ -253,13 +253,13 @@
         raise ConfigError("name: missing or not a string")
     seed = parse_seed(table.get("seed", "0"))
     fields = Fields(table)
-    limits = fields.sub("limits", optional=True)
+    limits = fields.nested("limits", optional=True)
     max_descriptors, reserved_descriptors = parse_descriptor_limits(
         limits, bool(table.get("management")), table.get("fleet") is not None
     )
-    settings = fields.sub("settings")
-    policy_limits = settings.sub("policy_limits")
-    load_report = settings.sub("report", optional=True)
+    settings = fields.nested("settings")
+    policy_limits = settings.nested("policy_limits")
+    load_report = settings.nested("report", optional=True)
     columns = [str(c) for c in load_report.items("columns")]
     policy_settings = parse_policy_settings(settings.table)
     return Config(
@@ -278,12 +278,12 @@
         broadcast_address=parse_optional_address(table.get("peers_all"), "peers_all"),
         cached_list=parse_cached_list(table.get("known")),
         settings=policy_settings,
-        classes=tuple(c.text("name") for c in settings.tables("classes")),
-        tenants=tuple(t.text("name") for t in settings.tables("tenants", optional=True)),
+        classes=tuple(c.text("name") for c in settings.nested_list("classes")),
+        tenants=tuple(t.text("name") for t in settings.nested_list("tenants", optional=True)),
         zones=tuple(str(z) for z in settings.items("dcs")),
         kinds=tuple(str(k) for k in settings.items("kinds")),
-        connect_timeout_s=policy_limits.whole("connect_timeout", 250_000) / 1e6,
-        idle_timeout_s=policy_limits.whole("conn_idle", 15_000_000) / 1e6,
+        connect_timeout_s=policy_limits.integer("connect_timeout", 250_000) / 1e6,
+        idle_timeout_s=policy_limits.integer("conn_idle", 15_000_000) / 1e6,
         inline_reports=load_report.text("how", "off") == "inline",
         report_names=tuple((c, REPORT_COLUMNS.get(c, c)) for c in columns),
         fleet=parse_fleet_section(table, name),
--- a/balancer/net/discovery/server_list.py
+++ b/balancer/net/discovery/server_list.py
@@ -60,8 +60,8 @@
     fields = Fields(table, "list.")
     if kind is None:
         kind = ListKind.FULL if fields.flag("full") else ListKind.CHANGES
-    servers = tuple(parse_server(entry) for entry in fields.tables("servers"))
-    return ServerList(kind, fields.whole("version"), servers)
+    servers = tuple(parse_server(entry) for entry in fields.nested_list("servers"))
+    return ServerList(kind, fields.integer("version"), servers)
 
 
 def parse_server(entry: Fields) -> ServerRecord:
@@ -75,8 +75,8 @@
         port=int(port),
         zone=entry.text("zone", ""),
         kind=entry.text("kind", ""),
-        cell=entry.whole("cell", 0),
+        cell=entry.integer("cell", 0),
         state=STATES.get(entry.text("state"), State.DRAINING),
         weight=entry.number("weight", 1.0),
-        started_us=entry.whole("started_ms", 0) * 1000,
+        started_us=entry.integer("started_ms", 0) * 1000,
     )
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -198,9 +198,9 @@
 
 def test_the_work_tree_s_policy_is_loaded_whole_beside_today_s():
     """Its modules import one another, not those in service, so that a constant changes in the copy alone."""
-    module = revisions.load("", (("WINDOW", 50_000.0),))
+    module = revisions.load("", (("SAMPLE_WINDOW_US", 50_000.0),))
     assert module.balancer.GradientController is module.gradient.GradientController
-    assert module.gradient.WINDOW == 50_000 and today.WINDOW == 100_000
+    assert module.gradient.SAMPLE_WINDOW_US == 50_000 and today.SAMPLE_WINDOW_US == 100_000
     assert module.balancer.GradientController is not today.GradientController
 
 
--- a/workbench/lab/faulty_nodes.py
+++ b/workbench/lab/faulty_nodes.py
@@ -212,7 +212,7 @@
 
 def shorten_min_rtt_interval() -> None:
     """Recalculates minRTT each few seconds, so that a short run has some recalculations."""
-    gradient.MIN_RTT_INTERVAL = SHORT_MIN_RTT_INTERVAL_US
+    gradient.MIN_RTT_INTERVAL_US = SHORT_MIN_RTT_INTERVAL_US
 
 
 def ignore_min_rtt_slots() -> None:
@@ -229,7 +229,7 @@
 
 def probe_without_lease() -> None:
     """Probes ejected servers often, whoever else does."""
-    ejection.BASE_EJECTION_TIME = SHORT_EJECTION_US
+    ejection.BASE_EJECTION_TIME_US = SHORT_EJECTION_US
     wrap(HealthChecks, "may_probe", lambda go, self, now, server: True)
 
 
