--- a/balancer/fleet/health_checks/__init__.py
+++ b/balancer/fleet/health_checks/__init__.py
@@ -1,4 +1,4 @@
-"""Health checks that a zone's nodes share: one node probes an ejected server, the others take its result.
+"""Health checks that the nodes of a zone share: one node probes an ejected server and announces the result.
 
-`decisions.py` has the state machine, without sockets or clocks; `docs/leases.md` has the design.
+`decisions.py` contains the state machine, without sockets or clocks; `docs/leases.md` describes the design.
 """
--- a/balancer/fleet/health_checks/decisions.py
+++ b/balancer/fleet/health_checks/decisions.py
@@ -1,9 +1,10 @@
-"""The state machine of shared health checks: who probes an ejected server, and who relies on whose result.
+"""The state machine of shared health checks, which decides which node of a zone probes an ejected server.
 
-Each ejected server has a lease in its zone. The lease holder's policy continues with its probes, which are
-real requests, and announces them; the other nodes that have ejected the same server do not probe it. An
-announcement is valid until the probe that it foretells is overdue. After that, and after some patience where
-no majority of voters grants the lease, each node probes as it would alone.
+Each ejected server has a lease in its zone. The lease holder probes the server with real requests, as its
+policy decides, and announces the probes; the other nodes that have ejected the same server do not probe it.
+An announcement is valid until the probe that it announces is overdue. A node that knows neither a valid
+announcement nor a lease holder for the holder timeout, for example because no majority of voters grants the
+lease, probes the server independently.
 
 All times are microseconds of this process's monotonic clock.
 """
@@ -19,7 +20,7 @@
 from balancer.fleet.addressed_message import AddressedMessage
 from balancer.fleet.component import Outgoing
 from balancer.fleet.health_checks.messages import (
-    MAX_PROBES,
+    MAX_PROBES_PER_MESSAGE,
     HealthCheckKind,
     HealthCheckMessage,
     ProbeAnnouncement,
@@ -28,13 +29,13 @@
 from balancer.fleet.health_checks.settings import HealthCheckSettings
 from balancer.fleet.leases.client import LeaseClient
 from balancer.fleet.leases.messages import OutgoingLeaseMessage
-from balancer.fleet.leases.names import PROBE_PREFIX
+from balancer.fleet.leases.names import PROBE_LEASE_PREFIX
 
 Announcements = dict[HealthCheckKind, list[ProbeAnnouncement]]
 
 
 class HealthChecks:
-    """One process's part in the health checks of its zone."""
+    """One process's share of the health checks in its zone."""
 
     def __init__(
         self,
@@ -42,72 +43,85 @@
         zone: str,
         settings: HealthCheckSettings,
         lease_client: LeaseClient,
-        alive: Callable[[], Sequence[str]],
+        alive_members: Callable[[], Sequence[str]],
         on_probe_result: Callable[[int, bool], None],
         rng: Random,
     ) -> None:
-        """Creates the state machine of a process.
+        """Create the state machine of a process.
 
         Args:
             name: Name of this process.
             zone: Zone of this process.
-            settings: Time spans and limits.
-            lease_client: Acquires the servers' leases.
-            alive: Gives the names of the other members that are alive.
-            on_probe_result: Receives the results of other nodes' probes: a server, and whether it recovered.
-            rng: Spreads the readmission of servers.
+            settings: Durations and limits.
+            lease_client: Acquires the leases of servers.
+            alive_members: Returns the names of the other members that are alive.
+            on_probe_result: Called with the results of other nodes' probes: the server, and whether it has
+                recovered.
+            rng: Random numbers that spread the readmission of servers over time.
         """
         self.name = name
         self.zone = zone
         self.settings = settings
         self.lease_client = lease_client
-        self.alive = alive
+        self.alive_members = alive_members
         self.on_probe_result = on_probe_result
         self.rng = rng
         self.ejected: dict[int, EjectedServer] = {}
         self.recovered: dict[int, RecoveredServer] = {}
-        self.readmissions: dict[int, int] = {}  # when a server that another node found recovered is due
-        self.unused_leases: list[int] = []  # servers whose leases are to be released
+        self.readmissions: dict[int, int] = {}  # Time of readmission, by server.
+        self.unused_leases: list[int] = []  # Servers whose leases are released by the next tick.
         self.history = AnnouncementHistory(settings.max_remembered_servers)
-        self.zones: dict[str, str] = {}  # of members that have announced probes
+        self.zones: dict[str, str] = {}  # Zones of the members that have announced probes.
         self.zone_digest = hashlib.blake2b(zone.encode(errors="surrogatepass"), digest_size=4).hexdigest()
         self.counts: Counter[str] = Counter()
 
-    # ---- leases -----------------------------------------------------------------------------------------
+    # ---- Leases of servers ------------------------------------------------------------------------------
 
     def lease_name(self, server: int) -> str:
-        """Name of a server's lease. The zone's name may be as long as a lease's: its digest stands for it."""
-        return f"{PROBE_PREFIX}{self.zone_digest}.{server:x}"
+        """Return the lease name of a server.
+
+        It contains a digest of the zone's name, which may be too long to be part of a lease's name.
+        """
+        return f"{PROBE_LEASE_PREFIX}{self.zone_digest}.{server:x}"
 
     def token(self, now: int, server: int) -> int | None:
-        """Token of a server's lease, if this process holds it now."""
+        """Return the token of a server's lease if this process holds it now, otherwise None."""
         return self.lease_client.held_token(now, self.lease_name(server))
 
     def is_acquiring(self, server: int) -> bool:
-        """Whether this process holds a server's lease or tries to acquire it."""
+        """Return whether this process holds a server's lease or tries to acquire it."""
         return self.lease_name(server) in self.lease_client.requests
 
     def release(self, now: int, server: int) -> list[OutgoingLeaseMessage]:
-        """Releases a server's lease, or stops acquiring it."""
+        """Release a server's lease, or stop acquiring it."""
         return self.lease_client.release(now, self.lease_name(server))
 
-    # ---- the policy's events and questions --------------------------------------------------------------
+    # ---- Calls by the policy ----------------------------------------------------------------------------
 
     def may_probe(self, now: int, server: int) -> bool:
-        """Whether this node probes: it holds the lease, or no lease holder was announced for too long."""
+        """Return whether this node may probe a server.
+
+        It may if it holds the lease, or if it has not known of a lease holder for the holder timeout.
+        """
         state = self.ejected.get(server)
         if state is None or self.token(now, server) is not None:
             return True
         request = self.lease_client.requests.get(self.lease_name(server))
         held_elsewhere_until = request.held_elsewhere_until if request is not None else 0
-        holder_known_until = max(state.waiting_since, state.covered_until, held_elsewhere_until)
-        is_alone = now >= holder_known_until + self.settings.patience
+        holder_known_until = max(state.waiting_since, state.announced_until, held_elsewhere_until)
+        is_alone = now >= holder_known_until + self.settings.holder_timeout
         if is_alone:
             self.counts["alone"] += 1
         return is_alone
 
     def server_ejected(self, now: int, server: int, wait: int) -> None:
-        """The policy has ejected a server, or its probe has failed; its next probe is due in `wait`."""
+        """Record that the policy has ejected a server or its probe has failed.
+
+        Args:
+            now: The current time.
+            server: Number of the server.
+            wait: Microseconds until the next probe is due.
+        """
         state = self.ejected.get(server)
         self.recovered.pop(server, None)
         self.readmissions.pop(server, None)
@@ -118,7 +132,13 @@
         state.failure_unannounced = True
 
     def server_readmitted(self, now: int, server: int, recovered: bool) -> None:
-        """The server is not ejected any more; `recovered`: because this node's own probe succeeded."""
+        """Record that a server is not ejected any more.
+
+        Args:
+            now: The current time.
+            server: Number of the server.
+            recovered: Whether this node's own probe has succeeded.
+        """
         if self.ejected.pop(server, None) is None:
             return
         self.readmissions.pop(server, None)
@@ -129,10 +149,10 @@
         else:
             self.unused_leases.append(server)
 
-    # ---- time -------------------------------------------------------------------------------------------
+    # ---- Timers -----------------------------------------------------------------------------------------
 
     def deadline(self, now: int) -> int | None:
-        """When `tick` is due; None if nothing is."""
+        """Return when `tick` is due, or None if nothing is due."""
         deadlines = [self.ejected_deadline(now, server, state) for server, state in self.ejected.items()]
         deadlines += [state.next_announcement_at for state in self.recovered.values()]
         deadlines += self.readmissions.values()
@@ -140,7 +160,7 @@
         return min((at for at in deadlines if at is not None), default=None)
 
     def ejected_deadline(self, now: int, server: int, state: EjectedServer) -> int | None:
-        """When something is due for an ejected server."""
+        """Return when the next action for an ejected server is due, or None if none is due."""
         token = self.token(now, server)
         if token is not None:
             is_unannounced = state.failure_unannounced or state.announced_token != token
@@ -148,10 +168,10 @@
         is_acquiring = self.is_acquiring(server)
         if state.acquire_after() > now:
             return now if is_acquiring else state.acquire_after()
-        return None if is_acquiring else now  # the lease client has a deadline of its own
+        return None if is_acquiring else now  # While acquiring, the lease client has its own deadline.
 
     def tick(self, now: int) -> list[Outgoing]:
-        """Does what is due: readmits servers, acquires and releases leases, announces probes."""
+        """Readmit servers, acquire and release leases, and announce probes, as far as they are due."""
         self.readmit_due_servers(now)
         outgoing = self.release_unused_leases(now)
         announcements: Announcements = {kind: [] for kind in HealthCheckKind}
@@ -162,14 +182,14 @@
         return outgoing + self.broadcast(announcements)
 
     def readmit_due_servers(self, now: int) -> None:
-        """Has the policy readmit the servers that other nodes have found recovered."""
+        """Let the policy readmit the servers whose recovery other nodes have announced."""
         for server in [server for server, at in self.readmissions.items() if at <= now]:
             del self.readmissions[server]
             self.counts["taken_back"] += 1
             self.on_probe_result(server, True)
 
     def release_unused_leases(self, now: int) -> list[Outgoing]:
-        """Releases the leases of servers that are not ejected any more."""
+        """Release the leases of servers that are not ejected any more."""
         unused, self.unused_leases = self.unused_leases, []
         servers = [server for server in unused if server not in self.ejected]
         return [sent for server in servers for sent in self.release(now, server)]
@@ -177,7 +197,7 @@
     def update_ejected(
         self, now: int, server: int, state: EjectedServer, announcements: Announcements
     ) -> list[OutgoingLeaseMessage]:
-        """Acquires the lease while no lease holder is known, and announces probes while it is held."""
+        """Acquire the lease if no lease holder is known, and announce probes while holding it."""
         token = self.token(now, server)
         if token is None:
             return self.update_unleased(now, server, state)
@@ -194,7 +214,7 @@
         return []
 
     def update_unleased(self, now: int, server: int, state: EjectedServer) -> list[OutgoingLeaseMessage]:
-        """Acquires a server's lease, or stops that while another node's announcement is valid."""
+        """Acquire a server's lease, or stop acquiring it while another node's announcement is valid."""
         state.failure_unannounced = False
         if state.acquire_after() <= now:
             self.lease_client.acquire(now, self.lease_name(server), self.settings.lease)
@@ -204,10 +224,10 @@
     def update_recovered(
         self, now: int, server: int, state: RecoveredServer, announcements: Announcements
     ) -> list[OutgoingLeaseMessage]:
-        """Announces a recovered server a few times, then releases its lease."""
+        """Announce a recovered server a few times, then release its lease."""
         if now < state.next_announcement_at:
             return []
-        # The lease is checked right before the announcement; the receivers check the token.
+        # The lease is checked immediately before the announcement, and the receivers check the token.
         if state.announcements_left == 0 or self.token(now, server) != state.token:
             del self.recovered[server]
             return self.release(now, server)
@@ -216,25 +236,25 @@
         announcements[HealthCheckKind.WELL].append(ProbeAnnouncement(server, state.token))
         return []
 
-    # ---- messages ---------------------------------------------------------------------------------------
+    # ---- Messages ---------------------------------------------------------------------------------------
 
     def broadcast(self, announcements: Announcements) -> list[Outgoing]:
-        """The announcements as messages to the members of the zone."""
+        """Return messages with the announcements to the members of the zone."""
         outgoing: list[Outgoing] = []
         for kind, probes in announcements.items():
-            for start in range(0, len(probes), MAX_PROBES):
-                batch = tuple(probes[start : start + MAX_PROBES])
-                outgoing += self.to_zone(HealthCheckMessage(kind, self.name, self.zone, batch))
+            for start in range(0, len(probes), MAX_PROBES_PER_MESSAGE):
+                batch = tuple(probes[start : start + MAX_PROBES_PER_MESSAGE])
+                outgoing += self.zone_messages(HealthCheckMessage(kind, self.name, self.zone, batch))
         return outgoing
 
-    def to_zone(self, message: HealthCheckMessage) -> list[Outgoing]:
-        """A message to the members of the zone, and to those whose zone is not known."""
+    def zone_messages(self, message: HealthCheckMessage) -> list[Outgoing]:
+        """Address a message to the members of the zone and to those whose zone is unknown."""
         self.counts[f"said_{message.kind.name.lower()}"] += len(message.probes)
-        members = [name for name in self.alive() if self.zones.get(name, self.zone) == self.zone]
+        members = [name for name in self.alive_members() if self.zones.get(name, self.zone) == self.zone]
         return [AddressedMessage(name, message) for name in members]
 
     def received(self, now: int, message: HealthCheckMessage) -> list[Outgoing]:
-        """Handles the announcements of a lease holder. Nothing is answered."""
+        """Handle the announcements of a lease holder, which are not answered."""
         self.zones[message.sender] = message.zone
         if message.zone == self.zone:
             for probe in message.probes:
@@ -242,7 +262,7 @@
         return []
 
     def announcement_received(self, now: int, kind: HealthCheckKind, probe: ProbeAnnouncement) -> None:
-        """Handles one announcement; one by a former lease holder has no effect."""
+        """Handle one announcement, unless its token shows that it is by a former lease holder."""
         if probe.token < self.history.highest_token(probe.server):
             self.counts["old_token"] += 1
             return
@@ -252,9 +272,9 @@
         state = self.ejected.get(probe.server)
         if state is None:
             return
-        state.covered_until = valid_until
+        state.announced_until = valid_until
         if is_recovered:
-            # Failure prevented: a server that has just recovered gets all nodes' requests at one instant.
+            # Readmissions are spread so that a recovered server does not get requests of all nodes at once.
             at = now + int(self.settings.readmission_spread * self.rng.random())
             self.readmissions.setdefault(probe.server, at)
             state.waiting_since = now
@@ -262,16 +282,16 @@
             self.on_probe_result(probe.server, False)
 
     def forget(self, member: str) -> None:
-        """Membership has dropped a member."""
+        """Drop the zone of a member that membership has forgotten."""
         self.zones.pop(member, None)
 
-    # ---- what operators see -----------------------------------------------------------------------------
+    # ---- Status for operators ---------------------------------------------------------------------------
 
     def view(self, now: int) -> dict[str, Any]:
-        """The key `probe` of `GET /fleet`: ejected servers, how many of them are probed here, counters."""
+        """Return the key `probe` of `GET /fleet`: numbers of ejected and probed servers, and counters."""
         return {
             "aside": len(self.ejected),
             "tries": sum(self.token(now, server) is not None for server in self.ejected),
-            "told": sum(state.covered_until > now for state in self.ejected.values()),
+            "told": sum(state.announced_until > now for state in self.ejected.values()),
             "counts": dict(self.counts),
         }
--- a/balancer/fleet/health_checks/messages.py
+++ b/balancer/fleet/health_checks/messages.py
@@ -1,4 +1,4 @@
-"""Messages by which a node announces its probes to the nodes of its zone, and their wire form."""
+"""Messages by which a node announces its probes to the nodes of its zone, and their encoding."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 import msgspec
 
 MAX_ZONE_LENGTH = 64
-MAX_PROBES = 32  # in a message
-MAX_SERVER = (1 << 64) - 1
-MAX_NUMBER = 1 << 62
+MAX_PROBES_PER_MESSAGE = 32
+MAX_SERVER_NUMBER = (1 << 64) - 1
+WIRE_INTEGER_LIMIT = 1 << 62  # Exclusive upper bound of tokens and times in messages.
 
 
 class InvalidHealthCheckError(ValueError):
-    """A health check message holds a value that is out of range."""
+    """A health check message contains a value that is out of range."""
 
 
 class HealthCheckKind(IntEnum):
-    """Kinds of messages. Their numbers are unique over all components."""
+    """Kinds of health check messages. Their numbers are unique among all components."""
 
-    TRYING = 48  # the sender probes these servers
-    FAILED = 49  # its last probes of them failed
-    WELL = 50  # its last probes of them succeeded
+    TRYING = 48  # The sender probes these servers.
+    FAILED = 49  # The sender's last probes of these servers failed.
+    WELL = 50  # The sender's last probes of these servers succeeded.
 
 
 @dataclass(frozen=True)
 class ProbeAnnouncement:
-    """What the holder of a server's lease announces of its probes.
+    """Announcement of the holder of a server's lease about its probes.
 
     Attributes:
-        server: Number of the server, the same at every node.
-        token: Fencing token of the lease.
+        server: Number of the server, which is the same on every node.
+        token: Token of the lease; receivers ignore lower tokens than the highest received.
         wait: Microseconds until the next probe is due.
     """
 
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class HealthCheckMessage:
-    """Announcements of one kind. Each has a token, since each server has a lease of its own."""
+    """Announcements of one kind. Each has its own token, since each server has its own lease."""
 
     kind: HealthCheckKind
     sender: str
@@ -55,7 +55,7 @@
 
 
 class HealthCheckWire:
-    """Encodes and decodes the bodies of health check messages."""
+    """Encoder and decoder of the bodies of health check messages."""
 
     kinds = frozenset(int(kind) for kind in HealthCheckKind)
 
@@ -63,25 +63,33 @@
         self.decoder = msgspec.msgpack.Decoder(Body)
 
     def pack(self, message: HealthCheckMessage) -> Body:
-        """The body of a message, of plain types."""
+        """Return the body of a message, made of types that msgpack encodes."""
         return message.zone, [(probe.server, probe.token, probe.wait) for probe in message.probes]
 
     def shorter(self, message: HealthCheckMessage) -> HealthCheckMessage | None:
-        """The message without its last probe; None if it has none."""
+        """Return the message without its last probe, or None if it has no probes."""
         return replace(message, probes=message.probes[:-1]) if message.probes else None
 
     def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> HealthCheckMessage:
-        """Decodes a message.
+        """Decode the body of a received message.
 
         Raises:
             InvalidHealthCheckError: A value is out of range.
-            msgspec.DecodeError: The body has not the form of these messages.
+            msgspec.DecodeError: The body does not have the structure of a health check message.
         """
         zone, probes = self.decoder.decode(body)
-        if len(zone) > MAX_ZONE_LENGTH or len(probes) > MAX_PROBES:
-            raise InvalidHealthCheckError("the zone's name is too long, or there are too many probes")
+        if len(zone) > MAX_ZONE_LENGTH or len(probes) > MAX_PROBES_PER_MESSAGE:
+            raise InvalidHealthCheckError(
+                f"a zone name of {len(zone)} characters or a list of {len(probes)} probes is too long"
+            )
         for server, token, wait in probes:
-            if not (0 <= server <= MAX_SERVER and 0 < token < MAX_NUMBER and 0 <= wait < MAX_NUMBER):
-                raise InvalidHealthCheckError("a server, token or wait is out of range")
+            if not (
+                0 <= server <= MAX_SERVER_NUMBER
+                and 0 < token < WIRE_INTEGER_LIMIT
+                and 0 <= wait < WIRE_INTEGER_LIMIT
+            ):
+                raise InvalidHealthCheckError(
+                    f"server {server}, token {token} or wait {wait} is out of range"
+                )
         announcements = tuple(ProbeAnnouncement(*probe) for probe in probes)
         return HealthCheckMessage(HealthCheckKind(kind), sender, zone, announcements, seq)
--- a/balancer/fleet/health_checks/settings.py
+++ b/balancer/fleet/health_checks/settings.py
@@ -1,33 +1,34 @@
-"""Time spans and limits of shared health checks."""
+"""Durations and limits of shared health checks."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-LEADER_CHANGE_US = 2_000_000  # to find the next holder of a lease that has expired
+LEASE_TAKEOVER_US = 2_000_000  # Time in which another node acquires an expired lease.
 
 
 @dataclass(frozen=True)
 class HealthCheckSettings:
-    """Times in microseconds.
+    """Settings of shared health checks; times in microseconds.
 
     Attributes:
-        lease: Length of each server's lease: the longest that voters grant, since the next holder is not
-            urgent.
-        patience: How long a node waits for a lease holder, or for its announcements, before it probes by
-            itself.
-        announcement_slack: An announcement is valid until the next probe is due, and this much longer.
-        idle_timeout: A lease holder whose probe is overdue by this much has no requests to probe with, and
-            releases the lease.
-        idle_pause: After that it does not acquire the lease for this long.
-        readmission_spread: Time in which the nodes of a zone readmit a server, not all at once.
-        success_announcements: How often a recovered server is announced, since a datagram may be lost.
-        success_interval: Time between these announcements.
-        max_remembered_servers: Servers whose last announcement is remembered.
+        lease: Duration of each server's lease; the longest that voters grant, since replacing a failed
+            holder is not urgent.
+        holder_timeout: Time for which a node waits for a lease holder, or for its announcements, before it
+            probes the server independently.
+        announcement_slack: Time for which an announcement remains valid after the announced probe is due.
+        idle_timeout: Time by which the probe of a lease holder has to be overdue for the holder to release
+            the lease, because it has no requests to probe with.
+        idle_pause: Time for which such a node does not acquire the lease again.
+        readmission_spread: Period over which the nodes of a zone readmit a recovered server, so that they do
+            not all send requests to it at once.
+        success_announcements: Number of times that a recovery is announced, since datagrams may be lost.
+        success_interval: Interval between announcements of a recovery.
+        max_remembered_servers: Maximum number of servers whose last announcement is remembered.
     """
 
     lease: int = 10_000_000
-    patience: int = 12_000_000
+    holder_timeout: int = 12_000_000
     announcement_slack: int = 6_000_000
     idle_timeout: int = 5_000_000
     idle_pause: int = 10_000_000
@@ -37,6 +38,9 @@
     max_remembered_servers: int = 1024
 
 
-def settings_for(longest_lease: int) -> HealthCheckSettings:
-    """Settings with the longest lease of the fleet, and a patience that outlasts a lease holder's failure."""
-    return HealthCheckSettings(lease=longest_lease, patience=longest_lease + LEADER_CHANGE_US)
+def health_check_settings(longest_lease: int) -> HealthCheckSettings:
+    """Return settings for the fleet's longest lease, in microseconds.
+
+    The holder timeout exceeds the time in which another node replaces a failed lease holder.
+    """
+    return HealthCheckSettings(lease=longest_lease, holder_timeout=longest_lease + LEASE_TAKEOVER_US)
--- a/balancer/fleet/leases/__init__.py
+++ b/balancer/fleet/leases/__init__.py
@@ -1,6 +1,7 @@
 """Leases for work that one process may do at a time, granted by a majority of configured voters.
 
-`voter.py` grants, `client.py` requests and holds; neither knows a socket or a clock. `service.py` joins the
-two for one process and serves external lease holders; `component.py` is its place in the fleet runtime. A
-disk is optional (`vote_store.py`). Design: `docs/leases.md`.
+`voter.py` grants leases, and `client.py` requests and holds them; both are state machines without sockets or
+clocks. `service.py` combines them for one process and serves external lease holders, and `component.py`
+connects the service to the fleet runtime. Storing votes on disk is optional (`vote_store.py`). The design is
+described in `docs/leases.md`.
 """
--- a/balancer/fleet/leases/ceiling.py
+++ b/balancer/fleet/leases/ceiling.py
@@ -1,4 +1,4 @@
-"""The range of tokens that a voter may grant before its vote store is asked again."""
+"""The range of tokens that a voter may grant before it has to write to its vote store again."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 
 class CeilingUnavailableError(Exception):
-    """The ceiling cannot be raised for now, since the disk fails."""
+    """Raised when the ceiling cannot be raised at present because the disk fails."""
 
 
 @dataclass(frozen=True)
 class TokenRange:
-    """Tokens that a voter may grant without asking its disk again: above `floor`, up to `ceiling`."""
+    """Tokens that a voter may grant without another disk write: above `floor`, up to and with `ceiling`."""
 
     floor: int
     ceiling: int
 
 
-# Called with a token beyond the ceiling; gives the next range, or raises CeilingUnavailableError.
+# Takes a token beyond the ceiling and returns the next range, or raises CeilingUnavailableError.
 RaiseCeiling = Callable[[int], TokenRange]
--- a/balancer/fleet/leases/client.py
+++ b/balancer/fleet/leases/client.py
@@ -1,13 +1,14 @@
-"""A lease client: acquires leases by a majority's grant, renews them, releases them.
+"""A lease client, which acquires leases by grants of a majority of voters, renews them and releases them.
 
-It asks one voter first, the same for all clients of a lease while that one answers, so that two that request
-at the same instant meet there and not half-way; safety rests on the majority alone. A lease counts from the
-request and not from the answer, since a grant is at least as young as its request is old. Sources as in
-`voter.py`.
+A client requests a lease from one voter first, and from the others once that voter has granted it. As long
+as the first voter answers, it is the same for all clients of a lease, so that of two simultaneous requests
+one is denied at once, rather than each being granted by some of the voters. Safety depends on the majority
+alone. The duration of a lease is counted from the client's request, not from the answer: a voter counts from
+the arrival of the request, so its grant ends later. `voter.py` names the sources.
 
-Times are microseconds of this process's monotonic clock; `unix_clock` gives milliseconds of Unix time,
-advanced from the process's start by the monotonic clock, for tokens that rise even where all voters have
-forgotten.
+All times are microseconds of this process's monotonic clock. `unix_clock` returns milliseconds of Unix time,
+read at the process's start and advanced by the monotonic clock; tokens are taken from it so that they rise
+even after all voters have lost their state.
 """
 
 from __future__ import annotations
@@ -23,24 +24,24 @@
 from balancer.fleet.leases.request import LeaseRequest, RequestStage
 from balancer.fleet.leases.settings import Electorate, LeaseSettings, held_duration
 
-SEQ_BITS = 24  # of the random number that a process's rounds are counted from
+INITIAL_SEQ_BITS = 24  # Size of the random number from which the sequence numbers of rounds start.
 MAX_BACKOFF_DOUBLINGS = 8
-RENEWALS_IN_A_LEASE = 3  # a lease is renewed at a third of its duration...
-RENEWAL_RETRIES_IN_A_LEASE = 6  # ...and a renewal without an answer is repeated after a sixth
+RENEWALS_PER_LEASE = 3  # A lease is renewed after a third of its duration.
+RENEWAL_RETRIES_PER_LEASE = 6  # An unanswered renewal is repeated after a sixth of the duration.
 
 
 class LeaseClient:
-    """All leases that one process holds or requests.
+    """The leases that one process holds or requests.
 
     Args:
-        name: Of this process.
-        incarnation: Of this process.
-        electorates: The voters; while they are being changed, the list before and the one to come. Each
-            list must grant a lease by a majority.
-        settings: Times and bounds.
-        rng: For jitter and backoff.
-        unix_clock: Milliseconds of Unix time, see above.
-        notify: Hears of each lease that is acquired, released or lost.
+        name: Name of this process.
+        incarnation: Incarnation of this process.
+        electorates: Lists of voters; while the voters are being changed, the old and the new list. A
+            majority of each list must grant a lease.
+        settings: Times and limits.
+        rng: Random numbers for jitter and backoff.
+        unix_clock: Returns milliseconds of Unix time, as described above.
+        notify: Called for each lease that is acquired, released or lost.
 
     Raises:
         ValueError: There are no voters.
@@ -57,30 +58,33 @@
         notify: LeaseListener = ignore_event,
     ) -> None:
         if not electorates:
-            raise ValueError("no voters: nobody could grant a lease")
+            raise ValueError("no voters are configured to grant leases")
         self.name = name
         self.incarnation = incarnation
         self.electorates = list(electorates)
-        self.voters = sorted({v for e in electorates for v in e.voters})  # in one order everywhere
+        # The voters are sorted so that all clients index them alike.
+        self.voters = sorted({v for e in electorates for v in e.voters})
         self.settings = settings
         self.rng = rng
         self.unix_clock = unix_clock
         self.notify = notify
         self.requests: dict[str, LeaseRequest] = {}
-        self.seq = rng.getrandbits(SEQ_BITS)
-        self.past_tokens: dict[str, int] = {}  # highest tokens of leases that are not requested any more
+        self.seq = rng.getrandbits(INITIAL_SEQ_BITS)
+        self.past_tokens: dict[str, int] = {}  # Highest tokens of leases that are no longer requested.
         self.counts: Counter[str] = Counter()
 
-    # ---- what the process asks for ----------------------------------------------------------------------
+    # ---- Acquire and release ----------------------------------------------------------------------------
 
     def acquire(self, now: int, lease: str, duration: int = 0) -> None:
-        """Requests a lease from now on, and holds it as long as it can.
+        """Start to request a lease; once acquired, it is renewed until it is released or lost.
+
+        A lease that is lost is requested again.
 
         Args:
-            now: The time.
-            lease: Its name.
-            duration: Another than the usual one, at most what voters grant; a longer lease is renewed less
-                often.
+            now: The current time.
+            lease: Name of the lease.
+            duration: Duration to request, at most the longest that voters grant; 0 for the configured
+                duration. A longer lease is renewed less often.
         """
         if lease in self.requests:
             return
@@ -93,7 +97,7 @@
         )
 
     def release(self, now: int, lease: str) -> list[OutgoingLeaseMessage]:
-        """Releases a lease, or stops requesting it. It is not held from here on."""
+        """Release a lease or stop requesting it; this process does not hold it any longer."""
         request = self.abandon(lease)
         if request is None:
             return []
@@ -102,10 +106,10 @@
         return self.release_messages(request) if request.stage != RequestStage.WAITING else []
 
     def abandon(self, lease: str) -> LeaseRequest | None:
-        """Stops requesting and renewing a lease, and leaves what was granted to expire.
+        """Stop requesting and renewing a lease, and let its grants expire.
 
         Returns:
-            The request as it stood, if there was one.
+            The abandoned request, or None if the lease was not requested.
         """
         request = self.requests.pop(lease, None)
         if request is not None:
@@ -113,28 +117,28 @@
         return request
 
     def release_all(self, now: int) -> list[OutgoingLeaseMessage]:
-        """Releases all leases, before a planned end."""
+        """Release all leases, before the process shuts down."""
         return [outgoing for lease in list(self.requests) for outgoing in self.release(now, lease)]
 
     def held_token(self, now: int, lease: str) -> int | None:
-        """The token of a lease that this process holds now, or None.
+        """Return the token of a lease if this process holds it now, otherwise None.
 
-        To be asked for right before each action, and sent with it: the process may pause between the two, and
-        whoever receives the action refuses an old token.
+        Callers read the token immediately before each action and send it along. Since the process may pause
+        between the check and the action, the receiver has to reject old tokens.
         """
         request = self.requests.get(lease)
         if request is None or request.stage != RequestStage.HELD or now >= request.expires_at:
             return None
         return request.token
 
-    # ---- time -------------------------------------------------------------------------------------------
+    # ---- Timers -----------------------------------------------------------------------------------------
 
     def deadline(self) -> int | None:
-        """When `tick` is due, or None if nothing is."""
+        """Return when `tick` is due, or None if nothing is due."""
         return min((request.next_action_at for request in self.requests.values()), default=None)
 
     def tick(self, now: int) -> list[OutgoingLeaseMessage]:
-        """Does what is due."""
+        """Expire leases, and advance requests whose next step is due."""
         outgoing: list[OutgoingLeaseMessage] = []
         for request in list(self.requests.values()):
             if request.stage == RequestStage.HELD and now >= request.expires_at:
@@ -144,35 +148,38 @@
         return outgoing
 
     def advance(self, now: int, request: LeaseRequest) -> list[OutgoingLeaseMessage]:
-        """The next step of a request whose time has come."""
+        """Take the next step of a request that is due."""
         if request.stage == RequestStage.WAITING:
             return self.request_from_first(now, request)
-        if request.stage == RequestStage.FIRST_VOTER:  # it did not answer
+        if request.stage == RequestStage.FIRST_VOTER:  # The first voter has not answered in time.
             return self.request_from_next(now, request)
         if request.stage == RequestStage.ALL_VOTERS:
             return self.fail_round(now, request)
         return self.renew(now, request)
 
     def expire(self, now: int, request: LeaseRequest) -> None:
-        """A lease has run out without a majority's renewal."""
+        """Handle the expiry of a lease that no majority has renewed."""
         self.notify(LeaseEvent(LeaseEventKind.LOST, request.lease, request.token))
         request.stage = RequestStage.WAITING
         request.observe_token(request.token)
         request.due_at = now + int(self.settings.jitter * self.rng.random())
 
-    # ---- rounds -----------------------------------------------------------------------------------------
+    # ---- Rounds of requests -----------------------------------------------------------------------------
 
     def begin_round(self, now: int, request: LeaseRequest) -> None:
-        """Starts a round under a sequence number of its own."""
+        """Start a round with a new sequence number."""
         self.seq += 1
         request.begin_round(now, self.seq)
 
     def next_token(self, request: LeaseRequest) -> int:
-        """Above all that is known, and above what may have been forgotten."""
+        """Return a token above all known tokens and above those that voters may have forgotten.
+
+        Unix time normally exceeds the tokens that were granted before the voters lost their state.
+        """
         return max(request.highest_token + 1, self.unix_clock())
 
     def request_from_first(self, now: int, request: LeaseRequest) -> list[OutgoingLeaseMessage]:
-        """Begins a round with one voter."""
+        """Start a round with a request to one voter."""
         self.begin_round(now, request)
         request.token = self.next_token(request)
         request.stage = RequestStage.FIRST_VOTER
@@ -180,7 +187,7 @@
         return self.request_messages(request, [self.voters[request.first_voter % len(self.voters)]])
 
     def request_from_next(self, now: int, request: LeaseRequest) -> list[OutgoingLeaseMessage]:
-        """Turns to the next voter, as the one before is silent or cannot vote, until all have been asked."""
+        """Ask the next voter, since the previous one is silent or cannot vote; fail after all were asked."""
         request.first_voter += 1
         tried_all = (request.first_voter - first_voter_index(request.lease)) % len(self.voters) == 0
         if tried_all:
@@ -188,19 +195,19 @@
         return self.request_from_first(now, request)
 
     def request_from_all(self, now: int, request: LeaseRequest) -> list[OutgoingLeaseMessage]:
-        """Goes on with the other voters, once the first has granted."""
+        """Request the lease from the other voters, after the first one has granted it."""
         request.stage = RequestStage.ALL_VOTERS
         request.due_at = now + self.settings.answer_timeout
         return self.request_messages(request, [v for v in self.voters if v not in request.granted_by])
 
     def renew(self, now: int, request: LeaseRequest) -> list[OutgoingLeaseMessage]:
-        """Requests the same token in a new round; one that fails is repeated until the lease expires."""
+        """Request the same token in a new round; failed renewals are repeated until the lease expires."""
         self.begin_round(now, request)
-        request.due_at = now + request.duration // RENEWAL_RETRIES_IN_A_LEASE
+        request.due_at = now + request.duration // RENEWAL_RETRIES_PER_LEASE
         return self.request_messages(request, self.voters)
 
     def request_messages(self, request: LeaseRequest, voters: Iterable[str]) -> list[OutgoingLeaseMessage]:
-        """A request to each voter, for each of the electorates that it votes in."""
+        """Return a request to each voter for each electorate that contains the voter."""
         return [
             AddressedMessage(voter, self.request_message(request, electorate))
             for voter in voters
@@ -209,7 +216,7 @@
         ]
 
     def request_message(self, request: LeaseRequest, electorate: Electorate) -> LeaseMessage:
-        """The request to voters of one electorate."""
+        """Return the request to the voters of one electorate."""
         return LeaseMessage(
             LeaseKind.REQUEST,
             self.name,
@@ -222,7 +229,7 @@
         )
 
     def fail_round(self, now: int, request: LeaseRequest) -> list[OutgoingLeaseMessage]:
-        """A round has failed: what was granted is released, and the next round waits for the backoff."""
+        """End a failed round: release its grants, and schedule the next round after the backoff."""
         outgoing = self.release_messages(request)
         request.stage = RequestStage.WAITING
         request.first_voter = first_voter_index(request.lease)
@@ -235,7 +242,7 @@
         return outgoing
 
     def release_messages(self, request: LeaseRequest) -> list[OutgoingLeaseMessage]:
-        """A release to each voter."""
+        """Return a release message to each voter."""
         message = LeaseMessage(
             LeaseKind.RELEASE,
             self.name,
@@ -246,10 +253,10 @@
         )
         return [AddressedMessage(voter, message) for voter in self.voters]
 
-    # ---- answers ----------------------------------------------------------------------------------------
+    # ---- Messages from voters ---------------------------------------------------------------------------
 
     def received(self, now: int, message: LeaseMessage) -> list[OutgoingLeaseMessage]:
-        """Handles a voter's message."""
+        """Handle a message from a voter."""
         request = self.requests.get(message.lease)
         if request is None:
             return []
@@ -266,7 +273,7 @@
     def on_available(
         self, now: int, request: LeaseRequest, message: LeaseMessage
     ) -> list[OutgoingLeaseMessage]:
-        """A lease that was denied before has been released."""
+        """Handle the notification that a lease which was denied before has been released."""
         request.observe_token(message.token)
         if request.stage != RequestStage.WAITING:
             return []
@@ -274,38 +281,38 @@
         return self.tick(now)
 
     def on_grant(self, now: int, request: LeaseRequest, voter: str) -> list[OutgoingLeaseMessage]:
-        """A voter has granted the current round."""
+        """Handle a voter's grant in the current round."""
         request.granted_by.add(voter)
         if request.stage == RequestStage.FIRST_VOTER:
             outgoing = self.request_from_all(now, request)
             if outgoing:
                 return outgoing
-        self.conclude_if_granted(now, request)
+        self.hold_if_granted(now, request)
         return []
 
     def is_granted(self, request: LeaseRequest) -> bool:
-        """Whether a majority of each complete list has granted the round."""
+        """Return whether a majority of each complete electorate has granted the current round."""
         return all(electorate.has_majority(request.granted_by) for electorate in self.electorates)
 
-    def counted_from(self, request: LeaseRequest, now: int) -> int:
-        """When the lease begins for its holder: each grant is at least as young as this."""
+    def lease_start(self, request: LeaseRequest, now: int) -> int:
+        """Return the start of the lease for its holder, which precedes the start of each voter's grant."""
         return request.requested_at
 
-    def conclude_if_granted(self, now: int, request: LeaseRequest) -> None:
-        """Holds the lease, or prolongs it, if a majority has granted it in time."""
-        expires_at = self.counted_from(request, now) + held_duration(request.duration)
+    def hold_if_granted(self, now: int, request: LeaseRequest) -> None:
+        """Hold or extend the lease if a majority has granted it before it would expire."""
+        expires_at = self.lease_start(request, now) + held_duration(request.duration)
         if not self.is_granted(request) or expires_at <= now:
             return
         was_held = request.stage == RequestStage.HELD
         request.stage = RequestStage.HELD
         request.expires_at = max(expires_at, request.expires_at if was_held else 0)
-        request.due_at = max(now, request.requested_at + request.duration // RENEWALS_IN_A_LEASE)
+        request.due_at = max(now, request.requested_at + request.duration // RENEWALS_PER_LEASE)
         request.failures = 0
         if not was_held:
             self.notify(LeaseEvent(LeaseEventKind.HELD, request.lease, request.token))
 
     def on_denial(self, now: int, request: LeaseRequest, message: LeaseMessage) -> list[OutgoingLeaseMessage]:
-        """A voter has denied the current round."""
+        """Handle a voter's denial in the current round."""
         request.observe_token(message.token)
         if message.reason != DenialReason.ELECTORATE or message.sender not in request.granted_by:
             request.denied_by.add(message.sender)
@@ -319,7 +326,7 @@
     def on_first_denial(
         self, now: int, request: LeaseRequest, message: LeaseMessage
     ) -> list[OutgoingLeaseMessage]:
-        """The voter that was asked first has denied: turns to the next one, or waits."""
+        """Handle a denial by the first voter: ask the next one if it cannot vote, otherwise wait."""
         if message.reason in (DenialReason.ABSTAINS, DenialReason.ELECTORATE):
             return self.request_from_next(now, request)
         request.stage = RequestStage.WAITING
@@ -331,11 +338,14 @@
         return []
 
     def can_be_granted(self, request: LeaseRequest) -> bool:
-        """Whether the voters that have not denied could still be a majority."""
+        """Return whether the voters that have not denied the round are still a majority."""
         denied_by = request.denied_by - request.granted_by
         return all(e.has_majority(set(e.voters) - denied_by) for e in self.electorates)
 
 
 def first_voter_index(lease: str) -> int:
-    """Where among the voters a lease is requested first: spread over them, the same at every client."""
+    """Return a number that selects the first voter of a lease; all clients compute the same one.
+
+    A hash of the name spreads the leases over the voters.
+    """
     return hashlib.blake2b(lease.encode(errors="surrogatepass"), digest_size=2).digest()[0]
--- a/balancer/fleet/leases/component.py
+++ b/balancer/fleet/leases/component.py
@@ -1,4 +1,4 @@
-"""Leases, granted by a majority of voters, as a component of the fleet runtime."""
+"""The lease service as a component of the fleet runtime."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 from balancer.fleet.component import Component, Outgoing, Runtime
 from balancer.fleet.leases.client import LeaseClient
-from balancer.fleet.leases.names import FREQUENT_PREFIXES
+from balancer.fleet.leases.names import FREQUENT_LEASE_PREFIXES
 from balancer.fleet.leases.service import LeaseService
 from balancer.fleet.membership.codec import PayloadCodec
 from balancer.fleet.membership.swim import Address
 
-MICROSECONDS_IN_A_MILLISECOND = 1000
+MICROSECONDS_PER_MILLISECOND = 1000
 
 
 class LeaseComponent(Component):
-    """This process's vote, its requests, and its external lease holders."""
+    """The voter, the lease client and the external lease holders of this process."""
 
     def __init__(self, runtime: Runtime) -> None:
         self.runtime = runtime
-        self.service = LeaseService(runtime.config, runtime.log, FREQUENT_PREFIXES)
-        self.unix_offset = 0  # from the monotonic clock to Unix time, as it stood when this incarnation began
+        self.service = LeaseService(runtime.config, runtime.log, FREQUENT_LEASE_PREFIXES)
+        self.unix_offset_us = 0  # Unix time minus the monotonic clock, read at the start of the incarnation.
 
     @property
     def wires(self) -> Sequence[PayloadCodec]:
@@ -30,58 +30,58 @@
 
     @property
     def client(self) -> LeaseClient | None:
-        """For components that acquire leases; None before `open`."""
+        """The client with which other components acquire leases; None before `open`."""
         return self.service.client
 
     def abstains(self, now: int) -> bool:
-        """Whether this process is a voter that does not vote yet."""
+        """Return whether this process is a voter that still abstains after its start."""
         voter = self.service.voter
         return voter is not None and bool(voter.electorates) and voter.abstains(now)
 
-    def external_request(
+    def handle_external_request(
         self, now: int, lease: str, holder_id: str, release: bool
     ) -> tuple[dict[str, Any], Sequence[Outgoing]]:
-        """A script of this node requests a lease (again), or releases it.
+        """Request, renew or release a lease for a script on this machine.
 
         Returns:
-            The answer to the script, as JSON values, and the messages to be sent.
+            The answer to the script as JSON values, and the messages to send.
         """
         action = self.service.release_external if release else self.service.acquire_external
         answer, outgoing = action(now, lease, holder_id)
-        return answer.page(), outgoing
+        return answer.to_json(), outgoing
 
     def open(self) -> None:
-        """A new incarnation begins."""
+        """Start a new incarnation."""
         runtime = self.runtime
         now = runtime.now()
-        self.unix_offset = runtime.wall() - now
+        self.unix_offset_us = runtime.wall() - now
         incarnation = runtime.membership.me.incarnation
         self.service.open(incarnation, now, self.unix_milliseconds, runtime.rng)
 
     def unix_milliseconds(self) -> int:
-        """Unix time as of this incarnation's beginning, advanced by the monotonic clock.
+        """Return the Unix time of this incarnation's start, advanced by the monotonic clock, in milliseconds.
 
-        Failure prevented: the wall clock is stepped an hour forward for a moment, and a token of that moment
-        is above all that others make in the hour after.
+        Steps of the wall clock have no effect: a token made while the clock is briefly an hour ahead would
+        exceed all tokens that other clients make during the following hour.
         """
-        return (self.runtime.now() + self.unix_offset) // MICROSECONDS_IN_A_MILLISECOND
+        return (self.runtime.now() + self.unix_offset_us) // MICROSECONDS_PER_MILLISECOND
 
     def leave(self, now: int) -> Sequence[Outgoing]:
-        """Releases the leases that this process holds itself."""
+        """Release the leases of this process, but not those of external lease holders."""
         return self.service.leave(now)
 
     def deadline(self, now: int) -> int | None:
-        """When `tick` is due."""
+        """Return when `tick` is due, or None if nothing is due."""
         return self.service.deadline()
 
     def tick(self, now: int) -> Sequence[Outgoing]:
-        """Requests, renews and expires leases."""
+        """Request, renew and expire leases."""
         return self.service.tick(now)
 
     def received(self, now: int, sender: Address, message: Any) -> Sequence[Outgoing]:
-        """Handles a lease message."""
+        """Handle a lease message."""
         return self.service.received(now, message)
 
     def status(self, now: int) -> dict[str, Any]:
-        """The page's key `duties`, which scripts of operators read under that name."""
+        """Return the key `duties` of `GET /fleet`, a name that operators' scripts depend on."""
         return {"duties": self.service.status(now)}
--- a/balancer/fleet/leases/events.py
+++ b/balancer/fleet/leases/events.py
@@ -1,4 +1,4 @@
-"""Events of a process's leases, for its log and its tests."""
+"""Events of the leases that a process holds, for its log and for tests."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class LeaseEventKind(Enum):
-    """What happened to a lease; the value stands in the log."""
+    """What happened to a lease; the value is written to the log."""
 
     HELD = "held"
     RELEASED = "released"
-    LOST = "lost"  # expired without a majority's renewal
+    LOST = "lost"  # The lease expired because no majority renewed it.
 
 
 @dataclass(frozen=True)
 class LeaseEvent:
-    """A lease was acquired, released or lost under a token."""
+    """A lease that was acquired, released or lost, with its token."""
 
     kind: LeaseEventKind
     lease: str
@@ -28,4 +28,4 @@
 
 
 def ignore_event(event: LeaseEvent) -> None:
-    """A listener for a client whose events nobody needs."""
+    """Ignore an event, as the default listener of a lease client."""
--- a/balancer/fleet/leases/external.py
+++ b/balancer/fleet/leases/external.py
@@ -1,7 +1,8 @@
-"""External lease holders: scripts beside the fleet that hold a lease through a node of it.
+"""External lease holders: scripts outside the fleet that hold a lease through one of its nodes.
 
-A script renews its lease while it needs it; each answer states how long it may count on it. One that does not
-renew for the duration of a lease is taken for gone, but may run on until the time in its last answer.
+A script renews its lease for as long as it needs it, and each answer states for how long it may rely on the
+lease. A script that has not renewed for the duration of a lease is removed, but not before the expiry that
+its last answer stated.
 """
 
 from __future__ import annotations
@@ -13,26 +14,26 @@
 from balancer.fleet.leases.messages import OutgoingLeaseMessage
 from balancer.net.process.log import Log
 
-MAX_EXTERNAL_LEASES = 64  # held for external holders at once
+MAX_EXTERNAL_LEASES = 64  # Leases that one process requests for external lease holders at a time.
 
-TOO_MANY = f"{MAX_EXTERNAL_LEASES} leases are held for scripts already"
-TAKEN_HERE = "another script of this node has it"
+TOO_MANY_LEASES = f"{MAX_EXTERNAL_LEASES} leases are held for scripts already"
+HELD_BY_ANOTHER_SCRIPT = "another script of this node has it"
 NOT_GRANTED = "another holds it, or there is no majority"
 
 
 @dataclass
 class ExternalLeaseHolder:
-    """One script that requests a lease through this process.
+    """A script that requests a lease through this process.
 
     Attributes:
-        holder_id: The identifier that it gives itself.
-        requested_at: When it requested the lease last.
-        notified_until: Until when it holds the lease, by its last answer.
+        holder_id: Identifier that the script has chosen.
+        requested_at: Time of the script's last request.
+        reported_expires_at: Expiry of the lease that the last answer stated; 0 if it has not held the lease.
     """
 
     holder_id: str
     requested_at: int
-    notified_until: int = 0
+    reported_expires_at: int = 0
 
 
 @dataclass(frozen=True)
@@ -40,24 +41,24 @@
     """The answer to an external lease holder.
 
     Attributes:
-        token: Of the lease, if the script holds it.
-        remaining_us: How long it may count on the lease, from its request on.
-        why: The reason, where it does not hold the lease; empty after a release.
+        token: Token of the lease; None if the script does not hold it.
+        remaining_us: Time for which the script may rely on the lease, counted from its request.
+        reason: Why the script does not hold the lease; empty after a release.
     """
 
     token: int | None = None
     remaining_us: int = 0
-    why: str = ""
+    reason: str = ""
 
-    def page(self) -> dict[str, Any]:
-        """The answer as JSON values."""
+    def to_json(self) -> dict[str, Any]:
+        """Return the answer as JSON values."""
         if self.token is not None:
             return {"held": True, "token": self.token, "left_us": self.remaining_us}
-        return {"held": False, "why": self.why} if self.why else {"held": False}
+        return {"held": False, "why": self.reason} if self.reason else {"held": False}
 
 
 class ExternalResult(NamedTuple):
-    """An answer, and the messages that the request leads to."""
+    """The answer to a script, and the messages to send to voters."""
 
     answer: ExternalLeaseAnswer
     outgoing: list[OutgoingLeaseMessage]
@@ -67,37 +68,37 @@
     """The external lease holders of one process.
 
     Args:
-        client: Acquires and releases their leases.
-        timeout: In microseconds; one that has not renewed for so long is gone.
-        log: Takes a line for each that is gone.
+        client: Acquires and releases the leases.
+        timeout: Time in microseconds after which a script that has not renewed is removed.
+        log: Log of the node, with a line for each script that is removed.
     """
 
     def __init__(self, client: LeaseClient, timeout: int, log: Log) -> None:
         self.client = client
         self.timeout = timeout
         self.log = log
-        self.holders: dict[str, ExternalLeaseHolder] = {}  # by the lease that each requests
+        self.holders: dict[str, ExternalLeaseHolder] = {}  # Keys are names of leases.
 
     def acquire(self, now: int, lease: str, holder_id: str) -> ExternalResult:
-        """A script requests a lease, or needs it still."""
+        """Handle a script's request for a lease, or its renewal."""
         holder = self.holders.get(lease)
         if holder is None and len(self.holders) >= MAX_EXTERNAL_LEASES:
-            return ExternalResult(ExternalLeaseAnswer(why=TOO_MANY), [])
+            return ExternalResult(ExternalLeaseAnswer(reason=TOO_MANY_LEASES), [])
         if holder is None:
             holder = self.holders[lease] = ExternalLeaseHolder(holder_id, now)
         if holder.holder_id != holder_id:
-            return ExternalResult(ExternalLeaseAnswer(why=TAKEN_HERE), [])
+            return ExternalResult(ExternalLeaseAnswer(reason=HELD_BY_ANOTHER_SCRIPT), [])
         holder.requested_at = now
         self.client.acquire(now, lease)
         outgoing = self.client.tick(now)
         token = self.client.held_token(now, lease)
         if token is None:
-            return ExternalResult(ExternalLeaseAnswer(why=NOT_GRANTED), outgoing)
-        holder.notified_until = self.client.requests[lease].expires_at
-        return ExternalResult(ExternalLeaseAnswer(token, holder.notified_until - now), outgoing)
+            return ExternalResult(ExternalLeaseAnswer(reason=NOT_GRANTED), outgoing)
+        holder.reported_expires_at = self.client.requests[lease].expires_at
+        return ExternalResult(ExternalLeaseAnswer(token, holder.reported_expires_at - now), outgoing)
 
     def release(self, now: int, lease: str, holder_id: str) -> ExternalResult:
-        """A script does not need its lease any more."""
+        """Release a script's lease; an unknown lease or another holder's lease is left as it is."""
         holder = self.holders.get(lease)
         if holder is None or holder.holder_id != holder_id:
             return ExternalResult(ExternalLeaseAnswer(), [])
@@ -105,14 +106,14 @@
         return ExternalResult(ExternalLeaseAnswer(), self.client.release(now, lease))
 
     def deadline(self) -> int | None:
-        """When the next script that does not renew is gone, and its last answer holds no longer."""
+        """Return when the next script can be removed: it has timed out and its stated expiry has passed."""
         return min(
-            (max(h.requested_at + self.timeout, h.notified_until) for h in self.holders.values()),
+            (max(h.requested_at + self.timeout, h.reported_expires_at) for h in self.holders.values()),
             default=None,
         )
 
     def tick(self, now: int) -> list[OutgoingLeaseMessage]:
-        """Removes those that have not renewed for too long."""
+        """Remove scripts that have not renewed within the timeout."""
         outgoing: list[OutgoingLeaseMessage] = []
         for lease, holder in list(self.holders.items()):
             if now >= holder.requested_at + self.timeout:
@@ -120,11 +121,12 @@
         return outgoing
 
     def remove(self, now: int, lease: str, holder: ExternalLeaseHolder) -> list[OutgoingLeaseMessage]:
-        """A script has not renewed for too long.
+        """Remove a script that has not renewed within the timeout.
 
-        It may run on as its last answer allows; nobody else of this node gets the lease before that is over.
+        Until the expiry that its last answer stated, the lease is merely not renewed any more: the script may
+        still rely on it, so no other script of this node may get the lease before then.
         """
-        if now < holder.notified_until:
+        if now < holder.reported_expires_at:
             self.client.abandon(lease)
             return []
         self.log.line(f"lease holder gone name={lease}")
--- a/balancer/fleet/leases/granted_lease.py
+++ b/balancer/fleet/leases/granted_lease.py
@@ -1,4 +1,4 @@
-"""The state of one lease at a voter."""
+"""The state of one lease on a voter."""
 
 from __future__ import annotations
 
@@ -9,37 +9,38 @@
 
 
 class Holder(NamedTuple):
-    """A process that holds a lease or requests it; the next process of that name is another holder."""
+    """A process that holds or requests a lease; another incarnation of the same name is another holder."""
 
     name: str
     incarnation: int
 
 
-NOBODY = Holder("", 0)
+NO_HOLDER = Holder("", 0)
 
 
 def holder_of(message: LeaseMessage) -> Holder:
-    """The process that sent a message."""
+    """Return the process that sent a message."""
     return Holder(message.sender, message.incarnation)
 
 
 @dataclass
 class GrantedLease:
-    """One lease as a voter knows it.
+    """One lease as a voter tracks it.
 
     Attributes:
-        token: The highest that the voter granted.
-        released_token: Nothing is granted up to this one.
-        holder: To whom it was granted last.
-        expires_at: Until when that grant lasts, on the voter's clock.
-        waiters: Denied clients, with the seq of their request, to be notified of a release.
-        denials: Since it was granted last.
-        early_releases: Tokens that were released before their requests came, by the client.
+        token: Highest token that the voter has granted.
+        released_token: Highest token that is never granted again because it was released.
+        holder: Process to which the lease was granted last.
+        expires_at: Time at which the last grant expires, on the voter's clock.
+        waiters: Sequence numbers of the requests of denied clients, by client name; these clients are
+            notified when the lease is released.
+        denials: Number of denials since the lease was granted last.
+        early_releases: Tokens, by client, whose release arrived before their request.
     """
 
     token: int
     released_token: int = 0
-    holder: Holder = NOBODY
+    holder: Holder = NO_HOLDER
     expires_at: int = 0
     waiters: dict[str, int] = field(default_factory=dict)
     denials: int = 0
@@ -47,18 +48,18 @@
 
     @property
     def highest_token(self) -> int:
-        """The highest token that was granted or released."""
+        """Highest token that was granted or released."""
         return max(self.token, self.released_token)
 
     def grant(self, token: int, holder: Holder, expires_at: int) -> None:
-        """Grants the lease, or renews it."""
+        """Grant the lease to a holder, or renew it."""
         self.token, self.holder, self.expires_at = token, holder, expires_at
         self.denials = 0
-        # Lower ones are too low to be granted by now, so their releases need not be remembered.
+        # Lower tokens can no longer be granted, so their releases need not be remembered.
         self.early_releases = {h: released for h, released in self.early_releases.items() if released > token}
 
-    def note_early_release(self, holder: Holder, token: int, max_kept: int) -> None:
-        """Remembers a release that came before its request; the oldest is the least likely to be needed."""
+    def record_early_release(self, holder: Holder, token: int, max_kept: int) -> None:
+        """Remember a release that arrived before its request, and drop the oldest ones beyond `max_kept`."""
         self.early_releases[holder] = max(token, self.early_releases.pop(holder, 0))
         if len(self.early_releases) > max_kept:
             del self.early_releases[next(iter(self.early_releases))]
--- a/balancer/fleet/leases/messages.py
+++ b/balancer/fleet/leases/messages.py
@@ -1,4 +1,4 @@
-"""Messages between lease clients and voters, and their form on the wire."""
+"""Messages between lease clients and voters, and their encoding."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from balancer.fleet.addressed_message import AddressedMessage
 
 MAX_LEASE_NAME_LENGTH = 64
-WIRE_INTEGER_LIMIT = 1 << 62  # integers in messages are below this
+WIRE_INTEGER_LIMIT = 1 << 62  # Exclusive upper bound of integers in messages.
 
 
 class LeaseKind(IntEnum):
-    """What a message is. The numbers are apart from those of other components."""
+    """Kinds of lease messages. Their numbers are unique among all components."""
 
-    REQUEST = 16  # to a voter: grant this lease under this token
+    REQUEST = 16  # To a voter: the sender requests this lease under this token.
     GRANT = 17
     DENY = 18
-    RELEASE = 19  # to a voter: the lease is not held any more, or not under this token
-    AVAILABLE = 20  # to clients that were denied: request again
-    RECALL = 21  # a restarted voter asks the other voters for the highest token
+    RELEASE = 19  # To a voter: the sender no longer holds the lease under this token.
+    AVAILABLE = 20  # To a denied client: the lease has been released and may be requested again.
+    RECALL = 21  # To a voter: a restarted voter asks for the highest token.
     RECALL_ANSWER = 22
 
 
@@ -30,11 +30,11 @@
 
     NONE = 0
     HELD = 1
-    OLD = 2  # the token is not higher than one granted or released before
+    OLD = 2  # The token is not higher than one that was granted or released before.
     ABSTAINS = 3
-    ELECTORATE = 4  # the voter does not vote in that list
+    ELECTORATE = 4  # The voter is not a member of the request's electorate.
     FULL = 5
-    LENGTH = 6  # longer than the voter grants
+    LENGTH = 6  # The requested duration is longer than the voter grants.
 
 
 @dataclass(frozen=True)
@@ -42,15 +42,16 @@
     """A message of one kind; fields that a kind does not use are 0 or empty.
 
     Attributes:
-        kind: What the message is.
-        sender: Name of the process that sent it.
-        incarnation: Distinguishes one process of a name from the next.
+        kind: Kind of the message.
+        sender: Name of the process that sent the message.
+        incarnation: Incarnation of the sender, which distinguishes successive processes of one name.
         lease: Name of the lease.
-        seq: Pairs an answer with its request.
-        token: Of the lease; in a denial the highest token that the voter knows.
-        electorate: Digest of the list of voters that the request is made in.
-        duration: In microseconds: of the requested lease; in a denial until the sender may come again.
-        reason: Of a denial.
+        seq: Sequence number that matches an answer to its request.
+        token: Token of the lease; in a denial, the highest token that the voter knows.
+        electorate: Digest of the electorate in which the request is made.
+        duration: Duration of the requested lease in microseconds; in a denial, the time until the receiver
+            may request the lease again.
+        reason: Reason of a denial.
     """
 
     kind: LeaseKind
@@ -64,13 +65,14 @@
     reason: DenialReason = DenialReason.NONE
 
 
-OutgoingLeaseMessage = AddressedMessage[str, LeaseMessage]  # to the name of a process
+# The address is the name of a process.
+OutgoingLeaseMessage = AddressedMessage[str, LeaseMessage]
 
 Body = tuple[int, str, int, int, int, int]
 
 
 class LeaseWire:
-    """Encodes lease messages to the body of a datagram, and back."""
+    """Encoder and decoder of the bodies of lease messages."""
 
     kinds = frozenset(int(kind) for kind in LeaseKind)
 
@@ -78,7 +80,7 @@
         self.decoder = msgspec.msgpack.Decoder(Body)
 
     def pack(self, message: LeaseMessage) -> Body:
-        """The body of a message; kind, sender and seq go with the envelope."""
+        """Return the body of a message; the envelope contains its kind, sender and sequence number."""
         return (
             message.incarnation,
             message.lease,
@@ -89,19 +91,21 @@
         )
 
     def shorter(self, message: LeaseMessage) -> None:
-        """Names are short, so a message always fits a datagram."""
+        """Return None: with their short names, lease messages always fit into a datagram."""
 
     def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> LeaseMessage:
-        """The message of a received body.
+        """Decode the body of a received message.
 
         Raises:
-            ValueError: A field has an impossible value.
-            msgspec.DecodeError: The body has another form.
+            ValueError: The lease's name is too long or an integer is out of range.
+            msgspec.DecodeError: The body does not have the structure of a lease message.
         """
         incarnation, lease, token, electorate, duration, reason = self.decoder.decode(body)
         integers = (incarnation, token, electorate, duration)
         if len(lease) > MAX_LEASE_NAME_LENGTH or not all(0 <= x < WIRE_INTEGER_LIMIT for x in integers):
-            raise ValueError("a lease message with an impossible field")
+            raise ValueError(
+                f"a lease name of {len(lease)} characters or an integer in {integers} is out of range"
+            )
         return LeaseMessage(
             LeaseKind(kind),
             sender,
@@ -111,12 +115,12 @@
             token,
             electorate,
             duration,
-            known_reason(reason),
+            parse_denial_reason(reason),
         )
 
 
-def known_reason(value: int) -> DenialReason:
-    """The reason of a denial; one that only a later version knows is a denial all the same."""
+def parse_denial_reason(value: int) -> DenialReason:
+    """Return the reason of a denial, and `FULL` for a reason that only a later version defines."""
     try:
         return DenialReason(value)
     except ValueError:
--- a/balancer/fleet/leases/request.py
+++ b/balancer/fleet/leases/request.py
@@ -1,4 +1,4 @@
-"""The state of one requested lease at its client."""
+"""The state of one requested lease on its client."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 class RequestStage(Enum):
-    """The stage of a request; the value stands on the operators' page."""
+    """Stage of a request; the value is part of `GET /fleet`."""
 
-    WAITING = "waits"  # until `due_at`
+    WAITING = "waits"  # The client requests the lease again at `due_at`.
     FIRST_VOTER = "asks one"
     ALL_VOTERS = "asks all"
     HELD = "held"
@@ -20,20 +20,20 @@
     """One lease that a client holds or wants to hold.
 
     Attributes:
-        lease: Its name.
-        duration: Of the lease as requested, in microseconds.
-        stage: Where the request stands.
-        due_at: When the client acts on it next.
-        seq: Of the current round; answers to others do not count.
-        requested_at: When the first request of the round was sent.
-        token: Under which the lease is requested or held.
-        highest_token: The highest that a voter has reported.
-        expires_at: Until when the lease is held.
+        lease: Name of the lease.
+        duration: Requested duration of the lease, in microseconds.
+        stage: Stage of the request.
+        due_at: Time of the client's next action on the request.
+        seq: Sequence number of the current round; answers to other rounds are ignored.
+        requested_at: Time at which the first request of the round was sent.
+        token: Token under which the lease is requested or held.
+        highest_token: Highest token that a voter has reported.
+        expires_at: Time at which the held lease expires.
         first_voter: Index of the voter that is asked first.
-        failures: Failed rounds since the lease was held.
-        held_elsewhere_until: Until when another process holds it, by a voter's denial.
-        granted_by: Voters that granted it in this round.
-        denied_by: Voters that denied it in this round.
+        failures: Number of failed rounds since the lease was held last.
+        held_elsewhere_until: Time until which another process holds the lease, according to a denial.
+        granted_by: Voters that granted the lease in the current round.
+        denied_by: Voters that denied the lease in the current round.
     """
 
     lease: str
@@ -53,16 +53,16 @@
 
     @property
     def next_action_at(self) -> int:
-        """When something is due: the next step of the request, or its expiry."""
+        """Time of the request's next step or of the lease's expiry, whichever is earlier."""
         if self.stage == RequestStage.HELD:
             return min(self.due_at, self.expires_at)
         return self.due_at
 
     def begin_round(self, now: int, seq: int) -> None:
-        """Starts a new round of requests; answers to earlier ones do not count any more."""
+        """Start a new round of requests; answers to earlier rounds are ignored from now on."""
         self.seq, self.requested_at = seq, now
         self.granted_by, self.denied_by = set(), set()
 
     def observe_token(self, token: int) -> None:
-        """Takes in a token that was granted to somebody."""
+        """Record a token that was granted to any client."""
         self.highest_token = max(self.highest_token, token)
--- a/balancer/fleet/leases/service.py
+++ b/balancer/fleet/leases/service.py
@@ -1,4 +1,4 @@
-"""The leases of one process: its vote, its requests, and its external lease holders."""
+"""The lease service of one process: its voter, its lease client and its external lease holders."""
 
 from __future__ import annotations
 
@@ -19,31 +19,31 @@
 from balancer.fleet.leases.voter import Voter
 from balancer.net.process.log import Log
 
-MICROSECONDS = 1e6  # in a second
+MICROSECONDS_PER_SECOND = 1e6
 
 
 @dataclass(frozen=True)
 class Participants:
-    """What exists from `open` on; each incarnation has others."""
+    """The state machines of one incarnation."""
 
     voter: Voter
     client: LeaseClient
-    external: ExternalLeaseHolders
+    external_holders: ExternalLeaseHolders
 
 
 class LeaseService:
-    """Joins the state machines of leases for one process; they exist from `open` on.
+    """The state machines for the leases of one process, which exist once `open` has been called.
 
     Args:
-        config: The process's place in the fleet.
-        log: Hears of leases that are held, released or lost.
-        quiet_prefixes: Of names of leases that change hands too often for the log.
+        config: Fleet configuration of the process.
+        log: Log of the node, with a line for each lease that is acquired, released or lost.
+        unlogged_prefixes: Name prefixes of leases that change holders too often to be logged.
     """
 
-    def __init__(self, config: FleetConfig, log: Log, quiet_prefixes: tuple[str, ...] = ()) -> None:
+    def __init__(self, config: FleetConfig, log: Log, unlogged_prefixes: tuple[str, ...] = ()) -> None:
         self.config = config
         self.log = log
-        self.quiet_prefixes = quiet_prefixes
+        self.unlogged_prefixes = unlogged_prefixes
         self.wire = LeaseWire()
         self.settings = LeaseSettings(lease=config.lease, max_lease=config.max_lease)
         lists = (config.voters, config.old_voters)
@@ -52,29 +52,29 @@
 
     @property
     def voter(self) -> Voter | None:
-        """This process's vote; None before `open`."""
+        """The voter of this process; None before `open`."""
         return self.participants.voter if self.participants is not None else None
 
     @property
     def client(self) -> LeaseClient | None:
-        """This process's requests; None before `open`."""
+        """The lease client of this process; None before `open`."""
         return self.participants.client if self.participants is not None else None
 
     def open(self, incarnation: int, now: int, unix_clock: Callable[[], int], rng: Random) -> None:
-        """Begins a new incarnation. `unix_clock`: milliseconds of Unix time, see `client.py`."""
+        """Start a new incarnation. `unix_clock` returns milliseconds of Unix time, see `client.py`."""
         name = self.config.name
         floor, raise_ceiling = self.open_vote_store()
         voter = Voter(name, incarnation, self.electorates, self.settings, now, floor, raise_ceiling)
         client = LeaseClient(
             name, incarnation, self.electorates, self.settings, rng, unix_clock, self.log_event
         )
-        external = ExternalLeaseHolders(client, self.settings.lease, self.log)
+        external_holders = ExternalLeaseHolders(client, self.settings.lease, self.log)
         if self.participants is not None:
-            external.holders = self.participants.external.holders
-        self.participants = Participants(voter, client, external)
+            external_holders.holders = self.participants.external_holders.holders
+        self.participants = Participants(voter, client, external_holders)
 
     def open_vote_store(self) -> tuple[int, RaiseCeiling | None]:
-        """The floor that the last incarnation left, and how to raise the ceiling, where votes are kept."""
+        """Open the vote store if one is configured; return the voter's floor and how to raise its ceiling."""
         if self.config.votes is None:
             return 0, None
         name = self.config.name
@@ -82,61 +82,62 @@
         return store.open(), store.raise_ceiling
 
     def log_event(self, event: LeaseEvent) -> None:
-        """Logs what happened to a lease, unless it changes hands too often."""
-        if not event.lease.startswith(self.quiet_prefixes):
+        """Log an event of a lease, unless its name has an unlogged prefix."""
+        if not event.lease.startswith(self.unlogged_prefixes):
             self.log.line(f"lease {event.kind.value} name={event.lease} token={event.token}")
 
-    # ---- time and messages ------------------------------------------------------------------------------
+    # ---- Timers and messages ----------------------------------------------------------------------------
 
     def deadline(self) -> int | None:
-        """When `tick` is due, or None if nothing is."""
+        """Return when `tick` is due, or None if nothing is due."""
         if self.participants is None:
             return None
         p = self.participants
-        deadlines = (p.voter.deadline(), p.client.deadline(), p.external.deadline())
+        deadlines = (p.voter.deadline(), p.client.deadline(), p.external_holders.deadline())
         return min((d for d in deadlines if d is not None), default=None)
 
     def tick(self, now: int) -> list[OutgoingLeaseMessage]:
-        """Does what is due."""
+        """Do what is due for the external lease holders, the voter and the client."""
         if self.participants is None:
             return []
         p = self.participants
-        return [*p.external.tick(now), *p.voter.tick(now), *p.client.tick(now)]
+        return [*p.external_holders.tick(now), *p.voter.tick(now), *p.client.tick(now)]
 
     def received(self, now: int, message: LeaseMessage) -> list[OutgoingLeaseMessage]:
-        """Handles a message to the voter or to the client."""
+        """Handle a message to the voter or the client."""
         if self.participants is None:
             return []
         p = self.participants
         return p.voter.received(now, message) + p.client.received(now, message)
 
     def leave(self, now: int) -> list[OutgoingLeaseMessage]:
-        """Releases what this process holds itself, before a planned end.
+        """Release the leases of this process itself, before it shuts down.
 
-        What an external holder has is left to expire, since it runs on until the time in its last answer.
+        Leases of external holders are left to expire, since their scripts continue to rely on the expiry that
+        their last answer stated.
         """
         if self.participants is None:
             return []
         p = self.participants
-        own = [lease for lease in p.client.requests if lease not in p.external.holders]
-        return [outgoing for lease in own for outgoing in p.client.release(now, lease)]
+        process_leases = [lease for lease in p.client.requests if lease not in p.external_holders.holders]
+        return [outgoing for lease in process_leases for outgoing in p.client.release(now, lease)]
 
-    # ---- for external lease holders ---------------------------------------------------------------------
+    # ---- External lease holders -------------------------------------------------------------------------
 
     def acquire_external(self, now: int, lease: str, holder_id: str) -> ExternalResult:
-        """A script requests a lease, or needs it still."""
+        """Request or renew a lease for a script; `open` must have been called."""
         assert self.participants is not None
-        return self.participants.external.acquire(now, lease, holder_id)
+        return self.participants.external_holders.acquire(now, lease, holder_id)
 
     def release_external(self, now: int, lease: str, holder_id: str) -> ExternalResult:
-        """A script does not need its lease any more."""
+        """Release a script's lease; `open` must have been called."""
         assert self.participants is not None
-        return self.participants.external.release(now, lease, holder_id)
+        return self.participants.external_holders.release(now, lease, holder_id)
 
-    # ---- what operators see -----------------------------------------------------------------------------
+    # ---- Status for operators ---------------------------------------------------------------------------
 
     def status(self, now: int) -> dict[str, Any]:
-        """What this process votes for, and what it requests and holds; times in seconds."""
+        """Return the state of the voter and the client for `GET /fleet`, with times in seconds."""
         if self.participants is None:
             return {}
         voter, client = self.participants.voter, self.participants.client
@@ -144,7 +145,7 @@
         return {
             "voters": list(self.config.voters),
             "votes": bool(voter.electorates),
-            "abstains_s": round(abstains / MICROSECONDS, 3),
+            "abstains_s": round(abstains / MICROSECONDS_PER_SECOND, 3),
             "granted": granted_status(voter, now),
             "wanted": requested_status(client, now),
             "held": sum(request.stage == RequestStage.HELD for request in client.requests.values()),
@@ -153,12 +154,12 @@
 
 
 def granted_status(voter: Voter, now: int) -> dict[str, Any]:
-    """The leases that a voter has granted and that last still, by name."""
+    """Return the unexpired grants of a voter, by the name of the lease."""
     return {
         name: {
             "holder": lease.holder.name,
             "token": lease.token,
-            "left_s": round((lease.expires_at - now) / MICROSECONDS, 3),
+            "left_s": round((lease.expires_at - now) / MICROSECONDS_PER_SECOND, 3),
         }
         for name, lease in sorted(voter.leases.items())
         if lease.expires_at > now
@@ -166,7 +167,7 @@
 
 
 def requested_status(client: LeaseClient, now: int) -> dict[str, Any]:
-    """The leases that a client requests or holds, by name."""
+    """Return the leases that a client requests or holds, by name."""
     return {
         name: {
             "stage": request.stage.value,
--- a/balancer/fleet/leases/settings.py
+++ b/balancer/fleet/leases/settings.py
@@ -1,4 +1,4 @@
-"""Settings of leases, the bounds on clock drift, and the electorate."""
+"""Settings of leases, the bound on clock drift, and the electorate."""
 
 from __future__ import annotations
 
@@ -7,8 +7,9 @@
 from dataclasses import dataclass
 from functools import cached_property
 
-CLOCK_DRIFT_DIVISOR = 100  # a monotonic clock is off by one part in so many at most
-DIGEST_BYTES = 6
+# A monotonic clock is assumed to drift by at most one part in this number.
+CLOCK_DRIFT_DIVISOR = 100
+ELECTORATE_DIGEST_BYTES = 6
 
 
 @dataclass(frozen=True)
@@ -16,19 +17,22 @@
     """Settings of clients and voters; times in microseconds.
 
     Attributes:
-        lease: Duration of a lease as a voter grants it; a holder counts on somewhat less.
-        max_lease: Longest duration that any client of the fleet requests; a voter abstains so long after its
-            start.
-        answer_timeout: How long a client waits for an answer before it turns to the next voter or ends the
-            round.
-        jitter: Bound of a random delay after a lease expired, so that not all clients request it at once.
-        backoff: Pause after a failed round, doubled with each further one...
-        max_backoff: ...up to this.
-        recall_interval: Between two recalls of a voter that has restarted.
-        max_leases: Leases that a voter keeps apart.
-        retry_spacing: Between clients that are notified when to request again.
-        store_retry_interval: Pause after the vote store failed.
-        max_waiters: Denied clients that are notified when a lease becomes available.
+        lease: Usual duration of a lease. Allowing for clock drift, voters grant slightly more and holders
+            rely on slightly less.
+        max_lease: Longest duration that any client of the fleet may request; a voter abstains for this long
+            after its start.
+        answer_timeout: How long a client waits for an answer before it asks the next voter or ends the round.
+        jitter: Upper bound of the random delay after a lease has expired or been denied, so that clients do
+            not all request it at once.
+        backoff: Pause after the first failed round; it doubles with each further failed round.
+        max_backoff: Upper bound of the pause after a failed round.
+        recall_interval: Interval between two recalls of a voter that has restarted.
+        max_leases: Maximum number of leases that a voter tracks separately.
+        retry_spacing: Additional wait of each further client that is denied a lease, so that the clients
+            request it again one after another.
+        store_retry_interval: Pause after a failure of the vote store before it is tried again.
+        max_waiters: Maximum number of denied clients that are notified when a lease becomes available; also
+            the number of early releases that a voter remembers for a lease.
     """
 
     lease: int = 3_000_000
@@ -45,41 +49,41 @@
 
 
 def held_duration(lease: int) -> int:
-    """How long a holder counts on a lease, from its request on.
+    """Return for how long a holder relies on a lease, counted from the time of its request.
 
-    It is over by the holder's clock before any voter's grant is, though one clock runs slow and the other
-    fast.
+    On the holder's clock this time ends before any voter's grant expires, even if the holder's clock runs
+    slow and the voter's clock runs fast.
     """
     return lease * (CLOCK_DRIFT_DIVISOR - 1) // (CLOCK_DRIFT_DIVISOR + 1) - 1
 
 
 def granted_duration(lease: int) -> int:
-    """How long a voter's grant lasts on its own clock, from the request's arrival on."""
+    """Return for how long a grant lasts on the voter's clock, counted from the request's arrival."""
     return lease * (CLOCK_DRIFT_DIVISOR + 1) // CLOCK_DRIFT_DIVISOR + 1
 
 
 @dataclass(frozen=True)
 class Electorate:
-    """A fixed list of voters, by name."""
+    """A fixed list of voters, identified by their names."""
 
     voters: tuple[str, ...]
 
     @cached_property
     def digest(self) -> int:
-        """Identifies the list in each request, whatever its order."""
+        """Hash that identifies the list in each request, independent of its order."""
         text = "\n".join(sorted(self.voters)).encode()
-        return int.from_bytes(hashlib.blake2b(text, digest_size=DIGEST_BYTES).digest(), "big")
+        return int.from_bytes(hashlib.blake2b(text, digest_size=ELECTORATE_DIGEST_BYTES).digest(), "big")
 
     @property
     def majority(self) -> int:
-        """The number of voters that are a majority."""
+        """Smallest number of voters that forms a majority."""
         return len(self.voters) // 2 + 1
 
     @property
     def recall_quorum(self) -> int:
-        """So many other voters that one at least was in any majority that a voter without memory was in."""
+        """Number of other voters that always includes one of any majority to which a voter belonged."""
         return len(self.voters) - self.majority + 1
 
     def has_majority(self, granted_by: Iterable[str]) -> bool:
-        """Whether these are a majority of the complete list, whoever is alive."""
+        """Return whether these voters are a majority of the complete list, including voters that are down."""
         return len(set(granted_by) & set(self.voters)) >= self.majority
--- a/balancer/fleet/leases/vote_store.py
+++ b/balancer/fleet/leases/vote_store.py
@@ -1,10 +1,12 @@
-"""The highest token that a voter may have granted, kept on a disk for its next incarnation.
+"""Storage of the highest token that a voter may have granted, for the voter's next incarnation.
 
-A file for each voter, written completely under another name, synced and renamed, before anything beyond it is
-granted; ahead by `CEILING_MARGIN`, so that not every grant waits for the disk. What cannot be read correctly
-is named and not trusted: the voter then starts as one without memory. What cannot be read or written for now
-(`ENOSPC`, `EIO`, a folder that is not mounted) is retried; until then nothing beyond the ceiling is
-granted.
+Each voter has one file that contains its ceiling. Before the voter grants a token above the ceiling, it
+writes a new file under a temporary name, syncs it and renames it. The new ceiling is `CEILING_MARGIN_TOKENS`
+above the token, so that not every grant waits for the disk.
+
+A damaged file is logged and ignored: the voter then starts without stored votes. A file that cannot be read
+or written at present (`ENOSPC`, `EIO`, a folder that is not mounted) is retried; until that succeeds, nothing
+above the ceiling is granted.
 """
 
 from __future__ import annotations
@@ -16,28 +18,29 @@
 
 from balancer.fleet.leases.ceiling import CeilingUnavailableError, TokenRange
 
-CEILING_MARGIN = 60_000  # tokens follow milliseconds of Unix time: a write a minute
-FILE_HEADER = b"brackenladder votes 1"  # files keep the node's former name
-FILE_LINES = 3  # header, name of the voter, token; the checksum follows
-FILE_MODE = 0o666  # less the process's umask
+# Tokens follow Unix time in milliseconds, so this margin means one write a minute.
+CEILING_MARGIN_TOKENS = 60_000
+FILE_HEADER = b"brackenladder votes 1"  # Another header would invalidate stored files.
+BODY_LINES = 3  # Lines before the checksum: header, name of the voter, token.
+FILE_MODE = 0o666  # The process's umask removes bits from this mode.
 CHECKSUM_BYTES = 16
 
 
 class VoteStoreError(Exception):
-    """A file of votes that is not to be trusted; the message is one line."""
+    """A vote file is damaged or belongs to another voter; the message is one line."""
 
 
 class VoteStoreUnavailableError(VoteStoreError):
-    """A file of votes that cannot be read for now; what it holds may be complete."""
+    """A vote file cannot be read at present; its content may be intact."""
 
 
 def checksum(body: bytes) -> bytes:
-    """The last line of a file, made from the lines before it."""
+    """Return the checksum that the last line of a vote file contains, computed from the lines before it."""
     return hashlib.blake2b(body, digest_size=CHECKSUM_BYTES).hexdigest().encode()
 
 
 def read_file(path: Path) -> bytes | None:
-    """What a voter's file holds; None where there is none in its folder.
+    """Return the content of a vote file, or None if its folder exists without the file.
 
     Raises:
         VoteStoreUnavailableError: The file or its folder cannot be read.
@@ -53,43 +56,44 @@
 
 
 def load(path: Path, name: str) -> int:
-    """The token in a voter's file; 0 where there is none.
+    """Return the token in a vote file, or 0 if there is no file.
 
     Raises:
-        VoteStoreError: The file is torn, or not this voter's, or cannot be read.
+        VoteStoreError: The file is damaged, belongs to another voter, or cannot be read.
     """
     data = read_file(path)
     if data is None:
         return 0
     body, _, digest = data.rstrip(b"\n").rpartition(b"\n")
     if digest != checksum(body):
-        raise VoteStoreError(f"{path}: torn or changed: its checksum does not fit")
+        raise VoteStoreError(f"{path}: torn or changed: checksum mismatch")
     lines = body.split(b"\n")
-    if len(lines) != FILE_LINES or lines[0] != FILE_HEADER or not lines[2].isdigit():
-        raise VoteStoreError(f"{path}: not a file of votes")
+    if len(lines) != BODY_LINES or lines[0] != FILE_HEADER or not lines[2].isdigit():
+        raise VoteStoreError(f"{path}: not a vote file")
     if lines[1] != name.encode():
-        raise VoteStoreError(f"{path}: the votes of {lines[1].decode(errors='replace')}, not of {name}")
+        raise VoteStoreError(f"{path}: has the votes of {lines[1].decode(errors='replace')}, not of {name}")
     return int(lines[2])
 
 
 def save(path: Path, name: str, token: int) -> None:
-    """Replaces a voter's file; it is on the disk when this returns.
+    """Replace a vote file and return once the new file is on the disk.
 
     Raises:
-        OSError: The file could not be replaced; it is the one before or the new one, and complete either way.
+        OSError: The file may not have been replaced; it is the previous or the new one, and complete in
+            either case.
     """
     body = b"\n".join([FILE_HEADER, name.encode(), str(token).encode()])
-    part = path.with_suffix(".part")
-    write_synced(part, body + b"\n" + checksum(body) + b"\n")
-    os.rename(part, path)
+    temporary_path = path.with_suffix(".part")
+    write_synced(temporary_path, body + b"\n" + checksum(body) + b"\n")
+    os.rename(temporary_path, path)
     sync_folder(path.parent)
 
 
 def write_synced(path: Path, data: bytes) -> None:
-    """Writes a file from its beginning and syncs it.
+    """Truncate a file, write its content and sync it.
 
     Raises:
-        OSError: As a system call had it.
+        OSError: A system call failed.
     """
     descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, FILE_MODE)
     try:
@@ -104,18 +108,18 @@
 
 
 def close_after_error(descriptor: int) -> None:
-    """Closes a file whose first error is the one to be reported."""
+    """Close a file after an error, without replacing that error by one of closing."""
     try:
         os.close(descriptor)
     except OSError:
-        return  # Linux has released the descriptor all the same
+        return  # Linux releases the descriptor even if closing fails.
 
 
 def sync_folder(folder: Path) -> None:
-    """Makes a renaming durable.
+    """Sync a folder, so that a rename in it is durable.
 
     Raises:
-        OSError: As a system call had it.
+        OSError: A system call failed.
     """
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
@@ -127,23 +131,23 @@
 
 
 class VoteStore:
-    """One voter's file over one incarnation: read once, raised as needed.
+    """The vote file of one voter during one incarnation: read once, and replaced when the ceiling rises.
 
     Args:
-        path: Of the file.
-        name: Of the voter.
-        log_line: Hears once that the disk fails, and once that it works again.
+        path: Path of the file.
+        name: Name of the voter.
+        log_line: Writes a line to the log, once when the disk starts to fail and once when it works again.
     """
 
     def __init__(self, path: Path, name: str, log_line: Callable[[str], None]) -> None:
         self.path = path
         self.name = name
         self.log_line = log_line
-        self.floor: int | None = None  # what the last incarnation left; None until it could be read
-        self.failing = False
+        self.floor: int | None = None  # Ceiling of the last incarnation; None until it has been read.
+        self.is_failing = False
 
     def open(self) -> int:
-        """The token that all grants of this incarnation are above, as far as it can be read now."""
+        """Return the token up to which nothing is granted; 0 as long as the file cannot be read."""
         try:
             return self.read_floor()
         except VoteStoreUnavailableError as error:
@@ -151,19 +155,24 @@
             return 0
 
     def read_floor(self) -> int:
-        """What the last incarnation left, read once.
+        """Return the ceiling of the last incarnation, which is read once.
 
-        Failure prevented: a disk fails at the start alone, and the higher token on it is overwritten.
+        It is read before the first write, so that a disk that fails only at the start does not lead to its
+        higher token being overwritten by a lower one.
 
         Raises:
-            VoteStoreUnavailableError: The disk gives no answer for now.
+            VoteStoreUnavailableError: The file cannot be read at present.
         """
         if self.floor is None:
-            self.floor = self.load_or_distrust()
+            self.floor = self.load_or_zero()
         return self.floor
 
-    def load_or_distrust(self) -> int:
-        """The token in the file; 0, and a line in the log, where it is not to be trusted."""
+    def load_or_zero(self) -> int:
+        """Return the token in the file; log a damaged or foreign file and return 0.
+
+        Raises:
+            VoteStoreUnavailableError: The file cannot be read at present.
+        """
         try:
             return load(self.path, self.name)
         except VoteStoreUnavailableError:
@@ -173,14 +182,17 @@
             return 0
 
     def raise_ceiling(self, token: int) -> TokenRange:
-        """Called before a token beyond the ceiling is granted.
+        """Store a ceiling above a token, before that token is granted.
+
+        Returns:
+            The range of tokens that may be granted from now on.
 
         Raises:
             CeilingUnavailableError: The disk fails.
         """
         try:
             floor = self.read_floor()
-            ceiling = max(floor, token + CEILING_MARGIN)
+            ceiling = max(floor, token + CEILING_MARGIN_TOKENS)
             save(self.path, self.name, ceiling)
         except VoteStoreUnavailableError as error:
             self.report_failure(str(error))
@@ -191,14 +203,14 @@
         self.report_success()
         return TokenRange(floor, ceiling)
 
-    def report_failure(self, why: str) -> None:
-        """Logs a failure once, until the disk works again."""
-        if not self.failing:
-            self.failing = True
-            self.log_line(f"lease votes cannot be kept, nothing beyond the ceiling is granted: {why}")
+    def report_failure(self, reason: str) -> None:
+        """Log the first of successive failures of the disk."""
+        if not self.is_failing:
+            self.is_failing = True
+            self.log_line(f"lease votes cannot be kept, nothing beyond the ceiling is granted: {reason}")
 
     def report_success(self) -> None:
-        """Logs once that a disk that failed works again."""
-        if self.failing:
-            self.failing = False
+        """Log that the disk works again, if it failed before."""
+        if self.is_failing:
+            self.is_failing = False
             self.log_line(f"lease votes are kept again: {self.path}")
--- a/balancer/fleet/leases/voter.py
+++ b/balancer/fleet/leases/voter.py
@@ -1,12 +1,12 @@
-"""A voter: grants each lease to one process at a time, for a limited time.
+"""A voter, which grants each lease to one process at a time and for a limited duration.
 
-Source: Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache
-Consistency" (SOSP 1989), for grants that expire by themselves; the diskless form, in which a voter that has
-restarted abstains until any grant that it may have made is over, is that of Trencseni, Gazso and Reinhardt,
-"PaxosLease: Diskless Paxos for Leases" (2012). The token that rises with each holder is the sequencer of
-Burrows, "The Chubby lock service for loosely-coupled distributed systems" (OSDI 2006).
+Grants that expire by themselves follow Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for
+Distributed File Cache Consistency" (SOSP 1989). The diskless form, in which a restarted voter abstains until
+every grant that it may have made has expired, follows Trencseni, Gazso and Reinhardt, "PaxosLease: Diskless
+Paxos for Leases" (2012). The token that rises with each holder is the sequencer of Burrows, "The Chubby lock
+service for loosely-coupled distributed systems" (OSDI 2006).
 
-Times are microseconds of this process's monotonic clock.
+All times are microseconds of this process's monotonic clock.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 
 
 class Voter:
-    """One process's vote in the electorates that name it.
+    """The voter of one process, for the electorates that contain it.
 
     Args:
-        name: Of this process.
-        incarnation: Of this process.
-        electorates: Lists of voters; those without this process are left out.
-        settings: Times and bounds.
-        now: The time at its start.
-        floor: All tokens that it grants are above this.
-        raise_ceiling: Called before a token beyond the ceiling is granted, in a deployment with a disk.
+        name: Name of this process.
+        incarnation: Incarnation of this process.
+        electorates: Lists of voters; lists without this process are ignored.
+        settings: Times and limits.
+        now: Time at which the voter starts.
+        floor: Token up to which nothing is granted.
+        raise_ceiling: Called before a token above the ceiling is granted; None if votes are not stored.
     """
 
     def __init__(
@@ -50,39 +50,39 @@
         self.settings = settings
         self.floor = floor
         self.raise_ceiling = raise_ceiling
-        self.ceiling = floor  # as it was raised last
-        self.next_raise_at = now  # after a disk that failed
+        self.ceiling = floor  # Highest token that may be granted without another disk write.
+        self.store_retry_at = now  # The vote store is not used before this time.
         self.abstains_until = now + granted_duration(settings.max_lease)
         self.leases: dict[str, GrantedLease] = {}
-        self.recalled_tokens: dict[str, int] = {}  # the highest that each other voter knows
+        self.recalled_tokens: dict[str, int] = {}  # Highest token that each other voter knows.
         self.next_recall_at = now
         self.counts: Counter[str] = Counter()
 
-    # ---- time -------------------------------------------------------------------------------------------
+    # ---- Timers -----------------------------------------------------------------------------------------
 
     def abstains(self, now: int) -> bool:
-        """Whether a grant of its last incarnation may still last."""
+        """Return whether grants of the last incarnation may not have expired yet."""
         return now < self.abstains_until
 
     def other_voters(self) -> list[str]:
-        """Names of the other voters, in order."""
+        """Return the names of the other voters, sorted."""
         return sorted({v for e in self.electorates.values() for v in e.voters} - {self.name})
 
     def has_recovered(self) -> bool:
-        """Whether enough of the others have answered what they know.
+        """Return whether a recall quorum of each electorate has reported its highest token.
 
-        One of them at least was in any majority that this voter was in.
+        Any majority to which this voter belonged includes at least one of these voters.
         """
         answered = self.recalled_tokens.keys()
         return all(len(answered & set(e.voters)) >= e.recall_quorum for e in self.electorates.values())
 
     def deadline(self) -> int | None:
-        """When `tick` is due, or None where nothing is due by itself."""
+        """Return when `tick` is due, or None if no further recall is due."""
         recalls = self.electorates and not self.has_recovered() and self.next_recall_at < self.abstains_until
         return self.next_recall_at if recalls else None
 
     def tick(self, now: int) -> list[OutgoingLeaseMessage]:
-        """While it abstains, asks the others for the tokens that they know, until enough have answered."""
+        """Ask the other voters for their highest tokens, while abstaining and until enough have answered."""
         due = self.deadline()
         if due is None or now < due:
             return []
@@ -94,10 +94,10 @@
             if voter not in self.recalled_tokens
         ]
 
-    # ---- messages ---------------------------------------------------------------------------------------
+    # ---- Messages ---------------------------------------------------------------------------------------
 
     def received(self, now: int, message: LeaseMessage) -> list[OutgoingLeaseMessage]:
-        """Handles a message to this voter."""
+        """Handle a message to this voter."""
         if not self.electorates:
             return []
         if message.kind == LeaseKind.REQUEST:
@@ -112,7 +112,7 @@
         return []
 
     def on_recall(self, now: int, message: LeaseMessage) -> list[OutgoingLeaseMessage]:
-        """Answers a restarted voter with the highest token, unless this voter abstains itself."""
+        """Answer a restarted voter with the highest known token, unless this voter itself abstains."""
         if self.abstains(now):
             return []
         token = max([self.floor, *(lease.highest_token for lease in self.leases.values())])
@@ -120,7 +120,7 @@
         return [AddressedMessage(message.sender, answer)]
 
     def on_request(self, now: int, request: LeaseMessage) -> list[OutgoingLeaseMessage]:
-        """Grants or denies a request."""
+        """Grant or deny a request."""
         if request.electorate not in self.electorates:
             return self.deny(request, DenialReason.ELECTORATE)
         if self.abstains(now):
@@ -136,9 +136,10 @@
         return self.grant_if_higher(now, request, lease)
 
     def deny_held(self, now: int, request: LeaseMessage, lease: GrantedLease) -> list[OutgoingLeaseMessage]:
-        """Denies a lease that another process holds, and states when to request again.
+        """Deny a lease that another process holds, and state when to request it again.
 
-        Failure prevented: a thousand clients come again at one instant, the end of the lease.
+        Each further denied client is given a later time, so that a thousand waiting clients do not all
+        request the lease at the instant of its expiry.
         """
         if len(lease.waiters) < self.settings.max_waiters:
             lease.waiters[request.sender] = request.seq
@@ -149,13 +150,14 @@
     def grant_if_higher(
         self, now: int, request: LeaseMessage, lease: GrantedLease
     ) -> list[OutgoingLeaseMessage]:
-        """Grants a lease that no other process holds, if the token is high enough and the disk allows it."""
+        """Grant a lease that no other process holds, if the token is high enough and could be stored."""
         holder = holder_of(request)
         if self.is_too_low(lease, request.token, holder):
             return self.deny(request, DenialReason.OLD, lease.highest_token)
-        if not self.ceiling_covers(now, request.token):
-            return self.deny(request, DenialReason.ABSTAINS, wait=self.next_raise_at - now)
-        if self.is_too_low(lease, request.token, holder):  # by a floor that the disk did not give before
+        if not self.ensure_ceiling_covers(now, request.token):
+            return self.deny(request, DenialReason.ABSTAINS, wait=self.store_retry_at - now)
+        # Reading the disk may have raised the floor.
+        if self.is_too_low(lease, request.token, holder):
             return self.deny(request, DenialReason.OLD, lease.highest_token)
         lease.grant(request.token, holder, now + granted_duration(request.duration))
         self.counts["granted"] += 1
@@ -167,7 +169,14 @@
     def deny(
         self, request: LeaseMessage, reason: DenialReason, token: int = 0, wait: int = 0
     ) -> list[OutgoingLeaseMessage]:
-        """A denial. `token`: the highest that is known of the lease; `wait`: when to come again, if known."""
+        """Return a denial.
+
+        Args:
+            request: The request to deny.
+            reason: Reason of the denial.
+            token: Highest known token of the lease.
+            wait: Microseconds until the client may request the lease again; 0 if unknown.
+        """
         self.counts[f"denied_{reason.name.lower()}"] += 1
         answer = LeaseMessage(
             LeaseKind.DENY,
@@ -183,10 +192,10 @@
         return [AddressedMessage(request.sender, answer)]
 
     def on_release(self, now: int, release: LeaseMessage) -> list[OutgoingLeaseMessage]:
-        """Ends a grant and notifies clients that were denied; a late request for the same token is denied.
+        """End a grant and notify denied clients; a later request for the same token is denied.
 
-        Failure prevented: a release overtakes its request, the grant to a process that is gone has to expire
-        by itself, and nobody holds the lease meanwhile.
+        A release may overtake its request. Unless it is remembered, the lease would be granted to a process
+        that has ended, and be unavailable to all others until that grant expires.
         """
         lease = self.find_or_add(now, release.lease)
         if lease is None:
@@ -194,7 +203,7 @@
         holder = holder_of(release)
         if lease.holder != holder:
             if release.token > lease.token:
-                lease.note_early_release(holder, release.token, self.settings.max_waiters)
+                lease.record_early_release(holder, release.token, self.settings.max_waiters)
             return []
         lease.released_token = max(lease.released_token, release.token)
         if release.token < lease.token:
@@ -207,17 +216,17 @@
         ]
 
     def available_message(self, lease: str, seq: int, token: int) -> LeaseMessage:
-        """Notifies a denied client that a lease has been released."""
+        """Return the notification to a denied client that a lease has been released."""
         return LeaseMessage(LeaseKind.AVAILABLE, self.name, self.incarnation, lease, seq, token)
 
-    # ---- tokens -----------------------------------------------------------------------------------------
+    # ---- Tokens -----------------------------------------------------------------------------------------
 
     def remember_token(self, request: LeaseMessage) -> None:
-        """Grants nothing below the token of a request that came while this voter abstained.
+        """Reject tokens below that of a request which arrives while this voter abstains.
 
-        A client requests above all that it knows, so one client that runs on is enough where all
-        voters forget. Failure prevented: all voters restart, and a client whose wall clock is slow comes to
-        hold a lease under a token that every receiver refuses.
+        A client requests a token above all tokens that it knows. So if all voters restart, one client that
+        keeps running is enough for tokens to rise further; otherwise a client with a slow wall clock could
+        acquire a lease under a token that every receiver rejects as old.
         """
         lease = self.leases.get(request.lease)
         if lease is None and len(self.leases) < self.settings.max_leases:
@@ -225,19 +234,20 @@
         if lease is not None:
             lease.released_token = max(lease.released_token, request.token - 1)
 
-    def ceiling_covers(self, now: int, token: int) -> bool:
-        """Whether the ceiling is at least a token, raised if it has to be and the disk allows it.
+    def ensure_ceiling_covers(self, now: int, token: int) -> bool:
+        """Raise the ceiling to cover a token if necessary, and return whether it covers the token.
 
-        Failure prevented: the disk fails, and a grant that is not on it is forgotten by the next incarnation.
+        While the disk fails, tokens above the ceiling are not granted, because the next incarnation would
+        not know of them.
         """
         if self.raise_ceiling is None or token <= self.ceiling:
             return True
-        if now < self.next_raise_at:
+        if now < self.store_retry_at:
             return False
         try:
             bounds = self.raise_ceiling(token)
         except CeilingUnavailableError:
-            self.next_raise_at = now + self.settings.store_retry_interval
+            self.store_retry_at = now + self.settings.store_retry_interval
             self.counts["store_failed"] += 1
             return False
         self.floor = max(self.floor, bounds.floor)
@@ -245,20 +255,20 @@
         return True
 
     def is_too_low(self, lease: GrantedLease, token: int, holder: Holder) -> bool:
-        """Whether a token may not be granted to a holder.
+        """Return whether a token is too low to be granted to a holder.
 
-        A token is granted to one holder alone, and none after a higher one or after its own release.
+        Each token is granted to one holder only, and never after a higher token or after its release.
         """
         if token == lease.token and holder == lease.holder and token > lease.released_token:
             return False
         return token <= max(lease.highest_token, lease.early_releases.get(holder, 0), self.floor)
 
-    # ---- memory -----------------------------------------------------------------------------------------
+    # ---- Tracked leases ---------------------------------------------------------------------------------
 
     def find_or_add(self, now: int, name: str) -> GrantedLease | None:
-        """A lease by its name; None where it is new and there is no capacity for it.
+        """Return the lease of a name, adding it if necessary; None if there is no capacity for it.
 
-        One that nobody holds gives way, and leaves its token as the floor of all that come after.
+        At the limit, the lease that expired first is evicted; its token becomes a floor for all new leases.
         """
         if name in self.leases:
             return self.leases[name]
--- a/balancer/fleet/min_rtt/__init__.py
+++ b/balancer/fleet/min_rtt/__init__.py
@@ -1,4 +1,4 @@
-"""Slots for minRTT recalculations: a limited share of a tier's nodes recalculates at once.
+"""Slots for minRTT recalculations, which limit the share of a tier's nodes that recalculate simultaneously.
 
-`decisions.py` has the state machine, without sockets or clocks; `docs/leases.md` has the design.
+`decisions.py` contains the state machine, without sockets or clocks; `docs/leases.md` describes the design.
 """
--- a/balancer/fleet/min_rtt/settings.py
+++ b/balancer/fleet/min_rtt/settings.py
@@ -1,4 +1,4 @@
-"""Time spans and limits of minRTT recalculations in a fleet."""
+"""Durations and limits of minRTT recalculations in a fleet."""
 
 from __future__ import annotations
 
@@ -8,15 +8,17 @@
 
 @dataclass(frozen=True)
 class MinRttSettings:
-    """Times in microseconds.
+    """Settings of minRTT recalculations; times in microseconds.
 
     Attributes:
-        max_share: Share of the tier's nodes that may recalculate at once; at least one node may.
-        max_wait: A node that has got no slot recalculates without one after this time...
-        wait_jitter: ...prolonged by up to this share, so that nodes which wait do not all begin at once.
-        slot_wait: How long a node waits for a slot before it requests the next one.
-        due_timeout: A recalculation that the policy has not asked for in this time is not due any more.
-        max_duration: A recalculation without requests does not end: its slot is released after this time.
+        max_share: Share of the tier's nodes that may recalculate simultaneously; at least one node may.
+        max_wait: Time after which a node that has not acquired a slot recalculates without one.
+        wait_jitter: Share of `max_wait` by which the wait is extended at most, at random, so that waiting
+            nodes do not all start simultaneously.
+        slot_wait: Time for which a node waits for a slot before it requests the next one.
+        due_timeout: Time without a query by the policy after which a recalculation is no longer due.
+        max_duration: Time after which the slot of a recalculation is released. A recalculation that gets no
+            requests does not end by itself.
     """
 
     max_share: float
@@ -26,6 +28,6 @@
     due_timeout: int = 2_000_000
     max_duration: int = 10_000_000
 
-    def slots(self, instances: int) -> int:
-        """Number of slots of a tier with so many nodes."""
+    def count_slots(self, instances: int) -> int:
+        """Return the number of slots of a tier with this number of nodes."""
         return max(1, floor(self.max_share * instances))
--- a/balancer/fleet/rolling_update/__init__.py
+++ b/balancer/fleet/rolling_update/__init__.py
@@ -1,5 +1,5 @@
-"""Rolling updates: the processes of a fleet are ended one after another, so that new ones take their places.
+"""Rolling updates, which end the processes of a fleet one after another so that new ones replace them.
 
-The process that holds the lease `replace` leads. `decisions.py` has the state machine, without sockets or
-clocks; `docs/leases.md` has the design.
+The process that holds the lease `replace` is the leader. `decisions.py` contains the state machine, without
+sockets or clocks; `docs/leases.md` describes the design.
 """
--- a/balancer/fleet/rolling_update/component.py
+++ b/balancer/fleet/rolling_update/component.py
@@ -1,4 +1,4 @@
-"""The rolling update as a component of the fleet runtime."""
+"""Rolling updates as a component of the fleet runtime."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from balancer.fleet.component import Component, Outgoing, Runtime
 from balancer.fleet.leases.client import LeaseClient
 from balancer.fleet.leases.component import LeaseComponent
-from balancer.fleet.leases.names import REPLACEMENT
+from balancer.fleet.leases.names import ROLLING_UPDATE_LEASE
 from balancer.fleet.membership.codec import PayloadCodec
 from balancer.fleet.membership.swim import Address
 from balancer.fleet.rolling_update.decisions import MAX_UNAVAILABLE, RollingUpdate
@@ -23,7 +23,7 @@
 
 
 class RollingUpdateComponent(Component):
-    """Acquires the lease while a plan is to be led, leads while it is held, ends the process when asked."""
+    """Acquires the lease of a running update, leads the update while holding it, and ends this process."""
 
     def __init__(self, runtime: Runtime, leases: LeaseComponent) -> None:
         self.runtime = runtime
@@ -37,55 +37,56 @@
         return (RollingUpdateWire(),)
 
     def open(self) -> None:
-        """Starts a new incarnation, without a plan."""
+        """Start a new incarnation, without a plan."""
         runtime = self.runtime
         name, zone, incarnation = runtime.config.name, runtime.config.zone, runtime.membership.me.incarnation
         self.rolling_update = RollingUpdate(name, zone, incarnation, self, runtime.now())
 
-    # ---- what the state machine sees --------------------------------------------------------------------
+    # ---- Interface for the state machine ----------------------------------------------------------------
 
     def alive(self) -> list[str]:
-        """Names of the other members that are alive."""
+        """Return the names of the other members that are alive."""
         return self.runtime.alive()
 
-    def gone(self) -> list[str]:
-        """Names of the members that have left or died recently."""
+    def departed(self) -> list[str]:
+        """Return the names of the members that have left or died recently."""
         return self.runtime.gone()
 
     def serving(self) -> bool:
-        """Whether this process accepts clients, and votes if it is a voter.
+        """Return whether this process accepts clients and, if it is a voter, does not abstain.
 
-        Failure prevented: voters are replaced faster than they vote again, and there is no majority left.
+        A restarted voter abstains at first. If it counted as serving, voters could be replaced faster than
+        they vote again, and no majority would be left.
         """
         return self.runtime.lifecycle.serving and not self.leases.abstains(self.runtime.now())
 
     @property
     def lease_client(self) -> LeaseClient | None:
-        """What acquires leases; None before `open`."""
+        """The client that acquires leases; None before `open`."""
         return self.leases.client
 
     def token(self) -> int | None:
-        """Token of the rolling update's lease, if this process holds it now."""
+        """Return the token of the rolling update's lease if this process holds it now, otherwise None."""
         client = self.lease_client
-        return client.held_token(self.runtime.now(), REPLACEMENT) if client is not None else None
+        return client.held_token(self.runtime.now(), ROLLING_UPDATE_LEASE) if client is not None else None
 
-    # ---- time and messages ------------------------------------------------------------------------------
+    # ---- Timers and messages ----------------------------------------------------------------------------
 
     def deadline(self, now: int) -> int | None:
-        """When `tick` is due."""
+        """Return when `tick` is due, or None if nothing is due."""
         return self.rolling_update.deadline(self.token()) if self.rolling_update is not None else None
 
     def tick(self, now: int) -> list[Outgoing]:
-        """Acquires or releases the lease, and does what is due."""
+        """Acquire or release the lease, and advance the rolling update."""
         update = self.rolling_update
         client = self.lease_client
         if update is None or client is None:
             return []
         outgoing: list[Outgoing] = []
         if update.wants_lease():
-            client.acquire(now, REPLACEMENT)
-        elif REPLACEMENT in client.requests and not update.announcements_left:
-            outgoing += client.release(now, REPLACEMENT)
+            client.acquire(now, ROLLING_UPDATE_LEASE)
+        elif ROLLING_UPDATE_LEASE in client.requests and not update.broadcasts_left:
+            outgoing += client.release(now, ROLLING_UPDATE_LEASE)
         plan_before = update.plan
         outgoing += update.tick(now, self.token())
         if update.plan != plan_before and update.plan is not None:
@@ -97,7 +98,7 @@
         return outgoing
 
     def end_process_once(self, update: RollingUpdate) -> None:
-        """Starts this process's graceful shutdown, unless it has started already."""
+        """Start this process's graceful shutdown, unless it has already started."""
         if self.shutdown_started or self.runtime.lifecycle.stage == Stage.ENDING:
             return
         self.shutdown_started = True
@@ -107,37 +108,37 @@
         self.runtime.end_process()
 
     def received(self, now: int, sender: Address, message: RollingUpdateMessage) -> list[Outgoing]:
-        """Handles a message, and does what is due after it."""
+        """Handle a message, and advance the rolling update."""
         if self.rolling_update is None:
             return []
         answer = self.rolling_update.received(now, message)
         return answer + self.tick(self.runtime.now())
 
-    # ---- what operators see and do ----------------------------------------------------------------------
+    # ---- Commands and status for operators --------------------------------------------------------------
 
     def command(self, verb: str, max_unavailable: int) -> bool:
-        """Begins, pauses, resumes or stops a rolling update.
+        """Begin, pause, resume or stop a rolling update.
 
         Args:
             verb: `begin`, `pause`, `resume` or `stop`.
-            max_unavailable: For `begin`: how many processes may be unavailable at a time.
+            max_unavailable: Maximum number of processes that may be unavailable at a time, for `begin`.
 
         Returns:
-            False if the verb is not known, or `max_unavailable` out of range.
+            False if the verb is unknown or `max_unavailable` is out of range, otherwise True.
         """
         assert self.rolling_update is not None
         if verb == "begin" and 0 < max_unavailable <= MAX_UNAVAILABLE:
             self.rolling_update.begin(self.runtime.wall(), max_unavailable, self.runtime.now())
         elif verb in STATE_OF_COMMAND:
-            self.rolling_update.change(STATE_OF_COMMAND[verb])
+            self.rolling_update.change_state(STATE_OF_COMMAND[verb])
         else:
             return False
         return True
 
-    def table(self) -> dict[str, object] | None:
-        """The plan as operators see it; None before `open`."""
+    def plan_status(self) -> dict[str, object] | None:
+        """Return the plan and its progress for operators; None before `open`."""
         return self.rolling_update.view(self.token()) if self.rolling_update is not None else None
 
     def status(self, now: int) -> dict[str, Any]:
-        """The key `replace` of `GET /fleet`."""
-        return {"replace": self.table()}
+        """Return the key `replace` of `GET /fleet`."""
+        return {"replace": self.plan_status()}
--- a/balancer/fleet/rolling_update/decisions.py
+++ b/balancer/fleet/rolling_update/decisions.py
@@ -1,15 +1,16 @@
-"""The state machine of a rolling update: the leader's part and the followers'.
+"""The state machine of a rolling update, for the leader and its followers.
 
-No progress is stored: a process is done if its incarnation began after the plan, and unavailable if it has
-left, died or does not serve. So a leader that takes over continues where the last one stopped. Each process
-decides by its monotonic clock whether it is older than the plan, since messages contain the plan's age. It
-reports that by an incarnation below or above the plan's number, which leaders of every version understand.
+Progress is not stored, but derived: a process has been replaced if its incarnation began after the plan, and
+is unavailable if it has left, has died or does not serve. So a new leader continues where the previous one
+stopped. Messages contain the age of the plan, and each process compares it with its own age on its monotonic
+clock. It reports the result as an incarnation up to or above the plan's number, which leaders of every
+version understand.
 
-A process that is asked to end checks the token and its own age first, so that requests of a former leader and
-repeated requests have no effect.
+A process that is asked to end first checks the leader's token and its own age, so that requests of a former
+leader and repeated requests have no effect.
 
 All times are microseconds of this process's monotonic clock. Incarnations and plans are numbered by Unix time
-in microseconds, which orders them only as long as nobody has stepped a clock.
+in microseconds, which orders them correctly only if no wall clock is stepped.
 """
 
 from __future__ import annotations
@@ -31,26 +32,27 @@
 
 BROADCAST_INTERVAL_US = 500_000
 MAX_REPORT_AGE_US = 2_000_000
-ANNOUNCEMENTS = 3  # how often the process that got an operator's command broadcasts it
-MAX_UNAVAILABLE = 1000
+# Number of times that a process broadcasts an operator's command, and the leader the end of a plan.
+COMMAND_BROADCASTS = 3
+MAX_UNAVAILABLE = 1000  # Largest value of `max_unavailable` that an operator may choose.
 IN_PROGRESS = (UpdateState.RUNS, UpdateState.PAUSED)
 
 
 class Fleet(Protocol):
-    """What the state machine sees of membership and of its own process."""
+    """View of the membership and of this process that the state machine needs."""
 
     def serving(self) -> bool:
-        """Whether this process accepts clients."""
+        """Return whether this process accepts clients."""
 
     def alive(self) -> list[str]:
-        """Names of the other members that are alive."""
+        """Return the names of the other members that are alive."""
 
-    def gone(self) -> list[str]:
-        """Names of the members that have left or died recently and have not come back."""
+    def departed(self) -> list[str]:
+        """Return the names of members that have left or died recently and have not returned."""
 
 
 class RollingUpdate:
-    """One process's part: it leads while it holds the lease, and follows otherwise."""
+    """The rolling update on one process, which leads while it holds the lease and follows otherwise."""
 
     def __init__(self, name: str, zone: str, incarnation: int, fleet: Fleet, now: int) -> None:
         self.name = name
@@ -59,59 +61,60 @@
         self.fleet = fleet
         self.plan: UpdatePlan | None = None
         self.reports: dict[str, Report] = {}
-        self.asked_to_end: dict[str, int] = {}  # the incarnation that this leader has asked, by process
+        self.asked_to_end: dict[str, int] = {}  # Incarnation that this leader has asked to end, by process.
         self.highest_token = 0
-        self.announcements_left = 0
+        self.broadcasts_left = 0
         self.started_at = now
-        self.plan_started_at: int | None = None  # by this process's clock; None while the age is unknown
+        self.plan_started_at: int | None = None  # On this process's clock; None while the age is unknown.
         self.next_tick_at = now
         self.leaving = False
         self.counts: Counter[str] = Counter()
 
-    # ---- operators' commands ----------------------------------------------------------------------------
+    # ---- Commands of operators --------------------------------------------------------------------------
 
-    def begin(self, wall: int, max_unavailable: int, now: int | None = None) -> UpdatePlan:
-        """Starts a plan that replaces all processes running now, unless one is in progress.
+    def begin(self, unix_time: int, max_unavailable: int, now: int | None = None) -> UpdatePlan:
+        """Start a plan that replaces all processes running now, unless another plan is in progress.
 
         Args:
-            wall: Unix time.
-            max_unavailable: How many processes may be unavailable at a time.
-            now: Without it, processes compare their incarnations with the plan's number.
+            unix_time: Unix time in microseconds.
+            max_unavailable: Maximum number of processes that may be unavailable at a time.
+            now: The current time. If it is None, the plan's age is unknown and processes compare their
+                incarnations with the plan's number.
 
         Returns:
-            The plan that is in progress.
+            The plan in progress.
         """
         if self.plan is None or self.plan.state not in IN_PROGRESS:
-            # Failure prevented: the clock was set back since the last plan, whose number is higher.
-            number = wall if self.plan is None else max(wall, self.plan.number + 1)
+            # If the wall clock was set back, Unix time may be lower than the number of the last plan.
+            number = unix_time if self.plan is None else max(unix_time, self.plan.number + 1)
             self.adopt(UpdatePlan(number, 1, max_unavailable, UpdateState.RUNS))
             self.plan_started_at = now
-            self.announcements_left = ANNOUNCEMENTS
+            self.broadcasts_left = COMMAND_BROADCASTS
         assert self.plan is not None
         return self.plan
 
-    def change(self, state: UpdateState) -> UpdatePlan | None:
-        """Pauses, resumes or stops the plan in progress; a plan that is over does not change."""
+    def change_state(self, state: UpdateState) -> UpdatePlan | None:
+        """Pause, resume or stop the plan in progress; a plan that has ended is not changed."""
         plan = self.plan
         if plan is not None and plan.state in IN_PROGRESS and plan.state != state:
             self.adopt(replace(plan, version=plan.version + 1, state=state))
-            self.announcements_left = ANNOUNCEMENTS
+            self.broadcasts_left = COMMAND_BROADCASTS
         return self.plan
 
-    # ---- the plan and this process's age ----------------------------------------------------------------
+    # ---- The plan and the age of this process -----------------------------------------------------------
 
     def adopt(self, plan: UpdatePlan) -> None:
-        """Makes a plan the current one; what is known of another plan's progress is dropped."""
+        """Make a plan the current one, and drop the progress of a different plan."""
         if self.plan is None or plan.number != self.plan.number:
             self.reports.clear()
             self.asked_to_end.clear()
             self.plan_started_at = None
         self.plan = plan
 
-    def learn_plan(self, now: int, message: RollingUpdateMessage) -> None:
-        """Adopts a newer plan, and takes over the plan's age.
+    def merge_plan(self, now: int, message: RollingUpdateMessage) -> None:
+        """Adopt a newer plan, and use the age of the plan that a message states.
 
-        The time on the way makes an age too small, so the greatest one received is the best.
+        Transmission delay makes stated ages too small, so the earliest start derived from them is kept.
         """
         if message.plan.supersedes(self.plan):
             self.adopt(message.plan)
@@ -122,59 +125,71 @@
             self.plan_started_at = started_at
 
     def is_outdated(self, plan: UpdatePlan) -> bool:
-        """Whether this process was started before the plan."""
+        """Return whether this process was started before the plan."""
         if self.plan_started_at is None or self.plan is None or plan.number != self.plan.number:
             return self.incarnation <= plan.number
         return self.started_at <= self.plan_started_at
 
     def reported_incarnation(self, plan: UpdatePlan) -> int:
-        """This process's incarnation, moved to the side of the plan's number that it belongs to."""
+        """Return this process's incarnation, adjusted to the plan's number.
+
+        The value is above the plan's number exactly if this process was started after the plan.
+        """
         if self.is_outdated(plan):
             return min(self.incarnation, plan.number)
         return max(self.incarnation, plan.number + 1)
 
     def wants_lease(self) -> bool:
-        """Whether this process should acquire the lease to lead."""
+        """Return whether this process should acquire the lease in order to lead."""
         return self.plan is not None and self.plan.state == UpdateState.RUNS and not self.leaving
 
-    # ---- time -------------------------------------------------------------------------------------------
+    # ---- Timers -----------------------------------------------------------------------------------------
 
     def deadline(self, token: int | None) -> int | None:
-        """When `tick` is due; None if nothing is. `token`: of the lease, if this process holds it."""
-        return self.next_tick_at if token is not None or self.announcements_left else None
+        """Return when `tick` is due, or None if nothing is due.
+
+        Args:
+            token: Token of the lease; None if this process does not hold it.
+        """
+        return self.next_tick_at if token is not None or self.broadcasts_left else None
 
     def tick(self, now: int, token: int | None) -> list[Outgoing]:
-        """Leads if the lease is held, and broadcasts the plan."""
+        """Lead the update if this process holds the lease, and broadcast the plan.
+
+        Args:
+            now: The current time.
+            token: Token of the lease; None if this process does not hold it.
+        """
         plan = self.plan
-        if plan is None or now < self.next_tick_at or (token is None and not self.announcements_left):
+        if plan is None or now < self.next_tick_at or (token is None and not self.broadcasts_left):
             return []
         self.next_tick_at = now + BROADCAST_INTERVAL_US
         if token is None or plan.state != UpdateState.RUNS:
-            self.announcements_left -= self.announcements_left > 0
+            self.broadcasts_left -= self.broadcasts_left > 0
             return self.broadcast(now, plan, token or 0)
         requests = self.lead(now, plan, token)
         assert self.plan is not None
         return self.broadcast(now, self.plan, token) + requests
 
     def broadcast(self, now: int, plan: UpdatePlan, token: int) -> list[Outgoing]:
-        """The plan, to all members that are alive."""
+        """Address the plan to all members that are alive."""
         message = self.message(now, RollingUpdateKind.PLAN, plan, token)
         return [AddressedMessage(name, message) for name in self.fleet.alive()]
 
     def message(
         self, now: int, kind: RollingUpdateKind, plan: UpdatePlan, token: int
     ) -> RollingUpdateMessage:
-        """A message with this process's own state."""
+        """Return a message with a plan and the state of this process."""
         age = None if self.plan_started_at is None else now - self.plan_started_at
         incarnation, serving = self.reported_incarnation(plan), self.fleet.serving()
         return RollingUpdateMessage(
             kind, self.name, plan, incarnation, token, serving, self.zone, seq_of_age(age)
         )
 
-    # ---- leading ----------------------------------------------------------------------------------------
+    # ---- Leader -----------------------------------------------------------------------------------------
 
     def lead(self, now: int, plan: UpdatePlan, token: int) -> list[Outgoing]:
-        """Asks the next process to end if enough others are available; ends the plan when all are done."""
+        """Ask the next process to end if enough others are available; finish when all are replaced."""
         self.highest_token = max(self.highest_token, token)
         state = self.fleet_state(now)
         if state is None:
@@ -187,33 +202,38 @@
         return []
 
     def fleet_state(self, now: int) -> FleetState | None:
-        """The other processes; None while a current report is missing, as of one that has just started."""
+        """Return the state of the other processes.
+
+        Returns:
+            None while a process that is alive has not reported recently, for example because it has just
+            started.
+        """
         reports: dict[str, Report] = {}
         for name in self.fleet.alive():
             report = self.reports.get(name)
             if report is None or now >= report.received_at + MAX_REPORT_AGE_US:
                 return None
             reports[name] = report
-        return FleetState(reports, unavailable_processes(reports, self.fleet.gone(), self.asked_to_end))
+        return FleetState(reports, unavailable_processes(reports, self.fleet.departed(), self.asked_to_end))
 
     def ask_to_end(self, now: int, plan: UpdatePlan, token: int, name: str) -> Outgoing:
-        """The request to a process to end, which counts as unavailable from here on."""
+        """Return the request to a process to end; the process counts as unavailable from now on."""
         self.asked_to_end[name] = self.reports[name].incarnation
         self.counts["end_requests"] += 1
         return AddressedMessage(name, self.message(now, RollingUpdateKind.GO, plan, token))
 
     def finish(self, plan: UpdatePlan) -> None:
-        """All other processes are done: the leader itself is the last to end, or the plan is over."""
+        """Finish after the other processes: end the leader if it is outdated, else mark the plan done."""
         if self.is_outdated(plan):
             self.leaving = self.leaving or plan.max_unavailable > 0
             return
         self.plan = replace(plan, version=plan.version + 1, state=UpdateState.DONE)
-        self.announcements_left = ANNOUNCEMENTS
+        self.broadcasts_left = COMMAND_BROADCASTS
 
-    # ---- messages ---------------------------------------------------------------------------------------
+    # ---- Messages ---------------------------------------------------------------------------------------
 
     def received(self, now: int, message: RollingUpdateMessage) -> list[Outgoing]:
-        """Handles a message; returns the answer."""
+        """Handle a message and return the answer to it, if any."""
         if message.kind == RollingUpdateKind.REPORT:
             self.record_report(now, message)
             return []
@@ -221,29 +241,29 @@
             self.counts["old_token"] += 1
             return []
         self.highest_token = max(self.highest_token, message.token)
-        self.learn_plan(now, message)
+        self.merge_plan(now, message)
         if message.kind == RollingUpdateKind.GO and self.must_end(message):
             self.leaving = True
         assert self.plan is not None
         return [AddressedMessage(message.sender, self.message(now, RollingUpdateKind.REPORT, self.plan, 0))]
 
     def record_report(self, now: int, message: RollingUpdateMessage) -> None:
-        """Keeps a process's report, and an operator's command that was lost on its way here."""
-        self.learn_plan(now, message)
+        """Record a process's report, and adopt a newer plan whose broadcast did not arrive."""
+        self.merge_plan(now, message)
         if self.plan is not None and message.plan.number == self.plan.number:
             self.reports[message.sender] = Report(now, message.incarnation, message.serving, message.zone)
 
     def must_end(self, message: RollingUpdateMessage) -> bool:
-        """Whether a request to end is valid under the current plan, and this process older than the plan."""
+        """Return whether a request to end is valid under the current plan and this process is outdated."""
         plan = self.plan
         if plan is None or message.token <= 0 or message.plan != plan:
             return False
         return plan.state == UpdateState.RUNS and self.is_outdated(plan)
 
-    # ---- what operators see -----------------------------------------------------------------------------
+    # ---- Status for operators ---------------------------------------------------------------------------
 
     def view(self, token: int | None) -> dict[str, object]:
-        """The plan for `GET /fleet`, with its progress on the process that leads."""
+        """Return the plan for `GET /fleet`; the leader adds the progress."""
         if self.plan is None:
             return {"state": "none"}
         table: dict[str, object] = {
@@ -254,5 +274,5 @@
         }
         if token is not None:
             done = sum(report.incarnation > self.plan.number for report in self.reports.values())
-            table |= {"done": done, "told": len(self.asked_to_end), "out": sorted(self.fleet.gone())}
+            table |= {"done": done, "told": len(self.asked_to_end), "out": sorted(self.fleet.departed())}
         return table
--- a/balancer/fleet/rolling_update/messages.py
+++ b/balancer/fleet/rolling_update/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the leader of a rolling update and the other processes, and their wire form."""
+"""Messages between the leader of a rolling update and the other processes, and their encoding."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 import msgspec
 
-MAX_NUMBER = 1 << 62
+WIRE_INTEGER_LIMIT = 1 << 62  # Exclusive upper bound of integers in messages.
 MAX_ZONE_LENGTH = 64
 
 
 class InvalidRollingUpdateError(ValueError):
-    """A message of a rolling update holds a value that is out of range."""
+    """A message of a rolling update contains a value that is out of range."""
 
 
 class RollingUpdateKind(IntEnum):
-    """Kinds of messages. Their numbers are unique over all components."""
+    """Kinds of rolling update messages. Their numbers are unique among all components."""
 
-    PLAN = 32  # the plan as the sender knows it; the receiver answers with a REPORT
+    PLAN = 32  # The sender's current plan, which the receiver answers with a REPORT.
     REPORT = 33
-    GO = 34  # the receiver is to shut down gracefully
+    GO = 34  # A request that the receiver shuts down gracefully.
 
 
 class UpdateState(IntEnum):
-    """State of a plan. Of two states with the same version the greater one wins."""
+    """State of a plan. Of two states with the same version, the greater one takes precedence."""
 
     RUNS = 0
     PAUSED = 1
@@ -34,13 +34,13 @@
 
 @dataclass(frozen=True)
 class UpdatePlan:
-    """What an operator has asked for.
+    """A rolling update that an operator has requested.
 
     Attributes:
-        number: Unix time in microseconds at which the plan was started; identifies the plan.
-        version: Rises with each change of `state`.
-        max_unavailable: How many processes may be unavailable at a time.
-        state: Whether the update runs, is paused, stopped or done.
+        number: Unix time in microseconds at which the plan was started, which identifies the plan.
+        version: Number of the state, increased by each change of `state`.
+        max_unavailable: Maximum number of processes that may be unavailable at a time.
+        state: State of the plan.
     """
 
     number: int
@@ -49,7 +49,7 @@
     state: UpdateState
 
     def supersedes(self, other: UpdatePlan | None) -> bool:
-        """Whether this plan takes the place of the one that is known so far."""
+        """Return whether this plan is newer than the plan that is known so far."""
         if other is None:
             return True
         return (self.number, self.version, self.state) > (other.number, other.version, other.state)
@@ -57,17 +57,17 @@
 
 @dataclass(frozen=True)
 class RollingUpdateMessage:
-    """A message of any of the three kinds.
+    """A rolling update message of any kind.
 
     Attributes:
-        kind: What the message is.
-        sender: Name of the process that sent it.
-        plan: The plan as the sender knows it.
-        incarnation: The sender's incarnation, above the plan's number if it began after the plan.
-        token: Fencing token of the sender's lease; 0 if the sender does not hold the lease.
+        kind: Kind of the message.
+        sender: Name of the process that sent the message.
+        plan: Current plan of the sender.
+        incarnation: Incarnation of the sender; above the plan's number if it was started after the plan.
+        token: Token of the sender's lease; 0 if the sender does not hold the lease.
         serving: Whether the sender accepts clients.
-        zone: The sender's zone.
-        seq: The plan's age, see `plan_age`. Earlier versions send 0 and ignore it.
+        zone: Zone of the sender.
+        seq: Encoded age of the plan, see `plan_age`. Earlier versions send 0 and ignore the value.
     """
 
     kind: RollingUpdateKind
@@ -81,12 +81,12 @@
 
     @property
     def plan_age(self) -> int | None:
-        """Microseconds since the plan was started; None if the sender does not know."""
+        """Microseconds since the plan was started; None if the sender does not know the plan's age."""
         return self.seq - 1 if self.seq > 0 else None
 
 
 def seq_of_age(age: int | None) -> int:
-    """The value of `seq` that stands for a plan's age in microseconds; 0 for an unknown age."""
+    """Return the value of `seq` that encodes a plan's age in microseconds; 0 for an unknown age."""
     return 0 if age is None else age + 1
 
 
@@ -94,7 +94,7 @@
 
 
 class RollingUpdateWire:
-    """Encodes and decodes the bodies of rolling update messages."""
+    """Encoder and decoder of the bodies of rolling update messages."""
 
     kinds = frozenset(int(kind) for kind in RollingUpdateKind)
 
@@ -102,7 +102,7 @@
         self.decoder = msgspec.msgpack.Decoder(Body)
 
     def pack(self, message: RollingUpdateMessage) -> Body:
-        """The body of a message, of plain types."""
+        """Return the body of a message, made of types that msgpack encodes."""
         plan = message.plan
         return (
             *(plan.number, plan.version, plan.max_unavailable, int(plan.state)),
@@ -110,20 +110,22 @@
         )
 
     def shorter(self, message: RollingUpdateMessage) -> None:
-        """None: a message always fits into a datagram, and nothing of it can be left out."""
+        """Return None: a message always fits into a datagram, and no part of it can be omitted."""
 
     def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> RollingUpdateMessage:
-        """Decodes a message.
+        """Decode the body of a received message.
 
         Raises:
             InvalidRollingUpdateError: A value is out of range.
-            ValueError: The state is not known.
-            msgspec.DecodeError: The body has not the form of these messages.
+            ValueError: The state is unknown.
+            msgspec.DecodeError: The body does not have the structure of a rolling update message.
         """
         number, version, max_unavailable, state, incarnation, token, serving, zone = self.decoder.decode(body)
         numbers = (number, version, max_unavailable, incarnation, token)
-        if not all(0 <= value < MAX_NUMBER for value in numbers) or len(zone) > MAX_ZONE_LENGTH:
-            raise InvalidRollingUpdateError("a number or the zone is out of range")
+        if not all(0 <= value < WIRE_INTEGER_LIMIT for value in numbers) or len(zone) > MAX_ZONE_LENGTH:
+            raise InvalidRollingUpdateError(
+                f"a number in {numbers} or a zone name of {len(zone)} characters is out of range"
+            )
         plan = UpdatePlan(number, version, max_unavailable, UpdateState(state))
         return RollingUpdateMessage(
             RollingUpdateKind(kind), sender, plan, incarnation, token, serving, zone, seq
--- a/balancer/fleet/rolling_update/selection.py
+++ b/balancer/fleet/rolling_update/selection.py
@@ -1,4 +1,4 @@
-"""Which process a rolling update ends next: a function of what the processes have reported.
+"""Selection of the process that a rolling update ends next, based on the reports of the processes.
 
 All times are microseconds of the leader's monotonic clock.
 """
@@ -14,13 +14,13 @@
 
 @dataclass(frozen=True)
 class Report:
-    """The state of a process as it reported it.
+    """The state that a process has reported.
 
     Attributes:
-        received_at: When the report was received.
-        incarnation: Above the plan's number if the process was started after the plan.
+        received_at: Time at which the report was received.
+        incarnation: Reported incarnation; above the plan's number if the process was started after the plan.
         serving: Whether the process accepts clients.
-        zone: The process's zone.
+        zone: Zone of the process.
     """
 
     received_at: int
@@ -31,10 +31,10 @@
 
 @dataclass(frozen=True)
 class FleetState:
-    """The other processes of the fleet, seen by the leader.
+    """The state of the other processes of the fleet, as known to the leader.
 
     Attributes:
-        reports: Current reports by process name, one of each process that is alive.
+        reports: Recent reports by process name, one for each process that is alive.
         unavailable: Processes that have left, do not serve, or have been asked to end.
     """
 
@@ -42,7 +42,7 @@
     unavailable: Collection[str]
 
     def outdated(self, plan: UpdatePlan) -> list[str]:
-        """Names of the available processes that the plan is still to replace, sorted."""
+        """Return the sorted names of the available processes that have not been replaced yet."""
         return sorted(
             name
             for name, report in self.reports.items()
@@ -50,19 +50,19 @@
         )
 
     def serving_by_zone(self) -> Counter[str]:
-        """Number of available processes in each zone."""
+        """Return the number of available processes by zone."""
         return Counter(report.zone for name, report in self.reports.items() if name not in self.unavailable)
 
 
 def unavailable_processes(
     reports: Mapping[str, Report], departed: Collection[str], asked_to_end: Mapping[str, int]
 ) -> set[str]:
-    """Names of the processes that count as unavailable.
+    """Return the names of the processes that count as unavailable.
 
     Args:
-        reports: Current reports by process name.
-        departed: Processes that have left or died and have not come back.
-        asked_to_end: By process name, the incarnation that the leader has asked to end.
+        reports: Recent reports by process name.
+        departed: Processes that have left or died and have not returned.
+        asked_to_end: Incarnation that the leader has asked to end, by process name.
     """
     unavailable = set(departed)
     for name, report in reports.items():
@@ -71,21 +71,21 @@
     return unavailable
 
 
-def next_to_end(plan: UpdatePlan, state: FleetState, own_zone: str, is_serving: bool) -> str | None:
-    """The process to end now; None if none may end now or none is left.
+def next_to_end(plan: UpdatePlan, state: FleetState, leader_zone: str, is_serving: bool) -> str | None:
+    """Return the name of the process to end now; None if none may end now or none is left.
 
-    The last process of a zone that serves ends only while no other process is unavailable.
+    The last available process of a zone may end only while no process of the fleet is unavailable.
 
     Args:
         plan: The plan in progress.
         state: The other processes.
-        own_zone: The leader's zone.
+        leader_zone: Zone of the leader.
         is_serving: Whether the leader accepts clients.
     """
     if len(state.unavailable) >= plan.max_unavailable:
         return None
     serving = state.serving_by_zone()
-    serving[own_zone] += is_serving
+    serving[leader_zone] += is_serving
     for name in state.outdated(plan):
         if serving[state.reports[name].zone] > 1 or not state.unavailable:
             return name
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: which node of a zone probes an ejected server, and what the others make of its results."""
+"""Health checks: which node of a zone probes an ejected server, and how the others use its results."""
 
 from dataclasses import replace
 from functools import partial
@@ -18,11 +18,11 @@
 from balancer.fleet.health_checks.settings import HealthCheckSettings
 from balancer.fleet.membership.codec import Codec
 
-SETTINGS = HealthCheckSettings(lease=10 * SEC, patience=12 * SEC)
+SETTINGS = HealthCheckSettings(lease=10 * SEC, holder_timeout=12 * SEC)
 
 
 class Zones(Table[HealthChecks]):
-    """A process for each name, with its zone. Those `unreachable` get no announcements."""
+    """Processes by name, each with its zone; `unreachable` processes receive no announcements."""
 
     def __init__(self, zones: dict[str, str]) -> None:
         super().__init__(*zones)
@@ -42,7 +42,7 @@
 
     def on_probe_result(self, name: str, server: int, recovered: bool) -> None:
         self.probe_results.append((name, server, recovered))
-        if recovered:  # as the policy does
+        if recovered:  # The policy reports the readmission.
             self.parts[name].server_readmitted(self.now, server, False)
 
     def deliver_to_part(self, sent: Outgoing, sender: str) -> None:
@@ -69,12 +69,12 @@
     return zones
 
 
-def test_one_node_a_zone_probes_and_announces_the_result() -> None:
+def test_one_node_per_zone_probes_and_announces_result() -> None:
     t = Zones({"a": "x", "b": "x", "c": "x", "d": "y"})
     t.eject("abcd")
     first, other = t.probers()
     assert other == "d" and first in "abc"
-    t.parts[first].server_ejected(t.now, 7, 4 * SEC)  # in vain
+    t.parts[first].server_ejected(t.now, 7, 4 * SEC)  # The probe has failed.
     t.run(0.1)
     assert sorted(t.probe_results) == [(n, 7, False) for n in "abc" if n != first]
     t.probe_results.clear()
@@ -86,45 +86,49 @@
 
 
 @pytest.mark.parametrize(
-    ("unreachable", "seconds", "count"),  # who, how long after the last announcement, how many probe
+    # The processes without messages, the time after the ejection, and the expected number of probing nodes.
+    ("unreachable", "seconds", "prober_count"),
     [
         ((), 5, 1),
-        (("a", "b", "c"), 5, 1),  # the voters' denials say as much as the holder
-        (("voters",), 5, 0),  # no majority: nobody is the holder
-        (("voters",), 13, 3),  # ...and after a patience all do as they would alone
+        (("a", "b", "c"), 5, 1),  # Without announcements, the voters' denials show that there is a holder.
+        (("voters",), 5, 0),  # Without a majority there is no holder.
+        (("voters",), 13, 3),  # After the holder timeout, all nodes probe independently.
     ],
 )
-def test_without_announcements_each_node_probes_alone_after_its_patience(
-    unreachable: tuple[str, ...], seconds: int, count: int
+def test_nodes_without_holder_probe_after_holder_timeout(
+    unreachable: tuple[str, ...], seconds: int, prober_count: int
 ) -> None:
     t = Zones({"a": "x", "b": "x", "c": "x"})
     t.unreachable = set(unreachable)
     t.eject("abc", wait=20 * SEC)
     t.run(seconds - 1)
-    assert len(t.probers()) == count
+    assert len(t.probers()) == prober_count
 
 
-def test_a_node_with_no_requests_to_probe_with_releases_the_lease(pair: Zones) -> None:
+def test_idle_lease_holder_releases_lease(pair: Zones) -> None:
+    """A holder without requests to probe with lets another node probe the server."""
     (first,) = pair.probers()
-    pair.run(2 + SETTINGS.announcement_slack / SEC)  # which is longer than it stays idle
+    pair.run(2 + SETTINGS.announcement_slack / SEC)  # This exceeds the holder's idle timeout.
     assert first not in pair.probers() and len(pair.probers()) == 1
     assert pair.parts[first].counts["idle"] == 1
 
 
-def test_an_announcement_of_a_former_lease_holder_is_refused_by_its_token(pair: Zones) -> None:
+def test_announcement_with_old_token_is_ignored(pair: Zones) -> None:
     holder, other = sorted("ab", key=lambda n: n not in pair.probers())
     token = pair.parts[holder].token(pair.now, 7)
     assert token is not None
-    late = HealthCheckMessage(HealthCheckKind.WELL, "z", "x", (ProbeAnnouncement(7, token - 1),))
-    pair.parts[other].received(pair.now, late)
+    old_announcement = HealthCheckMessage(HealthCheckKind.WELL, "z", "x", (ProbeAnnouncement(7, token - 1),))
+    pair.parts[other].received(pair.now, old_announcement)
     pair.run(2)
     assert pair.probe_results == [] and pair.parts[other].counts["old_token"] == 1
-    pair.parts[other].received(pair.now, replace(late, zone="y", probes=(ProbeAnnouncement(7, token + 1),)))
+    pair.parts[other].received(
+        pair.now, replace(old_announcement, zone="y", probes=(ProbeAnnouncement(7, token + 1),))
+    )
     pair.run(2)
-    assert pair.probe_results == []  # another zone's
+    assert pair.probe_results == []  # The announcement was made in another zone.
 
 
-def test_a_node_that_lost_the_lease_announces_nothing(pair: Zones) -> None:
+def test_node_that_lost_lease_announces_nothing(pair: Zones) -> None:
     (holder,) = pair.probers()
     pair.unreachable = {"voters"}
     pair.run(11)
@@ -134,7 +138,7 @@
     assert pair.announced == []
 
 
-def test_the_announcements_that_are_remembered_are_bounded() -> None:
+def test_remembered_announcements_are_bounded() -> None:
     t = Zones({"a": "x"})
     for i in range(3 * SETTINGS.max_remembered_servers):
         announcement = HealthCheckMessage(HealthCheckKind.TRYING, "z", "x", (ProbeAnnouncement(i, 5, SEC),))
@@ -144,7 +148,7 @@
     assert history.highest_token(newest) == 5 and history.highest_token(0) == 0
 
 
-def test_health_check_messages_on_the_wire() -> None:
+def test_health_check_messages_round_trip_and_range_checks() -> None:
     codec = Codec([b"k" * 20], [HealthCheckWire()])
     message = HealthCheckMessage(
         HealthCheckKind.FAILED,
@@ -155,5 +159,8 @@
     assert codec.decode(codec.encode(message, SEC), SEC) == message
     for bad in (ProbeAnnouncement(1 << 63, 0), ProbeAnnouncement(1, 1 << 63)):
         assert codec.decode(codec.encode(replace(message, probes=(bad,)), SEC), SEC) is None
-    many = replace(message, zone="z" * 64, probes=(ProbeAnnouncement((1 << 64) - 1, 1 << 61, 1 << 61),) * 32)
-    assert codec.decode(codec.encode(many, SEC), SEC) is not None  # all that one may hold fits
+    full_message = replace(
+        message, zone="z" * 64, probes=(ProbeAnnouncement((1 << 64) - 1, 1 << 61, 1 << 61),) * 32
+    )
+    # A message of the maximum size fits into a datagram.
+    assert codec.decode(codec.encode(full_message, SEC), SEC) is not None
--- a/tests/test_lease_voter.py
+++ b/tests/test_lease_voter.py
@@ -1,4 +1,4 @@
-"""A voter: what it grants and denies, its memory, its vote store over two incarnations."""
+"""A voter: grants and denials, bounds of its state, and its vote store over two incarnations."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -6,11 +6,11 @@
 
 import pytest
 from lease_support import (
-    ABLE,
+    ABSTENTION_END,
     SEC,
     SETTINGS,
     START,
-    THREE,
+    THREE_VOTERS,
     only_answer,
     release_message,
     request_message,
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    "steps",  # microseconds after it may vote, what comes, what it says
+    "steps",  # Microseconds after the voter's abstention, received message, expected answer.
     [
         [(-1, request_message(5), (DENY, "ABSTAINS", 0)), (0, request_message(5), (GRANT, "NONE", 5))],
         [(0, request_message(5), (GRANT, "NONE", 5)), (1, request_message(9, "y"), (DENY, "HELD", 5))],
@@ -102,109 +102,120 @@
         ],
     ],
 )
-def test_what_a_voter_grants_and_denies(steps: Any) -> None:
+def test_voter_answers_by_holder_token_and_time(steps: Any) -> None:
     v = voter_a()
     for at, message, answer in steps:
-        out = v.received(ABLE + at, message)
+        out = v.received(ABSTENTION_END + at, message)
         assert (only_answer(out) if answer else out) == (answer or [])
 
 
-def test_a_bounded_number_of_releases_that_overtook_their_requests_is_remembered() -> None:
-    """The oldest give way: a request that is that late is granted, as to one that holds nothing any more."""
+def test_remembered_early_releases_are_bounded() -> None:
+    """The oldest release is dropped; if its request arrives even later, it is granted."""
     v = voter_a()
     for i in range(SETTINGS.max_waiters + 1):
-        assert v.received(ABLE, release_message(5, f"y{i}")) == []
-    assert only_answer(v.received(ABLE, request_message(5, "y1"))) == (DENY, "OLD", 0)
-    assert only_answer(v.received(ABLE, request_message(5, "y0"))) == (GRANT, "NONE", 5)
+        assert v.received(ABSTENTION_END, release_message(5, f"y{i}")) == []
+    assert only_answer(v.received(ABSTENTION_END, request_message(5, "y1"))) == (DENY, "OLD", 0)
+    assert only_answer(v.received(ABSTENTION_END, request_message(5, "y0"))) == (GRANT, "NONE", 5)
     assert len(v.leases["d"].early_releases) == 0
 
 
-def test_a_grant_outlasts_the_held_lease_though_both_clocks_drift() -> None:
+def test_grant_outlasts_held_lease_under_clock_drift() -> None:
     slow, fast = 1 - 1 / CLOCK_DRIFT_DIVISOR, 1 + 1 / CLOCK_DRIFT_DIVISOR
     for lease in (200_000, 3 * SEC, 600 * SEC):
-        believed = held_duration(lease)
-        assert believed / slow < granted_duration(lease) / fast
-        assert believed / slow < granted_duration(lease) / slow and believed > 0.97 * lease
+        held = held_duration(lease)
+        assert held / slow < granted_duration(lease) / fast
+        assert held / slow < granted_duration(lease) / slow and held > 0.97 * lease
 
 
-def test_denied_clients_are_notified_when_the_lease_becomes_available() -> None:
+def test_release_notifies_bounded_number_of_denied_clients() -> None:
     v = voter_a()
-    v.received(ABLE, request_message(5))
+    v.received(ABSTENTION_END, request_message(5))
     for i in range(SETTINGS.max_waiters + 3):
-        v.received(ABLE + 1, request_message(6, f"y{i}", seq=40 + i))
-    free = v.received(ABLE + 2, release_message(5))
-    assert [(to, m.kind.name, m.seq) for to, m in free] == [
+        v.received(ABSTENTION_END + 1, request_message(6, f"y{i}", seq=40 + i))
+    notifications = v.received(ABSTENTION_END + 2, release_message(5))
+    assert [(to, m.kind.name, m.seq) for to, m in notifications] == [
         (f"y{i}", "AVAILABLE", 40 + i) for i in range(SETTINGS.max_waiters)
     ]
 
 
-def test_a_voter_keeps_a_bounded_number_of_leases_and_an_evicted_one_leaves_its_token() -> None:
-    """Failure prevented: made-up names of leases fill the memory, or a forgotten lease's token falls back."""
+def test_evicted_lease_leaves_its_token_as_floor() -> None:
+    """The number of leases is bounded, so that arbitrary names do not exhaust memory.
+
+    An evicted lease raises the floor, so that its token cannot be granted again.
+    """
     v = voter_a(LeaseSettings(lease=3 * SEC, max_lease=10 * SEC, max_leases=3))
     for i in range(3):
-        v.received(ABLE, request_message(50 + i, lease=f"d{i}"))
-    assert only_answer(v.received(ABLE + 1, request_message(99, lease="e")))[:2] == (DENY, "FULL")
-    late = ABLE + granted_duration(SETTINGS.lease)
+        v.received(ABSTENTION_END, request_message(50 + i, lease=f"d{i}"))
+    assert only_answer(v.received(ABSTENTION_END + 1, request_message(99, lease="e")))[:2] == (DENY, "FULL")
+    late = ABSTENTION_END + granted_duration(SETTINGS.lease)
     assert only_answer(v.received(late, request_message(50, "y", lease="e"))) == (DENY, "OLD", 50)
     assert only_answer(v.received(late, request_message(51, "y", lease="e"))) == (GRANT, "NONE", 51)
     assert len(v.leases) == 3
 
 
-def test_a_restarted_voter_recalls_the_tokens_that_the_others_know() -> None:
-    v, b, c = voter_a(), Voter("b", 1, [THREE], SETTINGS, 0), Voter("c", 1, [THREE], SETTINGS, 0)
+def test_restarted_voter_recalls_tokens_from_other_voters() -> None:
+    v, b, c = (
+        voter_a(),
+        Voter("b", 1, [THREE_VOTERS], SETTINGS, 0),
+        Voter("c", 1, [THREE_VOTERS], SETTINGS, 0),
+    )
     b.received(START, request_message(70))
-    asked = v.tick(START)
-    assert [(to, m.kind.name) for to, m in asked] == [("b", "RECALL"), ("c", "RECALL")]
+    recalls = v.tick(START)
+    assert [(to, m.kind.name) for to, m in recalls] == [("b", "RECALL"), ("c", "RECALL")]
     assert v.tick(START + 1) == [] and not v.has_recovered()
     for other in (b, c):
-        for _, m in other.received(START + 1, asked[0][1]):
+        for _, m in other.received(START + 1, recalls[0][1]):
             v.received(START + 2, m)
     assert v.has_recovered() and v.deadline() is None
-    assert only_answer(v.received(ABLE, request_message(70, "y"))) == (DENY, "OLD", 70)
-    assert only_answer(v.received(ABLE, request_message(71, "y"))) == (GRANT, "NONE", 71)
+    assert only_answer(v.received(ABSTENTION_END, request_message(70, "y"))) == (DENY, "OLD", 70)
+    assert only_answer(v.received(ABSTENTION_END, request_message(71, "y"))) == (GRANT, "NONE", 71)
 
 
-def test_a_voter_with_a_disk_grants_nothing_below_its_last_life(tmp_path: Path) -> None:
+def test_stored_ceiling_is_floor_of_next_incarnation(tmp_path: Path) -> None:
     path = tmp_path / "a.votes"
-    saved = []
+    stored_tokens = []
 
-    def raise_ceiling(number: int) -> TokenRange:
-        saved.append(number)
-        return vote_store.VoteStore(path, "a", print).raise_ceiling(number)
+    def raise_ceiling(token: int) -> TokenRange:
+        stored_tokens.append(token)
+        return vote_store.VoteStore(path, "a", print).raise_ceiling(token)
 
     v = voter_a(floor=vote_store.load(path, "a"), raise_ceiling=raise_ceiling)
     for i in range(100):
-        v.received(ABLE + i, request_message(500 + i))
-    assert saved == [500]  # ahead, so that not every grant waits for the disk
-    again = voter_a(floor=vote_store.load(path, "a"), raise_ceiling=raise_ceiling)
-    assert only_answer(again.received(ABLE, request_message(600, "y"))) == (
+        v.received(ABSTENTION_END + i, request_message(500 + i))
+    # The ceiling is above the token, so that not every grant waits for the disk.
+    assert stored_tokens == [500]
+    restarted = voter_a(floor=vote_store.load(path, "a"), raise_ceiling=raise_ceiling)
+    assert only_answer(restarted.received(ABSTENTION_END, request_message(600, "y"))) == (
         DENY,
         "OLD",
-        500 + vote_store.CEILING_MARGIN,
+        500 + vote_store.CEILING_MARGIN_TOKENS,
     )
     assert (
-        only_answer(again.received(ABLE, request_message(501 + vote_store.CEILING_MARGIN, "y")))[0] == GRANT
+        only_answer(
+            restarted.received(ABSTENTION_END, request_message(501 + vote_store.CEILING_MARGIN_TOKENS, "y"))
+        )[0]
+        == GRANT
     )
 
 
 @pytest.mark.parametrize(
-    ("change", "part"),
+    ("change", "message"),
     [
         (lambda d: d[:-9], "torn or changed"),
         (lambda d: d.replace(b"500", b"900"), "torn or changed"),
         (lambda d: b"", "torn or changed"),
         (lambda d: b"\x00" * 80, "torn or changed"),
-        (lambda d: b"a poem\n" + vote_store.checksum(b"a poem"), "not a file of votes"),
+        (lambda d: b"a poem\n" + vote_store.checksum(b"a poem"), "not a vote file"),
     ],
 )
-def test_torn_and_foreign_files_are_named_and_not_trusted(
-    tmp_path: Path, change: Callable[[bytes], bytes], part: str
+def test_damaged_and_foreign_vote_files_are_rejected(
+    tmp_path: Path, change: Callable[[bytes], bytes], message: str
 ) -> None:
     path = tmp_path / "a.votes"
     vote_store.save(path, "a", 500)
     assert vote_store.load(path, "a") == 500
-    with pytest.raises(vote_store.VoteStoreError, match="the votes of a, not of b"):
+    with pytest.raises(vote_store.VoteStoreError, match="has the votes of a, not of b"):
         vote_store.load(path, "b")
     path.write_bytes(change(path.read_bytes()))
-    with pytest.raises(vote_store.VoteStoreError, match=part):
+    with pytest.raises(vote_store.VoteStoreError, match=message):
         vote_store.load(path, "a")
--- a/tests/test_min_rtt_slots.py
+++ b/tests/test_min_rtt_slots.py
@@ -1,4 +1,4 @@
-"""minRTT recalculations: how many nodes are in one at once, and when a node goes ahead without a slot."""
+"""minRTT recalculations: how many run simultaneously, and when a node starts without a slot."""
 
 from random import Random
 
@@ -9,7 +9,7 @@
 from balancer.fleet.min_rtt.settings import MinRttSettings
 
 
-def nodes(count: int, share: float) -> Table[MinRttSlots]:
+def tier_of(count: int, share: float) -> Table[MinRttSlots]:
     t: Table[MinRttSlots] = Table(*(f"n{i}" for i in range(count)))
     settings = MinRttSettings(share)
     for i, name in enumerate(t.lease_clients):
@@ -18,11 +18,13 @@
 
 
 def recalculate(
-    t: Table[MinRttSlots], seconds: float, length: float = 1.0
+    t: Table[MinRttSlots], seconds: float, duration_s: float = 1.0
 ) -> tuple[list[tuple[str, int]], int]:
-    """All nodes are due for a recalculation; the policy asks each 0.1 s.
+    """Let all nodes recalculate, with a query by the policy every 0.1 s.
 
-    Returns the starts in order, and the greatest number of recalculations at once.
+    Returns:
+        The names of the nodes with their start times, in order, and the greatest number of simultaneous
+        recalculations.
     """
     started: list[tuple[str, int]] = []
     ends: dict[str, int] = {}
@@ -31,7 +33,7 @@
         for name, slots in t.parts.items():
             if name not in dict(started) and slots.may_start(t.now):
                 started.append((name, t.now))
-                ends[name] = t.now + int(length * SEC)
+                ends[name] = t.now + int(duration_s * SEC)
             elif name in ends and t.now >= ends[name]:
                 del ends[name]
                 slots.finished()
@@ -41,10 +43,9 @@
 
 
 @pytest.mark.parametrize(("count", "share", "slots"), [(10, 0.2, 2), (10, 0.01, 1), (12, 0.5, 6)])
-def test_as_many_recalculate_at_once_as_there_are_slots_and_all_get_one(
-    count: int, share: float, slots: int
-) -> None:
-    t = nodes(count, share)
+def test_slot_count_bounds_concurrent_recalculations(count: int, share: float, slots: int) -> None:
+    """As many nodes recalculate simultaneously as there are slots, and every node gets a slot in time."""
+    t = tier_of(count, share)
     assert t.parts["n0"].slot_count == slots
     started, greatest = recalculate(t, 25)
     assert greatest == slots and len(started) == count
@@ -53,8 +54,8 @@
     assert all(a.requests == {} for a in t.lease_clients.values())
 
 
-def test_nodes_that_get_no_slot_recalculate_later_but_not_all_at_once() -> None:
-    t = nodes(6, 0.2)
+def test_nodes_without_slot_recalculate_spread_over_time() -> None:
+    t = tier_of(6, 0.2)
     t.unreachable = {"voters"}
     max_wait = MinRttSettings(0.2).max_wait / SEC
     assert recalculate(t, max_wait - 0.5) == ([], 0)
@@ -63,8 +64,9 @@
     assert len(times) == 6 and times[-1] - times[0] > 4 * SEC
 
 
-def test_a_recalculation_without_end_releases_its_slot_and_one_not_due_any_more_acquires_none() -> None:
-    t = nodes(2, 0.5)
+def test_slot_is_released_after_max_duration_or_when_not_due() -> None:
+    """A recalculation that does not end releases its slot, and one that is no longer due acquires none."""
+    t = tier_of(2, 0.5)
     (one, other) = t.parts.values()
     while not one.may_start(t.now):
         t.run(0.1)
