--- a/balancer/fleet/operator_pages.py
+++ b/balancer/fleet/operator_pages.py
@@ -102,7 +102,7 @@
             return BAD_LEASE_NAME
         if is_reserved(lease):
             return RESERVED_LEASE
-        table, outgoing = self.leases.external_request(self.runtime.now(), lease, script, release)
+        table, outgoing = self.leases.handle_external_request(self.runtime.now(), lease, script, release)
         self.runtime.deliver(outgoing)
         self.runtime.schedule()
         return success(table)
@@ -116,7 +116,7 @@
             return BAD_COMMAND
         self.runtime.deliver(self.rolling_update.tick(self.runtime.now()))
         self.runtime.schedule()
-        return success(self.rolling_update.table())
+        return success(self.rolling_update.plan_status())
 
     def direct_zone(self, query: bytes) -> Response:
         """Handles `PUT /fleet/zone?do=leave|return&zone=NAME&for_s=N`.
--- a/balancer/fleet/policy_adapter.py
+++ b/balancer/fleet/policy_adapter.py
@@ -106,10 +106,10 @@
         """From here on one node a zone checks an ejected server."""
         from balancer.fleet.health_checks.decisions import HealthChecks
         from balancer.fleet.health_checks.messages import HealthCheckKind
-        from balancer.fleet.health_checks.settings import settings_for
+        from balancer.fleet.health_checks.settings import health_check_settings
 
         config = self.config
-        settings = settings_for(config.max_lease)
+        settings = health_check_settings(config.max_lease)
         self.health_checks = HealthChecks(
             config.name, config.zone, settings, lease_client, self.alive, self.on_health_check_result, rng
         )
@@ -168,7 +168,7 @@
         if allowed:
             token = slots.token(now)
             slot = f"place={slots.slot} token={token}" if token is not None else "without a place"
-            self.log_line(f"fleet pass begins {slot} waited={slots.waited / SECOND:.1f}")
+            self.log_line(f"fleet pass begins {slot} waited={slots.start_delay / SECOND:.1f}")
         if allowed or not requested_before or slots.slot is None:
             self.schedule()
         return allowed
--- a/tests/lease_support.py
+++ b/tests/lease_support.py
@@ -8,9 +8,9 @@
 
 SEC = 1_000_000
 SETTINGS = LeaseSettings(lease=3 * SEC, max_lease=10 * SEC)
-THREE = Electorate(("a", "b", "c"))
+THREE_VOTERS = Electorate(("a", "b", "c"))
 START = 100 * SEC
-ABLE = START + granted_duration(SETTINGS.max_lease)  # when a voter that started at START votes
+ABSTENTION_END = START + granted_duration(SETTINGS.max_lease)  # when a voter that started at START votes
 
 
 def request_message(
@@ -20,7 +20,7 @@
     lease: str = "d",
     seq: int = 1,
     duration: int = SETTINGS.lease,
-    of: Electorate = THREE,
+    of: Electorate = THREE_VOTERS,
 ) -> LeaseMessage:
     return LeaseMessage(LeaseKind.REQUEST, sender, incarnation, lease, seq, token, of.digest, duration)
 
@@ -30,7 +30,7 @@
 
 
 def voter_a(settings: LeaseSettings = SETTINGS, **more: Any) -> Voter:
-    return Voter("a", 1, [THREE], settings, START, **more)
+    return Voter("a", 1, [THREE_VOTERS], settings, START, **more)
 
 
 def only_answer(out: list[OutgoingLeaseMessage]) -> tuple[str, str, int]:
--- a/tests/test_fleet_clocks.py
+++ b/tests/test_fleet_clocks.py
@@ -186,7 +186,7 @@
     """A plan begun at second 100; a process started at another, its clock stepped; both of their monotonic
     clocks begin somewhere."""
     leader = rolling_update("z", 1, 10 * SEC)
-    leader.begin(wall=100 * SEC, max_unavailable=1, now=100 * SEC)
+    leader.begin(unix_time=100 * SEC, max_unavailable=1, now=100 * SEC)
     other = rolling_update("a", started * SEC + step, started * SEC - 7 * SEC)
     asked = leader.message(160 * SEC, RollingUpdateKind.PLAN, leader.plan, 3)
     [outgoing] = other.received(153 * SEC, asked)
@@ -198,7 +198,7 @@
 
 def test_the_plan_s_age_goes_from_holder_to_holder():
     first, second, third = (rolling_update(n, 1, s * SEC) for n, s in (("a", 1), ("b", 200), ("c", 90)))
-    first.begin(wall=5, max_unavailable=1, now=100 * SEC)
+    first.begin(unix_time=5, max_unavailable=1, now=100 * SEC)
     second.received(300 * SEC, first.message(300 * SEC, RollingUpdateKind.PLAN, first.plan, 3))
     third.received(400 * SEC, second.message(400 * SEC, RollingUpdateKind.PLAN, second.plan, 4))
     assert (first.is_outdated(first.plan), second.is_outdated(first.plan), third.is_outdated(first.plan)) == (
@@ -224,10 +224,10 @@
 
 def test_a_plan_after_a_step_back_takes_the_place_of_the_last():
     process = rolling_update("a", 1, SEC)
-    process.begin(wall=HOUR, max_unavailable=1, now=2 * SEC)
-    process.change(UpdateState.STOPPED)
+    process.begin(unix_time=HOUR, max_unavailable=1, now=2 * SEC)
+    process.change_state(UpdateState.STOPPED)
     last = process.plan
-    assert process.begin(wall=5, max_unavailable=1, now=3 * SEC).supersedes(last)
+    assert process.begin(unix_time=5, max_unavailable=1, now=3 * SEC).supersedes(last)
 
 
 # ---- real processes -------------------------------------------------------------------------------------
--- a/workbench/explore/lease_model.py
+++ b/workbench/explore/lease_model.py
@@ -25,7 +25,7 @@
 
 from balancer.fleet.leases.client import LeaseClient
 from balancer.fleet.leases.events import LeaseEvent, LeaseEventKind
-from balancer.fleet.leases.granted_lease import NOBODY, GrantedLease
+from balancer.fleet.leases.granted_lease import NO_HOLDER, GrantedLease
 from balancer.fleet.leases.messages import OutgoingLeaseMessage
 from balancer.fleet.leases.request import LeaseRequest, RequestStage
 from balancer.fleet.leases.settings import Electorate, LeaseSettings
@@ -167,7 +167,7 @@
         state = None
         if lease is not None:
             expires_at = lease.expires_at if lease.expires_at > now else 0
-            holder = lease.holder if expires_at or lease.token > lease.released_token else NOBODY
+            holder = lease.holder if expires_at or lease.token > lease.released_token else NO_HOLDER
             waiters = tuple(sorted(lease.waiters.items()))
             state = (lease.token, lease.released_token, holder, expires_at, waiters)
         abstains = v.abstains_until if v.abstains_until > now else 0
--- a/workbench/explore/leases.py
+++ b/workbench/explore/leases.py
@@ -35,7 +35,7 @@
 class CountsFromAnswer(LeaseClient):
     """Counts the lease from the answer, not from the request."""
 
-    def counted_from(self, request: LeaseRequest, now: int) -> int:
+    def lease_start(self, request: LeaseRequest, now: int) -> int:
         """Returns the time of the answer."""
         return now
 
--- a/workbench/lab/lease_checkers.py
+++ b/workbench/lab/lease_checkers.py
@@ -7,7 +7,7 @@
 from itertools import pairwise
 from typing import NamedTuple
 
-from balancer.fleet.health_checks.settings import settings_for
+from balancer.fleet.health_checks.settings import health_check_settings
 from balancer.fleet.min_rtt.settings import MinRttSettings
 from workbench.lab.ground_truth import GroundTruth, seconds
 from workbench.lab.process_history import FOREVER, FaultPeriod, ProcessIncarnation
@@ -123,7 +123,7 @@
     settings = MinRttSettings(share)
     for name in truth.names:
         yield from waited_without_slot(truth, name, settings.max_wait / 1e6)
-    slots = settings.slots(len(truth.names))
+    slots = settings.count_slots(len(truth.names))
     spans = [span for name in truth.names for span in recalculations(truth, name)]
     for begin, _, node in spans:
         # A node that was partitioned or paused may have lost its slot half-way.
@@ -163,7 +163,7 @@
     if not truth.plan.get("probe"):
         return
     lease_s = truth.plan["lease_ms"] / 1000
-    wait_s = settings_for(int(lease_s * 1e6)).patience / 1e6 + LOG_DELAY_S
+    wait_s = health_check_settings(int(lease_s * 1e6)).holder_timeout / 1e6 + LOG_DELAY_S
     for server, probes in probes_by_server(truth).items():
         for (before, other), (at, node) in pairwise(probes):
             if node == other or at - before >= lease_s / 2:
--- a/workbench/scale/leader.py
+++ b/workbench/scale/leader.py
@@ -34,7 +34,7 @@
     def alive(self) -> list[str]:
         return self.names
 
-    def gone(self) -> list[str]:
+    def departed(self) -> list[str]:
         return []
 
 
