--- a/balancer/fleet/__init__.py
+++ b/balancer/fleet/__init__.py
@@ -1,7 +1,7 @@
 """Coordination between the processes of a fleet.
 
-Off where the configuration has no `fleet` section: a node without one imports nothing of this package.
+A node whose configuration has no `fleet` section imports nothing of this package.
 
-`runtime.py` runs the components that `assembly.py` makes on a node's event loop; `component.py` is what each
-of them implements.
+`runtime.py` runs the components that `assembly.py` builds on a node's event loop; `component.py` defines the
+interface that each of them implements.
 """
--- a/balancer/fleet/addressed_message.py
+++ b/balancer/fleet/addressed_message.py
@@ -1,4 +1,4 @@
-"""A message with its receiver: what every state machine of the fleet returns for the runtime to send."""
+"""A message with its receiver, as the fleet's state machines return it for the runtime to send."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
     """A message to be sent in one datagram.
 
     Attributes:
-        to: The name of a process, or its address.
-        message: The message.
+        to: The receiving process's name, or its address.
+        message: The message to send.
     """
 
     to: ReceiverT_co
--- a/balancer/fleet/assembly.py
+++ b/balancer/fleet/assembly.py
@@ -1,6 +1,6 @@
-"""Which components a process runs: the one place to add a component to.
+"""The components that a process runs, built from its configuration.
 
-A component's package is imported only where the configuration asks for the component.
+A new component is added here. A component's package is imported only if the configuration enables it.
 """
 
 from __future__ import annotations
@@ -23,9 +23,10 @@
     """The components of one process.
 
     Attributes:
-        policy_adapter: What the node's policy calls.
-        leases: Leases, where voters are configured; operators' pages call it.
-        rolling_update: Rolling updates, where voters are configured; operators' pages call it.
+        policy_adapter: The implementation of `interface.Fleet` that the node's policy calls.
+        leases: The lease component, which the operator pages call; None if no voters are configured.
+        rolling_update: The rolling-update component, which the operator pages call; None if no voters are
+            configured.
         ordered: All components, in the order in which they are opened, ticked and shown.
     """
 
@@ -35,22 +36,22 @@
     ordered: list[Component] = field(default_factory=list)
 
 
-def components_for(config: FleetConfig, runtime: Runtime) -> FleetComponents:
-    """The components that a configuration asks for."""
+def build_components(config: FleetConfig, runtime: Runtime) -> FleetComponents:
+    """Build the components that the configuration enables."""
     adapter = PolicyAdapter(
         config, runtime.settings, runtime.now, runtime.wall, runtime.schedule, runtime.log.line
     )
-    made = FleetComponents(adapter)
+    components = FleetComponents(adapter)
     if config.voters:
         from balancer.fleet.leases.component import LeaseComponent
         from balancer.fleet.rolling_update.component import RollingUpdateComponent
 
-        made.leases = LeaseComponent(runtime)
-        made.rolling_update = RollingUpdateComponent(runtime, made.leases)
-        made.ordered += [made.leases, made.rolling_update]
+        components.leases = LeaseComponent(runtime)
+        components.rolling_update = RollingUpdateComponent(runtime, components.leases)
+        components.ordered += [components.leases, components.rolling_update]
     if config.membership is not None:
         from balancer.fleet.zone_membership.component import ZoneMembershipComponent
 
-        made.ordered.append(ZoneMembershipComponent(runtime, config.membership))
-    made.ordered.append(PolicyComponent(runtime, adapter, made.leases))
-    return made
+        components.ordered.append(ZoneMembershipComponent(runtime, config.membership))
+    components.ordered.append(PolicyComponent(runtime, adapter, components.leases))
+    return components
--- a/balancer/fleet/clocks.py
+++ b/balancer/fleet/clocks.py
@@ -1,4 +1,4 @@
-"""The clocks that a process of the fleet uses."""
+"""Monotonic and wall clocks of a fleet process."""
 
 from __future__ import annotations
 
@@ -11,37 +11,39 @@
 
 
 class Clocks:
-    """Monotonic and wall clock, in microseconds.
+    """The monotonic clock and the wall clock of a process, in microseconds.
 
     Args:
-        offset_file: A file with the milliseconds to add to the wall clock, read at each call of `wall`. Only
-            labs that step the clock have one.
+        wall_offset_file: Path of a file with the milliseconds to add to the wall clock, read at each call of
+            `wall`. Only lab runs that step the clock use one.
     """
 
-    def __init__(self, offset_file: str | None) -> None:
-        self.offset_file = offset_file
-        self.offset = 0  # microseconds
-        self.started = self.now()
-        self.started_wall = self.wall()
+    def __init__(self, wall_offset_file: str | None) -> None:
+        self.wall_offset_file = wall_offset_file
+        self.wall_offset_us = 0
+        self.started_at = self.now()
+        self.started_at_wall = self.wall()
 
     def now(self) -> int:
-        """Returns the monotonic clock, which goes on while the process or the machine is suspended.
+        """Return the monotonic clock, which also advances while the process or the machine is suspended.
 
-        It is read at each call, since the event loop's own time stands still within an iteration.
+        The clock is read at each call, since the event loop caches its own time for the whole iteration.
         """
         return clock_gettime_ns(CLOCK_BOOTTIME) // NANOSECONDS_PER_MICROSECOND
 
     def wall(self) -> int:
-        """Returns Unix time, which may step."""
-        if self.offset_file is not None:
+        """Return Unix time, which steps when the system clock is set."""
+        if self.wall_offset_file is not None:
             with suppress(OSError, ValueError):
-                self.offset = int(Path(self.offset_file).read_text()) * MICROSECONDS_PER_MILLISECOND
-        return time_ns() // NANOSECONDS_PER_MICROSECOND + self.offset
+                self.wall_offset_us = (
+                    int(Path(self.wall_offset_file).read_text()) * MICROSECONDS_PER_MILLISECOND
+                )
+        return time_ns() // NANOSECONDS_PER_MICROSECOND + self.wall_offset_us
 
     def stamp(self) -> int:
-        """Returns Unix time at the start plus the monotonic time since, which doesn't step.
+        """Return the process's start in Unix time plus the monotonic time since then, which never steps.
 
-        Datagrams are stamped with it, and incarnations begin with it. The stamps of two processes may differ
-        by any amount.
+        It stamps datagrams and is the initial incarnation number. The stamps of two processes may differ by
+        any amount.
         """
-        return self.started_wall + self.now() - self.started
+        return self.started_at_wall + self.now() - self.started_at
--- a/balancer/fleet/component.py
+++ b/balancer/fleet/component.py
@@ -1,11 +1,11 @@
 """The interface between the fleet runtime and its components.
 
-A component is one concern of the fleet (leases, a rolling update, traffic between zones, ...). It owns
-its message kinds and its keys on the operators' page, and does no I/O: the runtime hands it time and messages
-and sends what it returns. To add one: write a class that inherits from `Component`, and construct it in
-`assembly.components_for`.
+A component implements one function of the fleet, such as leases, rolling updates or zone routing. It owns its
+message kinds and its keys of the page `GET /fleet`, and does no I/O: the runtime passes it the time and the
+received messages, and sends the messages that it returns. To add a component, write a subclass of `Component`
+and construct it in `assembly.build_components`.
 
-All times are microseconds; `now` is the runtime's monotonic clock.
+All times are in microseconds; `now` is the runtime's monotonic clock.
 """
 
 from __future__ import annotations
@@ -25,32 +25,32 @@
 
 
 class WireMessage(Protocol):
-    """What every message has, whichever component defines it."""
+    """Attributes that the messages of all components have."""
 
     @property
     def kind(self) -> IntEnum:
-        """Unique over all components; the codec and the dispatch go by it."""
+        """The message kind, unique over all components, which selects the codec and the component."""
 
     @property
     def sender(self) -> str:
-        """Name of the process that sent it."""
+        """Name of the sending process."""
 
     @property
     def seq(self) -> int:
-        """Pairs a response with its request, where the component needs that."""
+        """Sequence number that pairs a response with its request, if the component needs one."""
 
 
-# A component's message, to the name of a member of the own group, or to an address where the receiver need
-# not be a member. One to this process's own name is delivered at once without a datagram.
+# A component's message, addressed to a member of this process's group by name, or to any process by address.
+# A message to this process's own name is delivered at once without a datagram.
 Outgoing = AddressedMessage[str | Address, WireMessage]
 
 
 class Runtime(Protocol):
-    """What a component may use of the process that it runs in."""
+    """The services that a process provides to its components."""
 
     @property
     def config(self) -> FleetConfig:
-        """The process's place in its fleet."""
+        """The process's fleet configuration."""
 
     @property
     def settings(self) -> Settings:
@@ -62,86 +62,87 @@
 
     @property
     def lifecycle(self) -> Lifecycle:
-        """Whether the node serves, drains or ends."""
+        """The node's state: serving, draining or ending."""
 
     @property
     def rng(self) -> Random:
-        """Shared with membership. A new component takes `stream` instead."""
+        """The random number generator of membership. New components use `random_stream` instead."""
 
     @property
     def membership(self) -> Swim:
-        """Membership of the own group, from `open` on; each incarnation has another.
+        """Membership of this process's group, available from `open` on; each incarnation has a new one.
 
         Components only read it: `me`, `members`, `alive()`.
         """
 
-    def stream(self, purpose: str) -> Random:
-        """A random stream of a component's own, the same for the same seed."""
+    def random_stream(self, purpose: str) -> Random:
+        """Return a separate random stream, which is the same for the same seed and purpose."""
 
     def now(self) -> int:
-        """Monotonic clock; goes on while the process is paused."""
+        """Return the monotonic clock, which also advances while the process is suspended."""
 
     def wall(self) -> int:
-        """Unix time, which may step."""
+        """Return Unix time, which steps when the system clock is set."""
 
     def alive(self) -> list[str]:
-        """Names of the other members that are alive or suspect."""
+        """Return the names of the other members that are alive or suspect."""
 
-    def gone(self) -> list[str]:
-        """Names of members that have left or died and are not forgotten yet."""
+    def departed(self) -> list[str]:
+        """Return the names of the members that have left or died and are not forgotten yet."""
 
     def address_of(self, member: str) -> Address | None:
-        """Where a member receives datagrams; None if it is not known."""
+        """Return the address at which a member receives datagrams; None if the member is unknown."""
 
     def schedule(self) -> None:
-        """Sets the timer anew. To be called when a deadline has changed outside `tick` and `received`."""
+        """Set the timer again; must be called when a deadline changes outside `tick` and `received`."""
 
     def end_process(self) -> None:
-        """Ends the process as SIGTERM does, after what the component returns has been sent."""
+        """End the process as SIGTERM does, after what the component returns has been sent."""
 
 
 class Component(Protocol):
-    """One concern of the fleet. Each method has a default that does nothing; inherit to get them.
+    """One function of the fleet; the default implementation of each method does nothing.
 
     Call order: the constructor, `open`, then `tick`, `received` and `deadline` in any order, then `leave` on
-    a planned end, then `close`. A process that joins again calls `open` again. `status` and `close` may also
-    be called before `open`, `status` after `close` too. An exception in any method but `open` is reported to
-    the event loop's exception handler and ends nothing else; one in `open` keeps the process from starting.
+    a planned shutdown, then `close`. When a process joins again, `open` is called again. `status` and `close`
+    may also be called before `open`, and `status` after `close`. An exception in any method except `open` is
+    reported to the event loop's exception handler and stops nothing else; an exception in `open` keeps the
+    process from starting.
     """
 
     @property
-    def wires(self) -> Sequence[PayloadCodec]:
-        """Encoders and decoders of this component's message kinds. Read once, before `open`."""
+    def payload_codecs(self) -> Sequence[PayloadCodec]:
+        """Encoders and decoders of this component's message kinds; read once, before `open`."""
         return ()
 
     def open(self) -> None:
-        """The process has a socket and its place in the group: a new incarnation begins."""
+        """Start a new incarnation, now that the process has its socket and has joined its group."""
         return
 
     def close(self) -> None:
-        """The socket is gone; nothing is sent or received from here on."""
+        """Stop; the socket is about to be closed and nothing more is sent or received."""
         return
 
     def leave(self, now: int) -> Sequence[Outgoing]:
-        """Last messages before a planned end."""
+        """Return the last messages before a planned shutdown."""
         return ()
 
     def deadline(self, now: int) -> int | None:
-        """When `tick` is due, or None if nothing is. Must be cheap: it is asked for on each datagram."""
+        """Return when `tick` is due; None if never. Must be cheap, since it is called on each datagram."""
         return None
 
     def tick(self, now: int) -> Sequence[Outgoing]:
-        """Does what is due. Called when any component is due, so often before the own deadline."""
+        """Perform the actions that are due; also called earlier, whenever another component is due."""
         return ()
 
     def received(self, now: int, sender: Address, message: Any) -> Sequence[Outgoing]:
-        """Handles an authenticated message of one of the own kinds; `sender`: where it came from."""
+        """Handle an authenticated message of one of this component's kinds, which came from `sender`."""
         return ()
 
     def member_forgotten(self, name: str) -> None:
-        """Membership has dropped a member that left or died a while ago: state about it can go."""
+        """Drop the state of a member that left or died and that membership has now forgotten."""
         return
 
     def status(self, now: int) -> dict[str, Any]:
-        """Keys for the page `GET /fleet`, JSON values; durations in seconds. Empty to show nothing."""
+        """Return keys with JSON values for the page `GET /fleet`; durations are in seconds."""
         return {}
--- a/balancer/fleet/config.py
+++ b/balancer/fleet/config.py
@@ -1,4 +1,4 @@
-"""The `fleet` section of a node's configuration, checked: all faults at once, a line each."""
+"""The `fleet` section of a node's configuration, validated; all faults are reported at once."""
 
 from __future__ import annotations
 
@@ -15,16 +15,17 @@
 if TYPE_CHECKING:
     from balancer.fleet.zone_membership.settings import ZoneMembershipSettings
 
-SECTION = "fleet"
-VOTER_COUNTS = (0, 3, 5)
+SECTION_NAME = "fleet"
+ALLOWED_VOTER_COUNTS = (0, 3, 5)
 MAX_SEEDS = 64
-PERIOD_MS = (100, 60_000)
-LEASE_MS = (200, 600_000)
+PERIOD_RANGE_MS = (100, 60_000)
+LEASE_RANGE_MS = (200, 600_000)
 DEFAULT_OVERPROVISIONING_FACTOR = 1.4
 MAX_OVERPROVISIONING_FACTOR = 10
 MAX_ZONE_COST = 1e9
-UNSPECIFIED_HOSTS = ("0.0.0.0", "::")  # a socket listens there; nobody can send there
-KEYS = (
+# A socket can listen on these addresses, but no other process can send to them.
+UNSPECIFIED_HOSTS = ("0.0.0.0", "::")
+SECTION_KEYS = (
     *("name", "zone", "region", "listen", "advertise", "seeds", "key", "old_key"),
     *("voters", "old_voters", "lease_ms", "longest_lease_ms", "votes", "period_ms", "lab"),
     *("probe", "remeasure", "zones", "membership"),
@@ -32,33 +33,35 @@
 
 
 class FleetConfigError(ValueError):
-    """What is wrong with the section: a line for each fault."""
+    """The `fleet` section is invalid; the message has one line for each fault."""
 
 
 @dataclass(frozen=True)
 class FleetConfig:
-    """One process's place in its fleet. Times in microseconds.
+    """The fleet configuration of one process; times are in microseconds.
 
     Attributes:
         name: The process's name in its group.
-        zone: Its zone, as discovery spells it.
-        region: The region of its zone; may be empty.
-        listen: Where datagrams come in.
-        advertise: Where others send them, which differs from `listen` behind an address translation.
+        zone: The process's zone, as discovery spells it.
+        region: The region of the zone; may be empty.
+        listen: The address on which the process receives datagrams.
+        advertise: The address to which others send datagrams; differs from `listen` behind NAT.
         seeds: Addresses of a few members, through which the process joins.
-        keys: The key that signs datagrams, then one that is still accepted.
+        keys: The key that signs datagrams, followed by a second accepted key while keys are rotated.
         voters: Names of the processes that vote on leases.
-        old_voters: The list of voters before, while it is being changed.
+        old_voters: The previous list of voters, while the list is being changed.
         lease: Duration of a lease.
-        max_lease: Longest lease that any process of the fleet requests, and how long a voter abstains after
-            its start.
-        votes: A directory that outlives the process, if there is one, for a voter's highest number.
+        max_lease: The longest lease that any process of the fleet requests, and the time for which a voter
+            abstains after its start.
+        votes: A directory that outlives the process, in which a voter stores its token ceiling; may be
+            None.
         period: Interval of membership's health checks.
-        health_checks: Whether one node a zone health-checks an ejected server for the others.
-        min_rtt_share: Share of the tier's nodes that may recalculate their minRTT at once; 0: no bound.
-        zones: Settings of zone routing; None: the policy alone chooses between zones.
-        clock_file: In labs, a file with the wall clock's offset in milliseconds.
-        membership: Settings of membership by zone; None: one group spans the fleet.
+        health_checks: Whether one node per zone checks an ejected server on behalf of the others.
+        min_rtt_share: Share of the tier's nodes that may recalculate their minRTT at the same time; 0 means
+            no limit.
+        zones: Settings of zone routing; None if the policy alone chooses between zones.
+        clock_file: In lab runs, a file with the wall clock's offset in milliseconds.
+        membership: Settings of membership per zone; None if one group spans the fleet.
     """
 
     name: str
@@ -82,22 +85,22 @@
 
 
 def read_fleet(table: object, node: str) -> FleetConfig:
-    """Checks the section and returns it.
+    """Validate the section and return the configuration.
 
     Args:
         table: The decoded section.
-        node: The node's name, which is the process's name unless the section has another.
+        node: The node's name, which is also the process's name unless the section sets another.
 
     Raises:
-        FleetConfigError: With a line for each fault.
+        FleetConfigError: The section is invalid; the message has one line for each fault.
     """
     if not isinstance(table, dict):
-        raise FleetConfigError(f"{SECTION}: not an object")
-    section = ConfigSection(table, SECTION)
-    section.only(*KEYS)
+        raise FleetConfigError(f"{SECTION_NAME}: not an object")
+    section = ConfigSection(table, SECTION_NAME)
+    section.reject_unknown_keys(*SECTION_KEYS)
     listen, advertise = read_addresses(section)
-    lab = read_lab(section)
-    found = FleetConfig(
+    lab = read_lab_section(section)
+    config = FleetConfig(
         listen=listen,
         advertise=advertise,
         keys=read_secret_keys(section),
@@ -107,102 +110,106 @@
         seeds=read_seeds(section),
         voters=read_voters(section, "voters"),
         old_voters=read_voters(section, "old_voters"),
-        lease=section.integer("lease_ms", 3_000, *LEASE_MS) * 1000,
-        max_lease=section.integer("longest_lease_ms", 10_000, *LEASE_MS) * 1000,
+        lease=section.integer("lease_ms", 3_000, *LEASE_RANGE_MS) * 1000,
+        max_lease=section.integer("longest_lease_ms", 10_000, *LEASE_RANGE_MS) * 1000,
         votes=read_votes_directory(section),
-        period=section.integer("period_ms", 1000, *PERIOD_MS) * 1000,
+        period=section.integer("period_ms", 1000, *PERIOD_RANGE_MS) * 1000,
         health_checks=section.flag("probe"),
         min_rtt_share=section.number("remeasure", 0, 0, 1),
-        zones=read_zones(section),
-        membership=read_membership_table(section),
+        zones=read_zone_settings(section),
+        membership=read_membership_settings(section),
         clock_file=lab.file_path("clock_file") if "clock_file" in lab.table else None,
     )
-    check_combinations(section, found)
+    check_combinations(section, config)
     if section.faults or lab.faults:
         raise FleetConfigError("\n".join(section.faults + lab.faults))
-    return found
+    return config
 
 
-def check_combinations(section: ConfigSection, found: FleetConfig) -> None:
-    """Adds a fault for each key that is impossible beside another."""
-    if found.lease > found.max_lease:
-        allowed = f"must be at most longest_lease_ms, {found.max_lease // 1000}"
-        section.fault("lease_ms", found.lease // 1000, allowed)
-    for key, is_on in (("probe", found.health_checks), ("remeasure", found.min_rtt_share)):
-        if is_on and not found.voters:
-            section.fault("voters", None, f"must be given where {key} is")
-    if found.old_voters and not found.voters:
-        section.fault("voters", None, "must be given where old_voters is")
+def check_combinations(section: ConfigSection, config: FleetConfig) -> None:
+    """Add a fault for each key whose value conflicts with that of another key."""
+    if config.lease > config.max_lease:
+        allowed = f"must be at most longest_lease_ms, {config.max_lease // 1000}"
+        section.add_fault("lease_ms", config.lease // 1000, allowed)
+    for key, is_on in (("probe", config.health_checks), ("remeasure", config.min_rtt_share)):
+        if is_on and not config.voters:
+            section.add_fault("voters", None, f"must be given if {key} is")
+    if config.old_voters and not config.voters:
+        section.add_fault("voters", None, "must be given if old_voters is")
 
 
 def read_addresses(section: ConfigSection) -> tuple[Address, Address]:
-    """The addresses `listen` and `advertise`."""
+    """Read the addresses `listen` and `advertise`; the latter defaults to the former."""
     table = section.table
     listen = section.address("listen", table.get("listen"))
     advertise = section.address("advertise", table["advertise"]) if "advertise" in table else listen
     if advertise[0] in UNSPECIFIED_HOSTS:
-        section.fault("advertise", table.get("advertise"), "must be given where listen names no one address")
+        section.add_fault(
+            "advertise", table.get("advertise"), "must be given if listen is an unspecified address"
+        )
     return listen, advertise
 
 
 def read_secret_keys(section: ConfigSection) -> tuple[bytes, ...]:
-    """The group's key and, while keys are being changed, a second one that is still accepted."""
+    """Read the group's key and, while keys are rotated, the old key, which is still accepted."""
     names = ("key", "old_key") if "old_key" in section.table else ("key",)
     return tuple(section.secret_key(name) for name in names)
 
 
 def read_seeds(section: ConfigSection) -> tuple[Address, ...]:
-    """The addresses through which the process joins."""
+    """Read the addresses of the members through which the process joins."""
     values = section.items("seeds", MAX_SEEDS)
     return tuple(section.address(f"seeds[{i}]", value) for i, value in enumerate(values))
 
 
-def read_lab(section: ConfigSection) -> ConfigSection:
-    """The table `lab`, which only labs have. It has its own list of faults."""
+def read_lab_section(section: ConfigSection) -> ConfigSection:
+    """Read the table `lab`, which only lab runs have, into a section with its own list of faults."""
     table = section.table.get("lab", {})
     lab = ConfigSection(table if isinstance(table, dict) else {}, f"{section.path}.lab")
-    lab.only("clock_file")
+    lab.reject_unknown_keys("clock_file")
     return lab
 
 
 def read_voters(section: ConfigSection, key: str) -> tuple[str, ...]:
-    """A list of voters' names, of a length that has a useful majority."""
-    names = section.items(key, max(VOTER_COUNTS))
+    """Read a list of voters' names, of a length whose majority tolerates a failed voter."""
+    names = section.items(key, max(ALLOWED_VOTER_COUNTS))
     are_names = all(isinstance(name, str) and 0 < len(name) <= MAX_NAME_CHARACTERS for name in names)
     if not are_names or len(set(names)) != len(names):
-        section.fault(key, names, "must be names, none of them twice")
-    elif len(names) not in VOTER_COUNTS:
+        section.add_fault(key, names, "must be distinct names")
+    elif len(names) not in ALLOWED_VOTER_COUNTS:
         reason = (
-            ": a majority of two is both, so either one's end stops all duties" if len(names) == 2 else ""
+            ": both of two voters are needed for a majority, so the end of either one stops all leases"
+            if len(names) == 2
+            else ""
         )
-        section.fault(key, names, f"must be 3 or 5, or none where no duties are held{reason}")
+        section.add_fault(key, names, f"must be 3 or 5 names, or none if no leases are used{reason}")
     return tuple(str(name) for name in names)
 
 
-def read_zones(section: ConfigSection) -> ZoneSettings | None:
-    """The table `zones`, if there is one."""
+def read_zone_settings(section: ConfigSection) -> ZoneSettings | None:
+    """Read the table `zones`; return None if it is missing or invalid."""
     table = section.table.get("zones")
     if table is None:
         return None
     if not isinstance(table, dict):
-        section.fault("zones", table, "must be a table")
+        section.add_fault("zones", table, "must be a table")
         return None
     inner = ConfigSection(table, f"{section.path}.zones")
-    inner.only("room", "costs")
+    inner.reject_unknown_keys("room", "costs")
     room = inner.number("room", DEFAULT_OVERPROVISIONING_FACTOR, 1, MAX_OVERPROVISIONING_FACTOR)
     costs = table.get("costs", {})
     if not isinstance(costs, dict):
-        inner.fault("costs", costs, "must be a table of zones")
+        inner.add_fault("costs", costs, "must be a table of costs by zone")
         costs = {}
     for zone, cost in costs.items():
         if isinstance(cost, bool) or not isinstance(cost, (int, float)) or not 0 <= cost < MAX_ZONE_COST:
-            inner.fault(f"costs.{zone}", cost, "must be a number from 0 on")
+            inner.add_fault(f"costs.{zone}", cost, "must be a non-negative number")
     section.faults += inner.faults
     return ZoneSettings(overprovisioning_factor=float(room), costs=costs)
 
 
-def read_membership_table(section: ConfigSection) -> ZoneMembershipSettings | None:
-    """The table `membership`, if there is one. Without it nothing of its package is imported."""
+def read_membership_settings(section: ConfigSection) -> ZoneMembershipSettings | None:
+    """Read the table `membership`; without it, nothing of its package is imported."""
     if "membership" not in section.table:
         return None
     from balancer.fleet.zone_membership.settings import read_membership
@@ -211,10 +218,10 @@
 
 
 def read_votes_directory(section: ConfigSection) -> Path | None:
-    """The directory `votes`, if one is given."""
+    """Read the path `votes`, which must be a writable directory; return None if it is missing."""
     if "votes" not in section.table:
         return None
     path = Path(section.file_path("votes"))
     if not path.is_dir() or not os.access(path, os.W_OK):
-        section.fault("votes", str(path), "must be a folder that this process may write to")
+        section.add_fault("votes", str(path), "must be a directory that this process may write to")
     return path
--- a/balancer/fleet/config_section.py
+++ b/balancer/fleet/config_section.py
@@ -1,4 +1,4 @@
-"""Checked reading of one table of the configuration: every fault is collected, none is raised."""
+"""Validation of one table of the configuration, which collects all faults instead of raising the first."""
 
 from __future__ import annotations
 
@@ -12,20 +12,21 @@
 from balancer.fleet.membership.swim import Address
 
 MAX_PATH_CHARACTERS = 4096
-MAX_SHOWN_CHARACTERS = 60  # of a wrong value, in the line about it
+MAX_REPORTED_VALUE_CHARACTERS = 60
 MAX_PORT = 65_535
-NO_ADDRESS: Address = ("", 0)  # what a wrong address is read as
+# The value that `ConfigSection.address` returns for an invalid address.
+INVALID_ADDRESS: Address = ("", 0)
 
 
 class ConfigSection:
-    """Reads the keys of a table and collects what is wrong with them.
+    """A configuration table whose keys are validated as they are read.
 
-    Each reader returns a usable value even where the one in the table is wrong, so that one pass finds all
-    faults. The caller raises an error at the end if `faults` has any.
+    Each reader returns a usable value even if the one in the table is invalid, so that one pass finds all
+    faults. The caller raises an error at the end if `faults` is not empty.
 
     Args:
         table: The decoded table.
-        path: The key path of the table, as it begins the line about a fault.
+        path: The key path of the table, with which each line about a fault begins.
     """
 
     def __init__(self, table: dict[str, Any], path: str) -> None:
@@ -33,75 +34,75 @@
         self.path = path
         self.faults: list[str] = []
 
-    def fault(self, key: str, found: Any, allowed: str) -> None:
-        """Adds a line: the key path, the value found there (None if missing) and what is allowed."""
-        shown = "missing" if found is None else repr(found)[:MAX_SHOWN_CHARACTERS]
+    def add_fault(self, key: str, value: Any, allowed: str) -> None:
+        """Add a line with the key path, the value (None if missing) and the allowed values."""
+        shown = "missing" if value is None else repr(value)[:MAX_REPORTED_VALUE_CHARACTERS]
         self.faults.append(f"{self.path}.{key}: {shown}: {allowed}")
 
-    def only(self, *known: str) -> None:
-        """Adds a fault for each key of the table that is not one of those known."""
+    def reject_unknown_keys(self, *known_keys: str) -> None:
+        """Add a fault for each key of the table that is not among the known keys."""
         for key in self.table:
-            if key not in known:
-                self.faults.append(f"{self.path}.{key}: unknown key: known are {', '.join(known)}")
+            if key not in known_keys:
+                self.faults.append(f"{self.path}.{key}: unknown key: known keys are {', '.join(known_keys)}")
 
     def text(self, key: str, default: str | None = None, max_characters: int = MAX_NAME_CHARACTERS) -> str:
-        """A text that is not empty, unless the default is."""
+        """Read a text, which must not be empty unless the default is empty."""
         value = self.table.get(key, default)
         if isinstance(value, str) and (0 < len(value) <= max_characters or value == default):
             return value
-        self.fault(key, value, f"must be text of 1 to {max_characters} characters")
+        self.add_fault(key, value, f"must be text of 1 to {max_characters} characters")
         return default or ""
 
     def integer(self, key: str, default: int, low: int, high: int) -> int:
-        """An integer from `low` to `high`."""
+        """Read an integer from `low` to `high`."""
         value = self.table.get(key, default)
         if isinstance(value, int) and not isinstance(value, bool) and low <= value <= high:
             return value
-        self.fault(key, value, f"must be a whole number from {low} to {high}")
+        self.add_fault(key, value, f"must be a whole number from {low} to {high}")
         return default
 
     def number(self, key: str, default: float, low: float, high: float) -> float:
-        """A number from `low` to `high`."""
+        """Read a number from `low` to `high`."""
         value = self.table.get(key, default)
         if isinstance(value, (int, float)) and not isinstance(value, bool) and low <= value <= high:
             return float(value)
-        self.fault(key, value, f"must be a number from {low} to {high}")
+        self.add_fault(key, value, f"must be a number from {low} to {high}")
         return default
 
     def flag(self, key: str) -> bool:
-        """True or false; false where the key is missing."""
+        """Read a boolean; return False if the key is missing."""
         value = self.table.get(key, False)
         if not isinstance(value, bool):
-            self.fault(key, value, "must be true or false")
+            self.add_fault(key, value, "must be true or false")
         return value is True
 
     def address(self, key: str, value: Any) -> Address:
-        """Reads a value as an address of the form host:port.
+        """Parse a value as an address of the form host:port.
 
-        The host must be a number: a name would have the fleet wait for a resolver.
+        The host must be numeric, since a host name would make the fleet depend on a resolver.
         """
         if isinstance(value, str):
             host, _, port = value.rpartition(":")
             with suppress(ValueError):
                 if port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT:
                     return str(ip_address(host)), int(port)
-        self.fault(key, value, "must be an address of the form host:port, the host in numbers")
-        return NO_ADDRESS
+        self.add_fault(key, value, "must be an address of the form host:port with a numeric host")
+        return INVALID_ADDRESS
 
     def items(self, key: str, max_items: int) -> list[Any]:
-        """A list; empty where the key is missing. Its items are not checked."""
+        """Read a list, without validating its items; return an empty one if the key is missing."""
         value = self.table.get(key, [])
         if isinstance(value, list) and len(value) <= max_items:
             return value
-        self.fault(key, value, f"must be a list of at most {max_items}")
+        self.add_fault(key, value, f"must be a list of at most {max_items} items")
         return []
 
     def file_path(self, key: str) -> str:
-        """A path, which is not looked at."""
+        """Read a path, without checking that the file exists."""
         return self.text(key, max_characters=MAX_PATH_CHARACTERS)
 
     def secret_key(self, key: str) -> bytes:
-        """The content of the key file that a path names."""
+        """Read the secret key from the file that the path at `key` names."""
         path = self.file_path(key)
         if not path:
             return b""
--- a/balancer/fleet/endpoint.py
+++ b/balancer/fleet/endpoint.py
@@ -16,71 +16,84 @@
 from balancer.fleet.membership.messages import Kind
 from balancer.fleet.membership.replay_guard import Received, ReplayGuard
 
-SEQ_BITS = 60  # of the unpredictable initial number; the wire form has 62
+# Sequence numbers have 62 bits on the wire, so those that follow the initial one don't overflow.
+INITIAL_SEQ_BITS = 60
 
+# Keys of message counters on the page `GET /fleet` that differ from the name of the message kind. Operators'
+# scripts read these keys.
+COUNTER_KEY_OVERRIDES = {
+    "REQUEST": "ask",
+    "AVAILABLE": "free",
+    "RECALL_ANSWER": "memory",
+    "DIRECTIVES": "orders",
+}
 
-# Keys of the page's counters that operators read under the name which a kind had before.
-FORMER_PAGE_KEYS = {"REQUEST": "ask", "AVAILABLE": "free", "RECALL_ANSWER": "memory", "DIRECTIVES": "orders"}
 
-
-def page_key(kind: IntEnum) -> str:
-    """Returns the key under which the page counts messages of a kind."""
-    return FORMER_PAGE_KEYS.get(kind.name, kind.name.lower())
+def counter_key(kind: IntEnum) -> str:
+    """Return the key under which the page `GET /fleet` counts messages of a kind."""
+    return COUNTER_KEY_OVERRIDES.get(kind.name, kind.name.lower())
 
 
 class DatagramEndpoint(asyncio.DatagramProtocol):
-    """Encodes and sends messages; receives and decodes datagrams, rejects replays, and counts both.
+    """A UDP socket that sends and receives authenticated messages, rejects replays and counts traffic.
+
+    It has no reference to a component and makes no decision.
 
-    It knows no component and makes no decision.
+    Attributes:
+        codec: Encodes and decodes messages; set by `set_codec`.
+        guard: Rejects replayed datagrams; set by `set_codec`.
+        sent: Messages sent, by the counter key of their kind.
+        received: Messages accepted, by the counter key of their kind.
+        events: Counts of events, by name.
     """
 
-    codec: Codec  # set by `use_codec`
+    codec: Codec
     guard: ReplayGuard
 
     def __init__(self, clocks: Clocks) -> None:
         self.clocks = clocks
         self.transport: asyncio.DatagramTransport | None = None
-        self.sent: Counter[str] = Counter()  # by message kind
-        self.received: Counter[str] = Counter()  # by message kind
+        self.sent: Counter[str] = Counter()
+        self.received: Counter[str] = Counter()
         self.events: Counter[str] = Counter()
         self.bytes_out = 0
         self.bytes_in = 0
 
-    def use_codec(self, codec: Codec, name: str) -> None:
-        """Sets the codec; to be called once, when all message kinds are known.
+    def set_codec(self, codec: Codec, name: str) -> None:
+        """Set the codec; must be called once, when all message kinds are known.
 
         Args:
             codec: The codec for all messages.
-            name: This process's name, in its own messages.
+            name: This process's name, which its messages carry as their sender.
         """
         self.codec = codec
-        self.guard = ReplayGuard(name, unpredictable_seq(), codec.dropped)
+        self.guard = ReplayGuard(name, random_initial_seq(), codec.dropped)
 
     def now(self) -> int:
-        """Returns the monotonic clock in microseconds."""
+        """Return the monotonic clock in microseconds."""
         return self.clocks.now()
 
     def wall(self) -> int:
-        """Returns Unix time in microseconds, which may step."""
+        """Return Unix time in microseconds, which steps when the system clock is set."""
         return self.clocks.wall()
 
     def stamp(self) -> int:
-        """Returns the stamp of datagrams in microseconds; it doesn't step while the process runs."""
+        """Return the time in microseconds with which datagrams are stamped; it never steps."""
         return self.clocks.stamp()
 
     @property
     def is_open(self) -> bool:
-        """Whether there is an open socket."""
+        """Whether the socket is open."""
         return self.transport is not None
 
     def close_socket(self) -> None:
-        """Closes the socket, if there is one."""
+        """Close the socket, if it is open."""
         if self.transport is not None:
             self.transport.close()
             self.transport = None
 
     def transmit(self, message: WireMessage, to: Address) -> None:
-        """Sends a message in one datagram; does nothing without a socket."""
+        """Send a message in one datagram; do nothing if the socket is closed."""
         if self.transport is None:
             return
         data = self.codec.encode(message, self.stamp())
@@ -88,16 +101,17 @@
             self.guard.ping_sent(self.now(), message.seq)
         try:
             self.transport.sendto(data, to)
-        except (OSError, ValueError):  # the address is invalid: a fault of its member alone
+        except (OSError, ValueError):
+            # An invalid address affects only the member that advertises it.
             self.events["unsendable"] += 1
             return
-        self.sent[page_key(message.kind)] += 1
+        self.sent[counter_key(message.kind)] += 1
         self.bytes_out += len(data)
 
-    def admitted(self, data: bytes, source: Address) -> Sequence[Received]:
-        """Takes in a datagram and returns those that may be processed now.
+    def admit(self, data: bytes, source: Address) -> Sequence[Received]:
+        """Check a received datagram and return the datagrams that may be processed now.
 
-        That is the datagram itself, or the ones that were buffered until their sender proved that it is live.
+        These are the datagram itself, or those that were buffered until their sender proved that it is live.
         The codec's `dropped` counts the rejected ones.
         """
         self.bytes_in += len(data)
@@ -109,19 +123,19 @@
         if admission.reply is not None:
             self.transmit(admission.reply, source)
         for accepted in admission.accepted:
-            self.received[page_key(accepted.message.kind)] += 1
+            self.received[counter_key(accepted.message.kind)] += 1
         return admission.accepted
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport, as asyncio's protocol has it."""
+        """Store the transport; called by asyncio when the socket is open."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def error_received(self, exc: Exception) -> None:
-        """Counts an unreachable peer; membership detects the failure by missing acks."""
+        """Count a send that failed because the peer is unreachable; membership detects it by missing acks."""
         self.events["unreachable"] += 1
 
     def counters(self) -> dict[str, Any]:
-        """Returns the counters for the operators' page."""
+        """Return the counters for the page `GET /fleet`."""
         return {
             "sent": dict(self.sent),
             "received": dict(self.received),
@@ -132,6 +146,9 @@
         }
 
 
-def unpredictable_seq() -> int:
-    """Returns a random initial number, unpredictable and far from those of earlier processes."""
-    return secrets.randbits(SEQ_BITS)
+def random_initial_seq() -> int:
+    """Return a random initial sequence number.
+
+    It is unpredictable and unlikely to be near the numbers of the member's earlier processes.
+    """
+    return secrets.randbits(INITIAL_SEQ_BITS)
--- a/balancer/fleet/member_table.py
+++ b/balancer/fleet/member_table.py
@@ -1,4 +1,4 @@
-"""The group's members as operators read them."""
+"""The group's members as the page `GET /fleet` shows them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def member_table(swim: Swim, now: int) -> list[dict[str, Any]]:
-    """All known members but this one, by name; ages in seconds."""
+    """Return all known members except this process, sorted by name; ages are in seconds."""
     return [
         {
             "name": name,
@@ -22,5 +22,5 @@
 
 
 def format_address(address: Address) -> str:
-    """An address as in configurations and log lines."""
+    """Return an address in the form host:port of configurations and log lines."""
     return f"{address[0]}:{address[1]}"
--- a/balancer/fleet/policy_component.py
+++ b/balancer/fleet/policy_component.py
@@ -15,13 +15,13 @@
 
 
 class PolicyComponent(Component):
-    """Runs a policy adapter.
+    """A component that runs a policy adapter.
 
     Args:
-        runtime: The process that the component runs in.
-        adapter: The adapter.
-        leases: None where no voters are configured: then there are neither shared health checks nor a bound
-            on minRTT recalculations.
+        runtime: The fleet runtime of the process.
+        adapter: The adapter to run.
+        leases: The lease component. None if no voters are configured; then health checks are not shared and
+            minRTT recalculations are not limited.
     """
 
     def __init__(self, runtime: Runtime, adapter: PolicyAdapter, leases: LeaseComponent | None) -> None:
@@ -30,37 +30,37 @@
         self.leases = leases
 
     @property
-    def wires(self) -> Sequence[PayloadCodec]:
-        """The adapter's message kinds."""
-        return self.adapter.wires()
+    def payload_codecs(self) -> Sequence[PayloadCodec]:
+        """Encoders and decoders of the adapter's message kinds."""
+        return self.adapter.payload_codecs()
 
     def open(self) -> None:
-        """Opens the adapter, and hands it the lease client where there is one."""
+        """Open the adapter, and enable the features that need leases if there is a lease client."""
         self.adapter.open(self.runtime.alive, self.runtime.rng)
         lease_client = self.leases.client if self.leases is not None else None
         if lease_client is not None:
-            self.adapter.use_leases(lease_client, self.runtime.rng)
+            self.adapter.enable_lease_features(lease_client, self.runtime.rng)
 
     def close(self) -> None:
-        """From here on the policy decides as on a node alone."""
+        """Close the adapter; the policy then decides like that of a standalone node."""
         self.adapter.close()
 
     def deadline(self, now: int) -> int | None:
-        """When the adapter is due."""
+        """Return when the adapter's `tick` is due; None if never."""
         return self.adapter.deadline(now)
 
     def tick(self, now: int) -> list[Outgoing]:
-        """Does what is due."""
+        """Perform the adapter's actions that are due and return the messages to send."""
         return self.adapter.tick(now)
 
     def received(self, now: int, sender: Address, message: Any) -> list[Outgoing]:
-        """Handles a message of one of the adapter's kinds."""
+        """Handle a message of one of the adapter's kinds."""
         return self.adapter.received(now, message)
 
     def member_forgotten(self, name: str) -> None:
-        """Drops what is kept about a member."""
+        """Drop the state of a member that membership has forgotten."""
         self.adapter.member_forgotten(name)
 
     def status(self, now: int) -> dict[str, Any]:
-        """The adapter's keys for the page `GET /fleet`."""
+        """Return the adapter's keys for the page `GET /fleet`."""
         return self.adapter.status(now)
--- a/balancer/fleet/registry.py
+++ b/balancer/fleet/registry.py
@@ -1,6 +1,6 @@
-"""The components of one process: which one has a message kind, and calls to all of them.
+"""The components of one process: lookup by message kind, and calls to all of them.
 
-A component's exception is reported and ends nothing else.
+An exception in a component is reported and stops nothing else.
 """
 
 from __future__ import annotations
@@ -14,7 +14,8 @@
 from balancer.fleet.membership.swim import Kind
 
 MEMBERSHIP_KINDS = frozenset(int(kind) for kind in Kind)
-FAULTY_DEADLINE_WAIT = 1_000_000  # microseconds until a component whose `deadline` failed is ticked
+# A component whose `deadline` raised an exception is ticked after this time.
+FAILED_DEADLINE_DELAY_US = 1_000_000
 
 Result = TypeVar("Result")
 
@@ -24,11 +25,14 @@
 
 
 class Registry:
-    """Components in the order in which they are opened, ticked and shown.
+    """The components of one process, in the order in which they are opened, ticked and shown.
 
     Args:
-        components: The components of one process.
-        report: Called with what failed, as "Component.method", and the exception.
+        components: The components, in that order.
+        report: Called with the failed method, as "Component.method", and its exception.
+
+    Attributes:
+        owners: The component that handles each message kind.
 
     Raises:
         DuplicateKindError: Two components define the same message kind.
@@ -37,54 +41,58 @@
     def __init__(self, components: Sequence[Component], report: Callable[[str, Exception], None]) -> None:
         self.report = report
         self.ordered = list(components)
-        self.wires: list[PayloadCodec] = []
-        self.owners: dict[int, Component] = {}  # by message kind
+        self.payload_codecs: list[PayloadCodec] = []
+        self.owners: dict[int, Component] = {}
         for component in self.ordered:
-            for wire in component.wires:
-                self.wires.append(wire)
-                self.register(component, wire.kinds)
+            for codec in component.payload_codecs:
+                self.payload_codecs.append(codec)
+                self.register(component, codec.kinds)
 
     def register(self, component: Component, kinds: frozenset[int]) -> None:
-        """Makes a component the owner of message kinds."""
+        """Make a component the owner of message kinds.
+
+        Raises:
+            DuplicateKindError: A kind already has an owner, or belongs to membership.
+        """
         for kind in kinds:
             if kind in self.owners or kind in MEMBERSHIP_KINDS:
                 raise DuplicateKindError(f"message kind {kind} is defined twice")
             self.owners[kind] = component
 
     def owner(self, kind: int) -> Component | None:
-        """The component that handles messages of a kind."""
+        """Return the component that handles messages of a kind; None if there is none."""
         return self.owners.get(kind)
 
-    # ---- calls ------------------------------------------------------------------------------------------
+    # ---- Calls ------------------------------------------------------------------------------------------
 
-    def guarded(
+    def call_safely(
         self, component: Component, method: str, call: Callable[[], Result], default: Result
     ) -> Result:
-        """Returns what a call to a component's method returns; `default` if it fails."""
+        """Call a component's method; report an exception and return `default` instead."""
         try:
             return call()
         except Exception as error:
             self.report(f"{type(component).__name__}.{method}", error)
             return default
 
-    def each(self, method: str, call: Callable[[Component], None]) -> None:
-        """Calls all components one after the other."""
+    def call_all(self, method: str, call: Callable[[Component], None]) -> None:
+        """Call a method of each component in turn; an exception in one does not prevent the other calls."""
         for component in self.ordered:
-            self.guarded(component, method, partial(call, component), None)
+            self.call_safely(component, method, partial(call, component), None)
 
     def deadline(self, now: int) -> int | None:
-        """When the first component is due."""
-        after_fault: int | None = now + FAULTY_DEADLINE_WAIT
+        """Return when the first component's `tick` is due; None if none is."""
+        retry_at: int | None = now + FAILED_DEADLINE_DELAY_US
         deadlines = [
-            self.guarded(component, "deadline", partial(component.deadline, now), after_fault)
+            self.call_safely(component, "deadline", partial(component.deadline, now), retry_at)
             for component in self.ordered
         ]
         return min((d for d in deadlines if d is not None), default=None)
 
     def status(self, now: int) -> dict[str, Any]:
-        """All components' keys for the page."""
+        """Return all components' keys for the page `GET /fleet`."""
         keys: dict[str, Any] = {}
         no_keys: dict[str, Any] = {}
         for component in self.ordered:
-            keys |= self.guarded(component, "status", partial(component.status, now), no_keys)
+            keys |= self.call_safely(component, "status", partial(component.status, now), no_keys)
         return keys
--- a/balancer/fleet/runtime.py
+++ b/balancer/fleet/runtime.py
@@ -1,7 +1,7 @@
-"""The fleet runtime: runs membership and the components on a node's event loop.
+"""The fleet runtime, which runs membership and the components on a node's event loop.
 
-It owns the one timer, the order of calls, the log lines about members and the operators' page. Which
-components there are is decided in `assembly.py`; the runtime's own loop knows none of them by name.
+It owns the timer, the order of calls, the log lines about members and the page `GET /fleet`. `assembly.py`
+selects the components; the loop of the runtime treats them all alike.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from random import Random
 from typing import Any
 
-from balancer.fleet.assembly import components_for
+from balancer.fleet.assembly import build_components
 from balancer.fleet.clocks import Clocks
 from balancer.fleet.component import Outgoing, WireMessage
 from balancer.fleet.config import FleetConfig
-from balancer.fleet.endpoint import DatagramEndpoint, unpredictable_seq
+from balancer.fleet.endpoint import DatagramEndpoint, random_initial_seq
 from balancer.fleet.member_table import format_address, member_table
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.replay_guard import Received
@@ -29,25 +29,31 @@
 from balancer.policy.interface import Settings
 
 LOGGED_CHANGES = ("join", "suspect", "dead", "left", "alive", "refuted")
-LATE_TICK_US = 50_000  # a tick later than that is counted, since the process itself was slow
-MIN_WAIT_US = 1_000  # until the timer's next tick...
-WAIT_AFTER_FAULT_US = 100_000  # ...and after a tick in which something failed, which stays due
-ACK_TIMEOUT_TENTHS = 3  # of membership's period
-SYNC_PERIODS = 15  # between two full state exchanges, which repair what gossip missed
-LEAVE_REPEATS = 3  # a datagram may be lost
-MICROSECONDS = 1e6  # in a second
-STATUS_WITHOUT_VOTERS: dict[str, Any] = {"duties": None, "replace": None}
+# A tick that is later shows that the process itself was slow, and is counted.
+LATE_TICK_THRESHOLD_US = 50_000
+MIN_TICK_DELAY_US = 1_000
+# A failed action stays due, so without a longer delay its retries would use a whole core.
+FAULT_TICK_DELAY_US = 100_000
+# The timeout of an ack, in tenths of membership's period.
+ACK_TIMEOUT_TENTHS = 3
+# Full state exchanges repair what gossip missed.
+SYNC_INTERVAL_PERIODS = 15
+# Each datagram may be lost, so the message about a planned shutdown is sent several times.
+LEAVE_MESSAGE_COPIES = 3
+MICROSECONDS_PER_SECOND = 1e6
+# The values of the page `GET /fleet` if no voters are configured.
+STATUS_DEFAULTS: dict[str, Any] = {"duties": None, "replace": None}
 
 
 class FleetRuntime(DatagramEndpoint):
-    """One process's part in the fleet. Each time from `open` to `close` is a new incarnation.
+    """The fleet runtime of one process; a new incarnation lasts from each `open` to the next `close`.
 
     Args:
-        config: The process's place in its fleet.
+        config: The process's fleet configuration.
         loop: The node's event loop.
         seed: Seeds the random streams, together with the process's name.
         log: The node's log.
-        lifecycle: Whether the node serves, drains or ends.
+        lifecycle: The node's state: serving, draining or ending.
         terminate: Ends this process as SIGTERM does.
         settings: The policy's settings.
     """
@@ -75,17 +81,17 @@
         self.swim: Swim | None = None
         self.late_ticks = 0
         self.termination_requested = False
-        made = components_for(config, self)
-        self.policy_adapter = made.policy_adapter
-        self.components = Registry(made.ordered, self.report)
-        self.use_codec(Codec(list(config.keys), self.components.wires), config.name)
-        self.pages = OperatorPages(self, made.policy_adapter, made.leases, made.rolling_update)
+        built = build_components(config, self)
+        self.policy_adapter = built.policy_adapter
+        self.components = Registry(built.ordered, self.report_fault)
+        self.set_codec(Codec(list(config.keys), self.components.payload_codecs), config.name)
+        self.pages = OperatorPages(self, built.policy_adapter, built.leases, built.rolling_update)
 
     async def open(self) -> None:
-        """Takes the port and joins.
+        """Open the socket and join the group as a new incarnation.
 
         Raises:
-            OSError: The address cannot be had.
+            OSError: The socket cannot be bound to the configured address.
         """
         await self.loop.create_datagram_endpoint(lambda: self, local_addr=self.config.listen)
         self.swim = self.make_membership()
@@ -95,7 +101,7 @@
         self.tick()
 
     def make_membership(self) -> Swim:
-        """Returns the state machine of a new incarnation."""
+        """Return the membership state machine of a new incarnation."""
         config = self.config
         return Swim(
             config.name,
@@ -107,14 +113,14 @@
             Timing(
                 period=config.period,
                 ack_timeout=config.period * ACK_TIMEOUT_TENTHS // 10,
-                sync_interval=SYNC_PERIODS * config.period,
+                sync_interval=SYNC_INTERVAL_PERIODS * config.period,
             ),
             self.member_changed,
-            unpredictable_seq(),
+            random_initial_seq(),
         )
 
     def log_join(self, swim: Swim) -> None:
-        """Logs under which name and addresses the process joins."""
+        """Log the name, the addresses and the incarnation with which the process joins."""
         config = self.config
         self.log.line(
             f"fleet joins name={config.name} zone={config.zone} region={config.region or '-'}"
@@ -123,97 +129,101 @@
         )
 
     def leave(self) -> None:
-        """Notifies the others at SIGTERM. Nothing is received or sent after that."""
+        """Notify the other members of a planned shutdown, and close the socket."""
         if self.swim is not None and self.transport is not None:
-            self.components.each("leave", lambda component: self.deliver(component.leave(self.now())))
-            farewell = self.swim.leave()
-            for _ in range(LEAVE_REPEATS):
-                self.send_membership(farewell)
+            self.components.call_all("leave", lambda component: self.deliver(component.leave(self.now())))
+            leave_messages = self.swim.leave()
+            for _ in range(LEAVE_MESSAGE_COPIES):
+                self.send_membership(leave_messages)
         self.close()
 
     def close(self) -> None:
-        """Closes the socket without a message: another process of this node goes on under its name."""
-        self.components.each("close", lambda component: component.close())
+        """Close the socket without notifying others.
+
+        It is called alone when another process of this node takes over under the same name.
+        """
+        self.components.call_all("close", lambda component: component.close())
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
         self.close_socket()
 
-    # ---- what components use ----------------------------------------------------------------------------
+    # ---- Services for components ------------------------------------------------------------------------
 
     @property
     def membership(self) -> Swim:
-        """Membership of the own group, from `open` on."""
+        """Membership of this process's group, available from `open` on."""
         assert self.swim is not None
         return self.swim
 
-    def stream(self, purpose: str) -> Random:
-        """Returns a random stream of a component's own, the same for the same seed."""
+    def random_stream(self, purpose: str) -> Random:
+        """Return a separate random stream, which is the same for the same seed and purpose."""
         return Random(f"fleet {self.config.name} {self.seed} {purpose}")
 
     def alive(self) -> list[str]:
-        """Returns the names of the other members that are alive or suspect."""
+        """Return the names of the other members that are alive or suspect."""
         return self.swim.alive() if self.swim is not None else []
 
-    def gone(self) -> list[str]:
-        """Returns the names of members that have left or died and are not forgotten yet."""
+    def departed(self) -> list[str]:
+        """Return the names of the members that have left or died and are not forgotten yet."""
         if self.swim is None:
             return []
         return sorted(name for name, member in self.swim.members.items() if member.gone)
 
     def address_of(self, member: str) -> Address | None:
-        """Returns where a member receives datagrams; None if it is not known."""
-        found = self.swim.members.get(member) if self.swim is not None else None
-        return found.claim.address if found is not None else None
+        """Return the address at which a member receives datagrams; None if the member is unknown."""
+        record = self.swim.members.get(member) if self.swim is not None else None
+        return record.claim.address if record is not None else None
 
     def end_process(self) -> None:
-        """Ends the process as SIGTERM does, after what the component returns has been sent."""
+        """End the process as SIGTERM does, after what the component returns has been sent."""
         self.termination_requested = True
 
-    def schedule(self, min_wait: int = MIN_WAIT_US) -> None:
-        """Sets the timer to the next deadline."""
+    def schedule(self, min_delay: int = MIN_TICK_DELAY_US) -> None:
+        """Set the timer to the next deadline, but at least `min_delay` microseconds from now."""
         if self.timer is not None:
             self.timer.cancel()
         if self.transport is not None and self.swim is not None:
-            wait = max(min_wait, self.deadline() - self.now())
-            self.timer = self.loop.call_later(wait / MICROSECONDS, self.tick)
+            delay = max(min_delay, self.deadline() - self.now())
+            self.timer = self.loop.call_later(delay / MICROSECONDS_PER_SECOND, self.tick)
 
-    # ---- time -------------------------------------------------------------------------------------------
+    # ---- Time -------------------------------------------------------------------------------------------
 
     def deadline(self) -> int:
-        """Returns when membership or a component has something to do."""
+        """Return when the first tick of membership or of a component is due."""
         assert self.swim is not None
         earliest = self.components.deadline(self.now())
         return self.swim.due() if earliest is None else min(earliest, self.swim.due())
 
     def tick(self) -> None:
-        """Does what is due, and sets the timer again.
+        """Perform all actions that are due, and set the timer again.
 
-        Failure prevented: one fault in a component ends the process's part in the fleet, or takes a core.
+        A fault in membership or in a component neither stops the timer nor is retried so often that it uses a
+        whole core.
         """
         assert self.swim is not None
         now = self.now()
         faults = self.events["fault"]
-        self.late_ticks += now - self.swim.due() > LATE_TICK_US
+        self.late_ticks += now - self.swim.due() > LATE_TICK_THRESHOLD_US
         try:
             self.send_membership(self.swim.tick(now))
         except Exception as error:
-            self.report("membership.tick", error)
-        self.components.each("tick", lambda component: self.deliver(component.tick(now)))
-        self.schedule(WAIT_AFTER_FAULT_US if self.events["fault"] > faults else MIN_WAIT_US)
+            self.report_fault("membership.tick", error)
+        self.components.call_all("tick", lambda component: self.deliver(component.tick(now)))
+        self.schedule(FAULT_TICK_DELAY_US if self.events["fault"] > faults else MIN_TICK_DELAY_US)
 
-    def report(self, what: str, error: Exception) -> None:
-        """Hands a fault to the event loop's exception handler."""
+    def report_fault(self, operation: str, error: Exception) -> None:
+        """Count a fault and pass its exception to the event loop's exception handler."""
         self.events["fault"] += 1
-        self.loop.call_exception_handler({"message": f"fleet: {what} failed", "exception": error})
+        self.loop.call_exception_handler({"message": f"fleet: {operation} failed", "exception": error})
 
-    # ---- messages in ------------------------------------------------------------------------------------
+    # ---- Received messages ------------------------------------------------------------------------------
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Handles a datagram; the event loop calls this."""
+        """Handle a datagram; called by the event loop."""
         if self.swim is None:
             return
-        admitted = self.admitted(data, (addr[0], addr[1]))
+        admitted = self.admit(data, (addr[0], addr[1]))
         if not admitted:
             return
         before = self.deadline()
@@ -223,35 +233,35 @@
             self.schedule()
 
     def handle(self, swim: Swim, received: Received) -> None:
-        """Handles a message, membership's or a component's."""
+        """Pass on a message to membership or to a component, by its kind."""
         if received.message.kind in MEMBERSHIP_KINDS:
             self.send_membership(swim.receive(self.now(), received.source, received.message))
         else:
             self.dispatch(received.message, received.source)
 
     def dispatch(self, message: WireMessage, sender: Address) -> None:
-        """Hands a message to the component that owns its kind."""
+        """Pass on a message to the component that owns its kind; count a message without an owner."""
         component = self.components.owner(message.kind)
         if component is None:
             self.events["unhandled"] += 1
             return
         handle = partial(component.received, self.now(), sender, message)
-        self.components.guarded(component, "received", lambda: self.deliver(handle()), None)
+        self.components.call_safely(component, "received", lambda: self.deliver(handle()), None)
 
     def member_changed(self, change: str, claim: Claim) -> None:
-        """Counts and logs a change of membership's view; components drop a member that is forgotten."""
+        """Count and log a change of membership's view, and have the components drop a forgotten member."""
         self.events[change] += 1
         if change == "forgotten":
             self.guard.forget(claim.name)
-            self.components.each("member_forgotten", lambda c: c.member_forgotten(claim.name))
+            self.components.call_all("member_forgotten", lambda c: c.member_forgotten(claim.name))
         if change in LOGGED_CHANGES:
             address = format_address(claim.address)
             self.log.line(f"fleet {change} member={claim.name} at={address} incarnation={claim.incarnation}")
 
-    # ---- messages out -----------------------------------------------------------------------------------
+    # ---- Sent messages ----------------------------------------------------------------------------------
 
     def deliver(self, outgoing: Sequence[Outgoing]) -> None:
-        """Sends what a component returned; what is addressed to this process itself is handled at once."""
+        """Send a component's messages; handle those addressed to this process itself at once."""
         queue = deque(outgoing)
         while queue:
             item = queue.popleft()
@@ -268,19 +278,19 @@
             self.terminate()
 
     def deliver_locally(self, message: WireMessage) -> Sequence[Outgoing]:
-        """Handles a message of this process to itself, and returns what comes of it."""
+        """Handle a message that this process sent to itself, and return the resulting messages."""
         component = self.components.owner(message.kind)
         return component.received(self.now(), self.config.advertise, message) if component is not None else ()
 
     def send_membership(self, sends: Sequence[OutgoingMessage]) -> None:
-        """Sends what membership returned."""
+        """Send the messages that membership returned."""
         for send in sends:
             self.transmit(send.message, send.to)
 
-    # ---- what operators see -----------------------------------------------------------------------------
+    # ---- Status -----------------------------------------------------------------------------------------
 
     def view(self) -> dict[str, Any]:
-        """Returns the page: this process's own view, with ages in seconds, and its counters."""
+        """Return the content of the page `GET /fleet`: this process's view of the group and its counters."""
         swim, config, now = self.swim, self.config, self.now()
         page = {
             "name": config.name,
@@ -291,4 +301,4 @@
             "members": member_table(swim, now) if swim is not None else [],
         }
         page |= self.counters() | {"late_ticks": self.late_ticks}
-        return page | STATUS_WITHOUT_VOTERS | self.components.status(now)
+        return page | STATUS_DEFAULTS | self.components.status(now)
--- a/tests/test_fleet_clocks.py
+++ b/tests/test_fleet_clocks.py
@@ -1,4 +1,4 @@
-"""Membership, rolling updates and running nodes while wall clocks step, with earlier versions among them."""
+"""Membership, rolling updates and running nodes while wall clocks step, with members of earlier versions."""
 
 import json
 import os
@@ -41,12 +41,12 @@
 KINDS = [(NEW, NEW, NEW, NEW), (NEW, EARLIER, NEW, EARLIER)]
 
 
-# ---- steps ----------------------------------------------------------------------------------------------
+# ---- Clock steps ----------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("kinds", KINDS)
-def test_a_step_on_a_running_process_changes_nothing(kinds, step) -> None:
+def test_clock_step_of_running_process_changes_no_membership(kinds, step) -> None:
     fleet = settled(*kinds)
     before, refused = changes_so_far(fleet), fleet.processes[HERE].codec.dropped.copy()
     fleet.processes[HERE].offset += step
@@ -57,11 +57,11 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-@pytest.mark.parametrize("away", [3, 200])  # seconds: not suspected yet; forgotten
-def test_a_process_that_restarts_with_a_step_is_accepted_at_once(step, away) -> None:
+@pytest.mark.parametrize("downtime_s", [3, 200], ids=["not-suspected", "forgotten"])
+def test_process_restarted_with_clock_step_is_accepted(step, downtime_s) -> None:
     fleet = settled(NEW, NEW, NEW, NEW)
     fleet.kill(4)
-    fleet.run(away)
+    fleet.run(downtime_s)
     restarted = fleet.start(4, offset=step)
     before = changes_so_far(fleet)
     assert fleet.until(lambda: fleet.accepted_by_all(restarted), 4)
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("step", [-20 * SEC, -5 * SEC, 5 * SEC, 20 * SEC])
-def test_a_restart_among_earlier_versions_works_within_their_clock_tolerance(step) -> None:
+def test_restart_is_accepted_within_earlier_versions_tolerance(step) -> None:
     for kind in (NEW, EARLIER):
         fleet = settled(NEW, EARLIER, NEW, EARLIER)
         fleet.kill(4)
@@ -79,7 +79,7 @@
         assert fleet.until(lambda f=fleet, p=restarted: f.accepted_by_all(p), 15)
 
 
-def test_a_restarted_seed_rejoins_with_its_clock_in_the_past() -> None:
+def test_restarted_seed_with_clock_set_back_rejoins() -> None:
     fleet = settled(NEW, NEW, NEW, NEW)
     fleet.kill(1)
     fleet.run(3)
@@ -87,8 +87,11 @@
     assert fleet.until(lambda: fleet.accepted_by_all(restarted), 4)
 
 
-def test_fast_and_correct_clocks_alternate_over_many_restarts() -> None:
-    """Failure prevented: incarnations grow with each restart until they are out of range."""
+def test_incarnations_stay_bounded_over_restarts_with_steps() -> None:
+    """A process restarts with its clock alternately fast and correct.
+
+    Its incarnation must not grow with each restart, or it would end up out of range.
+    """
     fleet = settled(NEW, NEW, NEW)
     highest = fleet.processes[HERE].wall() + HOUR + 120 * SEC
     for restart in range(6):
@@ -99,7 +102,7 @@
         assert restarted.swim.me.incarnation < highest
 
 
-def test_members_whose_clocks_all_differ_form_a_group() -> None:
+def test_members_with_different_clocks_form_group() -> None:
     fleet = VirtualFleet()
     for number, offset in enumerate((0, HOUR, -HOUR, 24 * HOUR), start=1):
         fleet.start(number, offset=offset)
@@ -107,8 +110,11 @@
 
 
 @pytest.mark.parametrize("step", [-25 * SEC, 25 * SEC])
-def test_an_earlier_version_with_a_stepped_clock_stays_a_member(step) -> None:
-    """Its stamps stand still after a step back and jump after one forward: it proves itself again."""
+def test_earlier_version_stays_member_after_clock_step(step) -> None:
+    """Its stamps stand still after a step back and jump after a step forward.
+
+    In both cases it has to prove again that it is live.
+    """
     fleet = settled(NEW, NEW, EARLIER)
     before = changes_so_far(fleet)
     fleet.processes["10.0.0.1", 3].offset += step
@@ -116,19 +122,19 @@
     assert changes_since(fleet, before) == [] and fleet.complete()
 
 
-def test_stamps_and_incarnations_do_not_step_while_the_process_runs(tmp_path) -> None:
-    file = tmp_path / "offset"
-    file.write_text("0")
-    clocks = Clocks(str(file))
+def test_stamps_do_not_follow_wall_clock_steps(tmp_path) -> None:
+    offset_file = tmp_path / "offset"
+    offset_file.write_text("0")
+    clocks = Clocks(str(offset_file))
     first = clocks.stamp()
     for step in ("-3600000", "3600000", "0"):
-        file.write_text(step)
+        offset_file.write_text(step)
         before, stamp, after = clocks.now(), clocks.stamp(), clocks.now()
-        assert before <= stamp - clocks.started_wall + clocks.started <= after and stamp >= first
+        assert before <= stamp - clocks.started_at_wall + clocks.started_at <= after and stamp >= first
         assert abs(clocks.wall() - stamp - int(step) * 1000) < HOUR // 2
 
 
-# ---- incarnations ---------------------------------------------------------------------------------------
+# ---- Incarnations ---------------------------------------------------------------------------------------
 
 
 def member(name, number, incarnation):
@@ -137,7 +143,7 @@
 
 @pytest.mark.parametrize("status", list(Status))
 @pytest.mark.parametrize(("reported", "is_adopted"), [(9, True), (10, True), (3, False)])
-def test_a_process_adopts_the_incarnation_above_a_reported_higher_one(status, reported, is_adopted) -> None:
+def test_process_adopts_incarnation_above_reported_one(status, reported, is_adopted) -> None:
     swim = member("a", 1, 5)
     swim.accept(SEC, Claim("a", ("10.0.0.1", 1), status, reported))
     assert swim.me.incarnation == (reported + 1 if is_adopted else 5) and swim.me.status == Status.ALIVE
@@ -145,7 +151,7 @@
 
 @pytest.mark.parametrize("kind", [Kind.PING, Kind.SYNC, Kind.ACK])
 @pytest.mark.parametrize("status", [Status.ALIVE, Status.DEAD, Status.LEFT])
-def test_a_sender_with_a_lower_incarnation_than_known_is_notified(kind, status) -> None:
+def test_sender_with_lower_incarnation_is_notified(kind, status) -> None:
     swim, restarted = member("a", 1, 1), member("b", 2, 5)
     swim.accept(SEC, Claim("b", ("10.0.0.1", 2), Status.ALIVE, 9))
     swim.accept(SEC, Claim("b", ("10.0.0.1", 2), status, 9))
@@ -157,7 +163,7 @@
     assert swim.status("b") == Status.ALIVE and swim.members["b"].claim == restarted.me
 
 
-def test_a_sender_with_the_known_or_a_higher_incarnation_is_not_notified() -> None:
+def test_sender_with_current_or_higher_incarnation_gets_no_reply() -> None:
     swim = member("a", 1, 1)
     swim.accept(SEC, Claim("b", ("10.0.0.1", 2), Status.ALIVE, 9))
     for incarnation in (9, 10):
@@ -165,38 +171,40 @@
         assert swim.receive(SEC, ("10.0.0.1", 2), Message(Kind.ACK, "b", 0, "", (claim,))) == []
 
 
-def test_suspicions_of_an_unknown_sender_are_ignored() -> None:
-    """Failure prevented: a process of another zone answers a challenge with its zone's suspicions."""
+def test_accusations_from_unknown_sender_are_ignored() -> None:
+    """A process of another zone may answer a challenge with the suspicions of its own group."""
     swim = member("a", 1, 1)
     suspect = Claim("z", ("10.0.0.9", 9), Status.SUSPECT, 3)
     swim.receive(SEC, ("10.0.0.8", 8), Accusations("other", (Accusation(suspect, ("other",)),)))
     assert swim.members == {}
 
 
-# ---- rolling updates ------------------------------------------------------------------------------------
+# ---- Rolling updates ------------------------------------------------------------------------------------
 
 
-def rolling_update(name, life, started):
-    return RollingUpdate(name, "here", life, Members(), started)
+def rolling_update(name, incarnation, started_at):
+    return RollingUpdate(name, "here", incarnation, Members(), started_at)
 
 
 @pytest.mark.parametrize("step", STEPS)
-@pytest.mark.parametrize(("started", "old"), [(50, True), (100, True), (101, False), (150, False)])
-def test_old_and_new_are_told_by_real_time(step, started, old) -> None:
-    """A plan begun at second 100; a process started at another, its clock stepped; both of their monotonic
-    clocks begin somewhere."""
+@pytest.mark.parametrize(("start_s", "is_outdated"), [(50, True), (100, True), (101, False), (150, False)])
+def test_plan_age_decides_which_processes_are_outdated(step, start_s, is_outdated) -> None:
+    """Only a process that started by the time the plan began, at second 100, is told to end.
+
+    Its wall clock is stepped and the monotonic clocks of the two processes differ, so neither clock decides.
+    """
     leader = rolling_update("z", 1, 10 * SEC)
     leader.begin(wall=100 * SEC, max_unavailable=1, now=100 * SEC)
-    other = rolling_update("a", started * SEC + step, started * SEC - 7 * SEC)
-    asked = leader.message(160 * SEC, RollingUpdateKind.PLAN, leader.plan, 3)
-    [outgoing] = other.received(153 * SEC, asked)
+    other = rolling_update("a", start_s * SEC + step, start_s * SEC - 7 * SEC)
+    plan_message = leader.message(160 * SEC, RollingUpdateKind.PLAN, leader.plan, 3)
+    [outgoing] = other.received(153 * SEC, plan_message)
     leader.received(160 * SEC, outgoing.message)
-    assert (leader.reports["a"].incarnation <= leader.plan.number) is old
+    assert (leader.reports["a"].incarnation <= leader.plan.number) is is_outdated
     other.received(153 * SEC, leader.message(160 * SEC, RollingUpdateKind.GO, leader.plan, 3))
-    assert other.leaving is old
+    assert other.leaving is is_outdated
 
 
-def test_the_plan_s_age_goes_from_holder_to_holder():
+def test_plan_age_is_passed_between_lease_holders():
     first, second, third = (rolling_update(n, 1, s * SEC) for n, s in (("a", 1), ("b", 200), ("c", 90)))
     first.begin(wall=5, max_unavailable=1, now=100 * SEC)
     second.received(300 * SEC, first.message(300 * SEC, RollingUpdateKind.PLAN, first.plan, 3))
@@ -206,23 +214,24 @@
         0,
         1,
     )
-    # A datagram that was 20 s on its way says less than what is known.
+    # A datagram that was delayed by 20 s does not replace the age that is already known.
     third.received(420 * SEC, second.message(400 * SEC, RollingUpdateKind.PLAN, second.plan, 4))
     assert third.plan_started_at == 100 * SEC
 
 
-@pytest.mark.parametrize(("life", "goes"), [(500, True), (2000, False)])
-def test_a_plan_of_an_earlier_version_is_judged_by_numbers(life, goes):
-    process = rolling_update("a", life, SEC)
+@pytest.mark.parametrize(("incarnation", "leaves"), [(500, True), (2000, False)])
+def test_plan_without_age_is_compared_by_incarnation(incarnation, leaves):
+    """Plans of an earlier version carry no age; their number is compared with the incarnation."""
+    process = rolling_update("a", incarnation, SEC)
     plan = UpdatePlan(1000, 1, 1, UpdateState.RUNS)
     [outgoing] = process.received(SEC, RollingUpdateMessage(RollingUpdateKind.PLAN, "z", plan, 1, 7))
     report = outgoing.message
-    assert report.incarnation == life and report.plan_age is None
+    assert report.incarnation == incarnation and report.plan_age is None
     process.received(SEC, RollingUpdateMessage(RollingUpdateKind.GO, "z", plan, 1, 7))
-    assert process.leaving is goes
+    assert process.leaving is leaves
 
 
-def test_a_plan_after_a_step_back_takes_the_place_of_the_last():
+def test_plan_begun_after_clock_step_back_supersedes_last():
     process = rolling_update("a", 1, SEC)
     process.begin(wall=HOUR, max_unavailable=1, now=2 * SEC)
     process.change(UpdateState.STOPPED)
@@ -230,22 +239,22 @@
     assert process.begin(wall=5, max_unavailable=1, now=3 * SEC).supersedes(last)
 
 
-# ---- real processes -------------------------------------------------------------------------------------
+# ---- Real processes -------------------------------------------------------------------------------------
 
 
 @contextmanager
 def running(folder, name, port, page_port, seeds, offset_ms):
-    """Runs a node on loopback whose wall clock has an offset; yields the file that sets the offset."""
+    """Run a node on loopback whose wall clock has an offset; yield the file that sets the offset."""
     folder = folder / name
     folder.mkdir(exist_ok=True)
-    clock = folder / "clock"
-    clock.write_text(str(offset_ms))
+    clock_file = folder / "clock"
+    clock_file.write_text(str(offset_ms))
     fleet = fleet_section(
         folder,
         listen=f"127.0.0.1:{port}",
         seeds=[f"127.0.0.1:{s}" for s in seeds],
         period_ms=200,
-        lab={"clock_file": str(clock)},
+        lab={"clock_file": str(clock_file)},
     )
     table = {"name": name, "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f", "fleet": fleet}
     table |= {"management": f"127.0.0.1:{page_port}", "settings": settings()}
@@ -253,16 +262,17 @@
     env = os.environ | {"LB_CONFIG": str(folder / "config.json")}
     process = subprocess.Popen([sys.executable, "-m", "balancer"], env=env, stderr=subprocess.DEVNULL)
     try:
-        yield clock
+        yield clock_file
     finally:
         process.kill()
         process.wait()
 
 
-def page(port):
+def fleet_page(port):
+    """Return the page `GET /fleet` of a process, or an empty one while the process is not reachable."""
     try:
-        with urllib.request.urlopen(f"http://127.0.0.1:{port}/fleet", timeout=PATIENCE) as answer:
-            return json.load(answer)
+        with urllib.request.urlopen(f"http://127.0.0.1:{port}/fleet", timeout=PATIENCE) as response:
+            return json.load(response)
     except OSError:
         return {"members": [], "incarnation": 0, "received": {}, "refused": {}}
 
@@ -274,39 +284,40 @@
         time.sleep(0.02)
 
 
-def considers_alive(port, other, above=0):
-    """Returns whether a process considers another alive, in its present incarnation beyond `above`."""
-    incarnation = page(other)["incarnation"]
-    members = [(m["state"], m["incarnation"]) for m in page(port)["members"]]
+def has_alive_member(port, other, above=0):
+    """Return whether a process sees another alive in its current incarnation, which exceeds `above`."""
+    incarnation = fleet_page(other)["incarnation"]
+    members = [(m["state"], m["incarnation"]) for m in fleet_page(port)["members"]]
     return ("alive", incarnation) in members and incarnation > above
 
 
 def pings_received(port):
-    return page(port)["received"].get("ping", 0)
+    return fleet_page(port)["received"].get("ping", 0)
 
 
-def test_processes_on_loopback_whose_clocks_are_stepped_know_one_another(tmp_path):
-    ports, pages = [free_udp_port(), free_udp_port()], [free_tcp(), free_tcp()]
+def test_processes_with_stepped_clocks_see_each_other_alive(tmp_path):
+    ports, pages = [free_udp_port(), free_udp_port()], [free_tcp_port(), free_tcp_port()]
 
-    def second(offset_ms):
+    def second_process(offset_ms):
         return running(tmp_path, "n1", ports[1], pages[1], ports[:1], offset_ms)
 
-    with running(tmp_path, "n0", ports[0], pages[0], [], 0) as clock:
+    with running(tmp_path, "n0", ports[0], pages[0], [], 0) as clock_file:
         last = 0
         for offset_ms in (3_600_000, -3_600_000, 5_000, -5_000):
-            with second(offset_ms):
-                wait_until(lambda last=last: considers_alive(pages[0], pages[1], last))
-                wait_until(lambda: considers_alive(pages[1], pages[0]))
-                last = page(pages[1])["incarnation"]
-                clock.write_text(str(-offset_ms))  # a running process, too
+            with second_process(offset_ms):
+                wait_until(lambda last=last: has_alive_member(pages[0], pages[1], last))
+                wait_until(lambda: has_alive_member(pages[1], pages[0]))
+                last = fleet_page(pages[1])["incarnation"]
+                # Step the clock of the process that keeps running, too.
+                clock_file.write_text(str(-offset_ms))
                 earlier = pings_received(pages[0])
                 wait_until(lambda earlier=earlier: pings_received(pages[0]) > earlier + 3)
-                assert considers_alive(pages[0], pages[1]) and considers_alive(pages[1], pages[0])
-        assert "clock" not in page(pages[0])["refused"]
+                assert has_alive_member(pages[0], pages[1]) and has_alive_member(pages[1], pages[0])
+        assert "clock" not in fleet_page(pages[0])["refused"]
 
 
-def free_tcp():
-    """Returns a TCP port that was free a moment ago."""
+def free_tcp_port():
+    """Return a TCP port that was free a moment ago."""
     with socket.socket() as s:
         s.bind(("127.0.0.1", 0))
         return s.getsockname()[1]
--- a/tests/test_fleet_components.py
+++ b/tests/test_fleet_components.py
@@ -1,4 +1,4 @@
-"""The fleet runtime and its components: what the runtime does for a component, and what a fault ends."""
+"""The fleet runtime's services for components, and its handling of faults in them."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 from fleet_section import fleet_of, fleet_section, free_udp_port, node_file
 from loopback import Bench, play, until
 
-from balancer.fleet.assembly import FleetComponents, components_for
+from balancer.fleet.assembly import FleetComponents, build_components
 from balancer.fleet.component import Component, Outgoing, Runtime
 from balancer.fleet.config import FleetConfig
 from balancer.fleet.membership.codec import Codec, PayloadCodec
@@ -26,8 +26,8 @@
 from balancer.fleet.registry import DuplicateKindError, Registry
 from balancer.fleet.runtime import FleetRuntime
 
-PERIOD = 20_000  # microseconds
-ON_PURPOSE = "fault on purpose"
+PERIOD_US = 20_000
+DELIBERATE_FAULT = "deliberate fault"
 
 
 class ToyKind(IntEnum):
@@ -57,7 +57,10 @@
 
 
 class ToyComponent(Component):
-    """Sends hello to the members and to itself by name each period; responds to the sender's address."""
+    """A component that sends a hello to each member and to itself by name in each period.
+
+    It responds to a hello of another process, at the address from which it came.
+    """
 
     def __init__(self, runtime: Runtime) -> None:
         self.runtime = runtime
@@ -67,12 +70,12 @@
         self.calls: list[str] = []
 
     @property
-    def wires(self) -> Sequence[PayloadCodec]:
+    def payload_codecs(self) -> Sequence[PayloadCodec]:
         return (ToyWire(),)
 
     def open(self) -> None:
         self.calls.append("open")
-        self.next_tick = self.runtime.now() + PERIOD
+        self.next_tick = self.runtime.now() + PERIOD_US
 
     def close(self) -> None:
         self.calls.append("close")
@@ -94,7 +97,7 @@
         if now < self.next_tick:
             return []
         self.ticks += 1
-        self.next_tick = now + PERIOD
+        self.next_tick = now + PERIOD_US
         names = [*self.runtime.alive(), self.runtime.config.name, "nobody"]
         return [self.message(name, ToyKind.TOY_HELLO, "hello") for name in names]
 
@@ -109,8 +112,10 @@
 
 
 class OtherKind(IntEnum):
-    OWNED = 210  # by FailingComponent
-    UNKNOWN = 220  # to all components
+    """Message kinds of which `FailingComponent` owns the first, and no component the second."""
+
+    OWNED = 210
+    UNKNOWN = 220
 
 
 def other_message(kind: OtherKind) -> ToyMessage:
@@ -126,14 +131,14 @@
 
 
 class FailingComponent(Component):
-    """Fails at each call."""
+    """A component that raises an exception in each method that the runtime calls after `open`."""
 
     @property
-    def wires(self) -> Sequence[PayloadCodec]:
+    def payload_codecs(self) -> Sequence[PayloadCodec]:
         return (OtherWire(OtherKind.OWNED),)
 
     def fail(self, *args: Any) -> Any:
-        raise RuntimeError(ON_PURPOSE)
+        raise RuntimeError(DELIBERATE_FAULT)
 
     deadline: Any = fail
     tick: Any = fail
@@ -145,53 +150,55 @@
 
 
 def with_components(monkeypatch: pytest.MonkeyPatch, *kinds: Any) -> list[Any]:
-    """Adds components as a line in `components_for` would; returns the list that they are made into."""
-    made: list[Any] = []
+    """Add components to those of each runtime; return a list that will hold them, in order of creation."""
+    added: list[Any] = []
 
-    def with_new_components(config: FleetConfig, runtime: Runtime) -> FleetComponents:
-        found = components_for(config, runtime)
+    def build_with_added(config: FleetConfig, runtime: Runtime) -> FleetComponents:
+        built = build_components(config, runtime)
         new = [kind(runtime) if kind is ToyComponent else kind() for kind in kinds]
-        found.ordered += new
-        made.extend(new)
-        return found
+        built.ordered += new
+        added.extend(new)
+        return built
 
-    monkeypatch.setattr("balancer.fleet.runtime.components_for", with_new_components)
-    return made
+    monkeypatch.setattr("balancer.fleet.runtime.build_components", build_with_added)
+    return added
 
 
 def node(tmp_path: Path, name: str, port: int, *seeds: int, **more: Any) -> Bench:
-    given = fleet_section(
+    section = fleet_section(
         tmp_path, listen=f"127.0.0.1:{port}", seeds=[f"127.0.0.1:{s}" for s in seeds], period_ms=100, **more
     )
-    return Bench(config={"name": name, "fleet": given, "management": "127.0.0.1:0"}, peers=False)
+    return Bench(config={"name": name, "fleet": section, "management": "127.0.0.1:0"}, peers=False)
 
 
 def admit_sender(fleet: FleetRuntime, sender: str) -> None:
-    """A sender has proven to a process that it is live, as by answering a challenge."""
+    """Record that a sender has proven to be live, as it does by answering a challenge."""
     fleet.guard.senders.begin(sender, fleet.stamp(), fleet.now(), max_age=0)
 
 
-def test_a_component_gets_messages_ticks_and_keys_on_the_page(
+def test_component_gets_messages_ticks_and_status_keys(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    made = with_components(monkeypatch, ToyComponent)
+    components = with_components(monkeypatch, ToyComponent)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         ports = [free_udp_port(), free_udp_port()]
         one = await node(tmp_path, "one", ports[0], ports[1]).start()
         two = await node(tmp_path, "two", ports[1]).start()
-        first, second = made
+        first, second = components
         address = ("127.0.0.1", ports[1])
         sent_by_address = (ToyKind.TOY_RESPONSE, "two", "", address)
         sent_by_name = (ToyKind.TOY_HELLO, "two", "hello", address)
         await until(lambda: sent_by_address in first.received_messages)
         await until(lambda: sent_by_name in first.received_messages)
-        own = [entry for entry in first.received_messages if entry[1] == "one"]
-        assert own and all(entry[0] == ToyKind.TOY_HELLO for entry in own)  # to itself, without a datagram
+        # A message to the process itself is delivered without a datagram.
+        sent_to_itself = [entry for entry in first.received_messages if entry[1] == "one"]
+        assert sent_to_itself and all(entry[0] == ToyKind.TOY_HELLO for entry in sent_to_itself)
         fleet = fleet_of(one)
         page = fleet.view()
         assert page["toy"]["ticks"] >= 1 and page["sent"]["toy_hello"] and page["received"]["toy_response"]
-        assert page["events"]["unknown"] >= 1  # nobody is no member
+        # The component also sends to the name "nobody", which is not a member.
+        assert page["events"]["unknown"] >= 1
         assert page["duties"] is None and page["replace"] is None
         assert fleet.deadline() <= first.next_tick
         fleet_of(two).leave()
@@ -199,23 +206,23 @@
         assert second.calls == ["open", "leave", "close"]
         fleet.close()
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_fault_in_one_component_is_reported_and_ends_no_other(
+def test_component_exception_is_reported_and_stops_no_other(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Failure prevented: one component's exception keeps those after it from their ticks for good."""
-    made = with_components(monkeypatch, FailingComponent, ToyComponent)
+    """An exception in a component does not keep the runtime from calling the components after it."""
+    components = with_components(monkeypatch, FailingComponent, ToyComponent)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         bench = node(tmp_path, "one", free_udp_port(), voters=["one", "b", "c"])
         reported: list[dict[str, Any]] = []
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: reported.append(context))
         await bench.start()
-        fleet, toy = fleet_of(bench), made[1]
+        fleet, toy = fleet_of(bench), components[1]
         await until(lambda: toy.ticks >= 3)
-        assert str(reported[0]["exception"]) == ON_PURPOSE and fleet.events["fault"] >= 3
+        assert str(reported[0]["exception"]) == DELIBERATE_FAULT and fleet.events["fault"] >= 3
         admit_sender(fleet, "two")
         fleet.datagram_received(
             fleet.codec.encode(other_message(OtherKind.OWNED), fleet.stamp()), ("127.0.0.1", 9)
@@ -229,11 +236,11 @@
         assert failed == {f"fleet: FailingComponent.{method} failed" for method in methods}
         assert toy.calls == ["open", "forgotten b", "leave", "close"] and fleet.transport is None
 
-    play(scene)
+    play(scenario)
 
 
 class AlwaysDueComponent(Component):
-    """Fails at each tick, and so stays due."""
+    """A component whose tick always fails, so that it stays due."""
 
     def __init__(self) -> None:
         self.ticks = 0
@@ -243,67 +250,69 @@
 
     def tick(self, now: int) -> list[Outgoing]:
         self.ticks += 1
-        raise RuntimeError(ON_PURPOSE)
+        raise RuntimeError(DELIBERATE_FAULT)
 
 
-def test_a_component_that_fails_and_stays_due_does_not_spin_the_core(
+def test_failing_component_that_stays_due_is_retried_slowly(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Failure prevented: a fault in the fleet is retried each millisecond, at the cost of requests."""
-    made = with_components(monkeypatch, AlwaysDueComponent, ToyComponent)
+    """A failing tick is retried after 100 ms; retries each millisecond would take CPU time from requests."""
+    components = with_components(monkeypatch, AlwaysDueComponent, ToyComponent)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda loop, context: None)
-        begun = loop.time()
+        started_at = loop.time()
         fleet = fleet_of(await node(tmp_path, "one", free_udp_port()).start())
-        failing, toy = made
+        failing, toy = components
         await until(lambda: toy.ticks >= 4)
-        assert failing.ticks <= 2 + (loop.time() - begun) / 0.1
+        assert failing.ticks <= 2 + (loop.time() - started_at) / 0.1
         fleet.close()
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize(
     ("text", "number"),
     [("1", 1), ("086400", 86_400), ("", 0), ("-1", 0), ("1.5", 0), (" 1", 0), ("\u0663", 0), ("9" * 5000, 0)],
 )
-def test_a_number_in_a_query_has_only_digits_and_a_bounded_length(text: str, number: int) -> None:
+def test_query_integer_needs_digits_of_bounded_length(text: str, number: int) -> None:
     assert parse_integer(text) == number
 
 
-def test_a_message_kind_without_an_owner_is_counted_and_dropped(tmp_path: Path) -> None:
-    """A later version's message is refused by the codec; one that only the codec knows is not handled."""
+def test_message_kind_without_owner_is_counted_and_dropped(tmp_path: Path) -> None:
+    """The codec rejects an unknown kind of a later version; a kind known only to the codec is not handled."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         fleet = fleet_of(await node(tmp_path, "one", free_udp_port()).start())
-        unknown = other_message(OtherKind.UNKNOWN)
-        other = Codec(list(fleet.config.keys), [OtherWire(OtherKind.UNKNOWN)])
+        unknown_message = other_message(OtherKind.UNKNOWN)
+        other_codec = Codec(list(fleet.config.keys), [OtherWire(OtherKind.UNKNOWN)])
         admit_sender(fleet, "two")
-        fleet.datagram_received(other.encode(unknown, fleet.stamp()), ("127.0.0.1", 9))
+        fleet.datagram_received(other_codec.encode(unknown_message, fleet.stamp()), ("127.0.0.1", 9))
         assert fleet.view()["refused"] == {"kind": 1} and "unknown" not in fleet.view()["received"]
         fleet.codec.payload_codecs[int(OtherKind.UNKNOWN)] = OtherWire(OtherKind.UNKNOWN)
-        fleet.datagram_received(other.encode(unknown, fleet.stamp()), ("127.0.0.1", 9))
+        fleet.datagram_received(other_codec.encode(unknown_message, fleet.stamp()), ("127.0.0.1", 9))
         assert fleet.view()["received"]["unknown"] == 1 and fleet.events["unhandled"] == 1
         fleet.close()
 
-    play(scene)
+    play(scenario)
 
 
 class ComponentWithMembershipKind(ToyComponent):
+    """A component that claims a message kind of membership."""
+
     @property
-    def wires(self) -> Sequence[PayloadCodec]:
+    def payload_codecs(self) -> Sequence[PayloadCodec]:
         return (OtherWire(Kind.PING),)
 
 
 @pytest.mark.parametrize("kinds", [(ToyComponent, ToyComponent), (ComponentWithMembershipKind,)])
-def test_a_message_kind_has_one_owner(kinds: Any) -> None:
+def test_duplicate_message_kind_is_rejected(kinds: Any) -> None:
     with pytest.raises(DuplicateKindError, match="is defined twice"):
-        Registry([kind(None) for kind in kinds], lambda what, error: None)
+        Registry([kind(None) for kind in kinds], lambda operation, error: None)
 
 
-IMPORTED = """
+PRINT_IMPORTED_MODULES = """
 import asyncio, json, os, sys
 from balancer.net.config import load
 from balancer.net.node import Node
@@ -311,7 +320,7 @@
 print(json.dumps([name for name in sys.modules if name.startswith("balancer.fleet.")]))
 """
 VOTERS = {"voters": ["n0", "b", "c"]}
-DECISIONS = frozenset(
+DECISION_MODULES = frozenset(
     {
         "balancer.fleet.health_checks.decisions",
         "balancer.fleet.leases.voter",
@@ -330,14 +339,15 @@
         (VOTERS, {"leases", "rolling_update"}),
     ],
 )
-def test_a_component_that_is_not_configured_is_not_imported(
+def test_unconfigured_component_is_not_imported(
     tmp_path: Path, changes: dict[str, Any], packages: set[str]
 ) -> None:
-    """Failure prevented: a node pays memory and start-up time for components that its site does not use."""
-    assert all(find_spec(name) for name in DECISIONS)  # a module that was renamed would never be imported
+    """A node must not spend memory and start-up time on components that its site does not use."""
+    # The names must exist, since a renamed module would never show up as imported.
+    assert all(find_spec(name) for name in DECISION_MODULES)
     env = os.environ | node_file(tmp_path, fleet=fleet_section(tmp_path, **changes))
     out = subprocess.run(
-        [sys.executable, "-c", IMPORTED], env=env, capture_output=True, text=True, check=True
+        [sys.executable, "-c", PRINT_IMPORTED_MODULES], env=env, capture_output=True, text=True, check=True
     )
-    imported = DECISIONS & set(json.loads(out.stdout))
+    imported = DECISION_MODULES & set(json.loads(out.stdout))
     assert {name.split(".")[2] for name in imported} == packages
--- a/tests/test_policy_adapter.py
+++ b/tests/test_policy_adapter.py
@@ -1,4 +1,4 @@
-"""The policy adapter, and the policy's side of it."""
+"""The policy adapter, and the policy's calls to it."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 SEC = 1_000_000
 
-# ---- the adapter itself ----------------------------------------------------------------------------------
+# ---- The adapter itself ---------------------------------------------------------------------------------
 
 
 def make_adapter(tmp_path: Path, **changes: Any) -> tuple[PolicyAdapter, list[int], list[Any]]:
-    """An adapter on a clock that the test sets, servers 1 to 6 in zones 0 and 1, and what it published."""
+    """Return an adapter with servers 1 to 6 in zones 0 and 1, its settable clock, and what it published."""
     key = tmp_path / "key"
     key.write_text("k" * 20)
     key.chmod(0o600)
@@ -36,15 +36,15 @@
         lambda: None,
         published.append,
     )
-    adapter.on_health_check_result = lambda server, well: published.append((server, well))
-    adapter.on_shares = lambda shares, trips: published.append((shares, trips))
+    adapter.on_health_check_result = lambda server, healthy: published.append((server, healthy))
+    adapter.on_shares = lambda shares, round_trips: published.append((shares, round_trips))
     adapter.open(lambda: ["b"], Random(1))
     entries = [ServerEntry(i, zone=i % 2) for i in range(1, 7)]
     adapter.server_list(0, ListKind.FULL, entries, {"y": 0, "x": 1})
     return adapter, clock, published
 
 
-def test_an_adapter_without_configuration_restrains_nothing(tmp_path: Path) -> None:
+def test_adapter_without_coordination_permits_everything(tmp_path: Path) -> None:
     adapter, clock, published = make_adapter(tmp_path)
     assert adapter.may_recalculate_min_rtt() and adapter.may_probe(1)
     assert adapter.tick(clock[0]) == [] and adapter.deadline(clock[0]) is None
@@ -55,39 +55,40 @@
     assert published == [] and adapter.status(clock[0]) == {}
 
 
-def test_the_policy_gets_shares_and_round_trips_that_have_changed(tmp_path: Path) -> None:
+def test_changed_zone_shares_are_published_to_policy(tmp_path: Path) -> None:
     adapter, clock, published = make_adapter(tmp_path, zones={})
     adapter.tick(clock[0])
     assert published == [({1: 1.0, 0: 0.0}, {0: 0})]
 
-    def later(seconds: float = 0.6) -> list[Any]:
+    def tick_after(seconds: float = 0.6) -> list[Any]:
         clock[0] += int(seconds * SEC)
         before = len(published)
         adapter.tick(clock[0])
         return published[before:]
 
-    assert later() == []
+    assert tick_after() == []
     adapter.attempt_ended(1, Outcome.OK, 9000, 0.001)
     adapter.attempt_ended(2, Outcome.OK, 9000, 0.021)
-    assert later() == [({1: 1.0, 0: 0.0}, {0: 20_000})]
-    for server in (1, 3):  # two of the own zone's three
+    assert tick_after() == [({1: 1.0, 0: 0.0}, {0: 20_000})]
+    # The node's own zone has three servers: 1, 3 and 5.
+    for server in (1, 3):
         adapter.server_ejected(server, SEC)
-    ((shares, _),) = later()
+    ((shares, _),) = tick_after()
     assert 0 < shares[1] < 1 and adapter.may_probe(1)
     traffic = adapter.zone_traffic
     assert traffic is not None and traffic.directives is not None
     assert traffic.directives.issue("y", 60 * SEC)
-    ((shares, _),) = [entry for entry in later(1.1) if isinstance(entry, tuple)]
+    ((shares, _),) = [entry for entry in tick_after(1.1) if isinstance(entry, tuple)]
     assert set(shares) == {1} and not adapter.may_probe(2) and adapter.may_probe(1)
     adapter.close()
     assert adapter.may_probe(2)
 
 
-# ---- the policy's side -----------------------------------------------------------------------------------
+# ---- The policy's calls ---------------------------------------------------------------------------------
 
 
 class RecordingFleet(Standalone):
-    """Allows as set, and records calls."""
+    """A fleet that permits what the test sets, and records calls."""
 
     def __init__(self) -> None:
         self.allows = True
@@ -100,13 +101,13 @@
         return self.allows
 
     def min_rtt_recalculated(self) -> None:
-        self.calls.append("passed")
+        self.calls.append("recalculated")
 
     def server_ejected(self, server: int, wait: int) -> None:
-        self.calls.append(("aside", server, wait))
+        self.calls.append(("ejected", server, wait))
 
     def server_readmitted(self, server: int, healthy: bool) -> None:
-        self.calls.append(("back", server, healthy))
+        self.calls.append(("readmitted", server, healthy))
 
 
 def make_balancer(fleet: RecordingFleet) -> Balancer:
@@ -117,7 +118,7 @@
 
 
 def send_request(node: Balancer, now: int, number: int, outcome: Callable[[int], Outcome]) -> int | None:
-    """One request, with the outcome by server; returns the server that it went to."""
+    """Send one request, whose outcome depends on its server; return the server that it went to."""
     node.request(now, number, 0, 0, 2 * SEC, False)
     recorder: Any = node.actions
     sent = [action for action in recorder.take("send") if action[1] == number]
@@ -128,7 +129,7 @@
     return server
 
 
-def test_the_policy_asks_before_a_check_and_accepts_another_s_result() -> None:
+def test_policy_probes_if_allowed_and_uses_shared_results() -> None:
     fleet = RecordingFleet()
     node = make_balancer(fleet)
     bad = next(iter(node.subset.members)).id
@@ -137,27 +138,29 @@
         return Outcome.RESET if server == bad else Outcome.OK
 
     now, number = 100_000, 0
-    while ("aside", bad) not in [entry[:2] for entry in fleet.calls]:
+    while ("ejected", bad) not in [entry[:2] for entry in fleet.calls]:
         number, now = number + 1, now + 20_000
         send_request(node, now, number, outcome)
         assert number < 500
     fleet.allows = False
-    for _ in range(300):  # six seconds: its check is due after two
+    # Send requests for six seconds; the check is due after two.
+    for _ in range(300):
         number, now = number + 1, now + 20_000
         assert send_request(node, now, number, outcome) != bad
     node.trial_result(now, bad, False)
-    assert fleet.calls[-1][0] == "aside" and node.servers[bad].probe_at > now
+    assert fleet.calls[-1][0] == "ejected" and node.servers[bad].probe_at > now
+    node.trial_result(now, bad, True)
+    assert fleet.calls[-1] == ("readmitted", bad, False) and not node.servers[bad].ejected
+    # Results for a server that is not ejected, or unknown, have no effect.
     node.trial_result(now, bad, True)
-    assert fleet.calls[-1] == ("back", bad, False) and not node.servers[bad].ejected
-    node.trial_result(now, bad, True)  # not ejected any more: no effect
     node.trial_result(now, 99, True)
-    assert fleet.calls[-1] == ("back", bad, False)
+    assert fleet.calls[-1] == ("readmitted", bad, False)
 
 
-def test_the_policy_delays_its_recalculation_until_allowed() -> None:
+def test_policy_delays_recalculation_until_allowed() -> None:
     fleet = RecordingFleet()
     node = make_balancer(fleet)
-    ctl = node.controller
+    controller = node.controller
     now, number = 0, 0
 
     def run(seconds: float) -> None:
@@ -167,10 +170,10 @@
             send_request(node, now, number, lambda server: Outcome.OK)
 
     run(5)
-    assert ctl.recalculations == 1 and fleet.calls == ["passed"]
+    assert controller.recalculations == 1 and fleet.calls == ["recalculated"]
     fleet.allows = False
     run(70)
-    assert ctl.recalculations == 1 and not ctl.recalculating
+    assert controller.recalculations == 1 and not controller.recalculating
     fleet.allows = True
     run(5)
-    assert ctl.recalculations == 2
+    assert controller.recalculations == 2
