--- a/balancer/fleet/leases/component.py
+++ b/balancer/fleet/leases/component.py
@@ -24,7 +24,7 @@
         self.unix_offset_us = 0  # Unix time minus the monotonic clock, read at the start of the incarnation.
 
     @property
-    def wires(self) -> Sequence[PayloadCodec]:
+    def payload_codecs(self) -> Sequence[PayloadCodec]:
         """The encoder and decoder of lease messages."""
         return (self.service.wire,)
 
--- a/balancer/fleet/rolling_update/component.py
+++ b/balancer/fleet/rolling_update/component.py
@@ -32,7 +32,7 @@
         self.shutdown_started = False
 
     @property
-    def wires(self) -> Sequence[PayloadCodec]:
+    def payload_codecs(self) -> Sequence[PayloadCodec]:
         """The encoder and decoder of rolling update messages."""
         return (RollingUpdateWire(),)
 
@@ -50,7 +50,7 @@
 
     def departed(self) -> list[str]:
         """Return the names of the members that have left or died recently."""
-        return self.runtime.gone()
+        return self.runtime.departed()
 
     def serving(self) -> bool:
         """Return whether this process accepts clients and, if it is a voter, does not abstain.
--- a/balancer/fleet/zone_membership/component.py
+++ b/balancer/fleet/zone_membership/component.py
@@ -34,7 +34,7 @@
         self.zone_membership: ZoneMembership | None = None
 
     @property
-    def wires(self) -> Sequence[PayloadCodec]:
+    def payload_codecs(self) -> Sequence[PayloadCodec]:
         """The encoder and decoder of the messages."""
         return (ZoneMembershipWire(),)
 
@@ -48,7 +48,7 @@
             runtime.membership,
             self.settings,
             ZoneMembershipTiming().scaled(config.period),
-            runtime.stream(RANDOM_STREAM),
+            runtime.random_stream(RANDOM_STREAM),
             runtime.now(),
             self.on_event,
         )
--- a/balancer/fleet/zone_membership/settings.py
+++ b/balancer/fleet/zone_membership/settings.py
@@ -86,16 +86,16 @@
         The settings, or None if one group spans the fleet or the table is invalid.
     """
     if not isinstance(table, dict):
-        section.fault("membership", table, "must be a table")
+        section.add_fault("membership", table, "must be a table")
         return None
     membership = ConfigSection(table, f"{section.path}.membership")
-    membership.only("scope", "zone_seeds")
+    membership.reject_unknown_keys("scope", "zone_seeds")
     scope = table.get("scope")
     if scope not in SCOPES:
-        membership.fault("scope", scope, f"must be {' or '.join(SCOPES)}")
+        membership.add_fault("scope", scope, f"must be {' or '.join(SCOPES)}")
     seeds = read_zone_seeds(membership, table.get("zone_seeds", {}), section.table.get("zone"))
     if scope == "fleet" and "zone_seeds" in table:
-        membership.fault("zone_seeds", table["zone_seeds"], "must not be given where scope is fleet")
+        membership.add_fault("zone_seeds", table["zone_seeds"], "must not be given where scope is fleet")
     section.faults += membership.faults
     return ZoneMembershipSettings(seeds) if scope == "zone" else None
 
@@ -111,19 +111,19 @@
         own_zone: Name of the own zone.
     """
     if not isinstance(table, dict) or len(table) > MAX_ZONES_PER_MESSAGE:
-        membership.fault("zone_seeds", table, f"must be a table of at most {MAX_ZONES_PER_MESSAGE} zones")
+        membership.add_fault("zone_seeds", table, f"must be a table of at most {MAX_ZONES_PER_MESSAGE} zones")
         return {}
     seeds = {}
     for zone, addresses in table.items():
         key = f"zone_seeds.{zone}"
         if not 0 < len(zone) <= MAX_NAME_CHARACTERS:
             reason = f"a zone's name must have 1 to {MAX_NAME_CHARACTERS} characters"
-            membership.fault(key, zone, reason)
+            membership.add_fault(key, zone, reason)
         elif zone == own_zone:
             reason = "must be of other zones: this zone's addresses go into fleet.seeds"
-            membership.fault(key, addresses, reason)
+            membership.add_fault(key, addresses, reason)
         elif not isinstance(addresses, list) or not 0 < len(addresses) <= MAX_SEEDS_PER_ZONE:
-            membership.fault(key, addresses, f"must be a list of 1 to {MAX_SEEDS_PER_ZONE} addresses")
+            membership.add_fault(key, addresses, f"must be a list of 1 to {MAX_SEEDS_PER_ZONE} addresses")
         else:
             seeds[zone] = tuple(membership.address(f"{key}[{i}]", a) for i, a in enumerate(addresses))
     return seeds
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -284,7 +284,7 @@
                 b"PUT", fleet_pages.control_rolling_update, JSON, takes_query=True
             )
             pages[b"/fleet/hold"] = Page(b"PUT", fleet_pages.acquire_lease, JSON, takes_query=True)
-            pages[b"/fleet/zone"] = Page(b"PUT", fleet_pages.direct_zone, JSON, takes_query=True)
+            pages[b"/fleet/zone"] = Page(b"PUT", fleet_pages.control_zone, JSON, takes_query=True)
             pages[b"/fleet/give"] = Page(b"PUT", fleet_pages.release_lease, JSON, takes_query=True)
         return pages
 
--- a/tests/test_lab_clock.py
+++ b/tests/test_lab_clock.py
@@ -52,7 +52,7 @@
         clocks = [Clocks(str(member.clock_file)) for member in self.members]
         for clock in clocks:
             clock.wall()
-        return [clock.offset // 1000 for clock in clocks]
+        return [clock.wall_offset_us // 1000 for clock in clocks]
 
 
 def play(folder, **fault):
--- a/workbench/explore/clocks.py
+++ b/workbench/explore/clocks.py
@@ -126,7 +126,7 @@
     def order(self, verb: str, seconds: int) -> None:
         """An operator's directive for the zone, through this process's page."""
         if self.runtime is not None:
-            self.runtime.pages.direct_zone(f"do={verb}&zone=z0&for_s={seconds}".encode())
+            self.runtime.pages.control_zone(f"do={verb}&zone=z0&for_s={seconds}".encode())
 
     def obeys(self) -> bool:
         """Whether it holds the zone left by directive."""
--- a/workbench/lab/faulty_nodes.py
+++ b/workbench/lab/faulty_nodes.py
@@ -207,7 +207,7 @@
         return go(self, *args)
 
     wrap(RollingUpdate, "lead", lead)
-    wrap(FleetRuntime, "gone", lambda go, self: [])
+    wrap(FleetRuntime, "departed", lambda go, self: [])
 
 
 def shorten_min_rtt_interval() -> None:
--- a/workbench/simulator/fleet.py
+++ b/workbench/simulator/fleet.py
@@ -210,7 +210,7 @@
             self.voter.recalled_tokens = dict.fromkeys(names, 0)
         self.adapter.on_shares = self.apply_zone_shares
         self.adapter.open(self.others, self.rng)
-        self.adapter.use_leases(self.lease_client, self.rng)
+        self.adapter.enable_lease_features(self.lease_client, self.rng)
 
     def config(self, settings: Settings) -> FleetConfig:
         """Returns the fleet's section of the node's configuration."""
