--- a/balancer/fleet/membership/changes.py
+++ b/balancer/fleet/membership/changes.py
@@ -1,4 +1,4 @@
-"""Changes of an instance's view of the group, as published to a subscriber."""
+"""Changes of an instance's view of the group, which are published to a subscriber."""
 
 from __future__ import annotations
 
@@ -9,14 +9,17 @@
 
 
 class MembershipChange(StrEnum):
-    """A change of this instance's view of a member; its values are written to logs and pages."""
+    """A change of this instance's view of a member; its values appear in logs and on operators' pages.
+
+    REFUTED means that this instance has refuted a claim about itself.
+    """
 
     JOIN = "join"
     ALIVE = "alive"
     SUSPECT = "suspect"
     DEAD = "dead"
     LEFT = "left"
-    REFUTED = "refuted"  # a claim about this instance
+    REFUTED = "refuted"
     FORGOTTEN = "forgotten"
 
 
@@ -31,4 +34,4 @@
 
 
 def ignore_change(change: MembershipChange, claim: Claim) -> None:
-    """The default subscriber, which ignores all changes."""
+    """Ignore a change; this is the default subscriber."""
--- a/balancer/fleet/membership/claims.py
+++ b/balancer/fleet/membership/claims.py
@@ -1,7 +1,8 @@
 """Claims about the status of members, and their precedence.
 
-Of two claims about a member the one with the higher incarnation prevails; of the same incarnation, the order
-is left over dead over suspect over alive. Only a member itself raises its incarnation.
+Of two claims about a member, the one with the higher incarnation takes precedence. Within an incarnation,
+left takes precedence over dead, dead over suspect, and suspect over alive. Only a member itself raises its
+incarnation.
 """
 
 from __future__ import annotations
@@ -11,11 +12,12 @@
 
 Address = tuple[str, int]
 
-MAX_NAME_CHARACTERS = 64  # of a member's name or a host
+# The limit applies to member names and to host names.
+MAX_NAME_CHARACTERS = 64
 
 
 class Status(IntEnum):
-    """Status of a member; of one incarnation, the greater prevails."""
+    """The status of a member; within an incarnation the greater value takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -34,7 +36,7 @@
 
 
 def overrides(new: Claim, current: Claim) -> bool:
-    """Returns whether a claim takes precedence over the current one about the same member."""
+    """Return whether a new claim takes precedence over the current one about the same member."""
     if new.incarnation != current.incarnation:
         return new.incarnation > current.incarnation
     return new.status > current.status
--- a/balancer/fleet/membership/codec.py
+++ b/balancer/fleet/membership/codec.py
@@ -1,11 +1,12 @@
-"""Encoding and decoding of datagrams: a versioned form under 1,200 bytes, authenticated by a shared key.
+"""Encoding and decoding of datagrams of at most 1,200 bytes, versioned and authenticated by a shared key.
 
     version (1 byte) | key id (4) | sender's stamp in microseconds (8) | message (MessagePack) | tag (16)
 
-A message is encoded as kind, sender, seq and a payload, whose form the `PayloadCodec` of its kind defines.
-The tag is a keyed BLAKE2b over everything before it. Two keys are valid at a time, so that keys can be
-rotated one instance after the other. A datagram that fails a check is counted by reason and dropped; no input
-raises. Whether an authentic datagram is a replay is decided by `replay_guard.py`.
+A message is encoded as kind, sender, seq and a payload, whose structure the `PayloadCodec` of its kind
+defines. The tag is a keyed BLAKE2b digest of everything before it. Two keys are valid at a time, so that keys
+can be rotated one instance after the other. A datagram that fails a check is dropped and counted by reason;
+decoding raises no exception for any input. `replay_guard.py` decides whether an authentic datagram is a
+replay.
 """
 
 from __future__ import annotations
@@ -29,46 +30,48 @@
 )
 from balancer.fleet.membership.messages import MAX_DATAGRAM_BYTES
 from balancer.fleet.membership.replay_guard import SenderStamps
-from balancer.fleet.membership.stamp_window import MAX_SKEW_US, Verdict
-from balancer.fleet.membership.wire import MAX_SEQ, MembershipWire
+from balancer.fleet.membership.stamp_window import MAX_SKEW_US, StampStatus
+from balancer.fleet.membership.wire import SEQ_BOUND, MembershipWire
 
 VERSION = 1
-HEADER = Struct("<B4sQ")  # version, key id, stamp
+# The fields are version, key id and stamp.
+HEADER = Struct("<B4sQ")
 MAX_KEYS = 2
 
-Envelope = tuple[int, str, int, msgspec.Raw]  # kind, sender, seq, payload
+# The elements are kind, sender, seq and payload.
+Envelope = tuple[int, str, int, msgspec.Raw]
 
 
 class PayloadCodec(Protocol):
     """Encodes and decodes the payloads of one component's messages.
 
     Attributes:
-        kinds: Numbers of the message kinds that this codec is responsible for.
+        kinds: Numbers of the message kinds that this codec encodes and decodes.
     """
 
     kinds: frozenset[int]
 
     def pack(self, message: Any) -> Any:
-        """Returns the payload of a message as plain types that MessagePack can hold."""
+        """Return the payload of a message as plain types that MessagePack can encode."""
 
-    def shorter(self, message: Any) -> Any | None:
-        """Returns the message with less content, for a datagram that came out too long.
+    def shorten(self, message: Any) -> Any | None:
+        """Return the message with less content, because its datagram would be too long.
 
-        None means that the message cannot be shortened.
+        The result is None if the message cannot be shortened.
         """
 
-    def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> Any:
-        """Returns the message that a payload encodes.
+    def unpack(self, kind: int, sender: str, seq: int, payload: msgspec.Raw) -> Any:
+        """Return the message decoded from a payload.
 
         Raises:
-            ValueError: The payload's values are impossible.
+            ValueError: A value in the payload is out of range.
             msgspec.MsgspecError: The payload is malformed.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class StampedMessage:
-    """A message from an authentic datagram, with its sender's stamp in microseconds."""
+    """The message of an authentic datagram, with its sender's stamp in microseconds."""
 
     stamp: int
     message: Any
@@ -78,7 +81,7 @@
     """A datagram fails a check.
 
     Attributes:
-        reason: What the datagram is counted under.
+        reason: The key under which the datagram is counted as dropped.
     """
 
     def __init__(self, reason: str) -> None:
@@ -90,19 +93,21 @@
     """Encodes messages as datagrams and decodes them.
 
     Args:
-        keys: The key to sign with, then a second one that is still accepted, if any.
-        payload_codecs: Those of the components in use, beside membership's own.
+        keys: The signing key, optionally followed by a second key that is accepted as well.
+        payload_codecs: The payload codecs of other components; that of membership is always included.
 
     Attributes:
         dropped: Number of rejected datagrams by reason.
 
     Raises:
-        InvalidKeyError: There is no key, or one is too short.
+        InvalidKeyError: There is no key, or a key is too short.
     """
 
     def __init__(self, keys: list[bytes], payload_codecs: Sequence[PayloadCodec] = ()) -> None:
         if not keys or any(len(key) < MIN_KEY_BYTES for key in keys):
-            raise InvalidKeyError(f"a key of at least {MIN_KEY_BYTES} bytes is needed")
+            raise InvalidKeyError(
+                f"at least one key is required, and each must have at least {MIN_KEY_BYTES} bytes"
+            )
         self.keys = {key_id(key): key for key in reversed(keys[:MAX_KEYS])}
         self.signing_key = keys[0]
         self.encoder = msgspec.msgpack.Encoder()
@@ -115,12 +120,13 @@
         self.dropped: Counter[str] = Counter()
 
     def encode(self, message: Any, clock: int) -> bytes:
-        """Returns the datagram of a message, shortened by its payload codec until it fits.
+        """Return the datagram of a message, which its payload codec shortens until it fits.
 
         Args:
             message: A message of a kind that has a payload codec.
-            clock: Microseconds of a clock that doesn't step while the process runs; the stamp is taken from
-                it. Versions without a replay guard accept no stamp more than 30 s off their Unix time.
+            clock: Time in microseconds by a clock that isn't stepped while the process runs, used as the
+                stamp. Versions without a replay guard reject stamps that differ from their Unix time by more
+                than 30 s.
         """
         self.last_stamp = max(self.last_stamp + 1, clock)
         header = HEADER.pack(VERSION, key_id(self.signing_key), self.last_stamp)
@@ -129,20 +135,20 @@
             envelope = (int(message.kind), message.sender, message.seq, payload_codec.pack(message))
             data = header + self.encoder.encode(envelope)
             fits = len(data) + TAG_BYTES <= MAX_DATAGRAM_BYTES
-            shortened = None if fits else payload_codec.shorter(message)
+            shortened = None if fits else payload_codec.shorten(message)
             if shortened is None:
                 return data + authentication_tag(self.signing_key, data)
             message = shortened
 
     def decode(self, data: bytes, now: int) -> Any | None:
-        """Returns the message of a datagram, or None if it is rejected, which `dropped` counts.
+        """Return the message of a datagram; None if the datagram is rejected, which `dropped` counts.
 
-        The first datagram of an unknown sender is accepted without proof that it is live, as is sufficient on
-        a network without an adversary; a node uses `read` and a `ReplayGuard` instead.
+        The first datagram of an unknown sender is accepted without proof that the sender is live. This is
+        sufficient only on a network without an adversary; a node uses `read` and a `ReplayGuard` instead.
 
         Args:
             data: The datagram.
-            now: The receiver's monotonic clock in microseconds.
+            now: Time in microseconds by the receiver's monotonic clock.
         """
         received = self.read(data)
         if received is None:
@@ -151,18 +157,18 @@
         if sender not in self.senders.windows:
             self.senders.begin(sender, stamp, now, max_age=MAX_SKEW_US)
             return received.message
-        verdict = self.senders.judge(sender, stamp, now)
-        if verdict != Verdict.FRESH:
-            self.dropped["replay" if verdict == Verdict.REPLAY else "clock"] += 1
+        stamp_status = self.senders.classify(sender, stamp, now)
+        if stamp_status != StampStatus.FRESH:
+            self.dropped["replay" if stamp_status == StampStatus.REPLAY else "clock"] += 1
             return None
         self.senders.record(sender, stamp, now)
         return received.message
 
     def read(self, data: bytes) -> StampedMessage | None:
-        """Returns the content of an authentic datagram, whether replayed or not.
+        """Return the stamp and message of an authentic datagram without checking for replays.
 
         The result is None for any other datagram, which `dropped` counts. The cost is at most proportional to
-        the datagram's length.
+        the length of the datagram.
         """
         try:
             return self.parse(data)
@@ -171,7 +177,7 @@
             return None
 
     def parse(self, data: bytes) -> StampedMessage:
-        """Returns the content of an authentic datagram.
+        """Return the stamp and message of an authentic datagram.
 
         Raises:
             DatagramRejectedError: The datagram fails a check.
@@ -193,15 +199,16 @@
             raise DatagramRejectedError("form") from None
 
     def parse_message(self, data: bytes) -> Any:
-        """Returns the message of an envelope.
+        """Return the message of an encoded envelope.
 
         Raises:
-            DatagramRejectedError: The sender or `seq` is out of range, or the kind is unknown.
-            ValueError: The payload's values are impossible.
+            DatagramRejectedError: The length of the sender's name or `seq` is out of range, or the kind is
+                unknown.
+            ValueError: A value in the payload is out of range.
             msgspec.MsgspecError: The envelope or the payload is malformed.
         """
         kind, sender, seq, payload = self.decoder.decode(data)
-        if not 0 < len(sender) <= MAX_NAME_CHARACTERS or not 0 <= seq < MAX_SEQ:
+        if not 0 < len(sender) <= MAX_NAME_CHARACTERS or not 0 <= seq < SEQ_BOUND:
             raise DatagramRejectedError("form")
         payload_codec = self.payload_codecs.get(kind)
         if payload_codec is None:
--- a/balancer/fleet/membership/dissemination.py
+++ b/balancer/fleet/membership/dissemination.py
@@ -1,38 +1,39 @@
-"""Updates to be piggybacked on other messages, least-sent first."""
+"""Selection of the updates to piggyback on messages: the least-sent ones first."""
 
 from __future__ import annotations
 
 
 class Dissemination:
-    """Names of the members whose updates are still to be disseminated, in buckets by transmission count.
+    """Names of the members with pending updates, in buckets by transmission count.
 
-    The cost of choosing updates for a datagram depends on their number in it, not on the number pending.
+    The cost of choosing updates for a datagram depends on how many are chosen, not on how many are pending.
     """
 
     def __init__(self) -> None:
         self.transmissions: dict[str, int] = {}
         self.buckets: list[dict[str, None]] = []
-        self.lowest = 0  # no bucket below this one holds a name
+        # All buckets below this one are empty.
+        self.lowest_bucket = 0
 
     def add(self, name: str) -> None:
-        """Adds a new update about a member, in place of an earlier one."""
+        """Add a new update about a member, replacing an earlier one."""
         self.remove(name)
         self.put(name, 0)
 
     def remove(self, name: str) -> None:
-        """Removes a member's update, if there is one."""
+        """Remove the update about a member, if there is one."""
         count = self.transmissions.pop(name, None)
         if count is not None:
             del self.buckets[count][name]
 
     def choose(self, count: int) -> list[str]:
-        """Returns up to `count` names, the least-sent first and, among those, the oldest first."""
+        """Return up to `count` names: the least-sent updates first, and the oldest first among equals."""
         chosen: list[str] = []
         if not self.transmissions or count <= 0:
             return chosen
-        while not self.buckets[self.lowest]:
-            self.lowest += 1
-        for bucket in self.buckets[self.lowest :]:
+        while not self.buckets[self.lowest_bucket]:
+            self.lowest_bucket += 1
+        for bucket in self.buckets[self.lowest_bucket :]:
             for name in bucket:
                 chosen.append(name)
                 if len(chosen) == count:
@@ -40,16 +41,16 @@
         return chosen
 
     def record_sent(self, name: str, max_transmissions: int) -> None:
-        """Records a transmission of an update, which is removed after `max_transmissions`."""
+        """Count a transmission of an update, and remove the update after `max_transmissions`."""
         count = self.transmissions[name] + 1
         self.remove(name)
         if count < max_transmissions:
             self.put(name, count)
 
     def put(self, name: str, count: int) -> None:
-        """Puts an update into the bucket of its transmission count."""
+        """Put an update into the bucket of its transmission count."""
         while len(self.buckets) <= count:
             self.buckets.append({})
         self.transmissions[name] = count
         self.buckets[count][name] = None
-        self.lowest = min(self.lowest, count)
+        self.lowest_bucket = min(self.lowest_bucket, count)
--- a/balancer/fleet/membership/keys.py
+++ b/balancer/fleet/membership/keys.py
@@ -1,4 +1,4 @@
-"""The shared keys of a fleet: reading them from files, and authenticating datagrams with them."""
+"""The shared keys of a fleet: reading them from files, and authentication of datagrams with them."""
 
 from __future__ import annotations
 
@@ -10,38 +10,39 @@
 MAX_KEY_BYTES = 64
 KEY_ID_BYTES = 4
 TAG_BYTES = 16
-ACCESS_OF_OTHERS = 0o077  # permission bits of a file's group and of all other users
+GROUP_AND_OTHER_PERMISSIONS = 0o077
 
 
 class InvalidKeyError(Exception):
-    """A key is too short or too long, or its file cannot be used. The message is one line for the user."""
+    """No key is given, a key is too short or too long, or its file is unusable; the message is one line."""
 
 
 def key_id(key: bytes) -> bytes:
-    """Returns the identifier that names a key in datagrams without revealing anything about it."""
+    """Return the identifier of a key in datagrams, which reveals nothing about the key."""
     return hashlib.blake2b(key, digest_size=KEY_ID_BYTES, person=b"mark").digest()
 
 
 def authentication_tag(key: bytes, data: bytes) -> bytes:
-    """Returns the keyed BLAKE2b digest of `data`, `TAG_BYTES` long."""
+    """Return the keyed BLAKE2b digest of `data`, `TAG_BYTES` long."""
     return hashlib.blake2b(data, digest_size=TAG_BYTES, key=key[:MAX_KEY_BYTES]).digest()
 
 
 def read_key(path: Path) -> bytes:
-    """Reads a key, without surrounding white space, from a file that only its owner may access.
+    """Read a key from a file that only its owner may access, and strip surrounding white space.
 
     Raises:
-        InvalidKeyError: The file cannot be read, other users may access it, or the key's length is wrong.
+        InvalidKeyError: The file cannot be read, other users may access it, or the key is too short or too
+            long.
     """
     try:
         mode = path.stat().st_mode
         key = path.read_bytes().strip()
     except OSError as e:
         raise InvalidKeyError(f"{path}: {e.strerror}") from None
-    if stat.S_IMODE(mode) & ACCESS_OF_OTHERS:
-        raise InvalidKeyError(f"{path}: others may read it: chmod 600 it")
+    if stat.S_IMODE(mode) & GROUP_AND_OTHER_PERMISSIONS:
+        raise InvalidKeyError(f"{path}: must not be accessible to group and other users: chmod 600 it")
     if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
         raise InvalidKeyError(
-            f"{path}: a key has {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes, this one {len(key)}"
+            f"{path}: key has {len(key)} bytes, must have {MIN_KEY_BYTES} to {MAX_KEY_BYTES}"
         )
     return key
--- a/balancer/fleet/membership/messages.py
+++ b/balancer/fleet/membership/messages.py
@@ -1,7 +1,7 @@
-"""Membership's messages, independent of their encoding.
+"""The messages of the membership protocol, independent of their encoding.
 
-A member of an earlier version counts and drops the kinds that it doesn't know; every version reads kinds 0 to
-4, whose encoding is fixed.
+Every version reads kinds 0 to 4, whose encoding is fixed. A member of an earlier version counts and drops
+messages of kinds that it doesn't know.
 """
 
 from __future__ import annotations
@@ -13,34 +13,40 @@
 from balancer.fleet.membership.claims import Address, Claim
 
 MAX_DATAGRAM_BYTES = 1200
-MAX_ENVELOPE_BYTES = 80  # of a datagram without its names and claims: header, tag, numbers, lengths
+# The parts of a datagram other than names and claims: header, tag, numbers and lengths.
+MAX_ENVELOPE_BYTES = 80
 
 
 class Kind(IntEnum):
-    """Kinds of messages. Numbers from 16 on belong to other components."""
+    """Kinds of messages.
+
+    PING_REQ asks the receiver to ping `target`. SYNC asks for the receiver's view. DIGEST contains the
+    sender's digest and asks for the receiver's. PULL asks for a page of claims. ACCUSATIONS contains
+    suspicions with the members that support them. Numbers from 16 on are those of other components.
+    """
 
     PING = 0
     ACK = 1
-    PING_REQ = 2  # asks the receiver to ping `target`
-    SYNC = 3  # asks for the receiver's view
+    PING_REQ = 2
+    SYNC = 3
     SYNC_ACK = 4
-    DIGEST = 5  # the sender's digest; asks for the receiver's
+    DIGEST = 5
     DIGEST_ACK = 6
-    PULL = 7  # asks for a page of claims
+    PULL = 7
     PAGE = 8
-    ACCUSATIONS = 9  # suspicions with the members that support them
+    ACCUSATIONS = 9
 
 
 @dataclass(frozen=True)
 class Message:
-    """A message of kinds 0 to 4.
+    """A message of one of the kinds 0 to 4.
 
     Attributes:
         kind: PING, ACK, PING_REQ, SYNC or SYNC_ACK.
         sender: The sender's name.
-        seq: Number that an ACK repeats from its PING.
-        target: The member that a PING_REQ is about; empty in other kinds.
-        claims: The sender's claim about itself, then those about others.
+        seq: Sequence number that an ACK repeats from its PING.
+        target: Name of the member that a PING_REQ asks to ping; empty in other kinds.
+        claims: The sender's claim about itself, followed by claims about others.
     """
 
     kind: Kind
@@ -57,9 +63,9 @@
     Attributes:
         kind: DIGEST or DIGEST_ACK.
         sender: The sender's name.
-        digest: A number for each bucket of the sender's view.
+        digest: The digest of each bucket of the sender's view.
         claims: The sender's claim about itself.
-        seq: Number that a DIGEST_ACK repeats from its DIGEST; 0 if it accompanies the answer to a SYNC.
+        seq: Sequence number that a DIGEST_ACK repeats from its DIGEST; 0 beside the answer to a SYNC.
     """
 
     kind: Kind
@@ -75,20 +81,21 @@
 
     Attributes:
         sender: The sender's name.
-        seq: Number that the PAGE repeats.
+        seq: Sequence number that the PAGE repeats.
         buckets: The buckets to take claims from, as a bit mask.
-        after: The member that the page follows in the order of `View`; empty for the first page.
+        start_after: Name of the member after which the page starts in the order of `View`; empty for the
+            first page.
     """
 
     sender: str
     seq: int
     buckets: int
-    after: str = ""
+    start_after: str = ""
     kind: Kind = Kind.PULL
 
     @property
     def claims(self) -> tuple[Claim, ...]:
-        """No claims."""
+        """An empty tuple, because a PULL has no claims."""
         return ()
 
 
@@ -98,21 +105,21 @@
 
     Attributes:
         sender: The sender's name.
-        seq: Number of the PULL that it answers.
-        last: Whether no page follows.
-        claims: The sender's claim about itself, then those requested.
+        seq: Sequence number of the PULL that it answers.
+        is_last: Whether no page follows.
+        claims: The sender's claim about itself, followed by the requested claims.
     """
 
     sender: str
     seq: int
-    last: bool
+    is_last: bool
     claims: tuple[Claim, ...]
     kind: Kind = Kind.PAGE
 
 
 @dataclass(frozen=True)
 class Accusation:
-    """A suspicion, with the members whose own probes support it."""
+    """A suspicion, with the members whose own probes have failed too."""
 
     claim: Claim
     accusers: tuple[str, ...]
@@ -120,7 +127,7 @@
 
 @dataclass(frozen=True)
 class Accusations:
-    """Suspicions that are being disseminated; sent beside a ping or an ack."""
+    """Suspicions that are being disseminated; the message is sent along with a ping or an ack."""
 
     sender: str
     accusations: tuple[Accusation, ...]
@@ -140,5 +147,5 @@
 
 
 def claim_capacity(sender: str, names: str = "") -> int:
-    """Returns the bytes that a datagram has for claims, beside its sender's and other names."""
+    """Return the number of bytes available in a datagram for claims, besides its sender and other names."""
     return MAX_DATAGRAM_BYTES - MAX_ENVELOPE_BYTES - len(sender.encode()) - len(names.encode())
--- a/balancer/fleet/membership/timers.py
+++ b/balancer/fleet/membership/timers.py
@@ -4,48 +4,49 @@
 
 from heapq import heapify, heappop, heappush
 
-MAX_EXCESS_OBSOLETE = 64  # obsolete heap entries beyond the number of valid ones
+# Obsolete heap entries in excess of the number of valid ones.
+MAX_EXCESS_OBSOLETE_ENTRIES = 64
 
 
 class Deadlines:
     """A set of deadlines, at most one for each name.
 
     Deletion is lazy: a replaced or cancelled entry stays in the heap until it reaches the top, or until the
-    obsolete entries outnumber the valid ones.
+    obsolete entries outnumber the valid ones by more than `MAX_EXCESS_OBSOLETE_ENTRIES`.
     """
 
     def __init__(self) -> None:
-        self.at: dict[str, int] = {}
+        self.by_name: dict[str, int] = {}
         self.heap: list[tuple[int, str]] = []
 
-    def set(self, name: str, at: int) -> None:
-        """Sets or replaces a name's deadline."""
-        if self.at.get(name) == at:
+    def set(self, name: str, deadline: int) -> None:
+        """Set or replace the deadline of a name."""
+        if self.by_name.get(name) == deadline:
             return
-        self.at[name] = at
-        heappush(self.heap, (at, name))
-        if len(self.heap) > 2 * len(self.at) + MAX_EXCESS_OBSOLETE:
-            self.heap = [(at, name) for name, at in self.at.items()]
+        self.by_name[name] = deadline
+        heappush(self.heap, (deadline, name))
+        if len(self.heap) > 2 * len(self.by_name) + MAX_EXCESS_OBSOLETE_ENTRIES:
+            self.heap = [(deadline, name) for name, deadline in self.by_name.items()]
             heapify(self.heap)
 
     def cancel(self, name: str) -> None:
-        """Removes a name's deadline, if it has one."""
-        self.at.pop(name, None)
+        """Remove the deadline of a name, if it has one."""
+        self.by_name.pop(name, None)
 
     def next(self) -> int | None:
-        """Returns the earliest deadline; None if there is none."""
+        """Return the earliest deadline; None if there is none."""
         while self.heap:
-            at, name = self.heap[0]
-            if self.at.get(name) == at:
-                return at
+            deadline, name = self.heap[0]
+            if self.by_name.get(name) == deadline:
+                return deadline
             heappop(self.heap)
         return None
 
     def pop_due(self, now: int) -> list[str]:
-        """Removes the deadlines that have passed and returns their names in chronological order."""
+        """Remove the deadlines that have passed, and return their names in chronological order."""
         due: list[str] = []
-        while (at := self.next()) is not None and at <= now:
+        while (deadline := self.next()) is not None and deadline <= now:
             _, name = heappop(self.heap)
-            del self.at[name]
+            del self.by_name[name]
             due.append(name)
         return due
--- a/balancer/fleet/membership/timing.py
+++ b/balancer/fleet/membership/timing.py
@@ -1,4 +1,4 @@
-"""The protocol's parameters."""
+"""The parameters of the membership protocol."""
 
 from __future__ import annotations
 
@@ -7,27 +7,28 @@
 
 @dataclass(frozen=True)
 class Timing:
-    """Parameters of the protocol. Times are integer microseconds.
+    """Parameters of the membership protocol; times are integer microseconds.
 
-    "log(n)" is the binary logarithm of the group's size, rounded up.
+    "log(n)" stands for the binary logarithm of the group's size, rounded up.
 
     Attributes:
-        period: Between two probes.
-        ack_timeout: Until an unacknowledged ping is repeated, also through other members.
-        retries: Pings of a probe beside the first; `retries * ack_timeout` must be less than `period`.
-        indirect_probes: Members that are asked to ping a target.
-        suspect_factor: Maximum duration of a suspicion, in periods times log(n).
-        suspect_min_share: Share of that duration that remains once the suspicion is fully confirmed...
-        suspect_min_periods: ...but at least this many periods, so that a small group tolerates short pauses.
-        confirmations: Members beside the first accuser that confirm a suspicion fully.
-        spread_factor: Number of transmissions of an update, in multiples of log(n).
-        claims_per_message: Maximum number of claims on a ping or ack, if its datagram holds as many.
+        period: Time between two probes.
+        ack_timeout: Time after which an unacknowledged ping is repeated, also through other members.
+        retries: Pings of a probe after the first one; `retries * ack_timeout` must be less than `period`.
+        indirect_probes: Number of members that are asked to ping a target.
+        suspect_factor: Maximum duration of a suspicion, as a multiple of log(n) periods.
+        suspect_min_share: Duration of a fully confirmed suspicion, as a share of the maximum duration.
+        suspect_min_periods: Minimum duration of a suspicion in periods, which takes precedence over
+            `suspect_min_share` so that a small group tolerates short pauses.
+        confirmations: Number of members, in addition to the first accuser, that fully confirm a suspicion.
+        spread_factor: Number of transmissions of an update, as a multiple of log(n).
+        claims_per_message: Maximum number of claims on a ping or ack, if they fit into its datagram.
         sync_interval: Maximum time between two comparisons of views.
         sync_ack_pages: Maximum number of pages that answer a SYNC at once.
-        page_attempts: Requests for one page before the transfer is abandoned.
-        pages_per_second: Long-term limit on the pages that an instance sends.
-        page_burst: Limit on the pages that it sends at once.
-        forget_after: How long a dead member is remembered, so that no old claim revives it.
+        page_attempts: Number of requests for one page before the transfer is abandoned.
+        pages_per_second: Maximum long-term rate at which an instance sends pages.
+        page_burst: Maximum number of pages that an instance sends at once.
+        forget_after: Time for which a dead member is remembered, so that no old claim revives it.
     """
 
     period: int = 1_000_000
--- a/balancer/fleet/membership/view.py
+++ b/balancer/fleet/membership/view.py
@@ -1,4 +1,4 @@
-"""An instance's view of the group, indexed so that no operation of the protocol iterates over all of it."""
+"""An instance's view of the group, indexed so that no protocol operation iterates over all members."""
 
 from __future__ import annotations
 
@@ -8,9 +8,11 @@
 
 from balancer.fleet.membership.claims import Address, Claim, Status
 
-BUCKETS = 32  # of members by the hash of their names; a view's digest has a number for each
+# Members are divided into buckets by the hash of their names; a view has a digest for each bucket.
+BUCKETS = 32
 ALL_BUCKETS = (1 << BUCKETS) - 1
-MAX_CLAIM_OVERHEAD_BYTES = 18  # beside name and host: lengths, port, status, incarnation
+# The parts of a claim other than name and host: lengths, port, status and incarnation.
+MAX_CLAIM_OVERHEAD_BYTES = 18
 
 
 @dataclass
@@ -18,115 +20,121 @@
     """The state of another member.
 
     Attributes:
-        claim: The claim that prevails.
-        since: When that claim was accepted.
-        bucket: The member's bucket.
-        fingerprint: Hash of its name and incarnation, for the digest.
+        claim: The claim about the member that takes precedence.
+        accepted_at: Time in microseconds at which that claim was accepted.
+        bucket: Index of the member's bucket.
+        fingerprint: Hash of the member's name and incarnation, for the digest.
     """
 
     claim: Claim
-    since: int
+    accepted_at: int
     bucket: int
     fingerprint: int
 
     @property
-    def gone(self) -> bool:
-        """Whether the member is dead or has left."""
+    def is_dead_or_left(self) -> bool:
+        """Whether the member is dead or has left the group."""
         return self.claim.status >= Status.DEAD
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimPage:
-    """Claims that fit into a datagram, and whether they are the last ones."""
+    """Claims that fit into a datagram, and whether they are the last ones of the requested buckets."""
 
     claims: list[Claim]
     is_last: bool
 
 
 class View:
-    """This instance's own claim and the state of the other members.
+    """This instance's claim about itself and the state of the other members.
 
-    The digest covers the living members and their incarnations. A suspicion doesn't change it, since it is
-    transient while being disseminated; nor does a member that is gone, since instances forget it at different
-    times.
+    The digest covers the living members and their incarnations. Suspicions are excluded because they are
+    transient while being disseminated. Members that are dead or have left are excluded because instances
+    forget them at different times.
+
+    Attributes:
+        living_names: Sorted names of the other members that are alive or suspect.
+        names_by_address: Names of the living members by address.
+        sorted_keys: Sorted pairs of bucket and name of all other members.
     """
 
-    def __init__(self, me: Claim) -> None:
-        self.me = me
+    def __init__(self, local_claim: Claim) -> None:
+        self.local_claim = local_claim
         self.members: dict[str, Member] = {}
-        self.living: list[str] = []  # sorted names of the members that aren't gone
-        self.by_address: dict[Address, str] = {}  # living members
-        self.order: list[tuple[int, str]] = []  # sorted pairs of bucket and name
-        self.digests = [0] * BUCKETS
+        self.living_names: list[str] = []
+        self.names_by_address: dict[Address, str] = {}
+        self.sorted_keys: list[tuple[int, str]] = []
+        self.bucket_digests = [0] * BUCKETS
 
     def put(self, claim: Claim, now: int) -> None:
-        """Replaces the state of a claim's member."""
+        """Replace the state of the member that a claim is about, and update the indexes."""
         previous = self.members.get(claim.name)
         if previous is None:
             member = Member(claim, now, bucket_of(claim.name), fingerprint_of(claim))
-            insort(self.order, (member.bucket, claim.name))
+            insort(self.sorted_keys, (member.bucket, claim.name))
         else:
-            same = claim.incarnation == previous.claim.incarnation
-            fingerprint = previous.fingerprint if same else fingerprint_of(claim)
+            is_same_incarnation = claim.incarnation == previous.claim.incarnation
+            fingerprint = previous.fingerprint if is_same_incarnation else fingerprint_of(claim)
             member = Member(claim, now, previous.bucket, fingerprint)
         self.members[claim.name] = member
-        was_living = previous is not None and not previous.gone
+        was_living = previous is not None and not previous.is_dead_or_left
         if previous is not None and was_living:
             self.remove_from_indexes(previous)
-        if not member.gone:
+        if not member.is_dead_or_left:
             self.add_to_indexes(member)
-        if was_living and member.gone:
-            del self.living[bisect_left(self.living, claim.name)]
-        elif not was_living and not member.gone:
-            insort(self.living, claim.name)
+        if was_living and member.is_dead_or_left:
+            del self.living_names[bisect_left(self.living_names, claim.name)]
+        elif not was_living and not member.is_dead_or_left:
+            insort(self.living_names, claim.name)
 
     def add_to_indexes(self, member: Member) -> None:
-        """Adds a living member to the digest and the addresses."""
-        self.digests[member.bucket] ^= member.fingerprint
-        self.by_address[member.claim.address] = member.claim.name
+        """Add a living member to the digest of its bucket and to the index by address."""
+        self.bucket_digests[member.bucket] ^= member.fingerprint
+        self.names_by_address[member.claim.address] = member.claim.name
 
     def remove_from_indexes(self, member: Member) -> None:
-        """Removes a living member from the digest and the addresses."""
-        self.digests[member.bucket] ^= member.fingerprint
-        if self.by_address.get(member.claim.address) == member.claim.name:
-            del self.by_address[member.claim.address]
+        """Remove a living member from the digest of its bucket and from the index by address."""
+        self.bucket_digests[member.bucket] ^= member.fingerprint
+        if self.names_by_address.get(member.claim.address) == member.claim.name:
+            del self.names_by_address[member.claim.address]
 
     def forget(self, name: str) -> Claim:
-        """Removes a member that is gone, and returns the last claim about it."""
+        """Remove a member that is dead or has left, and return the last claim about it."""
         member = self.members.pop(name)
-        del self.order[bisect_left(self.order, (member.bucket, name))]
+        del self.sorted_keys[bisect_left(self.sorted_keys, (member.bucket, name))]
         return member.claim
 
     def digest(self) -> tuple[int, ...]:
-        """Returns a number for each bucket.
+        """Return the digest of each bucket.
 
-        It is equal in two views that contain the same living members, including their owners.
+        The digests of two views are equal if both contain the same living members in the same incarnations,
+        where each view includes its own instance.
         """
-        digests = list(self.digests)
-        digests[bucket_of(self.me.name)] ^= fingerprint_of(self.me)
-        return tuple(digests)
+        bucket_digests = list(self.bucket_digests)
+        bucket_digests[bucket_of(self.local_claim.name)] ^= fingerprint_of(self.local_claim)
+        return tuple(bucket_digests)
 
-    def differing(self, digest: tuple[int, ...]) -> int:
-        """Returns the buckets, as a bit mask, in which another digest differs from this view's."""
+    def differing_buckets(self, digest: tuple[int, ...]) -> int:
+        """Return a bit mask of the buckets in which another digest differs from that of this view."""
         pairs = zip(self.digest(), digest, strict=True)
-        return sum(1 << bucket for bucket, (mine, other) in enumerate(pairs) if mine != other)
+        return sum(1 << bucket for bucket, (local, remote) in enumerate(pairs) if local != remote)
 
-    def page(self, buckets: int, after: str, capacity: int) -> ClaimPage:
-        """Returns as many claims as fit, in the order of `sort_key`.
+    def page(self, buckets: int, start_after: str, capacity: int) -> ClaimPage:
+        """Return as many claims as fit, in the order of `sort_key`.
 
-        The order is the same in each view, so the next page may come from another member.
+        The order is the same in all views, so the next page may be requested from another member.
 
         Args:
             buckets: The buckets to take claims from, as a bit mask.
-            after: The member that the page follows; empty for the first page.
-            capacity: Bytes available for claims.
+            start_after: Name of the member after which the page starts; empty for the first page.
+            capacity: Number of bytes available for claims.
         """
         claims: list[Claim] = []
-        position = bisect_right(self.order, sort_key(after))
-        while position < len(self.order):
-            bucket, name = self.order[position]
+        position = bisect_right(self.sorted_keys, sort_key(start_after))
+        while position < len(self.sorted_keys):
+            bucket, name = self.sorted_keys[position]
             if not buckets >> bucket & 1:
-                position = bisect_left(self.order, (bucket + 1, ""))
+                position = bisect_left(self.sorted_keys, (bucket + 1, ""))
                 continue
             claim = self.members[name].claim
             capacity -= claim_size(claim)
@@ -136,35 +144,35 @@
             position += 1
         return ClaimPage(claims, is_last=True)
 
-    def wrapping_page(self, after: str, capacity: int) -> list[Claim]:
-        """Returns a page of all buckets that continues with the first member after the last one.
+    def wrapping_page(self, start_after: str, capacity: int) -> list[Claim]:
+        """Return a page of claims from all buckets that wraps around at the last member.
 
         In a small group it contains all members. The arguments are those of `page`.
         """
-        page = self.page(ALL_BUCKETS, after, capacity)
+        page = self.page(ALL_BUCKETS, start_after, capacity)
         if not page.is_last:
             return page.claims
         remaining_bytes = capacity - sum(map(claim_size, page.claims))
-        end = sort_key(after)
-        first = self.page(ALL_BUCKETS, "", remaining_bytes)
-        return page.claims + [claim for claim in first.claims if sort_key(claim.name) <= end]
+        end = sort_key(start_after)
+        first_page = self.page(ALL_BUCKETS, "", remaining_bytes)
+        return page.claims + [claim for claim in first_page.claims if sort_key(claim.name) <= end]
 
 
 def bucket_of(name: str) -> int:
-    """Returns a member's bucket, which is the same in each view."""
+    """Return the index of a member's bucket, which is the same in all views."""
     return blake2b(name.encode(), digest_size=1).digest()[0] % BUCKETS
 
 
 def sort_key(name: str) -> tuple[int, str]:
-    """Returns the key that members are ordered by; that of the empty name precedes all others."""
+    """Return the key by which members are sorted; the key of the empty name precedes all others."""
     return (bucket_of(name), name) if name else (-1, "")
 
 
 def fingerprint_of(claim: Claim) -> int:
-    """Returns a living member's contribution to its bucket's digest."""
+    """Return the contribution of a living member to the digest of its bucket."""
     return int.from_bytes(blake2b(f"{claim.incarnation} {claim.name}".encode(), digest_size=4).digest())
 
 
 def claim_size(claim: Claim) -> int:
-    """Returns the maximum number of bytes that a claim occupies in a datagram."""
+    """Return the maximum number of bytes that a claim occupies in a datagram."""
     return len(claim.name.encode()) + len(claim.address[0].encode()) + MAX_CLAIM_OVERHEAD_BYTES
--- a/balancer/fleet/membership/wire.py
+++ b/balancer/fleet/membership/wire.py
@@ -1,6 +1,6 @@
-"""Payloads of membership's messages: conversion to plain types and back, with validation.
+"""Payloads of the membership protocol's messages: conversion to plain types and back, with validation.
 
-Payloads of kinds 0 to 4 keep their form, so that earlier versions can read them.
+The structure of the payloads of kinds 0 to 4 is fixed, so that earlier versions can read them.
 """
 
 from __future__ import annotations
@@ -24,16 +24,17 @@
 )
 from balancer.fleet.membership.view import ALL_BUCKETS, BUCKETS
 
-MAX_SEQ = 1 << 62  # exclusive
-MAX_INCARNATION = 1 << 62  # exclusive
-MAX_BUCKET_DIGEST = 1 << 32  # exclusive
+SEQ_BOUND = 1 << 62
+INCARNATION_BOUND = 1 << 62
+BUCKET_DIGEST_BOUND = 1 << 32
 MAX_PORT = 65535
 
-WireClaim = tuple[str, str, int, int, int]  # name, host, port, status, incarnation
+# The elements are name, host, port, status and incarnation.
+WireClaim = tuple[str, str, int, int, int]
 
 
 class MembershipWire:
-    """The payload codec of membership's messages."""
+    """The payload codec of the membership protocol's messages."""
 
     kinds = frozenset(int(k) for k in Kind)
 
@@ -45,99 +46,99 @@
         self.accusations = msgspec.msgpack.Decoder(list[tuple[WireClaim, list[str]]])
 
     def pack(self, message: AnyMessage) -> Any:
-        """Returns the payload of a message as plain types."""
+        """Return the payload of a message as plain types."""
         match message:
             case Message():
                 return message.target, pack_claims(message.claims)
             case DigestMessage():
                 return message.digest, pack_claims(message.claims)
             case Pull():
-                return message.buckets, message.after
+                return message.buckets, message.start_after
             case Page():
-                return message.last, pack_claims(message.claims)
+                return message.is_last, pack_claims(message.claims)
             case Accusations():
                 return [(pack_claim(a.claim), a.accusers) for a in message.accusations]
 
-    def shorter(self, message: AnyMessage) -> AnyMessage | None:
-        """Returns the message without its last claim or accusation; None if it has none to omit."""
+    def shorten(self, message: AnyMessage) -> AnyMessage | None:
+        """Return the message without its last claim or accusation; None if there is none to remove."""
         match message:
             case Message() if message.claims:
                 return replace(message, claims=message.claims[:-1])
             case Page() if message.claims:
-                return replace(message, claims=message.claims[:-1], last=False)
+                return replace(message, claims=message.claims[:-1], is_last=False)
             case Accusations() if message.accusations:
                 return replace(message, accusations=message.accusations[:-1])
         return None
 
-    def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> AnyMessage:
-        """Returns the message that a payload encodes.
+    def unpack(self, kind: int, sender: str, seq: int, payload: msgspec.Raw) -> AnyMessage:
+        """Return the message decoded from a payload.
 
         Raises:
-            ValueError: The payload's values are impossible.
+            ValueError: A value in the payload is out of range.
             msgspec.MsgspecError: The payload is malformed.
         """
         match kind:
             case Kind.DIGEST | Kind.DIGEST_ACK:
-                return self.unpack_digest(Kind(kind), sender, seq, body)
+                return self.unpack_digest(Kind(kind), sender, seq, payload)
             case Kind.PULL:
-                return self.unpack_pull(sender, seq, body)
+                return self.unpack_pull(sender, seq, payload)
             case Kind.PAGE:
-                last, claims = self.page.decode(body)
-                return Page(sender, seq, last, unpack_claims(claims))
+                is_last, claims = self.page.decode(payload)
+                return Page(sender, seq, is_last, unpack_claims(claims))
             case Kind.ACCUSATIONS:
-                accusations = self.accusations.decode(body)
+                accusations = self.accusations.decode(payload)
                 return Accusations(sender, tuple(unpack_accusation(*a) for a in accusations), seq)
-        target, claims = self.claims.decode(body)
+        target, claims = self.claims.decode(payload)
         require(len(target) <= MAX_NAME_CHARACTERS, "target")
         return Message(Kind(kind), sender, seq, target, unpack_claims(claims))
 
-    def unpack_digest(self, kind: Kind, sender: str, seq: int, body: msgspec.Raw) -> DigestMessage:
-        """Returns the DIGEST or DIGEST_ACK that a payload encodes; raises as `unpack` does."""
-        digest, claims = self.digest.decode(body)
+    def unpack_digest(self, kind: Kind, sender: str, seq: int, payload: msgspec.Raw) -> DigestMessage:
+        """Return the DIGEST or DIGEST_ACK decoded from a payload; raise the errors of `unpack`."""
+        digest, claims = self.digest.decode(payload)
         require(len(digest) == BUCKETS, "digest")
-        require(all(0 <= number < MAX_BUCKET_DIGEST for number in digest), "digest")
+        require(all(0 <= number < BUCKET_DIGEST_BOUND for number in digest), "digest")
         return DigestMessage(kind, sender, tuple(digest), unpack_claims(claims), seq)
 
-    def unpack_pull(self, sender: str, seq: int, body: msgspec.Raw) -> Pull:
-        """Returns the PULL that a payload encodes; raises as `unpack` does."""
-        buckets, after = self.pull.decode(body)
+    def unpack_pull(self, sender: str, seq: int, payload: msgspec.Raw) -> Pull:
+        """Return the PULL decoded from a payload; raise the errors of `unpack`."""
+        buckets, start_after = self.pull.decode(payload)
         require(0 <= buckets <= ALL_BUCKETS, "buckets")
-        require(len(after) <= MAX_NAME_CHARACTERS, "after")
-        return Pull(sender, seq, buckets, after)
+        require(len(start_after) <= MAX_NAME_CHARACTERS, "after")
+        return Pull(sender, seq, buckets, start_after)
 
 
 def require(condition: bool, field_name: str) -> None:
-    """Raises a ValueError that names a field unless the condition on it holds."""
+    """Raise a ValueError with the field's name unless the condition holds."""
     if not condition:
         raise ValueError(field_name)
 
 
 def pack_claims(claims: Sequence[Claim]) -> list[WireClaim]:
-    """Returns claims as plain types."""
+    """Return claims as plain types."""
     return [pack_claim(claim) for claim in claims]
 
 
 def pack_claim(claim: Claim) -> WireClaim:
-    """Returns a claim as plain types."""
+    """Return a claim as plain types."""
     return claim.name, *claim.address, int(claim.status), claim.incarnation
 
 
 def unpack_claims(claims: list[WireClaim]) -> tuple[Claim, ...]:
-    """Returns validated claims; raises a ValueError if a value is impossible."""
+    """Return the validated claims; raise a ValueError if a value is out of range."""
     return tuple(unpack_claim(*claim) for claim in claims)
 
 
 def unpack_claim(name: str, host: str, port: int, status: int, incarnation: int) -> Claim:
-    """Returns a validated claim; raises a ValueError if a value is impossible."""
+    """Return the validated claim; raise a ValueError if a value is out of range."""
     require(0 < len(name) <= MAX_NAME_CHARACTERS, "claim")
     require(0 < len(host) <= MAX_NAME_CHARACTERS, "claim")
     require(0 < port <= MAX_PORT, "claim")
-    require(0 <= incarnation < MAX_INCARNATION, "incarnation")
+    require(0 <= incarnation < INCARNATION_BOUND, "incarnation")
     return Claim(name, (host, port), Status(status), incarnation)
 
 
 def unpack_accusation(claim: WireClaim, accusers: list[str]) -> Accusation:
-    """Returns a validated accusation, whose claim must be a suspicion; otherwise raises a ValueError."""
+    """Return the validated accusation; raise a ValueError if its claim isn't a valid suspicion."""
     unpacked = unpack_claim(*claim)
     require(unpacked.status == Status.SUSPECT, "accusation")
     require(all(0 < len(name) <= MAX_NAME_CHARACTERS for name in accusers), "accuser")
--- a/tests/test_membership_scale.py
+++ b/tests/test_membership_scale.py
@@ -1,4 +1,4 @@
-"""Membership in a large group: cost, joins, comparison of views, mixed versions, suspicion."""
+"""Membership in large groups: cost, joins, comparison of views, invalid messages and suspicion."""
 
 import sys
 from collections import Counter
@@ -37,49 +37,51 @@
 from workbench.explore.members import Net, measure_join_storm
 from workbench.explore.virtual_network import GROUP_KEY
 
-SEC = 1_000_000
+SECOND_US = 1_000_000
 TraceFunction = Callable[[FrameType, str, Any], Any]
-A, S, D = Status.ALIVE, Status.SUSPECT, Status.DEAD
-PEER = ("10.0.0.9", 1)
+ALIVE, SUSPECT, DEAD = Status.ALIVE, Status.SUSPECT, Status.DEAD
+PEER_ADDRESS = ("10.0.0.9", 1)
 
 
-def member(number: int, names: str = "n") -> Claim:
-    """Returns a claim that another member is alive."""
-    return Claim(f"{names}{number}", ("10.0.0.9", number + 1), A, 1)
+def alive_claim(number: int, name_prefix: str = "n") -> Claim:
+    """Return a claim that another member is alive."""
+    return Claim(f"{name_prefix}{number}", ("10.0.0.9", number + 1), ALIVE, 1)
 
 
-def group_of(count: int, name: str = "me", names: str = "n", first: int = 0) -> Swim:
-    """Returns a member that knows `count` others and has no updates to disseminate."""
-    swim = Swim(name, ("10.0.0.1", 1), 1, [], Random(1), SEC)
+def swim_with_members(count: int, name: str = "me", name_prefix: str = "n", first: int = 0) -> Swim:
+    """Return a member whose view has `count` other members, without updates to disseminate."""
+    swim = Swim(name, ("10.0.0.1", 1), 1, [], Random(1), SECOND_US)
     for number in range(first, first + count):
-        swim.accept(SEC, member(number, names))
-        swim.updates.remove(f"{names}{number}")
+        swim.accept(SECOND_US, alive_claim(number, name_prefix))
+        swim.updates.remove(f"{name_prefix}{number}")
     return swim
 
 
-def pump(swims: list[Swim], sends: list[tuple[Swim, OutgoingMessage]], now: int) -> list[OutgoingMessage]:
-    """Delivers messages and their answers until none is left; returns all."""
-    by_address = {s.me.address: s for s in swims}
+def deliver_all(
+    swims: list[Swim], sends: list[tuple[Swim, OutgoingMessage]], now: int
+) -> list[OutgoingMessage]:
+    """Deliver messages and their answers until none is left; return all delivered messages."""
+    by_address = {s.local_claim.address: s for s in swims}
     delivered = []
     while sends:
         source, send = sends.pop(0)
         delivered.append(send)
         if (to := by_address.get(send.to)) is not None:
-            sends += [(to, answer) for answer in to.receive(now, source.me.address, send.message)]
+            sends += [(to, answer) for answer in to.receive(now, source.local_claim.address, send.message)]
     return delivered
 
 
 # ---- cost --------------------------------------------------------------------------------------------
 
 
-def probe_of(swim: Swim) -> Probe:
-    """Returns a member's present probe, which there must be."""
-    assert swim.detector.probe is not None
-    return swim.detector.probe
+def current_probe(swim: Swim) -> Probe:
+    """Return the current probe of a member, which must have one."""
+    assert swim.failure_detector.probe is not None
+    return swim.failure_detector.probe
 
 
-def opcodes(work: Callable[[], object]) -> int:
-    """Returns the number of Python instructions that a call executes."""
+def count_opcodes(call: Callable[[], object]) -> int:
+    """Return the number of Python bytecode instructions that a call executes."""
     count = 0
 
     def trace(frame: FrameType, event: str, arg: object) -> TraceFunction:
@@ -88,64 +90,65 @@
         count += event == "opcode"
         return trace
 
-    before = sys.gettrace()
+    previous_trace = sys.gettrace()
     sys.settrace(trace)
     try:
-        work()
+        call()
     finally:
-        sys.settrace(before)
+        sys.settrace(previous_trace)
     return count
 
 
-def tick_into(swim: Swim, now: int, sends: list[OutgoingMessage]) -> None:
-    """Adds the messages of a tick to a list."""
+def append_tick_messages(swim: Swim, now: int, sends: list[OutgoingMessage]) -> None:
+    """Append the messages of a tick to a list."""
     sends += swim.tick(now)
 
 
-def test_cost_of_a_period_without_failures_does_not_grow_with_the_group() -> None:
+def test_period_cost_is_independent_of_group_size() -> None:
     costs = []
     for count in (50, 800):
-        swim = group_of(count)
-        swim.tick(10 * SEC)  # the first shuffles a round of all
-        swim.receive(10 * SEC, ("10.0.0.9", 1), Message(Kind.ACK, "n0", probe_of(swim).seq))
+        swim = swim_with_members(count)
+        # The first tick is not counted, because it shuffles a round of all members.
+        swim.tick(10 * SECOND_US)
+        swim.receive(10 * SECOND_US, ("10.0.0.9", 1), Message(Kind.ACK, "n0", current_probe(swim).seq))
         digest = swim.view.digest()
         total = 0
         for period in range(12, 30):
-            now = period * SEC
+            now = period * SECOND_US
             sends: list[OutgoingMessage] = []
-            total += opcodes(partial(tick_into, swim, now, sends))
+            total += count_opcodes(partial(append_tick_messages, swim, now, sends))
             for send in sends:
                 if send.message.kind == Kind.PING:
                     ack = Message(Kind.ACK, "n0", send.message.seq)
-                    total += opcodes(partial(swim.receive, now, PEER, ack))
+                    total += count_opcodes(partial(swim.receive, now, PEER_ADDRESS, ack))
                 if send.message.kind == Kind.DIGEST:
                     digest_ack = DigestMessage(Kind.DIGEST_ACK, "n0", digest)
-                    total += opcodes(partial(swim.receive, now, send.to, digest_ack))
-            ping = Message(Kind.PING, "n0", 1, "", (member(0),))
-            total += opcodes(partial(swim.receive, now, PEER, ping))
-            total += opcodes(swim.due)
+                    total += count_opcodes(partial(swim.receive, now, send.to, digest_ack))
+            ping = Message(Kind.PING, "n0", 1, "", (alive_claim(0),))
+            total += count_opcodes(partial(swim.receive, now, PEER_ADDRESS, ping))
+            total += count_opcodes(swim.due)
         costs.append(total)
     assert costs[1] < 1.2 * costs[0]
 
 
-def test_cost_of_a_datagram_does_not_grow_with_the_updates_pending() -> None:
+def test_datagram_cost_is_independent_of_pending_updates() -> None:
     costs = []
-    for waiting in (50, 800):
-        swim = group_of(0)
-        for number in range(waiting):
-            swim.accept(SEC, member(number))
+    for pending_count in (50, 800):
+        swim = swim_with_members(0)
+        for number in range(pending_count):
+            swim.accept(SECOND_US, alive_claim(number))
         ping = Message(Kind.PING, "n0", 1)
-        costs.append(opcodes(partial(swim.receive, SEC, PEER, ping)))
+        costs.append(count_opcodes(partial(swim.receive, SECOND_US, PEER_ADDRESS, ping)))
     assert costs[1] < 1.2 * costs[0]
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.sampled_from("abcd"), st.integers(0, 20), st.booleans()), max_size=60))
-def test_deadlines_expire_in_order_and_obsolete_ones_never(steps: list[tuple[str, int, bool]]) -> None:
+def test_deadlines_expire_in_order_and_obsolete_ones_do_not(steps: list[tuple[str, int, bool]]) -> None:
     deadlines = Deadlines()
     expected: dict[str, int] = {}
-    for name, at, set_it in steps:
-        if set_it:
+    for name, at, is_set in steps:
+        if is_set:
             deadlines.set(name, at)
             expected[name] = at
         else:
@@ -157,7 +160,7 @@
     assert deadlines.next() == min((at for at in expected.values() if at > 10), default=None)
 
 
-def test_obsolete_deadlines_are_bounded() -> None:
+def test_obsolete_heap_entries_are_bounded() -> None:
     deadlines = Deadlines()
     deadlines.set("first", 0)
     for at in range(10_000):
@@ -167,155 +170,166 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.sampled_from("abcdef"), st.integers(0, 3)), max_size=60))
-def test_updates_are_sent_least_sent_first_and_expire(steps: list[tuple[str, int]]) -> None:
+def test_least_sent_updates_are_chosen_first_and_expire(steps: list[tuple[str, int]]) -> None:
     updates = Dissemination()
-    times: dict[str, int] = {}
+    expected: dict[str, int] = {}
     for name, count in steps:
         updates.add(name)
-        times[name] = 0
+        expected[name] = 0
         chosen = updates.choose(count)
-        assert len(chosen) == min(count, len(times))
-        rest = [t for n, t in times.items() if n not in chosen]
-        assert max((times[n] for n in chosen), default=0) <= min(rest, default=99)
+        assert len(chosen) == min(count, len(expected))
+        other_counts = [c for n, c in expected.items() if n not in chosen]
+        assert max((expected[n] for n in chosen), default=0) <= min(other_counts, default=99)
         for sent in chosen:
             updates.record_sent(sent, 3)
-            times[sent] += 1
-            if times[sent] == 3:
-                del times[sent]
-    assert updates.transmissions == times
+            expected[sent] += 1
+            if expected[sent] == 3:
+                del expected[sent]
+    assert updates.transmissions == expected
 
 
-# ---- joining and comparing ---------------------------------------------------------------------------
+# ---- joins and comparisons ---------------------------------------------------------------------------
 
 
-def test_traffic_and_duration_of_simultaneous_joins_are_bounded() -> None:
-    """The bound: a datagram for each SYNC received, 50 pages a second, and the few of normal operation."""
-    found = measure_join_storm(standing=20, joining=250)
-    assert found.joined_s <= 15
-    assert found.busiest_member <= 250 + 50 + 50
+def test_simultaneous_joins_have_bounded_traffic_and_duration() -> None:
+    """The bound is one datagram for each SYNC, 50 pages a second, and 50 datagrams of normal operation."""
+    measurement = measure_join_storm(standing=20, joining=250)
+    assert measurement.joined_s <= 15
+    assert measurement.busiest_member <= 250 + 50 + 50
 
 
-def test_claims_learned_from_pages_are_not_disseminated_for_long() -> None:
+def test_claims_received_in_pages_are_not_disseminated() -> None:
     net = Net(100, 0.0, seed=1)
     net.until(net.complete, 30)
     net.run(10)
-    assert (
-        sum(len(s.updates.transmissions) for s in net.members.values()) < 1000
-    )  # of 9,900 that were learned
+    # The members have received 9,900 claims in total.
+    assert sum(len(s.updates.transmissions) for s in net.members.values()) < 1000
 
 
-def test_pages_beyond_the_rate_limit_are_requested_from_another_member() -> None:
+def test_pages_above_rate_limit_are_requested_elsewhere() -> None:
     limit = RateLimit(per_second=10, burst=3)
     assert [limit.take(0) for _ in range(5)] == [True, True, True, False, False]
-    assert sum(limit.take(at) for at in range(0, 2 * SEC, 1000)) == pytest.approx(20, abs=1)
+    assert sum(limit.take(at) for at in range(0, 2 * SECOND_US, 1000)) == pytest.approx(20, abs=1)
 
-    swim = group_of(100)
+    swim = swim_with_members(100)
     pull = Pull("n0", 5, ALL_BUCKETS)
-    pages = [swim.receive(SEC, ("10.0.0.9", 1), pull) for _ in range(80)]
+    pages = [swim.receive(SECOND_US, ("10.0.0.9", 1), pull) for _ in range(80)]
     assert sum(map(len, pages)) == Timing().page_burst
     assert swim.counts.pages_refused == 80 - Timing().page_burst
 
-    other = group_of(10, name="other", names="x")
-    [request, _] = other.receive(SEC, ("10.0.0.8", 8), DigestMessage(Kind.DIGEST, "n0", (1,) * BUCKETS))[::-1]
+    other = swim_with_members(10, name="other", name_prefix="x")
+    [request, _] = other.receive(
+        SECOND_US, ("10.0.0.8", 8), DigestMessage(Kind.DIGEST, "n0", (1,) * BUCKETS)
+    )[::-1]
     assert request.to == ("10.0.0.8", 8) and request.message.kind == Kind.PULL
-    other.anti_entropy.next_sync = 99 * SEC
-    again = [s for s in other.anti_entropy.tick(2 * SEC) if s.message.kind == Kind.PULL]
-    assert len(again) == 1 and again[0].to[0] == "10.0.0.9"  # no page arrived: another member that it knows
+    other.anti_entropy.next_sync_at = 99 * SECOND_US
+    retries = [s for s in other.anti_entropy.tick(2 * SECOND_US) if s.message.kind == Kind.PULL]
+    # No page arrived, so the page is requested from another known member.
+    assert len(retries) == 1 and retries[0].to[0] == "10.0.0.9"
     for attempt in range(3, 9):
-        other.anti_entropy.tick(attempt * SEC)
+        other.anti_entropy.tick(attempt * SECOND_US)
     assert other.anti_entropy.transfer is None
 
 
-def test_a_view_is_transferred_completely_in_datagrams_of_bounded_size() -> None:
-    long = "m" * 59
-    full = group_of(300, name="f" * 64, names=long)
-    empty = Swim("e" * 64, ("10.0.0.2", 2), 1, [full.me.address], Random(2), SEC)
-    delivered = pump([full, empty], [(empty, s) for s in empty.tick(SEC)], SEC)
+def test_view_transfer_is_complete_and_fits_into_datagrams() -> None:
+    long_prefix = "m" * 59
+    full = swim_with_members(300, name="f" * 64, name_prefix=long_prefix)
+    empty = Swim("e" * 64, ("10.0.0.2", 2), 1, [full.local_claim.address], Random(2), SECOND_US)
+    delivered = deliver_all([full, empty], [(empty, s) for s in empty.tick(SECOND_US)], SECOND_US)
     assert len(empty.alive()) == 301
     codec, other = Codec([GROUP_KEY]), Codec([GROUP_KEY])
-    for send in delivered:  # nothing was left out for the datagram's sake
-        data = codec.encode(send.message, SEC)
-        assert len(data) <= 1200 and other.decode(data, SEC) == send.message
+    # The codec did not have to shorten any message.
+    for send in delivered:
+        data = codec.encode(send.message, SECOND_US)
+        assert len(data) <= 1200 and other.decode(data, SECOND_US) == send.message
     answers = [s for s in delivered if s.message.kind == Kind.SYNC_ACK]
     assert 0 < len(answers) <= Timing().sync_ack_pages
 
 
-def test_a_shortened_page_is_not_the_last() -> None:
+def test_shortened_page_is_not_marked_as_last() -> None:
     codec, other = Codec([GROUP_KEY]), Codec([GROUP_KEY])
-    claims = tuple(member(i, names="m" * 60) for i in range(30))
-    got = other.decode(codec.encode(Page("n1", 1, True, claims), SEC), SEC)
-    assert isinstance(got, Page)
-    assert 0 < len(got.claims) < 30 and got.claims == claims[: len(got.claims)] and not got.last
-
-
-def test_views_that_differ_converge_both_ways_and_only_where_they_differ() -> None:
-    one = group_of(200, name="one")
-    two = group_of(200, name="two")
-    two.me = replace(two.me, address=("10.0.0.2", 2))
-    one.accept(SEC, two.me)
-    two.accept(SEC, one.me)
-    one.accept(SEC, Claim("only one knows", ("h", 1), A, 1))
-    two.accept(SEC, Claim("only two knows", ("h", 2), A, 1))
-    two.accept(SEC, replace(member(7), incarnation=5))
-    one.accept(SEC, replace(member(8), status=D))
-    digest = one.anti_entropy.digest(two.me.address, Kind.DIGEST)
-    delivered = pump([one, two], [(one, digest)], SEC)
+    claims = tuple(alive_claim(i, name_prefix="m" * 60) for i in range(30))
+    decoded = other.decode(codec.encode(Page("n1", 1, True, claims), SECOND_US), SECOND_US)
+    assert isinstance(decoded, Page)
+    assert (
+        0 < len(decoded.claims) < 30
+        and decoded.claims == claims[: len(decoded.claims)]
+        and not decoded.is_last
+    )
+
+
+def test_differing_views_converge_by_differing_buckets_only() -> None:
+    one = swim_with_members(200, name="one")
+    two = swim_with_members(200, name="two")
+    two.local_claim = replace(two.local_claim, address=("10.0.0.2", 2))
+    one.accept(SECOND_US, two.local_claim)
+    two.accept(SECOND_US, one.local_claim)
+    one.accept(SECOND_US, Claim("only one knows", ("h", 1), ALIVE, 1))
+    two.accept(SECOND_US, Claim("only two knows", ("h", 2), ALIVE, 1))
+    two.accept(SECOND_US, replace(alive_claim(7), incarnation=5))
+    one.accept(SECOND_US, replace(alive_claim(8), status=DEAD))
+    digest = one.anti_entropy.digest_message(two.local_claim.address, Kind.DIGEST)
+    delivered = deliver_all([one, two], [(one, digest)], SECOND_US)
     assert one.view.digest() == two.view.digest() and one.alive() != []
-    assert one.status("only two knows") == two.status("only one knows") == A
-    assert one.members["n7"].claim.incarnation == 5 and two.status("n8") == D
+    assert one.status("only two knows") == two.status("only one knows") == ALIVE
+    assert one.members["n7"].claim.incarnation == 5 and two.status("n8") == DEAD
     pages = [s.message for s in delivered if s.message.kind == Kind.PAGE]
-    assert sum(len(page.claims) for page in pages) < 200  # of some 400, were all buckets sent
-    again = pump([one, two], [(one, one.anti_entropy.digest(two.me.address, Kind.DIGEST))], SEC)
-    assert [s.message.kind for s in again] == [Kind.DIGEST, Kind.DIGEST_ACK]
+    # The pages of all buckets would contain about 400 claims.
+    assert sum(len(page.claims) for page in pages) < 200
+    second_exchange = deliver_all(
+        [one, two], [(one, one.anti_entropy.digest_message(two.local_claim.address, Kind.DIGEST))], SECOND_US
+    )
+    assert [s.message.kind for s in second_exchange] == [Kind.DIGEST, Kind.DIGEST_ACK]
 
 
-def test_one_datagram_holds_a_small_view_completely_wherever_it_begins() -> None:
-    swim = group_of(15)
+def test_sync_contains_complete_small_view_from_any_start() -> None:
+    swim = swim_with_members(15)
     for _ in range(10):
-        claims = swim.anti_entropy.sync(("h", 1)).message.claims
+        claims = swim.anti_entropy.sync_message(("h", 1)).message.claims
         assert len(claims) == 16 and {c.name for c in claims} == {"me", *swim.alive()}
 
 
-def test_an_answer_through_a_relay_ends_a_comparison() -> None:
-    swim = group_of(15)
-    sends = swim.anti_entropy.begin(SEC)
+def test_digest_ack_through_relay_ends_comparison() -> None:
+    swim = swim_with_members(15)
+    sends = swim.anti_entropy.begin_comparison(SECOND_US)
     relay = ("10.9.9.9", 9)
     swim.receive(
-        SEC, relay, DigestMessage(Kind.DIGEST_ACK, "n1", swim.view.digest(), (), sends[0].message.seq)
+        SECOND_US, relay, DigestMessage(Kind.DIGEST_ACK, "n1", swim.view.digest(), (), sends[0].message.seq)
     )
-    swim.anti_entropy.next_sync = 9 * SEC
-    assert swim.anti_entropy.tick(2 * SEC) == []  # no SYNC: it did answer
-
-
-def test_a_suspicion_or_a_forgotten_member_makes_no_difference_between_views() -> None:
-    swim = group_of(20)
-    before = swim.view.digest()
-    swim.accept(SEC, replace(member(3), status=S))
-    assert swim.view.digest() == before
-    swim.accept(SEC, replace(member(3), status=D))
-    assert swim.view.digest() != before
-    dead = swim.view.digest()
-    swim.anti_entropy.next_sync = 999 * SEC
-    swim.deadlines.set("n3", SEC)
-    swim.tick(SEC)
-    assert swim.status("n3") is None and swim.view.digest() == dead
-    assert (3, "n3") not in swim.view.order and len(swim.view.order) == 19
-
-
-def test_a_restarted_member_knows_all_and_is_known_in_its_new_incarnation() -> None:
+    swim.anti_entropy.next_sync_at = 9 * SECOND_US
+    # The digest was answered, so no SYNC follows.
+    assert swim.anti_entropy.tick(2 * SECOND_US) == []
+
+
+def test_suspicion_and_forgetting_do_not_change_digest() -> None:
+    swim = swim_with_members(20)
+    initial_digest = swim.view.digest()
+    swim.accept(SECOND_US, replace(alive_claim(3), status=SUSPECT))
+    assert swim.view.digest() == initial_digest
+    swim.accept(SECOND_US, replace(alive_claim(3), status=DEAD))
+    assert swim.view.digest() != initial_digest
+    digest_after_death = swim.view.digest()
+    swim.anti_entropy.next_sync_at = 999 * SECOND_US
+    swim.deadlines.set("n3", SECOND_US)
+    swim.tick(SECOND_US)
+    assert swim.status("n3") is None and swim.view.digest() == digest_after_death
+    assert (3, "n3") not in swim.view.sorted_keys and len(swim.view.sorted_keys) == 19
+
+
+def test_restarted_member_rejoins_with_new_incarnation() -> None:
     net = Net(60, 0.0, seed=4)
     net.until(net.complete, 30)
     net.kill(("10.0.0.1", 40))
     net.run(3)
-    back = net.add(("10.0.0.1", 40), [("10.0.0.1", 1), ("10.0.0.1", 2)], incarnation=9)
+    restarted = net.add(("10.0.0.1", 40), [("10.0.0.1", 1), ("10.0.0.1", 2)], incarnation=9)
     assert net.until(net.complete, 20) <= 5
     net.run(10)
-    assert all(s.members["n40"].claim.incarnation >= 9 for s in net.members.values() if s is not back)
+    assert all(s.members["n40"].claim.incarnation >= 9 for s in net.members.values() if s is not restarted)
     net.run(40)
     assert net.false_deaths() == 0
 
 
-# ---- faulty input ------------------------------------------------------------------------------------
+# ---- invalid messages --------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -334,36 +348,41 @@
         (Kind.ACCUSATIONS, [[["n", "h", 1, 1, 1]]]),
     ],
 )
-def test_an_impossible_payload_is_counted_and_dropped(kind: Kind, body: object) -> None:
+def test_invalid_payload_is_dropped_and_counted(kind: Kind, body: object) -> None:
     codec = Codec([GROUP_KEY])
-    signed = HEADER.pack(1, key_id(GROUP_KEY), SEC) + codec.encoder.encode((int(kind), "n1", 1, body))
-    assert codec.decode(signed + authentication_tag(GROUP_KEY, signed), SEC) is None and codec.dropped == {
-        "form": 1
-    }
-
-
-def test_unrequested_and_endless_pages_end() -> None:
-    swim = group_of(10)
-    swim.anti_entropy.next_sync = 99 * SEC
-    liar = ("10.0.0.8", 8)
-    unrequested = Page("liar", 7, False, (member(1), Claim("x", ("h", 1), A, 1)))
-    assert swim.receive(SEC, liar, unrequested) == [] and swim.status("x") == A
-    sends = swim.receive(SEC, liar, DigestMessage(Kind.DIGEST_ACK, "liar", (1,) * BUCKETS))
-    for asked in range(50):
+    signed = HEADER.pack(1, key_id(GROUP_KEY), SECOND_US) + codec.encoder.encode((int(kind), "n1", 1, body))
+    assert codec.decode(
+        signed + authentication_tag(GROUP_KEY, signed), SECOND_US
+    ) is None and codec.dropped == {"form": 1}
+
+
+def test_unrequested_and_endless_pages_cause_no_more_pulls() -> None:
+    swim = swim_with_members(10)
+    swim.anti_entropy.next_sync_at = 99 * SECOND_US
+    faulty_address = ("10.0.0.8", 8)
+    unrequested = Page("faulty", 7, False, (alive_claim(1), Claim("x", ("h", 1), ALIVE, 1)))
+    assert swim.receive(SECOND_US, faulty_address, unrequested) == [] and swim.status("x") == ALIVE
+    sends = swim.receive(SECOND_US, faulty_address, DigestMessage(Kind.DIGEST_ACK, "faulty", (1,) * BUCKETS))
+    for request_count in range(50):
         if not sends:
             break
         seq = sends[0].message.seq
-        sends = swim.receive(SEC, liar, Page("liar", seq, False, (member(1), member(asked % 2))))
-    assert asked < 4 and swim.anti_entropy.transfer is None
+        sends = swim.receive(
+            SECOND_US,
+            faulty_address,
+            Page("faulty", seq, False, (alive_claim(1), alive_claim(request_count % 2))),
+        )
+    assert request_count < 4 and swim.anti_entropy.transfer is None
 
 
 # ---- suspicion ---------------------------------------------------------------------------------------
 
 
-def test_a_suspicion_shortens_with_distinct_members_and_not_below_the_minimum() -> None:
-    suspicion = Suspicion(since=100, maximum=1000, minimum=350, confirmations=3)
+def test_suspicion_shortens_with_distinct_accusers_to_minimum() -> None:
+    suspicion = Suspicion(started_at=100, max_duration=1000, min_duration=350, required_confirmations=3)
     assert suspicion.deadline() == 1100
-    assert suspicion.accuse(["a"]) and suspicion.deadline() == 1100  # the first supports, confirms nothing
+    # The first accuser is not a confirmation.
+    assert suspicion.accuse(["a"]) and suspicion.deadline() == 1100
     assert not suspicion.accuse(["a", "a"])
     deadlines = []
     for name in "bcd":
@@ -371,62 +390,67 @@
         deadlines.append(suspicion.deadline())
     assert deadlines == [775, 584, 450]
     assert not suspicion.accuse(["e", "f"]) and suspicion.deadline() == 450
-    alone = Suspicion(since=0, maximum=1000, minimum=350, confirmations=0)
-    alone.accuse(["a", "b"])
-    assert alone.deadline() == 1000  # nobody could have confirmed it
+    unconfirmable = Suspicion(started_at=0, max_duration=1000, min_duration=350, required_confirmations=0)
+    unconfirmable.accuse(["a", "b"])
+    assert unconfirmable.deadline() == 1000
 
 
-def test_a_suspicion_in_a_small_group_lasts_some_periods_however_many_confirm() -> None:
-    ends = []
+def test_confirmed_suspicion_in_small_group_has_minimum_periods() -> None:
+    durations = []
     for count in (5, 250):
-        swim = group_of(count)
-        accusation = Accusation(replace(member(3), status=S), ("n0", "n1", "n2", "n4"))
-        swim.receive(SEC, ("h", 1), Accusations("n1", (accusation,)))
-        ends.append(swim.deadlines.at["n3"] - SEC)
-    assert ends == [6 * SEC, 8 * SEC]  # a quarter of 12 s would be 3
+        swim = swim_with_members(count)
+        accusation = Accusation(replace(alive_claim(3), status=SUSPECT), ("n0", "n1", "n2", "n4"))
+        swim.receive(SECOND_US, ("h", 1), Accusations("n1", (accusation,)))
+        durations.append(swim.deadlines.by_name["n3"] - SECOND_US)
+    # In the small group the minimum share, a quarter of 12 s, would be 3 s.
+    assert durations == [6 * SECOND_US, 8 * SECOND_US]
 
 
-def test_only_suspicions_of_the_present_incarnation_are_confirmed() -> None:
-    swim = group_of(30)
+def test_only_current_incarnation_confirms_suspicion() -> None:
+    swim = swim_with_members(30)
     swim.receive(
-        SEC, ("h", 1), Message(Kind.ACK, "n1", 0, "", (replace(member(3), status=S, incarnation=2),))
+        SECOND_US,
+        ("h", 1),
+        Message(Kind.ACK, "n1", 0, "", (replace(alive_claim(3), status=SUSPECT, incarnation=2),)),
     )
     unconfirmed = swim.suspicions["n3"].deadline()
-    past = Accusation(replace(member(3), status=S), ("a", "b", "c", "d"))
-    swim.receive(SEC, ("h", 1), Accusations("n1", (past,)))
+    outdated = Accusation(replace(alive_claim(3), status=SUSPECT), ("a", "b", "c", "d"))
+    swim.receive(SECOND_US, ("h", 1), Accusations("n1", (outdated,)))
     assert swim.suspicions["n3"].deadline() == unconfirmed
-    present = replace(past, claim=replace(past.claim, incarnation=2))
-    swim.receive(SEC, ("h", 1), Accusations("n1", (present,)))
-    assert swim.deadlines.at["n3"] < unconfirmed
-    swim.accept(SEC, replace(member(3), incarnation=3))
-    assert "n3" not in swim.suspicions and "n3" not in swim.deadlines.at
+    current = replace(outdated, claim=replace(outdated.claim, incarnation=2))
+    swim.receive(SECOND_US, ("h", 1), Accusations("n1", (current,)))
+    assert swim.deadlines.by_name["n3"] < unconfirmed
+    swim.accept(SECOND_US, replace(alive_claim(3), incarnation=3))
+    assert "n3" not in swim.suspicions and "n3" not in swim.deadlines.by_name
     assert swim.accusations.transmissions == {}
 
 
-def test_a_death_is_detected_in_half_the_duration_of_an_unconfirmed_suspicion() -> None:
+def test_death_is_detected_in_half_of_unconfirmed_duration() -> None:
     net = Net(40, 0.0, seed=8)
     net.until(net.complete, 30)
     net.run(5)
-    longest = Timing().suspect_factor * next(iter(net.members.values())).scale()
-    gone = net.kill(("10.0.0.1", 40))
-    assert net.until(lambda: net.knows_gone(gone), 60) < 0.5 * longest
-
-
-def test_a_probe_is_sent_again_before_its_target_is_suspected() -> None:
-    swim = group_of(10)
-    swim.anti_entropy.next_sync = 99 * SEC
-    swim.detector.next_period = 3 * SEC
-    swim.tick(3 * SEC)
-    probe = probe_of(swim)
-    sent = [Counter(s.message.kind for s in swim.tick(3 * SEC + at)) for at in (300_000, 600_000, 900_000)]
+    max_duration = Timing().suspect_factor * next(iter(net.members.values())).log_group_size()
+    killed_name = net.kill(("10.0.0.1", 40))
+    assert net.until(lambda: net.knows_gone(killed_name), 60) < 0.5 * max_duration
+
+
+def test_probe_is_repeated_before_target_is_suspected() -> None:
+    swim = swim_with_members(10)
+    swim.anti_entropy.next_sync_at = 99 * SECOND_US
+    swim.failure_detector.next_period_at = 3 * SECOND_US
+    swim.tick(3 * SECOND_US)
+    probe = current_probe(swim)
+    sent = [
+        Counter(s.message.kind for s in swim.tick(3 * SECOND_US + at)) for at in (300_000, 600_000, 900_000)
+    ]
     assert sent == [{Kind.PING: 1, Kind.PING_REQ: 3}, {Kind.PING: 1}, {}]
-    assert swim.status(probe.target) == A
-    swim.tick(4 * SEC)
-    assert swim.status(probe.target) == S
+    assert swim.status(probe.target) == ALIVE
+    swim.tick(4 * SECOND_US)
+    assert swim.status(probe.target) == SUSPECT
 
 
 def test_ten_percent_loss_causes_few_suspicions() -> None:
-    """The version before (076cb15) counted 318 in this run."""
+    """Lost datagrams alone must rarely cause suspicions; revision 076cb15 had 318 of them in this run."""
     net = Net(40, 0.1, seed=1)
     net.until(net.complete, 60)
     net.run(30)
@@ -434,7 +458,7 @@
 
 
 def test_thirty_percent_loss_causes_no_false_death() -> None:
-    """The version before (076cb15) held living members dead 3 times in this run."""
+    """Lost datagrams must not cause false deaths; revision 076cb15 had 3 of them in this run."""
     net = Net(80, 0.3, seed=3)
     net.until(net.complete, 60)
     net.run(30)
--- a/tests/test_replay_guard.py
+++ b/tests/test_replay_guard.py
@@ -1,4 +1,4 @@
-"""Replayed datagrams: on a virtual fleet, and the replay guard's decisions one by one."""
+"""Replayed datagrams: end to end on a virtual fleet, and the single decisions of the replay guard."""
 
 from collections import Counter
 
@@ -7,51 +7,52 @@
 
 from balancer.fleet.membership import replay_guard, stamp_window
 from balancer.fleet.membership.claims import Address
-from balancer.fleet.membership.replay_guard import Admission, Received, ReplayGuard
-from balancer.fleet.membership.stamp_window import StampWindow, Verdict
+from balancer.fleet.membership.replay_guard import Admission, ReceivedDatagram, ReplayGuard
+from balancer.fleet.membership.stamp_window import StampStatus, StampWindow
 from balancer.fleet.membership.swim import Claim, Kind, Message, Status
 
 # ---- recorded datagrams on a virtual fleet ---------------------------------------------------------------
 
 
-def test_a_replay_changes_no_view_of_a_running_process() -> None:
+def test_replay_does_not_change_view_of_running_process() -> None:
     fleet = settled(NEW, NEW, NEW)
     recorded = list(fleet.recorded)
     fleet.run(60)
     target = fleet.processes[HERE]
-    before = view(target), target.swim.me
+    state_before = view(target), target.swim.local_claim
     assert fleet.replay(HERE, recorded) == 0 and fleet.replay(HERE, recorded, ATTACKER) == 0
     fleet.run(5)
-    assert (view(target), target.swim.me) == before and fleet.complete()
+    assert (view(target), target.swim.local_claim) == state_before and fleet.complete()
 
 
 @pytest.mark.parametrize("source", [None, ATTACKER])
-def test_a_replay_changes_no_view_of_a_process_that_has_just_started(source: Address | None) -> None:
-    """Among the senders recorded is a member that is gone for long; it isn't restored."""
+def test_replay_does_not_change_view_of_started_process(source: Address | None) -> None:
+    """The recorded senders include a member that died long ago, which must not be restored."""
     fleet = settled(NEW, NEW, NEW, NEW)
     fleet.kill(4)
     fleet.run(200)
     recorded = [r for r in fleet.recorded if r.sent_at < fleet.now - 7 * SEC]
-    fresh = fleet.start(5)
+    started = fleet.start(5)
     fleet.kill(1)
     fleet.kill(2)
     fleet.kill(3)
-    assert fleet.replay(fresh.address, recorded, source) == 0 and view(fresh) == {}
-    assert len(fresh.guard.challenges) <= 4
-    # Now those that can answer its challenges are alive: what is old by their own clocks is rejected.
+    assert fleet.replay(started.address, recorded, source) == 0 and view(started) == {}
+    assert len(started.guard.challenges) <= 4
+    # Now the members that can answer its challenges are alive: datagrams that are old by their clocks are
+    # rejected.
     fleet = settled(NEW, NEW, NEW, NEW)
     fleet.kill(4)
     fleet.run(200)
     recorded = [r for r in fleet.recorded if r.sent_at < fleet.now - 7 * SEC]
-    fresh = fleet.start(5)
-    assert fleet.replay(fresh.address, recorded, source) == 0
+    started = fleet.start(5)
+    assert fleet.replay(started.address, recorded, source) == 0
     for _ in range(20):
         fleet.run(0.05)
-        assert fleet.replay(fresh.address, recorded, source) == 0
-    assert "n4" not in view(fresh) and set(view(fresh)) <= {"n1", "n2", "n3"}
+        assert fleet.replay(started.address, recorded, source) == 0
+    assert "n4" not in view(started) and set(view(started)) <= {"n1", "n2", "n3"}
 
 
-def test_a_replay_does_not_restore_a_forgotten_sender() -> None:
+def test_replay_does_not_restore_forgotten_sender() -> None:
     fleet = settled(NEW, NEW, NEW)
     fleet.kill(3)
     recorded = [r for r in fleet.recorded if r.source == ("10.0.0.1", 3)]
@@ -64,7 +65,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_replay_of_an_earlier_process_changes_nothing_once_the_next_is_proven(step: int) -> None:
+def test_replay_of_earlier_process_after_restart_has_no_effect(step: int) -> None:
     fleet = settled(NEW, NEW, NEW)
     fleet.kill(3)
     recorded = [r for r in fleet.recorded if r.source == ("10.0.0.1", 3)]
@@ -74,30 +75,33 @@
     for source in (None, ATTACKER):
         fleet.replay(HERE, recorded, source)
         fleet.run(1)
-    before = changes_so_far(fleet)
+    previous_changes = changes_so_far(fleet)
     fleet.run(30)
-    assert fleet.complete() and changes_since(fleet, before) == []
-    assert fleet.processes[HERE].swim.members["n3"].claim == restarted.swim.me
+    assert fleet.complete() and changes_since(fleet, previous_changes) == []
+    assert fleet.processes[HERE].swim.members["n3"].claim == restarted.swim.local_claim
 
 
 # ---- the guard's decisions -------------------------------------------------------------------------------
 
 
-def reply_of(admission: Admission) -> Message:
-    """Returns the reply to a datagram, which there must be."""
+def require_reply(admission: Admission) -> Message:
+    """Return the reply of an admission, which must have one."""
     assert admission.reply is not None
     return admission.reply
 
 
-def proven(now: int = 100 * SEC, stamp: int = 5 * SEC) -> tuple[ReplayGuard, Admission]:
-    """Returns a guard that knows `a`, by a challenge that took no time, and the answer's admission."""
+def guard_with_proven_sender(now: int = 100 * SEC, stamp: int = 5 * SEC) -> tuple[ReplayGuard, Admission]:
+    """Return a guard to which `a` has proven that it is live, and the admission of that proof.
+
+    The challenge and its answer have no delay.
+    """
     guard = ReplayGuard("me", 1000, Counter())
-    challenge = reply_of(guard.admit(now, received("a", stamp)))
+    challenge = require_reply(guard.admit(now, received("a", stamp)))
     assert challenge.kind == Kind.PING and challenge.claims == ()
     return guard, guard.admit(now, received("a", stamp + 1, Kind.ACK, challenge.seq, claims=()))
 
 
-ALIVE = Claim("x", ("10.0.0.7", 7), Status.ALIVE, 1)
+ALIVE_CLAIM = Claim("x", ("10.0.0.7", 7), Status.ALIVE, 1)
 
 
 def received(
@@ -105,16 +109,16 @@
     stamp: int,
     kind: Kind = Kind.PING,
     seq: int = 0,
-    claims: tuple[Claim, ...] = (ALIVE,),
+    claims: tuple[Claim, ...] = (ALIVE_CLAIM,),
     source: Address = ("10.0.0.3", 3),
     size: int = 100,
-) -> Received:
-    """Returns a datagram with a message of membership."""
-    return Received(source, stamp, Message(kind, sender, seq, "", claims), size)
+) -> ReceivedDatagram:
+    """Return a received datagram with a message of the membership protocol."""
+    return ReceivedDatagram(source, stamp, Message(kind, sender, seq, "", claims), size)
 
 
-def test_a_datagram_is_buffered_until_its_sender_has_answered() -> None:
-    guard, admission = proven()
+def test_datagram_is_buffered_until_sender_answers_challenge() -> None:
+    guard, admission = guard_with_proven_sender()
     assert [r.stamp for r in admission.accepted] == [5 * SEC] and admission.reply is None
     assert guard.challenges == {} and guard.challenges_by_source == {} and guard.buffered_bytes == 0
     assert guard.admit(101 * SEC, received("a", 6 * SEC)).accepted
@@ -126,9 +130,9 @@
     ("age", "is_accepted"),
     [(1, True), (stamp_window.MAX_TRANSIT_US, True), (stamp_window.MAX_TRANSIT_US + 2, False)],
 )
-def test_a_datagram_that_was_old_at_its_sender_s_proof_is_rejected(age: int, is_accepted: bool) -> None:
+def test_datagram_older_than_max_transit_at_proof_is_rejected(age: int, is_accepted: bool) -> None:
     guard = ReplayGuard("me", 1000, Counter())
-    challenge = reply_of(guard.admit(SEC, received("a", 100 * SEC - age)))
+    challenge = require_reply(guard.admit(SEC, received("a", 100 * SEC - age)))
     answer = guard.admit(SEC, received("a", 100 * SEC, Kind.ACK, challenge.seq))
     assert bool(answer.accepted) is is_accepted
     assert guard.admit(SEC, received("a", 100 * SEC - 1 - stamp_window.MAX_TRANSIT_US)).accepted == ()
@@ -137,65 +141,70 @@
 @pytest.mark.parametrize(
     "answer",
     [
-        received("a", 6 * SEC, Kind.ACK, 999),  # not the challenge's number
-        received("b", 6 * SEC, Kind.ACK, 1001),  # another's answer
-        received("a", 6 * SEC, Kind.SYNC, 1001),  # not an ACK
+        pytest.param(received("a", 6 * SEC, Kind.ACK, 999), id="other_seq"),
+        pytest.param(received("b", 6 * SEC, Kind.ACK, 1001), id="other_sender"),
+        pytest.param(received("a", 6 * SEC, Kind.SYNC, 1001), id="other_kind"),
     ],
 )
-def test_no_other_message_is_proof(answer: Received) -> None:
+def test_only_matching_ack_proves_liveness(answer: ReceivedDatagram) -> None:
     guard = ReplayGuard("me", 1000, Counter())
-    assert reply_of(guard.admit(SEC, received("a", 5 * SEC))).seq == 1001
+    assert require_reply(guard.admit(SEC, received("a", 5 * SEC))).seq == 1001
     assert guard.admit(SEC, answer).accepted == () and guard.senders.windows == {}
 
 
-def test_an_ack_of_a_ping_is_proof_for_a_limited_time() -> None:
+def test_ack_of_ping_proves_liveness_until_timeout() -> None:
     for elapsed, is_accepted in (
         (replay_guard.PROOF_TIMEOUT_US, True),
         (replay_guard.PROOF_TIMEOUT_US + 1, False),
     ):
         guard = ReplayGuard("me", 1000, Counter())
-        guard.ping_sent(SEC, 77)
+        guard.record_ping(SEC, 77)
         assert bool(guard.admit(SEC + elapsed, received("a", 9 * SEC, Kind.ACK, 77)).accepted) is is_accepted
 
 
-def test_a_late_answer_is_no_proof() -> None:
+def test_late_challenge_answer_is_rejected() -> None:
     guard = ReplayGuard("me", 1000, Counter())
-    challenge = reply_of(guard.admit(SEC, received("a", 5 * SEC)))
-    late = SEC + replay_guard.PROOF_TIMEOUT_US + 1
-    assert guard.admit(late, received("a", 9 * SEC, Kind.ACK, challenge.seq)) == replay_guard.REJECTED
+    challenge = require_reply(guard.admit(SEC, received("a", 5 * SEC)))
+    late_answer_at = SEC + replay_guard.PROOF_TIMEOUT_US + 1
+    assert (
+        guard.admit(late_answer_at, received("a", 9 * SEC, Kind.ACK, challenge.seq)) == replay_guard.REJECTED
+    )
     assert guard.dropped == {"unproven": 2} and guard.senders.windows == {} and guard.buffered_bytes == 0
 
 
-def test_another_process_s_challenge_is_echoed_and_changes_nothing() -> None:
+def test_foreign_challenge_is_answered_without_state_change() -> None:
     guard = ReplayGuard("me", 1000, Counter())
     admission = guard.admit(SEC, received("b", 7, seq=42, claims=()))
     assert admission.reply == Message(Kind.ACK, "me", 42) and admission.accepted == ()
     assert guard.senders.windows == {} and guard.challenges == {}
 
 
-def test_a_process_s_own_datagrams_are_rejected() -> None:
+def test_datagrams_under_own_name_are_rejected() -> None:
     guard = ReplayGuard("me", 1000, Counter())
     assert guard.admit(SEC, received("me", 5)) == replay_guard.REJECTED and guard.dropped == {"replay": 1}
 
 
-def test_a_challenge_is_repeated_and_its_buffer_is_bounded() -> None:
+def test_challenge_is_repeated_and_buffers_are_bounded() -> None:
     guard = ReplayGuard("me", 1000, Counter())
-    answers = [guard.admit(SEC + i, received("a", 5 * SEC + i)).reply for i in range(10)]
-    assert [a.seq for a in answers if a] == [1001]
-    assert reply_of(guard.admit(SEC + replay_guard.CHALLENGE_RETRY_US, received("a", 6 * SEC))).seq == 1001
+    replies = [guard.admit(SEC + i, received("a", 5 * SEC + i)).reply for i in range(10)]
+    assert [reply.seq for reply in replies if reply] == [1001]
+    assert (
+        require_reply(guard.admit(SEC + replay_guard.CHALLENGE_RETRY_INTERVAL_US, received("a", 6 * SEC))).seq
+        == 1001
+    )
     assert len(
         guard.challenges[1001].buffered
-    ) == replay_guard.MAX_BUFFERED_PER_CHALLENGE and guard.dropped == {"unproven": 7}
-    # An attacker that sends another's datagrams from its own address prevents no sender's proof.
-    assert reply_of(guard.admit(SEC, received("a", 5 * SEC, source=ATTACKER))).seq == 1002
+    ) == replay_guard.MAX_BUFFERED_DATAGRAMS_PER_CHALLENGE and guard.dropped == {"unproven": 7}
+    # An attacker that replays datagrams of `a` from its own address does not displace the challenge of `a`.
+    assert require_reply(guard.admit(SEC, received("a", 5 * SEC, source=ATTACKER))).seq == 1002
     for number in range(2000):
         guard.admit(SEC, received(f"invented {number}", 5, size=1200))
     assert len(guard.challenges) == len(guard.challenges_by_source) == replay_guard.MAX_CHALLENGES
-    held = [h.size for c in guard.challenges.values() for h in c.buffered]
-    assert sum(held) == guard.buffered_bytes <= replay_guard.MAX_BUFFERED_BYTES
+    buffered_sizes = [b.size for c in guard.challenges.values() for b in c.buffered]
+    assert sum(buffered_sizes) == guard.buffered_bytes <= replay_guard.MAX_BUFFERED_BYTES
 
 
-def test_the_state_kept_of_senders_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sender_windows_and_pings_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(replay_guard, "MAX_SENDERS", 3)
     stamps = replay_guard.SenderStamps()
     for number in range(9):
@@ -203,31 +212,33 @@
     assert list(stamps.windows) == ["n6", "n7", "n8"]
     guard = ReplayGuard("me", 1, Counter())
     for seq in range(replay_guard.MAX_PINGS + 9):
-        guard.ping_sent(SEC, seq)
-    assert len(guard.pings) == replay_guard.MAX_PINGS and 0 not in guard.pings
+        guard.record_ping(SEC, seq)
+    assert len(guard.ping_times) == replay_guard.MAX_PINGS and 0 not in guard.ping_times
 
 
 @pytest.mark.parametrize(
-    ("stamp", "verdict"),
+    ("stamp", "expected"),
     [
-        (100 * SEC, Verdict.REPLAY),  # the newest itself
-        (100 * SEC + 1, Verdict.FRESH),
-        (110 * SEC + stamp_window.MAX_SKEW_US, Verdict.FRESH),
-        (110 * SEC + stamp_window.MAX_SKEW_US + 1, Verdict.DISTANT),
-        (100 * SEC - 3, Verdict.FRESH),  # overtaken
-        (90 * SEC, Verdict.FRESH),
-        (90 * SEC - 1, Verdict.REPLAY),  # before the sender had proven itself
-        (110 * SEC - stamp_window.MAX_SKEW_US - 1, Verdict.DISTANT),
+        pytest.param(100 * SEC, StampStatus.REPLAY, id="newest"),
+        pytest.param(100 * SEC + 1, StampStatus.FRESH, id="above_newest"),
+        pytest.param(110 * SEC + stamp_window.MAX_SKEW_US, StampStatus.FRESH, id="max_skew_ahead"),
+        pytest.param(110 * SEC + stamp_window.MAX_SKEW_US + 1, StampStatus.OUT_OF_RANGE, id="too_far_ahead"),
+        pytest.param(100 * SEC - 3, StampStatus.FRESH, id="out_of_order"),
+        pytest.param(90 * SEC, StampStatus.FRESH, id="floor"),
+        pytest.param(90 * SEC - 1, StampStatus.REPLAY, id="below_floor"),
+        pytest.param(110 * SEC - stamp_window.MAX_SKEW_US - 1, StampStatus.OUT_OF_RANGE, id="too_far_behind"),
     ],
 )
-def test_stamps_are_judged_by_their_sender_s_earlier_ones(stamp: int, verdict: Verdict) -> None:
+def test_stamp_is_classified_by_newest_stamp_and_floor(stamp: int, expected: StampStatus) -> None:
     window = StampWindow(99 * SEC, 8 * SEC, floor=90 * SEC)
     window.record(100 * SEC, 10 * SEC)
-    assert window.judge(stamp, 20 * SEC) == verdict
+    assert window.classify(stamp, 20 * SEC) == expected
 
 
-def test_a_stamp_below_a_full_window_is_rejected() -> None:
+def test_stamp_below_full_window_is_a_replay() -> None:
     window = StampWindow(0, 0)
     for stamp in range(1, stamp_window.WINDOW_SIZE + 2):
         window.record(stamp, 0)
-    assert window.judge(1, 0) == Verdict.REPLAY and len(window.seen) == stamp_window.WINDOW_SIZE
+    assert (
+        window.classify(1, 0) == StampStatus.REPLAY and len(window.current_stamps) == stamp_window.WINDOW_SIZE
+    )
--- a/tests/test_replay_guard_clock_steps.py
+++ b/tests/test_replay_guard_clock_steps.py
@@ -1,4 +1,4 @@
-"""A process that restarts with its clock in the past is heard at once, and nothing is accepted twice."""
+"""Restarts with the wall clock stepped back: the process is accepted at once, and no datagram twice."""
 
 from __future__ import annotations
 
@@ -13,89 +13,96 @@
 from balancer.fleet.membership.replay_guard import (
     REJECTED,
     Admission,
-    Received,
+    ReceivedDatagram,
     ReplayGuard,
     SenderStamps,
 )
-from balancer.fleet.membership.stamp_window import MAX_SKEW_US, MAX_TRANSIT_US, WINDOW_SIZE, Verdict
-
-STEPS_BACK = (1, 2, 5, 6, 8, 10, 15, 25, 29, 31, 60, 3600)  # seconds, between two processes of one name
-MAX_TIME_TO_BE_HEARD = 2  # seconds, the others' next pings included
-DOWNTIME = 0.4  # seconds between two processes of one name
-INTERVAL = 0.05  # seconds between the datagrams of a sender of many, and between replays
-LAST = 4  # number of the member that restarts
+from balancer.fleet.membership.stamp_window import MAX_SKEW_US, MAX_TRANSIT_US, WINDOW_SIZE, StampStatus
+
+# Steps of the wall clock between two processes of the same name.
+CLOCK_STEPS_BACK_S = (1, 2, 5, 6, 8, 10, 15, 25, 29, 31, 60, 3600)
+# Time until all members accept the restarted process, which includes their next pings.
+MAX_ACCEPTANCE_TIME_S = 2
+# Time between two processes of the same name.
+DOWNTIME_S = 0.4
+# Interval between the datagrams of a busy process; ten times as long between replays.
+DATAGRAM_INTERVAL_S = 0.05
+RESTARTED_MEMBER = 4
 
 # ---- on a virtual fleet ----------------------------------------------------------------------------------
 
 
 def send_to_all(fleet: VirtualFleet, process: Process) -> None:
-    """Sends a message to each other process, as a component with much to say does."""
+    """Send a message to each other process, as a component with frequent messages does."""
     for other in list(fleet.processes.values()):
         if other is not process:
-            fleet.transmit(process, Message(Kind.ACK, process.name, 0, "", (process.swim.me,)), other.address)
+            fleet.transmit(
+                process, Message(Kind.ACK, process.name, 0, "", (process.swim.local_claim,)), other.address
+            )
 
 
-def live(fleet: VirtualFleet, seconds: float, is_talkative: bool) -> Process:
-    """Runs the last member of the fleet for a time, and kills it."""
-    process = fleet.start(LAST)
-    end = fleet.now + seconds * SEC
+def run_process_until_killed(fleet: VirtualFleet, lifetime_s: float, is_busy: bool) -> Process:
+    """Run the member that is to restart for a time, and kill it."""
+    process = fleet.start(RESTARTED_MEMBER)
+    end = fleet.now + lifetime_s * SEC
     while fleet.now < end:
-        fleet.run(INTERVAL)
-        if is_talkative:
+        fleet.run(DATAGRAM_INTERVAL_S)
+        if is_busy:
             send_to_all(fleet, process)
-    return fleet.kill(LAST)
+    return fleet.kill(RESTARTED_MEMBER)
 
 
-LIVES = [(0.5, False), (3, False), (40, False), (40, True)]  # seconds, and whether it sends much
+# The elements are the lifetime in seconds and whether the process sends many datagrams.
+PROCESS_LIFETIMES = [(0.5, False), (3, False), (40, False), (40, True)]
 
 
-@pytest.mark.parametrize("step_back", STEPS_BACK)
-@pytest.mark.parametrize(("seconds", "is_talkative"), LIVES)
-def test_a_process_with_its_clock_in_the_past_is_heard_at_once(
-    seconds: float, is_talkative: bool, step_back: int
+@pytest.mark.parametrize("step_back_s", CLOCK_STEPS_BACK_S)
+@pytest.mark.parametrize(("lifetime_s", "is_busy"), PROCESS_LIFETIMES)
+def test_process_with_clock_stepped_back_is_accepted_at_once(
+    lifetime_s: float, is_busy: bool, step_back_s: int
 ) -> None:
     fleet = settled(NEW, NEW, NEW)
-    live(fleet, seconds, is_talkative)
-    fleet.run(DOWNTIME)
-    before = {p.name: len(p.changes) for p in fleet.processes.values()}
-    restarted = fleet.start(LAST, offset=-step_back * SEC)
-    assert fleet.until(lambda: fleet.accepted_by_all(restarted), MAX_TIME_TO_BE_HEARD)
-    fleet.run(step_back if step_back <= 60 else 5)
+    run_process_until_killed(fleet, lifetime_s, is_busy)
+    fleet.run(DOWNTIME_S)
+    previous_counts = {p.name: len(p.changes) for p in fleet.processes.values()}
+    restarted = fleet.start(RESTARTED_MEMBER, offset=-step_back_s * SEC)
+    assert fleet.until(lambda: fleet.accepted_by_all(restarted), MAX_ACCEPTANCE_TIME_S)
+    fleet.run(step_back_s if step_back_s <= 60 else 5)
     assert fleet.complete()
-    changes = [c for p in fleet.processes.values() for c in p.changes[before.get(p.name, 0) :]]
+    changes = [c for p in fleet.processes.values() for c in p.changes[previous_counts.get(p.name, 0) :]]
     assert {change.value for change, _ in changes} <= {"join", "alive", "refuted"}
 
 
-@pytest.mark.parametrize("step_back", [5, 10, 29])
-def test_each_of_many_processes_with_its_clock_further_in_the_past_is_heard_at_once(step_back: int) -> None:
+@pytest.mark.parametrize("step_back_s", [5, 10, 29])
+def test_repeated_clock_steps_back_do_not_delay_acceptance(step_back_s: int) -> None:
     fleet = settled(NEW, NEW, NEW)
-    for lives in range(5):
-        restarted = fleet.start(LAST, offset=-lives * step_back * SEC)
-        is_heard = partial(fleet.accepted_by_all, restarted)
-        assert fleet.until(is_heard, MAX_TIME_TO_BE_HEARD), lives
-        fleet.run(DOWNTIME)
-        fleet.kill(LAST)
+    for restarts in range(5):
+        restarted = fleet.start(RESTARTED_MEMBER, offset=-restarts * step_back_s * SEC)
+        is_accepted = partial(fleet.accepted_by_all, restarted)
+        assert fleet.until(is_accepted, MAX_ACCEPTANCE_TIME_S), restarts
+        fleet.run(DOWNTIME_S)
+        fleet.kill(RESTARTED_MEMBER)
 
 
-@pytest.mark.parametrize("step_back", [5, 10, 15, 25])
-def test_an_earlier_version_with_its_clock_in_the_past_is_heard_at_once(step_back: int) -> None:
+@pytest.mark.parametrize("step_back_s", [5, 10, 15, 25])
+def test_earlier_version_with_clock_stepped_back_is_accepted(step_back_s: int) -> None:
     fleet = settled(NEW, NEW, NEW)
-    fleet.start(LAST, EARLIER)
+    fleet.start(RESTARTED_MEMBER, EARLIER)
     fleet.run(3)
-    fleet.kill(LAST)
-    fleet.run(DOWNTIME)
-    restarted = fleet.start(LAST, EARLIER, -step_back * SEC)
-    assert fleet.until(lambda: fleet.accepted_by_all(restarted), MAX_TIME_TO_BE_HEARD)
+    fleet.kill(RESTARTED_MEMBER)
+    fleet.run(DOWNTIME_S)
+    restarted = fleet.start(RESTARTED_MEMBER, EARLIER, -step_back_s * SEC)
+    assert fleet.until(lambda: fleet.accepted_by_all(restarted), MAX_ACCEPTANCE_TIME_S)
 
 
 def accepted_stamps(process: Process) -> list[int]:
-    """Returns a list to which the stamps of all datagrams that the process accepts are added."""
+    """Return a list to which the stamps of datagrams from the restarted member are added on acceptance."""
     stamps: list[int] = []
     admit = process.guard.admit
 
-    def recording_admit(now: int, received: Received) -> Admission:
+    def recording_admit(now: int, received: ReceivedDatagram) -> Admission:
         admission = admit(now, received)
-        stamps.extend(r.stamp for r in admission.accepted if r.message.sender == f"n{LAST}")
+        stamps.extend(r.stamp for r in admission.accepted if r.message.sender == f"n{RESTARTED_MEMBER}")
         return admission
 
     process.guard.admit = recording_admit  # type: ignore[method-assign]
@@ -103,66 +110,67 @@
 
 
 def stamps_of(process: Process, recorded: list[Recorded]) -> set[int]:
-    """Returns the stamps of recorded datagrams."""
+    """Return the stamps of recorded datagrams."""
     stamped = [process.codec.read(r.data) for r in recorded]
     return {s.stamp for s in stamped if s is not None}
 
 
 @pytest.mark.parametrize("source", [None, ATTACKER])
-@pytest.mark.parametrize("step_back", [step for step in STEPS_BACK if step <= 60])
-@pytest.mark.parametrize(("seconds", "is_talkative"), LIVES)
-def test_no_datagram_of_the_earlier_process_is_accepted_again(
-    seconds: float, is_talkative: bool, step_back: int, source: Address | None
+@pytest.mark.parametrize("step_back_s", [step for step in CLOCK_STEPS_BACK_S if step <= 60])
+@pytest.mark.parametrize(("lifetime_s", "is_busy"), PROCESS_LIFETIMES)
+def test_replayed_datagrams_of_earlier_process_are_rejected(
+    lifetime_s: float, is_busy: bool, step_back_s: int, source: Address | None
 ) -> None:
-    """They are replayed all the time, thus also when the new process has the stamps that they have."""
+    """The datagrams are replayed continuously, also while the new process has the same stamps."""
     fleet = settled(NEW, NEW, NEW)
-    live(fleet, seconds, is_talkative)
-    fleet.run(DOWNTIME)
-    recorded = [r for r in fleet.recorded if r.source[1] == LAST and r.to == HERE]
-    restarted = fleet.start(LAST, offset=-step_back * SEC)
+    run_process_until_killed(fleet, lifetime_s, is_busy)
+    fleet.run(DOWNTIME_S)
+    recorded = [r for r in fleet.recorded if r.source[1] == RESTARTED_MEMBER and r.to == HERE]
+    restarted = fleet.start(RESTARTED_MEMBER, offset=-step_back_s * SEC)
     stamps = accepted_stamps(fleet.processes[HERE])
-    assert fleet.until(lambda: fleet.accepted_by_all(restarted), MAX_TIME_TO_BE_HEARD)
-    end = fleet.now + (step_back + 2) * SEC
+    assert fleet.until(lambda: fleet.accepted_by_all(restarted), MAX_ACCEPTANCE_TIME_S)
+    end = fleet.now + (step_back_s + 2) * SEC
     while fleet.now < end:
-        fleet.run(10 * INTERVAL)
+        fleet.run(10 * DATAGRAM_INTERVAL_S)
         fleet.replay(HERE, recorded[-2 * WINDOW_SIZE :], source)
-    earlier = stamps_of(fleet.processes[HERE], recorded)
-    assert stamps and not earlier & set(stamps) and fleet.complete()
+    earlier_stamps = stamps_of(fleet.processes[HERE], recorded)
+    assert stamps and not earlier_stamps & set(stamps) and fleet.complete()
 
 
 # ---- the guard's decisions -------------------------------------------------------------------------------
 
-MILLISECOND = 1000
-STEP_BACK = 15 * SEC  # in the guard's decisions
-RESTARTED_AT = 110 * SEC
+MILLISECOND_US = 1000
+CLOCK_STEP_BACK_US = 15 * SEC
+RESTARTED_AT_US = 110 * SEC
 
 
-def received(stamp: int, kind: Kind = Kind.PING, seq: int = 0) -> Received:
-    """Returns a datagram of `a`."""
-    return Received(("10.0.0.3", 3), stamp, Message(kind, "a", seq), 100)
+def received(stamp: int, kind: Kind = Kind.PING, seq: int = 0) -> ReceivedDatagram:
+    """Return a received datagram of the sender `a`."""
+    return ReceivedDatagram(("10.0.0.3", 3), stamp, Message(kind, "a", seq), 100)
 
 
-def guard_of_restarted() -> ReplayGuard:
-    """Returns a guard to which a restarted process has just proven itself.
+def guard_after_restart() -> ReplayGuard:
+    """Return a guard to which a restarted process has just proven that it is live.
 
-    The stamps of the earlier process were the guard's own time, those of the present one are behind it.
+    The stamps of the earlier process were equal to the guard's time; those of the current process are lower
+    by the step of the clock.
     """
     guard = ReplayGuard("me", 1000, Counter())
-    guard.ping_sent(100 * SEC, 7)
+    guard.record_ping(100 * SEC, 7)
     assert guard.admit(100 * SEC, received(100 * SEC, Kind.ACK, 7)).accepted
     for second in range(101, 111):
         assert guard.admit(second * SEC, received(second * SEC, Kind.SYNC)).accepted
-    first = RESTARTED_AT - STEP_BACK
-    challenged = guard.admit(RESTARTED_AT, received(first - 1, Kind.SYNC))
+    first_stamp = RESTARTED_AT_US - CLOCK_STEP_BACK_US
+    challenged = guard.admit(RESTARTED_AT_US, received(first_stamp - 1, Kind.SYNC))
     assert challenged.accepted == () and challenged.reply is not None
-    proof = guard.admit(RESTARTED_AT, received(first, Kind.ACK, challenged.reply.seq))
-    assert [r.stamp for r in proof.accepted] == [first - 1]
+    proof = guard.admit(RESTARTED_AT_US, received(first_stamp, Kind.ACK, challenged.reply.seq))
+    assert [r.stamp for r in proof.accepted] == [first_stamp - 1]
     return guard
 
 
-def test_what_was_accepted_from_the_earlier_process_is_never_accepted_again() -> None:
-    guard = guard_of_restarted()
-    for now in range(RESTARTED_AT, RESTARTED_AT + STEP_BACK + MAX_SKEW_US, SEC // 2):
+def test_stamps_accepted_from_earlier_process_stay_rejected() -> None:
+    guard = guard_after_restart()
+    for now in range(RESTARTED_AT_US, RESTARTED_AT_US + CLOCK_STEP_BACK_US + MAX_SKEW_US, SEC // 2):
         for second in range(100, 111):
             assert guard.admit(now, received(second * SEC, Kind.SYNC)) == REJECTED
 
@@ -175,58 +183,61 @@
         (-MAX_TRANSIT_US, True),
         (MAX_TRANSIT_US + 1, False),
         (-MAX_TRANSIT_US - 1, False),
-        (STEP_BACK, False),
+        (CLOCK_STEP_BACK_US, False),
     ],
 )
-def test_stamps_that_both_processes_can_have_must_be_the_present_ones(skew: int, is_accepted: bool) -> None:
-    """What the earlier process has sent to others, or was lost, may be replayed."""
-    guard = guard_of_restarted()
-    now = RESTARTED_AT + 9 * SEC + SEC // 2
-    present = now - STEP_BACK
-    admission = guard.admit(now, received(present + skew, Kind.SYNC))
+def test_overlapping_stamps_must_be_close_to_expected_stamp(skew: int, is_accepted: bool) -> None:
+    """Guards against replays of datagrams that the earlier process sent to others or that were lost."""
+    guard = guard_after_restart()
+    now = RESTARTED_AT_US + 9 * SEC + SEC // 2
+    expected_stamp = now - CLOCK_STEP_BACK_US
+    admission = guard.admit(now, received(expected_stamp + skew, Kind.SYNC))
     assert bool(admission.accepted) is is_accepted
     if not is_accepted:
         assert admission.reply is not None
-        assert guard.admit(now, received(present, Kind.ACK, admission.reply.seq)).accepted == ()
+        assert guard.admit(now, received(expected_stamp, Kind.ACK, admission.reply.seq)).accepted == ()
 
 
-def test_stamps_above_those_of_the_earlier_process_may_differ_as_usual() -> None:
-    now = RESTARTED_AT + 2 * STEP_BACK
-    present = now - STEP_BACK
-    for stamp in (RESTARTED_AT + 1, present, present + MAX_SKEW_US):
-        assert guard_of_restarted().admit(now, received(stamp, Kind.SYNC)).accepted
-    assert guard_of_restarted().admit(now, received(RESTARTED_AT, Kind.SYNC)) == REJECTED
+def test_stamps_above_overlap_may_differ_up_to_max_skew() -> None:
+    now = RESTARTED_AT_US + 2 * CLOCK_STEP_BACK_US
+    expected_stamp = now - CLOCK_STEP_BACK_US
+    for stamp in (RESTARTED_AT_US + 1, expected_stamp, expected_stamp + MAX_SKEW_US):
+        assert guard_after_restart().admit(now, received(stamp, Kind.SYNC)).accepted
+    assert guard_after_restart().admit(now, received(RESTARTED_AT_US, Kind.SYNC)) == REJECTED
 
 
-def test_an_answer_that_others_overtook_makes_nothing_acceptable_twice() -> None:
-    guard = guard_of_restarted()
-    start = RESTARTED_AT + STEP_BACK + SEC
-    guard.ping_sent(start, 8)
-    arrivals = [start + number * MILLISECOND for number in range(WINDOW_SIZE + 1)]
+def test_overtaken_ping_answer_does_not_readmit_datagrams() -> None:
+    guard = guard_after_restart()
+    start = RESTARTED_AT_US + CLOCK_STEP_BACK_US + SEC
+    guard.record_ping(start, 8)
+    arrivals = [start + number * MILLISECOND_US for number in range(WINDOW_SIZE + 1)]
     for now in arrivals:
-        assert guard.admit(now, received(now - STEP_BACK, Kind.SYNC)).accepted
+        assert guard.admit(now, received(now - CLOCK_STEP_BACK_US, Kind.SYNC)).accepted
     end = arrivals[-1]
-    guard.admit(end, received(start - STEP_BACK - 5, Kind.ACK, 8))
+    guard.admit(end, received(start - CLOCK_STEP_BACK_US - 5, Kind.ACK, 8))
     for now in arrivals:
-        assert guard.admit(end, received(now - STEP_BACK, Kind.SYNC)).accepted == ()
+        assert guard.admit(end, received(now - CLOCK_STEP_BACK_US, Kind.SYNC)).accepted == ()
+
 
+def test_possibly_forgotten_stamp_is_rejected_after_restart() -> None:
+    """The earlier process has sent more datagrams than the window remembers.
 
-def test_a_stamp_that_may_have_been_forgotten_is_not_accepted_from_a_new_process() -> None:
-    """More datagrams than are remembered came from the earlier one, in less time than the clock went back."""
+    It sent them in less time than the clock was stepped back.
+    """
     guard = ReplayGuard("me", 1000, Counter())
-    start, forgotten = 100 * SEC, 50
-    guard.ping_sent(start, 7)
+    start, forgotten_count = 100 * SEC, 50
+    guard.record_ping(start, 7)
     assert guard.admit(start, received(start, Kind.ACK, 7)).accepted
-    stamps = [start + number * MILLISECOND for number in range(1, WINDOW_SIZE + forgotten)]
+    stamps = [start + number * MILLISECOND_US for number in range(1, WINDOW_SIZE + forgotten_count)]
     for stamp in stamps:
         assert guard.admit(stamp, received(stamp, Kind.SYNC)).accepted
     now = stamps[-1] + SEC
-    assert guard.admit(now, received(stamps[forgotten] - 2 * MILLISECOND - 1, Kind.SYNC)) == REJECTED
+    assert guard.admit(now, received(stamps[forgotten_count] - 2 * MILLISECOND_US - 1, Kind.SYNC)) == REJECTED
     assert guard.dropped == {"replay": 1}
-    assert guard.admit(now, received(stamps[forgotten] + 1, Kind.SYNC)).accepted
+    assert guard.admit(now, received(stamps[forgotten_count] + 1, Kind.SYNC)).accepted
 
 
-def test_the_stamps_kept_of_earlier_processes_are_bounded() -> None:
+def test_stamps_of_earlier_processes_are_bounded() -> None:
     stamps = SenderStamps()
     for process in range(9):
         start = (1000 - 10 * process) * SEC
@@ -234,5 +245,5 @@
         for number in range(WINDOW_SIZE):
             stamps.record("a", start + number + 1, 0)
     window = stamps.windows["a"]
-    assert len(window.seen) <= WINDOW_SIZE and len(window.earlier) <= WINDOW_SIZE
-    assert stamps.judge("a", 930 * SEC + 1, 0) != Verdict.FRESH
+    assert len(window.current_stamps) <= WINDOW_SIZE and len(window.previous_stamps) <= WINDOW_SIZE
+    assert stamps.classify("a", 930 * SEC + 1, 0) != StampStatus.FRESH
