--- a/balancer/fleet/endpoint.py
+++ b/balancer/fleet/endpoint.py
@@ -14,7 +14,7 @@
 from balancer.fleet.membership.claims import Address
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.messages import Kind
-from balancer.fleet.membership.replay_guard import Received, ReplayGuard
+from balancer.fleet.membership.replay_guard import ReceivedDatagram, ReplayGuard
 
 # Sequence numbers have 62 bits on the wire, so those that follow the initial one don't overflow.
 INITIAL_SEQ_BITS = 60
@@ -98,7 +98,7 @@
             return
         data = self.codec.encode(message, self.stamp())
         if message.kind == Kind.PING:
-            self.guard.ping_sent(self.now(), message.seq)
+            self.guard.record_ping(self.now(), message.seq)
         try:
             self.transport.sendto(data, to)
         except (OSError, ValueError):
@@ -108,7 +108,7 @@
         self.sent[counter_key(message.kind)] += 1
         self.bytes_out += len(data)
 
-    def admit(self, data: bytes, source: Address) -> Sequence[Received]:
+    def admit(self, data: bytes, source: Address) -> Sequence[ReceivedDatagram]:
         """Check a received datagram and return the datagrams that may be processed now.
 
         These are the datagram itself, or those that were buffered until their sender proved that it is live.
@@ -118,7 +118,7 @@
         stamped = self.codec.read(data)
         if stamped is None:
             return ()
-        received = Received(source, stamped.stamp, stamped.message, len(data))
+        received = ReceivedDatagram(source, stamped.stamp, stamped.message, len(data))
         admission = self.guard.admit(self.now(), received)
         if admission.reply is not None:
             self.transmit(admission.reply, source)
--- a/balancer/fleet/health_checks/messages.py
+++ b/balancer/fleet/health_checks/messages.py
@@ -66,7 +66,7 @@
         """Return the body of a message, made of types that msgpack encodes."""
         return message.zone, [(probe.server, probe.token, probe.wait) for probe in message.probes]
 
-    def shorter(self, message: HealthCheckMessage) -> HealthCheckMessage | None:
+    def shorten(self, message: HealthCheckMessage) -> HealthCheckMessage | None:
         """Return the message without its last probe, or None if it has no probes."""
         return replace(message, probes=message.probes[:-1]) if message.probes else None
 
--- a/balancer/fleet/leases/component.py
+++ b/balancer/fleet/leases/component.py
@@ -55,7 +55,7 @@
         runtime = self.runtime
         now = runtime.now()
         self.unix_offset_us = runtime.wall() - now
-        incarnation = runtime.membership.me.incarnation
+        incarnation = runtime.membership.local_claim.incarnation
         self.service.open(incarnation, now, self.unix_milliseconds, runtime.rng)
 
     def unix_milliseconds(self) -> int:
--- a/balancer/fleet/leases/messages.py
+++ b/balancer/fleet/leases/messages.py
@@ -90,7 +90,7 @@
             int(message.reason),
         )
 
-    def shorter(self, message: LeaseMessage) -> None:
+    def shorten(self, message: LeaseMessage) -> None:
         """Return None: with their short names, lease messages always fit into a datagram."""
 
     def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> LeaseMessage:
--- a/balancer/fleet/member_table.py
+++ b/balancer/fleet/member_table.py
@@ -15,7 +15,7 @@
             "address": format_address(member.claim.address),
             "state": member.claim.status.name.lower(),
             "incarnation": member.claim.incarnation,
-            "age_s": round((now - member.since) / 1e6, 3),
+            "age_s": round((now - member.accepted_at) / 1e6, 3),
         }
         for name, member in sorted(swim.members.items())
     ]
--- a/balancer/fleet/rolling_update/component.py
+++ b/balancer/fleet/rolling_update/component.py
@@ -39,7 +39,11 @@
     def open(self) -> None:
         """Start a new incarnation, without a plan."""
         runtime = self.runtime
-        name, zone, incarnation = runtime.config.name, runtime.config.zone, runtime.membership.me.incarnation
+        name, zone, incarnation = (
+            runtime.config.name,
+            runtime.config.zone,
+            runtime.membership.local_claim.incarnation,
+        )
         self.rolling_update = RollingUpdate(name, zone, incarnation, self, runtime.now())
 
     # ---- Interface for the state machine ----------------------------------------------------------------
--- a/balancer/fleet/rolling_update/messages.py
+++ b/balancer/fleet/rolling_update/messages.py
@@ -109,7 +109,7 @@
             *(message.incarnation, message.token, message.serving, message.zone),
         )
 
-    def shorter(self, message: RollingUpdateMessage) -> None:
+    def shorten(self, message: RollingUpdateMessage) -> None:
         """Return None: a message always fits into a datagram, and no part of it can be omitted."""
 
     def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> RollingUpdateMessage:
--- a/balancer/fleet/runtime.py
+++ b/balancer/fleet/runtime.py
@@ -20,7 +20,7 @@
 from balancer.fleet.endpoint import DatagramEndpoint, random_initial_seq
 from balancer.fleet.member_table import format_address, member_table
 from balancer.fleet.membership.codec import Codec
-from balancer.fleet.membership.replay_guard import Received
+from balancer.fleet.membership.replay_guard import ReceivedDatagram
 from balancer.fleet.membership.swim import Address, Claim, OutgoingMessage, Swim, Timing
 from balancer.fleet.operator_pages import OperatorPages
 from balancer.fleet.registry import MEMBERSHIP_KINDS, Registry
@@ -125,7 +125,7 @@
         self.log.line(
             f"fleet joins name={config.name} zone={config.zone} region={config.region or '-'}"
             f" listen={format_address(config.listen)} advertise={format_address(config.advertise)}"
-            f" seeds={len(config.seeds)} incarnation={swim.me.incarnation}"
+            f" seeds={len(config.seeds)} incarnation={swim.local_claim.incarnation}"
         )
 
     def leave(self) -> None:
@@ -168,7 +168,7 @@
         """Return the names of the members that have left or died and are not forgotten yet."""
         if self.swim is None:
             return []
-        return sorted(name for name, member in self.swim.members.items() if member.gone)
+        return sorted(name for name, member in self.swim.members.items() if member.is_dead_or_left)
 
     def address_of(self, member: str) -> Address | None:
         """Return the address at which a member receives datagrams; None if the member is unknown."""
@@ -232,7 +232,7 @@
         if self.deadline() < before:
             self.schedule()
 
-    def handle(self, swim: Swim, received: Received) -> None:
+    def handle(self, swim: Swim, received: ReceivedDatagram) -> None:
         """Pass on a message to membership or to a component, by its kind."""
         if received.message.kind in MEMBERSHIP_KINDS:
             self.send_membership(swim.receive(self.now(), received.source, received.message))
@@ -297,7 +297,7 @@
             "zone": config.zone,
             "region": config.region,
             "open": self.is_open,
-            "incarnation": swim.me.incarnation if swim is not None else 0,
+            "incarnation": swim.local_claim.incarnation if swim is not None else 0,
             "members": member_table(swim, now) if swim is not None else [],
         }
         page |= self.counters() | {"late_ticks": self.late_ticks}
--- a/balancer/fleet/zone_membership/decisions.py
+++ b/balancer/fleet/zone_membership/decisions.py
@@ -141,7 +141,7 @@
             source: Address of the sender, to which the response is sent.
             message: The received message.
         """
-        if message.sender == self.group.me.name:
+        if message.sender == self.group.local_claim.name:
             return []
         self.selection.mark_responsive(message.sender)
         if message.zone != self.zone and message.sender in self.group.members:
--- a/balancer/fleet/zone_membership/exchanges.py
+++ b/balancer/fleet/zone_membership/exchanges.py
@@ -79,7 +79,7 @@
 
         The query lets two zones that cannot reach each other get each other's summaries from a third one.
         """
-        me = self.selection.group.me.name
+        me = self.selection.group.local_claim.name
         own_zone = self.records.own_zone
         self.is_gateway = me in self.selection.gateways(now)
         if not self.is_gateway:
--- a/balancer/fleet/zone_membership/gateway_selection.py
+++ b/balancer/fleet/zone_membership/gateway_selection.py
@@ -27,7 +27,7 @@
         self.unresponsive_until = {
             name: until for name, until in self.unresponsive_until.items() if until > now
         }
-        names = [*self.group.alive(), self.group.me.name]
+        names = [*self.group.alive(), self.group.local_claim.name]
         if len(self.rendezvous.scores) > 2 * len(names):
             self.rendezvous.retain_only(names)
         candidates = (name for name in names if name not in self.unresponsive_until)
--- a/balancer/fleet/zone_membership/group.py
+++ b/balancer/fleet/zone_membership/group.py
@@ -20,7 +20,7 @@
     """This node's view of the zone's SWIM group."""
 
     @property
-    def me(self) -> Claim:
+    def local_claim(self) -> Claim:
         """This node's own claim."""
 
     @property
@@ -33,4 +33,4 @@
 
 def address_of(group: Group, name: str) -> Address:
     """Return the address of a member of the group or of this node."""
-    return group.me.address if name == group.me.name else group.members[name].claim.address
+    return group.local_claim.address if name == group.local_claim.name else group.members[name].claim.address
--- a/balancer/fleet/zone_membership/local_summary.py
+++ b/balancer/fleet/zone_membership/local_summary.py
@@ -57,7 +57,7 @@
         return Summary(self.latest.state, self.latest.version, now - self.made_at)
 
     def _create(self, now: int) -> Summary:
-        me = self.group.me
+        me = self.group.local_claim
         names = [*self.group.alive(), me.name]
         selected = self.selection.gateways(now)[:MAX_GATEWAYS_PER_SUMMARY]
         gateways = tuple(Gateway(name, address_of(self.group, name)) for name in selected)
--- a/balancer/fleet/zone_membership/queries.py
+++ b/balancer/fleet/zone_membership/queries.py
@@ -81,7 +81,7 @@
         """Return a query with the latest sequence number."""
         return ZoneMembershipMessage(
             ZoneMembershipKind.ZONE_QUERY,
-            self.group.me.name,
+            self.group.local_claim.name,
             self.records.own_zone,
             self.sequence.latest,
             known_summaries=self.records.known_summaries(now),
@@ -100,7 +100,7 @@
 
     def _query(self, now: int) -> list[OutgoingZoneMessage]:
         """Query a random gateway, or first retry one whose last query was not answered."""
-        me = self.group.me.name
+        me = self.group.local_claim.name
         gateways = [name for name in self.selection.gateways(now) if name != me]
         if not gateways:
             self.next_at = now + self.timing.response_timeout
--- a/balancer/fleet/zone_membership/responses.py
+++ b/balancer/fleet/zone_membership/responses.py
@@ -82,7 +82,7 @@
         summaries: tuple[Summary, ...] = (),
         refreshes: tuple[Refresh, ...] = (),
     ) -> OutgoingZoneMessage:
-        me = self.local_summary.group.me.name
+        me = self.local_summary.group.local_claim.name
         own_zone = self.records.own_zone
         message = ZoneMembershipMessage(kind, me, own_zone, request.seq, summaries, refreshes)
         return AddressedMessage(receiver, message)
--- a/balancer/fleet/zone_membership/wire.py
+++ b/balancer/fleet/zone_membership/wire.py
@@ -108,7 +108,7 @@
             [pack_known_summary(entry) for entry in message.known_summaries],
         )
 
-    def shorter(self, message: ZoneMembershipMessage) -> ZoneMembershipMessage | None:
+    def shorten(self, message: ZoneMembershipMessage) -> ZoneMembershipMessage | None:
         """Return a message without its last entry to make it shorter, or None if it has no entries."""
         if message.summaries:
             return replace(message, summaries=message.summaries[:-1])
--- a/balancer/fleet/zone_routing/messages.py
+++ b/balancer/fleet/zone_routing/messages.py
@@ -72,7 +72,7 @@
         """Return the wire form of a message's body."""
         return [(directive.zone, directive.version, directive.until) for directive in message.directives]
 
-    def shorter(self, message: ZoneMessage) -> ZoneMessage | None:
+    def shorten(self, message: ZoneMessage) -> ZoneMessage | None:
         """Return a message without its last directive to make it shorter, or None if it has none."""
         return replace(message, directives=message.directives[:-1]) if message.directives else None
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -158,7 +158,10 @@
         first.node.handover.is_older = True
         first.node.on_shared(True)
         await until(lambda: fleet_of(second).swim is not None)
-        assert fleet_of(second).membership.me.incarnation > fleet_of(first).membership.me.incarnation
+        assert (
+            fleet_of(second).membership.local_claim.incarnation
+            > fleet_of(first).membership.local_claim.incarnation
+        )
         fleet_of(second).close()
 
     play(scenario)
--- a/tests/test_fleet_clocks.py
+++ b/tests/test_fleet_clocks.py
@@ -99,7 +99,7 @@
         fleet.run(3)
         restarted = fleet.start(3, offset=HOUR if restart % 2 == 0 else 0)
         assert fleet.until(lambda restarted=restarted: fleet.accepted_by_all(restarted), 4), restart
-        assert restarted.swim.me.incarnation < highest
+        assert restarted.swim.local_claim.incarnation < highest
 
 
 def test_members_with_different_clocks_form_group() -> None:
@@ -146,7 +146,10 @@
 def test_process_adopts_incarnation_above_reported_one(status, reported, is_adopted) -> None:
     swim = member("a", 1, 5)
     swim.accept(SEC, Claim("a", ("10.0.0.1", 1), status, reported))
-    assert swim.me.incarnation == (reported + 1 if is_adopted else 5) and swim.me.status == Status.ALIVE
+    assert (
+        swim.local_claim.incarnation == (reported + 1 if is_adopted else 5)
+        and swim.local_claim.status == Status.ALIVE
+    )
 
 
 @pytest.mark.parametrize("kind", [Kind.PING, Kind.SYNC, Kind.ACK])
@@ -155,12 +158,12 @@
     swim, restarted = member("a", 1, 1), member("b", 2, 5)
     swim.accept(SEC, Claim("b", ("10.0.0.1", 2), Status.ALIVE, 9))
     swim.accept(SEC, Claim("b", ("10.0.0.1", 2), status, 9))
-    sends = swim.receive(SEC, ("10.0.0.1", 2), Message(kind, "b", 0, "", (restarted.me,)))
+    sends = swim.receive(SEC, ("10.0.0.1", 2), Message(kind, "b", 0, "", (restarted.local_claim,)))
     for send in sends:
         restarted.receive(SEC, ("10.0.0.1", 1), send.message)
-    assert restarted.me.incarnation == 10
-    swim.receive(SEC, ("10.0.0.1", 2), Message(Kind.PING, "b", 0, "", (restarted.me,)))
-    assert swim.status("b") == Status.ALIVE and swim.members["b"].claim == restarted.me
+    assert restarted.local_claim.incarnation == 10
+    swim.receive(SEC, ("10.0.0.1", 2), Message(Kind.PING, "b", 0, "", (restarted.local_claim,)))
+    assert swim.status("b") == Status.ALIVE and swim.members["b"].claim == restarted.local_claim
 
 
 def test_sender_with_current_or_higher_incarnation_gets_no_reply() -> None:
--- a/tests/test_fleet_components.py
+++ b/tests/test_fleet_components.py
@@ -49,7 +49,7 @@
     def pack(self, message: ToyMessage) -> str:
         return message.text
 
-    def shorter(self, message: ToyMessage) -> None:
+    def shorten(self, message: ToyMessage) -> None:
         return None
 
     def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> ToyMessage:
--- a/tests/test_zone_membership_messages.py
+++ b/tests/test_zone_membership_messages.py
@@ -132,7 +132,7 @@
         def pack(self, message: ZoneMembershipMessage) -> Any:
             return body
 
-        def shorter(self, message: ZoneMembershipMessage) -> None:
+        def shorten(self, message: ZoneMembershipMessage) -> None:
             return None
 
     data = Codec([GROUP_KEY], [MalformedBodyWire()]).encode(
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -13,7 +13,7 @@
 from balancer.fleet.membership.claims import Address
 from balancer.fleet.membership.codec import Codec, StampedMessage
 from balancer.fleet.membership.messages import AnyMessage, Message, OutgoingMessage
-from balancer.fleet.membership.replay_guard import Received, ReplayGuard
+from balancer.fleet.membership.replay_guard import ReceivedDatagram, ReplayGuard
 from balancer.fleet.membership.swim import Claim, Kind, Status, Swim
 from workbench.simulator.heap import HeapClock
 
@@ -97,7 +97,7 @@
 
     def encode(self, message: AnyMessage) -> bytes:
         if message.kind == Kind.PING:
-            self.guard.ping_sent(self.net.now, message.seq)
+            self.guard.record_ping(self.net.now, message.seq)
         return self.codec.encode(message, self.stamp())
 
     def admit(self, source: Address, data: bytes) -> Admitted:
@@ -105,7 +105,7 @@
         stamped = self.codec.read(data)
         if stamped is None:
             return Admitted()
-        received = Received(source, stamped.stamp, stamped.message, len(data))
+        received = ReceivedDatagram(source, stamped.stamp, stamped.message, len(data))
         admission = self.guard.admit(self.net.now, received)
         return Admitted([(r.source, r.message) for r in admission.accepted], admission.reply)
 
@@ -114,8 +114,10 @@
     """Membership of the version before: a member raises its incarnation only when it is accused."""
 
     def refute(self, claim: Claim) -> None:
-        if claim.status != Status.ALIVE and claim.incarnation >= self.me.incarnation:
-            self.me = Claim(self.me.name, self.me.address, Status.ALIVE, claim.incarnation + 1)
+        if claim.status != Status.ALIVE and claim.incarnation >= self.local_claim.incarnation:
+            self.local_claim = Claim(
+                self.local_claim.name, self.local_claim.address, Status.ALIVE, claim.incarnation + 1
+            )
 
     def report_newer_incarnation(self, source: Address, message: AnyMessage) -> list[OutgoingMessage]:
         return []
@@ -238,7 +240,7 @@
     def accepted_by_all(self, process: Process) -> bool:
         """Returns whether all others consider this process alive, in its present incarnation."""
         others = (o for o in self.processes.values() if o is not process)
-        mine = replace(process.swim.me, status=Status.ALIVE)
+        mine = replace(process.swim.local_claim, status=Status.ALIVE)
         return all((m := o.swim.members.get(process.name)) is not None and m.claim == mine for o in others)
 
 
--- a/workbench/explore/clocks.py
+++ b/workbench/explore/clocks.py
@@ -212,7 +212,7 @@
         """Checks that all others hold the new incarnation alive."""
         if process.runtime is None or process.incarnation != incarnation:
             return
-        own = process.runtime.membership.me.incarnation
+        own = process.runtime.membership.local_claim.incarnation
         for other in self.processes:
             if other is process or not other.runs_on():
                 continue
--- a/workbench/explore/heartbeat_messages.py
+++ b/workbench/explore/heartbeat_messages.py
@@ -58,7 +58,7 @@
         numbers = (message.incarnation, message.count, message.acknowledged, message.last_change)
         return *numbers, message.entries
 
-    def shorter(self, message: HeartbeatMessage) -> None:
+    def shorten(self, message: HeartbeatMessage) -> None:
         """Returns None: the senders limit the entries so that each message fits."""
 
     def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> HeartbeatMessage:
--- a/workbench/explore/members.py
+++ b/workbench/explore/members.py
@@ -95,13 +95,13 @@
 
     def attach(self, swim: Swim) -> None:
         """Lets a member receive messages; the caller runs its timer."""
-        address = swim.me.address
+        address = swim.local_claim.address
         self.members[address] = swim
         self.network.attach(address, partial(self._receive, swim))
 
     def on_timer(self, swim: Swim) -> None:
         """Performs what is due at a member, unless it was killed."""
-        address = swim.me.address
+        address = swim.local_claim.address
         if self.members.get(address) is swim:
             self.transmit(address, swim.tick(self.clock.now))
             self.clock.call_at(max(self.clock.now + 1, swim.due()), self.on_timer, swim)
@@ -116,12 +116,12 @@
             self.network.send(source, sent.to, sent.message)
 
     def _receive(self, swim: Swim, source: Address, message: AnyMessage) -> None:
-        self.transmit(swim.me.address, swim.receive(self.clock.now, source, message))
+        self.transmit(swim.local_claim.address, swim.receive(self.clock.now, source, message))
 
     def kill(self, address: Address) -> str:
         """Stops a member without notice and returns its name."""
         self.network.detach(address)
-        return self.members.pop(address).me.name
+        return self.members.pop(address).local_claim.name
 
     def run(self, seconds: float) -> None:
         """Advances the virtual clock."""
@@ -146,7 +146,7 @@
 
     def false_deaths(self) -> int:
         """Returns the number of claims, over all members, that a living one is dead or has left."""
-        names = {s.me.name for s in self.members.values()}
+        names = {s.local_claim.name for s in self.members.values()}
         return sum(s.status(n) in (Status.DEAD, Status.LEFT) for s in self.members.values() for n in names)
 
 
--- a/workbench/explore/zone_members.py
+++ b/workbench/explore/zone_members.py
@@ -44,7 +44,7 @@
     """The group of one node, which shares a `ZoneView` with the other nodes of its zone."""
 
     def __init__(self, me: Claim, view: ZoneView) -> None:
-        self.me = me
+        self.local_claim = me
         self.view = view
         self.hidden: set[str] = set()  # members that this node does not see
 
@@ -55,7 +55,7 @@
 
     def alive(self) -> list[str]:
         """Returns the names of the other members that this node sees."""
-        return [n for n in self.view.members if n != self.me.name and n not in self.hidden]
+        return [n for n in self.view.members if n != self.local_claim.name and n not in self.hidden]
 
 
 class Node:
--- a/workbench/lab/faulty_nodes.py
+++ b/workbench/lab/faulty_nodes.py
@@ -151,7 +151,7 @@
                     send_message(
                         self,
                         swim.members[other].claim.address,
-                        Message(Kind.ACK, swim.me.name, 0, "", (lie,)),
+                        Message(Kind.ACK, swim.local_claim.name, 0, "", (lie,)),
                     )
 
     wrap(FleetRuntime, "tick", tick)
@@ -171,7 +171,7 @@
     def tick(go: Any, self: Any) -> None:
         go(self)
         for name in self.swim.alive():
-            message = Message(UNKNOWN_MESSAGE_KIND, self.swim.me.name)  # type: ignore[arg-type]
+            message = Message(UNKNOWN_MESSAGE_KIND, self.swim.local_claim.name)  # type: ignore[arg-type]
             send_message(self, self.swim.members[name].claim.address, message)
 
     wrap(FleetRuntime, "tick", tick)
@@ -186,7 +186,7 @@
         go(self)
         if not done and time.monotonic() - started_at > ONE_TIME_FAULT_S:
             done.append(True)
-            self.swim.me = dataclasses.replace(self.swim.me, incarnation=1)
+            self.swim.local_claim = dataclasses.replace(self.swim.local_claim, incarnation=1)
 
     wrap(FleetRuntime, "tick", tick)
     wrap(Swim, "refute", lambda go, self, claim: None)  # it stays back, whatever others claim of it
--- a/workbench/scale/hollow.py
+++ b/workbench/scale/hollow.py
@@ -244,7 +244,7 @@
 def work_for_each_member(swim: Swim, codec: Codec) -> None:
     """A defect on purpose: at each tick one datagram is encoded, and thrown away, for each member known."""
     tick = swim.tick
-    message = Message(Kind.PING, swim.me.name)
+    message = Message(Kind.PING, swim.local_claim.name)
 
     def slow_tick(now: int) -> Any:
         for _ in swim.alive():
--- a/workbench/scale/membership.py
+++ b/workbench/scale/membership.py
@@ -99,7 +99,7 @@
     def kill(self, address: Address) -> str:
         """Ends a member without a message; returns its name."""
         self.network.detach(address)
-        return self.members.pop(address).me.name
+        return self.members.pop(address).local_claim.name
 
     def run(self, seconds: float) -> None:
         """Handles all events of the next seconds."""
@@ -147,7 +147,7 @@
 
     def introduce_all(self, disseminate: bool = False) -> None:
         """Makes every member known to every other; `disseminate`: by updates that they still pass on."""
-        claims = [s.me for s in self.members.values()]
+        claims = [s.local_claim for s in self.members.values()]
         for swim in self.members.values():
             for claim in claims:
                 swim.accept(self.clock.now, claim)
@@ -235,8 +235,13 @@
     net.run(WARM_UP_S)
     changed = net.members[(HOST, size)]
     first = net.members[(HOST, 1)]
-    claim = Claim(changed.me.name, changed.me.address, Status.ALIVE, changed.me.incarnation + 1)
-    changed.me = claim
+    claim = Claim(
+        changed.local_claim.name,
+        changed.local_claim.address,
+        Status.ALIVE,
+        changed.local_claim.incarnation + 1,
+    )
+    changed.local_claim = claim
     first.accept(net.clock.now, claim)
 
     def all_know() -> bool:
--- a/workbench/scale/simulated.py
+++ b/workbench/scale/simulated.py
@@ -45,7 +45,10 @@
 
     def know_all(self) -> None:
         """Every member holds the whole group, and spreads none of it."""
-        claims = [Claim(s.me.name, a, Status.ALIVE, s.me.incarnation) for a, s in self.members.items()]
+        claims = [
+            Claim(s.local_claim.name, a, Status.ALIVE, s.local_claim.incarnation)
+            for a, s in self.members.items()
+        ]
         for swim in self.members.values():
             for claim in claims:
                 swim.accept(self.clock.now, claim)
--- a/workbench/scale/worker.py
+++ b/workbench/scale/worker.py
@@ -149,7 +149,7 @@
         self.truth.started_at = monotonic()
         for member in self.members.values():
             await self.begin(member, self.known_from_start)
-        return Opened({name: m.swim.me.incarnation for name, m in self.members.items()})
+        return Opened({name: m.swim.local_claim.incarnation for name, m in self.members.items()})
 
     async def begin(self, member: HollowMember, held: bool) -> None:
         await member.open(self.truth.watch(member.place).changed, held)
