--- a/tests/test_lease_tokens.py
+++ b/tests/test_lease_tokens.py
@@ -47,7 +47,7 @@
                 name="x", lease=3 * SEC, max_lease=10 * SEC, voters=VOTERS.voters, old_voters=(), votes=None
             ),
             log=SimpleNamespace(line=lambda text: None),
-            membership=SimpleNamespace(me=SimpleNamespace(incarnation=1)),
+            membership=SimpleNamespace(local_claim=SimpleNamespace(incarnation=1)),
             rng=Random(1),
         )
         self.time = 50 * SEC
