--- a/tests/test_scenario.py
+++ b/tests/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: every fault named at once, and days drawn from ranges."""
+"""Tests of scenario files: validation, overrides, drawing of ranges, and the schema."""
 
 import json
 
@@ -10,7 +10,7 @@
 from workbench.scenario.load import ScenarioError, draw, parse_scenario
 from workbench.scenario.model import Scenario
 
-WRONG = [
+INVALID_TABLES = [
     (
         {"tier": [{"name": "a", "kind": [{"name": "k", "speed": -3}]}]},
         "tier[0].kind[0].speed: -3: must be over 0",
@@ -39,48 +39,51 @@
 ]
 
 
-@pytest.mark.parametrize(("table", "line"), WRONG, ids=[line[:30] for _, line in WRONG])
-def test_a_fault_names_path_found_and_allowed(table, line):
-    (found,) = scenario_errors(table)
-    assert found.startswith(line)
+@pytest.mark.parametrize(("table", "line"), INVALID_TABLES, ids=[line[:30] for _, line in INVALID_TABLES])
+def test_error_names_path_value_and_allowed_values(table, line):
+    (error,) = scenario_errors(table)
+    assert error.startswith(line)
 
 
-def test_all_faults_of_a_file_are_found_at_once(tmp_path):
+def test_load_reports_all_errors_of_a_file(tmp_path):
     file = tmp_path / "bad.toml"
     file.write_text("servers = 0\n[load]\nfraction = -1\nswing = 2\n")
-    with pytest.raises(ScenarioError) as e:
+    with pytest.raises(ScenarioError) as raised:
         scenarios.load(str(file))
-    assert [line.split(": ")[:2] for line in str(e.value).splitlines()] == [
+    assert [line.split(": ")[:2] for line in str(raised.value).splitlines()] == [
         [str(file), "servers"],
         [str(file), "load.fraction"],
         [str(file), "load.swing"],
     ]
 
 
-@pytest.mark.parametrize("name", scenarios.shipped())
-def test_a_drawn_day_is_a_scenario_that_draws_to_itself(name):
-    day = draw(scenarios.load(name), 5)
-    table = scenarios.tomllib.loads(scenarios.to_toml(day))
-    again = draw(parse_scenario(table))
-    assert again == day and day.seed == 5 and day.title
-    assert not any(isinstance(v, list) and len(v) == 2 and type(v[0]) is float for v in flat(table))
+@pytest.mark.parametrize("name", scenarios.shipped_scenarios())
+def test_drawn_scenario_has_no_ranges_and_redraws_equal(name):
+    """A drawn scenario written as TOML and drawn again is equal to itself."""
+    drawn = draw(scenarios.load(name), 5)
+    table = scenarios.tomllib.loads(scenarios.to_toml(drawn))
+    redrawn = draw(parse_scenario(table))
+    assert redrawn == drawn and drawn.seed == 5 and drawn.title
+    assert not any(isinstance(v, list) and len(v) == 2 and type(v[0]) is float for v in flattened(table))
 
 
-def flat(value):
+def flattened(value):
+    """Return each scalar of a nested value, and each list before its items."""
     if isinstance(value, dict):
-        return [x for v in value.values() for x in flat(v)]
-    return [value, *(x for v in value for x in flat(v))] if isinstance(value, list) else [value]
+        return [x for v in value.values() for x in flattened(v)]
+    return [value, *(x for v in value for x in flattened(v))] if isinstance(value, list) else [value]
 
 
-def test_one_range_more_shifts_no_other_draw():
+def test_added_range_changes_no_other_drawn_value():
+    """Each key draws from a stream of its own, so that an added range leaves all other draws as they are."""
     plain, changed = parse_scenario({}), parse_scenario({"network": {"loss": [0.0, 0.1]}})
-    a, b = (scenarios.to_table(draw(s, 3)) for s in (plain, changed))
-    assert a.pop("network") != b.pop("network")
-    assert a == b
+    plain_table, changed_table = (scenarios.to_table(draw(s, 3)) for s in (plain, changed))
+    assert plain_table.pop("network") != changed_table.pop("network")
+    assert plain_table == changed_table
 
 
 @pytest.mark.parametrize(
-    ("override", "wrong"),
+    ("override", "error"),
     [
         ("load.fraction=0.9", ""),
         ("tier[0].kind[1].speed=2", ""),
@@ -91,15 +94,15 @@
         ("load.fraction=-1", "load.fraction: -1: must be over 0"),
     ],
 )
-def test_overrides_are_checked_as_files_are(override, wrong):
-    if wrong:
-        with pytest.raises(ScenarioError, match=wrong.replace("[", r"\[")):
+def test_overrides_are_validated_like_files(override, error):
+    if error:
+        with pytest.raises(ScenarioError, match=error.replace("[", r"\[")):
             scenarios.load("quiet", [override])
     else:
         assert scenarios.load("quiet", [override]) != scenarios.load("quiet")
 
 
-def test_the_schema_names_every_section_and_its_bounds():
+def test_schema_contains_section_keys_and_bounds():
     schema = json.loads(msgspec.json.encode(msgspec.json.schema(Scenario)))
     load = schema["$defs"]["Load"]["properties"]["fraction"]
     assert load["exclusiveMinimum"] == 0 and schema["$defs"]["Load"]["additionalProperties"] is False
--- a/workbench/__init__.py
+++ b/workbench/__init__.py
@@ -1,3 +1,3 @@
-"""The workbench around the balancer node: a model of what it serves, experiments and reports."""
+"""The workbench of the load balancer: a model of its environment, experiments and reports."""
 
 __version__ = "0.1.0"
--- a/workbench/__main__.py
+++ b/workbench/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m workbench`."""
+"""The entry point of `python -m workbench`."""
 
 from workbench.cli import main
 
--- a/workbench/files.py
+++ b/workbench/files.py
@@ -1,4 +1,4 @@
-"""Replacement of files: each new one appears complete and on the disk, or not at all."""
+"""Atomic replacement of files: a new file appears complete and synced to disk, or not at all."""
 
 from __future__ import annotations
 
@@ -9,13 +9,15 @@
 from functools import partial
 from pathlib import Path
 
-FILE_MODE = 0o644  # a temporary file begins readable by its owner alone
+# Mode of the new files; a temporary file is created readable by its owner only.
+FILE_MODE = 0o644
 
-Writer = Callable[[Path], object]  # writes a file's contents to the path that it is given
+# Writes the contents of a file to the given path.
+Writer = Callable[[Path], object]
 
 
 def sync(path: Path) -> None:
-    """Returns once what was written to the file is on the disk.
+    """Wait until the contents of a file are on the disk.
 
     Raises:
         OSError: The file cannot be synced.
@@ -25,7 +27,7 @@
 
 
 def replace_files(files: Mapping[Path, bytes]) -> None:
-    """Replaces files by new contents, as `write_files` does.
+    """Replace the contents of files in the manner of `write_files`.
 
     Raises:
         OSError: A file cannot be written.
@@ -34,14 +36,14 @@
 
 
 def write_files(writers: Mapping[Path, Writer]) -> None:
-    """Replaces files by what their writers write; none before all new ones are on the disk.
+    """Replace files by the output of their writers, none before all new files are on the disk.
 
-    Failure prevented: a full disk leaves new pages beside old numbers, or a file that is cut short.
+    A full disk therefore leaves neither a truncated file nor a mixture of new and old files.
 
     Raises:
         OSError: A file cannot be written.
     """
-    temporary_files: dict[Path, Path] = {}  # by target
+    temporary_files: dict[Path, Path] = {}
     try:
         for target, write in writers.items():
             temporary_files[target] = temporary_file(target)
@@ -57,7 +59,7 @@
 
 
 def temporary_file(target: Path) -> Path:
-    """Creates an empty hidden file beside the target, with the target's suffix.
+    """Create an empty hidden file in the folder of the target, with the target's suffix.
 
     Raises:
         OSError: The file cannot be created.
--- a/workbench/model/__init__.py
+++ b/workbench/model/__init__.py
@@ -1,4 +1,4 @@
-"""The model that a load-balancer node serves: clients, servers, discovery, network and faults.
+"""The simulated environment of a load-balancer node: clients, servers, discovery, network and faults.
 
-It uses neither an event loop nor sockets: every part takes a `Clock` and is called back by it.
+The model uses neither an event loop nor sockets: each component schedules its callbacks on a `Clock`.
 """
--- a/workbench/model/accounts.py
+++ b/workbench/model/accounts.py
@@ -1,4 +1,4 @@
-"""Accounts of a scenario's value: in total, for the worst window and class, and by cause of loss."""
+"""Accounting of the value earned in a scenario: in total, per window, per class, and by cause of loss."""
 
 from __future__ import annotations
 
@@ -12,9 +12,11 @@
 from workbench.model.network import fixed_float
 from workbench.scenario.model import Scenario
 
-TABLE_BIN_US = 5_000_000  # of the table's rows
-BIN_US = 1_000_000  # of the plot, and the step of the worst window
-LATE = Cause("late", 0)
+# Interval covered by one row of the result table.
+TABLE_BIN_US = 5_000_000
+# Resolution of the recorded sums, of the plots, and of the search for the worst window.
+BIN_US = 1_000_000
+LATE_RESPONSE = Cause("late", 0)
 SUMMARY_PERCENTILES = (50, 90, 99)
 
 
@@ -22,71 +24,72 @@
     """Sums over the requests that were due in one interval of time."""
 
     __slots__ = (
-        "asked",
         "attempts",
         "causes",
         "client_attempts",
         "latencies",
         "offered_value",
+        "request_count",
         "served",
         "served_value",
     )
 
     def __init__(self) -> None:
-        self.asked = 0
+        self.request_count = 0
         self.offered_value = 0.0
         self.served = 0
         self.served_value = 0.0
         self.client_attempts = 0
         self.attempts = 0
-        self.causes: Counter[Cause] = Counter()  # the value lost
+        # Lost value by cause.
+        self.causes: Counter[Cause] = Counter()
         self.latencies: list[int] = []
 
 
 class Accounts:
-    """Records how each client's request ended, and the traffic that nodes report.
+    """The outcomes of the clients' requests and the traffic counts that nodes report.
 
     Args:
-        day: The scenario.
-        classes: The settings of its request classes.
-        begin: The time at which it begins, in microseconds.
+        scenario: The scenario.
+        classes: The settings of the request classes.
+        begin_at: The time at which the scenario begins, in microseconds.
         tiers: The number of tiers.
     """
 
-    def __init__(self, day: Scenario, classes: list[ClassSettings], begin: int, tiers: int) -> None:
-        self.day = day
+    def __init__(self, scenario: Scenario, classes: list[ClassSettings], begin_at: int, tiers: int) -> None:
+        self.scenario = scenario
         self.classes = classes
-        self.begin = begin
+        self.begin_at = begin_at
         self.bins: list[Bin] = []
         self.offered_by_class = [0.0] * len(classes)
         self.earned_by_class = [0.0] * len(classes)
         self.late_failed_value = 0.0
         self.work = 0.0
-        self.useful = 0.0
+        self.useful_work = 0.0
         self.calls = [0] * tiers
         self.attempts = [0] * tiers
         self.rejections = [0] * tiers
-        self.crossings = 0
+        self.cross_zone_attempts = 0
         self.dials = 0
         self.probes = 0
 
     def bin_of(self, request: Request) -> Bin:
-        """Returns the bin of a request, by the time it was due."""
-        i = (request.due - self.begin) // BIN_US
+        """Return the bin that covers the time at which a request was due."""
+        i = (request.due - self.begin_at) // BIN_US
         while len(self.bins) <= i:
             self.bins.append(Bin())
         return self.bins[i]
 
     def request_arrived(self, request: Request) -> None:
-        """Records a request at the time it is due."""
+        """Count a request, and its value, as offered in the bin of its due time."""
         value = self.classes[request.request_class].worth
         interval = self.bin_of(request)
-        interval.asked += 1
+        interval.request_count += 1
         interval.offered_value += value
         self.offered_by_class[request.request_class] += value
 
     def request_ended(self, request: Request) -> float:
-        """Records the end of a request, served or not; returns the value that was lost."""
+        """Record the end of a request, served or not, and return the value that was lost."""
         settings = self.classes[request.request_class]
         interval = self.bin_of(request)
         interval.client_attempts += request.client_attempts
@@ -94,13 +97,13 @@
         self.work += request.work
         earned = 0.0
         if request.served:
-            self.useful += request.useful
+            self.useful_work += request.useful_work
             interval.latencies.append(request.done_at - request.due)
             earned = settings.worth * (
                 1.0 if request.done_at <= request.objective_at else settings.late_worth
             )
             if request.done_at > request.objective_at:
-                request.cause = LATE
+                request.cause = LATE_RESPONSE
         elif request.done_at > request.objective_at:
             self.late_failed_value += settings.worth
         interval.served += request.served and request.done_at <= request.objective_at
@@ -110,29 +113,29 @@
             interval.causes[request.cause] += settings.worth - earned  # type: ignore[assignment]
         return settings.worth - earned
 
-    # ---- sums -----------------------------------------------------------------------------------------
+    # ---- results --------------------------------------------------------------------------------------
 
     def merged_bins(self, length: int) -> list[Bin]:
-        """Returns the bins, merged to bins of `length` microseconds."""
-        n = length // BIN_US
-        out = []
-        for start in range(0, len(self.bins), n):
-            sum_ = Bin()
-            for interval in self.bins[start : start + n]:
-                sum_.asked += interval.asked
-                sum_.offered_value += interval.offered_value
-                sum_.served += interval.served
-                sum_.served_value += interval.served_value
-                sum_.client_attempts += interval.client_attempts
-                sum_.attempts += interval.attempts
-                sum_.causes.update(interval.causes)
-                sum_.latencies += interval.latencies
-            out.append(sum_)
-        return out
+        """Return the sums in bins of `length` microseconds, a multiple of `BIN_US`."""
+        bins_per_row = length // BIN_US
+        longer_bins = []
+        for start in range(0, len(self.bins), bins_per_row):
+            merged = Bin()
+            for interval in self.bins[start : start + bins_per_row]:
+                merged.request_count += interval.request_count
+                merged.offered_value += interval.offered_value
+                merged.served += interval.served
+                merged.served_value += interval.served_value
+                merged.client_attempts += interval.client_attempts
+                merged.attempts += interval.attempts
+                merged.causes.update(interval.causes)
+                merged.latencies += interval.latencies
+            longer_bins.append(merged)
+        return longer_bins
 
     def worst_window(self) -> float:
-        """Returns the minimum share of value served in any window of the goal's length."""
-        width = max(1, int(fixed_float(self.day.goal.window_s) * 1e6) // BIN_US)
+        """Return the lowest ratio of earned to offered value in any window of the goal's length."""
+        width = max(1, int(fixed_float(self.scenario.goal.window_s) * 1e6) // BIN_US)
         offered = np.array([interval.offered_value for interval in self.bins])
         earned = np.array([interval.served_value for interval in self.bins])
         if len(offered) > width:
@@ -144,22 +147,24 @@
         return float(shares.min()) if len(shares) else 1.0
 
     def summary(self) -> dict[str, Any]:
-        """Returns the account as result files have it: shares from 0 to 1, prices with their rates."""
-        goal = self.day.goal
+        """Return the account in the format of result files; shares and deductions are from 0 to 1."""
+        goal = self.scenario.goal
         offered, earned = sum(self.offered_by_class), sum(self.earned_by_class)
-        requests = max(1, sum(interval.asked for interval in self.bins))
+        requests = max(1, sum(interval.request_count for interval in self.bins))
         total = earned / offered if offered else 1.0
         by_class = self.share_by_class()
-        parts = (total, self.worst_window(), min(by_class.values(), default=1.0))
+        scores = (total, self.worst_window(), min(by_class.values(), default=1.0))
         weights = (fixed_float(goal.whole), fixed_float(goal.worst_window), fixed_float(goal.worst_class))
-        mean = sum(w * p for w, p in zip(weights, parts, strict=True)) / (sum(weights) or 1.0)
+        mean = sum(weight * score for weight, score in zip(weights, scores, strict=True)) / (
+            sum(weights) or 1.0
+        )
         prices = self.prices(requests, offered)
         client_attempts = sum(interval.client_attempts for interval in self.bins)
         return {
             "goal": max(0.0, min(1.0, mean - sum(prices.values()))),
-            "whole": parts[0],
-            "worst_window": parts[1],
-            "worst_class": parts[2],
+            "whole": scores[0],
+            "worst_window": scores[1],
+            "worst_class": scores[2],
             "classes": by_class,
             "prices": prices,
             "requests": requests,
@@ -173,31 +178,33 @@
         }
 
     def share_by_class(self) -> dict[str, float]:
-        """Returns the share of value that was served, for each class that had requests."""
-        values = zip(self.day.request_classes, self.earned_by_class, self.offered_by_class, strict=True)
-        return {c.name: earned / offered for c, earned, offered in values if offered}
+        """Return the ratio of earned to offered value for each class that had requests."""
+        values = zip(self.scenario.request_classes, self.earned_by_class, self.offered_by_class, strict=True)
+        return {settings.name: earned / offered for settings, earned, offered in values if offered}
 
     def prices(self, requests: int, offered: float) -> dict[str, float]:
-        """Returns what traffic, wasted work and late failures cost, as shares of the value."""
-        price = self.day.prices
+        """Return the deductions from the goal for traffic, wasted work and late failures, by their key."""
+        price = self.scenario.prices
         late_fail = fixed_float(price.late_fail) * self.late_failed_value / offered if offered else 0.0
         return {
-            "cross_zone": fixed_float(price.cross_zone) * self.crossings / requests,
-            "waste": fixed_float(price.waste) * max(0.0, self.work - self.useful) / max(self.useful, 1.0),
+            "cross_zone": fixed_float(price.cross_zone) * self.cross_zone_attempts / requests,
+            "waste": fixed_float(price.waste)
+            * max(0.0, self.work - self.useful_work)
+            / max(self.useful_work, 1.0),
             "probe": fixed_float(price.probe) * self.probes / requests,
             "late_fail": late_fail,
             "handshake": fixed_float(price.handshake) * self.dials / requests,
         }
 
     def latency_percentiles(self) -> dict[str, float]:
-        """Returns percentiles of the served requests' latency, in milliseconds."""
+        """Return percentiles of the latency of served requests, in milliseconds; empty if none was served."""
         latencies = np.array([v for interval in self.bins for v in interval.latencies]) / 1000
         if not len(latencies):
             return {}
         return {f"p{p:g}": float(np.percentile(latencies, p)) for p in SUMMARY_PERCENTILES}
 
     def lost_shares(self, offered: float) -> list[dict[str, Any]]:
-        """Returns the share of value lost to each cause, the largest first."""
+        """Return the share of the offered value that was lost to each cause, largest first."""
         lost: Counter[Cause] = Counter()
         for interval in self.bins:
             lost.update(interval.causes)
@@ -207,14 +214,14 @@
         ]
 
     def table(self, length: int = TABLE_BIN_US) -> list[dict[str, Any]]:
-        """Returns what was requested and served, one row for each `length` microseconds."""
+        """Return offered and served requests as rows that cover `length` microseconds each."""
         rows = []
         for i, interval in enumerate(self.merged_bins(length)):
             latencies = np.array(interval.latencies or [0]) / 1000
             rows.append(
                 {
                     "at_s": i * length / 1e6,
-                    "asked": interval.asked,
+                    "asked": interval.request_count,
                     "served": interval.served,
                     "worth": interval.offered_value,
                     "served_worth": interval.served_value,
--- a/workbench/model/answer.py
+++ b/workbench/model/answer.py
@@ -6,9 +6,13 @@
 
 
 class Answer(IntEnum):
-    """The final response to a call, as its caller sees it."""
+    """The final response to a call, as its caller sees it.
+
+    `REFUSED`: no server has run the call, so a retry is safe. `UNREACHABLE`: no node accepted the call, or
+    its node stopped before it responded.
+    """
 
     OK = 0
-    REFUSED = 1  # safe to retry
+    REFUSED = 1
     FAILED = 2
-    UNREACHABLE = 3  # no node accepted it, or its node died
+    UNREACHABLE = 3
--- a/workbench/model/call.py
+++ b/workbench/model/call.py
@@ -12,7 +12,7 @@
 
 
 class Cause(NamedTuple):
-    """Why a request's value was lost, and at which tier."""
+    """The reason for which a request's value was lost, and the tier where it happened."""
 
     reason: str
     tier: int
@@ -23,17 +23,17 @@
 
 
 class Request:
-    """A request of a client. Each of its client attempts is a call to a node.
+    """A client's request. Each attempt of the client is a call to a node.
 
     Args:
-        index: Its number in the scenario, from 0.
-        key: Determines its random draws.
-        request_class: The index of its class.
+        index: The request's position in the scenario, from 0.
+        key: Seed of the request's random draws.
+        request_class: The index of the request's class.
         zone: The client's zone.
-        due: When it is due, in microseconds.
-        objective: The latency objective, counted from `due`.
-        deadline: The deadline, counted from `due`.
-        factor: Its work, relative to the mean of its class.
+        due: The arrival time, in microseconds.
+        objective: The latency objective, in microseconds after `due`.
+        deadline: The deadline, in microseconds after `due`.
+        work_factor: The request's work, relative to the mean of its class.
     """
 
     __slots__ = (
@@ -43,15 +43,15 @@
         "deadline_at",
         "done_at",
         "due",
-        "factor",
         "index",
         "key",
         "objective_at",
         "request_class",
         "served",
         "trace",
-        "useful",
+        "useful_work",
         "work",
+        "work_factor",
         "zone",
     )
 
@@ -64,7 +64,7 @@
         due: int,
         objective: int,
         deadline: int,
-        factor: float,
+        work_factor: float,
     ) -> None:
         self.index = index
         self.key = key
@@ -74,31 +74,35 @@
         self.objective_at = due + objective
         self.deadline_at = due + deadline
         self.client_attempts = 0
-        self.factor = factor  # its work, relative to the mean of its class
+        self.work_factor = work_factor
         self.cause = UNKNOWN
         self.done_at = -1
         self.served = False
-        self.work = 0.0  # that servers did for it, in core-microseconds of the reference core
-        self.useful = 0.0  # the part that its response needed
-        self.attempts = 0  # over all tiers
-        self.trace: RequestTrace | None = None  # if the run is traced
+        # Work that servers did for the request, in core-microseconds of the reference core.
+        self.work = 0.0
+        # The part of `work` that contributed to the response.
+        self.useful_work = 0.0
+        # Attempts at servers, summed over all tiers.
+        self.attempts = 0
+        # None if the run is not traced.
+        self.trace: RequestTrace | None = None
 
 
 class Caller(Protocol):
-    """Waits for calls: the clients, or a server of the previous tier."""
+    """The party that waits for a call's response: the clients, or a server of the previous tier."""
 
     def answered(self, call: Call, answer: Answer, retry_after: int) -> None:
-        """Receives the one final response to a call."""
+        """Receive the final response to a call; it is delivered once."""
 
 
 class Call:
     """One request at one node: an attempt of a client, or a server's call to the next tier.
 
     Args:
-        number: Its unique number.
-        root: The client's request that it belongs to.
-        key: Determines its random draws: the same for each attempt at the same request or call.
-        tier: The tier that it is sent to.
+        call_id: The call's unique number.
+        root: The client's request that caused the call.
+        key: Seed of the call's random draws: equal for each attempt at the same request or call.
+        tier: The tier that the call is sent to.
         until: When the caller stops waiting, in microseconds.
         caller: Receives the response.
     """
@@ -121,29 +125,34 @@
         "tier",
         "trace",
         "until",
-        "useful",
+        "useful_work",
         "waiting",
     )
 
-    def __init__(self, number: int, root: Request, key: int, tier: int, until: int, caller: Caller) -> None:
-        self.id = number
+    def __init__(self, call_id: int, root: Request, key: int, tier: int, until: int, caller: Caller) -> None:
+        self.id = call_id
         self.root = root
-        self.key = key  # of its draws
+        self.key = key
         self.tier = tier
-        self.until = until  # when the caller stops waiting
+        self.until = until
         self.caller = caller
         self.node: Port | None = None
-        self.number = 0  # of the client's attempt, or of the call among its server's calls
+        # Index of the client's attempt, or number of calls that the calling server had left.
+        self.number = 0
         self.sent: list[Attempt] = []
-        self.in_flight = 0  # attempts without an outcome
-        self.ran_on: Any = None  # the first server that may have run it
+        # Attempts without an outcome.
+        self.in_flight = 0
+        # The first server that may have run the call.
+        self.ran_on: Any = None
         self.ran_at = 0
         self.open = True
         self.accepted = False
         self.cause = UNKNOWN
-        self.useful = 0.0
-        self.context: Any = None  # the caller's data
-        self.waiting = True  # the caller still waits for the response
+        self.useful_work = 0.0
+        # Data of the caller.
+        self.context: Any = None
+        # Whether the caller still waits for the response.
+        self.waiting = True
         self.trace: CallTrace | None = None
 
 
@@ -152,11 +161,11 @@
 
     Args:
         call: The call.
-        number: The number of the attempt within the call, from 0.
-        server: The server that it is sent to.
-        port: The node that sends it.
-        draw: Determines the network delays of its messages.
-        now: When it is sent, in microseconds.
+        number: The index of the attempt within the call, from 0.
+        server: The server that the attempt is sent to.
+        port: The node that sends the attempt.
+        draw: Random number that selects the network delays of the attempt's messages.
+        now: The time of sending, in microseconds.
     """
 
     __slots__ = (
@@ -178,62 +187,68 @@
         self.number = number
         self.server = server
         self.port = port
-        self.draw = draw  # determines its network delays
+        self.draw = draw
         self.sent_at = now
         self.ended = False
-        self.job: Any = None  # the server's data
-        self.connection: Any = None  # that it was sent on, the node's data
-        self.cause: Cause | None = None  # of an error in a later tier
+        # The server's record of the attempt.
+        self.job: Any = None
+        # The node's record of the connection that carries the attempt.
+        self.connection: Any = None
+        # Why a later tier failed, if that caused the attempt's error.
+        self.cause: Cause | None = None
         self.trace: AttemptTrace | None = None
 
 
 class Port(Protocol):
-    """A node as callers, servers and discovery see it."""
+    """The interface of a node towards callers, servers and discovery.
+
+    `starts` maps a server's id to the start time that the node was last notified of.
+    """
 
     tier: int
     zone: int
     up: bool
     ready: bool
-    starts: dict[int, int]  # the start time of each server that it was notified of
+    starts: dict[int, int]
 
-    def expect(self, at: int, call: Call) -> None:
-        """Delivers a client's call, which is still in flight, at the time `at`."""
+    def schedule_arrival(self, at: int, call: Call) -> None:
+        """Schedule the arrival of a client's call, which is still in transit, for the time `at`."""
 
     def accept(self, call: Call) -> None:
-        """Receives a call."""
+        """Accept a call that has arrived."""
 
     def client_disconnected(self, call: Call) -> None:
-        """Is notified that the caller no longer waits for a call."""
+        """Stop work on a call whose caller no longer waits for it."""
 
     def deadline_missed(self, call: Call) -> None:
-        """Reports a violation if the call is still open: its deadline and the slack have passed."""
+        """Report a violation if a call is still open after its deadline and the allowed slack."""
 
     def reply(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Receives a server's response to an attempt, or the loss of its connection."""
+        """Receive the outcome of an attempt: the server's response or the loss of the connection."""
 
     def update_servers(self, kind: ListKind, entries: list[ServerEntry]) -> None:
-        """Receives an endpoint list, or changes to it, from discovery."""
+        """Receive an endpoint list, or changes of one, from discovery."""
 
     def boot(self) -> None:
-        """Starts a new process."""
+        """Start a new process of the node."""
 
     def drain(self) -> None:
-        """Shuts down gracefully, as on SIGTERM: completes what is open first."""
+        """Shut down gracefully, as on SIGTERM: complete open calls, then end the process."""
 
     def kill(self) -> None:
-        """Ends at once, as on SIGKILL: what is open is lost."""
+        """End the process at once, as on SIGKILL: open calls are lost."""
 
 
-def is_over(thing: Attempt) -> bool:
-    """Returns whether an attempt has ended, so that its time-out is not needed."""
-    return thing.ended
+def has_ended(attempt: Attempt) -> bool:
+    """Return whether an attempt has ended, which makes its timeout unnecessary."""
+    return attempt.ended
 
 
 def is_answered(call: Call) -> bool:
-    """Returns whether a call has its final response, so that its deadline need not be checked."""
+    """Return whether a call has its final response, which makes the check of its deadline unnecessary."""
     return not call.open
 
 
 def is_not_awaited(call: Call) -> bool:
-    """Returns whether a call's caller has stopped waiting, so that its time-out is not needed."""
+    """Return whether a call's caller has stopped waiting, which makes its timeout unnecessary."""
     return not call.waiting
--- a/workbench/model/clients.py
+++ b/workbench/model/clients.py
@@ -1,4 +1,4 @@
-"""Clients: an open loop of arrivals, drawn in advance, with retries by the clients."""
+"""Clients: open-loop arrivals, drawn in advance, and the clients' own retries."""
 
 from __future__ import annotations
 
@@ -10,19 +10,22 @@
 from workbench.model.call import UNKNOWN, Answer, Call, Cause, Request, is_answered, is_not_awaited
 from workbench.model.environment import Environment
 from workbench.model.network import fixed_float, fixed_int
-from workbench.model.streams import scramble
+from workbench.model.streams import keyed_draw
 from workbench.model.trace import RequestTrace
 from workbench.scenario.model import Scenario
 
-CURVE_STEP_US = 50_000  # between two points of the load curve
-HONOUR_DRAW, LEAVE_DRAW, LEAVE_TIME_DRAW, FRONT_DRAW = range(103, 107)  # what a request's draws are for
+# Interval between two points of the load curve.
+CURVE_STEP_US = 50_000
+# Identifiers of the random draws of a request, one for each purpose.
+HONOUR_DRAW, LEAVE_DRAW, LEAVE_TIME_DRAW, FRONT_DRAW = range(103, 107)
+# Number of values of a draw, which are 0 to 2**32 - 1.
 DRAW_RANGE = 2**32
 
 
-def load_curve(day: Scenario, length: int) -> tuple[np.ndarray[Any, Any], np.ndarray[Any, Any]]:
-    """Returns the load over the scenario, relative to its mean, as times in microseconds and factors."""
+def load_curve(scenario: Scenario, length: int) -> tuple[np.ndarray[Any, Any], np.ndarray[Any, Any]]:
+    """Return the load over the scenario as times in microseconds and factors of the mean load."""
     times = np.arange(0, length + CURVE_STEP_US, CURVE_STEP_US, dtype=np.float64)
-    load = day.load
+    load = scenario.load
     swing = fixed_float(load.swing)
     factors = np.ones_like(times)
     if load.shape == "wave":
@@ -35,85 +38,91 @@
 
 
 class Clients:
-    """Draws the requests, sends them through the front, and records how each ended.
+    """The clients of a scenario, which send requests through the front and record how each ended.
 
     Args:
         world: The model that the clients belong to.
-        rate: Requests a microsecond, at a load factor of 1.
+        rate: Requests per microsecond, at a load factor of 1.
     """
 
     def __init__(self, world: Environment, rate: float) -> None:
         self.world = world
         self.clock = world.clock
-        day = world.day
-        self.max_attempts = fixed_int(day.clients.retries) + 1
-        self.attempt_share = fixed_float(day.clients.try_share)
-        self.backoff = int(fixed_float(day.clients.backoff_ms) * 1000)
-        self.honour_threshold = fixed_float(day.clients.honour) * DRAW_RANGE
-        self.max_retry_wait = int(fixed_float(day.clients.max_retry_after_s) * 1e6)
-        self.leave_threshold = fixed_float(day.clients.leave_early) * DRAW_RANGE
-        self.front_lag = int(fixed_float(day.network.client_ms) * 1000)
-        self.unfinished = 0  # requests whose end is not known yet
-        self.draw_arrivals(day, rate)
-
-    def draw_arrivals(self, day: Scenario, rate: float) -> None:
-        """Draws time, class, zone, key and work of each request.
+        scenario = world.scenario
+        self.max_attempts = fixed_int(scenario.clients.retries) + 1
+        self.attempt_share = fixed_float(scenario.clients.try_share)
+        self.backoff = int(fixed_float(scenario.clients.backoff_ms) * 1000)
+        self.honour_threshold = fixed_float(scenario.clients.honour) * DRAW_RANGE
+        self.max_retry_wait = int(fixed_float(scenario.clients.max_retry_after_s) * 1e6)
+        self.leave_threshold = fixed_float(scenario.clients.leave_early) * DRAW_RANGE
+        self.unreachable_delay = int(fixed_float(scenario.network.client_ms) * 1000)
+        # Requests that have not arrived or not ended yet.
+        self.unfinished = 0
+        self.draw_arrivals(scenario, rate)
+
+    def draw_arrivals(self, scenario: Scenario, rate: float) -> None:
+        """Draw time, class, zone, key and work of each request.
 
         Args:
-            day: The scenario.
-            rate: Requests a microsecond, at a load factor of 1.
+            scenario: The scenario.
+            rate: Requests per microsecond, at a load factor of 1.
         """
         streams = self.world.streams
-        times, factors = load_curve(day, self.world.length)
-        sums = np.concatenate(([0.0], np.cumsum((factors[1:] + factors[:-1]) / 2 * CURVE_STEP_US * rate)))
+        times, factors = load_curve(scenario, self.world.length)
+        expected_counts = np.concatenate(
+            ([0.0], np.cumsum((factors[1:] + factors[:-1]) / 2 * CURVE_STEP_US * rate))
+        )
         rng = streams.numpy("arrivals")
-        count = int(sums[-1] + 6 * np.sqrt(sums[-1]) + 20)
-        marks = np.cumsum(rng.exponential(1.0, count))
-        marks = marks[marks < sums[-1]]
-        self.times: list[int] = np.interp(marks, sums, times).astype(np.int64).tolist()
-        n = len(self.times)
-        shares = np.array([fixed_float(c.share) for c in day.request_classes])
+        count = int(expected_counts[-1] + 6 * np.sqrt(expected_counts[-1]) + 20)
+        positions = np.cumsum(rng.exponential(1.0, count))
+        positions = positions[positions < expected_counts[-1]]
+        self.times: list[int] = np.interp(positions, expected_counts, times).astype(np.int64).tolist()
+        request_count = len(self.times)
+        shares = np.array([fixed_float(c.share) for c in scenario.request_classes])
         self.classes: list[int] = (
-            streams.numpy("classes").choice(len(shares), n, p=shares / shares.sum()).tolist()
+            streams.numpy("classes").choice(len(shares), request_count, p=shares / shares.sum()).tolist()
         )
         zones = self.world.zones
-        parts = np.full(zones, 1.0)
-        parts[0] += fixed_float(day.zones.skew)
-        self.zones: list[int] = streams.numpy("zones").choice(zones, n, p=parts / parts.sum()).tolist()
-        self.keys: list[int] = streams.numpy("keys").integers(0, DRAW_RANGE, n).tolist()
-        cv = np.array([fixed_float(c.work_cv) for c in day.request_classes])[self.classes] + 1e-9
+        zone_weights = np.full(zones, 1.0)
+        zone_weights[0] += fixed_float(scenario.zones.skew)
+        self.zones: list[int] = (
+            streams.numpy("zones").choice(zones, request_count, p=zone_weights / zone_weights.sum()).tolist()
+        )
+        self.keys: list[int] = streams.numpy("keys").integers(0, DRAW_RANGE, request_count).tolist()
+        cv = np.array([fixed_float(c.work_cv) for c in scenario.request_classes])[self.classes] + 1e-9
         shape = 1 / cv**2
-        self.factors: list[float] = (streams.numpy("work").standard_gamma(shape) / shape).tolist()
+        self.work_factors: list[float] = (streams.numpy("work").standard_gamma(shape) / shape).tolist()
 
     def start(self) -> None:
-        """Schedules the first arrival."""
+        """Schedule the first arrival."""
         self.unfinished = len(self.times)
         if self.times:
-            self.clock.call_at(self.world.begin + self.times[0], self.arrive, 0)
-
-    def arrive(self, i: int) -> None:
-        """Starts the request with the index `i` and schedules the next arrival."""
-        now = self.world.begin + self.times[i]  # when it is due, however late a real-time clock is
-        if i + 1 < len(self.times):
-            self.clock.call_at(self.world.begin + self.times[i + 1], self.arrive, i + 1)
-        request_class = self.classes[i]
+            self.clock.call_at(self.world.begin_at + self.times[0], self.arrive, 0)
+
+    def arrive(self, index: int) -> None:
+        """Start the request with the given index and schedule the next arrival."""
+        # Latency counts from the due time, so that a late real-time clock does not hide a delay.
+        due = self.world.begin_at + self.times[index]
+        if index + 1 < len(self.times):
+            self.clock.call_at(self.world.begin_at + self.times[index + 1], self.arrive, index + 1)
+        request_class = self.classes[index]
         settings = self.world.classes[request_class]
         request = Request(
-            i,
-            self.keys[i],
+            index,
+            self.keys[index],
             request_class,
-            self.zones[i],
-            now,
+            self.zones[index],
+            due,
             settings.latency_objective,
             settings.deadline,
-            self.factors[i],
+            self.work_factors[index],
         )
         self.world.accounts.request_arrived(request)
         self.begin_trace(request)
         self.start_attempt(request)
 
     def begin_trace(self, request: Request) -> None:
-        """Begins the request's trace, if the run is traced."""
+        """Begin the trace of a request if the run is traced."""
         log = self.world.trace_log
         if log is not None:
             request.trace = RequestTrace(
@@ -122,7 +131,7 @@
             log.begin_request(request.trace, self.world.classes[request.request_class].worth)
 
     def start_attempt(self, request: Request) -> None:
-        """Sends one attempt through the front."""
+        """Send one attempt of a request to a node that the front selects."""
         world = self.world
         now = self.clock.now
         until = min(
@@ -133,43 +142,43 @@
         if request.trace is not None and call.trace is not None:
             request.trace.client_attempts.append(call.trace)
         request.client_attempts += 1
-        world.trace(request, "client", f"try {call.number + 1} of {self.max_attempts}")
-        node = world.front.pick(request.zone, scramble(request.key, FRONT_DRAW + call.number))
+        world.trace(request, "client", f"attempt {call.number + 1} of {self.max_attempts}")
+        node = world.front.select_node(request.zone, keyed_draw(request.key, FRONT_DRAW + call.number))
         self.clock.call_unless(until, self.attempt_expired, call, is_not_awaited)
         if node is None:
-            self.clock.call_at(now + self.front_lag, self.unreachable, call)
+            self.clock.call_at(now + self.unreachable_delay, self.unreachable, call)
         else:
             call.node = node
-            node.expect(now + world.network.outside(request.key, call.number), call)
+            node.schedule_arrival(now + world.network.client_delay(request.key, call.number), call)
             if (
                 self.leave_threshold
-                and scramble(request.key, LEAVE_DRAW + call.number) < self.leave_threshold
+                and keyed_draw(request.key, LEAVE_DRAW + call.number) < self.leave_threshold
             ):
-                part = scramble(request.key, LEAVE_TIME_DRAW + call.number) / DRAW_RANGE
-                self.clock.call_at(now + int(part * (until - now)), self.disconnect, call)
+                timeout_share = keyed_draw(request.key, LEAVE_TIME_DRAW + call.number) / DRAW_RANGE
+                self.clock.call_at(now + int(timeout_share * (until - now)), self.disconnect, call)
 
     def unreachable(self, call: Call) -> None:
-        """Ends an attempt for which there was no node."""
+        """End an attempt for which no node was available."""
         if call.trace is not None:
             call.trace.end(self.clock.now, Answer.UNREACHABLE)
         self.answered(call, Answer.UNREACHABLE, 0)
 
     def attempt_expired(self, call: Call) -> None:
-        """Handles the client's time-out of an attempt."""
+        """Handle the expiry of the client's timeout for an attempt: record the cause and retry if allowed."""
         if not call.waiting:
             return
         call.waiting = False
         request = call.root
         request.cause = Cause("timed out", 0) if call.cause == UNKNOWN else call.cause
-        self.world.trace(request, "client", f"gives try {call.number + 1} up")
+        self.world.trace(request, "client", f"gives up attempt {call.number + 1}")
         if call.open and call.node is not None:
             self.clock.call_unless(
-                call.until + self.world.slack, call.node.deadline_missed, call, is_answered
+                call.until + self.world.answer_slack, call.node.deadline_missed, call, is_answered
             )
         self.retry(call, Answer.FAILED, 0)
 
     def disconnect(self, call: Call) -> None:
-        """Disconnects the client for good, before its time-out."""
+        """Disconnect the client before its timeout; the client makes no further attempt."""
         if not call.waiting:
             return
         call.waiting = False
@@ -181,8 +190,8 @@
         self.end(call.root)
 
     def answered(self, call: Call, answer: Answer, retry_after: int) -> None:
-        """Receives the response to an attempt; ignores it after the client's time-out."""
-        if not call.waiting:  # it has timed out
+        """Receive the response to an attempt, or ignore it if the client has stopped waiting."""
+        if not call.waiting:
             return
         call.waiting = False
         request = call.root
@@ -190,17 +199,17 @@
         self.world.trace(request, "client", f"is answered {answer.name.lower()}")
         if answer == Answer.OK:
             request.served = True
-            request.useful = call.useful
+            request.useful_work = call.useful_work
             self.end(request)
         else:
             self.retry(call, answer, retry_after)
 
     def retry(self, call: Call, answer: Answer, retry_after: int) -> None:
-        """Schedules a retry if attempts, deadline and the class's effect allow it; else ends the request."""
+        """Schedule a retry if attempts, deadline and effect of the class allow one; else end the request."""
         request = call.root
         now = self.clock.now
         settings = self.world.classes[request.request_class]
-        harmless = (
+        is_retry_safe = (
             answer in (Answer.REFUSED, Answer.UNREACHABLE)
             or settings.effect == Effect.IDEMPOTENT
             or (
@@ -210,15 +219,15 @@
             )
         )
         wait = self.backoff
-        if retry_after > 0 and scramble(request.key, HONOUR_DRAW) < self.honour_threshold:
+        if retry_after > 0 and keyed_draw(request.key, HONOUR_DRAW) < self.honour_threshold:
             wait = max(wait, min(retry_after, self.max_retry_wait))
-        if harmless and request.client_attempts < self.max_attempts and now + wait < request.deadline_at:
+        if is_retry_safe and request.client_attempts < self.max_attempts and now + wait < request.deadline_at:
             self.clock.call_at(now + wait, self.start_attempt, request)
         else:
             self.end(request)
 
     def end(self, request: Request) -> None:
-        """Records the end of a request."""
+        """Record the end of a request in the accounts and in its trace."""
         request.done_at = self.clock.now
         self.unfinished -= 1
         lost_value = self.world.accounts.request_ended(request)
--- a/workbench/model/environment.py
+++ b/workbench/model/environment.py
@@ -1,7 +1,7 @@
-"""Protocols of the model as a whole, and of servers, for its parts.
+"""Protocols by which the components of the model use each other.
 
-`site.World` implements `Environment`. The parts depend on this protocol alone, so that none imports the
-whole. Times are in microseconds, work is in core-microseconds of the reference core.
+`site.World` implements `Environment`. The components depend on this protocol alone, so that none of them
+imports the complete model. Times are in microseconds, work is in core-microseconds of the reference core.
 """
 
 from __future__ import annotations
@@ -21,27 +21,27 @@
 
 
 class ServerView(Protocol):
-    """What discovery and the referee see of a server."""
+    """The state of a server that discovery and the referee read."""
 
     @property
     def id(self) -> int:
-        """Its number, unique over all tiers."""
+        """The server's number, unique over all tiers."""
 
     @property
     def tier(self) -> int:
-        """Its tier."""
+        """The index of the server's tier."""
 
     @property
     def zone(self) -> int:
-        """Its zone."""
+        """The number of the server's zone."""
 
     @property
     def cell(self) -> int:
-        """Its cell."""
+        """The number of the server's cell."""
 
     @property
     def kind(self) -> int:
-        """Its kind of machine."""
+        """The index of the server's kind of machine in its tier."""
 
     @property
     def clock(self) -> Clock:
@@ -49,53 +49,58 @@
 
     @property
     def incarnation(self) -> int:
-        """How often its process has been started or stopped."""
+        """The number of starts and stops of the server's process."""
 
     @property
     def ready_at(self) -> int:
-        """When its process started; 0 for long ago."""
+        """The start time of the server's process; 0 if it was running before the scenario began."""
 
     @property
     def up(self) -> bool:
-        """Whether its process runs."""
+        """Whether the server's process runs."""
 
     @property
     def silent(self) -> bool:
-        """Whether its machine neither sends nor receives."""
+        """Whether the server's machine neither sends nor receives."""
 
 
 class ServerDiscovery(Protocol):
-    """What servers and faults report to discovery."""
+    """The interface of discovery for servers and faults."""
 
     def server_started(self, server: ServerView) -> None:
-        """A server has started."""
+        """Handle the start of a server's process."""
 
     def server_draining(self, server: ServerView) -> None:
-        """A server drains."""
+        """Handle the start of a server's drain."""
 
     def server_stopped(self, server: ServerView) -> None:
-        """A server's process has ended."""
+        """Handle the end of a server's process."""
 
     def server_unreachable(self, server: ServerView) -> None:
-        """A server's machine neither sends nor receives any more."""
+        """Handle the loss of a server's machine, which neither sends nor receives any more."""
 
-    def set_silent(self, on: bool) -> None:
-        """Discovery itself stops answering, or answers again."""
+    def set_silent(self, is_silent: bool) -> None:
+        """Stop or resume all responses of discovery."""
 
 
 class ServerReferee(Protocol):
-    """What servers report to the referee."""
+    """The interface of the referee for servers."""
 
     def cold_server_failed(self, server: ServerView, notified_share: float) -> None:
-        """A server that was warming up was overloaded."""
+        """Handle the failure of a server that was overloaded during its warm-up.
+
+        Args:
+            server: The server that failed.
+            notified_share: The share of the load from nodes that had been notified of the server's start.
+        """
 
 
 class Environment(Protocol):
-    """What every part of the model may use of the others."""
+    """The parts of the model that every component may use."""
 
     @property
-    def day(self) -> Scenario:
-        """The scenario that is played."""
+    def scenario(self) -> Scenario:
+        """The scenario that is simulated or emulated."""
 
     @property
     def clock(self) -> Clock:
@@ -106,20 +111,20 @@
         """The random streams, by name."""
 
     @property
-    def begin(self) -> int:
-        """When the scenario begins, by the clock."""
+    def begin_at(self) -> int:
+        """The time at which the scenario begins."""
 
     @property
     def length(self) -> int:
-        """How long clients send."""
+        """The duration of the clients' arrivals."""
 
     @property
     def zones(self) -> int:
         """The number of zones."""
 
     @property
-    def slack(self) -> int:
-        """How long after its deadline a final response may be sent."""
+    def answer_slack(self) -> int:
+        """The time after its deadline within which a final response may still be sent."""
 
     @property
     def classes(self) -> Sequence[ClassSettings]:
@@ -134,16 +139,16 @@
         """The mean work of a call, by tier."""
 
     @property
-    def shared_slow(self) -> float:
-        """How many times as long all servers take, by a fault that they share."""
+    def shared_slowdown(self) -> float:
+        """The factor by which faults slow down all servers."""
 
     @property
     def fall_time(self) -> int:
-        """The window in which the load of a server that warms up is measured."""
+        """The window over which the load of a server is summed during its warm-up."""
 
     @property
     def fall_multiple(self) -> float:
-        """How many times its capacity a server that warms up can receive in that window."""
+        """The multiple of its current capacity that a warming server can receive within `fall_time`."""
 
     @property
     def network(self) -> Network:
@@ -155,28 +160,28 @@
 
     @property
     def accounts(self) -> Accounts:
-        """The accounts of value."""
+        """The accounts of requests and their value."""
 
     @property
     def trace_log(self) -> TraceLog | None:
-        """The traces of lost requests, if the run is traced."""
+        """The traces of requests that lost value; None if the run is not traced."""
 
     @property
     def discovery(self) -> ServerDiscovery:
-        """Discovery, as servers and faults see it."""
+        """The discovery service."""
 
     @property
     def referee(self) -> ServerReferee:
-        """The referee, as servers see it."""
+        """The referee, which counts rule violations."""
 
-    def calls(self, tier: int, key: int) -> int:
-        """Returns how many calls a server makes to the next tier for a call."""
+    def call_count(self, tier: int, key: int) -> int:
+        """Return the number of calls that a server makes to the next tier for one call, drawn by its key."""
 
     def call(self, root: Request, key: int, tier: int, until: int, caller: Caller) -> Call:
-        """Returns a new call."""
+        """Return a new call."""
 
-    def knows_start(self, attempt: Attempt, server: ServerView) -> bool:
-        """Returns whether the node that sent an attempt was notified of the server's last start."""
+    def is_notified_of_start(self, attempt: Attempt, server: ServerView) -> bool:
+        """Return whether the node that sent an attempt had been notified of the server's last start."""
 
-    def trace(self, request: Request, who: str, what: str) -> None:
-        """Reports a step of a request that is being traced."""
+    def trace(self, request: Request, actor: str, step: str) -> None:
+        """Report a step of a request if it is the followed request."""
--- a/workbench/model/front.py
+++ b/workbench/model/front.py
@@ -1,4 +1,4 @@
-"""The front: a plain layer that distributes requests over the nodes of the client's zone."""
+"""The front: a simple layer that distributes requests over the nodes of the client's zone."""
 
 from __future__ import annotations
 
@@ -14,51 +14,51 @@
 
 
 class Front:
-    """The nodes that receive requests. It sees at once that a node is ready, and late that one has stopped.
+    """The nodes that receive requests. A ready node is added at once, a stopped one is removed after a delay.
 
     Args:
-        day: The scenario.
+        scenario: The scenario.
         clock: The model's clock.
         streams: The random streams.
-        zones: The number of zones.
+        zone_count: The number of zones.
     """
 
-    def __init__(self, day: Scenario, clock: Clock, streams: Streams, zones: int) -> None:
+    def __init__(self, scenario: Scenario, clock: Clock, streams: Streams, zone_count: int) -> None:
         self.clock = clock
         self.rng = streams.random("front")
-        self.detection_delay = fixed_float(day.front.notice_s) * 1e6
-        self.lag = fixed_float(day.front.lag_ms) * 1000
-        self.zones: list[list[Port]] = [[] for _ in range(zones)]
-        self.all: list[Port] = []
+        self.detection_delay = fixed_float(scenario.front.notice_s) * 1e6
+        self.drain_lag = fixed_float(scenario.front.lag_ms) * 1000
+        self.nodes_by_zone: list[list[Port]] = [[] for _ in range(zone_count)]
+        self.nodes: list[Port] = []
 
-    def pick(self, zone: int, draw: int) -> Port | None:
-        """Returns a node for a request, by its 32-bit draw; of another zone if its own has none."""
-        nodes = self.zones[zone] or self.all
-        return nodes[draw * len(nodes) >> 32] if nodes else None
+    def select_node(self, zone: int, draw: int) -> Port | None:
+        """Return the node that a 32-bit draw selects in a zone, or in any zone if that zone has none."""
+        candidates = self.nodes_by_zone[zone] or self.nodes
+        return candidates[draw * len(candidates) >> 32] if candidates else None
 
     def node_ready(self, node: Port) -> None:
-        """Adds a node whose readiness check succeeds."""
-        if node.up and node not in self.all:
-            self.all.append(node)
-            self.zones[node.zone].append(node)
+        """Add a running node whose readiness check has succeeded."""
+        if node.up and node not in self.nodes:
+            self.nodes.append(node)
+            self.nodes_by_zone[node.zone].append(node)
 
     def node_stopped(self, node: Port) -> None:
-        """Schedules the removal of a node whose process has ended."""
+        """Schedule the removal of a node whose process has ended, after a random detection delay."""
         self.clock.call_at(
             self.clock.now + int(self.detection_delay * (0.5 + self.rng.random())), self.remove_if_down, node
         )
 
     def node_draining(self, node: Port) -> None:
-        """Schedules the removal of a node that shuts down; until then it receives new requests."""
-        self.clock.call_at(self.clock.now + int(self.lag), self.remove, node)
+        """Schedule the removal of a draining node, which receives new requests until then."""
+        self.clock.call_at(self.clock.now + int(self.drain_lag), self.remove, node)
 
     def remove_if_down(self, node: Port) -> None:
-        """Removes a node, unless it runs again."""
+        """Remove a node unless it runs again."""
         if not node.up:
             self.remove(node)
 
     def remove(self, node: Port) -> None:
-        """Removes a node."""
-        if node in self.all:
-            self.all.remove(node)
-            self.zones[node.zone].remove(node)
+        """Remove a node if it is listed."""
+        if node in self.nodes:
+            self.nodes.remove(node)
+            self.nodes_by_zone[node.zone].remove(node)
--- a/workbench/model/recent_load.py
+++ b/workbench/model/recent_load.py
@@ -1,4 +1,4 @@
-"""The load that a server has received in a window of time."""
+"""The load that a server has received within a sliding window of time."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ReceivedWork(NamedTuple):
-    """The work of one attempt, and whether its node was notified of the server's last start."""
+    """The work of one attempt, and whether the sending node had been notified of the server's last start."""
 
     at: int
     work: float
@@ -15,7 +15,7 @@
 
 
 class RecentLoad:
-    """Sums of the work received in the last window: all of it, and the part from notified nodes."""
+    """Sums of the work received within the window, in total and from nodes notified of the server's start."""
 
     __slots__ = ("notified_work", "received", "work")
 
@@ -25,17 +25,17 @@
         self.notified_work = 0.0
 
     def add(self, received: ReceivedWork, window: int) -> None:
-        """Adds an attempt's work and removes what arrived more than `window` microseconds before it."""
+        """Add an attempt's work and remove work that arrived more than `window` microseconds earlier."""
         self.received.append(received)
         self.work += received.work
         self.notified_work += received.work * received.notified
         while self.received[0].at < received.at - window:
-            old = self.received.popleft()
-            self.work -= old.work
-            self.notified_work -= old.work * old.notified
+            expired = self.received.popleft()
+            self.work -= expired.work
+            self.notified_work -= expired.work * expired.notified
 
     def clear(self) -> None:
-        """Forgets everything."""
+        """Remove all received work from the window."""
         self.received.clear()
         self.work = 0.0
         self.notified_work = 0.0
--- a/workbench/model/referee.py
+++ b/workbench/model/referee.py
@@ -1,4 +1,4 @@
-"""The rules as seen from outside: by clients, servers and discovery, never by a node's own state."""
+"""The check of the rules by what clients, servers and discovery observe, never by a node's own state."""
 
 from __future__ import annotations
 
@@ -9,103 +9,113 @@
 from workbench.model.environment import ServerView
 
 RULES = ("final_answer", "duplicate_effects", "drain_grace", "cold_server", "well_formed")
-MAX_REPORTED = 20  # violations whose descriptions are kept
-NOTIFIED_SHARE = 2 / 3  # of the work at a failed cold server: above it, the notified nodes are at fault
+# Number of violations whose descriptions are kept.
+MAX_REPORTED = 20
+# Share of a failed cold server's load from which the nodes that had been notified of its start are at fault.
+MIN_NOTIFIED_SHARE = 2 / 3
 
 
 class Referee:
-    """Counts violations of the rules.
+    """The counter of rule violations.
 
     Args:
         classes: The settings of the request classes.
-        stop_sending: How long after a notification a server that drains may still be sent attempts, in
-            microseconds.
+        stop_sending: How long after its notification a node may still send attempts to a draining server,
+            in microseconds.
         second_copies: Whether hedged requests are allowed.
     """
 
-    def __init__(self, classes: list[ClassSettings], stop_sending: int, second_copies: bool) -> None:
+    def __init__(self, classes: list[ClassSettings], stop_sending: int, is_hedging_allowed: bool) -> None:
         self.classes = classes
         self.stop_sending = stop_sending
-        self.second_copies = second_copies
+        self.is_hedging_allowed = is_hedging_allowed
         self.counts = dict.fromkeys(RULES, 0)
         self.violations: list[str] = []
 
     def report(self, now: int, rule: str, description: str) -> None:
-        """Counts a violation, and keeps the description of the first ones."""
+        """Count a violation, and keep the descriptions of the first `MAX_REPORTED`."""
         self.counts[rule] += 1
         if len(self.violations) < MAX_REPORTED:
             self.violations.append(f"{now / 1e6:.3f} s: {rule}: {description}")
 
     def deadline_missed(self, now: int, call: Call) -> None:
-        """Reports that a running node has sent no final response within deadline and slack."""
+        """Report that a running node has sent no final response within the deadline and the allowed slack."""
         self.report(now, "final_answer", f"request {call.root.index}, tier {call.tier}: no answer in time")
 
     def malformed(self, now: int, description: str) -> None:
-        """Reports an action that the interface does not allow."""
+        """Report an action of a policy that the interface does not allow."""
         self.report(now, "well_formed", description)
 
     def check_attempt(self, now: int, call: Call, server: ServerView, unavailable_since: int) -> None:
-        """Checks an attempt before it is recorded.
+        """Check an attempt against the rules before it is recorded.
 
         Args:
             now: The current time.
             call: The call that the attempt belongs to.
-            server: The server that it is sent to.
+            server: The server that the attempt is sent to.
             unavailable_since: When the node was notified that the server drains or is gone; -1 for never.
         """
         if unavailable_since >= 0 and now > unavailable_since + self.stop_sending:
             late = (now - unavailable_since) / 1000
             self.report(
-                now, "drain_grace", f"server {server.id}: sent to {late:.0f} ms after it was told away"
+                now,
+                "drain_grace",
+                f"server {server.id}: sent to {late:.0f} ms after it was reported as unavailable",
             )
         settings = self.classes[call.root.request_class]
-        if call.in_flight and not self.second_copies:
-            self.report(now, "duplicate_effects", f"request {call.root.index}: two attempts out at once")
+        if call.in_flight and not self.is_hedging_allowed:
+            self.report(now, "duplicate_effects", f"request {call.root.index}: two attempts at the same time")
         if settings.effect == Effect.IDEMPOTENT:
             return
-        first, at = call.ran_on, call.ran_at
-        if first is None and call.in_flight:
-            earlier = next(a for a in call.sent if not a.ended)
-            first, at = earlier.server, earlier.sent_at
-        if first is None:
+        first_server, first_at = call.ran_on, call.ran_at
+        if first_server is None and call.in_flight:
+            open_attempt = next(attempt for attempt in call.sent if not attempt.ended)
+            first_server, first_at = open_attempt.server, open_attempt.sent_at
+        if first_server is None:
             return
         if settings.effect == Effect.NOT_IDEMPOTENT:
             self.report(now, "duplicate_effects", f"request {call.root.index}: an unsafe request sent again")
-        elif now > at + settings.window or not in_group(settings.group, first, server):
+        elif now > first_at + settings.window or not is_in_group(settings.group, first_server, server):
             self.report(
-                now, "duplicate_effects", f"request {call.root.index}: a keyed request outside its group"
+                now,
+                "duplicate_effects",
+                f"request {call.root.index}: a keyed request sent outside its group or window",
             )
 
     def attempt_ended(self, call: Call, server: Any, sent_at: int, outcome: Outcome) -> None:
-        """Records whether an attempt may have run, by its outcome."""
+        """Record the server of the first attempt that may have run, by the attempt's outcome."""
         if outcome not in NEVER_RAN and outcome != Outcome.OK and call.ran_on is None:
             call.ran_on = server
             call.ran_at = sent_at
 
     def check_rejection(self, now: int, call: Call) -> None:
-        """Checks a rejection, which promises that a retry is safe."""
-        ran = call.ran_on is not None or call.in_flight > 0
-        if ran and not repeats_anywhere(self.classes[call.root.request_class]):
+        """Check a rejection, which tells the caller that a retry is safe."""
+        may_have_run = call.ran_on is not None or call.in_flight > 0
+        if may_have_run and not can_retry_anywhere(self.classes[call.root.request_class]):
             self.report(
-                now, "duplicate_effects", f"request {call.root.index}: refused though it may have run"
+                now, "duplicate_effects", f"request {call.root.index}: rejected although it may have run"
             )
 
     def cold_server_failed(self, server: ServerView, notified_share: float) -> None:
-        """Reports a server that was overloaded while it warmed up, if nodes knew of its start."""
+        """Report a server that was overloaded while cold, mostly by nodes notified of its start."""
         now = server.clock.now
-        if notified_share >= NOTIFIED_SHARE:
-            self.report(now, "cold_server", f"server {server.id}, tier {server.tier}: pushed over while cold")
+        if notified_share >= MIN_NOTIFIED_SHARE:
+            self.report(
+                now,
+                "cold_server",
+                f"server {server.id}, tier {server.tier}: pushed over while cold",
+            )
 
 
-def repeats_anywhere(settings: ClassSettings) -> bool:
-    """Returns whether a request that may have run can be retried at any server."""
+def can_retry_anywhere(settings: ClassSettings) -> bool:
+    """Return whether a request that may have run can be retried safely at any server."""
     return settings.effect == Effect.IDEMPOTENT or (
         settings.effect == Effect.IDEMPOTENCY_KEY and settings.group == Group.ALL
     )
 
 
-def in_group(group: Group, first: Any, other: Any) -> bool:
-    """Returns whether a server recognises the duplicates of what another server may have run."""
+def is_in_group(group: Group, first: Any, other: Any) -> bool:
+    """Return whether a server recognises duplicates of requests that another server may have run."""
     if group == Group.ALL or first is other:
         return True
     if group == Group.ZONE:
--- a/workbench/model/server.py
+++ b/workbench/model/server.py
@@ -1,9 +1,9 @@
-"""A server: cores, a queue, pauses, slow start, a limit on connections.
+"""A server: cores, a queue, pauses, slow start, and a limit on connections.
 
-Running jobs, those that do not wait for the next tier, share the cores evenly (processor sharing). The
-virtual time is the work that each running job has received since the server was made, so a job completes
-when the virtual time reaches its finish time: one heap of finish times and one timer for the next
-completion, whatever the number of jobs.
+Running jobs, which are those that do not wait for the next tier, share the cores evenly (processor sharing).
+The virtual time is the work that a job would have received if it had run since the server was created, so a
+job completes when the virtual time reaches the job's finish time. One heap of finish times and one timer for
+the next completion suffice for any number of jobs.
 """
 
 from __future__ import annotations
@@ -18,23 +18,30 @@
 from workbench.model.job import DONE, QUEUED, RUNNING, WAITING, Job
 from workbench.model.recent_load import ReceivedWork, RecentLoad
 from workbench.model.server_spec import ServerSpec
-from workbench.model.streams import scramble
-
-WORK_SHARE_BEFORE_CALLS = 0.5  # of a job's work is done before its calls to the next tier
-WARM_UP_STEPS = 40  # of capacity after a start
-CONNECTION_TAX = 0.25  # of the capacity, at the limit on connections (the brief gives 0.21 to 0.37)
+from workbench.model.streams import keyed_draw
+
+# Share of a job's work that is done before its calls to the next tier.
+WORK_SHARE_BEFORE_CALLS = 0.5
+# Number of steps in which the capacity rises after a start.
+WARM_UP_STEPS = 40
+# Share of the capacity that connections cost at the connection limit; the specified range is 0.21 to 0.37.
+CONNECTION_OVERHEAD_RATIO = 0.25
+# Number of values of a draw, which are 0 to 2**32 - 1.
 DRAW_RANGE = 2**32
-LATE_DRAW, LATE_TIME_DRAW = 201, 202  # what an attempt's draws are for
-ROUNDING_MARGIN = 1e-6  # of the virtual time
-COLD_SLACK_CALLS = 3.0  # calls of mean work beyond the budget of a cold server, as a margin for chance
+# Identifiers of the random draws of an attempt, one for each purpose.
+LATE_CONNECTION_DRAW, CONNECTION_DELAY_DRAW = 201, 202
+# Work by which a job may fall short of its finish time, as a margin for rounding errors.
+VIRTUAL_TIME_TOLERANCE = 1e-6
+# Calls of mean work that a cold server accepts beyond its budget, as a margin for random bursts.
+COLD_LOAD_MARGIN_CALLS = 3.0
 
 
 class Server:
     """A machine and the process on it.
 
     Args:
-        world: The model that it belongs to.
-        spec: The figures of the machine.
+        world: The model that the server belongs to.
+        spec: The properties of the machine.
     """
 
     def __init__(self, world: Environment, spec: ServerSpec) -> None:
@@ -47,38 +54,48 @@
         self.cell = spec.cell
         self.kind = spec.kind
         self.cores = spec.cores
-        self.works = world.work_table[spec.tier]  # of a call, by class
+        self.work_by_class = world.work_table[spec.tier]
         self.slots = spec.slots
         self.thrash_at = spec.thrash_at
         self.full_speed = spec.speed
-        self.errors = world.streams.random(f"{spec.name}/errors")
-        self.pauses = world.streams.random(f"{spec.name}/pauses")
-        self.node: Port | None = None  # for its calls to the next tier
+        self.error_rng = world.streams.random(f"{spec.name}/errors")
+        self.pause_rng = world.streams.random(f"{spec.name}/pauses")
+        # The node that sends the server's calls to the next tier; None in the last tier.
+        self.node: Port | None = None
         self.up = True
         self.draining = False
-        self.silent = False  # the machine neither sends nor receives
-        self.late_connection_share = 0.0  # share of its new connections that are delayed
-        self.max_connection_delay = 0  # in microseconds
+        # Whether the machine neither sends nor receives.
+        self.silent = False
+        # Share of new connections that are delayed, and their maximum delay in microseconds.
+        self.late_connection_share = 0.0
+        self.max_connection_delay = 0
         self.failed_cold = False
         self.ready_at = 0
-        self.warmth = 1.0
-        self.slow = 1.0
-        self.failing = spec.error_rate  # share of the jobs that end in an error
-        self.stolen_share = 0.0  # share of the machine that another program uses
+        # Capacity relative to that after the warm-up.
+        self.warm_up_ratio = 1.0
+        self.slowdown = 1.0
+        # Share of the jobs that end in an error.
+        self.failure_rate = spec.error_rate
+        # Share of the machine that another program uses.
+        self.neighbour_share = 0.0
         self.paused = False
-        self.incarnation = 0  # of its process
+        # Number of starts and stops of the process.
+        self.incarnation = 0
         self.connections = 0
-        self.overhead = 0.0  # work of handshakes and health checks, added to the next job
-        self.recent = RecentLoad()  # received while it warms up
-        self.busy = 0.0  # work done, in core-microseconds of the reference core
+        # Work of handshakes and health checks, which is added to the next job.
+        self.overhead = 0.0
+        # Load received during the warm-up.
+        self.recent_load = RecentLoad()
+        # Work of all jobs, in core-microseconds of the reference core.
+        self.work_done = 0.0
         self._init_jobs()
-        if spec.pause > 0:
+        if spec.pause_length > 0:
             self.clock.call_at(
-                self.clock.now + int(self.next_pause() * self.pauses.random()), self.pause, None
+                self.clock.now + int(self.next_pause() * self.pause_rng.random()), self.pause, None
             )
 
     def _init_jobs(self) -> None:
-        """Sets the state of queue and processor sharing to that of an idle server."""
+        """Initialise the queue and the processor sharing of an idle server."""
         self.jobs: set[Job] = set()
         self.queue: deque[Job] = deque()
         self.used_slots = 0
@@ -87,64 +104,74 @@
         self.sequence = 0
         self.virtual_time = 0.0
         self.updated_at = 0
-        self.speed = self.full_speed  # of a core, at present
-        self.rate = 0.0  # of each running job, at present
+        # Current speed of a core, and current rate at which each running job receives work.
+        self.speed = self.full_speed
+        self.rate = 0.0
         self.timer_at = -1
 
     # ---- capacity ---------------------------------------------------------------------------------------
 
     def next_pause(self) -> float:
-        """Draws the microseconds until the next pause."""
-        return self.spec.pause_every * (0.6 + 0.8 * self.pauses.random())
+        """Draw the time until the next pause, in microseconds."""
+        return self.spec.pause_interval * (0.6 + 0.8 * self.pause_rng.random())
 
     def pause(self, _: Any) -> None:
-        """Begins a pause, as of a garbage collector."""
+        """Begin a pause of all cores, such as that of a garbage collector."""
         self.paused = True
         self.update_speed()
-        length = int(self.spec.pause * (0.7 + 0.6 * self.pauses.random()))
+        length = int(self.spec.pause_length * (0.7 + 0.6 * self.pause_rng.random()))
         self.clock.call_at(self.clock.now + length, self.resume, None)
 
     def resume(self, _: Any) -> None:
-        """Ends a pause and schedules the next."""
+        """End a pause and schedule the next."""
         self.paused = False
         self.update_speed()
         self.clock.call_at(self.clock.now + int(self.next_pause()), self.pause, None)
 
     def update_speed(self) -> None:
-        """Computes the speed of a core after anything that it depends on has changed."""
-        self.advance()
-        tax = 1 - CONNECTION_TAX * min(1.0, self.connections / self.spec.connection_cap)
-        share = 0.0 if self.paused or self.silent else 1 - self.stolen_share
-        self.speed = self.full_speed * self.warmth * share * tax / self.slow / self.world.shared_slow
-        self.schedule()
+        """Recompute the speed of a core after a change of anything that it depends on."""
+        self.advance_virtual_time()
+        connection_factor = 1 - CONNECTION_OVERHEAD_RATIO * min(
+            1.0, self.connections / self.spec.connection_cap
+        )
+        share = 0.0 if self.paused or self.silent else 1 - self.neighbour_share
+        self.speed = (
+            self.full_speed
+            * self.warm_up_ratio
+            * share
+            * connection_factor
+            / self.slowdown
+            / self.world.shared_slowdown
+        )
+        self.schedule_completion()
 
     def capacity(self) -> float:
-        """Returns the reference work a microsecond that the server could do now, leaving out pauses."""
+        """Return the current capacity without pauses, as reference work per microsecond."""
         return (
             self.cores
             * self.full_speed
-            * self.warmth
-            * (1 - self.stolen_share)
-            / self.slow
-            / self.world.shared_slow
+            * self.warm_up_ratio
+            * (1 - self.neighbour_share)
+            / self.slowdown
+            / self.world.shared_slowdown
         )
 
-    def advance(self) -> None:
-        """Advances the virtual time to the present."""
+    def advance_virtual_time(self) -> None:
+        """Advance the virtual time to the clock's current time."""
         now = self.clock.now
         if self.rate > 0:
             self.virtual_time += self.rate * (now - self.updated_at)
         self.updated_at = now
 
-    def schedule(self) -> None:
-        """Computes the rate and sets the timer for the next completion."""
-        n = self.running
+    def schedule_completion(self) -> None:
+        """Recompute the rate of the running jobs and set the timer for the next completion."""
+        job_count = self.running
         rate = self.speed
-        if n == 0 or rate <= 0:
+        if job_count == 0 or rate <= 0:
             self.rate = 0.0
             return
-        if n > self.cores:
-            rate *= self.cores / n
+        if job_count > self.cores:
+            rate *= self.cores / job_count
         excess = self.used_slots - self.thrash_at
         if excess > 0:
             rate /= 1 + self.spec.thrash * excess / self.cores
@@ -155,24 +182,25 @@
             self.clock.call_at(due, self.on_timer, due)
 
     def on_timer(self, due: int) -> None:
-        """Completes the work that is due, and sets the next timer."""
-        if due != self.timer_at:  # it has been superseded by an earlier one
+        """Complete the work that is due, and set the next timer."""
+        # A timer that an earlier one has superseded is ignored.
+        if due != self.timer_at:
             return
         self.timer_at = -1
-        self.advance()
+        self.advance_virtual_time()
         heap = self.finish_heap
-        limit = self.virtual_time + ROUNDING_MARGIN
+        limit = self.virtual_time + VIRTUAL_TIME_TOLERANCE
         while heap and heap[0][0] <= limit:
             job = heappop(heap)[2]
             if job.state == RUNNING:
                 self.running -= 1
                 self.record_work(job)
-                self.next_step(job)
+                self.continue_job(job)
         self.discard_stopped()
-        self.schedule()
+        self.schedule_completion()
 
     def discard_stopped(self) -> None:
-        """Removes jobs that no longer run from the top of the heap."""
+        """Remove jobs that are no longer running from the top of the heap."""
         heap = self.finish_heap
         while heap and heap[0][2].state != RUNNING:
             heappop(heap)
@@ -180,7 +208,7 @@
     # ---- jobs ----------------------------------------------------------------------------
 
     def arrive(self, attempt: Attempt) -> None:
-        """Receives an attempt."""
+        """Receive an attempt: reject it, queue it, or start its job."""
         if attempt.ended or self.silent:
             return
         if not self.up:
@@ -189,36 +217,36 @@
         world = self.world
         call = attempt.call
         root = call.root
-        work = self.works[root.request_class] * root.factor
-        if self.warmth < 1.0 and not self.survives_load(attempt, work):
+        work = self.work_by_class[root.request_class] * root.work_factor
+        if self.warm_up_ratio < 1.0 and not self.accepts_cold_load(attempt, work):
             return
-        if self.draining or (self.used_slots >= self.slots and len(self.queue) >= self.spec.queue):
+        if self.draining or (self.used_slots >= self.slots and len(self.queue) >= self.spec.queue_size):
             attempt.port.reply(attempt, Outcome.REJECTED)
             return
-        calls = world.calls(self.tier, call.key) if self.node is not None else 0
+        calls = world.call_count(self.tier, call.key) if self.node is not None else 0
         job = attempt.job = Job(attempt, work + self.overhead, calls)
         self.overhead = 0.0
         self.jobs.add(job)
         if self.used_slots >= self.slots:
             self.queue.append(job)
         else:
-            self.advance()
-            self.begin(job)
-            self.schedule()
+            self.advance_virtual_time()
+            self.start_job(job)
+            self.schedule_completion()
 
-    def begin(self, job: Job) -> None:
-        """Gives a job a slot and runs its first part."""
+    def start_job(self, job: Job) -> None:
+        """Give a job a slot and run the first part of its work."""
         self.used_slots += 1
-        if job.calls:
-            part = job.remaining * WORK_SHARE_BEFORE_CALLS
-            job.remaining -= part
-            self.run(job, part)
+        if job.remaining_calls:
+            first_work = job.remaining_work * WORK_SHARE_BEFORE_CALLS
+            job.remaining_work -= first_work
+            self.run_work(job, first_work)
         else:
-            part, job.remaining = job.remaining, 0.0
-            self.run(job, part)
+            work, job.remaining_work = job.remaining_work, 0.0
+            self.run_work(job, work)
 
-    def run(self, job: Job, work: float) -> None:
-        """Runs a part of a job."""
+    def run_work(self, job: Job, work: float) -> None:
+        """Start a part of a job's work, of `work` core-microseconds."""
         job.state = RUNNING
         job.start_time = self.virtual_time
         job.finish_time = self.virtual_time + work
@@ -227,36 +255,36 @@
         heappush(self.finish_heap, (job.finish_time, self.sequence, job))
 
     def record_work(self, job: Job) -> None:
-        """Records the work that a job has received since it last began to run."""
-        done = self.virtual_time - job.start_time
-        self.busy += done
-        job.attempt.call.root.work += done
-
-    def next_step(self, job: Job) -> None:
-        """Continues a job after a part of its work: a call to the next tier, more work, or the response."""
-        if job.calls:
+        """Record the work that a job has received in the current part of its work."""
+        work = self.virtual_time - job.start_time
+        self.work_done += work
+        job.attempt.call.root.work += work
+
+    def continue_job(self, job: Job) -> None:
+        """Continue a job after a part of its work: call the next tier, run more work, or respond."""
+        if job.remaining_calls:
             job.state = WAITING
-            self.call(job)
-        elif job.remaining > 0:
-            part, job.remaining = job.remaining, 0.0
-            self.run(job, part)
+            self.call_next_tier(job)
+        elif job.remaining_work > 0:
+            work, job.remaining_work = job.remaining_work, 0.0
+            self.run_work(job, work)
         else:
-            error = self.failing > 0 and self.errors.random() < self.failing
-            self.finish(job, Outcome.ERROR if error else Outcome.OK)
+            error = self.failure_rate > 0 and self.error_rng.random() < self.failure_rate
+            self.finish_job(job, Outcome.ERROR if error else Outcome.OK)
 
-    def call(self, job: Job) -> None:
-        """Makes one call to the next tier, through this server's own node."""
-        above = job.attempt.call
+    def call_next_tier(self, job: Job) -> None:
+        """Make one call to the next tier, through the server's node."""
+        parent_call = job.attempt.call
         world = self.world
-        key = scramble(above.key, job.calls)
-        call = world.call(above.root, key, self.tier + 1, above.until, self)
+        key = keyed_draw(parent_call.key, job.remaining_calls)
+        call = world.call(parent_call.root, key, self.tier + 1, parent_call.until, self)
         call.context = job
-        call.number = job.calls
-        job.calls -= 1
-        job.child = call
-        parent = job.attempt.trace
-        if call.trace is not None and parent is not None:
-            parent.calls.append(call.trace)
+        call.number = job.remaining_calls
+        job.remaining_calls -= 1
+        job.child_call = call
+        attempt_trace = job.attempt.trace
+        if call.trace is not None and attempt_trace is not None:
+            attempt_trace.calls.append(call.trace)
         node = self.node
         if node is None or not node.ready:
             if call.trace is not None:
@@ -267,49 +295,49 @@
             node.accept(call)
 
     def answered(self, call: Call, answer: Answer, retry_after: int) -> None:
-        """Receives the next tier's response. Failed calls are not retried here, so the job fails too."""
+        """Receive the next tier's response; a failed call is not retried, so the job fails too."""
         job: Job = call.context
-        if job.state != WAITING or job.child is not call:
+        if job.state != WAITING or job.child_call is not call:
             return
-        job.child = None
+        job.child_call = None
         if answer == Answer.OK:
-            job.useful += call.useful
-            self.advance()
-            self.next_step(job)
-            self.schedule()
+            job.useful_work += call.useful_work
+            self.advance_virtual_time()
+            self.continue_job(job)
+            self.schedule_completion()
         else:
             job.attempt.cause = call.cause
-            self.finish(job, Outcome.ERROR)
+            self.finish_job(job, Outcome.ERROR)
 
-    def finish(self, job: Job, outcome: Outcome) -> None:
-        """Ends a job and responds to its attempt."""
+    def finish_job(self, job: Job, outcome: Outcome) -> None:
+        """End a job and respond to its attempt."""
         job.state = DONE
-        self.release(job)
+        self.free_slot(job)
         attempt = job.attempt
         if not attempt.ended:
-            job.answer = outcome
+            job.outcome = outcome
             attempt.port.reply(attempt, outcome)
 
-    def release(self, job: Job) -> None:
-        """Frees the slot of a job and gives it to the next in the queue."""
+    def free_slot(self, job: Job) -> None:
+        """Free the slot of a job and give it to the next job in the queue."""
         self.jobs.discard(job)
         self.used_slots -= 1
         while self.queue and self.used_slots < self.slots:
-            following = self.queue.popleft()
-            if following.state != DONE:
-                self.advance()
-                self.begin(following)
-                self.schedule()
-
-    def abandon(self, attempt: Attempt) -> None:
-        """Handles an attempt that its node has cancelled: the work stops if this kind of server can."""
+            next_job = self.queue.popleft()
+            if next_job.state != DONE:
+                self.advance_virtual_time()
+                self.start_job(next_job)
+                self.schedule_completion()
+
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        """Cancel the job of an attempt, unless it has started and the server cannot stop started work."""
         job: Job | None = attempt.job
         if job is None or job.state == DONE or not self.up or self.silent:
             return
         state = job.state
         if not self.spec.cancel and state != QUEUED:
             return
-        self.advance()
+        self.advance_virtual_time()
         job.state = DONE
         if state == QUEUED:
             self.jobs.discard(job)
@@ -319,66 +347,66 @@
             self.running -= 1
             self.record_work(job)
             self.discard_stopped()
-        elif job.child is not None and self.node is not None:
-            self.node.client_disconnected(job.child)
-        self.release(job)
-        self.schedule()
+        elif job.child_call is not None and self.node is not None:
+            self.node.client_disconnected(job.child_call)
+        self.free_slot(job)
+        self.schedule_completion()
 
     # ---- connections and probes --------------------------------------------------------------------------
 
     def change_connections(self, change: int) -> bool:
-        """Opens (1) or closes (a negative number) connections; returns False if the limit is reached."""
+        """Open one connection, or close `-change` connections; return False if the limit is reached."""
         if change > 0:
             if self.connections >= self.spec.connection_cap:
                 return False
-            self.overhead += self.spec.handshake
+            self.overhead += self.spec.handshake_work
         self.connections += change
         return True
 
     def connection_delay(self, draw: int) -> int:
-        """Returns the extra microseconds that a new connection takes, by the draw of its attempt."""
+        """Return the delay of a new connection in microseconds, selected by the draw of its attempt."""
         if (
             not self.late_connection_share
-            or scramble(draw, LATE_DRAW) >= self.late_connection_share * DRAW_RANGE
+            or keyed_draw(draw, LATE_CONNECTION_DRAW) >= self.late_connection_share * DRAW_RANGE
         ):
             return 0
-        return self.max_connection_delay * scramble(draw, LATE_TIME_DRAW) // DRAW_RANGE
+        return self.max_connection_delay * keyed_draw(draw, CONNECTION_DELAY_DRAW) // DRAW_RANGE
 
     def answer_health_check(self) -> bool:
-        """Returns whether a health check succeeds; answering it costs work."""
-        self.overhead += self.spec.probe
+        """Return whether a health check succeeds, and add the work of answering it."""
+        self.overhead += self.spec.probe_work
         return not self.draining
 
     # ---- starts and ends ---------------------------------------------------------------------------------
 
-    def survives_load(self, attempt: Attempt, work: float) -> bool:
-        """Returns whether a server that warms up can take one more attempt; if not, it fails."""
+    def accepts_cold_load(self, attempt: Attempt, work: float) -> bool:
+        """Add an attempt to the recent load; kill the server and return False if the load is too high."""
         now = self.clock.now
         world = self.world
-        recent = self.recent
-        recent.add(ReceivedWork(now, work, world.knows_start(attempt, self)), world.fall_time)
-        budget = world.fall_multiple * self.cores * self.full_speed * self.warmth * world.fall_time
-        if recent.work <= budget + COLD_SLACK_CALLS * world.mean_work[self.tier]:
+        recent_load = self.recent_load
+        recent_load.add(ReceivedWork(now, work, world.is_notified_of_start(attempt, self)), world.fall_time)
+        budget = world.fall_multiple * self.cores * self.full_speed * self.warm_up_ratio * world.fall_time
+        if recent_load.work <= budget + COLD_LOAD_MARGIN_CALLS * world.mean_work[self.tier]:
             return True
         self.failed_cold = True
-        world.referee.cold_server_failed(self, recent.notified_work / recent.work)
+        world.referee.cold_server_failed(self, recent_load.notified_work / recent_load.work)
         self.stop(kill=True)
         world.discovery.server_stopped(self)
         return False
 
     def start(self) -> None:
-        """Starts a new process, which has to warm up."""
+        """Start a new process, which has to warm up; a server that failed while cold stays down."""
         if self.failed_cold or self.up:
             return
         self.up = True
         self.draining = False
         self.incarnation += 1
         self.ready_at = max(1, self.clock.now)
-        self.recent.clear()
-        if self.spec.cold > 0:
-            self.warmth = self.spec.cold_from
+        self.recent_load.clear()
+        if self.spec.warm_up_time > 0:
+            self.warm_up_ratio = self.spec.cold_capacity_share
             self.clock.call_at(
-                self.clock.now + self.spec.cold // WARM_UP_STEPS, self.warm_up, self.incarnation
+                self.clock.now + self.spec.warm_up_time // WARM_UP_STEPS, self.warm_up, self.incarnation
             )
         self.update_speed()
         if self.node is not None:
@@ -386,20 +414,24 @@
         self.world.discovery.server_started(self)
 
     def warm_up(self, incarnation: int) -> None:
-        """Raises the capacity by one step of the warm-up."""
+        """Raise the capacity by one step of the warm-up, unless the process has ended since."""
         if incarnation != self.incarnation or not self.up:
             return
-        passed = (self.clock.now - self.ready_at) / self.spec.cold
-        self.warmth = min(1.0, self.spec.cold_from + (1 - self.spec.cold_from) * passed)
+        progress = (self.clock.now - self.ready_at) / self.spec.warm_up_time
+        self.warm_up_ratio = min(
+            1.0, self.spec.cold_capacity_share + (1 - self.spec.cold_capacity_share) * progress
+        )
         self.update_speed()
-        if self.warmth < 1.0:
-            self.clock.call_at(self.clock.now + self.spec.cold // WARM_UP_STEPS, self.warm_up, incarnation)
+        if self.warm_up_ratio < 1.0:
+            self.clock.call_at(
+                self.clock.now + self.spec.warm_up_time // WARM_UP_STEPS, self.warm_up, incarnation
+            )
 
     def stop(self, kill: bool) -> None:
-        """Ends the process: jobs are reset."""
+        """End the process: its jobs are reset and its node is killed."""
         if not self.up:
             return
-        self.advance()
+        self.advance_virtual_time()
         self.up = False
         self.incarnation += 1
         for job in sorted(self.jobs, key=lambda j: j.attempt.call.id):
@@ -413,6 +445,7 @@
         self.finish_heap.clear()
         self.used_slots = self.running = 0
         self.connections = 0
-        self.schedule()
-        if self.node is not None:  # last: no caller is left to respond to
+        self.schedule_completion()
+        # The node is killed last, when no job is left that could receive a response.
+        if self.node is not None:
             self.node.kill()
--- a/workbench/model/server_spec.py
+++ b/workbench/model/server_spec.py
@@ -1,4 +1,4 @@
-"""The figures of a server's machine."""
+"""The properties of a server's machine."""
 
 from __future__ import annotations
 
@@ -7,7 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerSpec:
-    """A machine's figures. Times in microseconds, work in core-microseconds of the reference core."""
+    """The properties of a machine, drawn when it is created.
+
+    Times are in microseconds, work is in core-microseconds of the reference core. `speed` is relative to the
+    reference core, `cold_capacity_share` is the share of capacity right after a start, and `cancel` tells
+    whether work stops when its attempt is cancelled.
+    """
 
     name: str
     id: int
@@ -18,16 +23,16 @@
     cores: int
     speed: float
     slots: int
-    queue: int
+    queue_size: int
     thrash: float
     thrash_at: float
-    pause: float
-    pause_every: float
-    cold_from: float
-    cold: int
+    pause_length: float
+    pause_interval: float
+    cold_capacity_share: float
+    warm_up_time: int
     connection_cap: int
-    handshake: float
+    handshake_work: float
     handshake_rtts: float
-    probe: float
+    probe_work: float
     error_rate: float
     cancel: bool
--- a/workbench/scenario/__init__.py
+++ b/workbench/scenario/__init__.py
@@ -1,1 +1,1 @@
-"""Scenarios: the TOML format, its validation, and the drawing of values out of its ranges."""
+"""Scenarios: the TOML format, its validation, and the drawing of values from ranges."""
--- a/workbench/scenario/check.py
+++ b/workbench/scenario/check.py
@@ -1,4 +1,4 @@
-"""Validation of decoded files: all errors at once, each with its key path, the value and what is allowed."""
+"""Validation of decoded files: reports all errors, each with key path, value and allowed values."""
 
 from __future__ import annotations
 
@@ -11,21 +11,25 @@
 
 from workbench.scenario.model import Class, Fault, Scenario, Zones, default_tiers
 
-MAX_VALUE_CHARS = 60  # of a wrong value in a message
-MAX_MAGNITUDE = 1e15  # of any number in a file
-SUGGESTION_CUTOFF = 0.5  # similarity of an unknown key to the known one that is suggested
+# Length to which an invalid value is shortened in a message.
+MAX_VALUE_CHARS = 60
+# Bound on the absolute value of all numbers in a file.
+MAX_MAGNITUDE = 1e15
+# Minimum similarity of an unknown key to the allowed key that is suggested.
+SUGGESTION_CUTOFF = 0.5
 NON_EMPTY_LISTS = frozenset({"class", "tier"})
-FAULTS_OF_A_ZONE = frozenset({"zone_lost", "zone_slow", "zone_failing", "cut"})
+ZONE_FAULT_TYPES = frozenset({"zone_lost", "zone_slow", "zone_failing", "cut"})
 DEFAULT_CLASS = Class(name="")
 DEFAULT_FAULT = Fault(type="slow")
 DEFAULT_ZONES = Zones()
 
-Bounds = Mapping[str, float]  # by JSON Schema's keyword
+# Bounds of a number by their JSON Schema keyword.
+Bounds = Mapping[str, float]
 TypeCheck = Callable[[Any, Any, str], Iterator[str]]
 
 
 class BoundCheck(NamedTuple):
-    """The wording and the test of a bound."""
+    """The text of a bound in messages, and the comparison that it requires."""
 
     text: str
     holds: Callable[[float, float], bool]
@@ -39,7 +43,7 @@
 
 
 def scenario_errors(table: object) -> list[str]:
-    """Returns the errors of a decoded scenario file, as lines `path: found: allowed`.
+    """Return the errors of a decoded scenario file as lines of the form `path: value: allowed values`.
 
     Relations between keys are checked once every key is valid by itself.
     """
@@ -47,12 +51,12 @@
 
 
 def type_errors(table: object, struct: type) -> list[str]:
-    """Returns what keys and values of a decoded file do not fit a msgspec struct, a line each."""
+    """Return one line for each key or value of a decoded file that does not fit a msgspec struct."""
     return list(value_errors(table, mi.type_info(struct), "", {}))
 
 
 def value_errors(value: Any, kind: mi.Type, path: str, bounds: Bounds) -> Iterator[str]:
-    """Yields the errors of a value of any type."""
+    """Yield the errors of a value of any type."""
     if isinstance(kind, mi.Metadata):
         yield from value_errors(value, kind.type, path, {**bounds, **(kind.extra_json_schema or {})})
     elif type(kind) in TYPE_CHECKS:
@@ -64,26 +68,26 @@
 
 
 def struct_errors(value: Any, kind: mi.StructType, path: str) -> Iterator[str]:
-    """Yields the errors of a table with known keys."""
+    """Yield the errors of a table whose allowed keys are the fields of a struct."""
     if not isinstance(value, dict):
         yield error_line(path or "file", value, "must be a table")
         return
-    known = {field.encode_name: field for field in kind.fields}
+    fields = {field.encode_name: field for field in kind.fields}
     for key, item in value.items():
         key_path = f"{path}.{key}" if path else key
-        if key in known:
-            yield from value_errors(item, known[key].type, key_path, {})
+        if key in fields:
+            yield from value_errors(item, fields[key].type, key_path, {})
         else:
-            nearest = difflib.get_close_matches(key, known, 1, SUGGESTION_CUTOFF)
-            hint = f"nearest is {nearest[0]}" if nearest else "known are " + ", ".join(known)
+            nearest = difflib.get_close_matches(key, fields, 1, SUGGESTION_CUTOFF)
+            hint = f"nearest is {nearest[0]}" if nearest else "known are " + ", ".join(fields)
             yield f"{key_path}: unknown key: {hint}"
-    for key, field in known.items():
+    for key, field in fields.items():
         if field.required and key not in value:
             yield f"{path}.{key}: missing: must be given"
 
 
 def list_errors(value: Any, kind: mi.ListType, path: str) -> Iterator[str]:
-    """Yields the errors of a list of tables."""
+    """Yield the errors of a list of tables."""
     if not isinstance(value, list):
         yield error_line(path, value, "must be a list of tables")
         return
@@ -94,7 +98,7 @@
 
 
 def dict_errors(value: Any, kind: mi.DictType, path: str) -> Iterator[str]:
-    """Yields the errors of a table with any keys."""
+    """Yield the errors of a table that may have any keys."""
     if not isinstance(value, dict):
         yield error_line(path, value, "must be a table")
         return
@@ -103,25 +107,25 @@
 
 
 def literal_errors(value: Any, kind: mi.LiteralType, path: str) -> Iterator[str]:
-    """Yields the error of a value that is none of those allowed."""
+    """Yield the error of a value that is not one of the allowed literals."""
     if value not in kind.values:
         yield error_line(path, value, "must be one of " + ", ".join(map(str, kind.values)))
 
 
 def text_errors(value: Any, kind: mi.StrType, path: str) -> Iterator[str]:
-    """Yields the error of a value that is not text."""
+    """Yield the error of a value that is not text."""
     if not isinstance(value, str):
         yield error_line(path, value, "must be text")
 
 
 def bool_errors(value: Any, kind: mi.BoolType, path: str) -> Iterator[str]:
-    """Yields the error of a value that is not a boolean."""
+    """Yield the error of a value that is not a boolean."""
     if not isinstance(value, bool):
         yield error_line(path, value, "must be true or false")
 
 
 def scalar_errors(value: Any, path: str) -> Iterator[str]:
-    """Yields the error of a value that is neither a number nor text nor a boolean."""
+    """Yield the error of a value that is neither a number nor text nor a boolean."""
     if not isinstance(value, (str, int, float)):
         yield error_line(path, value, "must be a number, text, true or false")
 
@@ -137,7 +141,7 @@
 
 
 def number_errors(value: Any, kind: mi.Type, path: str, bounds: Bounds) -> Iterator[str]:
-    """Yields the first error of a number or, where the type allows one, a range `[low, high]`."""
+    """Yield the first error of a number or, where the type allows one, a range `[low, high]`."""
     members = kind.types if isinstance(kind, mi.UnionType) else (kind,)
     integer = any(isinstance(member, mi.IntType) for member in members)
     range_allowed = any(isinstance(member, mi.TupleType) for member in members)
@@ -157,14 +161,14 @@
 
 
 def is_number(value: Any, integer: bool) -> bool:
-    """Whether a value is a finite number of the type that is asked for."""
+    """Return whether a value is a finite number, and an integer if one is required."""
     if isinstance(value, bool) or not isinstance(value, int if integer else (int, float)):
         return False
     return -MAX_MAGNITUDE < value < MAX_MAGNITUDE
 
 
 def consistency_errors(table: Any) -> Iterator[str]:
-    """Yields the errors between keys of a decoded scenario whose keys are valid one by one."""
+    """Yield the inconsistencies between keys of a decoded scenario whose keys are valid by themselves."""
     zone_count = lower_end(table.get("zones", {}).get("count", DEFAULT_ZONES.count))
     yield from class_errors(table.get("class", ()))
     yield from zone_errors(table.get("zones", {}), zone_count)
@@ -174,7 +178,7 @@
 
 
 def class_errors(classes: Any) -> Iterator[str]:
-    """Yields the errors between keys of the request classes."""
+    """Yield the inconsistencies between keys of the request classes."""
     for index, request_class in enumerate(classes):
         objective = upper_end(request_class.get("aim_s", DEFAULT_CLASS.aim_s))
         deadline = lower_end(request_class.get("deadline_s", DEFAULT_CLASS.deadline_s))
@@ -186,7 +190,7 @@
 
 
 def zone_errors(zones: Any, zone_count: float) -> Iterator[str]:
-    """Yields the errors between keys of the section on zones."""
+    """Yield the inconsistencies between keys of the `zones` section."""
     for zone in zones.get("servers", {}):
         if not (zone.isascii() and zone.isdigit() and int(zone) < zone_count):
             yield f"zones.servers.{zone}: must be a zone's number, under zones.count, {zone_count:g}"
@@ -195,26 +199,26 @@
 
 
 def fault_errors(fault: Any, path: str, zone_count: float, tier_count: int) -> Iterator[str]:
-    """Yields the errors between an injected fault and the zones and tiers."""
+    """Yield the inconsistencies between an injected fault and the zones and tiers."""
     zone = upper_end(fault.get("zone", DEFAULT_FAULT.zone))
-    if fault["type"] in FAULTS_OF_A_ZONE and zone >= zone_count:
+    if fault["type"] in ZONE_FAULT_TYPES and zone >= zone_count:
         yield f"{path}.zone: {zone:g}: must be under zones.count, {zone_count:g}"
     if fault.get("tier", DEFAULT_FAULT.tier) >= tier_count:
         yield f"{path}.tier: {fault['tier']}: must be under the number of tiers, {tier_count}"
 
 
 def upper_end(value: Any) -> float:
-    """Returns the upper end of a range, or the number itself."""
+    """Return the upper end of a range, or a plain number as it is."""
     return float(max(value) if isinstance(value, (list, tuple)) else value)
 
 
 def lower_end(value: Any) -> float:
-    """Returns the lower end of a range, or the number itself."""
+    """Return the lower end of a range, or a plain number as it is."""
     return float(min(value) if isinstance(value, (list, tuple)) else value)
 
 
 def error_line(path: str, value: Any, allowed: str) -> str:
-    """Returns the line on one error."""
+    """Return the line that reports one error, with an abbreviated value."""
     text = repr(value) if not isinstance(value, bool) else str(value).lower()
     if len(text) > MAX_VALUE_CHARS:
         text = text[: MAX_VALUE_CHARS - 3] + "..."
--- a/workbench/scenario/load.py
+++ b/workbench/scenario/load.py
@@ -1,4 +1,4 @@
-"""Reads scenarios, overrides their keys, and draws values out of their ranges."""
+"""Reading of scenarios, overrides of their keys, and drawing of values from their ranges."""
 
 from __future__ import annotations
 
@@ -20,17 +20,18 @@
 
 TOML_SUFFIX = ".toml"
 SHIPPED_NAME = re.compile(r"[\w-]+")
-PATH_STEP = re.compile(r"([^.\[\]]+)((?:\[\d+\])*)(?:\.|$)")  # a key and its indices, as in `tier[0].`
+# One step of a key path: a key and its indices, such as `tier[0].`.
+PATH_STEP = re.compile(r"([^.\[\]]+)((?:\[\d+\])*)(?:\.|$)")
 DIGEST_BYTES = 8
-SHIPPED = files("workbench") / "scenarios"
+SHIPPED_SCENARIOS = files("workbench") / "scenarios"
 
 
 class ScenarioError(Exception):
-    """A user's scenario is not valid: one line for each error, each with the file's name."""
+    """An invalid scenario; the message has one line for each error, with the name of the file."""
 
 
-def titles(folder: Traversable) -> dict[str, str]:
-    """Returns the titles of the TOML files that ship in a folder, by name."""
+def titles_by_name(folder: Traversable) -> dict[str, str]:
+    """Return the titles of the TOML files in a folder of the package, by name without suffix."""
     names = sorted(
         file.name.removesuffix(TOML_SUFFIX) for file in folder.iterdir() if file.name.endswith(TOML_SUFFIX)
     )
@@ -38,20 +39,20 @@
 
 
 def title(file: Traversable) -> str:
-    """Returns the title of a TOML file, empty where it has none."""
+    """Return the title of a TOML file; empty if it has none."""
     return str(tomllib.loads(file.read_text()).get("title", ""))
 
 
 def read_toml(source: str, folder: Traversable, error_type: type[Exception]) -> dict[str, Any]:
-    """Decodes a TOML file.
+    """Decode a TOML file.
 
     Args:
-        source: A path or, where no such file exists, the name of a file that ships.
-        folder: The folder of the files that ship.
-        error_type: The exception to raise.
+        source: A path or, if no such file exists, the name of a file that ships with the workbench.
+        folder: The folder of the shipped files.
+        error_type: The type of exception to raise.
 
     Raises:
-        Exception: Of `error_type`: the file does not exist, cannot be read or is not TOML.
+        Exception: An instance of `error_type`; the file does not exist, cannot be read or is not TOML.
     """
     path = Path(source)
     name = source.removesuffix(TOML_SUFFIX)
@@ -61,32 +62,32 @@
     try:
         return tomllib.loads(path.read_text())
     except FileNotFoundError:
-        raise error_type(f"{source}: no such file: shipped are {', '.join(titles(folder))}") from None
+        raise error_type(f"{source}: no such file: shipped are {', '.join(titles_by_name(folder))}") from None
     except OSError as e:
         raise error_type(f"{source}: cannot be read: {e.strerror}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as e:
         raise error_type(f"{source}: not TOML: {e}") from None
 
 
-def shipped() -> dict[str, str]:
-    """Returns the titles of the scenarios that ship with the product, by name."""
-    return titles(SHIPPED)
+def shipped_scenarios() -> dict[str, str]:
+    """Return the titles of the scenarios that ship with the workbench, by name."""
+    return titles_by_name(SHIPPED_SCENARIOS)
 
 
 def read_table(source: str) -> dict[str, Any]:
-    """Decodes a scenario file, or one that ships where no such file exists.
+    """Decode a scenario file or, if no such file exists, the shipped scenario of that name.
 
     Raises:
         ScenarioError: The file cannot be read or is not TOML.
     """
-    return read_toml(source, SHIPPED, ScenarioError)
+    return read_toml(source, SHIPPED_SCENARIOS, ScenarioError)
 
 
 def parse_scenario(table: dict[str, Any], source: str = "scenario") -> Scenario:
-    """Validates a decoded scenario file.
+    """Validate a decoded scenario file and convert it to a `Scenario`.
 
     Raises:
-        ScenarioError: The table is not a valid scenario; one line for each error.
+        ScenarioError: The table is not a valid scenario.
     """
     errors = scenario_errors(table)
     if errors:
@@ -95,7 +96,7 @@
 
 
 def load(source: str, overrides: Sequence[str] = ()) -> Scenario:
-    """Reads a scenario file, or one that ships, and applies `KEY=VALUE` overrides.
+    """Read a scenario file or a shipped scenario, and apply `KEY=VALUE` overrides.
 
     Raises:
         ScenarioError: The file or an override is not valid.
@@ -110,10 +111,10 @@
 
 
 def apply_override(table: dict[str, Any], override: str) -> None:
-    """Sets one key by its path, as `tier[0].kind[1].speed=2`.
+    """Set one key by its path, such as `tier[0].kind[1].speed=2`.
 
     Raises:
-        ScenarioError: The override has another form, or there is no such key.
+        ScenarioError: The override is malformed, or its key does not exist.
     """
     path, equals, text = override.partition("=")
     steps = parse_path(path)
@@ -133,7 +134,7 @@
 
 
 def parse_path(path: str) -> list[str | int]:
-    """Returns the keys and indices of a path; empty where there is none."""
+    """Return the keys and indices of a path; an empty list if the text is not a path."""
     steps: list[str | int] = []
     for match in PATH_STEP.finditer(path.strip()):
         steps.append(match[1])
@@ -142,7 +143,7 @@
 
 
 def parse_value(text: str) -> Any:
-    """Returns a value as TOML spells it, or the text itself."""
+    """Return the value that a text has in TOML, or the text itself if it is not TOML."""
     try:
         return tomllib.loads(f"value = {text}")["value"]
     except tomllib.TOMLDecodeError:
@@ -150,28 +151,29 @@
 
 
 def to_table(scenario: Scenario) -> dict[str, Any]:
-    """Returns a scenario as TOML's own types."""
+    """Return a scenario as a table of TOML's built-in types."""
     return dict(msgspec.to_builtins(scenario))
 
 
 def to_toml(scenario: Scenario) -> str:
-    """Returns a scenario as the text of a file that decodes to the same."""
+    """Return a scenario as TOML text that decodes to an equal scenario."""
     return tomli_w.dumps(to_table(scenario))
 
 
 def digest(scenario: Scenario) -> str:
-    """Returns what tells one scenario from another: 16 hexadecimal digits over all its keys."""
+    """Return a digest of all keys of a scenario, as 16 hexadecimal digits."""
     return hashlib.blake2b(msgspec.json.encode(scenario), digest_size=DIGEST_BYTES).hexdigest()
 
 
 def draw(scenario: Scenario, seed: int | None = None) -> Scenario:
-    """Returns the scenario with every range replaced by one value, and itself if it has none.
+    """Return the scenario with a drawn value in place of each range.
 
-    Each key draws from a stream named by its path, so another range in the file changes no other key.
+    Each key draws from a stream named by its path, so an added range changes no other key. A scenario without
+    ranges stays equal, apart from its seed.
 
     Args:
         scenario: The scenario.
-        seed: The seed of the draw; by default the scenario's own.
+        seed: The seed of the draw; by default the seed of the scenario.
     """
     table = to_table(scenario)
     table["seed"] = scenario.seed if seed is None else seed
@@ -180,7 +182,7 @@
 
 
 def draw_ranges(value: Any, path: str, streams: Streams) -> Any:
-    """Returns a decoded value with every pair of numbers in it replaced by a draw between them."""
+    """Return a decoded value with each pair of numbers in it replaced by a number drawn between them."""
     if isinstance(value, dict):
         return {key: draw_ranges(item, f"{path}.{key}", streams) for key, item in value.items()}
     if not isinstance(value, (list, tuple)):
