--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -9,10 +9,10 @@
 from workbench.experiment.losses import LossTask, play_all
 from workbench.model.call import Attempt, Request
 from workbench.model.server import Server
-from workbench.model.site import BEGIN, World
+from workbench.model.site import CLOCK_START_US, World
 from workbench.model.trace import AttemptTrace
 from workbench.report.losses import LossCause
-from workbench.scenario.load import draw, load, parse_scenario, shipped, to_table
+from workbench.scenario.load import draw, load, parse_scenario, shipped_scenarios, to_table
 from workbench.simulator.connections import ConnectionPool
 from workbench.simulator.heap import HeapClock
 from workbench.simulator.host import Host
@@ -26,7 +26,7 @@
 
 
 def world_of(*overrides: str) -> tuple[World, HeapClock]:
-    clock = HeapClock(BEGIN)
+    clock = HeapClock(CLOCK_START_US)
     day = draw(load("late-connections", [*DAY, "load.fraction=0.001", *overrides]), 1)
     return World(day, clock, Host(clock, TICK, POLICIES["random"].make)), clock
 
@@ -39,15 +39,15 @@
     server = world.tiers[0][0]
     server.late_connection_share, server.max_connection_delay = 1.0, latest
     arrived: list[int] = []
-    server.arrive = lambda attempt: arrived.append(clock.now - BEGIN)  # type: ignore[method-assign]
-    request = Request(0, draw_, 0, 0, BEGIN, 2_500_000, 6_000_000, 1.0)
-    call = world.call(request, draw_, 0, BEGIN + 2_000_000, world.clients)
+    server.arrive = lambda attempt: arrived.append(clock.now - CLOCK_START_US)  # type: ignore[method-assign]
+    request = Request(0, draw_, 0, 0, CLOCK_START_US, 2_500_000, 6_000_000, 1.0)
+    call = world.call(request, draw_, 0, CLOCK_START_US + 2_000_000, world.clients)
     call.in_flight = 1
-    attempt = Attempt(call, 0, server, node, draw_, BEGIN)
-    attempt.trace = AttemptTrace(0, BEGIN)
+    attempt = Attempt(call, 0, server, node, draw_, CLOCK_START_US)
+    attempt.trace = AttemptTrace(0, CLOCK_START_US)
     attempt.connection = ConnectionPool(server)
     node.dial(attempt, 100, reachable=True)
-    clock.run(BEGIN + 2_000_000)
+    clock.run(CLOCK_START_US + 2_000_000)
     return server, attempt.trace, arrived
 
 
@@ -67,7 +67,7 @@
     draw_ = next(d for d in DRAWS if dialled_delay(d) > TIMEOUT)
     server, trace, arrived = dialled(latest=1_500_000, draw_=draw_)
     assert trace.outcome == Outcome.CONNECT_FAILED
-    assert trace.ended_at == BEGIN + TIMEOUT
+    assert trace.ended_at == CLOCK_START_US + TIMEOUT
     assert arrived == []
     assert server.connections == 0
     assert server.overhead == 0
@@ -95,7 +95,7 @@
     world.start()
     counts = []
     for second in (1, 3, 6):
-        clock.run(BEGIN + second * 1_000_000)
+        clock.run(CLOCK_START_US + second * 1_000_000)
         late = [s for tier in world.tiers for s in tier if s.late_connection_share]
         counts.append(len(late))
         assert all(
@@ -106,14 +106,14 @@
 
 def test_late_connections_come_up_1500_ms_late_where_the_day_does_not_say() -> None:
     day = parse_scenario({"fault": [{"type": "late_connections", "at_s": 0, "part": 1.0}]})
-    clock = HeapClock(BEGIN)
+    clock = HeapClock(CLOCK_START_US)
     world = World(draw(day), clock, Host(clock, TICK, POLICIES["random"].make))
     world.start()
-    clock.run(BEGIN + 1)
+    clock.run(CLOCK_START_US + 1)
     assert world.tiers[0][0].max_connection_delay == 1_500_000
 
 
-@pytest.mark.parametrize("name", [n for n in shipped() if n != "late-connections"])
+@pytest.mark.parametrize("name", [n for n in shipped_scenarios() if n != "late-connections"])
 def test_no_other_shipped_day_stores_the_key(name: str) -> None:
     """Failure prevented: a new key changes the digest of every stored day."""
     assert all("late_ms" not in fault for fault in to_table(load(name))["fault"])
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -13,7 +13,7 @@
 from workbench.model.answer import Answer
 from workbench.model.call import Attempt, Request
 from workbench.model.job import DONE, Job
-from workbench.model.site import BEGIN, World
+from workbench.model.site import CLOCK_START_US, World
 from workbench.model.trace import AttemptTrace, CallTrace, RequestTrace, TraceLog
 from workbench.report.losses import (
     Attribution,
@@ -363,13 +363,15 @@
 
 @pytest.mark.parametrize("state", ["lost", "answer lost", "silent", "cut"])
 def test_an_attempt_is_unanswerable_where_nothing_can_come_back(state: str) -> None:
-    clock = HeapClock(BEGIN)
+    clock = HeapClock(CLOCK_START_US)
     world = World(DAYS["cut"], clock, Host(clock, 1000, POLICIES["random"].make))
     node = world.nodes[0]
     assert isinstance(node, Node)
     server = next(server for server in world.tiers[0] if server.zone != node.zone)
-    wanted = Request(0, 0, SAFE, 0, BEGIN, AIM, DEADLINE, 1.0)
-    sent = Attempt(world.call(wanted, 0, 0, BEGIN + AIM, world.clients), 0, server, node, 0, BEGIN)
+    wanted = Request(0, 0, SAFE, 0, CLOCK_START_US, AIM, DEADLINE, 1.0)
+    sent = Attempt(
+        world.call(wanted, 0, 0, CLOCK_START_US + AIM, world.clients), 0, server, node, 0, CLOCK_START_US
+    )
     sent.job = Job(sent, 1.0, 0)
     assert not node.is_unanswerable(sent)
     if state == "lost":
--- a/workbench/baselines/base.py
+++ b/workbench/baselines/base.py
@@ -21,7 +21,7 @@
     Settings,
     State,
 )
-from workbench.model.referee import in_group, repeats_anywhere
+from workbench.model.referee import can_retry_anywhere, is_in_group
 
 LIST_POLL_TOKEN = 1  # of the timer after which the list is polled again
 LIST_RETRY_DELAY = 500_000  # microseconds
@@ -224,7 +224,7 @@
         """Ends a request that is not retried: rejected where it did not run or a retry does no harm."""
         del self.open[request]
         request_class = self.settings.classes[open_request.request_class]
-        if open_request.first_run is None or repeats_anywhere(request_class):
+        if open_request.first_run is None or can_retry_anywhere(request_class):
             self.actions.reject(request, 0)
         else:
             self.actions.fail(request)
@@ -232,4 +232,4 @@
 
 def same_group(request_class: ClassSettings, first: ServerEntry, other: ServerEntry) -> bool:
     """Whether `other` discards the retry of what `first` may have run."""
-    return first.server == other.server or in_group(request_class.group, first, other)
+    return first.server == other.server or is_in_group(request_class.group, first, other)
--- a/workbench/cli/scenario.py
+++ b/workbench/cli/scenario.py
@@ -8,7 +8,15 @@
 import msgspec
 
 from workbench.cli.errors import InputError
-from workbench.scenario.load import ScenarioError, draw, load, parse_scenario, read_table, shipped, to_toml
+from workbench.scenario.load import (
+    ScenarioError,
+    draw,
+    load,
+    parse_scenario,
+    read_table,
+    shipped_scenarios,
+    to_toml,
+)
 from workbench.scenario.model import Scenario
 
 
@@ -20,7 +28,7 @@
 @scenario.command("list")
 def list_scenarios() -> None:
     """The scenarios that ship with the product."""
-    for name, title in shipped().items():
+    for name, title in shipped_scenarios().items():
         click.echo(f"{name:14} {title}")
 
 
--- a/workbench/emulator/config.py
+++ b/workbench/emulator/config.py
@@ -18,7 +18,7 @@
 
 def settings_table(settings: Settings, site: Site) -> dict[str, Any]:
     """Returns the settings object that reads back as these settings."""
-    day = site.world.day
+    day = site.world.scenario
     return {
         "classes": class_tables(settings, site),
         "tenants": [],
@@ -50,13 +50,13 @@
             "window": request_class.window,
             "worth": request_class.worth,
         }
-        for named, request_class in zip(site.world.day.request_classes, settings.classes, strict=True)
+        for named, request_class in zip(site.world.scenario.request_classes, settings.classes, strict=True)
     ]
 
 
 def policy_limits_table(settings: Settings, site: Site) -> dict[str, Any]:
     """Returns what the policy may do."""
-    network = site.world.day.network
+    network = site.world.scenario.network
     return {
         "max_attempts": settings.max_attempts,
         "cancel": settings.cancel,
--- a/workbench/emulator/emulate.py
+++ b/workbench/emulator/emulate.py
@@ -17,8 +17,8 @@
 from workbench.emulator.links import Link
 from workbench.emulator.nodes import NoProcessControl, Site
 from workbench.model.call import Call, Request
-from workbench.model.network import one_way
-from workbench.model.site import BEGIN, World
+from workbench.model.network import one_way_delay
+from workbench.model.site import CLOCK_START_US, World
 from workbench.model.streams import Streams
 from workbench.scenario.model import Scenario
 
@@ -39,7 +39,7 @@
         """Returns a call of the class that the target's path names, or else of the first class."""
         clock, classes = self.clock, self.world.classes
         path_name = target[1:].partition(b"?")[0].partition(b"/")[0].decode("latin-1")
-        names = [k.name for k in self.world.day.request_classes]
+        names = [k.name for k in self.world.scenario.request_classes]
         index = names.index(path_name) if path_name in names else 0
         deadline = classes[index].deadline
         objective = classes[index].latency_objective
@@ -69,7 +69,7 @@
         seconds: The longest time to serve.
         report: Gets the lines for the user: how to start the nodes, and what came.
     """
-    clock = RealTimeClock(asyncio.get_running_loop(), BEGIN)
+    clock = RealTimeClock(asyncio.get_running_loop(), CLOCK_START_US)
     addresses = AddressBlock()
     site = make_site(day, clock, addresses)
     world = World(day, clock, site)
@@ -96,12 +96,12 @@
 
     def link_between(source: str, source_zone: int, target: str, target_zone: int) -> Link:
         rng = streams.random(f"link/{source}/{target}")
-        return Link(clock, rng, one_way(day, source_zone, target_zone))
+        return Link(clock, rng, one_way_delay(day, source_zone, target_zone))
 
     def observe(event: str, **fields: Any) -> None:
         pass
 
-    epoch_ms = time_ns() // 1_000_000 - BEGIN // 1000
+    epoch_ms = time_ns() // 1_000_000 - CLOCK_START_US // 1000
     return UnknownClientsSite(
         clock.loop, clock, addresses, NoProcessControl(), observe, link_between, epoch_ms
     )
--- a/workbench/emulator/nodes.py
+++ b/workbench/emulator/nodes.py
@@ -115,7 +115,7 @@
         """Kills the node's process."""
         self.site.control.kill(self)
 
-    def expect(self, at: int, call: Call) -> None:
+    def schedule_arrival(self, at: int, call: Call) -> None:
         """Schedules a client's call, which arrives at `at`."""
         call.node = self
         self.site.clock.call_at(at, self.accept, call)
@@ -233,7 +233,7 @@
         call.in_flight += 1
         call.root.attempts += 1
         world.accounts.attempts[0] += 1
-        world.accounts.crossings += server.zone != self.zone
+        world.accounts.cross_zone_attempts += server.zone != self.zone
 
     def reply(self, attempt: Attempt, outcome: Outcome) -> None:
         """Sends a server's response to an attempt; its process may have ended instead."""
@@ -241,14 +241,14 @@
             return
         call = attempt.call
         if outcome == Outcome.OK and attempt.job is not None:
-            call.useful = attempt.job.useful
+            call.useful_work = attempt.job.useful_work
         self.close_attempt(attempt, outcome)
         connection: ProxyConnection = attempt.connection
         connection.respond(outcome, f"{attempt.server.spec.name} {call.id:016x}".encode())
 
     def on_disconnect(self, attempt: Attempt) -> None:
         """Cancels an attempt whose connection the node has closed."""
-        attempt.server.abandon(attempt)
+        attempt.server.cancel_attempt(attempt)
         self.close_attempt(attempt, Outcome.CANCELLED)
 
     def close_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
@@ -380,7 +380,7 @@
 
     def poll_servers(self, _: Any) -> None:
         """Brings the proxies in line with the servers, again and again."""
-        idle_timeout = int(fixed_float(self.world.day.network.idle_s) * 1e6)
+        idle_timeout = int(fixed_float(self.world.scenario.network.idle_s) * 1e6)
         proxies = [proxy for node in self.nodes for proxy in node.proxies.values()]
         synchronize_all(proxies, self.clock.now, idle_timeout)
         self.clock.call_at(self.clock.now + SERVER_POLL_INTERVAL, self.poll_servers, None)
@@ -400,7 +400,7 @@
 
     def class_name(self, call: Call) -> str:
         """Returns the name of a call's request class."""
-        return self.world.day.request_classes[call.root.request_class].name
+        return self.world.scenario.request_classes[call.root.request_class].name
 
     def effect_name(self, call: Call) -> str:
         """Returns the effect of a call as scenarios spell it."""
@@ -412,7 +412,7 @@
 
     def kind_name(self, kind: int) -> str:
         """Returns the name of a kind of servers."""
-        kinds = [k.name for t in self.world.day.tier for k in t.kind]
+        kinds = [k.name for t in self.world.scenario.tier for k in t.kind]
         return kinds[kind]
 
     def close(self) -> None:
--- a/workbench/explore/uses.py
+++ b/workbench/explore/uses.py
@@ -139,7 +139,7 @@
         row["trials of servers set aside"] = float(sum(fleet.record.probes.values()))
         row["still aside at the end"] = float(sum(len(m.ejection.ejected) for m in modules))
         assert fleet.world is not None
-        well = fleet.world.begin + int((SILENT["at_s"] + SILENT["for_s"]) * 1e6)
+        well = fleet.world.begin_at + int((SILENT["at_s"] + SILENT["for_s"]) * 1e6)
         back = [(at - well) / 1e6 for at in fleet.record.readmitted if at > well]
         row["taken back after, s: mean"] = float(np.mean(back))
         row["taken back after, s: 90%"] = float(np.percentile(back, 90))
--- a/workbench/lab/ground_truth.py
+++ b/workbench/lab/ground_truth.py
@@ -22,7 +22,7 @@
     process_events,
     process_incarnations,
 )
-from workbench.model.site import BEGIN
+from workbench.model.site import CLOCK_START_US
 
 NON_MEMBER_KINDS = ("wrong_key",)  # faulty nodes that never belong to the group
 PRESENT_STATES = ("alive", "suspect")  # a suspected member may still refute it
@@ -312,4 +312,4 @@
 
 def seconds(clock: int) -> float:
     """Converts a time on the lab's clock, in microseconds, to seconds as in an event's `t`."""
-    return (clock - BEGIN) / 1e6
+    return (clock - CLOCK_START_US) / 1e6
--- a/workbench/lab/lease_checkers.py
+++ b/workbench/lab/lease_checkers.py
@@ -12,7 +12,7 @@
 from workbench.lab.ground_truth import GroundTruth, seconds
 from workbench.lab.process_history import FOREVER, FaultPeriod, ProcessIncarnation
 from workbench.lab.violations import LOG_DELAY_S, Finding, Findings
-from workbench.model.site import BEGIN
+from workbench.model.site import CLOCK_START_US
 
 MAX_LEASES_WITHOUT_HOLDER = 2  # lease durations that may pass at the end without a holder
 MIN_RTT_RECALCULATION = re.compile(
@@ -67,7 +67,7 @@
     calm = truth.end - max([truth.last_change(), *(p.end for p in truth.periods)])
     if not truth.plan.get("voters") or not truth.agree <= calm < FOREVER:
         return
-    last = seconds(max((span.until for span in spans), default=BEGIN))
+    last = seconds(max((span.until for span in spans), default=CLOCK_START_US))
     if last < truth.end - MAX_LEASES_WITHOUT_HOLDER * truth.plan["lease_ms"] / 1000:
         what = f"nobody has held the lease since {last:.1f} s, all faults are long over"
         yield Finding(truth.end, "all", what)
--- a/workbench/lab/plan.py
+++ b/workbench/lab/plan.py
@@ -15,7 +15,7 @@
 from workbench.scenario import model
 from workbench.scenario.check import lower_end, type_errors
 from workbench.scenario.check import upper_end as top
-from workbench.scenario.load import ScenarioError, draw_ranges, load, read_toml, titles
+from workbench.scenario.load import ScenarioError, draw_ranges, load, read_toml, titles_by_name
 from workbench.scenario.model import Count, Number, Positive, Scenario, Share
 from workbench.scenario.model import NonNegative as From0
 from workbench.scenario.model import NonNegativeCount as Any0
@@ -137,7 +137,7 @@
 
 def shipped() -> dict[str, str]:
     """Returns the names of the plans that ship with the workbench, and their titles."""
-    return titles(SHIPPED_PLANS)
+    return titles_by_name(SHIPPED_PLANS)
 
 
 def plan_of(table: dict[str, Any], source: str = "plan") -> Plan:
--- a/workbench/lab/run.py
+++ b/workbench/lab/run.py
@@ -28,8 +28,8 @@
 from workbench.lab.member import Member
 from workbench.lab.network import Endpoint, Links, Relay
 from workbench.lab.plan import NodeSelection, Plan, chosen, number, scenario
-from workbench.model.network import fixed_float, one_way
-from workbench.model.site import BEGIN, World
+from workbench.model.network import fixed_float, one_way_delay
+from workbench.model.site import CLOCK_START_US, World
 from workbench.model.streams import Streams
 from workbench.scenario.load import draw as draw_scenario
 from workbench.simulator.play import provenance
@@ -86,12 +86,12 @@
         self.loop = asyncio.get_running_loop()
         self.scenario = draw_scenario(scenario(plan), plan.seed)
         self.streams = Streams(plan.seed)
-        self.clock = RealTimeClock(self.loop, BEGIN)
+        self.clock = RealTimeClock(self.loop, CLOCK_START_US)
         self.addresses = AddressBlock()
         self.history = History(history)
         self.late_ms = 0.0
-        self.links = Links(self.clock, self.streams, lambda a, b: one_way(self.scenario, a, b))
-        epoch_ms = time_ns() // NS_PER_MS - BEGIN // US_PER_MS
+        self.links = Links(self.clock, self.streams, lambda a, b: one_way_delay(self.scenario, a, b))
+        epoch_ms = time_ns() // NS_PER_MS - CLOCK_START_US // US_PER_MS
         self.site = Site(
             self.loop,
             self.clock,
@@ -115,7 +115,7 @@
 
     def record(self, event: str, **fields: Any) -> None:
         """Writes one event of the history, now."""
-        self.history.write((self.clock.real() - BEGIN) / 1e6, event, **fields)
+        self.history.write((self.clock.real() - CLOCK_START_US) / 1e6, event, **fields)
         if self.history.fault:
             self.stop.set()
 
@@ -156,7 +156,7 @@
                 k.name: [c.latency_objective, c.deadline]
                 for k, c in zip(self.scenario.request_classes, self.world.classes, strict=True)
             },
-            slack=self.world.slack,
+            slack=self.world.answer_slack,
             stop_sending=self.world.referee.stop_sending,
             max_attempts=self.site.nodes[0].settings.max_attempts,
             earlier=self.revision,
--- a/workbench/report/losses.py
+++ b/workbench/report/losses.py
@@ -18,7 +18,7 @@
 
 from balancer.policy.interface import NEVER_RAN, ClassSettings, Effect, Outcome
 from workbench.model.answer import Answer
-from workbench.model.trace import UNENDED, AttemptTrace, CallTrace, RequestTrace, TraceLog
+from workbench.model.trace import NOT_ENDED, AttemptTrace, CallTrace, RequestTrace, TraceLog
 
 MIN_RETRY_TIME_SHARE = 0.25  # of a call's time: with less remaining, a retry was not denied but came too late
 ROUNDING_TOLERANCE = 1e-9  # of the requested value: rounding of sums
@@ -197,7 +197,7 @@
             remaining -= queued
             yield Delay(LossSource(LossCause.OWN_LIMIT, call.tier), queued)
         for attempt in call.attempts:
-            attempt_end = end if attempt.ended_at == UNENDED else min(end, attempt.ended_at)
+            attempt_end = end if attempt.ended_at == NOT_ENDED else min(end, attempt.ended_at)
             duration = min(remaining, max(0, attempt_end - attempt.sent_at))
             remaining -= duration
             yield from self.delays_of_attempt(attempt, duration)
@@ -213,7 +213,7 @@
         remaining = duration
         end = attempt.sent_at + duration
         for call in attempt.calls:
-            call_end = end if call.ended_at == UNENDED else min(end, call.ended_at)
+            call_end = end if call.ended_at == NOT_ENDED else min(end, call.ended_at)
             part = min(remaining, max(0, call_end - call.begun_at))
             remaining -= part
             yield from self.delays_of_call(call, call.begun_at + part)
@@ -304,7 +304,7 @@
     usual_us = {request_class: int(median(times)) for request_class, times in log.served_times.items()}
     for trace in log.lost:
         source = Attribution(trace, rules, usual_us.get(trace.request_class, 0)).attribute()
-        result.add_lost(trace.request_class, log.second(trace.due), source, trace.lost_value)
+        result.add_lost(trace.request_class, log.second_of(trace.due), source, trace.lost_value)
     missing = lost_share * result.requested - result.lost
     if not all_ended and missing > 0:
         result.by_source[LossSource(LossCause.UNFINISHED, 0)] = missing  # type: ignore[assignment]
--- a/workbench/scale/plan.py
+++ b/workbench/scale/plan.py
@@ -12,7 +12,7 @@
 
 from workbench.scale.group import PORTS_PER_HOST, REAL_ZONE, Group, Membership, Place
 from workbench.scenario.check import type_errors
-from workbench.scenario.load import read_toml, titles
+from workbench.scenario.load import read_toml, titles_by_name
 
 Whole0 = Annotated[int, Meta(extra_json_schema={"minimum": 0})]
 Whole1 = Annotated[int, Meta(extra_json_schema={"minimum": 1})]
@@ -83,7 +83,7 @@
 
 def shipped() -> dict[str, str]:
     """The names of the plans that ship with the product, and their titles."""
-    return titles(SHIPPED)
+    return titles_by_name(SHIPPED)
 
 
 def read_plan(source: str, changes: dict[str, Any] | None = None) -> Plan:
--- a/workbench/scale/real.py
+++ b/workbench/scale/real.py
@@ -20,8 +20,8 @@
 from workbench.emulator.nodes import NodeAdapter, NoProcessControl, Site
 from workbench.lab.management import READY_POLL_S, fetch
 from workbench.lab.process import Process, command
-from workbench.model.network import one_way
-from workbench.model.site import BEGIN, World
+from workbench.model.network import one_way_delay
+from workbench.model.site import CLOCK_START_US, World
 from workbench.model.streams import Streams
 from workbench.scale.group import Group, Place
 from workbench.scenario.load import draw, load
@@ -102,15 +102,15 @@
         self.folder = folder
         self.key = key
         self.loop = asyncio.get_running_loop()
-        self.clock = RealTimeClock(self.loop, BEGIN)
+        self.clock = RealTimeClock(self.loop, CLOCK_START_US)
         self.nodes: list[RealNode] = []
         day = draw(load(SCENARIO, [f"nodes.count={group.real}", "zones.count=1"]), group.seed)
         streams = Streams(group.seed)
 
         def link(a: str, zone: int, b: str, other: int) -> Link:
-            return Link(self.clock, streams.random(f"link/{a}/{b}"), one_way(day, zone, other))
+            return Link(self.clock, streams.random(f"link/{a}/{b}"), one_way_delay(day, zone, other))
 
-        epoch = time_ns() // 1_000_000 - BEGIN // 1000
+        epoch = time_ns() // 1_000_000 - CLOCK_START_US // 1000
         self.site = Site(self.loop, self.clock, places, NoProcessControl(), unobserved, link, epoch)
         World(day, self.clock, self.site)
         for place, node in zip(group.places[group.hollow :], self.site.nodes, strict=True):
--- a/workbench/simulator/fleet.py
+++ b/workbench/simulator/fleet.py
@@ -139,7 +139,7 @@
         super().outcome(now, request, attempt, server, outcome, latency, final, report)
         if self.hook is not None:
             # A connection is taken to be established in a round-trip of the network, drawn anew.
-            delay = self.world.network.between(self.home, self.world.by_id[server].zone, request)
+            delay = self.world.network.zone_delay(self.home, self.world.by_id[server].zone, request)
             self.hook.attempt_ended(
                 server, outcome, latency, 2 * delay / 1e6 if request % CALLS_PER_CONNECTION == 0 else 0.0
             )
@@ -205,7 +205,7 @@
         )
         votes = lists if self.name in names else []
         self.voter = Voter(self.name, 1, votes, lease_settings, self.now())
-        if self.clock.now <= world.begin + ESTABLISHED_US:
+        if self.clock.now <= world.begin_at + ESTABLISHED_US:
             self.voter.abstains_until = 0
             self.voter.recalled_tokens = dict.fromkeys(names, 0)
         self.adapter.on_shares = self.apply_zone_shares
@@ -249,7 +249,7 @@
 
     def zone_settings(self, world: World, home: int) -> ZoneSettings | None:
         """Returns the settings of zone routing, with the costs between the model's regions."""
-        options, regions = self.fleet.options, fixed_int(world.day.zones.regions)
+        options, regions = self.fleet.options, fixed_int(world.scenario.zones.regions)
         if options.zones is None or regions == 1:
             return options.zones
         far = [z for z in range(world.zones) if z % regions != home % regions]
@@ -309,7 +309,7 @@
             if other is None:
                 continue
             self.fleet.record.messages += name != self.name
-            delay = self.world.network.between(self.zone, other.zone, self.rng.getrandbits(32))
+            delay = self.world.network.zone_delay(self.zone, other.zone, self.rng.getrandbits(32))
             self.clock.call_at(
                 self.clock.now + (delay if name != self.name else 1), self.arrive, Delivery(name, message)
             )
@@ -364,4 +364,4 @@
     def crossings(self) -> int:
         """Returns the number of attempts that went to another zone."""
         assert self.world is not None
-        return self.world.accounts.crossings
+        return self.world.accounts.cross_zone_attempts
--- a/workbench/simulator/node.py
+++ b/workbench/simulator/node.py
@@ -12,12 +12,12 @@
 
 from balancer.policy.interface import Events, ListKind, Outcome, ServerEntry, Settings, State
 from workbench.baselines import Policy
-from workbench.model.call import NEVER_SENT, Answer, Attempt, Call, Cause, is_answered, is_over
+from workbench.model.call import NEVER_SENT, Answer, Attempt, Call, Cause, has_ended, is_answered
 from workbench.model.job import DONE, Job
-from workbench.model.network import TABLE_SIZE, fixed_float
+from workbench.model.network import DELAY_TABLE_SIZE, fixed_float
 from workbench.model.server import Server
 from workbench.model.site import World
-from workbench.model.streams import scramble
+from workbench.model.streams import keyed_draw
 from workbench.model.trace import AttemptTrace
 from workbench.simulator.connections import ConnectionPool
 from workbench.simulator.deliveries import CheckResult, FinalAnswer, Reply, Timer, deliver_answer
@@ -26,7 +26,7 @@
 
 Event = tuple[Callable[..., None], tuple[Any, ...]]
 REPLY_DRAW = 50  # offset of a response's network draw, apart from those of client attempts
-MASK = TABLE_SIZE - 1
+MASK = DELAY_TABLE_SIZE - 1
 STRIDE = 0x9E3779B1  # between the draws of a call's attempts
 REPLY_DRAW_SHIFT = 14  # an attempt's response uses the upper bits of its draw
 DRAIN_POLL_US = 50_000  # between two checks of whether a node has drained
@@ -80,7 +80,7 @@
         self.pools: dict[int, ConnectionPool] = {}
         self.starts: dict[int, int] = {}  # the start time of each server that it was notified of
         self.unavailable_since: dict[int, int] = {}  # when it was notified that a server drains or is gone
-        self.cpu = fixed_float(world.day.nodes.cpu_us)
+        self.cpu = fixed_float(world.scenario.nodes.cpu_us)
         self.busy_until = 0
         self.log_lines: list[str] = []
         self.disconnected: list[Call] = []  # calls whose callers have disconnected since the last batch
@@ -103,7 +103,7 @@
         self.world.discovery.boot(self.subscriber)
         if self.tier == 0:
             self.world.front.node_ready(self)
-        self.clock.call_at(self.clock.now + self.network.idle, self.sweep, self.incarnation)
+        self.clock.call_at(self.clock.now + self.network.idle_timeout, self.sweep, self.incarnation)
 
     def drain(self) -> None:
         """Shuts down gracefully, as on SIGTERM."""
@@ -113,7 +113,9 @@
             longest = max(MIN_DRAIN_US, *(c.deadline for c in self.settings.classes))
             begun = self.clock.now
             self.clock.call_at(
-                begun + int(self.world.front.lag) + DRAIN_POLL_US, self.kill_if_drained, self.incarnation
+                begun + int(self.world.front.drain_lag) + DRAIN_POLL_US,
+                self.kill_if_drained,
+                self.incarnation,
             )
             self.clock.call_at(begun + longest + KILL_GRACE_US, self.kill_if_alive, self.incarnation)
 
@@ -157,7 +159,7 @@
                 attempt.trace.end(self.clock.now, Outcome.RESET)
             if attempt.connection is not None:
                 attempt.connection.close_used()
-            attempt.server.abandon(attempt)
+            attempt.server.cancel_attempt(attempt)
         call.in_flight = 0
         if call.open:
             call.cause = Cause(RESET, self.tier)
@@ -170,10 +172,10 @@
         """Closes connections that have been idle for too long."""
         if incarnation != self.incarnation:
             return
-        oldest = self.clock.now - self.network.idle
+        oldest = self.clock.now - self.network.idle_timeout
         for pool in self.pools.values():
             pool.close_idle_before(oldest)
-        self.clock.call_at(self.clock.now + self.network.idle // 2, self.sweep, incarnation)
+        self.clock.call_at(self.clock.now + self.network.idle_timeout // 2, self.sweep, incarnation)
 
     # ---- events ---------------------------------------------------------------------------------------
 
@@ -203,7 +205,7 @@
             for call in disconnected:
                 self.remove_if_done(call)
 
-    def expect(self, at: int, call: Call) -> None:
+    def schedule_arrival(self, at: int, call: Call) -> None:
         """Schedules a client's call for the tick at or after `at`."""
         call.node = self
         self.ticker.tick_at(at).messages.append((self.accept, call))
@@ -238,7 +240,9 @@
         """Handles the disconnection of a caller."""
         if self.tier and self.clock.now >= call.until:
             # The server waited until the deadline: a response is still required within the slack.
-            self.clock.call_unless(call.until + self.world.slack, self.deadline_missed, call, is_answered)
+            self.clock.call_unless(
+                call.until + self.world.answer_slack, self.deadline_missed, call, is_answered
+            )
         else:
             self.discard(call)
 
@@ -292,7 +296,7 @@
         if unavailable_since >= 0 or call.in_flight or call.ran_on is not None:
             world.referee.check_attempt(now, call, server, unavailable_since)
         self.record_attempt(attempt, remaining)
-        self.clock.call_unless(now + remaining, self.timed_out, attempt, is_over)
+        self.clock.call_unless(now + remaining, self.timed_out, attempt, has_ended)
         self.transmit(attempt)
 
     def record_attempt(self, attempt: Attempt, remaining: int) -> None:
@@ -307,7 +311,7 @@
         call.in_flight += 1
         world.accounts.attempts[self.tier] += 1
         call.root.attempts += 1
-        world.accounts.crossings += server.zone != self.zone
+        world.accounts.cross_zone_attempts += server.zone != self.zone
         if call.root.index == world.followed_request:
             what = f"sends call {call.id} to {server.spec.name}, {remaining / 1000:.0f} ms at most"
             world.trace(call.root, self.name, what)
@@ -316,12 +320,12 @@
         """Sends an attempt on an idle connection, or on a new one if there is none."""
         network = self.network
         server: Server = attempt.server
-        delay = network.ways[self.zone][server.zone][attempt.draw & MASK]
+        delay = network.delay_tables[self.zone][server.zone][attempt.draw & MASK]
         pool = self.pools.get(server.id)
         if pool is None:
             pool = self.pools[server.id] = ConnectionPool(server)
         attempt.connection = pool
-        reachable = not network.partitioned_zones or network.reaches(self.zone, server.zone)
+        reachable = not network.partitioned_zones or network.can_reach(self.zone, server.zone)
         if not pool.take_idle():
             self.dial(attempt, delay, reachable)
         elif reachable:
@@ -352,9 +356,9 @@
         """Receives a server's response, which takes the network's delay to arrive."""
         zone = attempt.server.zone
         network = self.network
-        if attempt.ended or (network.partitioned_zones and not network.reaches(self.zone, zone)):
+        if attempt.ended or (network.partitioned_zones and not network.can_reach(self.zone, zone)):
             return
-        delay = network.ways[self.zone][zone][attempt.draw >> REPLY_DRAW_SHIFT & MASK]
+        delay = network.delay_tables[self.zone][zone][attempt.draw >> REPLY_DRAW_SHIFT & MASK]
         self.ticker.tick_at(self.clock.now + delay).messages.append((self.on_reply, Reply(attempt, outcome)))
 
     def on_reply(self, reply: Reply) -> None:
@@ -370,9 +374,9 @@
     def abort(self, attempt: Attempt, outcome: Outcome) -> None:
         """Ends an attempt; the server learns of it as the connection closes."""
         server = attempt.server
-        delay = self.network.between(self.zone, server.zone, attempt.draw)
-        if self.network.reaches(self.zone, server.zone):
-            self.clock.call_at(self.clock.now + delay, server.abandon, attempt)
+        delay = self.network.zone_delay(self.zone, server.zone, attempt.draw)
+        if self.network.can_reach(self.zone, server.zone):
+            self.clock.call_at(self.clock.now + delay, server.cancel_attempt, attempt)
         self.end(attempt, outcome)
 
     def end(self, attempt: Attempt, outcome: Outcome) -> None:
@@ -399,7 +403,7 @@
                 f"call {call.id} at {name}: {outcome.name.lower()} after {elapsed_ms:.0f} ms",
             )
         if outcome == Outcome.OK and call.open:
-            call.useful = attempt.job.useful
+            call.useful_work = attempt.job.useful_work
             self.answer(call, Answer.OK, 0)
             self.notify_outcome(attempt, outcome, True)
         else:
@@ -416,7 +420,7 @@
         server: Server = attempt.server
         job: Job | None = attempt.job
         lost = job is None or job.state == DONE
-        return lost or server.silent or not self.network.reaches(self.zone, server.zone)
+        return lost or server.silent or not self.network.can_reach(self.zone, server.zone)
 
     def notify_outcome(self, attempt: Attempt, outcome: Outcome, final: bool) -> None:
         """Notifies the policy of an attempt's outcome."""
@@ -439,7 +443,7 @@
         if self.tier:
             call.caller.answered(call, answer, retry_after)
         else:
-            at = self.clock.now + self.network.outside(call.key, REPLY_DRAW + call.number)
+            at = self.clock.now + self.network.client_delay(call.key, REPLY_DRAW + call.number)
             self.clock.call_at(at, deliver_answer, FinalAnswer(call, answer, retry_after))
 
     def remove_if_done(self, call: Call) -> None:
@@ -488,9 +492,9 @@
             self.world.referee.malformed(self.clock.now, f"{self.name}: a probe that is not allowed")
             return
         self.world.accounts.probes += 1
-        draw = scramble(server_id, self.world.accounts.probes)
-        round_trip = 2 * self.network.between(self.zone, server.zone, draw)
-        alive = server.up and not server.silent and self.network.reaches(self.zone, server.zone)
+        draw = keyed_draw(server_id, self.world.accounts.probes)
+        round_trip = 2 * self.network.zone_delay(self.zone, server.zone, draw)
+        alive = server.up and not server.silent and self.network.can_reach(self.zone, server.zone)
         ok = alive and server.answer_health_check()
         wait = round_trip if alive or not server.up else self.network.connect_timeout
         self.clock.call_at(
@@ -519,7 +523,7 @@
 
     def watch(self, on: bool) -> None:
         """Starts or ends a watch on the endpoint list."""
-        self.world.discovery.listen(self.subscriber, on)
+        self.world.discovery.set_watching(self.subscriber, on)
 
     def fetch(self) -> None:
         """Polls the full endpoint list."""
--- a/workbench/simulator/play.py
+++ b/workbench/simulator/play.py
@@ -17,7 +17,7 @@
 from workbench.baselines import POLICIES, Policy
 from workbench.model.call import Request
 from workbench.model.network import fixed_float
-from workbench.model.site import BEGIN, World
+from workbench.model.site import CLOCK_START_US, World
 from workbench.model.trace import TraceLog
 from workbench.scenario.load import digest, to_table
 from workbench.scenario.model import Scenario
@@ -66,7 +66,7 @@
     """
     name = policy if isinstance(policy, str) else getattr(policy, "__name__", "given")
     make = POLICIES[policy].make if isinstance(policy, str) else policy
-    clock = HeapClock(BEGIN)
+    clock = HeapClock(CLOCK_START_US)
     host = Host(clock, max(1, int(fixed_float(day.nodes.tick_ms) * 1000)), make)
     world = World(day, clock, host)
     run = Run({})
@@ -137,13 +137,13 @@
     """Runs the scenario until its time is over and all requests have ended."""
     world.start()
     clock.call_at(clock.now, sampler(world, clock, run), None)
-    last = world.begin + world.length
+    last = world.begin_at + world.length
     at = clock.now
     while at < last or (not world.finished() and at < last + MAX_TAIL_US):
         at += PROGRESS_INTERVAL_US
         clock.run(at)
         if progress is not None:
-            progress(min(1.0, (at - world.begin) / world.length))
+            progress(min(1.0, (at - world.begin_at) / world.length))
 
 
 def sampler(world: World, clock: HeapClock, run: Run) -> Callable[[Any], None]:
@@ -153,8 +153,8 @@
         for i, node in enumerate(world.nodes[:SAMPLED_NODES]):
             stats = getattr(getattr(node, "module", None), "stats", None)
             if stats is not None:
-                run.stats.append({"at_s": (clock.now - world.begin) / 1e6, "node": i, **stats()})
-        if clock.now < world.begin + world.length:
+                run.stats.append({"at_s": (clock.now - world.begin_at) / 1e6, "node": i, **stats()})
+        if clock.now < world.begin_at + world.length:
             clock.call_at(clock.now + STATS_INTERVAL_US, sample, None)
 
     return sample
