--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -1,4 +1,4 @@
-"""Connections that come up late: a fault of the model, off on every day that does not ask for it."""
+"""Tests of late connections, a fault of the model that only scenarios with that fault have."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
 from workbench.simulator.node import Node
 from workbench.simulator.play import play
 
-TICK = 1000
-DAY = ["length_s=8", "servers=4", "fault[0].at_s=2", "fault[0].for_s=3"]
-TIMEOUT = 150_000  # the day's connect time-out
+TICK_US = 1000
+OVERRIDES = ["length_s=8", "servers=4", "fault[0].at_s=2", "fault[0].for_s=3"]
+CONNECT_TIMEOUT_US = 150_000
 DRAWS = range(0, 2**31, 2**31 // 4000)
 
 
-def world_of(*overrides: str) -> tuple[World, HeapClock]:
+def make_world(*overrides: str) -> tuple[World, HeapClock]:
     clock = HeapClock(BEGIN)
-    day = draw(load("late-connections", [*DAY, "load.fraction=0.001", *overrides]), 1)
-    return World(day, clock, Host(clock, TICK, POLICIES["random"].make)), clock
+    scenario = draw(load("late-connections", [*OVERRIDES, "load.fraction=0.001", *overrides]), 1)
+    return World(scenario, clock, Host(clock, TICK_US, POLICIES["random"].make)), clock
 
 
-def dialled(latest: int, draw_: int) -> tuple[Server, AttemptTrace, list[int]]:
-    """One attempt on a new connection, all of which are late: when it arrives at its server, and its end."""
-    world, clock = world_of()
+def dial_late_connection(max_delay: int, draw_: int) -> tuple[Server, AttemptTrace, list[int]]:
+    """Send an attempt on a late connection; return its server, its trace and its arrivals at the server."""
+    world, clock = make_world()
     node = world.nodes[0]
     assert isinstance(node, Node)
     server = world.tiers[0][0]
-    server.late_connection_share, server.max_connection_delay = 1.0, latest
-    arrived: list[int] = []
-    server.arrive = lambda attempt: arrived.append(clock.now - BEGIN)  # type: ignore[method-assign]
+    server.late_connection_share, server.max_connection_delay = 1.0, max_delay
+    arrivals: list[int] = []
+    server.arrive = lambda attempt: arrivals.append(clock.now - BEGIN)  # type: ignore[method-assign]
     request = Request(0, draw_, 0, 0, BEGIN, 2_500_000, 6_000_000, 1.0)
     call = world.call(request, draw_, 0, BEGIN + 2_000_000, world.clients)
     call.in_flight = 1
@@ -48,86 +48,88 @@
     attempt.connection = ConnectionPool(server)
     node.dial(attempt, 100, reachable=True)
     clock.run(BEGIN + 2_000_000)
-    return server, attempt.trace, arrived
+    return server, attempt.trace, arrivals
 
 
-def test_a_connection_within_the_time_out_is_late_by_its_draw() -> None:
-    server, trace, arrived = dialled(latest=100_000, draw_=7)
-    late = server.connection_delay(7)
+def test_connection_within_timeout_is_late_by_its_drawn_delay() -> None:
+    server, trace, arrivals = dial_late_connection(max_delay=100_000, draw_=7)
+    delay = server.connection_delay(7)
     handshake = int(200 * server.spec.handshake_rtts)
-    assert 0 < late < 100_000
-    assert arrived == [100 + handshake + late]
+    assert 0 < delay < 100_000
+    assert arrivals == [100 + handshake + delay]
     assert server.connections == 1
     assert trace.dialled
     assert trace.outcome is None
 
 
-def test_a_connection_beyond_the_time_out_fails_there_and_costs_its_server_nothing() -> None:
-    """Failure prevented: a server's table fills with connections that nobody holds."""
-    draw_ = next(d for d in DRAWS if dialled_delay(d) > TIMEOUT)
-    server, trace, arrived = dialled(latest=1_500_000, draw_=draw_)
+def test_connection_beyond_timeout_fails_at_no_cost_to_server() -> None:
+    """An abandoned connection does not count at its server; otherwise it would fill the connection table."""
+    draw_ = next(d for d in DRAWS if drawn_delay(d) > CONNECT_TIMEOUT_US)
+    server, trace, arrivals = dial_late_connection(max_delay=1_500_000, draw_=draw_)
     assert trace.outcome == Outcome.CONNECT_FAILED
-    assert trace.ended_at == BEGIN + TIMEOUT
-    assert arrived == []
+    assert trace.ended_at == BEGIN + CONNECT_TIMEOUT_US
+    assert arrivals == []
     assert server.connections == 0
     assert server.overhead == 0
 
 
-def dialled_delay(draw_: int) -> int:
-    server = world_of()[0].tiers[0][0]
+def drawn_delay(draw_: int) -> int:
+    server = make_world()[0].tiers[0][0]
     server.late_connection_share, server.max_connection_delay = 1.0, 1_500_000
     return server.connection_delay(draw_)
 
 
-def test_the_share_and_the_bound_of_late_connections_hold() -> None:
-    server = world_of()[0].tiers[0][0]
+def test_late_connections_have_the_given_share_and_max_delay() -> None:
+    server = make_world()[0].tiers[0][0]
     assert not any(server.connection_delay(d) for d in DRAWS)
     server.late_connection_share, server.max_connection_delay = 0.33, 1_500_000
-    late = [delay for d in DRAWS if (delay := server.connection_delay(d))]
-    assert len(late) / len(DRAWS) == pytest.approx(0.33, abs=0.03)
-    assert max(late) < 1_500_000
-    assert sum(late) / len(late) == pytest.approx(750_000, rel=0.05)
+    delays = [delay for d in DRAWS if (delay := server.connection_delay(d))]
+    assert len(delays) / len(DRAWS) == pytest.approx(0.33, abs=0.03)
+    assert max(delays) < 1_500_000
+    assert sum(delays) / len(delays) == pytest.approx(750_000, rel=0.05)
 
 
-@pytest.mark.parametrize(("part", "struck"), [(1.0, 4), (0.5, 2)])
-def test_the_fault_strikes_its_part_of_the_servers_for_its_time(part: float, struck: int) -> None:
-    world, clock = world_of(f"fault[0].part={part}", "fault[0].tier=0", "fault[0].late_ms=400")
+@pytest.mark.parametrize(("part", "affected"), [(1.0, 4), (0.5, 2)])
+def test_fault_affects_its_part_of_servers_for_its_duration(part: float, affected: int) -> None:
+    world, clock = make_world(f"fault[0].part={part}", "fault[0].tier=0", "fault[0].late_ms=400")
     world.start()
     counts = []
     for second in (1, 3, 6):
         clock.run(BEGIN + second * 1_000_000)
-        late = [s for tier in world.tiers for s in tier if s.late_connection_share]
-        counts.append(len(late))
+        late_servers = [s for tier in world.tiers for s in tier if s.late_connection_share]
+        counts.append(len(late_servers))
         assert all(
-            (s.tier, s.late_connection_share, s.max_connection_delay) == (0, 0.33, 400_000) for s in late
+            (s.tier, s.late_connection_share, s.max_connection_delay) == (0, 0.33, 400_000)
+            for s in late_servers
         )
-    assert counts == [0, struck, 0]
+    assert counts == [0, affected, 0]
 
 
-def test_late_connections_come_up_1500_ms_late_where_the_day_does_not_say() -> None:
-    day = parse_scenario({"fault": [{"type": "late_connections", "at_s": 0, "part": 1.0}]})
+def test_max_delay_of_late_connections_is_1500_ms_by_default() -> None:
+    scenario = parse_scenario({"fault": [{"type": "late_connections", "at_s": 0, "part": 1.0}]})
     clock = HeapClock(BEGIN)
-    world = World(draw(day), clock, Host(clock, TICK, POLICIES["random"].make))
+    world = World(draw(scenario), clock, Host(clock, TICK_US, POLICIES["random"].make))
     world.start()
     clock.run(BEGIN + 1)
     assert world.tiers[0][0].max_connection_delay == 1_500_000
 
 
 @pytest.mark.parametrize("name", [n for n in shipped() if n != "late-connections"])
-def test_no_other_shipped_day_stores_the_key(name: str) -> None:
-    """Failure prevented: a new key changes the digest of every stored day."""
+def test_other_shipped_scenarios_do_not_store_late_ms(name: str) -> None:
+    """A key that every scenario stored would change the digests of all stored scenarios."""
     assert all("late_ms" not in fault for fault in to_table(load(name))["fault"])
 
 
-def test_the_days_loss_has_connections_that_were_not_established() -> None:
-    once = ["nodes.max_attempts=1", "clients.retries=0"]  # a failed connection is the request's end
-    day = draw(load("late-connections", [*DAY, *once]), 1)
-    (lost,) = play_all([LossTask(day, "random")], workers=1)
+def test_losses_include_connections_that_were_not_established() -> None:
+    """Without retries, a connection that is not established ends its request."""
+    no_retries = ["nodes.max_attempts=1", "clients.retries=0"]
+    scenario = draw(load("late-connections", [*OVERRIDES, *no_retries]), 1)
+    (lost,) = play_all([LossTask(scenario, "random")], workers=1)
     assert lost.losses.by_cause()[LossCause.CONNECT] > 0
 
 
-def test_the_day_repeats_and_differs_from_one_without_late_connections() -> None:
-    day = draw(load("late-connections", DAY), 1)
-    without = draw(load("late-connections", [*DAY, "fault[0].share=0"]), 1)
-    goals = [play(d).result["account"] for d in (day, day, without)]
-    assert goals[0] == goals[1] != goals[2]
+def test_run_is_reproducible_and_differs_without_the_fault() -> None:
+    scenario = draw(load("late-connections", OVERRIDES), 1)
+    without_fault = draw(load("late-connections", [*OVERRIDES, "fault[0].share=0"]), 1)
+    accounts = [play(s).result["account"] for s in (scenario, scenario, without_fault)]
+    assert accounts[0] == accounts[1] != accounts[2]
--- a/workbench/baselines/former_interface.py
+++ b/workbench/baselines/former_interface.py
@@ -1,8 +1,8 @@
-"""Adapts a policy that implements the interface as it was named before its terms were renamed.
+"""An adapter for policies of older revisions, which implement the interface under its former names.
 
-Only names differ: every event, action and field has the same meaning and arguments. An older policy gets
-settings of its own revision's types and actions under the former names; its host calls events by their
-present names.
+Only names differ: every event, action and field has the same meaning and arguments. An older policy receives
+settings of its revision's types and actions under the former names, and the host calls its events by their
+current names.
 """
 
 from __future__ import annotations
@@ -14,6 +14,7 @@
 
 from balancer.policy.interface import Actions, Events, Settings
 
+# Current names of the fields of settings, by former name.
 FORMER_FIELDS = {
     "aim": "latency_objective",
     "cold_time": "slow_start_time",
@@ -21,6 +22,7 @@
     "list_ask_within": "max_list_poll_interval",
     "second_copies": "hedging",
 }
+# Former names of events, by current name.
 FORMER_EVENTS = {
     "client_disconnected": "client_left",
     "health_checked": "probed",
@@ -30,17 +32,17 @@
 
 
 def uses_former_names(interface: ModuleType) -> bool:
-    """Whether a revision's interface has the former names."""
+    """Return whether the interface of a revision has the former names."""
     return hasattr(getattr(interface, "Actions", None), "refuse")
 
 
 def former_settings(settings: Settings, interface: ModuleType) -> Settings:
-    """Returns the settings as instances of a revision's own types."""
+    """Return the settings as instances of the types of a revision's interface."""
     return cast(Settings, convert(settings, interface))
 
 
 def convert(value: object, interface: ModuleType) -> object:
-    """Returns a settings object, or a tuple of them, in a revision's types; any other value as it is."""
+    """Convert a settings object, or a tuple of them, to a revision's types; return other values unchanged."""
     if isinstance(value, (list, tuple)):
         return tuple(convert(item, interface) for item in value)
     if not is_dataclass(value):
@@ -55,7 +57,7 @@
 
 
 class FormerActions:
-    """A host's actions under their former names.
+    """The actions of a host under their former names.
 
     Args:
         actions: The host's actions.
@@ -68,12 +70,12 @@
         self.tell = actions.send_to_peer
 
     def __getattr__(self, name: str) -> Any:
-        """Returns an action whose name is unchanged."""
+        """Return an action whose name is unchanged."""
         return getattr(self.actions, name)
 
 
 class FormerPolicy:
-    """The present interface of a policy whose events have their former names.
+    """A policy of an older revision under the current names of its events.
 
     Args:
         policy: The older revision's policy.
@@ -83,7 +85,7 @@
         self.policy = policy
 
     def __getattr__(self, name: str) -> Any:
-        """Returns an event by its present name, or any other attribute of the policy."""
+        """Return an event by its current name, or any other attribute of the policy."""
         return getattr(self.policy, FORMER_EVENTS.get(name, name))
 
 
@@ -94,6 +96,6 @@
     seed: int,
     actions: Actions,
 ) -> Events:
-    """Makes an older revision's policy behind the present interface."""
-    own_settings = former_settings(settings, interface)
-    return cast(Events, FormerPolicy(policy_class(own_settings, seed, FormerActions(actions))))
+    """Create the policy of an older revision behind the current interface."""
+    converted_settings = former_settings(settings, interface)
+    return cast(Events, FormerPolicy(policy_class(converted_settings, seed, FormerActions(actions))))
--- a/workbench/baselines/gradient.py
+++ b/workbench/baselines/gradient.py
@@ -1,7 +1,7 @@
-"""The published adaptive concurrency filter (Envoy's gradient controller), as its page describes it.
+"""The published adaptive concurrency filter (Envoy's gradient controller), as its documentation describes it.
 
-Source: "Adaptive Concurrency", the page PAPER. Statistics have its names. Where the page gives no figure
-(the buffer), this is the filter's documented default.
+Source: "Adaptive Concurrency", the page PAPER. Statistics have the names of that page. The buffer, for which
+the page gives no figure, is the filter's documented default.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class GradientSettings:
-    """The filter's parameters. Times in microseconds, shares from 0 to 1."""
+    """The filter's parameters. Times are in microseconds, shares from 0 to 1."""
 
     sample_aggregate_percentile: float = 0.9
     concurrency_update_interval: int = 100_000
@@ -32,12 +32,16 @@
 
 
 class GradientController:
-    """One concurrency limit over all servers. Time comes with each call; nothing is scheduled.
+    """A concurrency limit over all servers. Callers pass in the time; the controller sets no timers.
 
     Args:
         settings: The filter's parameters.
         rng: Draws the jitter of the minRTT interval.
         now: The time in microseconds.
+
+    Attributes:
+        burst_queue_size: The headroom of the limit.
+        rq_blocked: The number of requests that were not admitted.
     """
 
     def __init__(self, settings: GradientSettings, rng: Random, now: int) -> None:
@@ -45,7 +49,7 @@
         self.rng = rng
         self.concurrency_limit = settings.min_concurrency
         self.gradient = 1.0
-        self.burst_queue_size = 0.0  # the limit's headroom
+        self.burst_queue_size = 0.0
         self.min_rtt = 0.0
         self.sample_rtt = 0.0
         self.rq_blocked = 0
@@ -54,16 +58,16 @@
         self.window_start = now
         self.windows_at_minimum = 0
         self.limit_before_min_rtt = settings.min_concurrency
-        self.measures_min_rtt = True
+        self.is_measuring_min_rtt = True
         self.next_min_rtt = now
 
     @property
     def min_rtt_calculation_active(self) -> bool:
-        """Whether the limit is at its minimum to measure minRTT."""
-        return self.measures_min_rtt
+        """Whether the limit is at its minimum for a minRTT calculation."""
+        return self.is_measuring_min_rtt
 
     def admits(self, now: int) -> bool:
-        """Whether a request may start. One that may not counts as blocked."""
+        """Return whether a request is admitted; a request that is not counts as blocked."""
         self.close_window(now)
         if self.in_flight < self.concurrency_limit:
             return True
@@ -71,57 +75,59 @@
         return False
 
     def sample(self, now: int, latency: int) -> None:
-        """Takes the round-trip time of a finished attempt."""
+        """Record the round-trip time of a finished attempt, in microseconds."""
         self.samples.append(latency)
-        if self.measures_min_rtt:
+        if self.is_measuring_min_rtt:
             if len(self.samples) >= self.settings.min_rtt_request_count:
                 self.finish_min_rtt(now)
         else:
             self.close_window(now)
 
     def close_window(self, now: int) -> None:
-        """Sets the limit where a window has lasted its time; an empty one changes nothing."""
-        s = self.settings
-        if self.measures_min_rtt or now < self.window_start + s.concurrency_update_interval:
+        """Update the limit if the window is over; a window without samples leaves it unchanged."""
+        settings = self.settings
+        if self.is_measuring_min_rtt or now < self.window_start + settings.concurrency_update_interval:
             return
         self.window_start = now
         if self.samples:
-            self.sample_rtt = self.take_percentile()
-            raw = self.min_rtt * (1 + s.min_rtt_buffer) / max(self.sample_rtt, 1.0)
-            self.gradient = min(s.max_gradient, max(s.min_gradient, raw))
+            self.sample_rtt = self.pop_percentile()
+            unbounded_gradient = self.min_rtt * (1 + settings.min_rtt_buffer) / max(self.sample_rtt, 1.0)
+            self.gradient = min(settings.max_gradient, max(settings.min_gradient, unbounded_gradient))
             limit = self.gradient * self.concurrency_limit
             self.burst_queue_size = sqrt(limit)
             self.set_limit(int(limit + self.burst_queue_size))
-        if now >= self.next_min_rtt or self.windows_at_minimum >= s.max_windows_at_minimum:
+        if now >= self.next_min_rtt or self.windows_at_minimum >= settings.max_windows_at_minimum:
             self.start_min_rtt()
 
     def set_limit(self, limit: int) -> None:
-        """Sets the limit within its bounds, and counts windows at the minimum."""
-        s = self.settings
-        self.concurrency_limit = min(s.max_concurrency_limit, max(s.min_concurrency, limit))
+        """Set the limit within its bounds, and count consecutive windows at the minimum."""
+        settings = self.settings
+        self.concurrency_limit = min(settings.max_concurrency_limit, max(settings.min_concurrency, limit))
         self.windows_at_minimum = (
-            self.windows_at_minimum + 1 if self.concurrency_limit <= s.min_concurrency else 0
+            self.windows_at_minimum + 1 if self.concurrency_limit <= settings.min_concurrency else 0
         )
 
     def start_min_rtt(self) -> None:
-        """Lowers the limit to its minimum for a minRTT calculation."""
-        self.measures_min_rtt = True
+        """Lower the limit to its minimum for a minRTT calculation."""
+        self.is_measuring_min_rtt = True
         self.limit_before_min_rtt = self.concurrency_limit
         self.concurrency_limit = self.settings.min_concurrency
         self.samples.clear()
 
     def finish_min_rtt(self, now: int) -> None:
-        """Sets minRTT, restores the limit and draws when to calculate it again."""
-        s = self.settings
-        self.min_rtt = self.take_percentile()
-        self.measures_min_rtt = False
+        """Set minRTT, restore the limit and draw the time of the next minRTT calculation."""
+        settings = self.settings
+        self.min_rtt = self.pop_percentile()
+        self.is_measuring_min_rtt = False
         self.windows_at_minimum = 0
         self.concurrency_limit = self.limit_before_min_rtt
         self.window_start = now
-        self.next_min_rtt = now + int(s.min_rtt_interval * (1 + s.min_rtt_jitter * self.rng.random()))
+        self.next_min_rtt = now + int(
+            settings.min_rtt_interval * (1 + settings.min_rtt_jitter * self.rng.random())
+        )
 
-    def take_percentile(self) -> float:
-        """Returns the percentile of the samples, and clears them."""
+    def pop_percentile(self) -> float:
+        """Return the percentile of the samples, and clear them."""
         self.samples.sort()
         value = self.samples[ceil(len(self.samples) * self.settings.sample_aggregate_percentile) - 1]
         self.samples.clear()
@@ -129,12 +135,12 @@
 
 
 class PublishedGradient(TwoChoices):
-    """The filter before all servers, which rejects at the limit, and two random choices behind it.
+    """The filter, which rejects requests above the limit, and the less loaded of two random servers.
 
     Args:
         settings: The node's settings.
-        seed: Of the random choices and the jitter.
-        actions: Carries out what the policy decides.
+        seed: The seed of the random choices and the jitter.
+        actions: Carries out the policy's decisions.
     """
 
     def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:
@@ -142,22 +148,22 @@
         self.controller: GradientController | None = None
 
     def start(self, now: int) -> None:
-        """Starts the controller."""
+        """Start the watch on the server list, and the controller."""
         super().start(now)
         self.controller = GradientController(GradientSettings(), self.rng, now)
 
     def admits(self, now: int, request_class: int, remaining: int) -> bool:
-        """Whether the limit admits a request."""
+        """Return whether the limit admits a request."""
         return self.controller is not None and self.controller.admits(now)
 
     def on_attempt_sent(self, now: int, server: int) -> None:
-        """Counts an attempt against the limit."""
+        """Count an attempt that is sent, also against the limit."""
         super().on_attempt_sent(now, server)
         if self.controller is not None:
             self.controller.in_flight += 1
 
     def on_attempt_ended(self, now: int, server: int, outcome: Outcome, latency: int) -> None:
-        """Takes the latency of an attempt that was not cut short."""
+        """Count an attempt that has ended; record its latency if it succeeded or timed out."""
         super().on_attempt_ended(now, server, outcome, latency)
         if self.controller is not None:
             self.controller.in_flight -= 1
--- a/workbench/baselines/local.py
+++ b/workbench/baselines/local.py
@@ -1,7 +1,7 @@
-"""A baseline for zone routing: strictly local until the home zone has no servers.
+"""A baseline for zone routing: calls stay in the home zone while it has servers.
 
-The shares that the fleet computes are compared with it, and with nodes that spread their calls over all
-zones alike, which is the policy alone.
+The zone shares that the fleet computes are compared with this baseline, and with the policy alone, which
+spreads calls over all zones alike.
 """
 
 from __future__ import annotations
@@ -10,20 +10,23 @@
 
 
 class StrictlyLocal(ZoneRouter):
-    """All calls go to the home zone while it has a server in service, else to the others by their servers."""
+    """Routes all calls to the home zone while it has a server that is not ejected.
+
+    After that, calls go to the other zones in proportion to their servers.
+    """
 
     def shares(self, now: int) -> dict[str, float]:
-        """Returns the part of the calls that goes to each zone."""
-        servers = dict.fromkeys(self.zones(), 0)
+        """Return the share of the calls that goes to each zone."""
+        server_counts = dict.fromkeys(self.zones(), 0)
         for number, server in self.servers.items():
-            servers[server.zone] += number not in self.ejected
-        if servers.get(self.home):
+            server_counts[server.zone] += number not in self.ejected
+        if server_counts.get(self.home):
             return {self.home: 1.0}
-        total = sum(servers.values())
+        total = sum(server_counts.values())
         if not total:
-            return {zone: 1 / len(servers) for zone in servers}
-        return {zone: count / total for zone, count in servers.items() if count}
+            return {zone: 1 / len(server_counts) for zone in server_counts}
+        return {zone: count / total for zone, count in server_counts.items() if count}
 
     def allows(self, server: int) -> bool:
-        """Returns True: calls may go to any server."""
+        """Return True, as calls may go to any server."""
         return True
--- a/workbench/baselines/oracle.py
+++ b/workbench/baselines/oracle.py
@@ -1,6 +1,6 @@
-"""Baselines that know the servers' true state, present or stale.
+"""Baselines that know the true state of all servers, current or stale.
 
-No node can know it; they bound what any selection could reach.
+No node can know this state; the baselines show the best result that any selection could reach.
 """
 
 from __future__ import annotations
@@ -12,19 +12,23 @@
 from workbench.baselines.base import Baseline
 from workbench.model.site import World
 
-MAX_SAMPLED_SERVERS = 64  # compared for one choice, drawn at random where there are more
-REFRESH_INTERVAL = 500_000  # microseconds for which the stale oracle keeps what it knows
-MAX_LATENCY_SHARE = 1.0  # of a call's remaining time: what takes longer at the best server is rejected
-BLOCKED_WORK_SHARE = 0.5  # of the work of a call that waits for the next tier is still to come
-IN_FLIGHT_PENALTY = 0.1  # added share of the latency for each of this node's attempts in flight
-MIN_CAPACITY = 1e-9
+# The maximum number of servers that are compared for one selection; a random sample if there are more.
+MAX_SAMPLED_SERVERS = 64
+REFRESH_INTERVAL_US = 500_000
+# A request whose expected latency at the best server exceeds this share of its remaining time is rejected.
+MAX_LATENCY_RATIO = 1.0
+# The share of the work that is assumed to remain for a call that waits for the next tier.
+BLOCKED_WORK_RATIO = 0.5
+# Each attempt of this node in flight adds this share to the expected latency of its server.
+IN_FLIGHT_PENALTY_RATIO = 0.1
+MIN_RELATIVE_SPEED = 1e-9
 
 
 class Oracle:
-    """The expected latency of a call at a server, from the server's true state.
+    """Computes the expected latency of a call at a server from the server's true state.
 
     Args:
-        world: The world that the servers belong to.
+        world: The model that the servers belong to.
         tier: The servers' tier.
     """
 
@@ -34,24 +38,24 @@
         self.mean_work = world.mean_work[tier]
 
     def expected_latency(self, server_id: int) -> float:
-        """Returns the microseconds that one more call of mean work takes while all calls share the cores.
+        """Return the microseconds that one more call of mean work takes while all calls share the cores.
 
-        Infinite where no response would come.
+        The latency is infinite if no response would arrive.
         """
         server = self.world.by_id[server_id]
         if not server.up or server.silent or server.draining:
             return inf
         blocked = server.used_slots - server.running
-        load = server.running + len(server.queue) + BLOCKED_WORK_SHARE * blocked + 1
-        speed = max(MIN_CAPACITY, server.capacity() / server.cores)
+        load = server.running + len(server.queue) + BLOCKED_WORK_RATIO * blocked + 1
+        speed = max(MIN_RELATIVE_SPEED, server.capacity() / server.cores)
         return self.mean_work * max(1.0, load / server.cores) / speed
 
 
 class StaleOracle(Oracle):
-    """An oracle that keeps what it knows for half a second at a time.
+    """An oracle that caches each expected latency until the end of the current half second.
 
     Args:
-        world: The world that the servers belong to.
+        world: The model that the servers belong to.
         tier: The servers' tier.
     """
 
@@ -61,8 +65,8 @@
         self.cached: dict[int, float] = {}
 
     def expected_latency(self, server_id: int) -> float:
-        """Returns the latency as it was when a server was first asked about in this period."""
-        period = self.world.clock.now // REFRESH_INTERVAL
+        """Return the latency at the first query for the server in the current period."""
+        period = self.world.clock.now // REFRESH_INTERVAL_US
         if period != self.period:
             self.period = period
             self.cached = {}
@@ -72,13 +76,13 @@
 
 
 class OraclePolicy(Baseline):
-    """The server where the call ends first; rejects what cannot end in time at any.
+    """Selects the server with the least expected latency; rejects requests that no server can finish in time.
 
     Args:
         settings: The node's settings.
-        seed: Of the sample of servers.
-        actions: Carries out what the policy decides.
-        oracle: Knows the servers' state.
+        seed: The seed of the samples of servers.
+        actions: Carries out the policy's decisions.
+        oracle: Computes expected latencies from the servers' state.
     """
 
     def __init__(self, settings: Settings, seed: int, actions: Actions, oracle: Oracle) -> None:
@@ -86,22 +90,22 @@
         self.oracle = oracle
 
     def sample(self, ids: Sequence[int]) -> Sequence[int]:
-        """Returns the servers to compare."""
+        """Return the servers to compare: all, or a random sample if there are many."""
         return ids if len(ids) <= MAX_SAMPLED_SERVERS else self.rng.sample(ids, MAX_SAMPLED_SERVERS)
 
     def cost(self, server: int) -> float:
-        """Returns the expected latency, with this node's own attempts that the oracle may not know of."""
-        penalty = 1 + IN_FLIGHT_PENALTY * self.in_flight.get(server, 0)
+        """Return the expected latency plus a penalty for this node's attempts, unseen by a stale oracle."""
+        penalty = 1 + IN_FLIGHT_PENALTY_RATIO * self.in_flight.get(server, 0)
         return self.oracle.expected_latency(server) * penalty
 
-    def choose(self, now: int, ids: Sequence[int]) -> int:
-        """Returns the server of the least cost."""
-        return min(self.sample(ids), key=self.cost)
+    def select_server(self, now: int, server_ids: Sequence[int]) -> int:
+        """Return the sampled server of the least cost."""
+        return min(self.sample(server_ids), key=self.cost)
 
     def admits(self, now: int, request_class: int, remaining: int) -> bool:
-        """Whether a request can end in time; requests between tiers are always admitted."""
+        """Return whether a request can finish in time; requests between tiers are always admitted."""
         if self.settings.tier:
             return True
-        useful = min(remaining, self.settings.classes[request_class].latency_objective)
-        best = min(map(self.oracle.expected_latency, self.sample(self.ids)))
-        return best < MAX_LATENCY_SHARE * useful
+        time_limit = min(remaining, self.settings.classes[request_class].latency_objective)
+        least_latency = min(map(self.oracle.expected_latency, self.sample(self.server_ids)))
+        return least_latency < MAX_LATENCY_RATIO * time_limit
--- a/workbench/baselines/static.py
+++ b/workbench/baselines/static.py
@@ -1,4 +1,4 @@
-"""Static baselines: server selection without a concurrency limit."""
+"""Baselines that select servers by a fixed rule, without a concurrency limit."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 
 
 class RandomChoice(Baseline):
-    """Any listed server."""
+    """Selects a random one of the listed servers."""
 
-    def choose(self, now: int, ids: Sequence[int]) -> int:
-        """Returns a random server."""
-        return ids[int(self.rng.random() * len(ids))]
+    def select_server(self, now: int, server_ids: Sequence[int]) -> int:
+        """Return a random server."""
+        return server_ids[int(self.rng.random() * len(server_ids))]
 
 
 class RoundRobin(Baseline):
-    """The listed servers in the order of their ids, from a random one on."""
+    """Selects the listed servers in the order of their ids, from a random one on."""
 
     index = -1
 
-    def choose(self, now: int, ids: Sequence[int]) -> int:
-        """Returns the next server."""
+    def select_server(self, now: int, server_ids: Sequence[int]) -> int:
+        """Return the next server."""
         if self.index < 0:
-            self.index = int(self.rng.random() * len(ids))
+            self.index = int(self.rng.random() * len(server_ids))
         self.index += 1
-        return ids[self.index % len(ids)]
+        return server_ids[self.index % len(server_ids)]
 
 
 class TwoChoices(Baseline):
-    """The one of two random servers with fewer of this node's attempts in flight (Mitzenmacher)."""
+    """Selects the one of two random servers with fewer attempts of this node in flight (Mitzenmacher)."""
 
-    def choose(self, now: int, ids: Sequence[int]) -> int:
-        """Returns the less loaded of two random servers."""
-        a = ids[int(self.rng.random() * len(ids))]
-        b = ids[int(self.rng.random() * len(ids))]
-        return b if self.in_flight.get(b, 0) < self.in_flight.get(a, 0) else a
+    def select_server(self, now: int, server_ids: Sequence[int]) -> int:
+        """Return the one of two random servers with fewer attempts in flight."""
+        first = server_ids[int(self.rng.random() * len(server_ids))]
+        second = server_ids[int(self.rng.random() * len(server_ids))]
+        return second if self.in_flight.get(second, 0) < self.in_flight.get(first, 0) else first
--- a/workbench/simulator/connections.py
+++ b/workbench/simulator/connections.py
@@ -10,6 +10,10 @@
 
     Args:
         server: The server.
+
+    Attributes:
+        incarnation: The incarnation of the server's process that the connections lead to.
+        idle_since: When each idle connection became idle, the oldest first.
     """
 
     __slots__ = ("idle_since", "incarnation", "server")
@@ -17,14 +21,14 @@
     def __init__(self, server: Server) -> None:
         self.server = server
         self.incarnation = server.incarnation
-        self.idle_since: list[int] = []  # of each idle connection, the oldest first
+        self.idle_since: list[int] = []
 
     def is_current(self) -> bool:
-        """Returns whether the server's process is still the one that the connections belong to."""
+        """Return whether the connections lead to the server's current process."""
         return self.incarnation == self.server.incarnation
 
-    def take_idle(self) -> bool:
-        """Takes an idle connection to the server's present process; returns False if there is none."""
+    def acquire_idle(self) -> bool:
+        """Take an idle connection to the server's current process; return False if there is none."""
         if not self.is_current():
             self.incarnation = self.server.incarnation
             self.idle_since.clear()
@@ -33,22 +37,22 @@
         self.idle_since.pop()
         return True
 
-    def give_back(self, now: int) -> None:
-        """Keeps a connection after its attempt."""
+    def release(self, now: int) -> None:
+        """Return the connection of an ended attempt to the pool, so that it can be reused."""
         if self.is_current():
             self.idle_since.append(now)
 
-    def close_used(self) -> None:
-        """Closes the connection of an attempt."""
+    def close_active(self) -> None:
+        """Close the connection of an attempt, which is not idle."""
         if self.is_current():
             self.server.change_connections(-1)
 
     def close_idle(self) -> None:
-        """Closes all idle connections."""
+        """Close all idle connections."""
         self._close_oldest(len(self.idle_since))
 
     def close_idle_before(self, time: int) -> None:
-        """Closes the connections that have been idle since before `time`."""
+        """Close the connections that have been idle since before `time`."""
         expired = sum(since < time for since in self.idle_since)
         if expired:
             self._close_oldest(expired)
--- a/workbench/simulator/deliveries.py
+++ b/workbench/simulator/deliveries.py
@@ -1,4 +1,4 @@
-"""What the clock delivers to nodes and clients after a delay."""
+"""Messages and timers that the clock delivers to nodes and clients after a delay."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class Reply(NamedTuple):
-    """The outcome of an attempt, on its way to the node."""
+    """The outcome of an attempt, in transit to the node."""
 
     attempt: Attempt
     outcome: Outcome
 
 
-class FinalAnswer(NamedTuple):
-    """The response to a call, on its way to the client."""
+class CallResponse(NamedTuple):
+    """The final response to a call, in transit to the client."""
 
     call: Call
     answer: Answer
     retry_after: int
 
 
-class CheckResult(NamedTuple):
-    """The result of a health check, and the microseconds that it took."""
+class HealthCheckResult(NamedTuple):
+    """The result of a health check and its duration in microseconds; ignored after a restart of the node."""
 
     incarnation: int
     server: int
@@ -32,13 +32,13 @@
     elapsed: int
 
 
-class Timer(NamedTuple):
-    """A timer of the policy, void after the end of its process."""
+class PolicyTimer(NamedTuple):
+    """A timer that the policy of one incarnation of the node has set; ignored after a restart."""
 
     incarnation: int
     token: int
 
 
-def deliver_answer(final: FinalAnswer) -> None:
-    """Delivers the response to a call."""
-    final.call.caller.answered(final.call, final.answer, final.retry_after)
+def deliver_response(response: CallResponse) -> None:
+    """Deliver the response to a call to its caller."""
+    response.call.caller.answered(response.call, response.answer, response.retry_after)
--- a/workbench/simulator/heap.py
+++ b/workbench/simulator/heap.py
@@ -1,4 +1,4 @@
-"""A virtual clock: a heap of events. Time stands still during an event and jumps to the next."""
+"""A virtual clock with a heap of events: time jumps from event to event and stands still in between."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from workbench.model.clock import Handle
 
-BUCKET_BITS = 16  # buckets of 65 ms, for calls that may turn out to be unnecessary
+BUCKET_BITS = 16  # Buckets of 65 ms, for calls that may turn out to be unnecessary.
 
-Call = Callable[[Any], None]
+Callback = Callable[[Any], None]
 
 
 class HeapClock:
-    """A `Clock`. An event is (time, number, call, argument), its handle the number.
+    """A `Clock`. An event is a tuple (time, number, call, argument); its handle is the number.
 
-    Time-outs rarely expire, and on the heap they would be most of it. They are kept in a bucket for each
-    interval of time, and move to the heap when it begins, if they are still needed.
+    Time-outs rarely expire, but would make up most of the heap. They are kept in one bucket for each
+    interval of time, and those that are still needed move to the heap when the interval begins.
 
     Args:
         now: The time at which the clock starts, in microseconds.
@@ -25,24 +25,24 @@
 
     def __init__(self, now: int = 0) -> None:
         self.now = now
-        self.heap: list[tuple[int, int, Call, Any]] = []
-        self.number = 0
-        self.handled = 0
+        self.heap: list[tuple[int, int, Callback, Any]] = []
+        self.last_number = 0
+        self.events_handled = 0
         self.cancelled: set[int] = set()
-        self.buckets: dict[int, list[tuple[int, Call, Any, Callable[[Any], bool]]]] = {}
+        self.buckets: dict[int, list[tuple[int, Callback, Any, Callable[[Any], bool]]]] = {}
 
-    def call_at(self, at: int, call: Call, arg: Any) -> Handle:
-        """Schedules `call(arg)` at `at`, or now if that has passed; returns a handle to cancel it."""
-        self.number = number = self.number + 1
+    def call_at(self, at: int, call: Callback, arg: Any) -> Handle:
+        """Schedule `call(arg)` at `at`, or now if that has passed; return a handle to cancel it."""
+        self.last_number = number = self.last_number + 1
         heappush(self.heap, (at if at > self.now else self.now, number, call, arg))
         return number
 
     def cancel(self, handle: Handle) -> None:
-        """Cancels a call that has not been made yet."""
+        """Cancel a call that has not been made yet."""
         self.cancelled.add(handle)
 
-    def call_unless(self, at: int, call: Call, arg: Any, needless: Callable[[Any], bool]) -> None:
-        """Schedules `call(arg)`, unless `needless(arg)` holds when the bucket of `at` is opened."""
+    def call_unless(self, at: int, call: Callback, arg: Any, needless: Callable[[Any], bool]) -> None:
+        """Schedule `call(arg)`, unless `needless(arg)` holds when the bucket of `at` is opened."""
         bucket = at >> BUCKET_BITS
         if bucket <= self.now >> BUCKET_BITS:
             self.call_at(at, call, arg)
@@ -54,16 +54,16 @@
         waiting.append((at, call, arg, needless))
 
     def open_bucket(self, bucket: int) -> None:
-        """Moves the calls of a bucket that are still needed to the heap."""
+        """Move the calls of a bucket that are still needed to the heap."""
         for at, call, arg, needless in self.buckets.pop(bucket):
             if not needless(arg):
                 self.call_at(at, call, arg)
 
     def run(self, until: int) -> bool:
-        """Handles all events up to `until`; returns False if none are left."""
+        """Handle all events up to `until`; return False if none are left."""
         heap = self.heap
         cancelled = self.cancelled
-        before = self.number
+        number_before = self.last_number
         while heap and heap[0][0] <= until:
             at, number, call, arg = heappop(heap)
             if cancelled and number in cancelled:
@@ -71,6 +71,6 @@
                 continue
             self.now = at
             call(arg)
-        self.handled += self.number - before
+        self.events_handled += self.last_number - number_before
         self.now = max(self.now, until)
         return bool(heap)
--- a/workbench/simulator/host.py
+++ b/workbench/simulator/host.py
@@ -1,9 +1,9 @@
-"""Makes the nodes of a model, all on one ticker."""
+"""Creates the nodes of a model, which share one ticker."""
 
 from __future__ import annotations
 
 from balancer.policy.interface import Settings
-from workbench.baselines import Policy
+from workbench.baselines import PolicyFactory
 from workbench.model.site import World
 from workbench.simulator.heap import HeapClock
 from workbench.simulator.node import Node
@@ -11,18 +11,18 @@
 
 
 class Host:
-    """Makes the nodes of a model.
+    """Creates the nodes of a model.
 
     Args:
         clock: The virtual clock.
-        tick: The microseconds between two batches of a node.
-        policy: Makes the policy of each node's process.
+        tick: The interval between two batches of a node, in microseconds.
+        policy_factory: Creates the policy of each node's process.
     """
 
-    def __init__(self, clock: HeapClock, tick: int, policy: Policy) -> None:
+    def __init__(self, clock: HeapClock, tick: int, policy_factory: PolicyFactory) -> None:
         self.ticker = Ticker(clock, tick)
-        self.policy = policy
+        self.policy_factory = policy_factory
 
     def node(self, world: World, name: str, tier: int, settings: Settings) -> Node:
-        """Returns a node that is not started yet; `tier` is the tier that it sends to."""
-        return Node(world, self.ticker, self.policy, name, tier, settings)
+        """Return a new node, not started yet, that sends to the servers of `tier`."""
+        return Node(world, self.ticker, self.policy_factory, name, tier, settings)
--- a/workbench/simulator/play.py
+++ b/workbench/simulator/play.py
@@ -1,4 +1,4 @@
-"""Runs one scenario on the virtual clock and returns its results."""
+"""Runs a scenario on the virtual clock and returns its results."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from typing import Any
 
 import workbench
-from workbench.baselines import POLICIES, Policy
+from workbench.baselines import POLICIES, PolicyFactory
 from workbench.model.call import Request
 from workbench.model.network import fixed_float
 from workbench.model.site import BEGIN, World
@@ -25,70 +25,82 @@
 from workbench.simulator.host import Host
 
 PROGRESS_INTERVAL_US = 1_000_000
-MAX_TAIL_US = 30_000_000  # maximum time that a run goes on after the last arrival
-STATS_INTERVAL_US = 250_000  # between two samples of the nodes' statistics, for plots
-SAMPLED_NODES = 8
-COLLECTION_THRESHOLD = 200_000  # objects between two runs of the garbage collector
+# The maximum time that a run continues after the last arrival.
+MAX_DRAIN_TIME_US = 30_000_000
+STATS_INTERVAL_US = 250_000
+MAX_SAMPLED_NODES = 8
+# The net number of object allocations that triggers a garbage collection.
+COLLECTION_THRESHOLD_OBJECTS = 200_000
 
 Progress = Callable[[float], None]
 
 
 @dataclass
 class Run:
-    """A finished run. `result` is what a result file holds, with the figures of `Accounts.summary`."""
+    """A finished run.
+
+    Attributes:
+        result: The content of a result file, with the figures of `Accounts.summary`.
+        steps: The steps of the followed request, one line each.
+        log_lines: The log lines of the front nodes.
+        violations: Descriptions of the first violations of the rules.
+        stats: Samples of the policies' statistics at the front nodes, for plots.
+        trace_log: The traces of lost requests, or None if the run was not traced.
+        all_ended: Whether all requests have ended.
+    """
 
     result: dict[str, Any]
-    steps: list[str] = field(default_factory=list)  # of the request that is followed
-    log_lines: list[str] = field(default_factory=list)  # of the front's nodes
-    violations: list[str] = field(default_factory=list)  # descriptions of the first ones
-    stats: list[dict[str, Any]] = field(default_factory=list)  # of the front's nodes over time, for plots
-    trace_log: TraceLog | None = None  # if the run was traced
-    all_ended: bool = True  # whether all requests have ended
+    steps: list[str] = field(default_factory=list)
+    log_lines: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
+    stats: list[dict[str, Any]] = field(default_factory=list)
+    trace_log: TraceLog | None = None
+    all_ended: bool = True
 
 
 def play(
-    day: Scenario,
-    policy: str | Policy = "module",
+    scenario: Scenario,
+    policy: str | PolicyFactory = "module",
     follow: int = -1,
     progress: Progress | None = None,
     overrides: list[str] | None = None,
     trace: bool = False,
 ) -> Run:
-    """Runs a scenario to its end and returns its results.
+    """Run a scenario to its end and return its results.
 
     Args:
-        day: The scenario, its ranges drawn.
-        policy: The name of a policy, or a factory of policies.
-        follow: The number of a request whose steps are recorded; -1 for none.
-        progress: Receives the share of the scenario that has passed, each second.
-        overrides: The settings that were overridden, for the result.
-        trace: Whether the traces of lost requests are kept.
+        scenario: The scenario, with values drawn from its ranges.
+        policy: The name of a policy, or a policy factory.
+        follow: The index of a request whose steps are recorded; -1 for none.
+        progress: Called once per simulated second with the elapsed share of the scenario.
+        overrides: The overrides of the scenario's settings, which are recorded in the result.
+        trace: Whether to keep the traces of lost requests.
     """
     name = policy if isinstance(policy, str) else getattr(policy, "__name__", "given")
-    make = POLICIES[policy].make if isinstance(policy, str) else policy
+    policy_factory = POLICIES[policy].make if isinstance(policy, str) else policy
     clock = HeapClock(BEGIN)
-    host = Host(clock, max(1, int(fixed_float(day.nodes.tick_ms) * 1000)), make)
-    world = World(day, clock, host)
+    host = Host(clock, max(1, int(fixed_float(scenario.nodes.tick_ms) * 1000)), policy_factory)
+    world = World(scenario, clock, host)
     run = Run({})
-    observe(world, clock, run, follow, trace)
-    begun = process_time()
-    with rare_collection():
+    set_up_tracing(world, clock, run, follow, trace)
+    started_cpu_s = process_time()
+    with infrequent_garbage_collection():
         run_to_end(world, clock, run, progress)
-    cpu_s = process_time() - begun
+    cpu_s = process_time() - started_cpu_s
     run.all_ended = world.finished()
     run.violations = world.referee.violations
     run.log_lines = [line for node in world.nodes for line in getattr(node, "log_lines", ())]
     run.result = {
-        "made": provenance(day, name, overrides or []),
-        **outcome(world),
-        "day": to_table(day),
-        "speed": speed(world, clock, cpu_s, host.ticker.policy_ns / 1e9),
+        "made": provenance(scenario, name, overrides or []),
+        **result_figures(world),
+        "day": to_table(scenario),
+        "speed": run_cost(world, clock, cpu_s, host.ticker.policy_time_ns / 1e9),
     }
     return run
 
 
-def observe(world: World, clock: HeapClock, run: Run, follow: int, trace: bool) -> None:
-    """Sets up the traces of lost requests and of the request that is followed, as far as they are wanted."""
+def set_up_tracing(world: World, clock: HeapClock, run: Run, follow: int, trace: bool) -> None:
+    """Set up the requested traces: those of lost requests and the steps of the followed request."""
     if trace:
         run.trace_log = world.trace_log = TraceLog()
     if follow >= 0:
@@ -96,20 +108,20 @@
         world.on_step = step_recorder(run.steps, clock)
 
 
-def outcome(world: World) -> dict[str, Any]:
-    """Returns the figures by which a run is judged, as result files have them."""
-    account = world.accounts.summary()
+def result_figures(world: World) -> dict[str, Any]:
+    """Return the figures that runs are compared by, in the format of result files."""
+    summary = world.accounts.summary()
     return {
-        "goal": account["goal"],
+        "goal": summary["goal"],
         "rules": world.referee.counts,
-        "account": account,
+        "account": summary,
         "table": world.accounts.table(),
         "seconds": world.accounts.table(PROGRESS_INTERVAL_US),
     }
 
 
-def speed(world: World, clock: HeapClock, cpu_s: float, policy_s: float) -> dict[str, Any]:
-    """Returns what the run cost, as result files have it."""
+def run_cost(world: World, clock: HeapClock, cpu_s: float, policy_s: float) -> dict[str, Any]:
+    """Return the CPU time, memory and events of the run, in the format of result files."""
     calls = sum(world.accounts.calls)
     return {
         "calls": calls,
@@ -117,16 +129,16 @@
         "cpu_us_a_call": cpu_s * 1e6 / max(1, calls),
         "module_share": min(1.0, policy_s / max(cpu_s, 1e-9)),
         "peak_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
-        "events": clock.handled,
+        "events": clock.events_handled,
     }
 
 
 @contextmanager
-def rare_collection() -> Iterator[None]:
-    """Makes the garbage collector run rarely: calls are freed by their reference counts."""
+def infrequent_garbage_collection() -> Iterator[None]:
+    """Make the garbage collector run rarely, as reference counting frees finished calls already."""
     thresholds = gc.get_threshold()
     gc.collect()
-    gc.set_threshold(COLLECTION_THRESHOLD, 20, 20)
+    gc.set_threshold(COLLECTION_THRESHOLD_OBJECTS, 20, 20)
     try:
         yield
     finally:
@@ -134,26 +146,26 @@
 
 
 def run_to_end(world: World, clock: HeapClock, run: Run, progress: Progress | None) -> None:
-    """Runs the scenario until its time is over and all requests have ended."""
+    """Run the scenario until its end, and then until all requests have ended or the drain time is over."""
     world.start()
-    clock.call_at(clock.now, sampler(world, clock, run), None)
-    last = world.begin + world.length
+    clock.call_at(clock.now, stats_sampler(world, clock, run), None)
+    end = world.begin + world.length
     at = clock.now
-    while at < last or (not world.finished() and at < last + MAX_TAIL_US):
+    while at < end or (not world.finished() and at < end + MAX_DRAIN_TIME_US):
         at += PROGRESS_INTERVAL_US
         clock.run(at)
         if progress is not None:
             progress(min(1.0, (at - world.begin) / world.length))
 
 
-def sampler(world: World, clock: HeapClock, run: Run) -> Callable[[Any], None]:
-    """Returns a call that samples the policies' own statistics, for plots only."""
+def stats_sampler(world: World, clock: HeapClock, run: Run) -> Callable[[Any], None]:
+    """Return a callback that samples the policies' statistics, which only plots use."""
 
     def sample(_: Any) -> None:
-        for i, node in enumerate(world.nodes[:SAMPLED_NODES]):
-            stats = getattr(getattr(node, "module", None), "stats", None)
+        for index, node in enumerate(world.nodes[:MAX_SAMPLED_NODES]):
+            stats = getattr(getattr(node, "active_policy", None), "stats", None)
             if stats is not None:
-                run.stats.append({"at_s": (clock.now - world.begin) / 1e6, "node": i, **stats()})
+                run.stats.append({"at_s": (clock.now - world.begin) / 1e6, "node": index, **stats()})
         if clock.now < world.begin + world.length:
             clock.call_at(clock.now + STATS_INTERVAL_US, sample, None)
 
@@ -161,7 +173,7 @@
 
 
 def step_recorder(steps: list[str], clock: HeapClock) -> Callable[[Request, str, str], None]:
-    """Returns a call that records a step of a request as a line of text."""
+    """Return a callback that records a step of a request as a line of text."""
 
     def record(request: Request, who: str, what: str) -> None:
         steps.append(f"{(clock.now - request.due) / 1000:10.2f} ms  {who:24} {what}")
@@ -169,23 +181,23 @@
     return record
 
 
-def provenance(day: Scenario, policy: str, overrides: list[str]) -> dict[str, Any]:
-    """Returns how a result was made: enough to repeat it."""
+def provenance(scenario: Scenario, policy: str, overrides: list[str]) -> dict[str, Any]:
+    """Return the versions and inputs that a result was made with, which suffice to reproduce it."""
     return {
         "product": workbench.__version__,
         "python": platform.python_version(),
         "revision": revision(),
-        "digest": digest(day),
-        "seed": day.seed,
+        "digest": digest(scenario),
+        "seed": scenario.seed,
         "policy": policy,
         "overrides": overrides,
     }
 
 
 def revision() -> str:
-    """Returns the repository's revision, with a + if files differ from it; empty if there is none."""
+    """Return the repository's revision, with a "+" if files differ from it; "" if there is no repository."""
     try:
-        out = subprocess.run(
+        completed = subprocess.run(
             ["git", "describe", "--always", "--dirty=+", "--abbrev=12", "--exclude=*"],
             cwd=Path(__file__).parent,
             capture_output=True,
@@ -194,4 +206,4 @@
         )
     except (OSError, subprocess.TimeoutExpired):
         return ""
-    return out.stdout.strip() if out.returncode == 0 else ""
+    return completed.stdout.strip() if completed.returncode == 0 else ""
--- a/workbench/simulator/ticker.py
+++ b/workbench/simulator/ticker.py
@@ -1,4 +1,4 @@
-"""Batches: nodes handle what has arrived once a tick, with one event of the clock for all of them."""
+"""Batching: once per tick, one event of the clock lets all nodes handle what has arrived for them."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class BatchHandler(Protocol):
-    """A node that handles batches."""
+    """A node that handles its events in batches."""
 
     def handle(self, now: int) -> None:
-        """Handles the events that have arrived."""
+        """Handle the events that have arrived."""
 
 
 class Tick:
-    """What is due at one tick: messages that arrive at nodes by then, and nodes with a batch to handle."""
+    """The messages that are delivered at one tick and the nodes that have a batch to handle after that."""
 
     __slots__ = ("messages", "nodes")
 
@@ -26,11 +26,14 @@
 
 
 class Ticker:
-    """Schedules one event a tick, whatever the number of messages and nodes.
+    """Schedules one event per tick, whatever the number of messages and nodes.
 
     Args:
         clock: The virtual clock.
-        tick: The microseconds between two ticks.
+        tick: The interval between two ticks, in microseconds.
+
+    Attributes:
+        policy_time_ns: The time that the policies of all nodes have taken, in nanoseconds.
     """
 
     def __init__(self, clock: HeapClock, tick: int) -> None:
@@ -38,10 +41,10 @@
         self.tick = tick
         self.ticks: dict[int, Tick] = {}
         self.last_flushed = -1
-        self.policy_ns = 0
+        self.policy_time_ns = 0
 
     def tick_at(self, at: int) -> Tick:
-        """Returns the first tick at or after a time."""
+        """Return the first tick at or after a time that has not been handled yet."""
         at = -(-at // self.tick) * self.tick
         if at <= self.last_flushed:
             at = self.last_flushed + self.tick
@@ -52,7 +55,7 @@
         return tick
 
     def flush(self, at: int) -> None:
-        """Delivers the messages of a tick, then lets its nodes handle their batches."""
+        """Deliver the messages of a tick, then let its nodes handle their batches."""
         tick = self.ticks[at]
         for deliver, message in tick.messages:
             deliver(message)
