--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -12,7 +12,7 @@
 import numpy as np
 import pytest
 
-from workbench.baselines.revisions import RevisionError, policy_of
+from workbench.baselines.revisions import RevisionError, load_policy_factory
 from workbench.experiment import runner
 from workbench.experiment.compare import compare
 from workbench.experiment.plan import PlanError, list_tasks, parse_plan
@@ -63,7 +63,7 @@
 def test_constants_and_revisions_are_loaded_beside_todays_module():
     from balancer.policy import request_lifecycle as today
 
-    policy_of("", (("ATTEMPT_TIMEOUT_FACTOR", 4.0),))
+    load_policy_factory("", (("ATTEMPT_TIMEOUT_FACTOR", 4.0),))
     assert today.ATTEMPT_TIMEOUT_FACTOR == 8
     (task,) = list_tasks(
         parse_plan({**TABLE, "seeds": 1, "variant": [{"name": "a", "revision": "git:5fc5af5"}]})
@@ -72,7 +72,7 @@
     assert error is None and result["made"]["module"].startswith("5fc5af5")
     assert "--revision 5fc5af5" in task.command()
     with pytest.raises(RevisionError):
-        policy_of("", (("WINDOW_NONE", 1.0),))
+        load_policy_factory("", (("WINDOW_NONE", 1.0),))
 
 
 def rows(goals_a, goals_b, scenario="s", broken=0):
--- a/workbench/cli/simulate.py
+++ b/workbench/cli/simulate.py
@@ -11,8 +11,8 @@
 from rich.console import Console
 from rich.progress import BarColumn, Progress, TextColumn, TimeRemainingColumn
 
-from workbench.baselines import POLICIES, Policy
-from workbench.baselines.revisions import RevisionError, full_revision, policy_of
+from workbench.baselines import POLICIES, PolicyFactory
+from workbench.baselines.revisions import RevisionError, full_revision, load_policy_factory
 from workbench.cli.errors import InputError, writable, write_atomically
 from workbench.report.tables import run_report
 from workbench.scenario.load import ScenarioError, draw, load
@@ -110,7 +110,7 @@
     return changes
 
 
-def chosen_policy(policy: str, revision: str, constants: tuple[str, ...]) -> str | Policy:
+def chosen_policy(policy: str, revision: str, constants: tuple[str, ...]) -> str | PolicyFactory:
     """Returns the policy that the options choose: by its name, or the module at a revision or with constants.
 
     Raises:
@@ -122,7 +122,7 @@
         raise InputError(f"--policy {policy}: --revision and --constant are the module's")
     try:
         values = sorted(parse_constant(constant) for constant in constants)
-        return policy_of(full_revision(revision) if revision else "", tuple(values))
+        return load_policy_factory(full_revision(revision) if revision else "", tuple(values))
     except ValueError:
         raise InputError(
             f"--constant {' '.join(constants)}: must be NAME=VALUE, the value a number"
@@ -141,7 +141,7 @@
     return name, float(value)
 
 
-def play_with_progress(day: Scenario, policy: str | Policy, follow: int, changes: list[str]) -> Run:
+def play_with_progress(day: Scenario, policy: str | PolicyFactory, follow: int, changes: list[str]) -> Run:
     """Plays a day, with a progress bar if standard error is a terminal.
 
     Args:
--- a/workbench/emulator/clock.py
+++ b/workbench/emulator/clock.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from workbench.model.clock import Handle
-from workbench.simulator.heap import Call, HeapClock
+from workbench.simulator.heap import Callback, HeapClock
 
 LATENESS_SAMPLE_INTERVAL_S = 0.005
 NOT_SCHEDULED = -1
@@ -46,7 +46,7 @@
         """Returns the machine's present time on this clock, in microseconds."""
         return int((monotonic() - self.origin) * 1e6)
 
-    def call_at(self, at: int, call: Call, arg: Any) -> Handle:
+    def call_at(self, at: int, call: Callback, arg: Any) -> Handle:
         """Calls `call(arg)` at `at`, or at once when that is past."""
         handle = super().call_at(at, call, arg)
         if not self.running and (self.scheduled_for < 0 or self.heap[0][0] < self.scheduled_for):
--- a/workbench/experiment/plan.py
+++ b/workbench/experiment/plan.py
@@ -13,7 +13,7 @@
 from msgspec import Meta, Struct, field
 
 from workbench.baselines import POLICIES
-from workbench.baselines.revisions import RevisionError, full_revision, policy_of, policy_sources
+from workbench.baselines.revisions import RevisionError, full_revision, load_policy_factory, policy_sources
 from workbench.experiment.task import MODULE_POLICY, Constants, Task
 from workbench.scenario.check import type_errors
 from workbench.scenario.load import ScenarioError, digest, load
@@ -161,7 +161,7 @@
     }
     version = ModuleVersion(revision, tuple(sorted(constants.items())))
     if version.revision or version.constants:
-        policy_of(version.revision, version.constants)
+        load_policy_factory(version.revision, version.constants)
     return version
 
 
--- a/workbench/experiment/task.py
+++ b/workbench/experiment/task.py
@@ -4,8 +4,8 @@
 
 from msgspec import Struct
 
-from workbench.baselines import Policy
-from workbench.baselines.revisions import policy_of
+from workbench.baselines import PolicyFactory
+from workbench.baselines.revisions import load_policy_factory
 from workbench.scenario.load import draw, load
 from workbench.scenario.model import Scenario
 
@@ -37,10 +37,10 @@
         """Returns the scenario with every range replaced by the seed's draw."""
         return draw(load(self.source, list(self.overrides)), self.seed)
 
-    def resolve_policy(self) -> str | Policy:
+    def resolve_policy(self) -> str | PolicyFactory:
         """Returns the policy's name, or the module at the revision and with the constants of the task."""
         if self.policy == MODULE_POLICY and (self.revision or self.constants):
-            return policy_of(self.revision, self.constants)
+            return load_policy_factory(self.revision, self.constants)
         return self.policy
 
     def command(self) -> str:
--- a/workbench/explore/uses.py
+++ b/workbench/explore/uses.py
@@ -121,10 +121,10 @@
     """One run."""
     use, seed, variant = what
     uses, _, _ = DAYS[use]
-    fleet = VirtualFleet(None if variant == "alone" else replace(uses, strict=variant == "strict"))
+    fleet = VirtualFleet(None if variant == "alone" else replace(uses, strictly_local=variant == "strict"))
     run = play(draw(scenario(use), seed), fleet)
     account, bins = run.result["account"], run.result["table"]
-    modules = fleet.modules
+    modules = fleet.balancers
     row = {
         "worth, points": 100 * account["goal"],
         "requests lost": lost(bins, 0.0),
@@ -169,7 +169,7 @@
     return {
         "worst 10 s, points": 100 * account["worst_window"],
         "seconds under 99% after the fault": float(lossy_until - FAULT_BEGIN_S),
-        "attempts that cross zones, %": 100 * fleet.crossings() / max(1.0, attempts),
+        "attempts that cross zones, %": 100 * fleet.cross_zone_attempts() / max(1.0, attempts),
         "attempts a call": account["attempts_a_call"][0],
         "p50, ms": account["latency_ms"]["p50"],
         "p99, ms": account["latency_ms"]["p99"],
