--- a/tests/test_emulator_http.py
+++ b/tests/test_emulator_http.py
@@ -1,4 +1,4 @@
-"""The emulator's HTTP client: bytes that no request asked for, and malformed responses."""
+"""Tests of the emulator's HTTP client: unsolicited bytes and malformed responses."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class RecordingTransport(asyncio.Transport):
-    """Keeps what is written to it; `abort` ends the connection at once."""
+    """Records the bytes written to it; `abort` reports the connection as lost."""
 
     def __init__(self, protocol: asyncio.BaseProtocol) -> None:
         super().__init__()
@@ -36,7 +36,7 @@
 
 
 async def send_over_early_bytes(transports: list[RecordingTransport], responses: list[Response]) -> None:
-    """Sends a request on a new connection whose server speaks before the request is written."""
+    """Send a request on a new connection whose server responds before the request is written."""
     loop = asyncio.get_running_loop()
 
     async def create_connection(factory: Callable[[], ClientConnection], host: str, port: int) -> None:
@@ -51,14 +51,15 @@
         pool.send(REQUEST, responses.append)
         for _ in range(5):
             await asyncio.sleep(0)
-        assert pool.idle == []
+        assert pool.idle_connections == []
         pool.close()
 
 
-def test_a_response_that_comes_before_the_request_ends_the_connection() -> None:
-    """Failure prevented: the client breaks on it, or takes it for the answer to a request it never sent.
+def test_client_response_before_request_aborts_connection() -> None:
+    """The pool aborts a connection whose server sends a response before it receives a request.
 
-    RFC 9112, 9.2: data on a connection with no outstanding request is no valid response.
+    Such data is no valid response (RFC 9112, 9.2). A client that accepted it would crash, or take it for the
+    response to a request that it has not sent.
     """
     transports: list[RecordingTransport] = []
     responses: list[Response] = []
@@ -72,8 +73,11 @@
     [b"not HTTP at all\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: ten\r\n\r\n"],
     ids=["status line", "content length"],
 )
-def test_a_malformed_response_fails_its_request_at_once(malformed: bytes) -> None:
-    """Failure prevented: the request ends by its time-out alone, and load counts no answer for a reset."""
+def test_client_malformed_response_fails_request_immediately(malformed: bytes) -> None:
+    """A malformed response aborts the connection and fails its request.
+
+    Otherwise the request would end only at its time-out, and load would count no answer instead of a reset.
+    """
     responses: list[Response] = []
 
     async def receive_malformed_response() -> RecordingTransport:
@@ -89,13 +93,16 @@
     assert [(response.status, response.request_sent) for response in responses] == [(0, True)]
 
 
-def test_bytes_after_a_complete_response_end_the_connection_and_report_nothing_more() -> None:
-    """Failure prevented: a request that has its response is reported a second time, as failed."""
+def test_client_bytes_after_response_abort_without_new_report() -> None:
+    """Malformed bytes after a response abort the connection, but report the request only once.
+
+    Otherwise a request that has its response would be reported again as failed.
+    """
     responses: list[Response] = []
-    idle: list[ClientConnection] = []
+    idle_connections: list[ClientConnection] = []
 
-    async def receive_response_and_more() -> RecordingTransport:
-        connection = ClientConnection(idle)
+    async def receive_response_with_trailing_bytes() -> RecordingTransport:
+        connection = ClientConnection(idle_connections)
         transport = RecordingTransport(connection)
         connection.connection_made(transport)
         connection.send(REQUEST, responses.append)
@@ -103,6 +110,6 @@
         await asyncio.sleep(0)
         return transport
 
-    assert asyncio.run(receive_response_and_more()).aborted
+    assert asyncio.run(receive_response_with_trailing_bytes()).aborted
     assert [response.status for response in responses] == [503]
-    assert idle == []
+    assert idle_connections == []
--- a/tests/test_emulator_load.py
+++ b/tests/test_emulator_load.py
@@ -1,4 +1,4 @@
-"""The emulator's open-loop load: latencies from when a request was due, and how outcomes are counted."""
+"""Tests of the open-loop load generator: latency from a request's due time, and counted outcomes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class AnsweringPool:
-    """Answers each request at once."""
+    """Responds to each request immediately, and keeps the last request."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -27,8 +27,11 @@
         return ClientConnection([])
 
 
-def test_a_request_that_waits_for_its_sender_is_counted_from_when_it_was_due() -> None:
-    """Failure prevented: a stall of node or sender hides the requests that it kept waiting."""
+def test_load_late_request_latency_counts_from_due_time() -> None:
+    """The latency and the remaining budget of a request that is sent late count from its due time.
+
+    Otherwise a stall of the node or the sender would hide the requests that it delayed.
+    """
     load = Load("http://127.0.0.1:1", 10, 1, [RequestClass("a", budget_ms=BUDGET_MS)], 1)
     pool, loop = AnsweringPool(), asyncio.new_event_loop()
     load.send(loop, cast(ConnectionPool, pool), load.classes[0], time.monotonic() - STALL_S)
@@ -40,7 +43,7 @@
 
 
 class SilentPool:
-    """Never answers; keeps the connection of the last request."""
+    """Never responds, and uses one connection for all requests."""
 
     def __init__(self) -> None:
         self.connection = ClientConnection([])
@@ -50,8 +53,11 @@
         return self.connection
 
 
-def test_a_request_without_a_response_is_cancelled_and_counted_once() -> None:
-    """Failure prevented: a node that never answers keeps the load from ending."""
+def test_load_request_without_response_is_counted_once() -> None:
+    """A request without a response is cancelled at its time-out and counted once.
+
+    Otherwise the load would never end with a node that does not respond.
+    """
 
     async def send_and_wait() -> Load:
         load = Load("http://127.0.0.1:1", 10, 1, [RequestClass("a", budget_ms=1)], 1)
@@ -77,5 +83,5 @@
         (500, True, "failed 500"),
     ],
 )
-def test_outcomes_are_told_apart(status: int, request_sent: bool, outcome: str) -> None:
+def test_outcome_name_distinguishes_outcomes(status: int, request_sent: bool, outcome: str) -> None:
     assert outcome_name(Response(status, {}, b"", request_sent)) == outcome
--- a/workbench/emulator/__init__.py
+++ b/workbench/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""The model in real time: its servers, discovery and clients on loopback sockets, around real nodes."""
+"""Emulation in real time: the model's servers, discovery and clients on loopback sockets, with real nodes."""
--- a/workbench/emulator/address_block.py
+++ b/workbench/emulator/address_block.py
@@ -1,4 +1,4 @@
-"""A block of loopback addresses for one emulation, so that two at once never share an address."""
+"""Reservation of a block of loopback addresses, so that concurrent emulations never share an address."""
 
 from __future__ import annotations
 
@@ -6,26 +6,30 @@
 import socket
 from random import Random
 
-DATAGRAM_PORT = 7400  # also of the socket that reserves the block
-CLIENT_PORT, MANAGEMENT_PORT = 8000, 8001  # of each node
-FIRST_AGENT_PORT = 9000  # the nodes' discovery agents listen on this port and those above
-MAX_NODES = 80  # that a block has addresses for
-MAX_ATTEMPTS = 200
-SECOND_OCTETS = (32, 224)
-THIRD_OCTETS = (1, 255)
+# The datagram port of nodes and relays. A TCP socket on this port of the block's first address reserves the
+# block.
+DATAGRAM_PORT = 7400
+CLIENT_PORT, MANAGEMENT_PORT = 8000, 8001
+# The discovery agent of node `i` listens on this port plus `i`.
+FIRST_AGENT_PORT = 9000
+# The number of nodes for which a block has addresses.
+MAX_NODES = 80
+MAX_RESERVATION_ATTEMPTS = 200
+SECOND_OCTET_RANGE = (32, 224)
+THIRD_OCTET_RANGE = (1, 255)
 FIRST_NODE_OCTET = 10
 FIRST_RELAY_OCTET = 110
 
 
 class AddressBlockError(Exception):
-    """No block of addresses is free; the message is one line."""
+    """No block of loopback addresses is free. The message is a single line."""
 
 
 class AddressBlock:
     """A block 127.A.B.0/24, reserved by a bound socket until `close` or the end of this process.
 
     Args:
-        rng: Draws the block; by default it is seeded with the process id.
+        rng: Selects the candidate blocks; seeded with the process id by default.
 
     Raises:
         AddressBlockError: No free block was found.
@@ -33,44 +37,44 @@
 
     def __init__(self, rng: Random | None = None) -> None:
         rng = rng or Random(os.getpid())
-        for _ in range(MAX_ATTEMPTS):
-            block = f"127.{rng.randrange(*SECOND_OCTETS)}.{rng.randrange(*THIRD_OCTETS)}"
-            reservation = reserve(f"{block}.1")
+        for _ in range(MAX_RESERVATION_ATTEMPTS):
+            prefix = f"127.{rng.randrange(*SECOND_OCTET_RANGE)}.{rng.randrange(*THIRD_OCTET_RANGE)}"
+            reservation = reserve_host(f"{prefix}.1")
             if reservation is not None:
-                self.block = block
+                self.prefix = prefix
                 self.reservation = reservation
                 return
         raise AddressBlockError("no block of loopback addresses is free: are other labs still running?")
 
     @property
     def agent_host(self) -> str:
-        """The address of all discovery agents."""
-        return f"{self.block}.1"
+        """The address that all discovery agents listen on."""
+        return f"{self.prefix}.1"
 
     @property
     def server_host(self) -> str:
-        """The address of all servers."""
-        return f"{self.block}.2"
+        """The address that all servers listen on."""
+        return f"{self.prefix}.2"
 
     def node_host(self, index: int) -> str:
-        """Returns a node's own address."""
-        return f"{self.block}.{FIRST_NODE_OCTET + index}"
+        """Return the address that a node itself listens on."""
+        return f"{self.prefix}.{FIRST_NODE_OCTET + index}"
 
     def relay_host(self, index: int) -> str:
-        """Returns the relay's address to which other nodes send their datagrams for a node."""
-        return f"{self.block}.{FIRST_RELAY_OCTET + index}"
+        """Return the address of the relay that other nodes send their datagrams for a node to."""
+        return f"{self.prefix}.{FIRST_RELAY_OCTET + index}"
 
     def agent_address(self, index: int) -> tuple[str, int]:
-        """Returns host and port of a node's discovery agent."""
+        """Return the host and port of a node's discovery agent."""
         return self.agent_host, FIRST_AGENT_PORT + index
 
     def close(self) -> None:
-        """Releases the block."""
+        """Release the block for other emulations."""
         self.reservation.close()
 
 
-def reserve(host: str) -> socket.socket | None:
-    """Returns a socket that listens on the datagram port of a host, or None where it is taken."""
+def reserve_host(host: str) -> socket.socket | None:
+    """Return a TCP socket that listens on the datagram port of a host, or None if the port is in use."""
     reservation = socket.socket()
     try:
         reservation.bind((host, DATAGRAM_PORT))
--- a/workbench/emulator/agent.py
+++ b/workbench/emulator/agent.py
@@ -1,4 +1,4 @@
-"""Discovery's agent on a node's machine: answers at once with the endpoints that it has been sent."""
+"""The discovery agent on a node's machine, which serves the endpoint list that discovery last sent it."""
 
 from __future__ import annotations
 
@@ -12,99 +12,110 @@
 
 from balancer.net.process.listener import Listener, open_listener
 from balancer.policy.interface import ListKind, ServerEntry
-from workbench.emulator.http import Request, ServerConnection, response_bytes
+from workbench.emulator.http import Request, ServerConnection, encode_response
 
-MAX_WAIT_S = 60.0
-MAX_ACCEPTS = 16  # at a time
+MAX_LONG_POLL_S = 60.0
+MAX_ACCEPTS_PER_ITERATION = 16
 JSON_HEADER = b"Content-Type: application/json\r\n"
 
-Endpoint = dict[str, Any]  # as the protocol of the node's discovery spells it
-EndpointOf = Callable[[ServerEntry], Endpoint]
-NotifiedCallback = Callable[[list[Endpoint]], None]
+# An endpoint in the JSON form of the discovery protocol.
+Endpoint = dict[str, Any]
+EndpointFactory = Callable[[ServerEntry], Endpoint]
+NotificationCallback = Callable[[list[Endpoint]], None]
 
 
 class DiscoveryAgent:
-    """One node's agent: the endpoint list that it was sent last, and the node's pending watches.
+    """The discovery agent of one node: its endpoint list, and the node's pending watch requests.
 
     Args:
-        loop: Runs the connections.
-        endpoint_of: Makes an endpoint from discovery's entry.
-        on_notified: Called with the endpoints that are written to the node.
+        loop: The event loop of the connections.
+        make_endpoint: Converts a server entry of discovery to an endpoint.
+        on_notified: Called with the endpoints that the agent is about to send to the node.
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, endpoint_of: EndpointOf, on_notified: NotifiedCallback
+        self,
+        loop: asyncio.AbstractEventLoop,
+        make_endpoint: EndpointFactory,
+        on_notified: NotificationCallback,
     ) -> None:
         self.loop = loop
-        self.endpoint_of = endpoint_of
+        self.make_endpoint = make_endpoint
         self.on_notified = on_notified
         self.version = 0
         self.endpoints: dict[str, Endpoint] = {}
-        self.changed_in: dict[str, int] = {}  # the version that last changed an endpoint
-        self.pending: set[WatchConnection] = set()
+        # The list version at which each endpoint last changed.
+        self.change_versions: dict[str, int] = {}
+        self.pending_watches: set[WatchConnection] = set()
         self.connections: set[WatchConnection] = set()
-        self.listener = Listener(loop, self.accept, lambda: True, MAX_ACCEPTS)
+        self.listener = Listener(loop, self.accept, lambda: True, MAX_ACCEPTS_PER_ITERATION)
         self.address: tuple[str, int] = ("", 0)
 
     def start(self, address: tuple[str, int]) -> None:
-        """Listens on an address."""
-        listening = open_listener(address)
-        self.address = listening.getsockname()[:2]
-        self.listener.start(listening)
+        """Listen on an address for the node's connections."""
+        listening_socket = open_listener(address)
+        self.address = listening_socket.getsockname()[:2]
+        self.listener.start(listening_socket)
 
     def close(self) -> None:
-        """Ends all connections and stops listening."""
+        """Abort all connections and stop listening."""
         for connection in list(self.connections):
             connection.transport.abort()
         self.listener.release()
 
     def accept(self, accepted: socket.socket) -> None:
-        """Takes a connection from the listener."""
+        """Handle a connection that the listener has accepted."""
         accepted.setblocking(False)
         self.loop.create_task(self.attach(accepted))
 
     async def attach(self, accepted: socket.socket) -> None:
-        """Gives an accepted connection to the event loop."""
+        """Attach an accepted connection to the event loop."""
         try:
             await self.loop.connect_accepted_socket(lambda: WatchConnection(self), accepted)
         except OSError:
             accepted.close()
 
     def update(self, kind: ListKind, entries: list[ServerEntry]) -> None:
-        """Takes a list or changes from discovery, and answers the watches that wait for them."""
+        """Apply a full list or changes from discovery, and answer the pending watches."""
         self.version += 1
-        latest = {endpoint["id"]: endpoint for endpoint in map(self.endpoint_of, entries)}
+        latest = {endpoint["id"]: endpoint for endpoint in map(self.make_endpoint, entries)}
         if kind != ListKind.CHANGES:
             for name in self.endpoints.keys() - latest.keys():
                 latest[name] = self.endpoints[name] | {"state": "gone"}
         for name, endpoint in latest.items():
             self.endpoints[name] = endpoint
-            self.changed_in[name] = self.version
-        for connection in list(self.pending):
+            self.change_versions[name] = self.version
+        for connection in list(self.pending_watches):
             connection.respond()
 
-    def listed(self) -> list[Endpoint]:
-        """Returns the endpoints of a whole list, those that are not gone."""
+    def active_endpoints(self) -> list[Endpoint]:
+        """Return the endpoints that a full list contains: all except those that are gone."""
         return [endpoint for endpoint in self.endpoints.values() if endpoint["state"] != "gone"]
 
-    def list_since(self, since: int | None) -> bytes:
-        """Returns the list, or the changes since a version; the node counts as notified of them."""
+    def encode_list_since(self, since: int | None) -> bytes:
+        """Return a JSON response with the full list or the changes since a version.
+
+        `on_notified` is called with the endpoints, including those that a full list leaves out as gone.
+
+        Args:
+            since: The version that the node has. The list is full if it is None or above the agent's version.
+        """
         full = since is None or since > self.version
         if since is None or full:
-            endpoints = self.listed()
+            endpoints = self.active_endpoints()
         else:
             endpoints = [
-                endpoint for name, endpoint in self.endpoints.items() if self.changed_in[name] > since
+                endpoint for name, endpoint in self.endpoints.items() if self.change_versions[name] > since
             ]
         self.on_notified(list(self.endpoints.values()) if full else endpoints)
         return msgspec.json.encode({"version": self.version, "full": full, "servers": endpoints})
 
 
 class WatchConnection(ServerConnection):
-    """A connection of the node to its agent.
+    """A connection from the node to its discovery agent.
 
     Args:
-        agent: The agent that accepted it.
+        agent: The agent that accepted the connection.
     """
 
     def __init__(self, agent: DiscoveryAgent) -> None:
@@ -115,39 +126,39 @@
         agent.connections.add(self)
 
     def on_request(self, request: Request) -> None:
-        """Answers a request for the list, at once or when there is a change."""
-        parts = urlsplit(request.target.decode("latin-1"))
-        query = parse_qs(parts.query)
-        if parts.path != "/v1/endpoints":
-            self.transport.write(response_bytes(404))
+        """Answer a request for the list: immediately, or at the next change or time-out of a long poll."""
+        url = urlsplit(request.target.decode("latin-1"))
+        query = parse_qs(url.query)
+        if url.path != "/v1/endpoints":
+            self.transport.write(encode_response(404))
             return
         try:
             self.since = int(query["since"][0]) if "since" in query else None
-            wait = min(MAX_WAIT_S, int(query.get("timeout_ms", ["0"])[0]) / 1000)
+            wait_s = min(MAX_LONG_POLL_S, int(query.get("timeout_ms", ["0"])[0]) / 1000)
         except ValueError:
-            self.transport.write(response_bytes(400))
+            self.transport.write(encode_response(400))
             return
-        if self.since is None or self.since != self.agent.version or wait <= 0:
+        if self.since is None or self.since != self.agent.version or wait_s <= 0:
             self.respond()
         else:
-            self.agent.pending.add(self)
-            self.timer = self.agent.loop.call_later(wait, self.respond)
+            self.agent.pending_watches.add(self)
+            self.timer = self.agent.loop.call_later(wait_s, self.respond)
 
     def respond(self) -> None:
-        """Answers the request that waits."""
-        self.stop_waiting()
+        """Send the response to the current request."""
+        self.cancel_watch()
         if not self.transport.is_closing():
-            body = self.agent.list_since(self.since)
-            self.transport.write(response_bytes(200, body, JSON_HEADER))
+            body = self.agent.encode_list_since(self.since)
+            self.transport.write(encode_response(200, body, JSON_HEADER))
 
-    def stop_waiting(self) -> None:
-        """Takes the request off the pending watches."""
-        self.agent.pending.discard(self)
+    def cancel_watch(self) -> None:
+        """Remove the connection from the pending watches and cancel its time-out."""
+        self.agent.pending_watches.discard(self)
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forgets the connection."""
-        self.stop_waiting()
+        """Remove the connection from the agent."""
+        self.cancel_watch()
         self.agent.connections.discard(self)
--- a/workbench/emulator/child_process.py
+++ b/workbench/emulator/child_process.py
@@ -1,13 +1,14 @@
-"""Commands that end when this process does, however that ends."""
+"""Child processes that the kernel kills when their parent ends, however the parent ends."""
 
 from __future__ import annotations
 
 import os
 import sys
 
-# Becomes the command, once the kernel knows to kill it with its parent. In a small process of its own: a hook
-# of Popen's between fork and exec would copy this process's memory map and delay it.
-LAUNCHER = """
+# Source of a process that requests SIGKILL at its parent's death (prctl PR_SET_PDEATHSIG) and then executes
+# the command. It is a small process of its own because a `preexec_fn` makes Popen copy the memory map of the
+# calling process when it forks, which delays the caller.
+LAUNCHER_SOURCE = """
 import ctypes, os, sys
 parent = int(sys.argv[1])
 ctypes.CDLL(None).prctl(1, 9)
@@ -19,6 +20,6 @@
 """
 
 
-def killed_with_parent(command: list[str]) -> list[str]:
-    """Returns a command line that runs the command and gets SIGKILL when the thread that starts it ends."""
-    return [sys.executable, "-I", "-S", "-c", LAUNCHER, str(os.getpid()), *command]
+def wrap_with_parent_death_signal(command: list[str]) -> list[str]:
+    """Return a command line that runs a command, which gets SIGKILL when the thread that started it ends."""
+    return [sys.executable, "-I", "-S", "-c", LAUNCHER_SOURCE, str(os.getpid()), *command]
--- a/workbench/emulator/clock.py
+++ b/workbench/emulator/clock.py
@@ -1,7 +1,7 @@
-"""The model's clock in real time: a heap of events that an event loop handles as they fall due.
+"""The model's clock in real time: a heap of events that an event loop handles when they are due.
 
-While an event is handled the clock stands at the time it was due, as on the virtual clock, so what the model
-computes does not depend on how late the machine was. The lateness itself is recorded.
+While an event is handled, the clock shows the time at which the event was due, as the virtual clock does. The
+model's results therefore do not depend on how late the machine was. The lateness itself is recorded.
 """
 
 from __future__ import annotations
@@ -18,81 +18,81 @@
 
 
 class RealTimeClock(HeapClock):
-    """A `Clock` on an event loop. Whatever comes from a socket calls `catch_up` first.
+    """A `Clock` on an event loop. Code that handles input from a socket calls `catch_up` first.
 
     Args:
-        loop: Runs the timer of the next event.
-        now: The time at which the clock starts, in microseconds.
+        loop: The event loop that runs the timer of the next event.
+        now: The start time of the clock in microseconds.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, now: int) -> None:
         super().__init__(now)
         self.loop = loop
-        self.origin = monotonic() - now / 1e6
-        self.scheduled_for = NOT_SCHEDULED
+        self.origin_s = monotonic() - now / 1e6
+        self.timer_due_at = NOT_SCHEDULED
         self.timer: asyncio.TimerHandle | None = None
         self.running = False
-        self.max_lateness = 0  # microseconds, since `take_max_lateness`
+        self.max_lateness_us = 0
         self.stopped = False
         self.sample_lateness(monotonic())
 
     def stop(self) -> None:
-        """Handles no event any more."""
+        """Stop handling events."""
         self.stopped = True
         if self.timer is not None:
             self.timer.cancel()
 
-    def real(self) -> int:
-        """Returns the machine's present time on this clock, in microseconds."""
-        return int((monotonic() - self.origin) * 1e6)
+    def real_time(self) -> int:
+        """Return the current real time on this clock's scale, in microseconds."""
+        return int((monotonic() - self.origin_s) * 1e6)
 
     def call_at(self, at: int, call: Call, arg: Any) -> Handle:
-        """Calls `call(arg)` at `at`, or at once when that is past."""
+        """Schedule `call(arg)` at `at`, or immediately if that has passed; return a handle to cancel it."""
         handle = super().call_at(at, call, arg)
-        if not self.running and (self.scheduled_for < 0 or self.heap[0][0] < self.scheduled_for):
+        if not self.running and (self.timer_due_at < 0 or self.heap[0][0] < self.timer_due_at):
             self.schedule()
         return handle
 
     def schedule(self) -> None:
-        """Sets the timer for the next event."""
+        """Set the event loop's timer for the next event."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        self.scheduled_for = NOT_SCHEDULED
+        self.timer_due_at = NOT_SCHEDULED
         if self.heap and not self.stopped:
-            self.scheduled_for = self.heap[0][0]
-            delay = max(0, self.scheduled_for - self.real()) / 1e6
+            self.timer_due_at = self.heap[0][0]
+            delay = max(0, self.timer_due_at - self.real_time()) / 1e6
             self.timer = self.loop.call_later(delay, self.on_timer)
 
     def on_timer(self) -> None:
-        """Handles what is due; a timer that fired early is set again."""
-        self.scheduled_for = NOT_SCHEDULED
+        """Handle the events that are due, and set the timer again if it fired early."""
+        self.timer_due_at = NOT_SCHEDULED
         self.catch_up()
 
     def catch_up(self) -> int:
-        """Handles all events that are due by now, and returns the time."""
+        """Handle all events that are due and return the clock's time in microseconds."""
         if self.running or self.stopped:
             return self.now
-        real = self.real()
+        real_time = self.real_time()
         if self.heap:
-            self.max_lateness = max(self.max_lateness, real - self.heap[0][0])
+            self.max_lateness_us = max(self.max_lateness_us, real_time - self.heap[0][0])
         self.running = True
         try:
-            self.run(max(real, self.now))
+            self.run(max(real_time, self.now))
         finally:
             self.running = False
-        if self.scheduled_for < 0 or not self.heap or self.heap[0][0] != self.scheduled_for:
+        if self.timer_due_at < 0 or not self.heap or self.heap[0][0] != self.timer_due_at:
             self.schedule()
         return self.now
 
-    def sample_lateness(self, due: float) -> None:
-        """Records how late the loop itself is, also while there are no events."""
+    def sample_lateness(self, due_s: float) -> None:
+        """Record how late a periodic timer fires, so that lateness is also noticed without events."""
         if not self.stopped:
-            self.max_lateness = max(self.max_lateness, int((monotonic() - due) * 1e6))
-            next_due = monotonic() + LATENESS_SAMPLE_INTERVAL_S
-            self.loop.call_later(LATENESS_SAMPLE_INTERVAL_S, self.sample_lateness, next_due)
+            self.max_lateness_us = max(self.max_lateness_us, int((monotonic() - due_s) * 1e6))
+            next_due_s = monotonic() + LATENESS_SAMPLE_INTERVAL_S
+            self.loop.call_later(LATENESS_SAMPLE_INTERVAL_S, self.sample_lateness, next_due_s)
 
     def take_max_lateness(self) -> int:
-        """Returns the greatest lateness since the last call, in microseconds, and resets it."""
-        lateness, self.max_lateness = self.max_lateness, 0
+        """Return the maximum lateness since the previous call in microseconds, and reset it."""
+        lateness, self.max_lateness_us = self.max_lateness_us, 0
         return lateness
--- a/workbench/emulator/config.py
+++ b/workbench/emulator/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a real node for a day of the model, as the file that `LB_CONFIG` names has it."""
+"""Configuration of real nodes for a scenario, in the form of the file that `LB_CONFIG` names."""
 
 from __future__ import annotations
 
@@ -10,52 +10,54 @@
 from workbench.emulator.nodes import NodeAdapter, Site
 from workbench.model.network import fixed_float
 
-EFFECT_WORDS = {effect: word for word, effect in EFFECTS.items()}
-GROUP_WORDS = {group: word for word, group in GROUPS.items()}
-LIMITS = {"sockets": 256, "memory_mb": 32}
+EFFECT_NAMES = {effect: name for name, effect in EFFECTS.items()}
+GROUP_NAMES = {group: name for name, group in GROUPS.items()}
+NODE_LIMITS = {"sockets": 256, "memory_mb": 32}
 SEED_MASK = 0xFFFFFFFF
 
 
-def settings_table(settings: Settings, site: Site) -> dict[str, Any]:
-    """Returns the settings object that reads back as these settings."""
-    day = site.world.day
+def build_settings(settings: Settings, site: Site) -> dict[str, Any]:
+    """Return the JSON object from which a node reads these settings."""
+    scenario = site.world.day
     return {
-        "classes": class_tables(settings, site),
+        "classes": build_request_classes(settings, site),
         "tenants": [],
         "tier": settings.tier,
-        "layers": [t.name for t in day.tier],
+        "layers": [t.name for t in scenario.tier],
         "dcs": [site.zone_name(z) for z in range(site.world.zones)],
         "zone": settings.zone,
-        "kinds": [k.name for t in day.tier for k in t.kind],
+        "kinds": [k.name for t in scenario.tier for k in t.kind],
         "group_size": settings.instances,
         "self_index": settings.index,
         "tick": settings.tick,
         "discovery": "push",
-        "policy_limits": policy_limits_table(settings, site),
-        "rules": rules_table(settings),
+        "policy_limits": build_policy_limits(settings, site),
+        "rules": build_overload_rules(settings),
         "deductions": {"cross_zone": settings.cross_zone_price},
     }
 
 
-def class_tables(settings: Settings, site: Site) -> list[dict[str, Any]]:
-    """Returns the request classes."""
+def build_request_classes(settings: Settings, site: Site) -> list[dict[str, Any]]:
+    """Return the `classes` section, one entry for each request class."""
     return [
         {
-            "name": named.name,
-            "effect": EFFECT_WORDS[request_class.effect],
-            "group": GROUP_WORDS[request_class.group],
+            "name": scenario_class.name,
+            "effect": EFFECT_NAMES[request_class.effect],
+            "group": GROUP_NAMES[request_class.group],
             "goal_time": request_class.latency_objective,
             "hard_limit": request_class.deadline,
             "late_value": request_class.late_worth,
             "window": request_class.window,
             "worth": request_class.worth,
         }
-        for named, request_class in zip(site.world.day.request_classes, settings.classes, strict=True)
+        for scenario_class, request_class in zip(
+            site.world.day.request_classes, settings.classes, strict=True
+        )
     ]
 
 
-def policy_limits_table(settings: Settings, site: Site) -> dict[str, Any]:
-    """Returns what the policy may do."""
+def build_policy_limits(settings: Settings, site: Site) -> dict[str, Any]:
+    """Return the `policy_limits` section: what the policy may do, and the time-outs of connections."""
     network = site.world.day.network
     return {
         "max_attempts": settings.max_attempts,
@@ -70,8 +72,8 @@
     }
 
 
-def rules_table(settings: Settings) -> dict[str, Any]:
-    """Returns how servers behave at their start and under overload."""
+def build_overload_rules(settings: Settings) -> dict[str, Any]:
+    """Return the `rules` section: how servers behave during slow start and under overload."""
     return {
         "cold": settings.slow_start_time,
         "start_capacity": settings.slow_start_share,
@@ -81,8 +83,8 @@
     }
 
 
-def node_table(site: Site, node: NodeAdapter, seed: int) -> dict[str, Any]:
-    """Returns the whole configuration of one node, without its fleet."""
+def build_node_configuration(site: Site, node: NodeAdapter, seed: int) -> dict[str, Any]:
+    """Return the configuration of one node, without its `fleet` section."""
     host = site.addresses.node_host(node.index)
     agent_host, agent_port = site.addresses.agent_address(node.index)
     return {
@@ -91,7 +93,7 @@
         "management": f"{host}:{MANAGEMENT_PORT}",
         "discovery": f"{agent_host}:{agent_port}",
         "seed": f"{seed & SEED_MASK:x}",
-        "limits": dict(LIMITS),
-        "known": {"version": node.agent.version, "full": True, "servers": node.agent.listed()},
-        "settings": settings_table(node.settings, site),
+        "limits": dict(NODE_LIMITS),
+        "known": {"version": node.agent.version, "full": True, "servers": node.agent.active_endpoints()},
+        "settings": build_settings(node.settings, site),
     }
--- a/workbench/emulator/http.py
+++ b/workbench/emulator/http.py
@@ -1,4 +1,4 @@
-"""Both sides of HTTP/1.1 as the emulator needs it: whole messages, one request at a time on a connection."""
+"""Minimal HTTP/1.1 client and server: whole messages, one request at a time on each connection."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import httptools
 
-REASONS = {
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -18,13 +18,13 @@
 }
 
 
-def response_bytes(status: int, body: bytes = b"", headers: bytes = b"") -> bytes:
-    """Returns a whole response; `headers` are whole lines."""
-    reason = REASONS[status]
+def encode_response(status: int, body: bytes = b"", headers: bytes = b"") -> bytes:
+    """Encode a response; each header in `headers` is a line that ends with CRLF."""
+    reason = REASON_PHRASES[status]
     return b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n\r\n%b" % (status, reason, headers, len(body), body)
 
 
-def request_bytes(
+def encode_request(
     request_class: str,
     effect: str,
     key: int,
@@ -33,16 +33,16 @@
     idempotency_key: bytes,
     retry: bool = False,
 ) -> bytes:
-    """Returns a client's request without a body, by the platform's protocol.
+    """Encode a client's request, which has no body, in the protocol of the platform.
 
     Args:
-        request_class: The name of its class, which is its path.
-        effect: `safe`, `keyed` or `unsafe`, as scenarios spell it.
-        key: The object that it asks for.
-        call_id: Identifies the call.
-        remaining_ms: The time that remains for it.
-        idempotency_key: Sent where the effect is `keyed`.
-        retry: Whether the client has tried before.
+        request_class: The name of the request class, which is the path.
+        effect: The effect as named in scenarios: `safe`, `keyed` or `unsafe`.
+        key: The number of the requested object.
+        call_id: The id of the call.
+        remaining_ms: The time in milliseconds until the deadline.
+        idempotency_key: The idempotency key, which is sent only if the effect is `keyed`.
+        retry: Whether this is a retry of an earlier request.
     """
     method = b"GET" if effect == "safe" else b"POST"
     lines = [b"%b /%b?obj=%x HTTP/1.1" % (method, request_class.encode(), key)]
@@ -55,7 +55,7 @@
 
 
 def parse_call_id(value: bytes) -> int:
-    """Returns the number in an X-Call-Id header; -1 where there is none that can be read."""
+    """Return the value of an X-Call-Id header, or -1 if it is not a hexadecimal number."""
     try:
         return int(value, 16)
     except ValueError:
@@ -63,7 +63,7 @@
 
 
 def parse_retry_after(value: bytes) -> int:
-    """Returns a Retry-After header in microseconds; 0 where there is none that can be read."""
+    """Return the value of a Retry-After header in microseconds, or 0 if it is not a number."""
     try:
         return max(0, int(float(value) * 1e6))
     except ValueError:
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request that a server has received; the names of its headers are in lower case."""
+    """A request that a server has received. Header names are in lower case."""
 
     method: bytes = b""
     target: bytes = b""
@@ -85,9 +85,9 @@
     """The outcome of a request.
 
     Attributes:
-        status: 0 where no whole response came.
-        headers: By their names in lower case.
-        body: The whole body.
+        status: The status code; 0 if no complete response was received.
+        headers: Header values by header name in lower case.
+        body: The complete body.
         request_sent: Whether the request was written to an open connection.
     """
 
@@ -101,7 +101,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """A server's side of a connection. Subclasses implement `on_request`."""
+    """The server side of a connection. Subclasses implement `on_request`."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
@@ -109,65 +109,67 @@
         self.request = Request()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Parses what the socket has received."""
+        """Parse bytes that the socket has received."""
         self.feed(data)
 
     def feed(self, data: bytes) -> None:
-        """Parses bytes, whichever way they came."""
+        """Parse bytes of requests, and abort the connection if they are malformed."""
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.transport.abort()
 
     def on_url(self, url: bytes) -> None:
-        """Takes a piece of the target from the parser."""
+        """Append a part of the request target (callback of the parser)."""
         self.request.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header from the parser."""
+        """Store a header (callback of the parser)."""
         self.request.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        """Takes a piece of the body from the parser."""
+        """Append a part of the body (callback of the parser)."""
         self.request.body += body
 
     def on_message_complete(self) -> None:
-        """Passes the whole request on and begins the next."""
+        """Pass the complete request to `on_request` and start the next one (callback of the parser)."""
         self.request.method = self.parser.get_method()
         self.on_request(self.request)
         self.request = Request()
 
     def on_request(self, request: Request) -> None:
-        """Handles a whole request."""
+        """Handle a complete request."""
         raise NotImplementedError
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's side of a connection.
+    """The client side of a connection.
 
     Args:
-        idle: The pool's idle connections, where this one waits between requests.
+        idle_connections: The pool's list of idle connections, which contains this one between requests.
     """
 
-    def __init__(self, idle: list[ClientConnection]) -> None:
-        self.idle = idle
+    def __init__(self, idle_connections: list[ClientConnection]) -> None:
+        self.idle_connections = idle_connections
         self.transport: asyncio.Transport | None = None
-        self.on_response: ResponseCallback | None = None  # while a request is outstanding
-        self.parser: httptools.HttpResponseParser | None = None  # once a request has been written
+        # Set while a request is outstanding.
+        self.on_response: ResponseCallback | None = None
+        # Set when the first request is written.
+        self.parser: httptools.HttpResponseParser | None = None
         self.headers: dict[bytes, bytes] = {}
         self.body = b""
         self.request_sent = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def send(self, data: bytes, on_response: ResponseCallback) -> None:
-        """Writes a request; `on_response` is called once with its outcome, unless it is cancelled."""
+        """Write a request. `on_response` is called once with its outcome, unless it is cancelled."""
         self.on_response = on_response
         self.headers = {}
         self.body = b""
@@ -177,10 +179,10 @@
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        """Parses a response; aborts the connection at data that is no response to a written request.
+        """Parse a response, and abort the connection at any data that is no response to a written request.
 
-        Such data are a malformed response, or any where no request was written (RFC 9112, 9.2). Where a
-        request is outstanding, `connection_lost` reports it as failed.
+        Such data is a malformed response, or any data while no written request is outstanding (RFC 9112,
+        9.2). `connection_lost` then reports an outstanding request as failed.
         """
         if self.on_response is None or self.parser is None:
             self.abort()
@@ -191,101 +193,101 @@
             self.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header from the parser."""
+        """Store a header (callback of the parser)."""
         self.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        """Takes a piece of the body from the parser."""
+        """Append a part of the body (callback of the parser)."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        """Reports a final response and returns the connection to the pool, or closes it."""
+        """Report a final response, and reuse or close the connection (callback of the parser)."""
         assert self.parser is not None
         status = self.parser.get_status_code()
         if status < 200:
             return
         on_response, self.on_response = self.on_response, None
         if self.parser.should_keep_alive():
-            self.idle.append(self)
+            self.idle_connections.append(self)
         elif self.transport is not None:
             self.transport.close()
         if on_response is not None:
             on_response(Response(status, self.headers, self.body, True))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Reports an outstanding request as failed."""
-        if self in self.idle:
-            self.idle.remove(self)
+        """Report an outstanding request as failed when the connection has closed."""
+        if self in self.idle_connections:
+            self.idle_connections.remove(self)
         self.fail(self.request_sent)
 
     def fail(self, request_sent: bool) -> None:
-        """Reports that an outstanding request gets no response."""
+        """Report an outstanding request as failed."""
         on_response, self.on_response = self.on_response, None
         if on_response is not None:
             on_response(Response(0, {}, b"", request_sent))
 
     def cancel(self) -> None:
-        """Aborts the connection; nothing is reported any more."""
+        """Abort the connection without reporting an outcome."""
         self.on_response = None
         self.abort()
 
     def abort(self) -> None:
-        """Aborts the connection; an outstanding request fails when it is lost."""
-        if self in self.idle:
-            self.idle.remove(self)
+        """Abort the connection; `connection_lost` then reports an outstanding request as failed."""
+        if self in self.idle_connections:
+            self.idle_connections.remove(self)
         if self.transport is not None:
             self.transport.abort()
 
 
 class ConnectionPool:
-    """Connections to one address, reused between requests.
+    """A pool of connections to one address, which are reused between requests.
 
     Args:
-        loop: Runs the connections.
-        host: Of the server.
-        port: Of the server.
+        loop: The event loop of the connections.
+        host: The host of the server.
+        port: The port of the server.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, host: str, port: int) -> None:
         self.loop = loop
         self.host = host
         self.port = port
-        self.idle: list[ClientConnection] = []
-        self.connecting: set[asyncio.Task[None]] = set()
+        self.idle_connections: list[ClientConnection] = []
+        self.connect_tasks: set[asyncio.Task[None]] = set()
 
     def send(self, data: bytes, on_response: ResponseCallback) -> ClientConnection:
-        """Sends a request on an idle connection, or on a new one.
+        """Send a request on an idle connection, or on a new one if none is idle.
 
         Returns:
-            The connection, on which the request can be cancelled.
+            The connection, whose `cancel` method cancels the request.
         """
-        while self.idle:
-            connection = self.idle.pop()
+        while self.idle_connections:
+            connection = self.idle_connections.pop()
             if connection.transport is not None and not connection.transport.is_closing():
                 connection.send(data, on_response)
                 return connection
-        connection = ClientConnection(self.idle)
+        connection = ClientConnection(self.idle_connections)
         connection.on_response = on_response
         task = self.loop.create_task(self.connect(connection, data))
-        self.connecting.add(task)
-        task.add_done_callback(self.connecting.discard)
+        self.connect_tasks.add(task)
+        task.add_done_callback(self.connect_tasks.discard)
         return connection
 
     async def connect(self, connection: ClientConnection, data: bytes) -> None:
-        """Opens a connection and sends the request that waits for it."""
+        """Open a connection and send its request, unless it has been cancelled."""
         try:
             await self.loop.create_connection(lambda: connection, self.host, self.port)
         except OSError:
             connection.fail(request_sent=False)
             return
-        if connection.on_response is None:  # cancelled in the meantime
+        if connection.on_response is None:
             connection.cancel()
             return
         connection.send(data, connection.on_response)
 
     def close(self) -> None:
-        """Closes idle connections and those not yet open; outstanding requests end with the server."""
-        for connection in list(self.idle):
+        """Abort idle and unfinished connections; outstanding requests end when the server closes theirs."""
+        for connection in list(self.idle_connections):
             connection.cancel()
-        for task in list(self.connecting):
+        for task in list(self.connect_tasks):
             task.cancel()
--- a/workbench/emulator/lease_command.py
+++ b/workbench/emulator/lease_command.py
@@ -1,7 +1,7 @@
-"""A command that runs while a lease is held, and is ended before the lease expires.
+"""A command that runs while a lease is held, and is terminated before the lease expires.
 
-The node that answers holds the lease on behalf of this process, which counts the remaining time from before
-its request, by its own clock: a late response or a pause in between makes the time shorter and never longer.
+A node holds the lease on behalf of this process. This process measures the remaining time on its own clock,
+from before its request, so a late response or a pause makes the remaining time shorter and never longer.
 """
 
 from __future__ import annotations
@@ -15,54 +15,62 @@
 from typing import Any
 from urllib.parse import quote
 
-from workbench.emulator.child_process import killed_with_parent
+from workbench.emulator.child_process import wrap_with_parent_death_signal
 from workbench.emulator.management_client import ManagementError, put
 
-RENEW_INTERVAL_S = 0.2  # or a quarter of what remains if that is less
-CLOCK_DRIFT = 0.01  # that this machine's clock may be slow by
-TERMINATE_AT, KILL_AT = 0.4, 0.15  # parts of the lease that remain when SIGTERM and SIGKILL are due
+# The lease is renewed more often when less than four such intervals of it remain.
+MAX_RENEW_INTERVAL_S = 0.2
+# The clock of this machine may be slow by this ratio.
+MAX_CLOCK_DRIFT_RATIO = 0.01
+# The shares of the lease that remain when the command gets SIGTERM and SIGKILL.
+TERMINATE_REMAINING_RATIO, KILL_REMAINING_RATIO = 0.4, 0.15
 MIN_CHILD_WAIT_S = 0.01
-EXIT_NOT_ACQUIRED, EXIT_LOST = 75, 76
-SIGNAL_EXIT_BASE = 128  # a shell's status of a command that a signal ended, less the signal's number
-ACQUIRE, RELEASE = "hold", "give"  # pages of a node
+EXIT_LEASE_NOT_ACQUIRED, EXIT_LEASE_LOST = 75, 76
+# A shell reports a command that a signal ended with this status plus the signal's number.
+SIGNAL_EXIT_BASE = 128
+# Pages below `/fleet` of a node's management address.
+ACQUIRE_PAGE, RELEASE_PAGE = "hold", "give"
 HOLDER_ID_BYTES = 8
 
 
 class LeaseCommand:
-    """One command under one lease.
+    """A command that runs under a lease.
 
     Args:
-        lease: The lease's name.
-        nodes: Management addresses; the next is tried where one does not answer.
-        wait: Seconds to wait for the lease.
-        command: Program and arguments.
+        lease: The name of the lease.
+        nodes: Management addresses of nodes. If a node does not respond, the next one is tried.
+        wait_s: The maximum time to wait for the lease.
+        command: The program and its arguments.
         report: Called with each line for the user.
-        now: A clock that goes on while the machine is suspended, in seconds.
+        now: A clock in seconds that continues while the machine is suspended.
     """
 
     def __init__(
         self,
         lease: str,
         nodes: list[tuple[str, int]],
-        wait: float,
+        wait_s: float,
         command: list[str],
         report: Callable[[str], None],
         now: Callable[[], float] = lambda: clock_gettime(CLOCK_BOOTTIME),
     ) -> None:
         self.lease = lease
         self.nodes = nodes
-        self.wait = wait
+        self.wait_s = wait_s
         self.command = command
         self.report = report
         self.now = now
-        self.holder_id = secrets.token_hex(HOLDER_ID_BYTES)  # among those at the same node
+        # Distinguishes this process from others that hold leases through the same node.
+        self.holder_id = secrets.token_hex(HOLDER_ID_BYTES)
         self.token = 0
-        self.expires_at = 0.0  # by this process's clock
-        self.duration = 0.0  # as much remained when it was renewed last
+        # Expiry on the clock `now`.
+        self.expires_at_s = 0.0
+        # The time that remained when the lease was last renewed.
+        self.duration_s = 0.0
         self.failure = ""
 
-    def put(self, page: str) -> dict[str, Any] | None:
-        """Sends one PUT to the first node; returns its JSON, or None where there is no response."""
+    def request_page(self, page: str) -> dict[str, Any] | None:
+        """Send a PUT request to the first node and return its JSON, or None if the request fails."""
         try:
             return put(self.nodes[0], f"/fleet/{page}?duty={quote(self.lease)}&script={self.holder_id}")
         except (ManagementError, ValueError) as error:
@@ -70,75 +78,75 @@
         return None
 
     def renew(self) -> bool:
-        """Acquires or renews the lease; returns whether it is held, under the same token as before."""
+        """Acquire or renew the lease, and return whether it is held with the same token as before."""
         requested_at = self.now()
-        response = self.put(ACQUIRE)
+        response = self.request_page(ACQUIRE_PAGE)
         if response is None:
-            # What this node granted has to expire before another node is asked.
-            if self.expires_at <= requested_at:
+            # A lease that this node has granted must expire before another node is asked.
+            if self.expires_at_s <= requested_at:
                 self.nodes.append(self.nodes.pop(0))
             return False
         if not response.get("held") or (self.token and response["token"] != self.token):
-            self.failure = response.get("why", "another holds it")
+            self.failure = response.get("why", "held by another process")
             return False
         self.token = response["token"]
-        self.duration = response["left_us"] / 1e6 * (1 - CLOCK_DRIFT)
-        self.expires_at = max(self.expires_at, requested_at + self.duration)
+        self.duration_s = response["left_us"] / 1e6 * (1 - MAX_CLOCK_DRIFT_RATIO)
+        self.expires_at_s = max(self.expires_at_s, requested_at + self.duration_s)
         return True
 
     def run(self) -> int:
-        """Waits for the lease, runs the command, releases the lease.
+        """Acquire the lease, run the command and release the lease.
 
         Returns:
-            The command's status, EXIT_NOT_ACQUIRED or EXIT_LOST.
+            The exit status of the command, `EXIT_LEASE_NOT_ACQUIRED` or `EXIT_LEASE_LOST`.
         """
         if not self.acquire():
-            return EXIT_NOT_ACQUIRED
+            return EXIT_LEASE_NOT_ACQUIRED
         self.report(f"{self.lease}: held, token {self.token}")
         env = os.environ | {"FLEET_DUTY": self.lease, "FLEET_TOKEN": str(self.token)}
         signal.signal(signal.SIGTERM, exit_on_signal)
-        with subprocess.Popen(killed_with_parent(self.command), env=env, process_group=0) as child:
+        with subprocess.Popen(wrap_with_parent_death_signal(self.command), env=env, process_group=0) as child:
             try:
-                status = self.watch(child)
+                status = self.supervise(child)
             except BaseException:
                 send_signal(child, signal.SIGKILL)
                 raise
             finally:
-                self.put(RELEASE)
+                self.request_page(RELEASE_PAGE)
         return status
 
     def acquire(self) -> bool:
-        """Waits for the lease; returns whether it is held."""
-        deadline = self.now() + self.wait
+        """Wait for the lease, and return whether it was acquired in time."""
+        deadline = self.now() + self.wait_s
         while not self.renew():
             if self.now() >= deadline:
-                self.put(RELEASE)
-                self.report(f"{self.lease}: not held after {self.wait:g} s: {self.failure}")
+                self.request_page(RELEASE_PAGE)
+                self.report(f"{self.lease}: not acquired after {self.wait_s:g} s: {self.failure}")
                 return False
-            sleep(RENEW_INTERVAL_S)
+            sleep(MAX_RENEW_INTERVAL_S)
         return True
 
-    def watch(self, child: subprocess.Popen[bytes]) -> int:
-        """Renews the lease while the command runs, and ends the command before the lease expires.
+    def supervise(self, child: subprocess.Popen[bytes]) -> int:
+        """Renew the lease while the command runs, and end the command before the lease expires.
 
         Returns:
-            The command's status, or EXIT_LOST.
+            The exit status of the command, or `EXIT_LEASE_LOST`.
         """
         terminated = False
         while True:
-            remaining = self.expires_at - self.now()
-            if remaining <= self.duration * KILL_AT:
+            remaining = self.expires_at_s - self.now()
+            if remaining <= self.duration_s * KILL_REMAINING_RATIO:
                 send_signal(child, signal.SIGKILL)
                 child.wait()
                 self.report(f"{self.lease}: lost, the command was killed: {self.failure}")
-                return EXIT_LOST
-            if remaining <= self.duration * TERMINATE_AT and not terminated:
+                return EXIT_LEASE_LOST
+            if remaining <= self.duration_s * TERMINATE_REMAINING_RATIO and not terminated:
                 terminated = True
-                self.report(f"{self.lease}: not renewed, the command is told to end: {self.failure}")
+                self.report(f"{self.lease}: not renewed, sending SIGTERM to the command: {self.failure}")
                 send_signal(child, signal.SIGTERM)
             try:
-                status = child.wait(max(MIN_CHILD_WAIT_S, min(RENEW_INTERVAL_S, remaining / 4)))
-                return EXIT_LOST if terminated else exit_status(status)
+                status = child.wait(max(MIN_CHILD_WAIT_S, min(MAX_RENEW_INTERVAL_S, remaining / 4)))
+                return EXIT_LEASE_LOST if terminated else exit_status(status)
             except subprocess.TimeoutExpired:
                 pass
             if not terminated:
@@ -146,16 +154,16 @@
 
 
 def exit_status(returncode: int) -> int:
-    """Returns a command's status as a shell gives it."""
+    """Return the exit status that a shell would report for a return code of `Popen`."""
     return returncode if returncode >= 0 else SIGNAL_EXIT_BASE - returncode
 
 
-def exit_on_signal(number: int, frame: Any) -> None:
-    """Exits, which ends the command and releases the lease."""
-    raise SystemExit(SIGNAL_EXIT_BASE + number)
+def exit_on_signal(signal_number: int, frame: Any) -> None:
+    """Exit this process; its cleanup kills the command and releases the lease."""
+    raise SystemExit(SIGNAL_EXIT_BASE + signal_number)
 
 
-def send_signal(child: subprocess.Popen[bytes], number: signal.Signals) -> None:
-    """Sends a signal to the command and all that it started."""
+def send_signal(child: subprocess.Popen[bytes], signal_number: signal.Signals) -> None:
+    """Send a signal to the process group of the command, unless the command has ended."""
     if child.poll() is None:
-        os.killpg(child.pid, number)
+        os.killpg(child.pid, signal_number)
--- a/workbench/emulator/management_client.py
+++ b/workbench/emulator/management_client.py
@@ -1,4 +1,4 @@
-"""A client of nodes' management addresses, one call at a time."""
+"""Synchronous HTTP client of the management addresses of nodes."""
 
 from __future__ import annotations
 
@@ -10,22 +10,24 @@
 
 REQUEST_TIMEOUT_S = 2.0
 UPDATE_POLL_INTERVAL_S = 0.5
-MAX_FAILED_POLLS = 20  # in a row, since the node that is asked is itself replaced
+# The maximum number of consecutive failures; polls fail while the polled node itself is being replaced.
+MAX_FAILED_POLLS = 20
 MAX_PORT = 65535
-UPDATE_KEY = "replace"  # of the page /fleet
+# The key of the rolling update on the page `/fleet`.
+UPDATE_KEY = "replace"
 UPDATE_FINAL_STATES = ("done", "stopped", "none")
 UPDATE_INTERNAL_KEYS = ("begun_us", "leads")
 
 
 class ManagementError(Exception):
-    """A management call that failed; the message is one line."""
+    """A management request has failed. The message is a single line."""
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Parses a management address `host:port`.
+    """Parse a management address `host:port`.
 
     Raises:
-        ManagementError: The text has another form.
+        ManagementError: The text has a different form.
     """
     host, _, port = text.removeprefix("http://").rstrip("/").rpartition(":")
     if not host or not (port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
@@ -34,10 +36,10 @@
 
 
 def send_request(address: tuple[str, int], method: str, path: str) -> dict[str, Any]:
-    """Returns the JSON of one response.
+    """Send a request and return the JSON object of its response.
 
     Raises:
-        ManagementError: There is no response, or its status is not 200.
+        ManagementError: There is no valid response, or its status is not 200.
     """
     host, port = address
     connection = http.client.HTTPConnection(host, port, timeout=REQUEST_TIMEOUT_S)
@@ -56,44 +58,44 @@
 
 
 def get(address: tuple[str, int], path: str) -> dict[str, Any]:
-    """Returns what a page shows.
+    """Return the JSON object of a management page.
 
     Raises:
-        ManagementError: There is no response, or its status is not 200.
+        ManagementError: There is no valid response, or its status is not 200.
     """
     return send_request(address, "GET", path)
 
 
 def put(address: tuple[str, int], path: str) -> dict[str, Any]:
-    """Requests an action and returns the node's response to it.
+    """Request an action and return the node's response.
 
     Raises:
-        ManagementError: There is no response, or its status is not 200.
+        ManagementError: There is no valid response, or its status is not 200.
     """
     return send_request(address, "PUT", path)
 
 
 def follow_update(address: tuple[str, int], report: Callable[[str], Any]) -> dict[str, Any]:
-    """Reports each change of a rolling update until it has ended, and returns its last state.
+    """Report each change of a rolling update until it has ended, and return its last state.
 
     Raises:
-        ManagementError: The node has not answered for long.
+        ManagementError: More than `MAX_FAILED_POLLS` consecutive polls failed.
     """
     last_line = ""
     failed_polls = 0
     while True:
         try:
-            table = dict(get(address, "/fleet").get(UPDATE_KEY) or {"state": "none"})
+            update = dict(get(address, "/fleet").get(UPDATE_KEY) or {"state": "none"})
             failed_polls = 0
         except ManagementError:
             failed_polls += 1
             if failed_polls > MAX_FAILED_POLLS:
                 raise
-            table = {"state": "unknown"}  # the node that is asked is being replaced itself
-        line = ", ".join(f"{key} {value}" for key, value in table.items() if key not in UPDATE_INTERNAL_KEYS)
+            update = {"state": "unknown"}
+        line = ", ".join(f"{key} {value}" for key, value in update.items() if key not in UPDATE_INTERNAL_KEYS)
         if line != last_line:
             report(line)
             last_line = line
-        if table["state"] in UPDATE_FINAL_STATES:
-            return table
+        if update["state"] in UPDATE_FINAL_STATES:
+            return update
         sleep(UPDATE_POLL_INTERVAL_S)
--- a/workbench/emulator/nodes.py
+++ b/workbench/emulator/nodes.py
@@ -1,4 +1,4 @@
-"""Real nodes in the model: clients' calls become requests to a process, its attempts come to servers."""
+"""Real nodes in the model: calls of clients are sent to node processes, whose attempts reach the servers."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
     ConnectionPool,
     Request,
     Response,
+    encode_request,
+    encode_response,
     parse_call_id,
     parse_retry_after,
-    request_bytes,
-    response_bytes,
 )
 from workbench.emulator.links import Link
 from workbench.emulator.server_proxy import (
@@ -33,55 +33,59 @@
 from workbench.model.server import Server
 from workbench.model.site import EFFECT_WORDS, World
 
-SERVER_POLL_INTERVAL = 10_000  # microseconds between two looks at the servers' state
+# The interval at which the proxies are synchronized with the servers' state.
+SERVER_POLL_INTERVAL_US = 10_000
 ATTEMPT_KEY_STRIDE = 0x9E3779B1
 REJECTION_STATUSES = (429, 503)
-ENDPOINT_STATES = {State.READY: "ready", State.DRAINING: "draining"}  # any other is gone
-# As stored histories and accounts spell them.
-WRONG_RESPONSE, CLIENT_LEFT, NO_RESPONSE = "spoilt", "left", "none"
+# Any other state is sent as `gone`.
+ENDPOINT_STATES = {State.READY: "ready", State.DRAINING: "draining"}
+# Answers that stored histories contain besides the names of `Answer` in lower case.
+WRONG_RESPONSE, CLIENT_DISCONNECTED, NO_RESPONSE = "spoilt", "left", "none"
+# Stored accounts and histories contain these reasons.
 CAUSE_REJECTED, CAUSE_RESET = Cause("refused at the limit", 0), Cause("reset", 0)
 
-Observe = Callable[..., None]  # writes one event of the history
+# Writes one event with its fields to the history.
+RecordEvent = Callable[..., None]
 
 
 class ProcessControl(Protocol):
-    """Starts and ends the processes of nodes."""
+    """Starts and stops the processes of nodes."""
 
     def boot(self, node: NodeAdapter) -> None:
-        """Starts a node's process, unless it runs."""
+        """Start a node's process, unless it is already running."""
 
-    def leave(self, node: NodeAdapter) -> None:
-        """Sends SIGTERM."""
+    def terminate(self, node: NodeAdapter) -> None:
+        """Send SIGTERM to a node's process."""
 
     def kill(self, node: NodeAdapter) -> None:
-        """Sends SIGKILL."""
+        """Send SIGKILL to a node's process."""
 
 
 class NoProcessControl:
-    """A control that does nothing, for nodes that are started by hand."""
+    """Process control without effect, for nodes that the user starts."""
 
     def boot(self, node: NodeAdapter) -> None:
-        """Does nothing."""
+        """Do nothing."""
 
-    leave = kill = boot
+    terminate = kill = boot
 
 
 @dataclass(frozen=True, slots=True)
 class OpenRequest:
-    """A request that the node has not answered yet, and when it was sent."""
+    """A request that the node has not answered yet; `sent_at` is in microseconds."""
 
     connection: ClientConnection
     sent_at: int
 
 
 class NodeAdapter:
-    """A `Port` of the model whose node is a process.
+    """A `Port` of the model whose node is a real process.
 
     Args:
         site: The emulation that the node belongs to.
-        name: The node's name.
-        index: The node's number, which its addresses follow from.
-        settings: The settings of its policy.
+        name: The name of the node.
+        index: The number of the node, which determines its addresses.
+        settings: The settings of the node's policy.
     """
 
     def __init__(self, site: Site, name: str, index: int, settings: Settings) -> None:
@@ -93,49 +97,51 @@
         self.zone = settings.zone
         self.up = self.ready = False
         self.starts: dict[int, int] = {}
-        self.unavailable_since: dict[int, int] = {}  # when it was notified of servers that drain or are gone
+        # The time at which the node was notified that a server drains or is gone, by server id.
+        self.unavailable_since: dict[int, int] = {}
         self.health_checks = 0
         self.proxies: dict[int, ServerProxy] = {}
-        self.agent = DiscoveryAgent(site.loop, self.endpoint_of, self.on_notified)
+        self.agent = DiscoveryAgent(site.loop, self.make_endpoint, self.on_notified)
         self.connections = ConnectionPool(site.loop, site.addresses.node_host(index), CLIENT_PORT)
-        self.open_requests: dict[int, OpenRequest] = {}  # by call
+        # Open requests by call id.
+        self.open_requests: dict[int, OpenRequest] = {}
         self.subscriber: Any = None
 
-    # ---- what the model does to it --------------------------------------------------------------------
+    # ---- Commands and calls of the model --------------------------------------------------------------
 
     def boot(self) -> None:
-        """Starts the node's process."""
+        """Start the node's process."""
         self.site.control.boot(self)
 
     def drain(self) -> None:
-        """Ends the node's process gracefully."""
-        self.site.control.leave(self)
+        """Shut the node's process down gracefully."""
+        self.site.control.terminate(self)
 
     def kill(self) -> None:
-        """Kills the node's process."""
+        """Kill the node's process."""
         self.site.control.kill(self)
 
     def expect(self, at: int, call: Call) -> None:
-        """Schedules a client's call, which arrives at `at`."""
+        """Schedule a client's call that arrives at the time `at`."""
         call.node = self
         self.site.clock.call_at(at, self.accept, call)
 
     def accept(self, call: Call) -> None:
-        """Sends a client's request; the client's time began when it was due."""
+        """Send a client's request to the node; its deadline counts from its due time."""
         site = self.site
         call.accepted = True
         site.calls[call.id] = call
         site.world.accounts.calls[0] += 1
-        sent_at = site.clock.real()
+        sent_at = site.clock.real_time()
         connection = self.connections.send(
-            self.request_of(call), lambda response: self.on_response(call, sent_at, response)
+            self.encode_call(call), lambda response: self.on_response(call, sent_at, response)
         )
         self.open_requests[call.id] = OpenRequest(connection, sent_at)
 
-    def request_of(self, call: Call) -> bytes:
-        """Returns a call as a request to the node."""
+    def encode_call(self, call: Call) -> bytes:
+        """Encode a call as a request to the node."""
         root = call.root
-        return request_bytes(
+        return encode_request(
             self.site.class_name(call),
             self.site.effect_name(call),
             root.key,
@@ -146,34 +152,36 @@
         )
 
     def on_response(self, call: Call, sent_at: int, response: Response) -> None:
-        """Handles the node's response, or the end of the connection."""
+        """Handle the node's response or the loss of the connection."""
         self.site.clock.catch_up()
         self.open_requests.pop(call.id, None)
         if not call.open:
             return
         call.open = False
-        answer = answer_of(response)
+        answer = classify_response(response)
         retry_after = 0
         if answer == Answer.REFUSED:
             retry_after = parse_retry_after(response.headers.get(b"retry-after", b""))
-            self.count_rejection(call)
+            self.record_rejection(call)
         elif not response.status:
             call.cause = CAUSE_RESET
-        wrong = answer == Answer.OK and not response.body.endswith(b" %016x" % call.id)
-        self.record_request(call, sent_at, WRONG_RESPONSE if wrong else answer.name.lower(), response.status)
+        is_wrong = answer == Answer.OK and not response.body.endswith(b" %016x" % call.id)
+        self.record_request(
+            call, sent_at, WRONG_RESPONSE if is_wrong else answer.name.lower(), response.status
+        )
         call.caller.answered(call, answer, retry_after)
 
-    def count_rejection(self, call: Call) -> None:
-        """Records that the node has rejected a call."""
+    def record_rejection(self, call: Call) -> None:
+        """Record that the node has rejected a call."""
         if not call.sent:
             call.cause = CAUSE_REJECTED
         self.site.world.referee.check_rejection(self.site.clock.now, call)
         self.site.world.accounts.rejections[0] += 1
 
     def record_request(self, call: Call, sent_at: int, answer: str, status: int = 0) -> None:
-        """Writes one request at this node, and how it ended, to the history."""
+        """Write the outcome of one request at this node to the history."""
         root = call.root
-        self.site.observe(
+        self.site.record_event(
             "request",
             id=f"{call.id:016x}",
             node=self.name,
@@ -188,15 +196,15 @@
         )
 
     def client_disconnected(self, call: Call) -> None:
-        """Cancels the request of a client that has left."""
-        self.cancel(call, CLIENT_LEFT)
+        """Cancel the request of a client that has disconnected."""
+        self.cancel(call, CLIENT_DISCONNECTED)
 
     def deadline_missed(self, call: Call) -> None:
-        """Cancels a request whose time and the slack are over."""
+        """Cancel a request that is still open after its deadline and the answer slack."""
         self.cancel(call, NO_RESPONSE)
 
     def cancel(self, call: Call, answer: str) -> None:
-        """Cancels a request that is open still."""
+        """Cancel a request that is still open, and record its answer."""
         if not call.open:
             return
         call.open = False
@@ -204,28 +212,28 @@
         request.connection.cancel()
         self.record_request(call, request.sent_at, answer)
 
-    # ---- what servers do to it ------------------------------------------------------------------------
+    # ---- Attempts of the node at servers --------------------------------------------------------------
 
     def on_attempt(self, connection: ProxyConnection, request: Request) -> None:
-        """Handles one of this node's attempts, which has come to a server whole."""
+        """Handle an attempt of this node that a server has received completely."""
         site = self.site
         server = connection.proxy.server
         call = site.find_call(parse_call_id(request.headers.get(b"x-call-id", b"")), request.target)
         if call is None:
-            site.observe("stray", node=self.name, server=server.spec.name)
-            connection.outbound.send(response_bytes(400))
+            site.record_event("stray", node=self.name, server=server.spec.name)
+            connection.outbound.send(encode_response(400))
             return
         number = len(call.sent)
         key = call.key + number * ATTEMPT_KEY_STRIDE
         attempt = Attempt(call, number, server, self, key, site.clock.now)
         connection.unavailable_since = self.unavailable_since.get(server.id, NOT_NOTIFIED)
-        self.count_attempt(attempt, connection.unavailable_since)
+        self.record_attempt(attempt, connection.unavailable_since)
         attempt.connection = connection
         connection.attempt = attempt
         server.arrive(attempt)
 
-    def count_attempt(self, attempt: Attempt, unavailable_since: int) -> None:
-        """Records a new attempt with its call, the referee and the accounts."""
+    def record_attempt(self, attempt: Attempt, unavailable_since: int) -> None:
+        """Record a new attempt in its call and in the accounts, and check it with the referee."""
         world, call, server = self.site.world, attempt.call, attempt.server
         if unavailable_since >= 0 or call.in_flight or call.ran_on is not None:
             world.referee.check_attempt(attempt.sent_at, call, server, unavailable_since)
@@ -236,7 +244,7 @@
         world.accounts.crossings += server.zone != self.zone
 
     def reply(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Sends a server's response to an attempt; its process may have ended instead."""
+        """Send a server's response to an attempt, or reset its connection if the outcome has no response."""
         if attempt.ended:
             return
         call = attempt.call
@@ -247,18 +255,18 @@
         connection.respond(outcome, f"{attempt.server.spec.name} {call.id:016x}".encode())
 
     def on_disconnect(self, attempt: Attempt) -> None:
-        """Cancels an attempt whose connection the node has closed."""
+        """Cancel an attempt whose connection the node has closed."""
         attempt.server.abandon(attempt)
         self.close_attempt(attempt, Outcome.CANCELLED)
 
     def close_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Records the outcome of an attempt."""
+        """Record the outcome of an attempt."""
         attempt.ended = True
         call = attempt.call
         call.in_flight -= 1
         site = self.site
         site.world.referee.attempt_ended(call, attempt.server, attempt.sent_at, outcome)
-        site.observe(
+        site.record_event(
             "attempt",
             id=f"{call.id:016x}",
             node=self.name,
@@ -272,14 +280,14 @@
             away=attempt.connection.unavailable_since,
         )
 
-    # ---- what discovery does to it --------------------------------------------------------------------
+    # ---- Notifications of discovery -------------------------------------------------------------------
 
     def update_servers(self, kind: ListKind, entries: list[ServerEntry]) -> None:
-        """Passes a list or changes on to the node's agent."""
+        """Pass a full list or changes to the node's discovery agent."""
         self.agent.update(kind, entries)
 
-    def endpoint_of(self, entry: ServerEntry) -> Endpoint:
-        """Returns a server as the agent lists it, at the address of this node's proxy."""
+    def make_endpoint(self, entry: ServerEntry) -> Endpoint:
+        """Return a server as an endpoint whose address is that of this node's proxy."""
         server = self.site.world.by_id[entry.server]
         proxy = self.proxies.get(server.id)
         if proxy is None:
@@ -296,7 +304,7 @@
         }
 
     def on_notified(self, endpoints: list[Endpoint]) -> None:
-        """Records the endpoints that have just been written to the node."""
+        """Record which servers' states the agent has sent to the node."""
         now = self.site.clock.catch_up()
         for endpoint in endpoints:
             name, state = endpoint["id"], endpoint["state"]
@@ -306,16 +314,16 @@
                 self.unavailable_since.pop(server.id, None)
             elif server.id not in self.unavailable_since:
                 self.unavailable_since[server.id] = now
-                self.site.observe("told", node=self.name, server=name, state=state)
+                self.site.record_event("told", node=self.name, server=name, state=state)
 
     def on_process_ended(self) -> None:
-        """Forgets what the process was notified of, and its idle connections."""
+        """Discard what the ended process was notified of, and close its idle connections."""
         self.starts.clear()
         self.unavailable_since.clear()
         self.connections.close()
 
     def close(self) -> None:
-        """Closes the connections to the node, its agent and its proxies."""
+        """Close the connections to the node, its agent and its proxies."""
         self.connections.close()
         self.agent.close()
         for proxy in self.proxies.values():
@@ -323,16 +331,16 @@
 
 
 class Site:
-    """The `Hosts` of an emulated world: an adapter for each node, the proxies between nodes and servers.
+    """The `Hosts` of an emulated world, with an adapter for each node and the proxies of its servers.
 
     Args:
-        loop: Runs all sockets.
-        clock: The world's clock.
+        loop: The event loop of all sockets.
+        clock: The clock of the emulated world.
         addresses: The loopback addresses of the emulation.
-        control: Starts and ends the nodes' processes.
-        observe: Writes an event of the history.
-        link_between: Returns the link from one named endpoint and its zone to another.
-        epoch_ms: Unix time at which the world's clock would have stood at 0.
+        control: Starts and stops the node processes.
+        record_event: Writes an event to the history.
+        link_between: Returns the link between two endpoints, given the name and zone of each.
+        epoch_ms: Unix time in milliseconds that corresponds to time 0 of the clock.
     """
 
     def __init__(
@@ -341,7 +349,7 @@
         clock: RealTimeClock,
         addresses: AddressBlock,
         control: ProcessControl,
-        observe: Observe,
+        record_event: RecordEvent,
         link_between: Callable[[str, int, str, int], Link],
         epoch_ms: int,
     ) -> None:
@@ -349,7 +357,7 @@
         self.clock = clock
         self.addresses = addresses
         self.control = control
-        self.observe = observe
+        self.record_event = record_event
         self.link_between = link_between
         self.epoch_ms = epoch_ms
         self.nodes: list[NodeAdapter] = []
@@ -358,13 +366,13 @@
         self.world: World
 
     def node(self, world: World, name: str, tier: int, settings: Settings) -> NodeAdapter:
-        """Makes a node of the world.
+        """Create the adapter of one node of the world and subscribe it to discovery.
 
         Raises:
-            ValueError: The node is not of the first tier.
+            ValueError: The node is not in the first tier.
         """
         if tier:
-            raise ValueError("a day in real time has one tier: servers of others have nodes of their own")
+            raise ValueError(f"node {name}: in tier {tier}, but an emulated scenario must have one tier")
         self.world = world
         node = NodeAdapter(self, f"n{len(self.nodes)}", len(self.nodes), settings)
         node.subscriber = world.discovery.subscribe(node)
@@ -372,21 +380,21 @@
         return node
 
     def start(self) -> None:
-        """Starts the discovery agents, each with the list as it stands."""
+        """Start the discovery agents with the current server list, and the polling of the servers."""
         for node in self.nodes:
             node.agent.start(self.addresses.agent_address(node.index))
             self.world.discovery.boot(node.subscriber)
         self.poll_servers(None)
 
     def poll_servers(self, _: Any) -> None:
-        """Brings the proxies in line with the servers, again and again."""
+        """Synchronize all proxies with their servers, and schedule the next poll."""
         idle_timeout = int(fixed_float(self.world.day.network.idle_s) * 1e6)
         proxies = [proxy for node in self.nodes for proxy in node.proxies.values()]
         synchronize_all(proxies, self.clock.now, idle_timeout)
-        self.clock.call_at(self.clock.now + SERVER_POLL_INTERVAL, self.poll_servers, None)
+        self.clock.call_at(self.clock.now + SERVER_POLL_INTERVAL_US, self.poll_servers, None)
 
     def open_proxy(self, node: NodeAdapter, server: Server) -> ServerProxy:
-        """Opens the proxy at which a node reaches a server."""
+        """Open the proxy through which a node reaches a server."""
         name = server.spec.name
         self.servers_by_name[name] = server
         request_link = self.link_between(node.name, node.zone, name, server.zone)
@@ -395,34 +403,34 @@
         return ServerProxy(self.clock, server, node, host, request_link, response_link)
 
     def find_call(self, call_id: int, target: bytes) -> Call | None:
-        """Returns the call that a request at a server belongs to; None where no client sent it."""
+        """Return the call with the id in a request at a server, or None if no client made the call."""
         return self.calls.get(call_id)
 
     def class_name(self, call: Call) -> str:
-        """Returns the name of a call's request class."""
+        """Return the name of a call's request class."""
         return self.world.day.request_classes[call.root.request_class].name
 
     def effect_name(self, call: Call) -> str:
-        """Returns the effect of a call as scenarios spell it."""
+        """Return the effect of a call as named in scenarios."""
         return EFFECT_WORDS[self.world.classes[call.root.request_class].effect]
 
     def zone_name(self, zone: int) -> str:
-        """Returns a zone's name."""
+        """Return the name of a zone in the nodes' configuration."""
         return f"z{zone}"
 
     def kind_name(self, kind: int) -> str:
-        """Returns the name of a kind of servers."""
-        kinds = [k.name for t in self.world.day.tier for k in t.kind]
-        return kinds[kind]
+        """Return the name of a server kind."""
+        kind_names = [k.name for t in self.world.day.tier for k in t.kind]
+        return kind_names[kind]
 
     def close(self) -> None:
-        """Closes all sockets."""
+        """Close all sockets of all nodes."""
         for node in self.nodes:
             node.close()
 
 
-def answer_of(response: Response) -> Answer:
-    """Returns what a client makes of a response."""
+def classify_response(response: Response) -> Answer:
+    """Return the answer that a client sees in a response."""
     if response.status == 200:
         return Answer.OK
     if response.status in REJECTION_STATUSES:
