--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -9,7 +9,7 @@
 
 from balancer.policy.interface import Effect
 from workbench.emulator.address_block import AddressBlock
-from workbench.emulator.http import request_bytes
+from workbench.emulator.http import encode_request
 from workbench.emulator.links import Link, Stream
 from workbench.lab.earlier import package_in, unpack
 from workbench.lab.plan import PlanError, chosen, draw, plan_of, scenario, shipped
@@ -141,9 +141,9 @@
 def test_links_lose_double_delay_and_hold() -> None:
     clock = HeapClock(1_000)
     link = Link(clock, Random(1), 200)
-    assert link.datagram(100) == [1_200]
+    assert link.datagram_arrivals(100) == [1_200]
     link.loss, link.duplicate, link.reorder = 0.3, 0.2, 0.1
-    arrivals = [link.datagram(100) for _ in range(4_000)]
+    arrivals = [link.datagram_arrivals(100) for _ in range(4_000)]
     share = {n: sum(len(a) == n for a in arrivals) / 4_000 for n in (0, 1, 2)}
     assert abs(share[0] - 0.3) < 0.03 and abs(share[2] - 0.14) < 0.03
     assert sum(a[0] > 1_200 for a in arrivals if a) / sum(map(bool, arrivals)) == pytest.approx(0.1, abs=0.02)
@@ -151,28 +151,28 @@
     got: list[bytes] = []
     stream = Stream(link, got.append)
     stream.send(b"a")
-    link.cut(True)
-    link.cut(True)
+    link.set_cut(True)
+    link.set_cut(True)
     stream.send(b"b")
-    assert link.datagram(10) == []
-    link.cut(False)
+    assert link.datagram_arrivals(10) == []
+    link.set_cut(False)
     clock.run(10_000)
     assert got == [b"a"]
     stream.send(b"c")
-    link.cut(False)
-    link.loss, link.jitter = 0.5, 5_000
+    link.set_cut(False)
+    link.loss, link.jitter_us = 0.5, 5_000
     for i in range(50):
         stream.send(b"%d" % i)
     clock.run(60_000_000)
     assert got == [b"a", b"b", b"c", *(b"%d" % i for i in range(50))]
-    link.loss, link.jitter, link.rate = 0.0, 0, 1_000.0
+    link.loss, link.jitter_us, link.bytes_per_s = 0.0, 0, 1_000.0
     begun = clock.now
-    assert [link.wait(500) - begun for _ in range(2)] == [500_200, 1_000_200]
+    assert [link.arrival_time(500) - begun for _ in range(2)] == [500_200, 1_000_200]
 
 
 def test_two_labs_never_share_an_address() -> None:
     held = [AddressBlock(Random(7)) for _ in range(3)]
-    assert len({p.block for p in held}) == 3
+    assert len({p.prefix for p in held}) == 3
     for p in held:
         p.close()
 
@@ -192,5 +192,5 @@
     effect: Effect, method: bytes, has_key: bool
 ) -> None:
     """Failure prevented: an effect is renamed, and the node answers all requests of the lab with 400."""
-    data = request_bytes("a", EFFECT_WORDS[effect], 1, 1, 100, b"key")
+    data = encode_request("a", EFFECT_WORDS[effect], 1, 1, 100, b"key")
     assert data.startswith(method + b" /a?") and (b"Idempotency-Key: key" in data) is has_key
--- a/workbench/lab/fleet.py
+++ b/workbench/lab/fleet.py
@@ -52,7 +52,7 @@
         if self.members:
             self.members[node.index].start()
 
-    def leave(self, node: NodeAdapter) -> None:
+    def terminate(self, node: NodeAdapter) -> None:
         """Asks a node's process to stop, for the emulated world."""
         self.members[node.index].signal(signal.SIGTERM)
 
--- a/workbench/lab/member.py
+++ b/workbench/lab/member.py
@@ -264,7 +264,7 @@
         if self.requesting_lease or not self.running or self.process is None:
             return
         self.requesting_lease = True
-        process_number, asked_at = self.process_number, self.fleet.site.clock.real()
+        process_number, asked_at = self.process_number, self.fleet.site.clock.real_time()
         path = b"/fleet/hold?duty=lab&script=%b" % self.name.encode()
         response = await fetch(self.fleet.loop, self.command_pool, path, LEASE_TIMEOUT_S, b"PUT")
         self.requesting_lease = False
@@ -277,7 +277,7 @@
         if not lease["held"]:
             return
         until = asked_at + lease["left_us"]
-        now = self.fleet.site.clock.real()
+        now = self.fleet.site.clock.real_time()
         if until > now:
             fields = {"asked": asked_at, "answered": now, "until": until, "token": lease["token"]}
             self.fleet.record("duty", node=self.name, life=process_number, **fields)
--- a/workbench/lab/network.py
+++ b/workbench/lab/network.py
@@ -15,7 +15,7 @@
 
 from workbench.emulator.address_block import DATAGRAM_PORT, AddressBlock
 from workbench.emulator.clock import RealTimeClock
-from workbench.emulator.links import Link, Timer
+from workbench.emulator.links import Link, LinkClock
 from workbench.lab.plan import Fault, number
 from workbench.model.streams import Streams
 
@@ -71,15 +71,15 @@
         """Applies the fault to a link, or removes it."""
         fault = self.fault
         if fault.type == "cut":
-            link.cut(active)
+            link.set_cut(active)
             return
         sign = 1 if active else -1
         link.loss += sign * number(fault.loss)
         link.duplicate += sign * number(fault.duplicate)
         link.reorder += sign * number(fault.reorder)
-        link.delay += sign * int(number(fault.delay_ms) * US_PER_MS)
-        link.jitter += sign * int(number(fault.jitter_ms) * US_PER_MS)
-        link.rate = number(fault.kbytes_s) * BYTES_PER_KILOBYTE if active else 0.0
+        link.delay_us += sign * int(number(fault.delay_ms) * US_PER_MS)
+        link.jitter_us += sign * int(number(fault.jitter_ms) * US_PER_MS)
+        link.bytes_per_s = number(fault.kbytes_s) * BYTES_PER_KILOBYTE if active else 0.0
 
 
 class Links:
@@ -91,7 +91,7 @@
         base_delay: Microseconds one way between two zones.
     """
 
-    def __init__(self, timer: Timer, streams: Streams, base_delay: Callable[[int, int], int]) -> None:
+    def __init__(self, timer: LinkClock, streams: Streams, base_delay: Callable[[int, int], int]) -> None:
         self.timer = timer
         self.streams = streams
         self.base_delay = base_delay
@@ -180,7 +180,7 @@
             return
         self.counts["taken"] += 1
         link = self.links.between(self.endpoints[source], self.endpoints[destination])
-        arrivals = link.datagram(len(data))
+        arrivals = link.datagram_arrivals(len(data))
         self.counts["lost"] += not arrivals
         for at in arrivals:
             self.clock.call_at(at, self.forward, RelayedDatagram(source, destination, data))
--- a/workbench/lab/node_configuration.py
+++ b/workbench/lab/node_configuration.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from workbench.emulator.address_block import DATAGRAM_PORT
-from workbench.emulator.config import node_table
+from workbench.emulator.config import build_node_configuration
 from workbench.emulator.nodes import NodeAdapter, Site
 from workbench.lab.plan import Plan, number
 
@@ -39,7 +39,7 @@
 
 def node_configuration(site: Site, plan: Plan, node: NodeAdapter, settings: FleetSettings) -> dict[str, Any]:
     """Returns a node's configuration now: the server list as its agent has it, and its fleet."""
-    table = node_table(site, node, plan.seed * SEEDS_PER_PLAN_SEED + node.index)
+    table = build_node_configuration(site, node, plan.seed * SEEDS_PER_PLAN_SEED + node.index)
     if not plan.fleet:
         return table
     return table | {"fleet": fleet_section(site, plan, node, settings) | enabled_components(site, plan, node)}
--- a/workbench/lab/process.py
+++ b/workbench/lab/process.py
@@ -15,7 +15,7 @@
 from typing import Any, NamedTuple
 
 from workbench.baselines.revisions import NODE_PACKAGE
-from workbench.emulator.child_process import killed_with_parent
+from workbench.emulator.child_process import wrap_with_parent_death_signal
 
 READ_BYTES = 65536
 MAX_LOG_BYTES = 2 << 20  # in all: a node writes some 300 a second
@@ -70,7 +70,7 @@
         config.write_text(json.dumps(table))
         env = {k: v for k, v in os.environ.items() if not k.startswith("LB_")}
         self.popen = subprocess.Popen(
-            killed_with_parent(command),
+            wrap_with_parent_death_signal(command),
             env=env | {"LB_CONFIG": str(config), "TMPDIR": str(config.parent)},
             cwd=cwd,
             stdin=subprocess.DEVNULL,
--- a/workbench/lab/run.py
+++ b/workbench/lab/run.py
@@ -115,7 +115,7 @@
 
     def record(self, event: str, **fields: Any) -> None:
         """Writes one event of the history, now."""
-        self.history.write((self.clock.real() - CLOCK_START_US) / 1e6, event, **fields)
+        self.history.write((self.clock.real_time() - CLOCK_START_US) / 1e6, event, **fields)
         if self.history.fault:
             self.stop.set()
 
--- a/workbench/scale/latency.py
+++ b/workbench/scale/latency.py
@@ -29,7 +29,7 @@
 import uvloop
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from workbench.emulator.http import ConnectionPool, Response, request_bytes
+from workbench.emulator.http import ConnectionPool, Response, encode_request
 from workbench.scale.loopback import Bench, Usage, bench, serve, usage
 from workbench.scale.quiet import QuietWatch
 from workbench.scale.target import DEEPEST_CALL
@@ -123,7 +123,7 @@
 
 def ask(lines: ConnectionPool, stream: Stream, due: int, number: int) -> None:
     """Sends one request."""
-    data = request_bytes("view", "safe", number & 0xFFFF, number, BUDGET_MS, b"%016x" % number)
+    data = encode_request("view", "safe", number & 0xFFFF, number, BUDGET_MS, b"%016x" % number)
     stream.asked += 1
     lines.send(data, lambda reply: stream.record(due, reply))
 
--- a/workbench/scale/loopback.py
+++ b/workbench/scale/loopback.py
@@ -17,8 +17,8 @@
 
 from workbench.emulator.address_block import CLIENT_PORT, MANAGEMENT_PORT, AddressBlock
 from workbench.emulator.agent import DiscoveryAgent
-from workbench.emulator.child_process import killed_with_parent
-from workbench.emulator.http import Request, ServerConnection, response_bytes
+from workbench.emulator.child_process import wrap_with_parent_death_signal
+from workbench.emulator.http import Request, ServerConnection, encode_response
 
 START_S = 10.0  # that a process may take until it answers
 SERVER_PORT = 7000
@@ -45,7 +45,7 @@
 
     def on_request(self, request: Request) -> None:
         times = b"%020d%020d" % (self.came, monotonic_ns())
-        self.transport.write(response_bytes(200, times))
+        self.transport.write(encode_response(200, times))
 
 
 async def serve(host: str, port: int) -> None:
@@ -139,7 +139,7 @@
         super().__init__(loop, lambda entry: line, lambda lines: None)
         self.version = 1
         self.endpoints = {line["id"]: line}
-        self.changed_in = {line["id"]: 1}
+        self.change_versions = {line["id"]: 1}
 
 
 @dataclass
@@ -224,10 +224,10 @@
         agent = ListAgent(loop, server_entry((places.server_host, SERVER_PORT)))
         agent.start(places.agent_address(0))
         quiet: dict[str, Any] = {"stdin": subprocess.DEVNULL, "stdout": subprocess.DEVNULL}
-        server = subprocess.Popen(killed_with_parent(serving), **quiet)
+        server = subprocess.Popen(wrap_with_parent_death_signal(serving), **quiet)
         try:
             with (folder / "log").open("wb") as log:
-                node = subprocess.Popen(killed_with_parent(runner), env=env, stderr=log, **quiet)
+                node = subprocess.Popen(wrap_with_parent_death_signal(runner), env=env, stderr=log, **quiet)
             try:
                 await answers(places.server_host, SERVER_PORT)
                 await answers(places.node_host(0), CLIENT_PORT)
--- a/workbench/scale/real.py
+++ b/workbench/scale/real.py
@@ -14,7 +14,7 @@
 
 from workbench.emulator.address_block import CLIENT_PORT, MANAGEMENT_PORT, AddressBlock
 from workbench.emulator.clock import RealTimeClock
-from workbench.emulator.config import node_table
+from workbench.emulator.config import build_node_configuration
 from workbench.emulator.http import ConnectionPool
 from workbench.emulator.links import Link
 from workbench.emulator.nodes import NodeAdapter, NoProcessControl, Site
@@ -120,7 +120,7 @@
         """Starts all and waits until they are ready. RealNodeError."""
         self.site.start()
         for real in self.nodes:
-            table = node_table(self.site, real.node, self.group.seed * 1000 + real.node.index)
+            table = build_node_configuration(self.site, real.node, self.group.seed * 1000 + real.node.index)
             fleet = self.group.fleet_table(real.place, self.key)
             real.start(self.folder / real.place.name, table | {"fleet": fleet})
         await asyncio.gather(*(real.ready() for real in self.nodes))
--- a/workbench/scale/run.py
+++ b/workbench/scale/run.py
@@ -97,7 +97,7 @@
         self.folder = folder
         self.progress = progress
         self.places = AddressBlock()
-        self.group: Group = group_of(plan, self.places.block)
+        self.group: Group = group_of(plan, self.places.prefix)
         self.key = folder / "key"
         self.key.write_text(KEY)
         self.key.chmod(0o600)
