--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab's plans, links, addresses and clients."""
+"""Tests of the lab's plans, links, address blocks and client requests."""
 
 from pathlib import Path
 from random import Random
@@ -11,8 +11,8 @@
 from workbench.emulator.address_block import AddressBlock
 from workbench.emulator.http import request_bytes
 from workbench.emulator.links import Link, Stream
-from workbench.lab.earlier import package_in, unpack
-from workbench.lab.plan import PlanError, chosen, draw, plan_of, scenario, shipped
+from workbench.lab.earlier import unpack, unpacked_package
+from workbench.lab.plan import PlanError, draw, parse_plan, scenario, selected_nodes, shipped
 from workbench.model.site import EFFECT_WORDS
 from workbench.model.streams import Streams
 from workbench.simulator.heap import HeapClock
@@ -25,20 +25,20 @@
     [
         ("nodes = 500", ["nodes: 500: must be at most 80"]),
         ("nodez = 5", ["nodez: unknown key: nearest is nodes"]),
-        ("[[fault]]\ntype = 'kill'", ["fault[0]: nobody is chosen"]),
+        ("[[fault]]\ntype = 'kill'", ["fault[0]: no node is selected"]),
         ("[[fault]]\ntype = 'kil'\ncount = 1", ["fault[0].type: 'kil': must be one of clock, cut"]),
         ("[[fault]]\ntype = 'kill'\ncount = 1\nat_s = 90", ["fault[0].at_s: 90: must be under length_s, 20"]),
         ("[[fault]]\ncount = 1", ["fault[0].type: missing"]),
         ("zones = 2\nregions = 3", ["regions: 3: must be at most zones, 2"]),
         ("length_s = 'x'\nseed = -1", ["seed: -1: must be at least 0", "length_s: 'x': must be a number"]),
         ("[[mischief]]\nkind = 'odd'\ncount = 1", ["mischief[0].kind: 'odd': must be one of blind"]),
-        ("earlier = 'HEAD'", ["earlier: 'HEAD': no node of this plan is of an earlier revision"]),
+        ("earlier = 'HEAD'", ["earlier: 'HEAD': no node of this plan runs an earlier revision"]),
         ("[[mischief]]\nkind = 'earlier'\ncount = 1", ["earlier: missing: must be a revision"]),
         (
             "[[fault]]\ntype = 'voters'\nvoters = ['n0']",
             ["fault[0].voters: ['n0']: must be 3 or 5 names, in a plan with voters"],
         ),
-        ("scenario = 'trouble'", ["trouble: tier: 3 tiers: a lab has one"]),
+        ("scenario = 'trouble'", ["trouble: tier: 3 tiers: must be one in a lab"]),
         ("set = {'load.fractio' = 1}", ["load.fractio"]),
         ("nodes = [", ["not TOML"]),
         (
@@ -47,13 +47,13 @@
         ),
     ],
 )
-def test_a_plan_is_checked_as_strictly_as_a_scenario(tmp_path: Path, text: str, lines: list[str]) -> None:
+def test_invalid_plan_reports_one_line_per_error(tmp_path: Path, text: str, lines: list[str]) -> None:
     file = tmp_path / "plan.toml"
     file.write_text(text)
-    with pytest.raises(PlanError) as fault:
+    with pytest.raises(PlanError) as error:
         scenario(draw(str(file)))
-    told = str(fault.value).splitlines()
-    assert len(told) == len(lines) and all(any(part in t for t in told) for part in lines)
+    reported = str(error.value).splitlines()
+    assert len(reported) == len(lines) and all(any(part in line for line in reported) for part in lines)
 
 
 CLOCK = "[[fault]]\ntype = 'clock'\nnodes = ['n1']\n"
@@ -73,43 +73,41 @@
         ),
         (
             "offset_ms = 5.0\nrestart = 'kill'\ndown_s = 5.0",
-            "fault[0].down_s: 5.0: must be under for_s, 5.0, after which the clock is set right",
+            "fault[0].down_s: 5.0: must be under for_s, 5.0, after which the clock is restored",
         ),
     ],
 )
-def test_a_clock_fault_that_cannot_be_is_refused_with_its_key_and_what_is_allowed(
-    tmp_path: Path, keys: str, line: str
-) -> None:
+def test_invalid_clock_fault_reports_key_and_allowed_values(tmp_path: Path, keys: str, line: str) -> None:
     file = tmp_path / "plan.toml"
     file.write_text(CLOCK + keys)
-    with pytest.raises(PlanError) as fault:
+    with pytest.raises(PlanError) as error:
         draw(str(file))
-    assert len(str(fault.value).splitlines()) == 1 and str(fault.value).startswith(f"{file}: {line}")
+    assert len(str(error.value).splitlines()) == 1 and str(error.value).startswith(f"{file}: {line}")
 
 
-def test_the_clock_plans_step_running_and_restarting_processes_by_all_four_steps() -> None:
+def test_clock_plans_cover_all_steps_and_kinds_of_restart() -> None:
     steps = {3_600_000.0, -3_600_000.0, 5_000.0, -5_000.0}
     for name, restarts in (("clock", {"none"}), ("clock-restart", {"kill", "term"})):
         clocks = [f for f in draw(name).fault if f.type == "clock"]
         assert {f.offset_ms for f in clocks} == steps and {f.restart for f in clocks} == restarts
 
 
-def test_twenty_five_plans_ship_and_a_seed_fixes_what_they_draw() -> None:
+def test_shipped_plans_draw_the_same_faults_for_the_same_seed() -> None:
     assert len(shipped()) == 25
     for name in shipped():
-        one, again, other = draw(name, 3), draw(name, 3, {"nodes": 7}), draw(name, 4)
-        assert one.fault == again.fault and scenario(one).nodes.count == one.nodes
-        ranged = name not in ("calm", "lossy", "rolling", "wrong-key", "versions", "near")
-        assert (one.fault != other.fault) is (ranged or name == "lossy")
+        plan, same_seed, other_seed = draw(name, 3), draw(name, 3, {"nodes": 7}), draw(name, 4)
+        assert plan.fault == same_seed.fault and scenario(plan).nodes.count == plan.nodes
+        has_ranges = name not in ("calm", "lossy", "rolling", "wrong-key", "versions", "near")
+        assert (plan.fault != other_seed.fault) is (has_ranges or name == "lossy")
 
 
-BEFORE_FLEET = "72cc847^"  # no node of this revision takes part in a fleet
+BEFORE_FLEET = "72cc847^"  # A revision whose node has no fleet component.
 
 
 @pytest.mark.parametrize(("revision", "package"), [("HEAD", "balancer"), (BEFORE_RENAMING, "brackenladder")])
-def test_a_revision_is_unpacked_beside_today_s_or_named(tmp_path: Path, revision: str, package: str) -> None:
+def test_unpack_extracts_a_revision_or_reports_why_not(tmp_path: Path, revision: str, package: str) -> None:
     assert len(unpack(revision, tmp_path)) == 40 and (tmp_path / package / "policy" / "balancer.py").exists()
-    assert package_in(tmp_path) == package
+    assert unpacked_package(tmp_path) == package
     with pytest.raises(PlanError, match="earlier: nowhere: no such revision"):
         unpack("nowhere", tmp_path)
     with pytest.raises(PlanError, match="earlier: .*: it has no fleet"):
@@ -117,7 +115,7 @@
 
 
 @pytest.mark.parametrize(
-    ("who", "found"),
+    ("selection", "expected"),
     [
         ({"nodes": ["n3", "n1"]}, ["n1", "n3"]),
         ({"zone": 1}, ["n1", "n4"]),
@@ -128,17 +126,19 @@
         ({"count": 9}, 6),
     ],
 )
-def test_who_is_struck(who: dict[str, Any], found: list[str] | int) -> None:
-    fault = plan_of({"fault": [{"type": "kill"} | who]}).fault[0]
+def test_nodes_are_selected_by_name_zone_region_and_count(
+    selection: dict[str, Any], expected: list[str] | int
+) -> None:
+    fault = parse_plan({"fault": [{"type": "kill"} | selection]}).fault[0]
     names, zones = [f"n{i}" for i in range(6)], [i % 3 for i in range(6)]
-    picked = chosen(fault, names, zones, 2, Streams(1), "x")
-    assert picked == found if isinstance(found, list) else len(picked) == found
+    selected = selected_nodes(fault, names, zones, 2, Streams(1), "x")
+    assert selected == expected if isinstance(expected, list) else len(selected) == expected
 
 
 # ---- links ------------------------------------------------------------------------------------------------
 
 
-def test_links_lose_double_delay_and_hold() -> None:
+def test_link_applies_loss_duplication_reorder_cut_and_rate() -> None:
     clock = HeapClock(1_000)
     link = Link(clock, Random(1), 200)
     assert link.datagram(100) == [1_200]
@@ -148,8 +148,8 @@
     assert abs(share[0] - 0.3) < 0.03 and abs(share[2] - 0.14) < 0.03
     assert sum(a[0] > 1_200 for a in arrivals if a) / sum(map(bool, arrivals)) == pytest.approx(0.1, abs=0.02)
     link.loss = link.duplicate = link.reorder = 0.0
-    got: list[bytes] = []
-    stream = Stream(link, got.append)
+    received: list[bytes] = []
+    stream = Stream(link, received.append)
     stream.send(b"a")
     link.cut(True)
     link.cut(True)
@@ -157,24 +157,24 @@
     assert link.datagram(10) == []
     link.cut(False)
     clock.run(10_000)
-    assert got == [b"a"]
+    assert received == [b"a"]
     stream.send(b"c")
     link.cut(False)
     link.loss, link.jitter = 0.5, 5_000
     for i in range(50):
         stream.send(b"%d" % i)
     clock.run(60_000_000)
-    assert got == [b"a", b"b", b"c", *(b"%d" % i for i in range(50))]
+    assert received == [b"a", b"b", b"c", *(b"%d" % i for i in range(50))]
     link.loss, link.jitter, link.rate = 0.0, 0, 1_000.0
-    begun = clock.now
-    assert [link.wait(500) - begun for _ in range(2)] == [500_200, 1_000_200]
+    started_at = clock.now
+    assert [link.wait(500) - started_at for _ in range(2)] == [500_200, 1_000_200]
 
 
-def test_two_labs_never_share_an_address() -> None:
-    held = [AddressBlock(Random(7)) for _ in range(3)]
-    assert len({p.block for p in held}) == 3
-    for p in held:
-        p.close()
+def test_concurrent_labs_have_distinct_address_blocks() -> None:
+    blocks = [AddressBlock(Random(7)) for _ in range(3)]
+    assert len({block.block for block in blocks}) == 3
+    for block in blocks:
+        block.close()
 
 
 # ---- clients ----------------------------------------------------------------------------------------------
@@ -188,9 +188,7 @@
         (Effect.NOT_IDEMPOTENT, b"POST", False),
     ],
 )
-def test_clients_of_the_lab_send_what_a_class_s_effect_asks_for(
-    effect: Effect, method: bytes, has_key: bool
-) -> None:
-    """Failure prevented: an effect is renamed, and the node answers all requests of the lab with 400."""
+def test_request_has_the_method_and_key_for_its_effect(effect: Effect, method: bytes, has_key: bool) -> None:
+    """A wrong method or a missing key would make the node answer all requests of the lab with status 400."""
     data = request_bytes("a", EFFECT_WORDS[effect], 1, 1, 100, b"key")
     assert data.startswith(method + b" /a?") and (b"Idempotency-Key: key" in data) is has_key
--- a/tests/test_lab_checkers.py
+++ b/tests/test_lab_checkers.py
@@ -1,4 +1,4 @@
-"""The lab's checkers of views, incarnations, answers and attempts tell kept from broken."""
+"""Tests of the lab's checkers of views, incarnation numbers, answers, attempts and leases."""
 
 import pytest
 from lab_histories import ALL, END, KILL, RUN, SEE, START, attempt, late, lease, process, request, view
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(
-    ("events", "broken"),
+    ("events", "violations"),
     [
         (ALL, {}),
         ([*ALL, *KILL, *SEE], {}),
@@ -45,67 +45,68 @@
         ([*ALL, {"t": 1, "event": "log", "node": "n1", "text": "n1: list failed, version=1 stays"}], {}),
     ],
 )
-def test_each_checker_tells_kept_from_broken(events, broken):
+def test_checkers_report_exactly_the_violated_rules(events, violations):
     found = check([RUN, *START, *events, *END])
-    assert {n: [b.who for b in bs] for n, bs in found.items() if bs} == broken
+    assert {name: [v.node for v in reported] for name, reported in found.items() if reported} == violations
 
 
-def born(t, life, clock_ms=0):
+def started(t, life, clock_ms=0):
     return [process(t, "n2", "start", life, clock_ms=clock_ms), process(t + 0.2, "n2", "ready", life)]
 
 
-def sees(t, node, state, incarnation):
+def view_of_n2(t, node, state, incarnation):
     other = "n1" if node == "n0" else "n0"
     return view(t, node, **{other: ("alive", 1), "n2": (state, incarnation)})
 
 
-BACK_IN_TIME = [*ALL, *KILL, *SEE, *born(6.0, 2, -3_600_000)]
-OF_ITS_OWN = {"n0": ("alive", 1), "n1": ("alive", 1)}
+CLOCK_SET_BACK = [*ALL, *KILL, *SEE, *started(6.0, 2, -3_600_000)]
+OTHERS_ALIVE = {"n0": ("alive", 1), "n1": ("alive", 1)}
 
 
 @pytest.mark.parametrize(
-    ("events", "broken"),
+    ("events", "violations"),
     [
-        # It starts below its last life, learns that from the others, and all hold the new life.
+        # The new process starts below its predecessor's incarnation, learns it, and all nodes accept it.
         (
-            [view(6.3, "n2", own=0, life=2, **OF_ITS_OWN), view(6.9, "n2", own=2, life=2, **OF_ITS_OWN)]
-            + [sees(7.0, n, "alive", 2) for n in ("n0", "n1")],
+            [view(6.3, "n2", own=0, life=2, **OTHERS_ALIVE), view(6.9, "n2", own=2, life=2, **OTHERS_ALIVE)]
+            + [view_of_n2(7.0, n, "alive", 2) for n in ("n0", "n1")],
             {},
         ),
         (
-            [view(6.3, "n2", own=0, life=2, **OF_ITS_OWN)] + [sees(7, n, "dead", 1) for n in ("n0", "n1")],
+            [view(6.3, "n2", own=0, life=2, **OTHERS_ALIVE)]
+            + [view_of_n2(7, n, "dead", 1) for n in ("n0", "n1")],
             {"rejoins": ["n2", "n0", "n1"], "views": ["n0", "n1"]},
         ),
         (
-            [view(6.9, "n2", own=2, life=2, **OF_ITS_OWN), sees(7.0, "n0", "alive", 2)]
-            + [sees(7.0, "n1", "alive", 1)],
+            [view(6.9, "n2", own=2, life=2, **OTHERS_ALIVE), view_of_n2(7.0, "n0", "alive", 2)]
+            + [view_of_n2(7.0, "n1", "alive", 1)],
             {"rejoins": ["n1"]},
         ),
         (
-            [view(12.3, "n2", own=0, life=2, **OF_ITS_OWN)]
-            + [sees(7.0, n, "alive", 2) for n in ("n0", "n1")],
+            [view(12.3, "n2", own=0, life=2, **OTHERS_ALIVE)]
+            + [view_of_n2(7.0, n, "alive", 2) for n in ("n0", "n1")],
             {"incarnations": ["n2"], "rejoins": ["n2"]},
         ),
     ],
 )
-def test_a_process_that_comes_back_an_hour_in_the_past_is_to_be_believed_in_time(events, broken):
-    found = check([RUN, *START, *BACK_IN_TIME, *events, *END])
-    assert {n: [b.who for b in bs] for n, bs in found.items() if bs} == broken
+def test_process_with_clock_set_back_must_rejoin_in_time(events, violations):
+    found = check([RUN, *START, *CLOCK_SET_BACK, *events, *END])
+    assert {name: [v.node for v in reported] for name, reported in found.items() if reported} == violations
 
 
-def test_a_new_life_whose_clock_was_not_set_back_never_has_a_lower_incarnation():
-    events = [*ALL, *KILL, *SEE, *born(6.0, 2), view(6.3, "n2", own=0, life=2, **OF_ITS_OWN)]
-    events += [view(6.9, "n2", own=2, life=2, **OF_ITS_OWN)]
-    found = check([RUN, *START, *events, *(sees(7.0, n, "alive", 2) for n in ("n0", "n1")), *END])
-    assert [b.who for b in found["incarnations"]] == ["n2"]
+def test_lower_incarnation_without_clock_step_is_a_violation():
+    events = [*ALL, *KILL, *SEE, *started(6.0, 2), view(6.3, "n2", own=0, life=2, **OTHERS_ALIVE)]
+    events += [view(6.9, "n2", own=2, life=2, **OTHERS_ALIVE)]
+    found = check([RUN, *START, *events, *(view_of_n2(7.0, n, "alive", 2) for n in ("n0", "n1")), *END])
+    assert [v.node for v in found["incarnations"]] == ["n2"]
 
 
-def test_a_stepped_clock_excuses_no_death():
-    """Failure prevented: a clock that steps makes a running process dead to all, and no checker objects."""
+def test_stepped_clock_does_not_excuse_a_false_death():
+    """A step of a running node's clock must not excuse other nodes that declare it dead."""
     step = {"event": "fault", "number": 0, "type": "clock", "on": ["n1"], "way": "both", "most": 1}
     events = [*ALL, step | {"t": 2.0, "what": "begin"}, SEE[0] | {"t": 8.0, "members": {"n1": ["dead", 1]}}]
     found = check([RUN, *START, *events, step | {"t": 9.0, "what": "end"}, *END])
-    assert [b.who for b in found["deaths"]] == ["n0"]
+    assert [v.node for v in found["deaths"]] == ["n0"]
 
 
 BY_ZONE = RUN | {"plan": RUN["plan"] | {"by_zone": True}, "nodes": [["n0", 0], ["n1", 0], ["n2", 1]]}
@@ -117,7 +118,7 @@
     return {"t": t, "event": "summaries", "node": node, "life": life, "zones": held}
 
 
-KNOWN = [
+SUMMARIES = [
     summaries(0.4, "n0", z1=("fresh", 1)),
     summaries(0.4, "n1", z1=("fresh", 1)),
     summaries(0.4, "n2", z0=("fresh", 2)),
@@ -125,30 +126,32 @@
 
 
 @pytest.mark.parametrize(
-    ("events", "broken"),
+    ("events", "violations"),
     [
-        (KNOWN, {}),
-        (KNOWN[:2], {"summaries": ["n2"]}),
-        ([*KNOWN, summaries(6.0, "n1", z1=("stale", 1))], {"summaries": ["n1"]}),
-        ([*KNOWN, summaries(6.0, "n2", z0=("fresh", 3))], {"summaries": ["n2"]}),
-        ([*KNOWN, *KILL], {"summaries": ["n0", "n1"]}),
-        ([*KNOWN, *KILL, summaries(9.0, "n0", z1=("lost", 1)), summaries(9.0, "n1", z1=("lost", 1))], {}),
-        ([*KNOWN, *KILL, summaries(9.0, "n0", z1=("lost", 1)), summaries(9.0, "n1")], {}),
-        ([*KNOWN, view(6.0, "n0", n1=("alive", 1), n2=("alive", 1))], {"views": ["n0"]}),
+        (SUMMARIES, {}),
+        (SUMMARIES[:2], {"summaries": ["n2"]}),
+        ([*SUMMARIES, summaries(6.0, "n1", z1=("stale", 1))], {"summaries": ["n1"]}),
+        ([*SUMMARIES, summaries(6.0, "n2", z0=("fresh", 3))], {"summaries": ["n2"]}),
+        ([*SUMMARIES, *KILL], {"summaries": ["n0", "n1"]}),
+        ([*SUMMARIES, *KILL, summaries(9.0, "n0", z1=("lost", 1)), summaries(9.0, "n1", z1=("lost", 1))], {}),
+        ([*SUMMARIES, *KILL, summaries(9.0, "n0", z1=("lost", 1)), summaries(9.0, "n1")], {}),
+        ([*SUMMARIES, view(6.0, "n0", n1=("alive", 1), n2=("alive", 1))], {"views": ["n0"]}),
     ],
 )
-def test_with_membership_by_zone_each_node_sees_its_zone_and_knows_the_others(events, broken):
+def test_views_and_summaries_with_membership_by_zone(events, violations):
     found = check([BY_ZONE, *START, *OWN_ZONE, *events, *END])
-    assert {n: [b.who for b in bs] for n, bs in found.items() if bs} == broken
+    assert {name: [v.node for v in reported] for name, reported in found.items() if reported} == violations
 
 
-def test_how_long_the_views_took():
+def test_agreement_time_ends_when_all_views_show_the_change():
     truth = GroundTruth([RUN, *START, *ALL, *KILL, *SEE, *END])
-    assert [(at, what, round(took, 2)) for at, what, took in truth.agreements()] == [(3.0, "n2 kill", 2.0)]
+    assert [(at, change, round(took, 2)) for at, change, took in truth.agreements()] == [
+        (3.0, "n2 kill", 2.0)
+    ]
 
 
 @pytest.mark.parametrize(
-    ("text", "fault"),
+    ("text", "error"),
     [
         (b"", "its first line is not a run"),
         (b'{"t": 1, "event": "go"}\n', "its first line is not a run"),
@@ -156,12 +159,12 @@
         (b'{"t":0,"event":"run"}\n{"t":1,"ev', None),
     ],
 )
-def test_a_torn_history_is_read_up_to_there(tmp_path, text, fault):
-    """Failure prevented: the lab is killed as it writes, and nothing of the run can be looked at."""
+def test_read_ignores_torn_last_line_and_rejects_other_files(tmp_path, text, error):
+    """A lab that is killed while it writes leaves an incomplete line; the others must stay readable."""
     file = tmp_path / "h"
     file.write_bytes(text)
-    if fault is None:
+    if error is None:
         assert len(read(str(file))) == 1
     else:
-        with pytest.raises(HistoryError, match=fault):
+        with pytest.raises(HistoryError, match=error):
             read(str(file))
--- a/tests/test_lab_fleet_checkers.py
+++ b/tests/test_lab_fleet_checkers.py
@@ -1,4 +1,4 @@
-"""The lab's checkers of leases, replacements, zones and directives tell kept from broken."""
+"""Tests of the lab's checkers of minRTT slots, probes, rolling updates, zone routing and directives."""
 
 import re
 
@@ -12,45 +12,83 @@
     return {"t": t, "event": "log", "node": node, "text": f"{node}: {text}"}
 
 
-def begins(t, node, place=0):
+def recalculation_begins(t, node, place=0):
     return log(t, node, f"fleet pass begins place={place} token=7 waited=1.0")
 
 
-def over(t, node):
+def recalculation_ends(t, node):
     return log(t, node, "fleet pass over after=1.2")
 
 
-def tries(t, node, server=7):
+def probes(t, node, server=7):
     return log(t, node, f"fleet tries server={server} token=9")
 
 
-SPLIT = [process(3.0, "n1", "stop"), process(12.0, "n1", "cont")]
+N1_PAUSED = [process(3.0, "n1", "stop"), process(12.0, "n1", "cont")]
 
 
 @pytest.mark.parametrize(
-    ("events", "broken"),
+    ("events", "violations"),
     [
-        ([begins(1, "n0"), over(2.5, "n0"), begins(2.6, "n1"), over(4, "n1")], {}),
-        ([begins(1, "n0"), begins(2, "n1"), over(2.5, "n0"), over(4, "n1")], {"passes": ["n1"]}),
-        ([begins(1, "n0"), begins(2.4, "n1"), over(2.5, "n0"), over(4, "n1")], {}),  # a line read late
-        ([begins(2, "n1"), *SPLIT, begins(6, "n0"), over(7, "n0"), over(12.1, "n1")], {}),
-        ([log(1, "n0", "fleet pass begins without a place waited=31.2"), over(3, "n0")], {}),
+        (
+            [
+                recalculation_begins(1, "n0"),
+                recalculation_ends(2.5, "n0"),
+                recalculation_begins(2.6, "n1"),
+                recalculation_ends(4, "n1"),
+            ],
+            {},
+        ),
+        (
+            [
+                recalculation_begins(1, "n0"),
+                recalculation_begins(2, "n1"),
+                recalculation_ends(2.5, "n0"),
+                recalculation_ends(4, "n1"),
+            ],
+            {"passes": ["n1"]},
+        ),
+        # The overlap is short: the lab may have read the log line late.
+        (
+            [
+                recalculation_begins(1, "n0"),
+                recalculation_begins(2.4, "n1"),
+                recalculation_ends(2.5, "n0"),
+                recalculation_ends(4, "n1"),
+            ],
+            {},
+        ),
+        (
+            [
+                recalculation_begins(2, "n1"),
+                *N1_PAUSED,
+                recalculation_begins(6, "n0"),
+                recalculation_ends(7, "n0"),
+                recalculation_ends(12.1, "n1"),
+            ],
+            {},
+        ),
+        ([log(1, "n0", "fleet pass begins without a place waited=31.2"), recalculation_ends(3, "n0")], {}),
         ([log(1, "n0", "fleet pass begins without a place waited=0.1")], {"passes": ["n0"]}),
-        ([tries(13.4, "n0"), tries(14.6, "n1")], {}),
-        ([tries(13.4, "n0"), tries(13.6, "n1")], {"trials": ["n1"]}),
-        ([tries(13.4, "n0"), tries(13.6, "n1", 8), tries(13.6, "n2")], {}),  # another server, another zone
-        ([*SPLIT, tries(13.4, "n0"), tries(13.6, "n1")], {}),
+        ([probes(13.4, "n0"), probes(14.6, "n1")], {}),
+        ([probes(13.4, "n0"), probes(13.6, "n1")], {"trials": ["n1"]}),
+        # Another server; another zone.
+        (
+            [probes(13.4, "n0"), probes(13.6, "n1", 8), probes(13.6, "n2")],
+            {},
+        ),
+        ([*N1_PAUSED, probes(13.4, "n0"), probes(13.6, "n1")], {}),
     ],
 )
-def test_the_uses_of_leases_are_judged_by_logs_and_attempts(events, broken):
+def test_min_rtt_slots_and_probes_are_checked_by_log_lines(events, violations):
     plan = RUN["plan"] | {"remeasure": 0.3, "probe": True, "lease_ms": 1500.0, "voters": 3}
     run = RUN | {"plan": plan, "nodes": [["n0", 0], ["n1", 0], ["n2", 2]]}
     found = check([run, *START, *ALL, *sorted(events, key=lambda e: e["t"]), *END])
-    assert {n: [b.who for b in found[n]] for n in ("passes", "trials") if found[n]} == broken
+    assert {name: [v.node for v in found[name]] for name in ("passes", "trials") if found[name]} == violations
 
 
 def replaced(t, node, ready, life=1):
-    """By its own hand; a new process is ready then."""
+    """Return the events of a process that shuts down by itself, and of its successor until it is ready."""
     return [
         log(t, node, "stage serving -> ending"),
         process(t + 0.1, node, "exit", life, status=0, asked=False),
@@ -59,15 +97,15 @@
     ]
 
 
-def plan_event(t, what):
+def update_fault(t, what):
     return {"t": t, "event": "fault", "what": what, "type": "fleet_replace", "on": [], "most": 1}
 
 
-SHOT = [process(2.2, "n0", "kill", 2), process(2.2, "n0", "exit", 2, status=-9, asked=True)]
+KILLED = [process(2.2, "n0", "kill", 2), process(2.2, "n0", "exit", 2, status=-9, asked=True)]
 
 
 @pytest.mark.parametrize(
-    ("ends", "broken"),
+    ("replacements", "nodes"),
     [
         ([*replaced(2, "n0", 3), *replaced(4, "n1", 5), *replaced(6, "n2", 7)], []),
         ([*replaced(2, "n0", 5), *replaced(4, "n1", 5), *replaced(6, "n2", 7)], ["n1"]),
@@ -76,11 +114,11 @@
             [*replaced(2, "n0", 3), *replaced(4, "n0", 5, 2), *replaced(6, "n1", 7), *replaced(8, "n2", 9)],
             ["n0"],
         ),
-        # The new process is killed before it is ready, and another takes its place.
+        # The new process is killed before it is ready, and another one replaces it.
         (
             [
                 *replaced(2, "n0", 3)[:-1],
-                *SHOT,
+                *KILLED,
                 process(2.5, "n0", "start", 3),
                 process(3.0, "n0", "ready", 3),
                 *replaced(4, "n1", 5),
@@ -90,10 +128,10 @@
         ),
     ],
 )
-def test_a_replacement_is_judged_by_who_is_out(ends, broken):
+def test_rolling_update_checker_limits_nodes_down_at_once(replacements, nodes):
     run = RUN | {"plan": RUN["plan"] | {"supervise": True}}
-    found = check([run, *START, plan_event(1, "begin"), *ends, plan_event(12, "end"), *END])
-    assert [b.who for b in found["replacement"]] == broken
+    found = check([run, *START, update_fault(1, "begin"), *replacements, update_fault(12, "end"), *END])
+    assert [v.node for v in found["replacement"]] == nodes
 
 
 def evacuated(t, node="n0", seconds=10):
@@ -108,7 +146,8 @@
     return log(t, node, "fleet zone z1 recovering in steps")
 
 
-EARLIER_ZONE_LINES = [  # a line of zone routing, and how nodes of earlier revisions log it
+# Patterns of current log lines of zone routing, and the lines that nodes of earlier revisions log instead.
+EARLIER_ZONE_LINES = [
     ("evacuated for", "is left for"),
     (r"evacuated by directive, (\d+) s remaining", r"is left by order, \1 s still"),
     ("recovering in steps", "returns, by steps"),
@@ -116,7 +155,7 @@
 
 
 def as_logged_earlier(event):
-    """The event with its log line, if it has one, as an earlier revision writes it."""
+    """Return an event with its log line, if it has one, as a node of an earlier revision logs it."""
     text = event.get("text", "")
     for pattern, earlier in EARLIER_ZONE_LINES:
         text = re.sub(pattern, earlier, text)
@@ -128,11 +167,11 @@
 
 
 NEAR = {"near": True, "fault": [], "trouble": []}
-HIT = {"near": True, "fault": [], "trouble": [{}]}
+NEAR_WITH_TROUBLE = {"near": True, "fault": [], "trouble": [{}]}
 
 
 @pytest.mark.parametrize(
-    ("plan", "events", "broken"),
+    ("plan", "events", "violations"),
     [
         (NEAR, [*(to_zone(3 + i / 10, 0) for i in range(40)), to_zone(8, 1)], {}),
         (
@@ -140,53 +179,86 @@
             [*(to_zone(3 + i / 10, 0) for i in range(40)), *(to_zone(8 + i, 1) for i in range(4))],
             {"home": 1},
         ),
-        (HIT, [to_zone(3, 1), to_zone(4, 1)], {}),
+        (NEAR_WITH_TROUBLE, [to_zone(3, 1), to_zone(4, 1)], {}),
         (
-            HIT,
+            NEAR_WITH_TROUBLE,
             [to_zone(3, 1), evacuated(4), to_zone(4.1, 1), to_zone(5, 0), recovering(14), to_zone(15, 1)],
             {},
         ),
-        (HIT, [evacuated(4), to_zone(5, 1), recovering(14)], {"left": 1}),
-        (HIT, [evacuated(4), to_zone(5, 1, "n1"), recovering(14)], {}),  # another node's
-        (HIT, [evacuated(4), recovering(9)], {"turns": 1}),
-        (HIT, [evacuated_by_directive(4), to_zone(5, 1)], {"left": 1}),
-        (HIT, [evacuated(4), evacuated_by_directive(5), recovering(10)], {}),
+        (NEAR_WITH_TROUBLE, [evacuated(4), to_zone(5, 1), recovering(14)], {"left": 1}),
+        # Another node evacuated the zone.
         (
-            HIT,
+            NEAR_WITH_TROUBLE,
+            [evacuated(4), to_zone(5, 1, "n1"), recovering(14)],
+            {},
+        ),
+        (NEAR_WITH_TROUBLE, [evacuated(4), recovering(9)], {"turns": 1}),
+        (NEAR_WITH_TROUBLE, [evacuated_by_directive(4), to_zone(5, 1)], {"left": 1}),
+        (NEAR_WITH_TROUBLE, [evacuated(4), evacuated_by_directive(5), recovering(10)], {}),
+        # A new process of the node does not know of the evacuation.
+        (
+            NEAR_WITH_TROUBLE,
             [evacuated(4), process(5.0, "n0", "start", life=2), to_zone(6, 1), recovering(14)],
             {},
-        ),  # a new process
+        ),
     ],
 )
-@pytest.mark.parametrize("is_earlier", [False, True], ids=["lines-of-now", "earlier-lines"])
-def test_what_goes_to_which_zone_is_judged(plan, events, broken, is_earlier):
+@pytest.mark.parametrize("is_earlier", [False, True], ids=["current-log-lines", "earlier-log-lines"])
+def test_cross_zone_attempts_and_evacuations_are_checked(plan, events, violations, is_earlier):
     events = [as_logged_earlier(event) if is_earlier else event for event in events]
     run = RUN | {"plan": RUN["plan"] | plan, "nodes": [["n0", 0], ["n1", 1], ["n2", 2]]}
     found = check([run, *START, *ALL, *events, *END])
-    assert {n: len(found[n]) for n in ("home", "left", "turns") if found[n]} == broken
+    assert {name: len(found[name]) for name in ("home", "left", "turns") if found[name]} == violations
 
 
 def directive(t, what, number):
     return {"t": t, "event": "fault", "what": what, "number": number, "type": "zone_leave", "on": ["n1"]}
 
 
-def obeys(t, node, until):
+def follows_directive(t, node, until):
     return [evacuated_by_directive(t, node, seconds=3), recovering(until, node)]
 
 
 @pytest.mark.parametrize(
-    ("events", "broken"),
+    ("events", "nodes"),
     [
-        ([*obeys(2.5, "n0", 5.5), *obeys(2.5, "n1", 5.5), *obeys(2.5, "n2", 6)], []),
-        ([*obeys(2.5, "n0", 5.5), *obeys(2.5, "n1", 5.5)], ["n2"]),  # never heard of it
-        ([*obeys(2.5, "n0", 5.5), *obeys(2.5, "n1", 5.5), *obeys(2.5, "n2", 12)], ["n2"]),  # too long
-        ([*obeys(2.5, "n0", 5.5), *obeys(7.0, "n1", 8.5), *obeys(2.5, "n2", 5.5)], ["n1"]),  # too late
+        (
+            [
+                *follows_directive(2.5, "n0", 5.5),
+                *follows_directive(2.5, "n1", 5.5),
+                *follows_directive(2.5, "n2", 6),
+            ],
+            [],
+        ),
+        # n2 never receives the directive.
+        (
+            [*follows_directive(2.5, "n0", 5.5), *follows_directive(2.5, "n1", 5.5)],
+            ["n2"],
+        ),
+        # n2 follows the directive for too long.
+        (
+            [
+                *follows_directive(2.5, "n0", 5.5),
+                *follows_directive(2.5, "n1", 5.5),
+                *follows_directive(2.5, "n2", 12),
+            ],
+            ["n2"],
+        ),
+        # n1 follows the directive too late.
+        (
+            [
+                *follows_directive(2.5, "n0", 5.5),
+                *follows_directive(7.0, "n1", 8.5),
+                *follows_directive(2.5, "n2", 5.5),
+            ],
+            ["n1"],
+        ),
     ],
 )
-@pytest.mark.parametrize("is_earlier", [False, True], ids=["lines-of-now", "earlier-lines"])
-def test_a_directive_holds_everywhere_for_its_time(events, broken, is_earlier):
+@pytest.mark.parametrize("is_earlier", [False, True], ids=["current-log-lines", "earlier-log-lines"])
+def test_directive_must_hold_on_every_node_for_its_duration(events, nodes, is_earlier):
     events = [as_logged_earlier(event) if is_earlier else event for event in events]
     plan = RUN["plan"] | NEAR | {"fault": [{"for_s": 3.0}], "trouble": [{}]}
-    words = [directive(2.0, "begin", 0), directive(5.0, "end", 0)]
-    found = check([RUN | {"plan": plan}, *START, *ALL, *words, *events, *END])
-    assert [b.who for b in found["directives"]] == broken
+    faults = [directive(2.0, "begin", 0), directive(5.0, "end", 0)]
+    found = check([RUN | {"plan": plan}, *START, *ALL, *faults, *events, *END])
+    assert [v.node for v in found["directives"]] == nodes
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -1,4 +1,4 @@
-"""The lab at work: real processes with faults between them, nodes that misbehave, load and emulate."""
+"""Tests of lab runs with real processes, faults and faulty nodes, and of the commands load and emulate."""
 
 import json
 import os
@@ -15,9 +15,9 @@
 from workbench.lab.ground_truth import GroundTruth
 from workbench.lab.history import read
 
-PATIENCE = 90.0  # seconds; only a failure waits so long
+TIMEOUT_S = 90.0  # Reached only if the test fails.
 
-QUICK = """
+SHORT_PLAN = """
 nodes = 5
 length_s = 6.0
 agree_s = 8.0
@@ -25,7 +25,7 @@
 period_ms = 150
 set = {"load.fraction" = 0.15}
 """
-CLEAN = """
+TOLERATED_FAULTS = """
 [[fault]]
 type = "kill"
 nodes = ["n1"]
@@ -59,7 +59,7 @@
 restart = "term"
 down_s = 0.2
 """
-BAD = {
+FAULTY_NODES = {
     "a": {"n0": "mute", "n1": "twice", "n2": "raises", "n3": "rewind", "n4": "spoil"},
     "b": {"n1": "slander", "n2": "crash", "n4": "deaf"},
     "c": {"n0": "blind", "n3": "pile"},
@@ -70,7 +70,8 @@
     "h": {"n3": "rash"},
     "i": {"n0": "stray"},
 }
-CAUGHT = {  # the checkers that must name each
+# The checker that must report each kind of faulty node.
+DETECTED_BY = {
     "mute": "answers",
     "spoil": "answers",
     "twice": "attempts",
@@ -88,7 +89,7 @@
     "stray": "left",
     "rash": "turns",
 }
-REPLACE = """
+ROLLING_UPDATE = """
 voters = 3
 supervise = true
 [[fault]]
@@ -96,7 +97,7 @@
 at_s = 0.5
 for_s = 30.0
 """
-ASIDE = """
+SILENT_SERVERS = """
 zones = 1
 probe = true
 lease_ms = 1000
@@ -106,7 +107,7 @@
 for_s = 20.0
 part = 0.25
 """
-FAILING = """
+FAILING_ZONE = """
 near = true
 [[trouble]]
 type = "zone_failing"
@@ -124,7 +125,7 @@
 at_s = 0.5
 for_s = 10.0
 """
-DRAINS = """
+SCENARIO_AND_KILL = """
 scenario = "{scenario}"
 [[fault]]
 type = "kill"
@@ -135,131 +136,140 @@
 
 
 def start(tmp_path, name, text, *args):
-    """A lab in a process of its own."""
+    """Start `workbench lab run` for a plan, as a separate process."""
     file = tmp_path / f"{name}.toml"
     file.write_text(text)
-    words = ["lab", "run", str(file), "--keep", str(tmp_path / name), *args]
+    arguments = ["lab", "run", str(file), "--keep", str(tmp_path / name), *args]
     return subprocess.Popen(
-        [sys.executable, "-m", "workbench", *words],
+        [sys.executable, "-m", "workbench", *arguments],
         stdout=subprocess.PIPE,
         stderr=subprocess.STDOUT,
         text=True,
     )
 
 
-def mischief(kinds):
+def faulty_nodes(kinds):
     return "".join(f'[[mischief]]\nkind = "{k}"\nnodes = ["{n}"]\n' for n, k in kinds.items())
 
 
 @pytest.fixture(scope="module")
 def runs(tmp_path_factory):
-    """Labs side by side: two clean ones, five in which nodes misbehave. Status, output, events of each."""
+    """Run labs concurrently, with and without faulty nodes; return the status, output and events of each."""
     folder = tmp_path_factory.mktemp("runs")
-    days = Path(__file__).parent.parent / "workbench" / "scenarios" / "lab.toml"
-    day = folder / "drains.toml"
-    day.write_text(days.read_text() + '\n[[fault]]\ntype = "replace"\nat_s = 1.0\nfor_s = 2.0\npart = 0.5\n')
-    texts = {"clean": QUICK + "voters = 3\n" + CLEAN}
-    texts["a"] = QUICK + mischief(BAD["a"])
-    texts["b"] = QUICK + DRAINS.format(scenario=day, victim="n3") + mischief(BAD["b"])
-    colder = QUICK.replace(
+    scenario = Path(__file__).parent.parent / "workbench" / "scenarios" / "lab.toml"
+    drains = folder / "drains.toml"
+    drains.write_text(
+        scenario.read_text() + '\n[[fault]]\ntype = "replace"\nat_s = 1.0\nfor_s = 2.0\npart = 0.5\n'
+    )
+    texts = {"clean": SHORT_PLAN + "voters = 3\n" + TOLERATED_FAULTS}
+    texts["a"] = SHORT_PLAN + faulty_nodes(FAULTY_NODES["a"])
+    texts["b"] = (
+        SHORT_PLAN + SCENARIO_AND_KILL.format(scenario=drains, victim="n3") + faulty_nodes(FAULTY_NODES["b"])
+    )
+    colder = SHORT_PLAN.replace(
         "set = {", 'set = {"tier[0].kind[0].cold_from" = 0.05, "rules.fall_multiple" = 0.5, '
     )
-    texts["c"] = colder + DRAINS.format(scenario=day, victim="n2") + mischief(BAD["c"])
-    texts["d"] = QUICK + "voters = 3\n" + mischief(BAD["d"])
-    texts["e"] = QUICK + REPLACE + '[[mischief]]\nkind = "hasty"\npart = 1.0\n'
-    duty = QUICK.replace("= 6.0", "= 12.0") + "voters = 3\n"
-    silent = duty.replace("0.15", '0.6, servers = 4, "discovery.silent_notice_s" = 90.0') + ASIDE
+    texts["c"] = (
+        colder + SCENARIO_AND_KILL.format(scenario=drains, victim="n2") + faulty_nodes(FAULTY_NODES["c"])
+    )
+    texts["d"] = SHORT_PLAN + "voters = 3\n" + faulty_nodes(FAULTY_NODES["d"])
+    texts["e"] = SHORT_PLAN + ROLLING_UPDATE + '[[mischief]]\nkind = "hasty"\npart = 1.0\n'
+    duty = SHORT_PLAN.replace("= 6.0", "= 12.0") + "voters = 3\n"
+    silent = duty.replace("0.15", '0.6, servers = 4, "discovery.silent_notice_s" = 90.0') + SILENT_SERVERS
     all_ = '[[mischief]]\nkind = "{}"\npart = 1.0\n'
-    texts["f"] = duty + "remeasure = 0.2\n" + mischief(BAD["f"])
+    texts["f"] = duty + "remeasure = 0.2\n" + faulty_nodes(FAULTY_NODES["f"])
     texts["uses"] = duty + "remeasure = 0.4\n" + all_.format("brisk")
-    texts["h"] = duty + FAILING + mischief(BAD["h"])
-    texts["i"] = QUICK + EVACUATED_BY_DIRECTIVE + mischief(BAD["i"])
-    texts["zones"] = duty + FAILING
+    texts["h"] = duty + FAILING_ZONE + faulty_nodes(FAULTY_NODES["h"])
+    texts["i"] = SHORT_PLAN + EVACUATED_BY_DIRECTIVE + faulty_nodes(FAULTY_NODES["i"])
+    texts["zones"] = duty + FAILING_ZONE
     texts["g"] = silent + all_.format("pushy")
     texts["aside"] = silent + all_.format("brisk")
     killed = '[[fault]]\ntype = "kill"\ncount = 1\nat_s = 3.0\nfor_s = 0.1\n'
-    texts["replace"] = QUICK + REPLACE + killed
-    earlier = mischief({"n1": "earlier", "n3": "earlier"})
-    texts["earlier"] = f'{QUICK}voters = 3\nearlier = "{BEFORE_RENAMING}"\n{killed}{earlier}'
+    texts["replace"] = SHORT_PLAN + ROLLING_UPDATE + killed
+    earlier = faulty_nodes({"n1": "earlier", "n3": "earlier"})
+    texts["earlier"] = f'{SHORT_PLAN}voters = 3\nearlier = "{BEFORE_RENAMING}"\n{killed}{earlier}'
     labs = {name: start(folder, name, text) for name, text in texts.items()}
     out = {}
     for name, lab in labs.items():
-        printed, _ = lab.communicate(timeout=PATIENCE)
+        printed, _ = lab.communicate(timeout=TIMEOUT_S)
         out[name] = (lab.returncode, printed, read(str(folder / name / "history.jsonl")))
     return out
 
 
-def test_faults_between_real_processes_and_every_rule_kept(runs):
+def test_real_processes_keep_all_rules_under_faults(runs):
     status, printed, events = runs["clean"]
-    assert status in (0, 3), (
-        printed
-    )  # 3: the machine was too late to count it; the verdicts hold all the same
+    # Status 3: the machine was too late for the run to count; the checkers' verdicts still hold.
+    assert status in (0, 3), printed
     found = check(events)
     assert not any(found.values()), printed
     truth = GroundTruth(events)
     assert [process.clock for process in truth.incarnations["n4"]] == [0, -3_600_000]
-    assert len(truth.incarnations["n1"]) == 2 and len(truth.of("request")) > 100
+    assert len(truth.incarnations["n1"]) == 2 and len(truth.events_of("request")) > 100
     assert sorted(p.type for p in truth.periods) == ["clock", "clock", "cut", "kill", "links"]
     assert truth.agreements()[-1][2] is not None
     for word in ("kill begins: n1", "n1 is back", "all views showed it after", "attempts each"):
         assert word in printed
-    holders = {(e["node"], e["token"]) for e in truth.of("duty")}
-    assert len(holders) >= 1 and truth.of("duty")[-1]["t"] > truth.end - 3.0
+    holders = {(e["node"], e["token"]) for e in truth.events_of("duty")}
+    assert len(holders) >= 1 and truth.events_of("duty")[-1]["t"] > truth.end - 3.0
     assert set(found) == set(CHECKERS)
 
 
-def test_nodes_of_before_the_renaming_are_one_fleet_with_todays(runs):
-    """The package has another name; datagrams, votes and pages are the same."""
+def test_nodes_of_an_earlier_revision_join_the_fleet(runs):
+    """The package of earlier revisions has another name; datagrams, votes and status pages are compatible."""
     status, printed, events = runs["earlier"]
     assert status in (0, 3), printed
     assert not any(check(events).values()), printed
     truth = GroundTruth(events)
-    assert truth.agreements()[-1][2] is not None and len(truth.of("request")) > 100
+    assert truth.agreements()[-1][2] is not None and len(truth.events_of("request")) > 100
 
 
-def test_a_fleet_replaces_itself_though_a_process_is_killed_half_way(runs):
+def test_rolling_update_completes_although_a_process_is_killed(runs):
     status, printed, events = runs["replace"]
     assert status in (0, 3), printed
     truth = GroundTruth(events)
     assert not any(check(events).values()), printed
     (period,) = [p for p in truth.periods if p.type == "fleet_replace"]
     assert all(len(processes) >= 2 for processes in truth.incarnations.values())
-    assert any("fleet replacement done" in e["text"] for e in truth.of("log")) and period.end < truth.end
+    assert (
+        any("fleet replacement done" in e["text"] for e in truth.events_of("log")) and period.end < truth.end
+    )
 
 
-def test_places_to_pass_and_trials_are_kept_to(runs):
-    """Each node passes each few seconds, two at once; a server that all set aside is tried by one."""
+def test_leases_limit_min_rtt_recalculations_and_probes(runs):
+    """Each node recalculates minRTT every few seconds, two at once; one node probes an ejected server."""
     for name in ("uses", "aside", "zones"):
         status, printed, events = runs[name]
         assert status in (0, 3), printed
         truth = GroundTruth(events)
         assert not any(check(events).values()), printed
-        lines = [e["text"] for e in truth.of("log")]
+        lines = [e["text"] for e in truth.events_of("log")]
         if name == "uses":
             assert sum("fleet pass begins place=" in line for line in lines) >= 3, printed
         elif name == "zones":
-            left = {e["node"] for e in truth.of("log") if "fleet zone z0 evacuated" in e["text"]}
+            left = {e["node"] for e in truth.events_of("log") if "fleet zone z0 evacuated" in e["text"]}
             assert left == {"n0", "n3"}, printed
         else:
             assert sum("eject server=" in line for line in lines) >= 2, printed
             assert any("fleet tries server=" in line for line in lines), printed
 
 
-@pytest.mark.parametrize(("run", "node", "kind"), [(r, n, k) for r, ks in BAD.items() for n, k in ks.items()])
-def test_a_node_that_misbehaves_is_caught(runs, run, node, kind):
-    """Each checker must be able to fail on real processes, and names who did it."""
+@pytest.mark.parametrize(
+    ("run", "node", "kind"), [(r, n, k) for r, ks in FAULTY_NODES.items() for n, k in ks.items()]
+)
+def test_checker_detects_its_kind_of_faulty_node(runs, run, node, kind):
+    """Each checker detects its fault in a run of real processes and names the faulty node."""
     status, printed, events = runs[run]
     assert status in (1, 3), printed
-    broken = check(events)[CAUGHT[kind]]
-    # What a slanderer says is held by those who believe it, who pushed a server over nobody saw, and whoever
-    # leads in haste tells others to end.
+    broken = check(events)[DETECTED_BY[kind]]
+    # Some kinds are not reported by name: "slander" shows in the nodes that believe the claims, "pile" in no
+    # single node, and "hasty" and "pushy" run on every node.
     assert broken and (
         kind in ("slander", "pile", "hasty", "pushy") or any(node in str(b) for b in broken)
     ), printed
 
 
 def pids_of(file):
-    """The nodes' processes that a history tells of."""
+    """Return the process ids of the nodes in a history."""
     try:
         lines = file.read_text().splitlines()
     except FileNotFoundError:
@@ -276,24 +286,24 @@
 
 
 def wait_for(condition):
-    end = time.monotonic() + PATIENCE
+    end = time.monotonic() + TIMEOUT_S
     while not condition():
-        assert time.monotonic() < end, "waited in vain"
+        assert time.monotonic() < end, "the condition did not become true in time"
         time.sleep(0.02)
 
 
 @pytest.mark.parametrize("how", [signal.SIGINT, signal.SIGKILL])
-def test_nothing_outlives_a_lab_that_is_ended(tmp_path, how):
-    """Failure prevented: nodes of a killed lab go on by themselves and hold their ports."""
-    lab = start(tmp_path, "x", QUICK + 'earlier = "HEAD"\n' + mischief({"n1": "earlier"}))
+def test_no_process_outlives_an_interrupted_or_killed_lab(tmp_path, how):
+    """Nodes that outlived a killed lab would keep their ports and disturb later runs."""
+    lab = start(tmp_path, "x", SHORT_PLAN + 'earlier = "HEAD"\n' + faulty_nodes({"n1": "earlier"}))
     history = tmp_path / "x" / "history.jsonl"
     wait_for(lambda: history.exists() and '"event":"go"' in history.read_text())
     pids = pids_of(history)
     assert len(pids) == 5 and all(map(alive, pids))
-    places = [os.path.basename(os.readlink(f"/proc/{pid}/cwd")) for pid in pids]
-    assert [place == "earlier" for place in places] == [False, True, False, False, False]
+    folders = [os.path.basename(os.readlink(f"/proc/{pid}/cwd")) for pid in pids]
+    assert [folder == "earlier" for folder in folders] == [False, True, False, False, False]
     os.kill(lab.pid, how)
-    assert lab.wait(PATIENCE) == (130 if how == signal.SIGINT else -signal.SIGKILL)
+    assert lab.wait(TIMEOUT_S) == (130 if how == signal.SIGINT else -signal.SIGKILL)
     wait_for(lambda: not any(map(alive, pids)))
     events = read(str(history))
     assert (events[-1]["event"] == "end") is (how == signal.SIGINT)
@@ -304,24 +314,25 @@
     ("kind", "word", "statuses", "broken"),
     [
         ("unready", "n1: not ready after 3 s", (1,), set()),
+        # Status 3: the machine was too late; the verdicts still hold.
         (
             "flood",
             "n1: floods its log",
             (1, 3),
             {"logs", "processes"},
-        ),  # 3: late, the verdicts hold all the same
+        ),
     ],
 )
-def test_a_node_that_hinders_the_start_is_named(tmp_path, kind, word, statuses, broken):
-    lab = start(tmp_path, "x", QUICK + "ready_s = 3.0\n" + mischief({"n1": kind}), "--nodes", "3")
-    printed, _ = lab.communicate(timeout=PATIENCE)
+def test_node_that_prevents_the_start_is_reported_by_name(tmp_path, kind, word, statuses, broken):
+    lab = start(tmp_path, "x", SHORT_PLAN + "ready_s = 3.0\n" + faulty_nodes({"n1": kind}), "--nodes", "3")
+    printed, _ = lab.communicate(timeout=TIMEOUT_S)
     assert lab.returncode in statuses and word in printed
     verdicts = check(read(str(tmp_path / "x" / "history.jsonl")))
     assert all(any("n1" in str(violation) for violation in verdicts[name]) for name in broken)
     assert not any(map(alive, pids_of(tmp_path / "x" / "history.jsonl")))
 
 
-def test_show_and_check_read_what_run_kept(runs, tmp_path):
+def test_show_and_check_read_a_kept_history(runs, tmp_path):
     file = tmp_path / "h.jsonl"
     file.write_text("".join(json.dumps(e) + "\n" for e in runs["a"][2]))
     picture = tmp_path / "p.png"
@@ -340,8 +351,8 @@
 # ---- load and emulate -------------------------------------------------------------------------------------
 
 
-def test_a_node_started_by_hand_between_emulate_and_load(tmp_path):
-    """What a newcomer does: servers and discovery from one command, a node, requests from another."""
+def test_node_started_by_hand_serves_load_from_emulate(tmp_path):
+    """A node can be run by hand between emulated servers and discovery, and a load generator."""
     command = [sys.executable, "-u", "-m", "workbench"]
     words = ["emulate", "lab", "--seconds", "80", "--set", "nodes.count=1"]
     with subprocess.Popen([*command, *words], stdout=subprocess.PIPE, text=True) as servers:
@@ -368,7 +379,7 @@
             node.kill()
             node.wait()
             servers.send_signal(signal.SIGINT)
-        assert "attempts came to the servers" in servers.communicate(timeout=PATIENCE)[0]
+        assert "attempts came to the servers" in servers.communicate(timeout=TIMEOUT_S)[0]
         assert servers.returncode == 0 and not Path(path).exists()
 
 
@@ -387,7 +398,7 @@
         (["lab", "check", "/nowhere/h"], "/nowhere/h: cannot be read: No such file or directory"),
     ],
 )
-def test_bad_input_gets_one_line(words, line):
+def test_invalid_input_is_reported_in_one_line(words, line):
     done = subprocess.run(
         [sys.executable, "-m", "workbench", *words], capture_output=True, text=True, timeout=60
     )
--- a/workbench/lab/__init__.py
+++ b/workbench/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Real processes of the node on loopback with faults between them, a history, and its checkers."""
+"""Fault-injection runs of real node processes on loopback addresses, their histories, and the checkers."""
--- a/workbench/lab/checkers.py
+++ b/workbench/lab/checkers.py
@@ -1,8 +1,8 @@
-"""The checkers: each reads a history alone and names what was violated, when and by whom.
+"""The checkers of a run: each reads the history and reports which rule was violated, when and by which node.
 
-They know nothing of the node's inside: they see what clients got, what came to servers, when discovery
-notified whom, which signals the lab gave, and what nodes report on their pages and in their logs. Times in a
-history's fields are microseconds of the lab's clock; `t` is in seconds.
+Checkers have no access to a node's internal state. They see what clients received, which requests arrived at
+servers, when discovery notified which node, which signals the lab sent, and what nodes report on their status
+pages and in their logs. Times in a history's fields are microseconds of the lab's clock; `t` is in seconds.
 """
 
 from __future__ import annotations
@@ -15,30 +15,30 @@
 from workbench.lab.violations import Findings, Violation
 
 CHECKERS: dict[str, Callable[[GroundTruth], Findings]] = {
-    "answers": request_checkers.requests_answered,
-    "attempts": request_checkers.attempts_limited,
-    "drains": request_checkers.drains_respected,
-    "processes": request_checkers.processes_end_as_asked,
-    "logs": request_checkers.logs_without_failures,
-    "cold": request_checkers.cold_servers_spared,
-    "views": membership_checkers.views_converge,
-    "summaries": membership_checkers.zone_summaries_converge,
-    "deaths": membership_checkers.no_false_deaths,
-    "incarnations": membership_checkers.incarnation_numbers_rise,
-    "rejoins": membership_checkers.members_rejoin,
-    "duties": lease_checkers.one_lease_holder,
-    "replacement": lease_checkers.rolling_update_completes,
-    "passes": lease_checkers.min_rtt_slots_respected,
-    "trials": lease_checkers.one_prober_per_zone,
-    "home": zone_checkers.calls_stay_in_zone,
-    "left": zone_checkers.no_calls_to_evacuated_zones,
-    "turns": zone_checkers.evacuations_held,
-    "directives": zone_checkers.directives_followed,
+    "answers": request_checkers.check_requests_answered,
+    "attempts": request_checkers.check_attempts,
+    "drains": request_checkers.check_drains,
+    "processes": request_checkers.check_process_exits,
+    "logs": request_checkers.check_logs,
+    "cold": request_checkers.check_cold_servers,
+    "views": membership_checkers.check_views,
+    "summaries": membership_checkers.check_zone_summaries,
+    "deaths": membership_checkers.check_no_false_deaths,
+    "incarnations": membership_checkers.check_incarnation_numbers,
+    "rejoins": membership_checkers.check_members_rejoin,
+    "duties": lease_checkers.check_single_lease_holder,
+    "replacement": lease_checkers.check_rolling_update,
+    "passes": lease_checkers.check_min_rtt_slots,
+    "trials": lease_checkers.check_single_prober_per_zone,
+    "home": zone_checkers.check_attempts_stay_in_zone,
+    "left": zone_checkers.check_no_attempts_to_evacuated_zones,
+    "turns": zone_checkers.check_evacuation_durations,
+    "directives": zone_checkers.check_directives,
 }
 
 
 def check(events: list[Event]) -> dict[str, list[Violation]]:
-    """Returns the violations that each checker found, by its name; empty lists where there are none."""
+    """Return the violations that each checker found, by the checker's name; an empty list means none."""
     truth = GroundTruth(events)
     return {
         name: [Violation(name, *finding) for finding in checker(truth)] for name, checker in CHECKERS.items()
--- a/workbench/lab/earlier.py
+++ b/workbench/lab/earlier.py
@@ -1,4 +1,4 @@
-"""The node of another revision of this repository, unpacked beside today's."""
+"""Extraction of the node's package from another revision of this repository, to run both in one lab."""
 
 from __future__ import annotations
 
@@ -17,40 +17,41 @@
 )
 from workbench.lab.plan import PlanError
 
-FLEET_MODULE = "fleet/config.py"  # within the node's package; a revision without it has no fleet
+# Path within the node's package. A revision without this file has no fleet.
+FLEET_MODULE = "fleet/config.py"
 GIT_TIMEOUT_S = 60
 
 
 def unpack(revision: str, folder: Path) -> str:
-    """Unpacks a revision's node for processes that are started in its folder.
+    """Extract the node's package of a revision into a folder, in which its processes are then started.
 
     Args:
-        revision: A revision of this repository by any of its names.
-        folder: Where the node's package goes.
+        revision: A revision of this repository, in any form that Git accepts.
+        folder: The directory that the package is extracted into.
 
     Returns:
-        The revision's complete name.
+        The full hash of the revision.
 
     Raises:
-        PlanError: There is no such revision, or it has no fleet.
+        PlanError: The revision does not exist, or its node has no fleet.
     """
     try:
-        full_name = full_revision(revision)
-        package = package_with_fleet(full_name)
+        full_hash = full_revision(revision)
+        package = package_with_fleet(full_hash)
     except RevisionError as e:
         raise PlanError(f"earlier: {str(e).removeprefix('git:')}") from None
-    done = subprocess.run(
-        ["git", "archive", full_name, package], cwd=ROOT, capture_output=True, timeout=GIT_TIMEOUT_S
+    completed = subprocess.run(
+        ["git", "archive", full_hash, package], cwd=ROOT, capture_output=True, timeout=GIT_TIMEOUT_S
     )
-    if done.returncode:
-        raise PlanError(f"earlier: {revision}: {done.stderr.decode(errors='replace').strip()}")
-    with tarfile.open(fileobj=io.BytesIO(done.stdout)) as archive:
+    if completed.returncode:
+        raise PlanError(f"earlier: {revision}: {completed.stderr.decode(errors='replace').strip()}")
+    with tarfile.open(fileobj=io.BytesIO(completed.stdout)) as archive:
         archive.extractall(folder, filter="data")
-    return full_name
+    return full_hash
 
 
 def package_with_fleet(revision: str) -> str:
-    """Returns the name that the node's package had at a revision.
+    """Return the name of the node's package at a revision.
 
     Raises:
         RevisionError: The node of this revision has no fleet.
@@ -58,9 +59,9 @@
     for package in (NODE_PACKAGE, FORMER_NODE_PACKAGE):
         if f"{package}/{FLEET_MODULE}" in list_files(revision, package):
             return package
-    raise RevisionError(f"{revision}: it has no fleet: a revision with {FLEET_MODULE} is wanted")
+    raise RevisionError(f"{revision}: it has no fleet: {FLEET_MODULE} does not exist in this revision")
 
 
-def package_in(folder: Path) -> str:
-    """Returns the name of the node's package that was unpacked into a folder."""
+def unpacked_package(folder: Path) -> str:
+    """Return the name of the node's package that was extracted into a folder."""
     return NODE_PACKAGE if (folder / NODE_PACKAGE).exists() else FORMER_NODE_PACKAGE
--- a/workbench/lab/faulty_nodes.py
+++ b/workbench/lab/faulty_nodes.py
@@ -1,7 +1,9 @@
-"""Faulty nodes: a node with one part changed, for the checkers to catch, or of another version, to tolerate.
+"""Faulty nodes: programs of the node in which one function is replaced by a faulty one.
 
-`python -m workbench.lab.faulty_nodes KIND` starts the node as `python -m balancer` does, with the change that
-the kind stands for in `KINDS`. The kinds are words of plan files. The product has no such switch.
+`python -m workbench.lab.faulty_nodes KIND` starts the node as `python -m balancer` does, after applying the
+change that `KINDS` has for the kind. Most kinds are faults that a checker must detect; others are behaviour
+that the other nodes must tolerate, such as messages of a later version. Plan files use the names of the
+kinds. The product itself has no option for them.
 """
 
 from __future__ import annotations
@@ -34,56 +36,56 @@
 from balancer.policy import ejection, gradient
 from balancer.policy.interface import State
 
-FAULT_INTERVAL = 15  # requests from one that is handled wrongly to the next
-ONE_TIME_FAULT_S = 3.0  # after the start
-OVERLOAD_COPIES = 3  # of each request that goes to a cold server
-UNKNOWN_MESSAGE_KIND = 77  # no version has it yet
+REQUESTS_PER_FAULT = 15
+ONE_TIME_FAULT_DELAY_S = 3.0  # Time from the start of the node to a fault that occurs once.
+COPIES_PER_REQUEST = 3  # Number of additional requests that overload a cold server.
+UNKNOWN_MESSAGE_KIND = 77  # A number that no version uses.
 SHORT_MIN_RTT_INTERVAL_US = 2_000_000
 SHORT_EJECTION_US = 200_000
 EXIT_STATUS = 3
 
 
-def one_in(count: int) -> Callable[[], bool]:
-    """Returns a function that is true for one call in `count`."""
-    seen = [0]
+def every_nth_call(count: int) -> Callable[[], bool]:
+    """Return a function that returns True on every `count`-th call."""
+    call_count = [0]
 
     def is_due() -> bool:
-        seen[0] += 1
-        return seen[0] % count == 0
+        call_count[0] += 1
+        return call_count[0] % count == 0
 
     return is_due
 
 
-def wrap(owner: Any, name: str, around: Callable[..., Any]) -> None:
-    """Replaces a method by `around(original, self, ...)`."""
+def wrap(owner: Any, name: str, wrapper: Callable[..., Any]) -> None:
+    """Replace a method by one that calls `wrapper(original, self, ...)`."""
     original = getattr(owner, name)
-    setattr(owner, name, lambda self, *args, **more: around(original, self, *args, **more))
+    setattr(owner, name, lambda self, *args, **kwargs: wrapper(original, self, *args, **kwargs))
 
 
 def drop_responses() -> None:
-    """Never responds to some requests."""
-    is_due = one_in(FAULT_INTERVAL)
-    wrap(Requests, "on_request", lambda go, self, *args: None if is_due() else go(self, *args))
+    """Leave some requests without a response."""
+    is_due = every_nth_call(REQUESTS_PER_FAULT)
+    wrap(Requests, "on_request", lambda original, self, *args: None if is_due() else original(self, *args))
 
 
 def forge_responses() -> None:
-    """Sends a body of its own in place of some servers' responses."""
-    is_due = one_in(FAULT_INTERVAL)
+    """Replace the body of some responses by one that no server sent."""
+    is_due = every_nth_call(REQUESTS_PER_FAULT)
 
     def respond(
-        go: Any, self: Any, number: int, status: int, body: bytes = b"", headers: bytes = b""
+        original: Any, self: Any, number: int, status: int, body: bytes = b"", headers: bytes = b""
     ) -> None:
-        go(self, number, status, b"made up" if status == 200 and is_due() else body, headers)
+        original(self, number, status, b"made up" if status == 200 and is_due() else body, headers)
 
     wrap(Requests, "respond", respond)
 
 
 def duplicate_attempts() -> None:
-    """Sends some requests to a second server while the first attempt is in flight."""
-    is_due = one_in(FAULT_INTERVAL)
+    """Send some requests to a second server while the first attempt is still in flight."""
+    is_due = every_nth_call(REQUESTS_PER_FAULT)
 
-    def send(go: Any, self: Any, request: int, server: int, timeout: int) -> None:
-        go(self, request, server, timeout)
+    def send(original: Any, self: Any, request: int, server: int, timeout: int) -> None:
+        original(self, request, server, timeout)
         other = [n for n, e in self.pool.endpoints.items() if n != server and e.ready]
         if other and is_due():
             send_copy(self, request, other[0], timeout)
@@ -92,33 +94,33 @@
 
 
 def ignore_drains() -> None:
-    """Ignores that a server drains or is gone."""
+    """Ignore that a server drains or has been removed from the server list."""
 
-    def on_list(go: Any, self: Any, server_list: Any) -> None:
+    def on_list(original: Any, self: Any, server_list: Any) -> None:
         if server_list is not None:
-            ready = tuple(x for x in server_list.servers if x.state == State.READY)
+            ready = tuple(entry for entry in server_list.servers if entry.state == State.READY)
             server_list = dataclasses.replace(server_list, servers=ready)
-        go(self, server_list)
+        original(self, server_list)
 
     wrap(ServerRegistry, "on_list", on_list)
 
 
 def overload_newest_server() -> None:
-    """Sends every request, and copies of it, to the server that was started last."""
+    """Send every request and copies of it to the most recently started server."""
 
-    def send(go: Any, self: Any, request: int, server: int, timeout: int) -> None:
+    def send(original: Any, self: Any, request: int, server: int, timeout: int) -> None:
         ready = {n: e.started for n, e in self.pool.endpoints.items() if e.ready}
         newest = max(ready, key=lambda n: ready[n], default=server)
-        go(self, request, newest, timeout)
+        original(self, request, newest, timeout)
         if ready.get(newest):
-            for _ in range(OVERLOAD_COPIES):
+            for _ in range(COPIES_PER_REQUEST):
                 send_copy(self, request, newest, timeout)
 
     wrap(Attempts, "send", send)
 
 
 def send_copy(attempts: Any, request: int, server: int, timeout: int) -> None:
-    """Sends a copy of a pending request to a given server."""
+    """Send a copy of a pending request to a given server and ignore its result."""
     pending = attempts.requests.pending.get(request)
     endpoint = attempts.pool.endpoints[server]
     if pending is not None and endpoint.ready:
@@ -127,49 +129,49 @@
 
 
 def never_declare_dead() -> None:
-    """Never takes a member for dead."""
+    """Ignore all claims that a member is suspect, dead or has left."""
 
-    def accept(go: Any, self: Any, now: int, claim: Claim) -> None:
+    def accept(original: Any, self: Any, now: int, claim: Claim) -> None:
         if claim.status == Status.ALIVE:
-            go(self, now, claim)
+            original(self, now, claim)
 
     wrap(Swim, "accept", accept)
 
 
 def declare_others_dead() -> None:
-    """Claims again and again that members are dead that run."""
+    """Repeatedly claim that running members are dead."""
     rng = Random(1)
 
-    def tick(go: Any, self: Any) -> None:
-        go(self)
+    def tick(original: Any, self: Any) -> None:
+        original(self)
         swim = self.swim
         for name in rng.sample(swim.alive(), min(1, len(swim.alive()))):
             claim = swim.members[name].claim
-            lie = Claim(name, claim.address, Status.DEAD, claim.incarnation + 1)
+            false_claim = Claim(name, claim.address, Status.DEAD, claim.incarnation + 1)
             for other in swim.alive():
                 if other != name:
                     send_message(
                         self,
                         swim.members[other].claim.address,
-                        Message(Kind.ACK, swim.me.name, 0, "", (lie,)),
+                        Message(Kind.ACK, swim.me.name, 0, "", (false_claim,)),
                     )
 
     wrap(FleetRuntime, "tick", tick)
 
 
 def send_message(runtime: Any, to: tuple[str, int], message: Message) -> None:
-    """Sends a membership message, of a known kind or not, from a node's fleet runtime."""
+    """Send a membership message of any kind, known or unknown, from a node's fleet runtime."""
     if runtime.transport is not None:
-        # Any version can encode a message of the unknown kind so.
+        # The codec has no entry for the unknown kind; it is encoded like any other membership message.
         runtime.codec.payload_codecs.setdefault(UNKNOWN_MESSAGE_KIND, MembershipWire())
         runtime.transport.sendto(runtime.codec.encode(message, runtime.stamp()), to)
 
 
 def send_unknown_messages() -> None:
-    """Sends messages of a kind that this version does not know, as a later version may."""
+    """Send messages of a kind that this version does not know, as a later version may do."""
 
-    def tick(go: Any, self: Any) -> None:
-        go(self)
+    def tick(original: Any, self: Any) -> None:
+        original(self)
         for name in self.swim.alive():
             message = Message(UNKNOWN_MESSAGE_KIND, self.swim.me.name)  # type: ignore[arg-type]
             send_message(self, self.swim.members[name].claim.address, message)
@@ -178,104 +180,109 @@
 
 
 def rewind_incarnation() -> None:
-    """Sets its own incarnation number back."""
+    """Decrease the node's own incarnation number."""
     started_at = time.monotonic()
     done: list[bool] = []
 
-    def tick(go: Any, self: Any) -> None:
-        go(self)
-        if not done and time.monotonic() - started_at > ONE_TIME_FAULT_S:
+    def tick(original: Any, self: Any) -> None:
+        original(self)
+        if not done and time.monotonic() - started_at > ONE_TIME_FAULT_DELAY_S:
             done.append(True)
             self.swim.me = dataclasses.replace(self.swim.me, incarnation=1)
 
     wrap(FleetRuntime, "tick", tick)
-    wrap(Swim, "refute", lambda go, self, claim: None)  # it stays back, whatever others claim of it
+    # Without refutations the number stays low whatever the other nodes claim.
+    wrap(Swim, "refute", lambda original, self, claim: None)
 
 
 def grant_to_itself() -> None:
-    """Takes any voter's answer for a grant, and one grant for a quorum."""
-    wrap(LeaseClient, "is_granted", lambda go, self, request: True)
-    wrap(LeaseClient, "on_denial", lambda go, self, now, request, m: self.on_grant(now, request, m.sender))
+    """Treat any answer of a voter as a grant, and one grant as a quorum."""
+    wrap(LeaseClient, "is_granted", lambda original, self, request: True)
+    wrap(
+        LeaseClient,
+        "on_denial",
+        lambda original, self, now, request, m: self.on_grant(now, request, m.sender),
+    )
 
 
 def update_without_checks() -> None:
-    """Leads a rolling update without a check of who is down."""
+    """Lead a rolling update without checking which nodes are down."""
 
-    def lead(go: Any, self: Any, *args: Any) -> Any:
+    def lead(original: Any, self: Any, *args: Any) -> Any:
         self.reports = {n: dataclasses.replace(r, serving=True) for n, r in self.reports.items()}
         self.asked_to_end.clear()
-        return go(self, *args)
+        return original(self, *args)
 
     wrap(RollingUpdate, "lead", lead)
-    wrap(FleetRuntime, "gone", lambda go, self: [])
+    wrap(FleetRuntime, "gone", lambda original, self: [])
 
 
 def shorten_min_rtt_interval() -> None:
-    """Recalculates minRTT each few seconds, so that a short run has some recalculations."""
+    """Recalculate minRTT every few seconds, so that a short run contains several recalculations."""
     gradient.MIN_RTT_INTERVAL = SHORT_MIN_RTT_INTERVAL_US
 
 
 def ignore_min_rtt_slots() -> None:
-    """Recalculates minRTT often, whether it has a slot or not."""
+    """Recalculate minRTT often, with or without a slot."""
     shorten_min_rtt_interval()
 
-    def may_start(go: Any, self: Any, now: int) -> bool:
-        go(self, now)
+    def may_start(original: Any, self: Any, now: int) -> bool:
+        original(self, now)
         self.max_wait = 0
-        return bool(go(self, now))
+        return bool(original(self, now))
 
     wrap(MinRttSlots, "may_start", may_start)
 
 
 def probe_without_lease() -> None:
-    """Probes ejected servers often, whoever else does."""
+    """Probe ejected servers often and without the lease for it."""
     ejection.BASE_EJECTION_TIME = SHORT_EJECTION_US
-    wrap(HealthChecks, "may_probe", lambda go, self, now, server: True)
+    wrap(HealthChecks, "may_probe", lambda original, self, now, server: True)
 
 
 def return_at_once() -> None:
-    """Returns at once to a zone that it has evacuated."""
+    """Return to an evacuated zone at once."""
 
-    def evacuate(go: Any, self: Any, now: int, zone: str, state: Any) -> None:
-        go(self, now, zone, state)
+    def evacuate(original: Any, self: Any, now: int, zone: str, state: Any) -> None:
+        original(self, now, zone, state)
         state.next_step_at = now
 
     wrap(ZoneStates, "evacuate", evacuate)
 
 
 def ignore_evacuations() -> None:
-    """Goes on sending to zones that it has evacuated."""
+    """Keep sending requests to evacuated zones."""
 
-    def shares(go: Any, self: Any, now: int) -> dict[str, float]:
+    def shares(original: Any, self: Any, now: int) -> dict[str, float]:
         return dict.fromkeys(self.zones(), 1 / max(1, len(self.zones())))
 
     wrap(ZoneRouter, "shares", shares)
 
 
 def exit_early() -> None:
-    """Exits by itself some seconds after its start."""
-    threading.Timer(ONE_TIME_FAULT_S, lambda: os._exit(EXIT_STATUS)).start()
+    """Exit some seconds after the start without being asked to."""
+    threading.Timer(ONE_TIME_FAULT_DELAY_S, lambda: os._exit(EXIT_STATUS)).start()
 
 
 def raise_exceptions() -> None:
-    """Raises an exception for some requests."""
-    is_due = one_in(FAULT_INTERVAL)
+    """Raise an unexpected exception for some requests."""
+    is_due = every_nth_call(REQUESTS_PER_FAULT)
 
-    def accept(go: Any, self: Any, *args: Any) -> None:
+    def accept(original: Any, self: Any, *args: Any) -> None:
         if is_due():
             raise RuntimeError("on purpose")
-        go(self, *args)
+        original(self, *args)
 
     wrap(Requests, "accept", accept)
 
 
 def never_become_ready() -> None:
-    """Never becomes ready for clients."""
-    wrap(Lifecycle, "on_server_list", lambda go, self: None)
+    """Prevent the node from becoming ready for clients."""
+    wrap(Lifecycle, "on_server_list", lambda original, self: None)
 
 
 def flood_log() -> None:
-    """Logs without end."""
+    """Write log lines without end."""
 
     def write_noise() -> None:
         while True:
@@ -309,7 +316,7 @@
 
 
 def main() -> int:
-    """Changes the node as the kind on the command line says, and starts it."""
+    """Apply the change of the kind on the command line and start the node."""
     KINDS[sys.argv.pop(1)]()
     return program.main()
 
--- a/workbench/lab/fleet.py
+++ b/workbench/lab/fleet.py
@@ -1,4 +1,4 @@
-"""The nodes of a lab as a fleet: started, awaited and stopped together."""
+"""The nodes of a lab as a group that is started, awaited and stopped together."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 from workbench.emulator.nodes import NodeAdapter, Site
 from workbench.lab.member import Member
-from workbench.lab.plan import Plan, number
+from workbench.lab.plan import Plan, drawn_value
 
-KILL_TIMEOUT_S = 5.0  # that a process has to end after SIGKILL
+KILL_TIMEOUT_S = 5.0  # Time for a process to exit after SIGKILL.
 
-Record = Callable[..., None]  # writes one event of the history
+Record = Callable[..., None]  # A function that writes one event to the history.
 
 
 class Fleet:
-    """All nodes of a lab; it controls the processes for the emulated world's own faults.
+    """All nodes of a lab; also starts and stops processes on behalf of the emulated world.
 
     Args:
         plan: The plan of the run.
         site: The emulated site with the nodes.
-        folder: Where the nodes' files are.
-        record: Writes one event of the history.
+        folder: The directory for the nodes' files.
+        record: Writes one event to the history.
 
     Attributes:
-        unexpected_exits: What is known of each process that ended unasked.
-        failed: Set once a process ended unasked.
-        earlier: Where the node of an earlier revision lies, if a member is of one.
+        unexpected_exits: A description of each process that exited without being asked to.
+        failed: Set once a process exited without being asked to.
+        earlier_folder: The directory of the earlier revision's package, if a member runs one.
     """
 
     def __init__(self, plan: Plan, site: Site, folder: Path, record: Record) -> None:
@@ -41,58 +41,60 @@
         self.unexpected_exits: list[str] = []
         self.failed = asyncio.Event()
         self.stopping = False
-        self.earlier = folder / "earlier"
+        self.earlier_folder = folder / "earlier"
 
     def add(self, faulty_nodes: dict[str, str]) -> None:
-        """Makes the members; `faulty_nodes` has the kind of fault by the node's name."""
+        """Create the members; `faulty_nodes` maps the name of a node to its kind of fault."""
         self.members = [Member(self, node, faulty_nodes.get(node.name, "")) for node in self.site.nodes]
 
     def boot(self, node: NodeAdapter) -> None:
-        """Starts a node's process for the emulated world."""
+        """Start a node's process on behalf of the emulated world."""
         if self.members:
             self.members[node.index].start()
 
     def leave(self, node: NodeAdapter) -> None:
-        """Asks a node's process to stop, for the emulated world."""
+        """Ask a node's process to stop on behalf of the emulated world."""
         self.members[node.index].signal(signal.SIGTERM)
 
     def kill(self, node: NodeAdapter) -> None:
-        """Kills a node's process for the emulated world."""
+        """Kill a node's process on behalf of the emulated world."""
         self.members[node.index].signal(signal.SIGKILL)
 
     def on_unexpected_exit(self, member: Member) -> None:
-        """Takes notice of a process that ended unasked."""
-        what = f"{member.name}: life {member.process_number} ended unasked: {member.last_line()}"
-        self.unexpected_exits.append(what)
+        """Handle a process that exited without being asked to."""
+        description = (
+            f"{member.name}: process {member.process_number} exited unexpectedly: {member.last_line()}"
+        )
+        self.unexpected_exits.append(description)
         self.failed.set()
 
-    async def all_ready(self) -> str:
-        """Waits until every node is ready; returns "" or what went wrong, with the node's name."""
-        waits = {self.loop.create_task(m.ready.wait()): m for m in self.members}
+    async def wait_all_ready(self) -> str:
+        """Wait until every node is ready; return "", or what failed with the name of the node."""
+        ready_tasks = {self.loop.create_task(m.ready.wait()): m for m in self.members}
         failure = self.loop.create_task(self.failed.wait())
-        timeout_s = number(self.plan.ready_s)
+        timeout_s = drawn_value(self.plan.ready_s)
         deadline = self.loop.time() + timeout_s
         try:
-            while waits:
+            while ready_tasks:
                 done, _ = await asyncio.wait(
-                    {*waits, failure},
+                    {*ready_tasks, failure},
                     timeout=max(0, deadline - self.loop.time()),
                     return_when=asyncio.FIRST_COMPLETED,
                 )
                 if failure in done:
                     return self.unexpected_exits[0]
                 if not done:
-                    late = min(waits.values(), key=lambda m: m.node.index)
+                    late = min(ready_tasks.values(), key=lambda m: m.node.index)
                     return f"{late.name}: not ready after {timeout_s:g} s: {late.last_line()}"
                 for task in done:
-                    del waits[task]
+                    del ready_tasks[task]
             return ""
         finally:
-            for task in (*waits, failure):
+            for task in (*ready_tasks, failure):
                 task.cancel()
 
     async def stop(self, timeout_s: float) -> None:
-        """Ends all processes: by SIGTERM, and by SIGKILL those that still run after a time."""
+        """Stop all processes with SIGTERM; after `timeout_s`, kill those that still run."""
         self.stopping = True
         for member in self.members:
             if member.process is not None and member.process.paused:
--- a/workbench/lab/history.py
+++ b/workbench/lab/history.py
@@ -1,7 +1,7 @@
-"""The history of a run: what was observed from outside, one event a JSON line, in the order of observation.
+"""The history of a run: what was observed from outside the nodes, as JSON lines in order of observation.
 
-`t` is the lab's monotonic time in seconds; 0 is when the clients begin. The first line says what was run, the
-last how it ended. A history whose last line is incomplete is read up to there.
+Each line is one event. Its `t` is in seconds since the lab's monotonic clock started. The first event
+describes the run and the last one its result. An incomplete last line is ignored when a history is read.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 
 
 class HistoryError(Exception):
-    """A file that is not a history, or cannot be read or written; the message is one line."""
+    """A file that is not a history, or cannot be read or written. The message is one line."""
 
 
 class History:
-    """Writes the events of a run.
+    """Writes the events of a run to a file.
 
     Args:
         path: The file to write.
 
     Attributes:
-        lines: Events that were written.
-        fault: Why it takes no more events, if its disk has failed; "" otherwise.
+        event_count: Number of events written.
+        write_error: The first error of the disk, after which no events are written; "" if none occurred.
     """
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.file = path.open("wb")
-        self.lines = 0
-        self.fault = ""
+        self.event_count = 0
+        self.write_error = ""
         self.logger = structlog.wrap_logger(
             structlog.BytesLogger(self.file),
             processors=[structlog.processors.JSONRenderer(serializer=encode)],
@@ -43,33 +43,33 @@
         )
 
     def write(self, t: float, event: str, **fields: Any) -> None:
-        """Writes one event. A closed history takes no more, nor one whose disk has failed."""
-        if self.file.closed or self.fault:
+        """Write one event; do nothing after the history was closed or its disk failed."""
+        if self.file.closed or self.write_error:
             return
-        with self.noting_disk_faults():
+        with self.storing_disk_errors():
             self.logger.info(event, t=round(t, 6), **fields)
-            self.lines += 1
+            self.event_count += 1
 
     def close(self) -> None:
-        """Flushes the history to the disk and closes it, or notes why it could not."""
-        with self.noting_disk_faults():
+        """Flush the history to the disk and close it; an error of the disk goes to `write_error`."""
+        with self.storing_disk_errors():
             self.file.flush()
             if self.path.is_file():
                 os.fsync(self.file.fileno())
-        with self.noting_disk_faults():
+        with self.storing_disk_errors():
             self.file.close()
 
     @contextmanager
-    def noting_disk_faults(self) -> Iterator[None]:
-        """Notes the first error of the disk in `fault`."""
+    def storing_disk_errors(self) -> Iterator[None]:
+        """Store the first error of the disk in `write_error`."""
         try:
             yield
         except OSError as e:
-            self.fault = self.fault or f"{self.path}: cannot be written: {e.strerror}"
+            self.write_error = self.write_error or f"{self.path}: cannot be written: {e.strerror}"
 
 
 def encode(event: Any, **_: Any) -> bytes:
-    """Encodes one event as JSON; structlog's logger of bytes adds the end of line."""
+    """Encode one event as JSON; structlog's BytesLogger adds the newline."""
     return msgspec.json.encode(event)
 
 
@@ -77,10 +77,10 @@
 
 
 def read(path: str) -> list[Event]:
-    """Reads all events of a history.
+    """Read all events of a history.
 
     Raises:
-        HistoryError: The file cannot be read, or is not a history.
+        HistoryError: The file cannot be read or is not a history.
     """
     try:
         lines = Path(path).read_bytes().split(b"\n")
@@ -93,7 +93,7 @@
         try:
             events.append(decode(line))
         except (msgspec.DecodeError, ValueError):
-            if number >= len(lines) - 1 and events:  # the lab was killed as it wrote
+            if number >= len(lines) - 1 and events:  # The lab was killed while it wrote this line.
                 break
             raise HistoryError(f"{path}: line {number}: not an event") from None
     if not events or events[0]["event"] != "run":
@@ -102,13 +102,13 @@
 
 
 def decode(line: bytes) -> Event:
-    """Decodes one event.
+    """Decode one line of a history.
 
     Raises:
-        ValueError: The line is JSON, but not an event.
+        ValueError: The line is JSON but not an event.
         msgspec.DecodeError: The line is not JSON.
     """
     event = msgspec.json.decode(line)
     if not isinstance(event, dict) or "t" not in event or "event" not in event:
-        raise ValueError("an event has a time and a kind")
+        raise ValueError("an event must have the keys t and event")
     return cast(Event, event)
--- a/workbench/lab/management.py
+++ b/workbench/lab/management.py
@@ -1,4 +1,4 @@
-"""Requests to a node's management address."""
+"""HTTP requests to a node's client or management address."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from workbench.emulator.http import ConnectionPool, Response
 
-READY_POLL_S = 0.02  # from one readiness check of a node that starts to the next
+READY_POLL_S = 0.02  # Interval between readiness checks of a starting node.
 
 
 async def fetch(
@@ -16,7 +16,7 @@
     timeout_s: float,
     method: bytes = b"GET",
 ) -> Response | None:
-    """Sends one request; returns None where no complete response came in time."""
+    """Send one request; return its response, or None if no complete response arrived in time."""
     pending: asyncio.Future[Response] = loop.create_future()
 
     def on_response(response: Response) -> None:
--- a/workbench/lab/measure.py
+++ b/workbench/lab/measure.py
@@ -1,7 +1,8 @@
-"""Many runs of the lab's plans, and a table of them: `python -m workbench.lab.measure --help`.
+"""Series of runs of the lab's plans, and a table of their results: `python -m workbench.lab.measure --help`.
 
-Each run is a process of its own, `workbench lab run`. Its result is a line of a file, so a measurement that
-was stopped continues where it was. A run for which the machine was late is repeated, up to `MAX_ATTEMPTS`.
+Each run is a separate process, `workbench lab run`. Its result is one line of a file, so an interrupted
+measurement can be continued. A run that does not count because the machine was late is repeated, with at most
+`MAX_ATTEMPTS` attempts in all.
 """
 
 from __future__ import annotations
@@ -30,18 +31,25 @@
 from workbench.lab.timeline import costs
 from workbench.lab.violations import Violation
 
-MAX_ATTEMPTS = 3  # of one run
+MAX_ATTEMPTS = 3
 RUN_TIMEOUT_S = 300
-MINIMUM_PAIRS = 5  # for an interval of differences
-NOT_COUNTED = 3  # exit status of a run for which the machine was late
-SHOWN_VIOLATIONS = 3  # of a checker
-SHOWN_ERROR_CHARACTERS = 200
+MIN_PAIRS = 5  # Fewer pairs get no confidence interval.
+NOT_COUNTED_STATUS = 3  # Exit status of a run for which the machine was late.
+MAX_STORED_VIOLATIONS = 3  # Limit for each checker.
+MAX_STORED_ERROR_CHARACTERS = 200
 
-Row = dict[str, Any]  # a line of the file of results
+Row = dict[str, Any]  # One line of the results file.
 
 
 class RunKey(NamedTuple):
-    """What is run: a plan with a seed and a number of nodes, and whether without the fleet."""
+    """The parameters of a run.
+
+    Attributes:
+        plan: The plan.
+        seed: The seed that fixes the plan's ranges.
+        nodes: The number of nodes.
+        alone: Whether the nodes run without the fleet.
+    """
 
     plan: str
     seed: int
@@ -49,64 +57,64 @@
     alone: bool
 
     def command(self, folder: str) -> list[str]:
-        """Returns the command that runs it and keeps its history in a folder."""
-        words = ["lab", "run", self.plan, "--seed", str(self.seed), "--nodes", str(self.nodes)]
-        words += ["--keep", folder, *(["--alone"] if self.alone else [])]
-        return [sys.executable, "-m", "workbench", *words]
+        """Return the command line of the run, which keeps its history in a folder."""
+        arguments = ["lab", "run", self.plan, "--seed", str(self.seed), "--nodes", str(self.nodes)]
+        arguments += ["--keep", folder, *(["--alone"] if self.alone else [])]
+        return [sys.executable, "-m", "workbench", *arguments]
 
 
 def measure(key: RunKey) -> Row:
-    """Makes one run and returns its row; repeats it where the machine was late."""
+    """Execute a run and return its row; repeat the run if the machine was late."""
     row: Row = key._asdict()
     for attempt in range(1, MAX_ATTEMPTS + 1):
         with tempfile.TemporaryDirectory(prefix="measure-") as folder:
             command = key.command(f"{folder}/run")
-            done = subprocess.run(command, capture_output=True, text=True, timeout=RUN_TIMEOUT_S)
+            completed = subprocess.run(command, capture_output=True, text=True, timeout=RUN_TIMEOUT_S)
             try:
-                row |= figures(f"{folder}/run/history.jsonl")
+                row |= measured_values(f"{folder}/run/history.jsonl")
             except HistoryError as e:
-                row["trouble"] = f"{e}: {done.stderr[-SHOWN_ERROR_CHARACTERS:]}"
-            row |= {"status": done.returncode, "tries": attempt}
-        if row["status"] != NOT_COUNTED:
+                row["trouble"] = f"{e}: {completed.stderr[-MAX_STORED_ERROR_CHARACTERS:]}"
+            row |= {"status": completed.returncode, "tries": attempt}
+        if row["status"] != NOT_COUNTED_STATUS:
             break
     return row
 
 
 def measure_until(deadline: float, key: RunKey) -> Row | None:
-    """Makes a run; returns None where the time for new ones is over."""
+    """Execute a run; return None if the deadline for new runs has passed."""
     return measure(key) if monotonic() < deadline else None
 
 
-def figures(path: str) -> Row:
-    """Returns the figures of one history."""
+def measured_values(path: str) -> Row:
+    """Return the measured values of one history."""
     events = read(path)
     truth = GroundTruth(events)
-    end = truth.of("end")
+    end = truth.events_of("end")
     violations = check(events)
     return asdict(costs(truth)) | {
         "trouble": end[0]["trouble"] if end else "ended early",
         "late_ms": end[0]["late_ms"] if end else 0.0,
         "worth": end[0]["worth"] if end else 0.0,
         "broken": {name: first_lines(found) for name, found in violations.items() if found},
-        "agreements": [[verb(what), took] for _, what, took in truth.agreements()],
-        "refused": sum(e["answer"] == "refused" for e in truth.of("request")),
+        "agreements": [[change_kind(description), took] for _, description, took in truth.agreements()],
+        "refused": sum(e["answer"] == "refused" for e in truth.events_of("request")),
         "fault_s": max((p.end - p.begin for p in truth.periods), default=0.0),
     }
 
 
 def first_lines(violations: list[Violation]) -> list[str]:
-    """Returns the lines of a checker's first violations."""
-    return [str(violation) for violation in violations[:SHOWN_VIOLATIONS]]
+    """Return the first violations of a checker as text."""
+    return [str(violation) for violation in violations[:MAX_STORED_VIOLATIONS]]
 
 
-def verb(what: str) -> str:
-    """Returns what changed without the names: `n1 kill, n2 kill` is a kill."""
-    verbs = {part.split(" ", 1)[1] if part.startswith("n") else part for part in what.split(", ")}
-    return "+".join(sorted(verbs))
+def change_kind(description: str) -> str:
+    """Return the kind of a change without the nodes' names: "kill" for "n1 kill, n2 kill"."""
+    kinds = {part.split(" ", 1)[1] if part.startswith("n") else part for part in description.split(", ")}
+    return "+".join(sorted(kinds))
 
 
-def table(rows: list[Row]) -> list[str]:
-    """Returns a Markdown table with a line for each plan and number of nodes."""
+def results_table(rows: list[Row]) -> list[str]:
+    """Return a Markdown table with a row for each plan and number of nodes."""
     lines = [
         "| plan | nodes | runs | all views agree after, s: median (most) | lost of requests | attempts"
         " | CPU of a core | MB | datagrams/s | bytes/s | broken |",
@@ -114,7 +122,7 @@
     ]
     groups: dict[tuple[str, int, bool], list[Row]] = defaultdict(list)
     for row in rows:
-        if row["status"] != NOT_COUNTED and not row["trouble"]:
+        if row["status"] != NOT_COUNTED_STATUS and not row["trouble"]:
             groups[row["plan"], row["nodes"], row["alone"]].append(row)
     for (plan, nodes, alone), runs in sorted(groups.items()):
         lines.append(f"| {variant_name((plan, alone))} | {nodes} | {table_cells(runs)} |")
@@ -122,7 +130,7 @@
 
 
 def table_cells(runs: list[Row]) -> str:
-    """Returns the figures of a table's line."""
+    """Return the cells of a table's row, for all runs of one plan and number of nodes."""
 
     def mean(key: str) -> float:
         return float(np.mean([run[key] for run in runs]))
@@ -137,37 +145,43 @@
 
 
 def agreement_times(runs: list[Row]) -> str:
-    """Returns the median and most of the seconds until views agreed, by what had changed."""
+    """Return the median and the maximum time until all views agreed, by the kind of change."""
     times: dict[str, list[float | None]] = defaultdict(list)
     for run in runs:
-        for what, took in run["agreements"]:
-            times[what].append(took)
+        for kind, took in run["agreements"]:
+            times[kind].append(took)
     parts = []
-    for what, found in sorted(times.items()):
+    for kind, found in sorted(times.items()):
         known = [seconds for seconds in found if seconds is not None]
         missed = f", {len(found) - len(known)} not before the next" if len(known) < len(found) else ""
         summary = f"{median(known):.1f} ({max(known):.1f}{missed})" if known else f"-{missed}"
-        parts.append(f"{what} {summary}")
+        parts.append(f"{kind} {summary}")
     return "; ".join(parts) or "-"
 
 
-class Figure(NamedTuple):
-    """A figure of a row that variants are compared by."""
+class Metric(NamedTuple):
+    """A value of a row that is compared between variants.
+
+    Attributes:
+        key: The key of the row.
+        unit: The label and unit in reports.
+        scale: The factor from the row's value to the unit.
+    """
 
     key: str
     unit: str
     scale: float = 1.0
 
 
-FIGURES = (
-    Figure("worth", "worth served"),
-    Figure("lost", "requests lost"),
-    Figure("refused", "tries refused"),
-    Figure("cpu", "CPU, % of a core", 100.0),
-    Figure("memory_mb", "MB"),
-    Figure("fault_s", "seconds of the fault"),
+METRICS = (
+    Metric("worth", "worth served"),
+    Metric("lost", "requests lost"),
+    Metric("refused", "tries refused"),
+    Metric("cpu", "CPU, % of a core", 100.0),
+    Metric("memory_mb", "MB"),
+    Metric("fault_s", "seconds of the fault"),
 )
-Variant = tuple[str, bool]  # a plan, and whether without the fleet
+Variant = tuple[str, bool]  # The name of a plan, and whether it runs without the fleet.
 PAIRS: list[tuple[Variant, Variant]] = [
     (("calm", True), ("calm", False)),
     (("by-hand", False), ("release", False)),
@@ -175,38 +189,38 @@
 
 
 def variant_name(variant: Variant) -> str:
-    """Returns what tables call a variant."""
+    """Return the name of a variant in tables."""
     plan, alone = variant
     return plan + (", no fleet" if alone else "")
 
 
-def paired(rows: list[Row]) -> list[str]:
-    """Compares one variant with another seed by seed: the 95% interval of the differences."""
+def paired_differences(rows: list[Row]) -> list[str]:
+    """Return the differences between variants over the same seeds, with their 95% confidence intervals."""
     counted = {(r["plan"], r["alone"], r["nodes"], r["seed"]): r for r in rows if r["status"] == 0}
     lines = []
     for before, after in PAIRS:
         for nodes in sorted({n for plan, alone, n, _ in counted if (plan, alone) == after}):
             seeds = [s for *v, n, s in counted if (*v, n) == (*after, nodes) and (*before, n, s) in counted]
-            if len(seeds) < MINIMUM_PAIRS:
+            if len(seeds) < MIN_PAIRS:
                 continue
             heading = f"{variant_name(before)} to {variant_name(after)}, {nodes} nodes, {len(seeds)} pairs"
             one = [counted[*before, nodes, seed] for seed in seeds]
             two = [counted[*after, nodes, seed] for seed in seeds]
-            lines += [f"{heading}: {difference(figure, one, two)}" for figure in FIGURES]
+            lines += [f"{heading}: {difference(metric, one, two)}" for metric in METRICS]
     return lines
 
 
-def difference(figure: Figure, before: list[Row], after: list[Row]) -> str:
-    """Returns the mean of a figure before, and its mean change with the interval."""
+def difference(metric: Metric, before: list[Row], after: list[Row]) -> str:
+    """Return the mean of a metric before, and its mean change with the confidence interval."""
     one, two = (
-        figure.scale * np.array([row.get(figure.key, 0.0) for row in rows]) for rows in (before, after)
+        metric.scale * np.array([row.get(metric.key, 0.0) for row in rows]) for rows in (before, after)
     )
     mean, low, high = t_interval(two - one)
-    return f"{figure.unit} {one.mean():.4g}, {mean:+.4g} ({low:.4g} to {high:.4g})"
+    return f"{metric.unit} {one.mean():.4g}, {mean:+.4g} ({low:.4g} to {high:.4g})"
 
 
 def load(path: Path) -> list[Row]:
-    """Reads the rows of a file; an incomplete last line is ignored."""
+    """Read the rows of a results file; ignore an incomplete last line."""
     if not path.exists():
         return []
     complete, _, _ = path.read_bytes().rpartition(b"\n")
@@ -214,7 +228,7 @@
 
 
 def append(path: Path, row: Row) -> None:
-    """Writes one more row to the disk, in place of what an interrupted write has left.
+    """Append a row to a results file, in place of an incomplete last line, and flush it to the disk.
 
     Raises:
         OSError: The file cannot be written.
@@ -229,19 +243,17 @@
 
 @click.command()
 @click.argument("plans", nargs=-1)
+@click.option("--nodes", type=int, multiple=True, default=(3,), help="Number of nodes; may be repeated.")
+@click.option("--seeds", type=click.IntRange(1), default=10, help="Number of seeds, from 1 on.")
+@click.option("--jobs", type=click.IntRange(1), default=4, help="Number of concurrent runs.")
 @click.option(
-    "--nodes", type=int, multiple=True, default=(3,), help="Processes; several are measured in turn."
-)
-@click.option("--seeds", type=click.IntRange(1), default=10, help="So many, from 1 on.")
-@click.option("--jobs", type=click.IntRange(1), default=4, help="Labs side by side.")
-@click.option(
-    "--out", type=click.Path(path_type=Path), default=Path("found/lab.jsonl"), help="Lines of results."
+    "--out", type=click.Path(path_type=Path), default=Path("found/lab.jsonl"), help="File of the results."
 )
-@click.option("--minutes", type=float, default=1e9, help="After so long nothing new begins.")
+@click.option("--minutes", type=float, default=1e9, help="Time after which no run is started.")
 def main(
     plans: tuple[str, ...], nodes: tuple[int, ...], seeds: int, jobs: int, out: Path, minutes: float
 ) -> None:
-    """Measure PLANS (by default all that ship, and calm without a fleet), and print the table."""
+    """Measure PLANS (by default all shipped plans, and calm also without a fleet), and print the table."""
     out.parent.mkdir(parents=True, exist_ok=True)
     done = {RunKey(r["plan"], r["seed"], r["nodes"], r["alone"]) for r in load(out)}
     wanted = [
@@ -253,11 +265,11 @@
     ]
     measure_all([key for key in wanted if key not in done], jobs, out, monotonic() + minutes * 60)
     rows = load(out)
-    click.echo("\n".join([*table(rows), "", *paired(rows)]))
+    click.echo("\n".join([*results_table(rows), "", *paired_differences(rows)]))
 
 
 def measure_all(keys: list[RunKey], jobs: int, out: Path, deadline: float) -> None:
-    """Makes runs side by side and appends their rows to a file; none begins after the deadline."""
+    """Execute runs concurrently and append their rows to a file; start none after the deadline."""
     with ThreadPoolExecutor(jobs) as pool:
         futures = [pool.submit(measure_until, deadline, key) for key in keys]
         for count, future in enumerate(as_completed(futures), 1):
--- a/workbench/lab/network.py
+++ b/workbench/lab/network.py
@@ -1,7 +1,7 @@
-"""The network of a lab: a link for each direction between two endpoints, its faults, and the relay.
+"""The emulated network of a lab: one-way links between endpoints, their faults, and the datagram relay.
 
-Whether a fault affects a link is a rule; a link that is created later, such as one to a new server, gets the
-rules that are active by then.
+A rule decides which links a fault affects. A link that is created later, for example to a new server, gets
+the faults that are active at that time.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from workbench.emulator.address_block import DATAGRAM_PORT, AddressBlock
 from workbench.emulator.clock import RealTimeClock
 from workbench.emulator.links import Link, Timer
-from workbench.lab.plan import Fault, number
+from workbench.lab.plan import Fault, drawn_value
 from workbench.model.streams import Streams
 
 US_PER_MS = 1000
@@ -25,12 +25,12 @@
 
 @dataclass(frozen=True)
 class Endpoint:
-    """One endpoint of a link.
+    """One end of a link.
 
     Attributes:
         name: The name of a node or server.
         zone: The number of its zone.
-        is_node: Whether it is a node; it is a server otherwise.
+        is_node: Whether it is a node rather than a server.
     """
 
     name: str
@@ -39,12 +39,12 @@
 
 
 class LinkFaultRule:
-    """A fault of the network, and the links that it affects.
+    """A network fault and the rule that decides which links it affects.
 
     Args:
         fault: The fault of the plan.
-        affected_nodes: Names of the nodes that it affects.
-        affected_zones: Zones whose servers are on the side of those nodes.
+        affected_nodes: Names of the nodes that the fault affects.
+        affected_zones: Zones whose servers are on the affected nodes' side.
     """
 
     def __init__(self, fault: Fault, affected_nodes: list[str], affected_zones: set[int]) -> None:
@@ -52,43 +52,43 @@
         self.affected_nodes = set(affected_nodes)
         self.affected_zones = affected_zones
 
-    def on_affected_side(self, endpoint: Endpoint) -> bool:
-        """Whether an endpoint is on the side of the affected nodes."""
+    def is_on_affected_side(self, endpoint: Endpoint) -> bool:
+        """Return whether an endpoint is on the affected nodes' side."""
         if endpoint.is_node:
             return endpoint.name in self.affected_nodes
         return endpoint.zone in self.affected_zones
 
     def affects(self, source: Endpoint, destination: Endpoint) -> bool:
-        """Whether the fault affects the link from one endpoint to another."""
+        """Return whether the fault affects the link from one endpoint to another."""
         if not (source.is_node and destination.is_node) and not self.fault.servers:
             return False
-        from_inside, to_inside = self.on_affected_side(source), self.on_affected_side(destination)
+        from_inside, to_inside = self.is_on_affected_side(source), self.is_on_affected_side(destination)
         if self.fault.type == "links":
             return from_inside or to_inside or not self.affected_nodes
         return from_inside != to_inside and self.fault.way in ("both", "out" if from_inside else "in")
 
     def apply(self, link: Link, active: bool) -> None:
-        """Applies the fault to a link, or removes it."""
+        """Apply the fault to a link if `active`; remove it from the link otherwise."""
         fault = self.fault
         if fault.type == "cut":
             link.cut(active)
             return
         sign = 1 if active else -1
-        link.loss += sign * number(fault.loss)
-        link.duplicate += sign * number(fault.duplicate)
-        link.reorder += sign * number(fault.reorder)
-        link.delay += sign * int(number(fault.delay_ms) * US_PER_MS)
-        link.jitter += sign * int(number(fault.jitter_ms) * US_PER_MS)
-        link.rate = number(fault.kbytes_s) * BYTES_PER_KILOBYTE if active else 0.0
+        link.loss += sign * drawn_value(fault.loss)
+        link.duplicate += sign * drawn_value(fault.duplicate)
+        link.reorder += sign * drawn_value(fault.reorder)
+        link.delay += sign * int(drawn_value(fault.delay_ms) * US_PER_MS)
+        link.jitter += sign * int(drawn_value(fault.jitter_ms) * US_PER_MS)
+        link.rate = drawn_value(fault.kbytes_s) * BYTES_PER_KILOBYTE if active else 0.0
 
 
 class Links:
-    """All links of a lab.
+    """All links of a lab, created on first use.
 
     Args:
         timer: The clock of the links.
-        streams: Random streams, one for each link.
-        base_delay: Microseconds one way between two zones.
+        streams: Random streams; each link draws from its own.
+        base_delay: Returns the one-way delay between two zones in microseconds.
     """
 
     def __init__(self, timer: Timer, streams: Streams, base_delay: Callable[[int, int], int]) -> None:
@@ -99,7 +99,7 @@
         self.rules: list[LinkFaultRule] = []
 
     def between(self, source: Endpoint, destination: Endpoint) -> Link:
-        """Returns the link from one endpoint to another; creates it with the faults active now."""
+        """Return the link from one endpoint to another; a new one gets the faults that are active."""
         link = self.links.get((source, destination))
         if link is not None:
             return link
@@ -112,12 +112,12 @@
         return link
 
     def begin(self, rule: LinkFaultRule) -> None:
-        """Applies a fault to all links that it affects, and to those to come."""
+        """Apply a fault to all links that it affects, including those created before it ends."""
         self.rules.append(rule)
         self._apply(rule, True)
 
     def end(self, rule: LinkFaultRule) -> None:
-        """Removes a fault from all links that it affects."""
+        """Remove a fault from all links that it affects."""
         self.rules.remove(rule)
         self._apply(rule, False)
 
@@ -129,7 +129,13 @@
 
 @dataclass(frozen=True)
 class RelayedDatagram:
-    """A datagram on its way: indices of the two nodes, and its bytes."""
+    """A datagram in flight.
+
+    Attributes:
+        source: The index of the sending node.
+        destination: The index of the receiving node.
+        data: The payload.
+    """
 
     source: int
     destination: int
@@ -137,14 +143,14 @@
 
 
 class Relay:
-    """Forwards datagrams between nodes: each node is reached at an address of the relay's.
+    """Forwards datagrams between nodes, each of which other nodes reach at an address of the relay.
 
-    It knows the sender by the source address of a datagram, and forwards from the address at which that
-    sender is reached, so a node sees what it would see with nothing in between.
+    The relay identifies the sender by a datagram's source address. It forwards from the relay address of that
+    sender, so to the receiver the datagram comes from the address that the sender advertises.
 
     Args:
         loop: The event loop.
-        clock: The clock that datagrams arrive by.
+        clock: The clock that schedules the arrivals.
         addresses: The loopback addresses of the lab.
         links: The links between the nodes.
     """
@@ -162,7 +168,7 @@
         self.counts: Counter[str] = Counter()
 
     async def open(self, endpoints: list[Endpoint]) -> None:
-        """Binds an address for each node."""
+        """Bind one relay address for each node."""
         self.endpoints = endpoints
         for index in range(len(endpoints)):
             self.node_by_host[self.addresses.node_host(index)] = index
@@ -172,7 +178,7 @@
             self.ports.append(transport)
 
     def on_datagram(self, destination: int, data: bytes, host: str) -> None:
-        """Schedules the arrivals of a datagram that came from a host for a node."""
+        """Schedule the arrivals of a datagram from a host to a node; the link may lose or duplicate it."""
         self.clock.catch_up()
         source = self.node_by_host.get(host)
         if source is None:
@@ -186,25 +192,25 @@
             self.clock.call_at(at, self.forward, RelayedDatagram(source, destination, data))
 
     def forward(self, datagram: RelayedDatagram) -> None:
-        """Forwards a datagram to its destination."""
+        """Forward a datagram to its destination."""
         port = self.ports[datagram.source]
         if not port.is_closing():
             host = self.addresses.node_host(datagram.destination)
             port.sendto(datagram.data, (host, DATAGRAM_PORT))
 
     def close(self) -> None:
-        """Closes the addresses of all nodes."""
+        """Close the relay addresses of all nodes."""
         for port in self.ports:
             port.abort()
 
 
 class RelayPort(asyncio.DatagramProtocol):
-    """The address of the relay's at which one node is reached."""
+    """The relay address at which one node is reached."""
 
     def __init__(self, relay: Relay, index: int) -> None:
         self.relay = relay
         self.index = index
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Hands a datagram for the node to the relay."""
+        """Pass a datagram for the node to the relay."""
         self.relay.on_datagram(self.index, data, str(addr[0]))
--- a/workbench/lab/node_configuration.py
+++ b/workbench/lab/node_configuration.py
@@ -9,25 +9,25 @@
 from workbench.emulator.address_block import DATAGRAM_PORT
 from workbench.emulator.config import node_table
 from workbench.emulator.nodes import NodeAdapter, Site
-from workbench.lab.plan import Plan, number
+from workbench.lab.plan import Plan, drawn_value
 
-KEY = "the key of this lab's fleet only\n"
-WRONG_KEY = "another key, of another fleet...\n"
-MAX_SEEDS = 3  # nodes of a zone, or of all, that the others join by
+FLEET_KEY = "the key of this lab's fleet only\n"
+WRONG_FLEET_KEY = "another key, of another fleet...\n"
+MAX_SEED_NODES = 3  # Number of nodes of a group that the others join through.
 KEY_FILE_MODE = 0o600
-SEEDS_PER_PLAN_SEED = 1000  # a random seed for each node out of the plan's
+SEEDS_PER_PLAN_SEED = 1000  # Random seeds per plan seed, so that each node gets a different one.
 
 
 @dataclass
 class FleetSettings:
-    """What a node's fleet configuration has of its own.
+    """The settings of the fleet configuration that differ between nodes.
 
     Attributes:
-        folder: Where the node's files are.
-        clock_file: Holds the offset of its wall clock.
+        folder: The directory for the node's files.
+        clock_file: The file that holds the offset of the node's wall clock.
         voters: Names of the voters.
-        old_voters: Names of the voters of the list before, while it changes.
-        wrong_key: Whether it has the key of another fleet.
+        old_voters: Names on the previous list of voters while the list is being replaced.
+        wrong_key: Whether the node gets the key of another fleet.
     """
 
     folder: Path
@@ -38,7 +38,7 @@
 
 
 def node_configuration(site: Site, plan: Plan, node: NodeAdapter, settings: FleetSettings) -> dict[str, Any]:
-    """Returns a node's configuration now: the server list as its agent has it, and its fleet."""
+    """Return a node's current configuration: the server list of its agent and the fleet section."""
     table = node_table(site, node, plan.seed * SEEDS_PER_PLAN_SEED + node.index)
     if not plan.fleet:
         return table
@@ -46,16 +46,16 @@
 
 
 def fleet_section(site: Site, plan: Plan, node: NodeAdapter, settings: FleetSettings) -> dict[str, Any]:
-    """Returns the keys that every node of a fleet has."""
-    lease_ms = int(number(plan.lease_ms))
+    """Return the keys that are set for every node of a fleet."""
+    lease_ms = int(drawn_value(plan.lease_ms))
     return {
         "zone": site.zone_name(node.zone),
-        "region": f"r{node.zone % int(number(plan.regions))}",
+        "region": f"r{node.zone % int(drawn_value(plan.regions))}",
         "listen": f"{site.addresses.node_host(node.index)}:{DATAGRAM_PORT}",
         "advertise": f"{site.addresses.relay_host(node.index)}:{DATAGRAM_PORT}",
-        "seeds": seeds(site, node.zone if plan.by_zone else None),
+        "seeds": seed_addresses(site, node.zone if plan.by_zone else None),
         "key": str(write_key(settings)),
-        "period_ms": int(number(plan.period_ms)),
+        "period_ms": int(drawn_value(plan.period_ms)),
         "voters": settings.voters,
         "old_voters": settings.old_voters,
         "lease_ms": lease_ms,
@@ -65,31 +65,37 @@
 
 
 def write_key(settings: FleetSettings) -> Path:
-    """Writes the key file of a node."""
+    """Write the key file of a node."""
     path = settings.folder / "key"
-    path.write_text(WRONG_KEY if settings.wrong_key else KEY)
+    path.write_text(WRONG_FLEET_KEY if settings.wrong_key else FLEET_KEY)
     path.chmod(KEY_FILE_MODE)
     return path
 
 
-def seeds(site: Site, zone: int | None = None) -> list[str]:
-    """Returns the addresses of the first nodes of a zone, or of all."""
+def seed_addresses(site: Site, zone: int | None = None) -> list[str]:
+    """Return the addresses of the first nodes of a zone, or of the site if no zone is given."""
     nodes = [node for node in site.nodes if zone in (None, node.zone)]
-    return [f"{site.addresses.relay_host(node.index)}:{DATAGRAM_PORT}" for node in nodes[:MAX_SEEDS]]
+    return [f"{site.addresses.relay_host(node.index)}:{DATAGRAM_PORT}" for node in nodes[:MAX_SEED_NODES]]
 
 
 def enabled_components(site: Site, plan: Plan, node: NodeAdapter) -> dict[str, Any]:
-    """Returns the keys of components that are on; nodes of earlier revisions may not know those off."""
-    optional: dict[str, Any] = {"probe": plan.probe, "remeasure": number(plan.remeasure)}
-    found = {key: value for key, value in optional.items() if value}
+    """Return the keys of the components that the plan enables.
+
+    Keys of disabled components are left out: nodes of earlier revisions may not know them.
+    """
+    optional: dict[str, Any] = {"probe": plan.probe, "remeasure": drawn_value(plan.remeasure)}
+    section = {key: value for key, value in optional.items() if value}
     if plan.near:
-        found["zones"] = {}
+        section["zones"] = {}
     if plan.by_zone:
-        found["membership"] = zone_membership(site, node)
-    return found
+        section["membership"] = zone_membership(site, node)
+    return section
 
 
 def zone_membership(site: Site, node: NodeAdapter) -> dict[str, Any]:
-    """Returns the scope of a node's group, with the seeds of the other zones."""
-    others = sorted({other.zone for other in site.nodes} - {node.zone})
-    return {"scope": "zone", "zone_seeds": {site.zone_name(zone): seeds(site, zone) for zone in others}}
+    """Return the settings of membership by zone, with the seed addresses of the other zones."""
+    other_zones = sorted({other.zone for other in site.nodes} - {node.zone})
+    return {
+        "scope": "zone",
+        "zone_seeds": {site.zone_name(zone): seed_addresses(site, zone) for zone in other_zones},
+    }
--- a/workbench/lab/process.py
+++ b/workbench/lab/process.py
@@ -1,4 +1,4 @@
-"""A node's process: started, watched, stopped by signals; none of it outlives the lab."""
+"""A node's process, which is monitored, controlled by signals, and killed when the lab exits."""
 
 from __future__ import annotations
 
@@ -17,18 +17,20 @@
 from workbench.baselines.revisions import NODE_PACKAGE
 from workbench.emulator.child_process import killed_with_parent
 
-READ_BYTES = 65536
-MAX_LOG_BYTES = 2 << 20  # in all: a node writes some 300 a second
-LAST_LINES = 5  # of the log that are kept
+READ_SIZE_BYTES = 65536
+# Limit for the whole run; a working node logs about 300 bytes a second.
+MAX_LOG_BYTES = 2 << 20
+MAX_KEPT_LOG_LINES = 5
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-USER_TIME_FIELD, SYSTEM_TIME_FIELD = 11, 12  # of /proc/PID/stat, after the program's name
-RESIDENT_FIELD = 1  # of /proc/PID/statm
-STATS_MARK = " stats "  # in log lines that say nothing of a failure
+# Indices of fields in /proc/PID/stat, counted after the program's name.
+USER_TIME_FIELD, SYSTEM_TIME_FIELD = 11, 12
+RESIDENT_FIELD = 1  # Index of a field in /proc/PID/statm.
+STATS_MARK = " stats "  # Marks log lines with periodic statistics, which report no failures.
 
 
 class Usage(NamedTuple):
-    """What a process has used."""
+    """The resource usage of a process."""
 
     cpu_s: float
     memory_mb: float
@@ -38,14 +40,14 @@
     """One process of a node.
 
     Args:
-        loop: The event loop that reads its log and waits for its end.
+        loop: The event loop that reads the process's log and waits for its exit.
         name: The node's name.
         command: The program and its arguments.
-        config: The file that its configuration is written to.
-        table: Its configuration.
-        on_line: Called with each line of its log.
-        on_exit: Called with its exit status, once it has ended.
-        cwd: Where the program lies, if it is not today's.
+        config: The file that the configuration is written to.
+        table: The configuration.
+        on_line: Called with each line of the process's log.
+        on_exit: Called with the exit status once the process has ended.
+        cwd: The directory of the program if it is of an earlier revision.
     """
 
     def __init__(
@@ -65,7 +67,7 @@
         self.on_exit = on_exit
         self.partial_line = b""
         self.log_bytes = 0
-        self.last_lines: deque[str] = deque(maxlen=LAST_LINES)
+        self.last_lines: deque[str] = deque(maxlen=MAX_KEPT_LOG_LINES)
         self.paused = False
         config.write_text(json.dumps(table))
         env = {k: v for k, v in os.environ.items() if not k.startswith("LB_")}
@@ -76,7 +78,7 @@
             stdin=subprocess.DEVNULL,
             stdout=subprocess.DEVNULL,
             stderr=subprocess.PIPE,
-            process_group=0,  # Ctrl-C is the lab's, which then ends its nodes in order
+            process_group=0,  # Ctrl-C reaches only the lab, which then stops its nodes in order.
         )
         self.pid = self.popen.pid
         assert self.popen.stderr is not None
@@ -88,17 +90,17 @@
 
     @property
     def running(self) -> bool:
-        """Whether it has not been seen to end."""
+        """Whether the lab has not seen the process exit."""
         return self.popen.returncode is None
 
     def last_line(self) -> str:
-        """Returns the last line that it logged."""
+        """Return the last line that the process logged."""
         return self.last_lines[-1] if self.last_lines else "it logged nothing"
 
     def read_log(self) -> None:
-        """Reads what it has logged; a flood of it ends the process, and not the lab."""
+        """Read what the process has logged; kill it once its log exceeds `MAX_LOG_BYTES`."""
         try:
-            data = os.read(self.log_fd, READ_BYTES)
+            data = os.read(self.log_fd, READ_SIZE_BYTES)
         except BlockingIOError:
             return
         if not data:
@@ -118,13 +120,13 @@
             self.on_line(text)
 
     def on_ended(self) -> None:
-        """Reads the rest of the log of the ended process, and passes its exit status on."""
+        """Read the rest of the exited process's log and report its exit status."""
         self.loop.remove_reader(self.pid_fd)
         os.close(self.pid_fd)
         status = self.popen.wait()
         self.loop.remove_reader(self.log_fd)
         with suppress(OSError):
-            while data := os.read(self.log_fd, READ_BYTES):
+            while data := os.read(self.log_fd, READ_SIZE_BYTES):
                 self.partial_line += data
         for line in self.partial_line.decode(errors="replace").splitlines():
             self.last_lines.append(line)
@@ -134,7 +136,7 @@
         self.on_exit(status)
 
     def signal(self, number: signal.Signals) -> None:
-        """Sends a signal to this process alone, if it still runs."""
+        """Send a signal to this process, if it is still running."""
         if self.running:
             with suppress(ProcessLookupError):
                 self.popen.send_signal(number)
@@ -142,7 +144,7 @@
                 self.paused = number == signal.SIGSTOP
 
     def usage(self) -> Usage:
-        """Returns the processor seconds used so far and the resident megabytes; zeros once it is gone."""
+        """Return the CPU time and the resident memory in MiB; zeros once the process has exited."""
         try:
             stat = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
             pages = int(Path(f"/proc/{self.pid}/statm").read_text().split()[RESIDENT_FIELD])
@@ -153,12 +155,12 @@
 
 
 def command(fault_kind: str, clock_file: Path | None = None, package: str = NODE_PACKAGE) -> list[str]:
-    """Returns the command that starts a node.
+    """Return the command that starts a node.
 
     Args:
-        fault_kind: How the node is faulty, a kind of `workbench.lab.faulty_nodes`; "" if it is not.
-        clock_file: Holds the offset of a wall clock that is stepped before the node starts.
-        package: The node's package.
+        fault_kind: A kind of `workbench.lab.faulty_nodes`; "" for a correct node.
+        clock_file: The file that holds the offset of a wall clock that is stepped before the node starts.
+        package: The name of the node's package.
     """
     if clock_file is not None:
         kinds = [fault_kind] if fault_kind else []
--- a/workbench/lab/process_history.py
+++ b/workbench/lab/process_history.py
@@ -1,4 +1,4 @@
-"""The processes and the faults of a run, as its history records them."""
+"""The processes and faults of a run, reconstructed from its history."""
 
 from __future__ import annotations
 
@@ -10,23 +10,24 @@
 
 FOREVER = float("inf")
 NETWORK_FAULTS = ("cut", "links")
-ENDING_SUFFIX = "-> ending"  # how a node's log says that it shuts down
-EXPECTED_TO_BE_SEEN = ("kill", "term", "ends", "stop", "cont", "ready")  # by the other nodes' views
+ENDING_SUFFIX = "-> ending"  # End of the log line by which a node announces its shutdown.
+# Process events that change what the other nodes' views should show.
+VISIBLE_PROCESS_EVENTS = ("kill", "term", "ends", "stop", "cont", "ready")
 
 
 @dataclass
 class ProcessIncarnation:
-    """One process of a node, from its start to its end. Times are seconds of the lab.
+    """One process of a node. Times are seconds of the lab.
 
     Attributes:
-        number: Which of the node's processes it is; the first one is 1.
-        start: When it was started.
-        clock: Milliseconds that its wall clock was off as it started.
+        number: The position among the node's processes, from 1.
+        start: When the process was started.
+        clock: Milliseconds by which its wall clock was off at its start.
         ready: When it was ready for clients.
-        stop_requested_at: When it got SIGTERM or SIGKILL, or began to shut down without either.
+        stop_requested_at: When it received SIGTERM or SIGKILL, or started to shut down without either.
         end: When it exited.
-        stopped_by_itself: Whether it shut down without a signal of the lab.
-        pauses: Begin and end of each SIGSTOP.
+        stopped_by_itself: Whether it shut down without a signal from the lab.
+        pauses: Start and end of each pause by SIGSTOP.
     """
 
     number: int
@@ -39,15 +40,15 @@
     pauses: list[list[float]] = field(default_factory=list)
 
     def runs(self, at: float) -> bool:
-        """Whether the process runs at a time and was not asked to stop."""
+        """Return whether the process runs at a time and has not been asked to stop."""
         return self.start <= at < min(self.stop_requested_at, self.end)
 
-    def paused(self, begin: float, end: float) -> bool:
-        """Whether the process was paused at some time of an interval."""
+    def was_paused(self, begin: float, end: float) -> bool:
+        """Return whether the process was paused at some time of an interval."""
         return any(paused_at < end and begin < resumed_at for paused_at, resumed_at in self.pauses)
 
     def apply(self, what: str, at: float) -> None:
-        """Takes in an event of the process; `what` is the history's word for it."""
+        """Apply an event of the process, named as in the history."""
         if what == "ready":
             self.ready = at
         elif what in ("kill", "term", "ends"):
@@ -63,15 +64,15 @@
 
 @dataclass
 class FaultPeriod:
-    """A fault between its begin and its end.
+    """The period during which a fault was active.
 
     Attributes:
         type: The fault's type in the plan.
-        begin: When it began, in seconds of the lab.
-        on: Names of the nodes that it affects.
+        begin: When the fault started, in seconds of the lab.
+        on: Names of the affected nodes.
         way: The direction of a partition: "both", "out" or "in".
-        end: When it ended, in seconds of the lab.
-        most: Nodes that a rolling update may have down at once.
+        end: When the fault ended, in seconds of the lab.
+        most: Maximum number of nodes that a rolling update may have down at once.
         number: The fault's index in the plan.
     """
 
@@ -84,24 +85,31 @@
     number: int = 0
 
     def overlaps(self, begin: float, end: float) -> bool:
-        """Whether the fault was active at some time of an interval."""
+        """Return whether the fault was active at some time of an interval."""
         return self.begin < end and begin < self.end
 
     def separates(self, one: str, other: str) -> bool:
-        """Whether the fault is a partition with two nodes on different sides."""
+        """Return whether the fault is a partition with two nodes on different sides."""
         return self.type == "cut" and (one in self.on) != (other in self.on)
 
 
 class Change(NamedTuple):
-    """A change of what the nodes' views should show."""
+    """A change of what the nodes' views should show, at a time in seconds of the lab."""
 
     at: float
-    what: str
+    description: str
 
 
 @dataclass
 class ProcessEvent:
-    """One step of a process, from the lab's own events or from the node's log."""
+    """One event of a process, recorded by the lab or derived from the node's log.
+
+    Attributes:
+        at: Seconds of the lab.
+        node: The name of the node.
+        what: The kind of event, named as in the history, or "ends" for a shutdown without a signal.
+        event: The event of the history.
+    """
 
     at: float
     node: str
@@ -110,7 +118,7 @@
 
 
 def process_events(processes: Iterable[Event], logs: Iterable[Event]) -> list[ProcessEvent]:
-    """All steps of all processes in order; a node that shuts down without a signal says so in its log."""
+    """Return the events of all processes in order, including shutdowns that only the nodes' logs report."""
     found = [ProcessEvent(e["t"], e["node"], e["what"], e) for e in processes]
     found += [ProcessEvent(e["t"], e["node"], "ends", e) for e in logs if e["text"].endswith(ENDING_SUFFIX)]
     return sorted(found, key=lambda step: step.at)
@@ -119,7 +127,7 @@
 def process_incarnations(
     names: Sequence[str], steps: Iterable[ProcessEvent]
 ) -> dict[str, list[ProcessIncarnation]]:
-    """The processes of each node, in the order of their starts."""
+    """Return the processes of each node, ordered by their start."""
     found: dict[str, list[ProcessIncarnation]] = {name: [] for name in names}
     for step in steps:
         of_node = found[step.node]
@@ -131,11 +139,11 @@
 
 
 def fault_periods(faults: Iterable[Event]) -> list[FaultPeriod]:
-    """The faults of a run in the order of their begins."""
+    """Return the faults of a run, ordered by their start."""
     found: list[FaultPeriod] = []
     for event in faults:
         if event["what"] == "begin":
-            found.append(begun_fault(event))
+            found.append(started_fault(event))
             continue
         for period in found:
             if period.type == event["type"] and period.on == event["on"] and period.end == FOREVER:
@@ -144,8 +152,8 @@
     return found
 
 
-def begun_fault(event: Event) -> FaultPeriod:
-    """A fault that begins with an event; fields that earlier histories lack have defaults."""
+def started_fault(event: Event) -> FaultPeriod:
+    """Return the fault that starts with an event; fields that older histories lack have defaults."""
     return FaultPeriod(
         event["type"],
         event["t"],
@@ -159,11 +167,11 @@
 def changes_between(
     begin: float, end: float, steps: Iterable[ProcessEvent], faults: Iterable[Event]
 ) -> list[Change]:
-    """What changed for the views: processes between two times, and network and clock faults."""
+    """Return what changed for the views: processes between two times, and all network and clock faults."""
     found = [
         Change(step.at, f"{step.node} {step.what}")
         for step in steps
-        if step.what in EXPECTED_TO_BE_SEEN and begin < step.at <= end
+        if step.what in VISIBLE_PROCESS_EVENTS and begin < step.at <= end
     ]
     for event in faults:
         if event["type"] in (*NETWORK_FAULTS, "clock"):
@@ -172,7 +180,7 @@
 
 
 def by_kind(events: Iterable[Event]) -> Mapping[str, list[Event]]:
-    """The events of a history by their kind."""
+    """Return the events of a history, grouped by their kind."""
     found: dict[str, list[Event]] = {}
     for event in events:
         found.setdefault(event["event"], []).append(event)
--- a/workbench/lab/run.py
+++ b/workbench/lab/run.py
@@ -1,4 +1,4 @@
-"""One run of a lab: real nodes, emulated clients and servers, the plan's faults, and a history."""
+"""One run of a lab: real nodes, emulated clients and servers, injected faults, and a history."""
 
 from __future__ import annotations
 
@@ -21,41 +21,42 @@
 from workbench.emulator.links import Link
 from workbench.emulator.nodes import NoProcessControl, Site
 from workbench.lab.earlier import unpack
-from workbench.lab.faults import Faults
+from workbench.lab.faults import FaultInjector
 from workbench.lab.fleet import Fleet
 from workbench.lab.ground_truth import NON_MEMBER_KINDS
 from workbench.lab.history import Event, History, HistoryError, read
 from workbench.lab.member import Member
 from workbench.lab.network import Endpoint, Links, Relay
-from workbench.lab.plan import NodeSelection, Plan, chosen, number, scenario
+from workbench.lab.plan import NodeSelection, Plan, drawn_value, scenario, selected_nodes
 from workbench.model.network import fixed_float, one_way
 from workbench.model.site import BEGIN, World
 from workbench.model.streams import Streams
 from workbench.scenario.load import draw as draw_scenario
 from workbench.simulator.play import provenance
 
-VIEW_PERIOD_S = 0.25  # from one poll of the nodes' views to the next
-USAGE_PERIOD_S = 1.0  # from one record of the nodes' usage to the next
-JOIN_POLL_S = 0.05
-PROGRESS_PERIOD_S = 0.05
-REQUEST_GRACE_S = 10.0  # that pending requests have after the last one came
-STOP_TIMEOUT_S = 5.0  # that processes have to end
-MAX_LATENESS_MS = 50.0  # a run counts if the machine was never later
+VIEW_POLL_INTERVAL_S = 0.25
+USAGE_INTERVAL_S = 1.0
+JOIN_POLL_INTERVAL_S = 0.05
+PROGRESS_INTERVAL_S = 0.05
+REQUEST_GRACE_S = 10.0  # Time for pending requests to end after the plan's length has passed.
+STOP_TIMEOUT_S = 5.0  # Time for processes to exit after SIGTERM.
+MAX_LATENESS_MS = 50.0  # A run in which the machine was later does not count.
 US_PER_MS = 1000
 NS_PER_MS = 1_000_000
 
-Progress = Callable[[str, float], None]  # what the lab does, and the share of the run that is over
+# A function that is called with the current phase and the completed share of the run.
+Progress = Callable[[str, float], None]
 
 
 @dataclass
 class Outcome:
-    """What came of a run.
+    """The result of a run.
 
     Attributes:
         events: The history.
-        failure: Why the run was broken off; "" if it was not.
-        late_ms: How late the machine was at most.
-        stopped: Whether the run was ended by Ctrl-C.
+        failure: Why the run was aborted; "" if it was not.
+        late_ms: The machine's maximum lateness.
+        stopped: Whether a signal, such as that of Ctrl-C, ended the run.
     """
 
     events: list[Event] = field(default_factory=list)
@@ -65,18 +66,18 @@
 
     @property
     def counted(self) -> bool:
-        """Whether the machine kept up, so that the run counts."""
+        """Whether the machine was fast enough for the run to count."""
         return self.late_ms <= MAX_LATENESS_MS
 
 
 class Lab:
-    """Everything that one run holds; `run` releases all of it.
+    """All resources of one run; `run` releases them.
 
     Args:
         plan: A drawn plan.
-        folder: Where the nodes' files are.
+        folder: The directory for the nodes' files.
         history: The file of the history.
-        progress: Called as the run proceeds.
+        progress: Called with the phase and the completed share of the run.
     """
 
     def __init__(self, plan: Plan, folder: Path, history: Path, progress: Progress) -> None:
@@ -105,22 +106,22 @@
         self.endpoints = [Endpoint(n.name, n.zone, True) for n in self.site.nodes]
         self.relay = Relay(self.loop, self.clock, self.addresses, self.links)
         self.fleet = self.site.control = Fleet(plan, self.site, folder, self.record)
-        self.faults = Faults(self)
+        self.faults = FaultInjector(self)
         self.stop = asyncio.Event()
         has_earlier = any(m.kind == "earlier" for m in plan.mischief)
-        self.revision = unpack(plan.earlier, self.fleet.earlier) if has_earlier else ""
+        self.revision = unpack(plan.earlier, self.fleet.earlier_folder) if has_earlier else ""
         self.tasks: set[asyncio.Task[None]] = set()
 
-    # ---- what its parts use ---------------------------------------------------------------------------
+    # ---- services for its components -----------------------------------------------------------------
 
     def record(self, event: str, **fields: Any) -> None:
-        """Writes one event of the history, now."""
+        """Write one event to the history with the current time; stop the run if that fails."""
         self.history.write((self.clock.real() - BEGIN) / 1e6, event, **fields)
-        if self.history.fault:
+        if self.history.write_error:
             self.stop.set()
 
     def link_between(self, source: str, source_zone: int, destination: str, destination_zone: int) -> Link:
-        """Returns the link from one node or server to another."""
+        """Return the link from one node or server to another."""
         nodes = {node.name for node in self.site.nodes}
         return self.links.between(
             Endpoint(source, source_zone, source in nodes),
@@ -128,25 +129,25 @@
         )
 
     def select_nodes(self, selection: NodeSelection, key: str) -> list[str]:
-        """Returns the nodes that a fault, or a kind of faulty nodes, of the plan takes."""
+        """Return the names of the nodes that a fault or a kind of faulty nodes selects."""
         names, zones = [n.name for n in self.site.nodes], [n.zone for n in self.site.nodes]
-        return chosen(selection, names, zones, int(number(self.plan.regions)), self.streams, key)
+        return selected_nodes(selection, names, zones, int(drawn_value(self.plan.regions)), self.streams, key)
 
     # ---- the run --------------------------------------------------------------------------------------
 
     async def run(self) -> str:
-        """Plays the plan; returns what went wrong before its end, or ""."""
+        """Execute the plan; return what aborted it, or ""."""
         self.record_parameters()
         failure = ""
         try:
-            if not self.history.fault:
+            if not self.history.write_error:
                 failure = await self.play()
         finally:
             await self.finish(failure)
         return failure
 
     def record_parameters(self) -> None:
-        """Records what is run."""
+        """Record the parameters of the run as the history's first event."""
         self.record(
             "run",
             plan=msgspec.to_builtins(self.plan),
@@ -163,12 +164,12 @@
         )
 
     async def play(self) -> str:
-        """Starts the nodes, then the clients and faults, and waits until all is over."""
+        """Start the nodes, then the clients and faults, and wait until the run is complete."""
         self.progress("starting", 0.0)
         self.site.start()
         await self.relay.open(self.endpoints)
         self.start_members()
-        failure = await self.fleet.all_ready()
+        failure = await self.fleet.wait_all_ready()
         if failure or self.stop.is_set():
             return failure
         self.spawn(self.observe())
@@ -177,15 +178,15 @@
         gc.freeze()
         self.clock.catch_up()
         self.clock.take_max_lateness()
-        self.late_ms = 0.0  # what came before is the start of many processes at once
+        self.late_ms = 0.0  # The lateness until here comes from the start of many processes at once.
         self.world.start()
         self.record("go")
         self.faults.begin()
-        await self.until_over()
+        await self.wait_finished()
         return ""
 
     def start_members(self) -> None:
-        """Starts the processes of all nodes, the faulty ones as the plan says."""
+        """Start the processes of all nodes, those of faulty nodes with their kind of fault."""
         kinds = {
             name: faulty.kind
             for index, faulty in enumerate(self.plan.mischief)
@@ -198,48 +199,48 @@
             member.start()
 
     async def wait_joined(self) -> None:
-        """Waits until the views are complete, where they can be."""
+        """Wait until the views are complete, for at most the plan's time for joining."""
         if not self.plan.fleet:
             return
         self.progress("joining", 0.0)
         members = [m for m in self.fleet.members if m.fault_kind not in NON_MEMBER_KINDS]
-        deadline = self.loop.time() + number(self.plan.join_s)
+        deadline = self.loop.time() + drawn_value(self.plan.join_s)
         while self.loop.time() < deadline and not self.stop.is_set():
             if all(m.present_members() >= self.group(m, members) for m in members):
                 return
-            await asyncio.sleep(JOIN_POLL_S)
+            await asyncio.sleep(JOIN_POLL_INTERVAL_S)
 
     def group(self, member: Member, members: list[Member]) -> set[str]:
-        """Returns the names of the members that one is to see."""
+        """Return the names of the members that a member should see."""
         in_group = (m for m in members if not self.plan.by_zone or m.node.zone == member.node.zone)
         return {m.name for m in in_group} - {member.name}
 
-    async def until_over(self) -> None:
-        """Waits for the plan's length, the faults' ends, and the time that the views have to agree then."""
+    async def wait_finished(self) -> None:
+        """Wait for the plan's length, the end of requests and faults, and the views' agreement time."""
         started_at = self.loop.time()
         length = fixed_float(self.scenario.length_s)
-        agree_s = number(self.plan.agree_s) if self.plan.fleet and self.plan.fault else 0.0
+        agree_s = drawn_value(self.plan.agree_s) if self.plan.fleet and self.plan.fault else 0.0
         while not self.stop.is_set():
-            passed = self.loop.time() - started_at
-            self.progress("playing", min(1.0, passed / length))
-            calm = self.faults.over_at is not None and self.loop.time() >= self.faults.over_at + agree_s
-            over = passed >= length and (self.world.finished() or passed >= length + REQUEST_GRACE_S)
-            if over and (calm or not self.plan.fault):
+            elapsed = self.loop.time() - started_at
+            self.progress("playing", min(1.0, elapsed / length))
+            settled = self.faults.ended_at is not None and self.loop.time() >= self.faults.ended_at + agree_s
+            ended = elapsed >= length and (self.world.finished() or elapsed >= length + REQUEST_GRACE_S)
+            if ended and (settled or not self.plan.fault):
                 return
-            await asyncio.sleep(PROGRESS_PERIOD_S)
+            await asyncio.sleep(PROGRESS_INTERVAL_S)
 
     async def observe(self) -> None:
-        """Records views, usage and the machine's lateness again and again."""
+        """Record views, usage and the machine's lateness periodically."""
         periods = 0
         while True:
             self.poll_members()
-            if periods % int(USAGE_PERIOD_S / VIEW_PERIOD_S) == 0:
+            if periods % int(USAGE_INTERVAL_S / VIEW_POLL_INTERVAL_S) == 0:
                 self.record_usage()
             periods += 1
-            await asyncio.sleep(VIEW_PERIOD_S)
+            await asyncio.sleep(VIEW_POLL_INTERVAL_S)
 
     def poll_members(self) -> None:
-        """Asks every node of a fleet for its view, and for the lab's lease where there are voters."""
+        """Request every fleet node's view and, if the plan has voters, the lab's lease from it."""
         if not self.plan.fleet:
             return
         for member in self.fleet.members:
@@ -248,38 +249,38 @@
                 self.spawn(member.request_lease())
 
     def record_usage(self) -> None:
-        """Records how late the machine was, and what every node costs."""
+        """Record the machine's lateness and the resource usage of every node."""
         late_ms = self.clock.take_max_lateness() / US_PER_MS
         self.late_ms = max(self.late_ms, late_ms)
         self.record("lab", late_ms=round(late_ms, 3), relay=dict(self.relay.counts))
         for member in self.fleet.members:
             member.record_usage()
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Starts a task that the end of the run cancels."""
-        task = self.loop.create_task(work)
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Start a task that is cancelled at the end of the run."""
+        task = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def finish(self, failure: str) -> None:
-        """Ends every process and the history, which records how the run ended."""
+        """Stop all processes, record the result of the run and release all resources."""
         self.progress("stopping", 1.0)
         for task in list(self.tasks):
             task.cancel()
         self.faults.stop()
         self.record("stopping")
         await self.fleet.stop(STOP_TIMEOUT_S)
-        account = self.world.accounts.summary()
+        summary = self.world.accounts.summary()
         self.record(
             "end",
             trouble=failure,
             stopped=self.stop.is_set(),
             late_ms=round(self.late_ms, 3),
             counted=self.late_ms <= MAX_LATENESS_MS,
-            goal=account["goal"],
-            worth=account["whole"],
-            requests=account["requests"],
-            attempts_a_call=account["attempts_a_call"],
+            goal=summary["goal"],
+            worth=summary["whole"],
+            requests=summary["requests"],
+            attempts_a_call=summary["attempts_a_call"],
             rules=self.world.referee.counts,
             broken=self.world.referee.violations,
         )
@@ -290,16 +291,16 @@
         self.history.close()
 
 
-def run(plan: Plan, keep: Path | None = None, progress: Progress = lambda what, share: None) -> Outcome:
-    """Plays a drawn plan and reads its history.
+def run(plan: Plan, keep: Path | None = None, progress: Progress = lambda phase, share: None) -> Outcome:
+    """Execute a drawn plan and read its history.
 
     Args:
-        plan: The plan.
-        keep: A folder for the history and the nodes' configurations; by default they are removed.
-        progress: Called as the run proceeds.
+        plan: The drawn plan.
+        keep: A directory for the history and the nodes' configurations; by default they are removed.
+        progress: Called with the phase and the completed share of the run.
 
     Raises:
-        AddressBlockError: There is no free block of loopback addresses.
+        AddressBlockError: No block of loopback addresses is free.
         HistoryError: The history could not be written.
         PlanError: An earlier revision cannot be unpacked.
         OSError: `keep` cannot be written.
@@ -317,8 +318,8 @@
         outcome.failure = await lab.run()
         outcome.stopped = lab.stop.is_set()
         outcome.late_ms = lab.late_ms
-        if lab.history.fault:
-            raise HistoryError(lab.history.fault)
+        if lab.history.write_error:
+            raise HistoryError(lab.history.write_error)
 
     try:
         uvloop.run(play())
@@ -332,6 +333,6 @@
 
 
 def keep_configurations(folder: Path, keep: Path) -> None:
-    """Copies the nodes' configurations out of the folder of a run."""
+    """Copy the nodes' configurations from the run's directory to another one."""
     for config in sorted(folder.glob("*/config.json")):
         shutil.copy(config, keep / f"{config.parent.name}.json")
--- a/workbench/lab/stepped.py
+++ b/workbench/lab/stepped.py
@@ -1,10 +1,10 @@
-"""A node that starts while its wall clock is stepped.
+"""A node that starts with a stepped wall clock.
 
-`python -m workbench.lab.stepped FILE [KIND]`, where FILE holds the offset in milliseconds and KIND is one of
-`workbench.lab.faulty_nodes`. The fleet reads its wall clock through the lab's `clock_file`. The rest of the
-node reads Unix time once, as it starts (`net/process/event_queue.py`), and dates the starts of servers by it;
-that reading gets the same offset here. The product has no such switch. A step while the process runs does not
-reach that reading, as on a machine.
+The command is `python -m workbench.lab.stepped FILE [KIND]`. FILE holds the offset in milliseconds, and
+KIND is one of `workbench.lab.faulty_nodes`. The fleet component reads its wall clock through the lab's
+`clock_file`. The rest of the node reads Unix time once, at its start (`net/process/event_queue.py`), to
+date the starts of servers; this module applies the same offset to that reading. As on a real machine, a
+step while the process runs does not affect that reading. The product itself has no option for this.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 from balancer.net.process.event_queue import EventQueue
 from workbench.lab import faulty_nodes
 
-NANOSECONDS_PER_MS = 1_000_000
+NS_PER_MS = 1_000_000
 
 
 def step_start_clock(clock_file: Path) -> None:
-    """Shifts the Unix time that the node's own clock starts from by the file's milliseconds."""
-    offset = int(clock_file.read_text()) * NANOSECONDS_PER_MS
+    """Shift the Unix time that the node's clock starts from by the milliseconds in a file."""
+    offset_ns = int(clock_file.read_text()) * NS_PER_MS
 
     def initialize(original: Any, event_queue: Any, *args: Any) -> None:
         original(event_queue, *args)
-        event_queue.origin += offset
+        event_queue.origin += offset_ns
 
     faulty_nodes.wrap(EventQueue, "__init__", initialize)
 
 
 def main() -> int:
-    """Steps the clock and starts the node, or a faulty one."""
+    """Step the clock and start the node, or a faulty one if a kind is given."""
     step_start_clock(Path(sys.argv.pop(1)))
     return faulty_nodes.main() if len(sys.argv) > 1 else program.main()
 
--- a/workbench/lab/timeline.py
+++ b/workbench/lab/timeline.py
@@ -1,4 +1,4 @@
-"""The timeline of a run: a row a second, agreements, costs and verdicts."""
+"""The text report of a run: a timeline with a row per second, agreements, costs and verdicts."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 from workbench.lab.process_history import FOREVER
 from workbench.lab.violations import Violation
 
-MAX_SHOWN_VIOLATIONS = 8  # of one checker
-END_OF_SECOND = 0.999
+MAX_SHOWN_VIOLATIONS = 8  # Limit for each checker.
+VIEW_SAMPLE_OFFSET_S = 0.999  # Time within a second at which the views are compared.
 
 
 @dataclass
-class Second:
+class TimelineRow:
     """One second of a run.
 
     Attributes:
-        at: Whole seconds from the clients' begin.
-        sent: Requests that clients sent.
+        at: Whole seconds since the clients started.
+        sent: Requests that clients sent in this second.
         served: Those of them that were served.
-        lost: The others by their answer.
-        attempts: Attempts that came to servers.
-        faults: What happened, for a person to read.
-        members: Nodes that ran at its end.
-        least_seen: Members of the smallest view at its end, its own node included.
-        most_seen: Members of the largest view.
-        agreed: Whether all views were right.
+        lost: The number of the others by their answer.
+        attempts: Attempts that started at servers.
+        faults: Descriptions of faults and process events.
+        members: Nodes that ran at the end of the second.
+        smallest_view: Members of the smallest view at the end of the second, including its own node.
+        largest_view: Members of the largest view, including its own node.
+        agreed: Whether all views were correct.
     """
 
     at: int
@@ -44,33 +44,33 @@
     attempts: int = 0
     faults: list[str] = field(default_factory=list)
     members: int = 0
-    least_seen: int = 0
-    most_seen: int = 0
+    smallest_view: int = 0
+    largest_view: int = 0
     agreed: bool = True
 
 
 class Incident(NamedTuple):
-    """Something that happened to the nodes, for a person to read."""
+    """A fault or process event, described in words."""
 
     at: float
-    what: str
+    description: str
 
 
-class Seconds:
-    """The rows of a timeline, filled in from the events of a run."""
+class TimelineBuilder:
+    """The rows of a timeline, computed from the events of a run."""
 
     def __init__(self, truth: GroundTruth) -> None:
         self.truth = truth
-        count = max(1, int(truth.end - truth.go)) if truth.go < FOREVER else 0
-        self.rows = [Second(at) for at in range(count)]
+        count = max(1, int(truth.end - truth.clients_start)) if truth.clients_start < FOREVER else 0
+        self.rows = [TimelineRow(at) for at in range(count)]
 
-    def row(self, at: float) -> Second | None:
-        """Returns the row of a time; None before the clients' begin and after the end."""
-        index = int(at - self.truth.go)
+    def row(self, at: float) -> TimelineRow | None:
+        """Return the row of a time; None before the clients' start and after the end of the run."""
+        index = int(at - self.truth.clients_start)
         return self.rows[index] if 0 <= index < len(self.rows) else None
 
     def count_request(self, event: Event) -> None:
-        """Counts a request in the second in which it was sent."""
+        """Count a request in the second in which the client sent it."""
         row = self.row(seconds(event["sent"]))
         if row is None:
             return
@@ -81,36 +81,36 @@
             row.lost[event["answer"]] += 1
 
     def count_attempt(self, event: Event) -> None:
-        """Counts an attempt in the second in which it began."""
+        """Count an attempt in the second in which it started."""
         row = self.row(seconds(event["began"]))
         if row is not None:
             row.attempts += 1
 
     def add_incident(self, incident: Incident) -> None:
-        """Adds what happened to its second."""
+        """Add an incident to the second in which it occurred."""
         row = self.row(incident.at)
         if row is not None:
-            row.faults.append(incident.what)
+            row.faults.append(incident.description)
 
-    def sample_views(self, row: Second) -> None:
-        """Compares the views at the end of a second with the nodes that run."""
-        at = self.truth.go + row.at + END_OF_SECOND
+    def sample_views(self, row: TimelineRow) -> None:
+        """Compare the views at the end of a second with the nodes that run."""
+        at = self.truth.clients_start + row.at + VIEW_SAMPLE_OFFSET_S
         members = self.truth.members_at(at)
         sizes = [len(self.truth.present_in_view(name, at)) for name in members]
         row.members = len(members)
-        row.least_seen = min(sizes, default=0) + 1
-        row.most_seen = max(sizes, default=0) + 1
-        row.agreed = self.truth.agreed(at) if self.truth.fleet else True
+        row.smallest_view = min(sizes, default=0) + 1
+        row.largest_view = max(sizes, default=0) + 1
+        row.agreed = self.truth.views_agree(at) if self.truth.has_fleet else True
 
 
-def seconds_of(truth: GroundTruth) -> list[Second]:
-    """Returns a row a second from the first client on."""
-    table = Seconds(truth)
+def timeline_rows(truth: GroundTruth) -> list[TimelineRow]:
+    """Return one row for each second from the clients' start on."""
+    table = TimelineBuilder(truth)
     if not table.rows:
         return []
-    for event in truth.of("request"):
+    for event in truth.events_of("request"):
         table.count_request(event)
-    for event in truth.of("attempt"):
+    for event in truth.events_of("attempt"):
         table.count_attempt(event)
     for incident in incidents(truth):
         table.add_incident(incident)
@@ -120,13 +120,13 @@
 
 
 def incidents(truth: GroundTruth) -> list[Incident]:
-    """Returns faults and the ends of processes in words, in order."""
+    """Return faults, restarts and unexpected exits in order."""
     found = []
-    for e in truth.of("fault"):
+    for e in truth.events_of("fault"):
         on = ", ".join(e["on"]) or "all"
         found.append(Incident(e["t"], f"{e['type']} {e['what']}s: {on}"))
-    for e in truth.of("process"):
-        if e["what"] == "ready" and e["t"] > truth.go:
+    for e in truth.events_of("process"):
+        if e["what"] == "ready" and e["t"] > truth.clients_start:
             found.append(Incident(e["t"], f"{e['node']} is back"))
         elif e["what"] == "exit" and not e["asked"]:
             found.append(Incident(e["t"], f"{e['node']} ended by itself, status {e['status']}"))
@@ -134,45 +134,45 @@
 
 
 def timeline(truth: GroundTruth) -> Table:
-    """Returns the rows as a person reads them."""
+    """Return the rows as a table for the terminal."""
     table = Table(box=None, pad_edge=False)
     for name in ("s", "asked", "served %", "tries", "run", "views"):
         table.add_column(name, justify="right")
     table.add_column("lost to")
     table.add_column("faults")
-    for row in seconds_of(truth):
+    for row in timeline_rows(truth):
         table.add_row(
             str(row.at),
             str(row.sent),
             f"{100 * row.served / row.sent:.1f}" if row.sent else "-",
             f"{row.attempts / row.sent:.2f}" if row.sent else "-",
             str(row.members),
-            Text(view_sizes(row) if truth.fleet else "-", style="" if row.agreed else "yellow"),
+            Text(view_sizes(row) if truth.has_fleet else "-", style="" if row.agreed else "yellow"),
             ", ".join(f"{count} {answer}" for answer, count in row.lost.most_common()),
             "; ".join(row.faults),
         )
     return table
 
 
-def view_sizes(row: Second) -> str:
-    """Returns the sizes of the smallest and the largest view, or the one size of all."""
-    if row.least_seen == row.most_seen:
-        return f"{row.least_seen}"
-    return f"{row.least_seen} to {row.most_seen}"
+def view_sizes(row: TimelineRow) -> str:
+    """Return the sizes of the smallest and the largest view, or one number if they are equal."""
+    if row.smallest_view == row.largest_view:
+        return f"{row.smallest_view}"
+    return f"{row.smallest_view} to {row.largest_view}"
 
 
 @dataclass(frozen=True)
 class Costs:
-    """What a node cost a second while clients ran, and what clients got.
+    """The average resource usage of a node while clients ran, and the result of the clients' requests.
 
     Attributes:
-        cpu: Share of a core.
-        memory_mb: Resident megabytes at most.
-        datagrams: Datagrams that a node sent a second.
-        bytes: Bytes of them a second.
-        requests: Requests of the clients.
-        lost: Those that were not served.
-        attempts: Attempts for each request.
+        cpu: Share of one core that a node used.
+        memory_mb: Maximum resident memory of any node.
+        datagrams: Datagrams that a node sent per second.
+        bytes: Bytes that a node sent in datagrams per second.
+        requests: Number of the clients' requests.
+        lost: Number of requests that were not served.
+        attempts: Mean number of attempts per request.
     """
 
     cpu: float
@@ -185,35 +185,35 @@
 
 
 def costs(truth: GroundTruth) -> Costs:
-    """Returns the costs of a run, by the first and last sample of each process."""
+    """Return the costs of a run, from the first and last sample of each process."""
     first: dict[tuple[str, int], Event] = {}
     last: dict[tuple[str, int], Event] = {}
-    for e in truth.of("sample"):
-        if truth.go <= e["t"] <= truth.end:
+    for e in truth.events_of("sample"):
+        if truth.clients_start <= e["t"] <= truth.end:
             key = (e["node"], e["life"])
             first.setdefault(key, e)
             last[key] = e
     spans = [(first[k], last[k]) for k in first if last[k]["t"] > first[k]["t"]]
-    duration = sum(b["t"] - a["t"] for a, b in spans) or 1.0
-    requests = {e["request"] for e in truth.of("request")}
-    served = {e["request"] for e in truth.of("request") if e["answer"] == "ok"}
+    duration_s = sum(b["t"] - a["t"] for a, b in spans) or 1.0
+    requests = {e["request"] for e in truth.events_of("request")}
+    served = {e["request"] for e in truth.events_of("request") if e["answer"] == "ok"}
     return Costs(
-        cpu=sum(b["cpu_s"] - a["cpu_s"] for a, b in spans) / duration,
+        cpu=sum(b["cpu_s"] - a["cpu_s"] for a, b in spans) / duration_s,
         memory_mb=max((b["memory_mb"] for _, b in spans), default=0.0),
-        datagrams=sum(b["sent"] - a["sent"] for a, b in spans) / duration,
-        bytes=sum(b["bytes_out"] - a["bytes_out"] for a, b in spans) / duration,
+        datagrams=sum(b["sent"] - a["sent"] for a, b in spans) / duration_s,
+        bytes=sum(b["bytes_out"] - a["bytes_out"] for a, b in spans) / duration_s,
         requests=len(requests),
         lost=len(requests - served),
-        attempts=len(truth.of("attempt")) / max(1, len(requests)),
+        attempts=len(truth.events_of("attempt")) / max(1, len(requests)),
     )
 
 
 def report(truth: GroundTruth, violations: Mapping[str, list[Violation]]) -> RenderableType:
-    """Returns the timeline, agreements, costs and each checker's verdict."""
+    """Return the whole report: timeline, agreements, costs and the checkers' verdicts."""
     parts: list[RenderableType] = []
-    if truth.go < FOREVER:
+    if truth.clients_start < FOREVER:
         parts += [timeline(truth), ""]
-    if truth.fleet and truth.changes:
+    if truth.has_fleet and truth.changes:
         parts += [agreement_table(truth), ""]
     cost = costs(truth)
     parts.append(
@@ -229,28 +229,28 @@
 
 
 def agreement_table(truth: GroundTruth) -> Table:
-    """Returns how long it took until all views showed each change."""
+    """Return a table of how long it took after each change until all views showed it."""
     table = Table("s", "what changed", "all views showed it after", box=None, pad_edge=False)
-    for at, what, took in truth.agreements():
+    for at, description, took in truth.agreements():
         shown_after = "not before the next" if took is None else f"{took:.1f} s"
-        table.add_row(f"{at - truth.go:.1f}", what, shown_after)
+        table.add_row(f"{at - truth.clients_start:.1f}", description, shown_after)
     return table
 
 
 def incomplete_ending(truth: GroundTruth) -> str:
-    """Returns why a run is not complete or does not count; "" if it does."""
-    end = truth.of("end")
+    """Return why a run is incomplete or does not count; "" for a run that counts."""
+    end = truth.events_of("end")
     if not end:
-        return "the lab was ended before the run was over"
+        return "incomplete: the lab was ended before the end of the run"
     if end[0]["trouble"]:
-        return f"broken off: {end[0]['trouble']}"
+        return f"aborted: {end[0]['trouble']}"
     if not end[0]["counted"]:
-        return f"not counted: the machine was late by {end[0]['late_ms']:.0f} ms, 50 are allowed"
+        return f"not counted: the machine was late by {end[0]['late_ms']:.0f} ms, at most 50 ms are allowed"
     return ""
 
 
 def verdicts(violations: Mapping[str, list[Violation]]) -> RenderableType:
-    """Returns each checker's verdict with its first violations."""
+    """Return the verdict of each checker with its first violations."""
     lines = []
     for name, found in violations.items():
         lines.append(f"{name:14}{'kept' if not found else f'BROKEN {len(found)} times'}")
--- a/workbench/lab/timeline_plot.py
+++ b/workbench/lab/timeline_plot.py
@@ -1,4 +1,4 @@
-"""The timeline of a run as a picture: a lane for each node, faults shaded, served requests and views."""
+"""A plot of a run's timeline: served requests, sizes of views, a lane for each node, and shaded faults."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 from workbench.lab.ground_truth import GroundTruth
 from workbench.lab.process_history import FOREVER, NETWORK_FAULTS, ProcessIncarnation
-from workbench.lab.timeline import Second, seconds_of
+from workbench.lab.timeline import TimelineRow, timeline_rows
 from workbench.report.plots import COLOURS, SHADE
 
 LEGEND = (
-    "seconds from the first client; green: ready, blue: starting, orange: told to end, black: paused, "
-    "red line: cut or bad links"
+    "seconds since the clients started; green: ready, blue: starting, orange: stopping, black: paused, "
+    "red line: network or clock fault"
 )
 SERVED, VIEWS, READY, STOPPING, STARTING, PAUSED = (COLOURS[i] for i in (0, 1, 2, 4, 5, 7))
 FAULT = VIEWS
 LANE_INCHES = 0.28
-PROCESS_HEIGHT = 0.6  # of a lane
-FAULT_HEIGHT = 0.2
+PROCESS_LANE_RATIO = 0.6  # Height of a process bar relative to a lane.
+FAULT_LANE_RATIO = 0.2  # Height of a fault bar relative to a lane.
 
 
 def plot(truth: GroundTruth, path: Path) -> None:
-    """Draws the timeline of a run to a file."""
+    """Draw the timeline of a run to an image file."""
     lane_inches = LANE_INCHES * len(truth.names)
     figure, (served, lanes) = pyplot.subplots(
         2,
@@ -34,7 +34,7 @@
         sharex=True,
         layout="constrained",
     )
-    rows = seconds_of(truth)
+    rows = timeline_rows(truth)
     plot_served(served, rows)
     plot_views(served.twinx(), truth, rows)
     plot_lanes(lanes, truth)
@@ -48,32 +48,32 @@
     pyplot.close(figure)
 
 
-def plot_served(axis: Any, rows: list[Second]) -> None:
-    """Draws the share of the requests that was served."""
+def plot_served(axis: Any, rows: list[TimelineRow]) -> None:
+    """Draw the share of requests that were served."""
     shares = [100 * row.served / row.sent if row.sent else None for row in rows]
     axis.plot(middles(rows), shares, color=SERVED)
     axis.set_ylabel("served, %", color=SERVED)
     axis.set_ylim(-3, 103)
 
 
-def plot_views(axis: Any, truth: GroundTruth, rows: list[Second]) -> None:
-    """Draws the nodes that run and the range of the views' sizes."""
-    if not truth.fleet:
+def plot_views(axis: Any, truth: GroundTruth, rows: list[TimelineRow]) -> None:
+    """Draw the number of running nodes and the range of the views' sizes."""
+    if not truth.has_fleet:
         return
-    least, most = [row.least_seen for row in rows], [row.most_seen for row in rows]
-    axis.fill_between(middles(rows), least, most, color=VIEWS, alpha=0.3, step="mid")
+    smallest, largest = [row.smallest_view for row in rows], [row.largest_view for row in rows]
+    axis.fill_between(middles(rows), smallest, largest, color=VIEWS, alpha=0.3, step="mid")
     axis.plot(middles(rows), [row.members for row in rows], color=VIEWS, ls=":", drawstyle="steps-mid")
-    axis.set_ylabel("members: run (dotted), least and most seen", color=VIEWS, fontsize=8)
+    axis.set_ylabel("members: running (dotted), range in views", color=VIEWS, fontsize=8)
     axis.set_ylim(0, len(truth.names) + 0.5)
 
 
-def middles(rows: list[Second]) -> list[float]:
-    """Returns where the rows are drawn."""
+def middles(rows: list[TimelineRow]) -> list[float]:
+    """Return the middle of each row's second, at which its values are drawn."""
     return [row.at + 0.5 for row in rows]
 
 
 def plot_lanes(axis: Any, truth: GroundTruth) -> None:
-    """Draws a lane for each node: its processes and the faults on its links and clock."""
+    """Draw a lane for each node, with its processes and the faults of its links and clock."""
     names = truth.names
     for lane, name in enumerate(reversed(names)):
         for process in truth.incarnations[name]:
@@ -81,13 +81,13 @@
         for period in truth.periods:
             if period.type in (*NETWORK_FAULTS, "clock") and name in period.on:
                 end = min(period.end, truth.end)
-                plot_bar(axis, truth, lane, period.begin, end, FAULT, FAULT_HEIGHT)
+                plot_bar(axis, truth, lane, period.begin, end, FAULT, FAULT_LANE_RATIO)
     axis.set_yticks(range(len(names)), list(reversed(names)), fontsize=7)
     axis.set_xlabel(LEGEND, fontsize=8)
 
 
 def plot_process(axis: Any, truth: GroundTruth, lane: int, process: ProcessIncarnation) -> None:
-    """Draws the states of one process over each other."""
+    """Draw the states of one process; a later state covers an earlier one."""
     end = min(process.end, truth.end)
     plot_bar(axis, truth, lane, process.start, end, STARTING)
     if process.ready < end:
@@ -105,15 +105,15 @@
     begin: float,
     end: float,
     colour: str,
-    height: float = PROCESS_HEIGHT,
+    height: float = PROCESS_LANE_RATIO,
 ) -> None:
-    """Draws an interval in a lane."""
+    """Draw an interval in a lane."""
     left = begin - origin(truth)
     axis.barh(lane, end - begin, left=left, height=height, color=colour, lw=0)
 
 
 def shade_faults(axis: Any, truth: GroundTruth) -> None:
-    """Shades the time of each fault."""
+    """Shade the period of each fault."""
     zero = origin(truth)
     for period in truth.periods:
         end = min(period.end, truth.end)
@@ -121,5 +121,5 @@
 
 
 def origin(truth: GroundTruth) -> float:
-    """Returns the time at which the picture has 0: when the clients began, if they did."""
-    return truth.go if truth.go < FOREVER else 0.0
+    """Return the time of the plot's zero: the clients' start, or 0 if they never started."""
+    return truth.clients_start if truth.clients_start < FOREVER else 0.0
--- a/workbench/lab/violations.py
+++ b/workbench/lab/violations.py
@@ -1,4 +1,4 @@
-"""What checkers find, and what they share."""
+"""The violations that checkers report, and constants that checkers share."""
 
 from __future__ import annotations
 
@@ -6,15 +6,21 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-LOG_DELAY_S = 0.2  # within which the lab has read a log line
+LOG_DELAY_S = 0.2  # Maximum time from a node's log line to the lab's reading it.
 
 
 class Finding(NamedTuple):
-    """One violation as its checker finds it: when, by whom, and what was wrong."""
+    """One violation as a checker reports it.
+
+    Attributes:
+        at: Seconds of the lab.
+        node: The node that violated the rule, or `all`.
+        description: What was wrong, in words.
+    """
 
     at: float
-    who: str
-    what: str
+    node: str
+    description: str
 
 
 Findings = Iterator[Finding]
@@ -22,20 +28,20 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """A violation of a rule.
+    """A violation of a rule, with the checker that found it.
 
     Attributes:
         checker: The name of the checker that found it.
         at: Seconds of the lab.
-        who: The node that broke the rule, or `all`.
-        what: What was wrong, for a person to read.
+        node: The node that violated the rule, or `all`.
+        description: What was wrong, in words.
     """
 
     checker: str
     at: float
-    who: str
-    what: str
+    node: str
+    description: str
 
     def __str__(self) -> str:
-        """Returns the line that reports show."""
-        return f"{self.at:8.3f} s  {self.who:6}  {self.checker}: {self.what}"
+        """Return the line that is shown in reports."""
+        return f"{self.at:8.3f} s  {self.node:6}  {self.checker}: {self.description}"
--- a/workbench/lab/zone_checkers.py
+++ b/workbench/lab/zone_checkers.py
@@ -1,4 +1,4 @@
-"""Checkers of zone routing: evacuations by evidence and by directive, and calls that leave their zone."""
+"""Checkers of zone routing: evacuations after failures or by directive, and cross-zone requests."""
 
 from __future__ import annotations
 
@@ -13,13 +13,20 @@
     r"fleet zone (?P<zone>\S+) (?:(?:evacuated|is left) for (?P<hold>[\d.]+) s"
     r"|evacuated by directive|is left by order|(?P<back>recovering|returns))"
 )
-MAX_CROSS_ZONE_SHARE = 0.05  # of the calls, where nothing is wrong
-WARM_UP_S = 2.0  # after the clients' begin, in which calls may leave their zone
-DIRECTIVE_DELAY_S = 4.0  # until a directive has reached, or ended for, all nodes
+MAX_CROSS_ZONE_SHARE = 0.05  # Limit for the share of attempts, in runs without any fault.
+WARM_UP_S = 2.0  # Time after the clients' start in which attempts may leave their zone.
+DIRECTIVE_DELAY_S = 4.0  # Maximum time until a directive, or its end, has reached all nodes.
 
 
 class Evacuation(NamedTuple):
-    """A node's evacuation of a zone, by its log; `hold` is how long the node announced, 0: by directive."""
+    """A node's evacuation of a zone, as its log reports it.
+
+    Attributes:
+        zone: The name of the zone.
+        begin: When the evacuation started, in seconds of the lab.
+        end: When it ended, in seconds of the lab.
+        hold: The announced minimum duration in seconds; 0 for an evacuation by directive.
+    """
 
     zone: str
     begin: float
@@ -28,17 +35,17 @@
 
 
 class Directive(NamedTuple):
-    """An operator's directive to evacuate a zone."""
+    """An operator's directive to evacuate a zone between two times."""
 
     zone: str
     begin: float
     end: float
 
 
-def directives_followed(truth: GroundTruth) -> Findings:
-    """A directive to evacuate a zone reaches every node and is over for all in time.
+def check_directives(truth: GroundTruth) -> Findings:
+    """Check that a directive to evacuate a zone takes effect, and ends, on every node in time.
 
-    That holds whatever the wall clocks say. Overlapping directives for one zone are not judged.
+    It must do so whatever the wall clocks show. Overlapping directives for one zone are not checked.
     """
     if not truth.plan.get("near"):
         return
@@ -48,12 +55,12 @@
             continue
         last = directive.end + DIRECTIVE_DELAY_S
         for name in truth.names:
-            if last < truth.end and truth.undisturbed(name, directive.begin, last):
-                yield from directive_followed(truth, directive, name)
+            if last < truth.end and truth.ran_undisturbed(name, directive.begin, last):
+                yield from check_directive(truth, directive, name)
 
 
 def directives(truth: GroundTruth) -> list[Directive]:
-    """The directives of the run's plan."""
+    """Return the directives of the run's plan."""
     return [
         Directive(f"z{zone}", p.begin, p.begin + float(truth.plan["fault"][p.number]["for_s"]))
         for p in truth.periods
@@ -63,55 +70,57 @@
 
 
 def overlaps(directive: Directive, other: Directive) -> bool:
-    """Whether another directive for the same zone is active during a directive or just after it."""
+    """Return whether another directive for the same zone is active during a directive or just after it."""
     last = directive.end + DIRECTIVE_DELAY_S
     return other.zone == directive.zone and other.begin < last and directive.begin < other.end
 
 
-def directive_followed(truth: GroundTruth, directive: Directive, name: str) -> Findings:
-    """Whether a node evacuated the zone of a directive for its time."""
+def check_directive(truth: GroundTruth, directive: Directive, name: str) -> Findings:
+    """Check that a node evacuated the zone of a directive for the directive's duration."""
     zone, begin, end = directive
     evacuated = [e for e in evacuations(truth, name) if e.zone == zone and e.begin < end and begin < e.end]
     earliest, latest = end - DIRECTIVE_DELAY_S, end + DIRECTIVE_DELAY_S
     if any(e.begin <= begin + DIRECTIVE_DELAY_S and earliest <= e.end <= latest for e in evacuated):
         return
     spans = ", ".join(f"from {e.begin:.1f} to {e.end:.1f} s" for e in evacuated) or "never"
-    what = f"was to leave zone {zone} from {begin:.1f} to {end:.1f} s, left {spans}"
-    yield Finding(begin, name, what)
+    description = f"had to evacuate zone {zone} from {begin:.1f} to {end:.1f} s, did so {spans}"
+    yield Finding(begin, name, description)
 
 
-def no_calls_to_evacuated_zones(truth: GroundTruth) -> Findings:
-    """Nothing goes from a node to a zone that it has evacuated, until it returns."""
+def check_no_attempts_to_evacuated_zones(truth: GroundTruth) -> Findings:
+    """Check that a node sends nothing to a zone that it has evacuated."""
     if not truth.plan.get("near"):
         return
     numbers = {f"z{zone}": zone for zone in truth.zones.values()}
     for name in truth.names:
-        attempts = [e for e in truth.of("attempt") if e["node"] == name]
+        attempts = [e for e in truth.events_of("attempt") if e["node"] == name]
         for zone, begin, end, _ in evacuations(truth, name):
-            first = begin + LOG_DELAY_S + truth.late(begin, begin)
+            first = begin + LOG_DELAY_S + truth.max_lateness(begin, begin)
             times = [seconds(e["began"]) for e in attempts if e["zone"] == numbers.get(zone)]
             sent = [at for at in times if first < at < end - LOG_DELAY_S]
             if sent:
-                yield Finding(sent[0], name, f"{len(sent)} calls to zone {zone}, which it has left")
+                yield Finding(
+                    sent[0], name, f"sent {len(sent)} attempts to zone {zone}, which it has evacuated"
+                )
 
 
-def evacuations_held(truth: GroundTruth) -> Findings:
-    """A zone that was evacuated by evidence stays so for as long as the node announced."""
+def check_evacuation_durations(truth: GroundTruth) -> Findings:
+    """Check that a zone evacuated after failures stays evacuated for as long as the node announced."""
     if not truth.plan.get("near"):
         return
     for name in truth.names:
         for zone, begin, end, hold in evacuations(truth, name):
             if hold and end < truth.end and end - begin < hold - LOG_DELAY_S:
-                what = f"returns to zone {zone} after {end - begin:.1f} s, {hold:g} were due"
-                yield Finding(end, name, what)
+                description = f"returns to zone {zone} after {end - begin:.1f} s instead of {hold:g} s"
+                yield Finding(end, name, description)
 
 
 def evacuations(truth: GroundTruth, name: str) -> list[Evacuation]:
-    """The evacuations of one node by its log; a process that ends ends them too."""
+    """Return the evacuations that one node logged; the start of a new process also ends them."""
     found: list[Evacuation] = []
     open_since: dict[str, tuple[float, float]] = {}
-    starts = [e["t"] for e in truth.of("process") if e["node"] == name and e["what"] == "start"]
-    for e in truth.of("log"):
+    starts = [e["t"] for e in truth.events_of("process") if e["node"] == name and e["what"] == "start"]
+    for e in truth.events_of("log"):
         match = ZONE_ROUTING.search(e["text"]) if e["node"] == name else None
         if match is None:
             continue
@@ -119,7 +128,7 @@
         if zone in open_since:
             begin, hold = open_since.pop(zone)
             end = min([e["t"], *(at for at in starts if at > begin)])
-            # A directive may come in between, or another process, which knows nothing of the evacuation.
+            # A directive or a new process, which does not know of the evacuation, may end it before its time.
             found.append(Evacuation(zone, begin, end, hold if match["back"] and end == e["t"] else 0.0))
         if not match["back"]:
             open_since[zone] = (e["t"], float(match["hold"] or 0))
@@ -128,13 +137,13 @@
     return found
 
 
-def calls_stay_in_zone(truth: GroundTruth) -> Findings:
-    """Where nothing is wrong, calls stay in their zone."""
+def check_attempts_stay_in_zone(truth: GroundTruth) -> Findings:
+    """Check that requests stay in their zone in a run without any fault."""
     plan = truth.plan
     if not plan.get("near") or plan["fault"] or plan["trouble"] or truth.faulty_nodes:
         return
-    sent = [e for e in truth.of("attempt") if seconds(e["began"]) > truth.go + WARM_UP_S]
+    sent = [e for e in truth.events_of("attempt") if seconds(e["began"]) > truth.clients_start + WARM_UP_S]
     cross_zone = sum(e["zone"] != truth.zones[e["node"]] for e in sent)
     if cross_zone > MAX_CROSS_ZONE_SHARE * len(sent):
-        what = f"{cross_zone} of {len(sent)} calls left their zone, though nothing was wrong"
-        yield Finding(truth.end, "all", what)
+        description = f"{cross_zone} of {len(sent)} attempts left their zone in a run without faults"
+        yield Finding(truth.end, "all", description)
