--- a/tests/test_report_disk_faults.py
+++ b/tests/test_report_disk_faults.py
@@ -98,7 +98,10 @@
     history = History(Path("/dev/full"))
     for second in range(3):
         history.write(second, "run")
-    assert history.lines == 0 and history.fault == "/dev/full: cannot be written: No space left on device"
+    assert (
+        history.event_count == 0
+        and history.write_error == "/dev/full: cannot be written: No space left on device"
+    )
     history.close()
     assert history.file.closed
 
@@ -117,7 +120,7 @@
             os.close(full)
             history.file.write(b"{")
         history.close()
-    assert history.fault.startswith(f"{history.path}: cannot be written: ")
+    assert history.write_error.startswith(f"{history.path}: cannot be written: ")
 
 
 def test_a_lab_whose_history_cannot_be_written_ends_with_one_line(
