--- a/tests/test_balancerctl.py
+++ b/tests/test_balancerctl.py
@@ -1,4 +1,4 @@
-"""The operators' command: its groups, the words of the command before it, and the table of members."""
+"""The command `balancerctl`: its groups, its legacy aliases and the list of members."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ManagementPage(BaseHTTPRequestHandler):
-    """Answers each call with the server's `page`, and keeps the paths."""
+    """Responds to each request with the server's `page`, and records the paths."""
 
     def do_GET(self):
         self.server.paths.append(self.path)
@@ -37,7 +37,7 @@
 
 @pytest.fixture
 def node():
-    """A stand-in for a node's management address."""
+    """Serve a fake management address of a node."""
     server = HTTPServer(("127.0.0.1", 0), ManagementPage)
     server.paths, server.page = [], {"members": [member("n1"), member("n2")]}
     thread = threading.Thread(target=server.serve_forever, kwargs={"poll_interval": 0.01})
@@ -63,13 +63,13 @@
     return [line.split()[0] for line in lines if line.startswith("  ") and line[2] != " "]
 
 
-def test_help_lists_the_groups_and_not_the_former_words():
+def test_help_lists_the_groups_without_legacy_aliases():
     assert listed_commands(balancerctl) == ["lease", "members", "update", "zone"]
     assert "fleet" not in listed_commands(cli)
 
 
 @pytest.mark.parametrize(("states", "status"), [(["alive", "alive"], 0), (["alive", "dead"], 1)])
-def test_members_are_listed_and_one_that_is_not_alive_shows_in_the_status(node, states, status):
+def test_members_exits_1_when_a_member_is_not_alive(node, states, status):
     node.page = {"members": [member(f"n{i}", state) for i, state in enumerate(states)]}
     result = invoke(balancerctl, "members", address(node))
     assert result.return_value == status
@@ -83,22 +83,22 @@
         ["replace", "begin", "NODE", "--most", "3"],
     ],
 )
-@pytest.mark.parametrize("former", [False, True])
-def test_a_rolling_update_begins_by_the_new_words_and_by_the_former_ones(node, words, former):
+@pytest.mark.parametrize("legacy", [False, True])
+def test_rolling_update_starts_by_current_and_legacy_commands(node, words, legacy):
     node.page = {"state": "runs"}
     words = [address(node) if word == "NODE" else word for word in words]
-    result = invoke(cli, "fleet", *words) if former else invoke(balancerctl, *words)
+    result = invoke(cli, "fleet", *words) if legacy else invoke(balancerctl, *words)
     assert result.output == "replacement runs\n" and result.return_value == 0
     assert node.paths == ["/fleet/replace?do=begin&most=3"]
 
 
 @pytest.mark.parametrize("words", [["lease", "hold"], ["hold"]])
-def test_a_lease_name_that_is_too_long_is_refused_by_either_word(words):
+def test_too_long_lease_name_is_rejected_by_both_commands(words):
     result = CliRunner().invoke(balancerctl, [*words, "x" * 65, "--node", "127.0.0.1:1", "true"])
     assert str(result.exception) == f"{'x' * 65}: a lease's name has 1 to 64 characters"
 
 
-def test_the_former_program_warns_in_one_line(monkeypatch, capsys):
+def test_legacy_program_warns_in_one_line(monkeypatch, capsys):
     monkeypatch.setattr(workbench_cli, "run", lambda group: None)
     former_main()
     warning = capsys.readouterr().err
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: plans checked whole, stores that survive, comparisons by a stated rule."""
+"""Experiments: validation of plans, execution and resumption, the store, and comparisons."""
 
 import json
 import os
@@ -16,7 +16,7 @@
 from workbench.experiment import runner
 from workbench.experiment.compare import compare
 from workbench.experiment.plan import PlanError, list_tasks, parse_plan
-from workbench.experiment.runner import PARENT_GONE, TaskResult, run_plan, run_task
+from workbench.experiment.runner import EXIT_PARENT_DIED, TaskResult, run_plan, run_task
 from workbench.experiment.statistics import bootstrap_interval, holm_correction, sign_flip_p_value
 from workbench.experiment.store import MIGRATIONS, Row, Store, StoreError
 
@@ -46,25 +46,25 @@
         ({"grid": {"nodes.count": [{}]}}, "grid.nodes.count[0]: {}: must be a number, text, true or false"),
     ],
 )  # fmt: skip
-def test_a_plans_faults_are_named(change, line):
+def test_parse_plan_names_the_invalid_key(change, line):
     with pytest.raises(PlanError) as e:
         parse_plan({**TABLE, **change})
     assert str(e.value).startswith(f"plan: {line}")
 
 
-def test_a_grid_makes_scenarios_and_seeds_come_in_pairs():
+def test_list_tasks_expands_the_grid_in_order_of_seed():
     plan = parse_plan({**TABLE, "grid": {"nodes.count": [1, 2], "load.shape": ["steady"]}})
-    made = list_tasks(plan)
-    assert len(made) == 2 * 2 * 3 and [t.seed for t in made] == sorted(t.seed for t in made)
-    assert {t.scenario for t in made} == {f"quiet[nodes.count={n},load.shape=steady]" for n in (1, 2)}
-    assert made[0].draw_scenario().nodes.count == 1 and len({t.key for t in made}) == len(made)
+    tasks = list_tasks(plan)
+    assert len(tasks) == 2 * 2 * 3 and [t.seed for t in tasks] == sorted(t.seed for t in tasks)
+    assert {t.scenario for t in tasks} == {f"quiet[nodes.count={n},load.shape=steady]" for n in (1, 2)}
+    assert tasks[0].draw_scenario().nodes.count == 1 and len({t.key for t in tasks}) == len(tasks)
 
 
-def test_constants_and_revisions_are_loaded_beside_todays_module():
-    from balancer.policy import request_lifecycle as today
+def test_policy_revision_leaves_the_imported_module_unchanged():
+    from balancer.policy import request_lifecycle as imported_module
 
     policy_of("", (("ATTEMPT_TIMEOUT_FACTOR", 4.0),))
-    assert today.ATTEMPT_TIMEOUT_FACTOR == 8
+    assert imported_module.ATTEMPT_TIMEOUT_FACTOR == 8
     (task,) = list_tasks(
         parse_plan({**TABLE, "seeds": 1, "variant": [{"name": "a", "revision": "git:5fc5af5"}]})
     )
@@ -75,13 +75,14 @@
         policy_of("", (("WINDOW_NONE", 1.0),))
 
 
-def rows(goals_a, goals_b, scenario="s", broken=0):
+def rows(goals_a, goals_b, scenario="s", rule_violations=0):
+    """Return runs of the variants a and b with these goals, one for each seed."""
     task = list_tasks(parse_plan(TABLE))[0]
-    out = []
+    result = []
     for variant, goals in (("a", goals_a), ("b", goals_b)):
         for seed, goal in enumerate(goals):
-            out.append(Row(scenario, variant, seed, "", goal, broken, [], None, task))
-    return out
+            result.append(Row(scenario, variant, seed, "", goal, rule_violations, [], None, task))
+    return result
 
 
 @pytest.mark.parametrize(
@@ -90,33 +91,36 @@
         (0.02, 0.005, 12, "better"),
         (-0.02, 0.005, 12, "worse"),
         (0.0, 0.02, 30, "not told apart"),
-        (0.02, 0.005, 4, "not told apart"),  # too few
-        (0.0, 0.0, 12, "not told apart"),  # the same throughout
+        (0.02, 0.005, 4, "not told apart"),  # Fewer than `MIN_PAIRS`.
+        (0.0, 0.0, 12, "not told apart"),  # All goals are equal.
     ],
 )
-def test_the_verdict_follows_the_rule(shift, noise, pairs, verdict):
+def test_compare_verdict_follows_the_decision_rule(shift, noise, pairs, verdict):
     rng = np.random.default_rng(3)
-    base = rng.uniform(0.3, 0.9, pairs)  # the spread between days is far wider than the difference
-    found = compare(rows(base, base + shift + noise * rng.standard_normal(pairs)), "a", "b")
-    assert found.overall.verdict == found.scenarios[0].verdict == verdict
-    assert {"difference", "low", "high", "pairs", "verdict"} <= set(msgspec.to_builtins(found)["all"])
-    assert found.overall.low <= found.overall.difference <= found.overall.high
+    # The spread between days is far wider than the difference between the variants.
+    base = rng.uniform(0.3, 0.9, pairs)
+    comparison = compare(rows(base, base + shift + noise * rng.standard_normal(pairs)), "a", "b")
+    assert comparison.overall.verdict == comparison.scenarios[0].verdict == verdict
+    assert {"difference", "low", "high", "pairs", "verdict"} <= set(msgspec.to_builtins(comparison)["all"])
+    assert comparison.overall.low <= comparison.overall.difference <= comparison.overall.high
 
 
-def test_statistics_by_known_values():
+def test_statistics_match_known_values():
     assert holm_correction([0.01, 0.04, 0.03]) == pytest.approx([0.03, 0.06, 0.06])
-    assert sign_flip_p_value([np.array([0.1] * 5)]) == 2 / 32  # all signs alike, by both tails
+    # Two of the 32 sign assignments, all plus and all minus, are as extreme as equal differences.
+    assert sign_flip_p_value([np.array([0.1] * 5)]) == 2 / 32
     assert sign_flip_p_value([np.zeros(4)]) == 1.0
     low, high = bootstrap_interval(np.arange(100.0))
     assert low == pytest.approx(49.5 - 1.96 * 2.9, abs=0.5) and high == pytest.approx(
         49.5 + 1.96 * 2.9, abs=0.5
     )
-    # Each scenario weighs alike, however many seeds it has.
+    # All scenarios have the same weight, regardless of their number of seeds.
     both = rows([0.5] * 10, [0.6] * 10, "many") + rows([0.5] * 5, [0.5] * 5, "few")
     assert compare(both, "a", "b").overall.difference == pytest.approx(0.05)
 
 
 def count(path):
+    """Return the number of stored runs and the number of distinct ones."""
     with sqlite3.connect(path) as db:
         return db.execute(
             "SELECT count(*), count(DISTINCT scenario || variant || seed || digest) FROM runs"
@@ -133,19 +137,21 @@
 
 
 def start(tmp_path):
+    """Start an experiment of 12 runs in a separate process."""
     (tmp_path / "p.toml").write_text(PLAN_TEXT)
     args = [sys.executable, "-m", "workbench", "experiment", "run", str(tmp_path / "p.toml")]
     args += ["--store", str(tmp_path), "--jobs", "2"]
     return subprocess.Popen(args, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
 
 
-def test_killed_at_any_moment_it_is_resumed_and_workers_end_with_it(tmp_path):
+def test_killed_run_leaves_no_workers_and_is_resumed(tmp_path):
     path = tmp_path / "p.sqlite"
     first = start(tmp_path)
     while not path.exists() or not has_rows(path):
         assert first.poll() is None, first.communicate()
     os.kill(first.pid, signal.SIGKILL)
-    first.communicate(timeout=60)  # returns once every worker has let go of its output: none is left behind
+    # This returns when every worker has closed its inherited output, so no worker is left running.
+    first.communicate(timeout=60)
     kept, _ = count(path)
     second = start(tmp_path)
     out, err = second.communicate(timeout=120)
@@ -154,35 +160,40 @@
     assert count(path) == (12, 12)
 
 
-def test_a_worker_whose_parent_died_before_it_began_ends_at_once():
-    """Failure prevented: a signal asked for at the parent's death never comes where that is over already."""
-    no_parent = "0"  # the id of none of this machine's processes
-    begin = "import sys; from workbench.experiment.runner import begin_worker; begin_worker(int(sys.argv[1]))"
-    wait_for_ever = "; import threading; threading.Event().wait()"
-    worker = subprocess.run([sys.executable, "-c", begin + wait_for_ever, no_parent], timeout=60)
-    assert worker.returncode == PARENT_GONE
+def test_worker_exits_when_its_parent_died_before_startup():
+    """The death signal is not sent if the parent is already dead, so the worker compares the parent's id."""
+    # No process has this id.
+    dead_parent = "0"
+    initialize = (
+        "import sys; from workbench.experiment.runner import initialize_worker;"
+        " initialize_worker(int(sys.argv[1]))"
+    )
+    wait_forever = "; import threading; threading.Event().wait()"
+    worker = subprocess.run([sys.executable, "-c", initialize + wait_forever, dead_parent], timeout=60)
+    assert worker.returncode == EXIT_PARENT_DIED
 
 
 def has_rows(path):
     try:
         return count(path)[0] > 0
-    except sqlite3.Error:  # not made yet, or being made
+    except sqlite3.Error:
+        # The table does not exist yet, or is being created.
         return False
 
 
-def test_two_at_once_on_one_store_do_not_spoil_it(tmp_path):
-    both = [start(tmp_path), start(tmp_path)]
-    outs = [p.communicate(timeout=120) for p in both]
-    assert [p.returncode for p in both] == [0, 0], outs
+def test_two_concurrent_runs_share_one_store(tmp_path):
+    processes = [start(tmp_path), start(tmp_path)]
+    outputs = [p.communicate(timeout=120) for p in processes]
+    assert [p.returncode for p in processes] == [0, 0], outputs
     assert count(tmp_path / "p.sqlite") == (12, 12)
 
 
-def test_a_run_that_raises_is_kept_as_failed_and_the_rest_goes_on(tmp_path, monkeypatch):
-    def task(t):
+def test_failed_run_is_stored_and_retried(tmp_path, monkeypatch):
+    def run_or_fail(t):
         return TaskResult(None, "Traceback: boom") if t.seed == 2 else run_task(t)
 
-    class Here:
-        """A pool whose workers are this thread."""
+    class InlineExecutor:
+        """A process pool that runs each task in the submitting thread."""
 
         def __init__(self, *args):
             self._processes = {}
@@ -195,49 +206,52 @@
 
         def submit(self, call, t):
             future = runner.Future()
-            future.set_result(task(t))
+            future.set_result(run_or_fail(t))
             return future
 
-    monkeypatch.setattr(runner, "ProcessPoolExecutor", Here)
+    monkeypatch.setattr(runner, "ProcessPoolExecutor", InlineExecutor)
     store = Store(tmp_path / "s.sqlite")
     plan = parse_plan(TABLE)
-    out = run_plan(plan, store, 1)
-    assert (out.completed, out.failed) == (6, 2)
+    first = run_plan(plan, store, 1)
+    assert (first.completed, first.failed) == (6, 2)
     failed = [r for r in store.rows() if r.error]
     assert {(r.seed, r.error) for r in failed} == {(2, "Traceback: boom")}
     assert compare(store.rows(), "a", "b").failed_runs[0].seed == 2
-    again = run_plan(plan, store, 1)  # a failed run is tried again
-    assert (again.completed, again.already_stored) == (2, 4)
-    until = run_plan(plan, store, 1, target_width=1.0)
-    assert until.completed > 0 and len({r.seed for r in store.rows()}) >= runner.MIN_PAIRS
+    second = run_plan(plan, store, 1)
+    assert (second.completed, second.already_stored) == (2, 4)
+    extended = run_plan(plan, store, 1, target_width=1.0)
+    assert extended.completed > 0 and len({r.seed for r in store.rows()}) >= runner.MIN_PAIRS
 
 
-def test_a_store_that_cannot_be_used_is_one_line(tmp_path):
-    broken = tmp_path / "broken.sqlite"
-    broken.write_bytes(b"SQLite format 3\x00" + os.urandom(5000))
+def test_unusable_store_raises_one_line_error(tmp_path):
+    corrupt = tmp_path / "broken.sqlite"
+    corrupt.write_bytes(b"SQLite format 3\x00" + os.urandom(5000))
     newer = tmp_path / "newer.sqlite"
     with sqlite3.connect(newer) as db:
         db.execute(f"PRAGMA user_version = {len(MIGRATIONS) + 1}")
-    for path, write in ((broken, True), (newer, True), (tmp_path / "none.sqlite", False), (tmp_path, True)):
+    for path, write in ((corrupt, True), (newer, True), (tmp_path / "none.sqlite", False), (tmp_path, True)):
         with pytest.raises(StoreError) as e:
             Store(path, write)
         assert str(e.value).startswith(str(path)) and "\n" not in str(e.value)
 
 
-def test_a_full_disk_is_one_line_and_what_was_put_stays(tmp_path):
+def test_full_disk_raises_one_line_and_keeps_stored_runs(tmp_path):
     store = Store(tmp_path / "s.sqlite")
     first, second = list_tasks(parse_plan(TABLE))[:2]
     result, _ = run_task(first)
     store.put(first, result)
-    store.db.execute("PRAGMA max_page_count = 1")  # as a disk without room
+    # SQLite then reports that the database is full, as on a full disk.
+    store.db.execute("PRAGMA max_page_count = 1")
     with pytest.raises(StoreError, match="full"):
         store.put(second, {**result, "padding": os.urandom(100_000).hex()})
     store.close()
-    again = Store(tmp_path / "s.sqlite")
-    assert [r.task for r in again.rows()] == [first] and again.result(first) == json.loads(json.dumps(result))
+    reopened = Store(tmp_path / "s.sqlite")
+    assert [r.task for r in reopened.rows()] == [first] and reopened.result(first) == json.loads(
+        json.dumps(result)
+    )
 
 
-def test_an_older_store_is_brought_up_to_date(tmp_path):
+def test_concurrent_opens_migrate_an_older_store(tmp_path):
     path = tmp_path / "old.sqlite"
     with sqlite3.connect(path) as db:
         db.execute(MIGRATIONS[0])
@@ -253,14 +267,14 @@
     assert len(stores) == 3
 
 
-def test_a_report_is_one_page_with_its_numbers_beside_it(tmp_path):
-    from workbench.report.page import report, write
+def test_report_is_a_self_contained_page_with_csv_and_json(tmp_path):
+    from workbench.report.page import build_report, write_report
 
     store = Store(tmp_path / "s.sqlite")
     plan = parse_plan({**TABLE, "seeds": 2, "grid": {"nodes.count": [1, 2, 3]}})
     for task in list_tasks(plan):
         store.put(task, *run_task(task))
-    write(report(store, "workbench experiment report <s>"), tmp_path / "out")
+    write_report(build_report(store, "workbench experiment report <s>"), tmp_path / "out")
     page = (tmp_path / "out" / "index.html").read_text()
     assert page.count("data:image/png;base64,") >= 6 and "http" not in page and "&lt;s&gt;" in page
     assert page.count("<figcaption>") == page.count("<img") and "Goal over nodes.count" in page
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Attribution of lost worth: a hand-made trace for each cause, and sums that meet a real day's account."""
+"""Attribution of lost value: a constructed trace for each cause, and sums that match a simulated day."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from balancer.policy.interface import ClassSettings, Effect, Group, Outcome
 from workbench.baselines import POLICIES
 from workbench.cli import cli
-from workbench.experiment.losses import LossTask, play_all
+from workbench.experiment.losses import LossTask, play_and_attribute_all
 from workbench.model.answer import Answer
 from workbench.model.call import Attempt, Request
 from workbench.model.job import DONE, Job
@@ -31,50 +31,55 @@
 from workbench.simulator.node import Node
 from workbench.simulator.play import play
 
-AIM, DEADLINE, WINDOW = 2_500_000, 6_000_000, 10_000_000
+LATENCY_OBJECTIVE_US, DEADLINE_US, RETRY_WINDOW_US = 2_500_000, 6_000_000, 10_000_000
 SAFE, KEYED, UNSAFE = range(3)
 EFFECTS = (Effect.IDEMPOTENT, Effect.IDEMPOTENCY_KEY, Effect.NOT_IDEMPOTENT)
-CLASSES = [ClassSettings(effect, AIM, DEADLINE, 1.0, 0.0, Group.ALL, WINDOW) for effect in EFFECTS]
+CLASSES = [
+    ClassSettings(effect, LATENCY_OBJECTIVE_US, DEADLINE_US, 1.0, 0.0, Group.ALL, RETRY_WINDOW_US)
+    for effect in EFFECTS
+]
 RULES = AttributionRules(CLASSES, max_attempts=4)
-USUAL = 1_000_000
-SHORT = ["length_s=8", "servers=4"]
+TYPICAL_US = 1_000_000
+SHORT_DAY = ["length_s=8", "servers=4"]
 
 
 def attempt(
     start: int, end: int, outcome: Outcome, *calls: CallTrace, tier: int = 0, silent: bool = False
 ) -> AttemptTrace:
-    """An attempt, its times in milliseconds."""
-    made = AttemptTrace(tier, start * 1000, calls=list(calls))
-    made.end(end * 1000, outcome, silent)
-    return made
+    """Return the trace of an attempt, with times in milliseconds."""
+    trace = AttemptTrace(tier, start * 1000, calls=list(calls))
+    trace.end(end * 1000, outcome, silent)
+    return trace
 
 
 def call(
     start: int, end: int, answer: Answer | None, *attempts: AttemptTrace, tier: int = 0, until: int = 3000
 ) -> CallTrace:
-    """A call, its times in milliseconds; `answer` None: given up by its caller."""
-    made = CallTrace(tier, start * 1000, until * 1000, attempts=list(attempts))
+    """Return the trace of a call, with times in milliseconds; without an answer, its caller gave up."""
+    trace = CallTrace(tier, start * 1000, until * 1000, attempts=list(attempts))
     if answer is not None:
-        made.end(end * 1000, answer)
-    return made
+        trace.end(end * 1000, answer)
+    return trace
 
 
-def request(end: int, *tries: CallTrace, request_class: int = SAFE, served: bool = False) -> RequestTrace:
-    """A lost request that was due at 0 and ended at `end` milliseconds."""
+def request(
+    end: int, *client_attempts: CallTrace, request_class: int = SAFE, served: bool = False
+) -> RequestTrace:
+    """Return the trace of a lost request that was due at 0 and ended at `end` milliseconds."""
     return RequestTrace(
         0,
         request_class,
         0,
-        AIM,
+        LATENCY_OBJECTIVE_US,
         ended_at=end * 1000,
         served=served,
         lost_value=1.0,
-        client_attempts=list(tries),
+        client_attempts=list(client_attempts),
     )
 
 
 def attribute(trace: RequestTrace) -> LossSource:
-    return Attribution(trace, RULES, USUAL).attribute()
+    return Attribution(trace, RULES, TYPICAL_US).attribute()
 
 
 OK, CONNECT, REJECTED = Outcome.OK, Outcome.CONNECT_FAILED, Outcome.REJECTED
@@ -82,7 +87,7 @@
 
 
 def dying_node() -> CallTrace:
-    """A call whose node dies under its attempt."""
+    """Return the trace of a call whose node dies during the attempt."""
     trace = call(0, 500, Answer.FAILED, attempt(2, 500, RESET))
     trace.node_died = True
     return trace
@@ -90,7 +95,7 @@
 
 FOUR_CONNECTS = [attempt(150 * n, 150 * (n + 1), CONNECT) for n in range(4)]
 ENDED: dict[str, tuple[RequestTrace, LossSource]] = {
-    "connections not established until no attempt is left": (
+    "no connection established in any attempt": (
         request(600, call(0, 600, Answer.REFUSED, *FOUR_CONNECTS)),
         LossSource(LossCause.CONNECT, 0),
     ),
@@ -98,15 +103,15 @@
         request(2400, call(0, 2400, Answer.FAILED, attempt(2, 2400, RESET))),
         LossSource(LossCause.RESET, 0),
     ),
-    "rejected by the node's own limit, in the last of two tries": (
+    "rejected at the node's limit in the last of two client attempts": (
         request(510, call(0, 5, Answer.REFUSED), call(500, 505, Answer.REFUSED)),
-        LossSource(LossCause.OWN_LIMIT, 0),
+        LossSource(LossCause.NODE_LIMIT, 0),
     ),
     "a retry denied by the budget": (
         request(300, call(0, 300, Answer.REFUSED, attempt(2, 300, RESET))),
         LossSource(LossCause.RETRY_BUDGET, 0, LossCause.RESET),
     ),
-    "a keyed retry denied within its window": (
+    "a keyed retry denied within its retry window": (
         request(300, call(0, 300, Answer.FAILED, attempt(2, 300, RESET)), request_class=KEYED),
         LossSource(LossCause.RETRY_BUDGET, 0, LossCause.RESET),
     ),
@@ -114,24 +119,24 @@
         request(300, call(0, 300, Answer.FAILED, attempt(2, 300, RESET)), request_class=UNSAFE),
         LossSource(LossCause.RETRY_CLASS, 0, LossCause.RESET),
     ),
-    "an unsafe retry denied though nothing ran": (
+    "an unsafe retry denied although no attempt was executed": (
         request(150, call(0, 150, Answer.REFUSED, attempt(2, 150, CONNECT)), request_class=UNSAFE),
         LossSource(LossCause.RETRY_BUDGET, 0, LossCause.CONNECT),
     ),
-    "rejected by a server when time was short": (
+    "rejected by a server with too little time for a retry": (
         request(2400, call(0, 2400, Answer.REFUSED, attempt(2, 2400, REJECTED))),
         LossSource(LossCause.SERVER_REJECTED, 0),
     ),
-    "a server's error when time was short": (
+    "a server error with too little time for a retry": (
         request(2400, call(0, 2400, Answer.FAILED, attempt(2, 2400, ERROR))),
         LossSource(LossCause.SERVER_ERROR, 0),
     ),
-    "an error that a limit behind the server caused": (
+    "an error caused by a limit behind the server": (
         request(
             2400,
             call(0, 2400, Answer.FAILED, attempt(2, 2400, ERROR, call(9, 2390, Answer.REFUSED, tier=1))),
         ),
-        LossSource(LossCause.OWN_LIMIT, 1),
+        LossSource(LossCause.NODE_LIMIT, 1),
     ),
     "a node that died": (request(500, dying_node()), LossSource(LossCause.NODE_DOWN, 0)),
     "no node": (request(5, call(0, 1, Answer.UNREACHABLE)), LossSource(LossCause.NODE_DOWN, 0)),
@@ -139,13 +144,13 @@
 
 
 @pytest.mark.parametrize("name", ENDED)
-def test_a_request_that_ended_before_its_aim_is_lost_to_its_end(name: str) -> None:
-    """Failure prevented: a rejection or a denied retry hides behind what took longer."""
+def test_early_failure_is_attributed_to_the_final_outcome(name: str) -> None:
+    """A rejection or a denied retry is the cause even if something else took more of the time."""
     trace, expected = ENDED[name]
     assert attribute(trace) == expected
 
 
-def test_a_client_that_left_is_a_cause_of_its_own() -> None:
+def test_client_departure_is_a_separate_cause() -> None:
     trace = request(400, call(0, 0, None, attempt(2, 400, Outcome.CANCELLED)))
     trace.client_left = True
     assert attribute(trace) == LossSource(LossCause.CLIENT_LEFT, 0)
@@ -156,11 +161,11 @@
         request(6000, call(0, 0, None, attempt(2, 3000, TIMEOUT, silent=True))),
         LossSource(LossCause.SILENT, 0),
     ),
-    "a server at work until the time was over": (
+    "a working server that exceeds the deadline": (
         request(6000, call(0, 0, None, attempt(2, 3000, TIMEOUT))),
         LossSource(LossCause.DEADLINE, 0),
     ),
-    "served late after connections that did not come up, though the work took longest": (
+    "served late after failed connections, although the work took longer": (
         request(
             2600,
             call(
@@ -181,7 +186,7 @@
         ),
         LossSource(LossCause.DEADLINE, 0),
     ),
-    "served late after waits for clients that were rejected": (
+    "served late after the client waited between rejected attempts": (
         request(
             2700,
             call(0, 5, Answer.REFUSED),
@@ -189,9 +194,9 @@
             call(1600, 2690, Answer.OK, attempt(1602, 2690, OK)),
             served=True,
         ),
-        LossSource(LossCause.OWN_LIMIT, 0),
+        LossSource(LossCause.NODE_LIMIT, 0),
     ),
-    "a silent server two tiers behind": (
+    "a silent server of the next tier": (
         request(
             6000,
             call(
@@ -208,7 +213,7 @@
         ),
         LossSource(LossCause.SILENT, 1),
     ),
-    "a call that its node gives up some milliseconds before the aim, for a limit two tiers behind": (
+    "a call given up just before the latency objective, because of a limit in the next tier": (
         request(
             2495,
             call(
@@ -219,13 +224,13 @@
                 until=2500,
             ),
         ),
-        LossSource(LossCause.OWN_LIMIT, 1),
+        LossSource(LossCause.NODE_LIMIT, 1),
     ),
-    "a request that was long on its way to the first tier's node, which queues nothing": (
+    "a late first attempt in the first tier, whose nodes queue nothing": (
         request(2600, call(0, 2590, Answer.OK, attempt(1400, 2590, OK)), served=True),
         LossSource(LossCause.DEADLINE, 0),
     ),
-    "a wait in the queue of the next tier's node before an attempt that succeeds": (
+    "a wait in the queue of the next tier's node before a successful attempt": (
         request(
             2600,
             call(
@@ -236,9 +241,9 @@
             ),
             served=True,
         ),
-        LossSource(LossCause.OWN_LIMIT, 1),
+        LossSource(LossCause.NODE_LIMIT, 1),
     ),
-    "a wait in the queue at the limit of the next tier": (
+    "a wait in the queue of the next tier's node that ends in a rejection": (
         request(
             2600,
             call(
@@ -249,20 +254,20 @@
             ),
             served=True,
         ),
-        LossSource(LossCause.OWN_LIMIT, 1),
+        LossSource(LossCause.NODE_LIMIT, 1),
     ),
 }
 
 
 @pytest.mark.parametrize("name", LATE)
-def test_a_request_whose_time_ran_out_is_lost_to_what_held_it_longest(name: str) -> None:
-    """Failure prevented: all that is late is called slow, whatever took the time."""
+def test_late_request_is_attributed_to_its_longest_delay(name: str) -> None:
+    """A late request is attributed to a slow server only if that took the largest part of its time."""
     trace, expected = LATE[name]
     assert attribute(trace) == expected
 
 
-def test_time_after_the_aim_does_not_count() -> None:
-    """Failure prevented: a loss that was decided is put down to what came after it."""
+def test_time_after_the_latency_objective_is_not_counted() -> None:
+    """Events after the loss is certain must not change its cause."""
     slow = attempt(2, 2600, TIMEOUT)
     silent = attempt(2600, 6000, TIMEOUT, silent=True)
     assert attribute(request(6000, call(0, 0, None, slow, silent, until=6000))) == LossSource(
@@ -278,28 +283,28 @@
     return log
 
 
-def test_causes_that_do_not_sum_to_the_loss_are_an_error() -> None:
-    """Failure prevented: a table that leaves a loss out, or counts it twice."""
+def test_breakdown_raises_when_causes_do_not_sum_to_the_loss() -> None:
+    """The sum is checked, so tables neither omit a loss nor count it twice."""
     trace, expected = ENDED["no node"]
-    found = breakdown(log_of(trace), RULES, lost_share=1.0)
-    assert found.by_source == {expected: 1.0}
+    losses = breakdown(log_of(trace), RULES, lost_share=1.0)
+    assert losses.by_source == {expected: 1.0}
     with pytest.raises(LossMismatchError):
         breakdown(log_of(trace), RULES, lost_share=0.5)
     with pytest.raises(LossMismatchError):
         breakdown(log_of(trace), RULES, lost_share=0.5, all_ended=False)
 
 
-def test_requests_that_the_day_does_not_end_are_a_cause_of_their_own() -> None:
+def test_requests_still_running_at_the_end_are_unfinished() -> None:
     trace, expected = ENDED["no node"]
     log = log_of(trace)
-    log.begin_request(RequestTrace(1, SAFE, 0, AIM), 1.0)
-    found = breakdown(log, RULES, lost_share=1.0, all_ended=False)
-    assert found.by_source == {expected: 1.0, LossSource(LossCause.UNFINISHED, 0): 1.0}
+    log.begin_request(RequestTrace(1, SAFE, 0, LATENCY_OBJECTIVE_US), 1.0)
+    losses = breakdown(log, RULES, lost_share=1.0, all_ended=False)
+    assert losses.by_source == {expected: 1.0, LossSource(LossCause.UNFINISHED, 0): 1.0}
     with pytest.raises(LossMismatchError):
         breakdown(log, RULES, lost_share=1.0)
 
 
-def test_days_are_added_by_the_second_of_their_faults() -> None:
+def test_breakdown_add_aligns_days_by_their_fault() -> None:
     total = Breakdown()
     for fault_second in (3, 5):
         day = Breakdown()
@@ -312,7 +317,7 @@
 
 
 def short_day(name: str, *overrides: str) -> Scenario:
-    return draw(load(name, [*SHORT, *overrides]), 2)
+    return draw(load(name, [*SHORT_DAY, *overrides]), 2)
 
 
 DAYS = {
@@ -332,9 +337,9 @@
 
 
 @pytest.mark.parametrize("name", DAYS)
-def test_causes_of_a_day_sum_to_its_account(name: str) -> None:
-    """`breakdown` raises where they do not; the day's own cause is among them."""
-    (day,) = play_all([LossTask(DAYS[name], "random")], workers=1)
+def test_causes_of_a_day_sum_to_its_loss(name: str) -> None:
+    """`breakdown` raises if the causes do not sum to the loss; the fault's own cause is among them."""
+    (day,) = play_and_attribute_all([LossTask(DAYS[name], "random")], workers=1)
     assert day.losses.lost > 0
     assert day.losses.by_cause()[EXPECTED[name]] > 0
     assert sum(day.losses.by_class.values()) == pytest.approx(day.losses.lost)
@@ -347,14 +352,14 @@
     return log.lost
 
 
-def test_a_node_that_dies_is_marked_in_its_calls() -> None:
-    """Failure prevented: calls that died with their node are taken for resets by servers."""
-    tries = [call for trace in lost_traces("killed nodes") for call in trace.client_attempts]
-    assert any(call.node_died and call.attempts for call in tries)
+def test_calls_of_a_dead_node_are_marked_in_the_trace() -> None:
+    """Calls that ended with their node must not be attributed to resets by servers."""
+    client_attempts = [call for trace in lost_traces("killed nodes") for call in trace.client_attempts]
+    assert any(call.node_died and call.attempts for call in client_attempts)
 
 
-def test_calls_of_servers_are_part_of_the_trace() -> None:
-    """Failure prevented: what is lost behind the first tier is put down to the first."""
+def test_trace_includes_calls_to_the_next_tier() -> None:
+    """Without calls of later tiers, their losses would be attributed to the first tier."""
     attempts = [
         attempt for trace in lost_traces("cut") for call in trace.client_attempts for attempt in call.attempts
     ]
@@ -362,38 +367,40 @@
 
 
 @pytest.mark.parametrize("state", ["lost", "answer lost", "silent", "cut"])
-def test_an_attempt_is_unanswerable_where_nothing_can_come_back(state: str) -> None:
+def test_attempt_is_unanswerable_when_no_response_can_arrive(state: str) -> None:
     clock = HeapClock(BEGIN)
     world = World(DAYS["cut"], clock, Host(clock, 1000, POLICIES["random"].make))
     node = world.nodes[0]
     assert isinstance(node, Node)
     server = next(server for server in world.tiers[0] if server.zone != node.zone)
-    wanted = Request(0, 0, SAFE, 0, BEGIN, AIM, DEADLINE, 1.0)
-    sent = Attempt(world.call(wanted, 0, 0, BEGIN + AIM, world.clients), 0, server, node, 0, BEGIN)
-    sent.job = Job(sent, 1.0, 0)
-    assert not node.is_unanswerable(sent)
+    request = Request(0, 0, SAFE, 0, BEGIN, LATENCY_OBJECTIVE_US, DEADLINE_US, 1.0)
+    attempt = Attempt(
+        world.call(request, 0, 0, BEGIN + LATENCY_OBJECTIVE_US, world.clients), 0, server, node, 0, BEGIN
+    )
+    attempt.job = Job(attempt, 1.0, 0)
+    assert not node.is_unanswerable(attempt)
     if state == "lost":
-        sent.job = None
+        attempt.job = None
     elif state == "answer lost":
-        sent.job.state = DONE
+        attempt.job.state = DONE
     elif state == "silent":
         server.silent = True
     else:
         world.network.partitioned_zones.add(server.zone)
-    assert node.is_unanswerable(sent)
+    assert node.is_unanswerable(attempt)
 
 
-def test_tracing_changes_nothing_of_a_day() -> None:
+def test_tracing_does_not_change_the_result() -> None:
     day = DAYS["cut"]
-    plain, traced = (play(day, trace=trace).result for trace in (False, True))
-    for result in (plain, traced):
+    untraced, traced = (play(day, trace=trace).result for trace in (False, True))
+    for result in (untraced, traced):
         del result["speed"]
-    assert msgspec.json.encode(plain) == msgspec.json.encode(traced)
+    assert msgspec.json.encode(untraced) == msgspec.json.encode(traced)
 
 
-def test_the_command_prints_losses_of_each_policy() -> None:
+def test_losses_command_prints_a_table_for_each_policy() -> None:
     arguments = ["losses", "cut", "--seeds", "1", "--policy", "module", "--policy", "random"]
-    for override in [*SHORT, "fault[0].at_s=3"]:
+    for override in [*SHORT_DAY, "fault[0].at_s=3"]:
         arguments += ["--set", override]
     result = CliRunner().invoke(cli, arguments)
     assert result.exit_code == 0, result.output
--- a/tests/test_report_disk_faults.py
+++ b/tests/test_report_disk_faults.py
@@ -1,4 +1,4 @@
-"""Reports, figures and the lab's histories on a disk that fails or fills up."""
+"""Reports, output files and lab histories on a disk that fails or fills up."""
 
 import errno
 import os
@@ -14,22 +14,22 @@
 from workbench.lab import measure
 from workbench.lab import run as lab_run
 from workbench.lab.history import History
-from workbench.report.page import write
+from workbench.report.page import write_report
 
-# ---- reports and figures --------------------------------------------------------------------------
+# ---- Reports and output files ---------------------------------------------------------------------
 
 
 REPORT = {"index.html": b"new page", "runs.csv": b"new runs", "report.json": b"new numbers"}
 
 
-def fail_at(patch: pytest.MonkeyPatch, owner: Any, name: str, error: int, place: int) -> None:
-    """The call fails from its so-manyth on."""
+def fail_at(patch: pytest.MonkeyPatch, owner: Any, name: str, error: int, successful_calls: int) -> None:
+    """Patch a function so that every call after the first `successful_calls` ones raises the error."""
     real = getattr(owner, name)
     calls: list[object] = []
 
     def failing(*args: Any, **kwargs: Any) -> Any:
         calls.append(args)
-        if len(calls) > place:
+        if len(calls) > successful_calls:
             raise OSError(error, os.strerror(error))
         return real(*args, **kwargs)
 
@@ -39,19 +39,19 @@
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
 @pytest.mark.parametrize("place", range(len(REPORT)))
 @pytest.mark.parametrize(("owner", "name"), [(Path, "write_bytes"), (os, "fsync"), (Path, "replace")])
-def test_a_report_is_replaced_by_files_that_are_whole(
+def test_failed_report_write_leaves_only_complete_files(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: Any, name: str, place: int, error: int
 ) -> None:
     old = dict.fromkeys(REPORT, b"old")
-    write(old, tmp_path)
+    write_report(old, tmp_path)
     with monkeypatch.context() as patch:
         fail_at(patch, owner, name, error, place)
         with pytest.raises(OSError, match=os.strerror(error)):
-            write(REPORT, tmp_path)
-    found = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
+            write_report(REPORT, tmp_path)
+    contents = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
     replaced = list(REPORT)[: place if name == "replace" else 0]
-    assert found == old | {name: REPORT[name] for name in replaced}
-    write(REPORT, tmp_path)
+    assert contents == old | {name: REPORT[name] for name in replaced}
+    write_report(REPORT, tmp_path)
     assert {path.name: path.read_bytes() for path in tmp_path.iterdir()} == REPORT
 
 
@@ -60,7 +60,7 @@
     ("owner", "name"),
     [(tempfile, "mkstemp"), (Path, "write_bytes"), (Path, "chmod"), (os, "fsync"), (Path, "replace")],
 )
-def test_a_command_that_cannot_write_its_file_ends_with_one_line(
+def test_unwritable_output_file_raises_one_line_error(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: Any, name: str, error: int
 ) -> None:
     def replace(path: Path) -> None:
@@ -75,26 +75,26 @@
     assert [path.read_bytes() for path in tmp_path.iterdir()] == [b"old"]
 
 
-def test_rows_of_a_measurement_that_was_stopped_as_it_wrote_go_on(tmp_path: Path) -> None:
-    """Failure prevented: a torn last line ends the next start, or is glued to the row after it."""
+def test_append_continues_after_a_torn_measurement_row(tmp_path: Path) -> None:
+    """A torn last line neither makes loading fail nor corrupts the row that is appended after it."""
     path = tmp_path / "rows.jsonl"
     rows = [{"plan": "calm", "seed": seed} for seed in (1, 2)]
     for row in rows:
         measure.append(path, row)
-    whole = path.read_bytes()
-    for cut in range(len(whole) + 1):
-        path.write_bytes(whole[:cut])
-        kept = whole[:cut].count(b"\n")
-        assert measure.load(path) == rows[:kept]
+    complete_file = path.read_bytes()
+    for cut in range(len(complete_file) + 1):
+        path.write_bytes(complete_file[:cut])
+        complete_rows = complete_file[:cut].count(b"\n")
+        assert measure.load(path) == rows[:complete_rows]
         measure.append(path, rows[1])
-        assert measure.load(path) == [*rows[:kept], rows[1]]
+        assert measure.load(path) == [*rows[:complete_rows], rows[1]]
 
 
-# ---- the lab's histories --------------------------------------------------------------------------
+# ---- Histories of the lab --------------------------------------------------------------------------
 
 
-def test_a_history_on_a_full_disk_says_so_once_and_takes_no_more() -> None:
-    """Failure prevented: lines are left out of a history that goes on, or the writer raises."""
+def test_history_on_a_full_disk_records_the_error_and_stops() -> None:
+    """After a failed write, no more lines are written, so a history has no gaps; nothing is raised."""
     history = History(Path("/dev/full"))
     for second in range(3):
         history.write(second, "run")
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize("name", ["fsync", "flush"])
-def test_a_history_that_was_not_synced_is_not_said_to_be_kept(
+def test_history_that_fails_to_sync_reports_a_fault(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, name: str
 ) -> None:
     history = History(tmp_path / "history.jsonl")
@@ -120,7 +120,7 @@
     assert history.fault.startswith(f"{history.path}: cannot be written: ")
 
 
-def test_a_lab_whose_history_cannot_be_written_ends_with_one_line(
+def test_lab_run_with_unwritable_history_raises_one_line_error(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     keep = tmp_path / "kept"
--- a/tests/test_report_series.py
+++ b/tests/test_report_series.py
@@ -1,4 +1,4 @@
-"""Numbers of an experiment's report: baselines, paired seeds, shares of loss, sweeps."""
+"""Data series of an experiment's report: baselines, paired seeds, shares of loss, sweeps."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from workbench.experiment.store import Loss, Row
 from workbench.experiment.task import Task
 from workbench.report.series import (
-    ComparedAxes,
+    ExperimentDimensions,
     RunGroup,
     SweepPoint,
-    compared_axes,
+    experiment_dimensions,
     find_sweep,
     mean_loss_shares,
     paired_differences,
@@ -41,7 +41,7 @@
 
 
 def rows_of(grid: dict[str, list[object]], seeds: int = 2) -> list[Row]:
-    """Rows of a plan that was not played: the goal is the seed, and a tenth more for the variant b."""
+    """Return rows of a plan without running it: the goal is the seed, plus 0.1 for the variant b."""
     plan = parse_plan({"scenarios": ["quiet"], "seeds": seeds, "variant": VARIANTS, "grid": grid})
     return [row_of(task) for task in list_tasks(plan)]
 
@@ -56,13 +56,15 @@
         (["a", "today"], "missing", ["today", "a"]),
     ],
 )
-def test_the_baseline_comes_first(variants: list[str], chosen: str, ordered: list[str]) -> None:
+def test_experiment_dimensions_put_the_baseline_first(
+    variants: list[str], chosen: str, ordered: list[str]
+) -> None:
     task = rows_of({})[0].task
     rows = [msgspec.structs.replace(row_of(task), variant=variant) for variant in variants]
-    assert compared_axes(rows, chosen) == ComparedAxes(["quiet"], ordered)
+    assert experiment_dimensions(rows, chosen) == ExperimentDimensions(["quiet"], ordered)
 
 
-def test_differences_pair_the_seeds_that_both_variants_have() -> None:
+def test_paired_differences_use_seeds_of_both_variants() -> None:
     rows = rows_of({}, seeds=4)
     unpaired = [row for row in rows if (row.variant, row.seed) not in {("a", 2), ("b", 3)}]
     differences = paired_differences(unpaired, ["quiet"], "a", "b")
@@ -70,7 +72,7 @@
     assert paired_differences(unpaired, ["quiet"], "a", "c") == {}
 
 
-def test_a_loss_is_averaged_over_all_runs_and_small_causes_count_together() -> None:
+def test_mean_loss_shares_combine_small_causes() -> None:
     rows = rows_of({})
     first = next(row for row in rows if row.variant == "a")
     first.losses = [Loss(f"cause {index}", 0, 0.1 * index) for index in range(1, 9)]
@@ -80,7 +82,7 @@
     assert shares[RunGroup("quiet", "a")] == pytest.approx(expected | {"other": 0.05 * 1 + 0.05 * 2})
 
 
-def test_a_sweep_is_one_numeric_key_of_three_values_or_more() -> None:
+def test_find_sweep_accepts_three_values_of_one_numeric_key() -> None:
     sweep = find_sweep(rows_of({"nodes.count": [4, 1, 2]}))
     assert sweep is not None
     assert sweep.key == "nodes.count"
@@ -94,13 +96,13 @@
 @pytest.mark.parametrize(
     "grid",
     [{}, {"nodes.count": [1, 2]}, {"nodes.count": [1, 2, 3], "servers": [4, 5]}, {"load.shape": ["steady"]}],
-    ids=["no key", "two values", "two keys", "no number"],
+    ids=["no key", "two values", "two keys", "text values"],
 )
-def test_other_scenarios_are_no_sweep(grid: dict[str, list[object]]) -> None:
+def test_find_sweep_rejects_other_grids(grid: dict[str, list[object]]) -> None:
     assert find_sweep(rows_of(grid)) is None
 
 
-def test_a_failed_run_leaves_no_sweep() -> None:
+def test_find_sweep_rejects_a_failed_run() -> None:
     rows = rows_of({"nodes.count": [1, 2, 3]})
     rows[0].goal = None
     assert sweep_point(rows[0]) == SweepPoint("nodes.count", 1.0)
--- a/tests/test_store_disk_faults.py
+++ b/tests/test_store_disk_faults.py
@@ -1,4 +1,4 @@
-"""Stores of experiments on a disk that fails, fills up or is cut off in the middle."""
+"""The store of experiments on a disk that fails or fills up, and with truncated or corrupt files."""
 
 import errno
 import os
@@ -24,7 +24,7 @@
 
 
 def result_of(task: Task) -> dict[str, Any]:
-    """A run's result of several pages."""
+    """Return a result that takes several database pages."""
     padding = os.urandom(9000).hex()
     return {"goal": 0.5, "rules": {}, "account": {"lost": []}, "made": {}, "seed": task.seed} | {
         "padding": padding
@@ -34,13 +34,13 @@
 RESULTS = {task.key: result_of(task) for task in TASKS}
 
 
-def put(store: Store, *chosen: Task) -> None:
-    for task in chosen:
+def put(store: Store, *tasks: Task) -> None:
+    for task in tasks:
         store.put(task, RESULTS[task.key])
 
 
-def assert_whole(path: Path) -> list[int]:
-    """Every run that the store tells of is whole. Their seeds."""
+def assert_complete(path: Path) -> list[int]:
+    """Assert that every listed run has its complete result, and return the seeds of the runs."""
     store = Store(path)
     rows = store.rows()
     assert {row.task.key for row in rows} == store.completed_keys()
@@ -51,14 +51,15 @@
 
 
 def assert_resumes(path: Path) -> None:
+    """Assert that all runs can still be stored."""
     store = Store(path)
     put(store, *TASKS)
     store.close()
-    assert assert_whole(path) == [task.seed for task in TASKS]
+    assert assert_complete(path) == [task.seed for task in TASKS]
 
 
 def message_of(path: Path, use: Callable[[], object]) -> str:
-    """What came of a use of the store: STORED, or the one line of its error."""
+    """Call `use`, and return STORED or the one-line message of its error."""
     try:
         use()
     except StoreError as e:
@@ -82,10 +83,10 @@
 
 @pytest.mark.parametrize(("calls", "error"), WRITE_FAULTS)
 @pytest.mark.parametrize("stage", ["make", "open", "put"])
-def test_a_store_on_a_failing_disk_says_so_and_loses_nothing(
+def test_failing_disk_raises_and_loses_no_stored_run(
     tmp_path: Path, stage: str, calls: tuple[str, ...], error: int
 ) -> None:
-    """Failure prevented: a run that is said to be stored has not reached the disk."""
+    """A run is only reported as stored if it is on the disk, and earlier runs survive the failure."""
     path = tmp_path / "s.sqlite"
     if stage != "make":
         store = Store(path)
@@ -100,20 +101,20 @@
         fail_calls(calls, error)
         return message_of(path, lambda: put(Store(path), TASKS[2]))
 
-    said = in_child(use)
-    assert said == STORED or said.startswith(f"{path}: "), said
+    message = in_child(use)
+    assert message == STORED or message.startswith(f"{path}: "), message
     if calls[0] in ALWAYS_USED:
-        assert said != STORED
-    seeds = assert_whole(path)
+        assert message != STORED
+    seeds = assert_complete(path)
     committed = [] if stage == "make" else [1, 2]
     assert seeds[: len(committed)] == committed and set(seeds) <= {*committed, 3}
-    assert 3 in seeds or said != STORED
+    assert 3 in seeds or message != STORED
     assert_resumes(path)
 
 
 @pytest.mark.parametrize("use", ["rows", "completed_keys", "result"])
-def test_a_store_that_cannot_be_read_is_one_line(tmp_path: Path, use: str) -> None:
-    """Failure prevented: a traceback, or what could be read of a store, taken for the whole."""
+def test_unreadable_store_raises_one_line_error(tmp_path: Path, use: str) -> None:
+    """A read error is reported in one line; the runs read before it are not returned as if complete."""
     path = tmp_path / "s.sqlite"
     store = Store(path)
     put(store, *TASKS)
@@ -125,12 +126,12 @@
         fail_calls(("pread64",), errno.EIO)
         return message_of(path, lambda: store.result(TASKS[0]) if use == "result" else getattr(store, use)())
 
-    # SQLite reports EIO of a read as damage of the file system
+    # SQLite reports a read error as an I/O error or as a malformed database.
     assert in_child(read) in (f"{path}: disk I/O error", f"{path}: database disk image is malformed")
 
 
-def test_what_a_failed_sync_has_left_is_written_anew_before_more_is_stored(tmp_path: Path) -> None:
-    """Failure prevented: pages that never reached the disk stand in the log before those of later runs."""
+def test_open_checkpoints_pages_left_by_a_failed_sync(tmp_path: Path) -> None:
+    """Pages that a failed sync left in memory are written again, so later runs do not depend on them."""
     path = tmp_path / "s.sqlite"
     store = Store(path)
     put(store, TASKS[0])
@@ -143,15 +144,15 @@
         return message_of(path, lambda: put(store, TASKS[2]))
 
     assert in_child(use) == f"{path}: disk I/O error"
-    again = Store(path)
-    seeds = [row.seed for row in again.rows()]
-    (alone := tmp_path / "alone.sqlite").write_bytes(path.read_bytes())  # without its log
-    again.close()
-    assert seeds[:2] == [1, 2] and assert_whole(alone) == seeds
+    reopened = Store(path)
+    seeds = [row.seed for row in reopened.rows()]
+    (copy_without_log := tmp_path / "alone.sqlite").write_bytes(path.read_bytes())
+    reopened.close()
+    assert seeds[:2] == [1, 2] and assert_complete(copy_without_log) == seeds
 
 
 def stopped_store(folder: Path) -> tuple[bytes, bytes]:
-    """The file and the log of a store whose process was killed after the last run."""
+    """Return the main file and the write-ahead log of a store whose process ended without closing it."""
     path = folder / "stopped.sqlite"
 
     def use() -> str:
@@ -164,32 +165,32 @@
 
 
 def cut_lengths(length: int) -> list[int]:
-    """Places about the pages and frames of a file."""
-    places = {0, 1, 16, 31, 32, length - 1}
+    """Return lengths at and near the boundaries of a log's headers, frames and pages."""
+    lengths = {0, 1, 16, 31, 32, length - 1}
     for page in range(0, length, 4096 + 24):
-        places |= {page, page + 32, page + 33, page + 32 + 24, page + 2048}
-    return sorted(place for place in places if 0 <= place < length)
+        lengths |= {page, page + 32, page + 33, page + 32 + 24, page + 2048}
+    return sorted(cut for cut in lengths if 0 <= cut < length)
 
 
 @pytest.mark.parametrize("rest", ["missing", "zeros"])
-def test_a_log_that_was_cut_anywhere_gives_the_runs_before_the_cut(tmp_path: Path, rest: str) -> None:
-    """A kill or a loss of power leaves the end of the log unwritten: each run is whole or not there."""
+def test_truncated_write_ahead_log_keeps_runs_before_the_cut(tmp_path: Path, rest: str) -> None:
+    """A kill or a power loss leaves the end of the log unwritten; each run is complete or absent."""
     body, log = stopped_store(tmp_path)
-    seen = set()
+    run_counts = set()
     for cut in cut_lengths(len(log)):
         path = tmp_path / f"{cut}.sqlite"
         path.write_bytes(body)
         tail = b"" if rest == "missing" else bytes(len(log) - cut)
         path.with_name(f"{cut}.sqlite-wal").write_bytes(log[:cut] + tail)
-        seeds = assert_whole(path)
+        seeds = assert_complete(path)
         assert seeds == [task.seed for task in TASKS][: len(seeds)]
-        seen.add(len(seeds))
-    assert seen >= {0, 1, 3, 5}
+        run_counts.add(len(seeds))
+    assert run_counts >= {0, 1, 3, 5}
     assert_resumes(path)
 
 
-def test_a_file_that_was_cut_anywhere_is_damaged_or_empty(tmp_path: Path) -> None:
-    """Failure prevented: the runs in the first half of a copy are compared as if they were all."""
+def test_truncated_store_file_is_reported_damaged_or_empty(tmp_path: Path) -> None:
+    """A partial copy is rejected; its runs must not be compared as if they were all."""
     path = tmp_path / "s.sqlite"
     store = Store(path)
     put(store, *TASKS)
@@ -200,7 +201,8 @@
         with pytest.raises(StoreError) as e:
             Store(path, write=False)
         assert str(e.value).startswith(f"{path}: ") and "\n" not in str(e.value)
-    for cut in (0, 1):  # to SQLite a file that nobody has written to yet
+    # SQLite takes a file of 0 or 1 bytes for a new database.
+    for cut in (0, 1):
         path.write_bytes(body[:cut])
         assert Store(path, write=False).rows() == []
 
@@ -214,9 +216,7 @@
         ("result = x'00'", ["report", "-o"]),
     ],
 )
-def test_a_row_that_is_not_whole_ends_a_command_with_one_line(
-    tmp_path: Path, damage: str, words: list[str]
-) -> None:
+def test_corrupt_row_ends_the_command_with_one_line(tmp_path: Path, damage: str, words: list[str]) -> None:
     path = tmp_path / "s.sqlite"
     store = Store(path)
     put(store, *TASKS[:1])
@@ -236,22 +236,23 @@
 [[variant]]
 name = "a"
 """
-WHOLE_RUNS = 1
+COMPLETE_RUNS = 1
 FAILING_RUN = f"""
 import sys
 from failing_calls import fail_calls
 from workbench.cli import main
 from workbench.experiment.store import Store
 
-whole_put, puts = Store.put, []
+real_put, puts = Store.put, []
 
 def put(store, *args):
     puts.append(args)
-    if len(puts) == {WHOLE_RUNS} + 1:
+    if len(puts) == {COMPLETE_RUNS} + 1:
         fail_calls(calls, error)
-    whole_put(store, *args)
+    real_put(store, *args)
 
-if __name__ == "__main__":  # workers are started from this file too
+# Worker processes import this file too.
+if __name__ == "__main__":
     calls, error = sys.argv.pop(1).split(","), int(sys.argv.pop(1))
     Store.put = put
     main()
@@ -262,13 +263,14 @@
     words = ["experiment", "run", str(folder / "p.toml"), "--store", str(folder), "--jobs", "1"]
     tests = Path(__file__).parent
     env = os.environ | {"PYTHONPATH": os.pathsep.join([str(tests.parent), str(tests)])}
-    env |= {"OPENBLAS_NUM_THREADS": "1"}  # the runs need none, and starting them costs a process more
+    # The runs use no BLAS threads, and starting the threads costs each process more than the run.
+    env |= {"OPENBLAS_NUM_THREADS": "1"}
     return subprocess.Popen(
         [sys.executable, *program, *words], env=env, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True
     )
 
 
-def test_an_experiment_whose_disk_fails_ends_with_one_line_and_is_resumed(tmp_path: Path) -> None:
+def test_experiment_with_a_failing_disk_exits_and_is_resumed(tmp_path: Path) -> None:
     faults = {"full": ("pwrite64", errno.ENOSPC), "sync": (",".join(SYNCS), errno.EIO)}
     (tmp_path / "failing.py").write_text(FAILING_RUN)
     runs = {}
@@ -276,18 +278,18 @@
         (tmp_path / name).mkdir()
         (tmp_path / name / "p.toml").write_text(PLAN_TEXT)
         runs[name] = run_experiment(tmp_path / name, str(tmp_path / "failing.py"), calls, str(error))
-    said = {name: process.communicate(timeout=60) for name, process in runs.items()}
-    again = {}
+    outputs = {name: process.communicate(timeout=60) for name, process in runs.items()}
+    resumed = {}
     for name, process in runs.items():
         path = tmp_path / name / "p.sqlite"
-        out, err = said[name]
+        out, err = outputs[name]
         assert process.returncode == 2 and out == "", (out, err)
         assert err.startswith(f"{path}: ") and err.count("\n") == 1
         with sqlite3.connect(path) as db:
             (kept,) = db.execute("SELECT count(*) FROM runs").fetchone()
-        assert kept in ((WHOLE_RUNS, WHOLE_RUNS + 1) if name == "sync" else (WHOLE_RUNS,))
-        again[name] = kept, run_experiment(tmp_path / name, "-m", "workbench")
-    for kept, process in again.values():
+        assert kept in ((COMPLETE_RUNS, COMPLETE_RUNS + 1) if name == "sync" else (COMPLETE_RUNS,))
+        resumed[name] = kept, run_experiment(tmp_path / name, "-m", "workbench")
+    for kept, process in resumed.values():
         out, err = process.communicate(timeout=60)
         assert process.returncode == 0, err
         assert f"{3 - kept} runs made, 0 failed, {kept} kept from before" in out
--- a/tests/test_workbench.py
+++ b/tests/test_workbench.py
@@ -1,4 +1,4 @@
-"""The command line as a user meets it, and the wall between the two packages."""
+"""The workbench's command line, and the independence of the balancer from the workbench."""
 
 import json
 import subprocess
@@ -13,14 +13,14 @@
 
 
 def run(*args, cwd=None):
-    """The command in a process of its own: its status, and what it printed."""
-    done = subprocess.run(
+    """Run a command in a separate process, and return its status, output and error output."""
+    completed = subprocess.run(
         [sys.executable, "-m", "workbench", *args], capture_output=True, text=True, cwd=cwd, timeout=120
     )
-    return done.returncode, done.stdout, done.stderr
+    return completed.returncode, completed.stdout, completed.stderr
 
 
-def test_the_node_brings_in_nothing_of_the_workbench():
+def test_node_imports_no_workbench_modules():
     code = (
         "import sys, balancer, balancer.net.node, balancer.__main__;"
         "print([m for m in sys.modules if m.split('.')[0] in"
@@ -30,7 +30,7 @@
     assert out.stdout.strip() == "[]"
 
 
-def test_simulate_prints_writes_and_repeats(tmp_path):
+def test_simulate_prints_a_report_and_writes_its_files(tmp_path):
     file, plot = tmp_path / "r.json", tmp_path / "r.png"
     status, out, err = run("simulate", "quiet", *SMALL, "--json", str(file), "--plot", str(plot), "--profile")
     assert status == 0 and err == ""
@@ -58,7 +58,7 @@
         (["scenario", "show", "quiet", "--set", "x"], "--set x: not of the form KEY=VALUE"),
     ],
 )
-def test_bad_input_is_one_line_and_status_2(args, line, capsys, monkeypatch, tmp_path):
+def test_bad_input_exits_2_with_one_line(args, line, capsys, monkeypatch, tmp_path):
     monkeypatch.chdir(tmp_path)
     monkeypatch.setattr(sys, "argv", ["workbench", *args])
     with pytest.raises(SystemExit) as e:
@@ -68,8 +68,8 @@
     assert list(tmp_path.iterdir()) == []
 
 
-def test_a_broken_rule_is_status_1(tmp_path):
-    """Random choice pushes replaced servers over while they are cold."""
+def test_broken_rule_exits_1(tmp_path):
+    """The policy `random` overloads replaced servers while they are cold, which breaks a rule."""
     changes = ["servers=3", "fault[0].part=0.9", "fault[0].at_s=3", "load.fraction=0.9", "length_s=15"]
     args = [x for change in changes for x in ("--set", change)]
     status, out, _ = run("simulate", "replace", "--policy", "random", "--seed", "2", *args)
--- a/workbench/cli/__init__.py
+++ b/workbench/cli/__init__.py
@@ -1,4 +1,7 @@
-"""The command line: one module for each command, which parses arguments, makes a call and prints."""
+"""Command line of the workbench, with one module for each command.
+
+A command parses its arguments, calls the function that does the work and prints the result.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(workbench.__version__, prog_name="workbench")
 def cli() -> None:
-    """The workbench around the balancer load-balancer node."""
+    """Run the workbench of the balancer load-balancer node."""
 
 
 cli.add_command(simulate)
@@ -28,19 +31,20 @@
 cli.add_command(scenario)
 cli.add_command(experiment)
 cli.add_command(lab)
-cli.add_command(click.Group("fleet", commands=balancerctl.commands, hidden=True))  # its former name
+# `workbench fleet` is a hidden alias of `balancerctl`, kept for compatibility.
+cli.add_command(click.Group("fleet", commands=balancerctl.commands, hidden=True))
 cli.add_command(load)
 cli.add_command(emulate)
 cli.add_command(scale)
 
 
 def main() -> None:
-    """The program `workbench`."""
+    """Run the program `workbench`."""
     run(cli)
 
 
 def former_main() -> None:
-    """The program under its former name, `laurelspindle`: the same commands, after a warning."""
+    """Run the deprecated program `laurelspindle`: the commands of `workbench`, after a warning."""
     click.echo(
         "laurelspindle: this command is now `workbench`, and `laurelspindle fleet` is `balancerctl`", err=True
     )
--- a/workbench/cli/balancerctl/__init__.py
+++ b/workbench/cli/balancerctl/__init__.py
@@ -1,7 +1,7 @@
-"""`balancerctl`: what an operator does to running nodes, through their management pages.
+"""`balancerctl`: operates a fleet of running nodes through their management addresses.
 
-The words of the command that it replaces, `laurelspindle fleet hold|replace|zone`, stay accepted: `hold` and
-`replace` are hidden aliases here, and `workbench fleet` is a hidden alias of the whole.
+The deprecated commands `laurelspindle fleet hold|replace|zone` are still accepted: `hold` and `replace` are
+hidden aliases in this group, and `workbench fleet` is a hidden alias of the group.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(workbench.__version__, prog_name="balancerctl")
 def balancerctl() -> None:
-    """Operate a fleet of nodes, through the management address of any of them."""
+    """Operate a fleet of nodes through the management address of any of them."""
 
 
 def hidden_alias(command: click.Command) -> click.Command:
-    """The same command, not listed in the help."""
+    """Return a copy of a command that is not listed in the help."""
     alias = copy(command)
     alias.hidden = True
     return alias
@@ -40,5 +40,5 @@
 
 
 def main() -> None:
-    """The program `balancerctl`."""
+    """Run the program `balancerctl`."""
     run(balancerctl)
--- a/workbench/cli/balancerctl/lease.py
+++ b/workbench/cli/balancerctl/lease.py
@@ -1,4 +1,4 @@
-"""`balancerctl lease`: a command that runs while this machine holds a lease."""
+"""`balancerctl lease`: runs a command while this machine holds a lease."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from workbench.cli.errors import InputError
 from workbench.emulator.management_client import ManagementError, parse_address
 
-MAX_LEASE_NAME = 64  # characters
+MAX_LEASE_NAME_LENGTH = 64
 DEFAULT_WAIT_S = 60.0
 
 
@@ -19,22 +19,23 @@
 @lease.command(context_settings={"ignore_unknown_options": True})
 @click.argument("name")
 @click.option("--node", "nodes", multiple=True, required=True, metavar="HOST:PORT",
-              help="Of management; the next is tried where one does not answer.")  # fmt: skip
+              help="Management address; repeat it to try others if one does not respond.")  # fmt: skip
 @click.option("--wait", type=click.FloatRange(0), default=DEFAULT_WAIT_S, show_default=True,
               help="Seconds to wait for the lease.")  # fmt: skip
 @click.argument("command", nargs=-1, required=True, type=click.UNPROCESSED)
 def hold(name: str, nodes: tuple[str, ...], wait: float, command: tuple[str, ...]) -> int:
     """Run COMMAND while the lease NAME is held.
 
-    For example: `balancerctl lease hold nightly --node 127.0.0.1:8001 -- ./nightly.sh`. The command finds its
-    fencing token in FLEET_TOKEN, for whoever receives its acts to check. Before the lease expires it gets
-    SIGTERM, and SIGKILL if it stays. Exits with the command's status, 75 where the lease was not acquired in
-    time, 76 where it was lost and the command was ended.
+    For example: `balancerctl lease hold nightly --node 127.0.0.1:8001 -- ./nightly.sh`. The environment
+    variable FLEET_TOKEN holds the fencing token, which the systems that the command modifies should check.
+    Before the lease expires, the command gets SIGTERM, then SIGKILL if it does not exit. Exits with the
+    command's status, with 75 if the lease was not acquired in time, or with 76 if it was lost and the command
+    was ended.
     """
     from workbench.emulator.lease_command import LeaseCommand
 
-    if not 0 < len(name) <= MAX_LEASE_NAME:
-        raise InputError(f"{name}: a lease's name has 1 to {MAX_LEASE_NAME} characters")
+    if not 0 < len(name) <= MAX_LEASE_NAME_LENGTH:
+        raise InputError(f"{name}: a lease's name has 1 to {MAX_LEASE_NAME_LENGTH} characters")
     try:
         addresses = [parse_address(node) for node in nodes]
     except ManagementError as e:
--- a/workbench/cli/balancerctl/members.py
+++ b/workbench/cli/balancerctl/members.py
@@ -1,4 +1,4 @@
-"""`balancerctl members`: the members of a fleet, as one node sees them."""
+"""`balancerctl members`: lists the members of a fleet as one node sees them."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 @click.command()
 @click.argument("node")
 def members(node: str) -> int:
-    """List the fleet's members as NODE sees them, a line each.
+    """List the fleet's members as NODE sees them, one line for each.
 
-    NODE is a management address, HOST:PORT. A line has the member's name, address, state, incarnation and the
-    age of that state. Exits 1 where a member is not alive.
+    NODE is a management address, HOST:PORT. A line has the member's name, address, state, the age of that
+    state, and the incarnation. Exits 1 if a member is not alive.
     """
     try:
         table = get(parse_address(node), "/fleet")
@@ -28,7 +28,7 @@
 
 
 def member_line(member: dict[str, Any]) -> str:
-    """One line on a member."""
+    """Format one member as a line of text."""
     age = f"for {member['age_s']:g} s"
     return (
         f"{member['name']} {member['address']} {member['state']} {age}, incarnation {member['incarnation']}"
--- a/workbench/cli/balancerctl/update.py
+++ b/workbench/cli/balancerctl/update.py
@@ -1,4 +1,4 @@
-"""`balancerctl update`: a rolling update of all processes of a fleet."""
+"""`balancerctl update`: controls a rolling update of all processes of a fleet."""
 
 from __future__ import annotations
 
@@ -7,20 +7,21 @@
 from workbench.cli.errors import InputError
 from workbench.emulator.management_client import ManagementError, follow_update, parse_address, put
 
-MAX_UNAVAILABLE = 1000  # processes
+MAX_UNAVAILABLE_PROCESSES = 1000
 
 
 @click.command()
 @click.argument("action", type=click.Choice(["begin", "watch", "pause", "resume", "stop"]))
 @click.argument("node")
-@click.option("--max-unavailable", "--most", type=click.IntRange(1, MAX_UNAVAILABLE), default=1,
-              show_default=True, help="Processes out of service at a time.")  # fmt: skip
+@click.option("--max-unavailable", "--most", type=click.IntRange(1, MAX_UNAVAILABLE_PROCESSES), default=1,
+              show_default=True, help="Maximum number of processes out of service at a time.")  # fmt: skip
 def update(action: str, node: str, max_unavailable: int) -> int:
     """Replace all processes of a fleet, a few at a time.
 
-    For example: `balancerctl update begin 10.0.0.7:8001 --max-unavailable 2`. NODE is any member's management
-    address. The holder of the lease `replace` leads the update; a process is told to end as by SIGTERM, and
-    the platform starts the next one. `watch` follows until it is over. Exits 1 where the update was stopped.
+    For example: `balancerctl update begin 10.0.0.7:8001 --max-unavailable 2`. NODE is the management address
+    of any member. The holder of the lease `replace` leads the update: it asks processes to shut down as by
+    SIGTERM, and the platform starts their replacements. `watch` prints progress until the update ends, and
+    exits 1 if it was stopped.
     """
     try:
         address = parse_address(node)
--- a/workbench/cli/balancerctl/zone.py
+++ b/workbench/cli/balancerctl/zone.py
@@ -1,4 +1,4 @@
-"""`balancerctl zone`: takes the fleet's calls out of a zone, and lets them return."""
+"""`balancerctl zone`: moves the fleet's traffic out of a zone, and lets it return."""
 
 from __future__ import annotations
 
@@ -17,36 +17,42 @@
 @click.command()
 @click.argument("action", type=click.Choice(["leave", "return", "status"]))
 @click.argument("zone_name", metavar="ZONE")
-@click.option("--node", required=True, metavar="HOST:PORT", help="Of management, any member's.")
+@click.option("--node", required=True, metavar="HOST:PORT", help="Management address of any member.")
 @click.option("--for", "length", type=click.IntRange(1, MAX_DIRECTIVE_S), default=DEFAULT_DIRECTIVE_S,
-              show_default=True, help="Seconds.")  # fmt: skip
+              show_default=True, help="Duration of the directive in seconds.")  # fmt: skip
 def zone(action: str, zone_name: str, node: str, length: int) -> int:
-    """Take the fleet's calls out of ZONE, or let them return.
+    """Evacuate the fleet's traffic from ZONE, or let it return.
 
-    For example: `balancerctl zone leave b --node 10.0.0.7:8001`. The directive overrides what nodes see of
-    the zone, reaches all members, and expires by itself; a newer one replaces it. A zone returns by steps.
-    `status` prints the zone's state at the node that is asked. Exits 1 where that node has no such zone.
+    For example: `balancerctl zone leave b --node 10.0.0.7:8001`. The directive overrides what nodes observe
+    of the zone, reaches all members, and expires by itself; a newer directive replaces it. Traffic returns to
+    a zone in steps. `status` prints the zone's state as NODE sees it. Exits 1 if that node knows no server in
+    the zone.
     """
     try:
         table = zone_table(action, zone_name, node, length)
     except ManagementError as e:
         raise InputError(str(e)) from None
-    found = table["zones"].get(zone_name)
-    if found is None:
-        known = ", ".join(table["zones"]) or "none"
-        click.echo(f"zone {zone_name}: {node} has no server of it; known are {known}")
+    zone_state = table["zones"].get(zone_name)
+    if zone_state is None:
+        known_zones = ", ".join(table["zones"]) or "none"
+        click.echo(f"zone {zone_name}: {node} has no server in it; known zones are {known_zones}")
         return 1
     if action == "leave":
         click.echo(f"zone {zone_name}: to be left for {length} s")
     elif action == "return":
         click.echo(f"zone {zone_name}: may return, by steps")
     else:
-        click.echo(status_line(zone_name, node, found))
+        click.echo(status_line(zone_name, node, zone_state))
     return 0
 
 
 def zone_table(action: str, zone_name: str, node: str, length: int) -> dict[str, Any]:
-    """The node's table of zones, after the directive where there is one. ManagementError, InputError."""
+    """Send the directive, if the action is one, and return the node's table of zones.
+
+    Raises:
+        ManagementError: The node does not respond, or rejects the directive.
+        InputError: Zone routing is not configured at the node.
+    """
     address = parse_address(node)
     if action != "status":
         duration = f"&for_s={length}" if action == "leave" else ""
@@ -57,8 +63,8 @@
     return dict(table)
 
 
-def status_line(zone_name: str, node: str, found: dict[str, Any]) -> str:
-    """One line on a zone's state and its share of the node's calls."""
-    ordered = f", {found['ordered_s']:g} s still" if found["ordered_s"] else ""
-    share = f"{100 * found['share']:.1f}% of the calls of {node}"
-    return f"zone {zone_name}: {found['stand']}{ordered}, {share}"
+def status_line(zone_name: str, node: str, zone_state: dict[str, Any]) -> str:
+    """Format a zone's state and its share of the node's calls as a line of text."""
+    remaining = f", {zone_state['ordered_s']:g} s still" if zone_state["ordered_s"] else ""
+    share = f"{100 * zone_state['share']:.1f}% of the calls of {node}"
+    return f"zone {zone_name}: {zone_state['stand']}{remaining}, {share}"
--- a/workbench/cli/comparison.py
+++ b/workbench/cli/comparison.py
@@ -1,4 +1,4 @@
-"""A comparison of two variants as text for a terminal."""
+"""Terminal output of a comparison of two variants."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def comparison_table(comparison: Comparison) -> Table:
-    """Returns a row for each scenario and one for the overall result."""
+    """Return a table with a row for each scenario and a row for the overall result."""
     title = f"{comparison.candidate} against {comparison.baseline}"
     table = Table(box=None, pad_edge=False, header_style="bold", title=title)
     variants = (comparison.baseline, comparison.candidate)
-    for head in ("scenario", *variants, "difference", "95 %", "p", "pairs", "up/down", "verdict", "moved"):
-        table.add_column(head)
+    for heading in ("scenario", *variants, "difference", "95 %", "p", "pairs", "up/down", "verdict", "moved"):
+        table.add_column(heading)
     for result in comparison.scenarios:
         table.add_row(*result_cells(result), loss_changes_text(result.loss_changes))
     table.add_row(*result_cells(comparison.overall), "")
@@ -28,7 +28,7 @@
 
 
 def result_cells(result: Result) -> list[str]:
-    """Returns the cells that a scenario's result and the overall one have in common."""
+    """Return the cells that rows of scenarios and the row of the overall result have in common."""
     return [
         result.scenario,
         f"{result.baseline_mean:.3f}",
@@ -43,14 +43,14 @@
 
 
 def loss_changes_text(changes: list[LossChange]) -> str:
-    """Returns the largest changes of loss by cause and tier, in percent."""
+    """Return the largest changes of loss by cause and tier, in percent."""
     return ", ".join(
         f"{change.cause} t{change.tier} {100 * change.change:+.1f}" for change in changes[:LOSS_CHANGES_SHOWN]
     )
 
 
 def comparison_lines(comparison: Comparison) -> Iterator[str]:
-    """Yields rule violations and worst seeds by scenario, then the failed runs."""
+    """Yield a line for each rule violation and worst seed by scenario, then for each failed run."""
     for result in comparison.scenarios:
         yield from violation_lines(comparison, result)
         for worst in result.worst_seeds[:WORST_SEEDS_SHOWN]:
@@ -60,7 +60,7 @@
 
 
 def violation_lines(comparison: Comparison, result: ScenarioResult) -> Iterator[str]:
-    """Yields a line for each variant that broke rules in a scenario."""
+    """Yield a line for each variant that broke rules in a scenario."""
     counts = {
         comparison.baseline: result.baseline_violations,
         comparison.candidate: result.candidate_violations,
--- a/workbench/cli/emulate.py
+++ b/workbench/cli/emulate.py
@@ -1,4 +1,4 @@
-"""`workbench emulate`: a scenario's servers and discovery on loopback, for a node started by hand."""
+"""`workbench emulate`: emulates a scenario's servers and discovery on loopback, for nodes started by hand."""
 
 from __future__ import annotations
 
@@ -16,14 +16,21 @@
 
 @click.command()
 @click.argument("scenario")
-@click.option("--seed", type=click.IntRange(0), help="Of the day's draw; by default the scenario's own.")
-@click.option("--seconds", type=click.FloatRange(0.1, 86_400), default=3600.0, help="At the most; an hour.")
-@click.option("--set", "overrides", multiple=True, metavar="KEY=VALUE", help="Override a key by its path.")
+@click.option("--seed", type=click.IntRange(0), help="Seed of the draw; by default the scenario's seed.")
+@click.option(
+    "--seconds",
+    type=click.FloatRange(0.1, 86_400),
+    default=3600.0,
+    help="Maximum duration in seconds; by default an hour.",
+)
+@click.option(
+    "--set", "overrides", multiple=True, metavar="KEY=VALUE", help="Set a scenario key, given by its path."
+)
 def emulate(scenario: str, seed: int | None, seconds: float, overrides: tuple[str, ...]) -> int:
-    """Serve SCENARIO's servers and discovery on sockets, and print how to start its nodes.
+    """Emulate SCENARIO's servers and discovery on sockets, and print how to start its nodes.
 
-    SCENARIO is a file or the name of one that ships; it must have one tier, as `lab` has. Its faults come as
-    planned. Nothing is sent: `workbench load` does that.
+    SCENARIO is a file or the name of a shipped scenario, such as `lab`; it must have exactly one tier. Its
+    faults occur as planned. No requests are sent; use `workbench load` to send them.
     """
     try:
         drawn = draw(load(scenario, list(overrides)), seed)
--- a/workbench/cli/entry.py
+++ b/workbench/cli/entry.py
@@ -1,4 +1,4 @@
-"""Runs a command line: exit statuses, and messages in place of tracebacks for errors of the user."""
+"""Entry point of command lines: exit statuses, and one-line messages instead of tracebacks for bad input."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def run(group: click.Group) -> None:
-    """Runs a command and exits.
+    """Run a command and exit with its status.
 
-    The status is 0 where it succeeded, 1 where a check failed, 2 on bad input, 130 on Ctrl-C and 141 where
-    the reader of the output is gone; a command may return another one.
+    The exit status is 0 on success, 1 if a check failed, 2 on bad input, 130 on Ctrl-C and 141 if the reader
+    of the output has closed it. A command may return another status.
     """
     try:
         status = group.main(standalone_mode=False)
--- a/workbench/cli/errors.py
+++ b/workbench/cli/errors.py
@@ -1,4 +1,4 @@
-"""The error for bad input, and output files that are complete or not written at all."""
+"""Errors of bad input, and output files that are written completely or not at all."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class InputError(Exception):
-    """Bad input of the user, one line for each error; the command exits with status 2."""
+    """Bad input of the user, with one line for each error; the command exits with status 2."""
 
 
-def writable(path: str) -> Path:
-    """Returns the path of an output file, checked before any work is done.
+def checked_output_path(path: str) -> Path:
+    """Return the path of an output file, after checking that it can be written.
 
     Raises:
         InputError: No file can be written there.
@@ -22,20 +22,20 @@
     target = Path(path)
     folder = target.parent
     if target.is_dir():
-        raise InputError(f"{path}: is a folder: a file's name is wanted")
+        raise InputError(f"{path}: is a folder: must be a file name")
     if not folder.is_dir():
         raise InputError(f"{path}: no such folder: {folder}")
     if not os.access(folder, os.W_OK):
-        raise InputError(f"{path}: the folder cannot be written to")
+        raise InputError(f"{path}: the folder is not writable")
     return target
 
 
 def write_atomically(target: Path, write: Callable[[Path], None]) -> None:
-    """Writes a file completely or not at all, whatever interrupts it.
+    """Write a file completely or not at all, even if interrupted.
 
     Args:
-        target: The file.
-        write: Writes the content to a temporary path.
+        target: Path of the file.
+        write: Called with a temporary path to write the content to.
 
     Raises:
         InputError: The file cannot be written.
--- a/workbench/cli/experiment.py
+++ b/workbench/cli/experiment.py
@@ -1,4 +1,4 @@
-"""`workbench experiment`: runs plans and compares their variants."""
+"""`workbench experiment`: runs plans, compares their variants and draws reports."""
 
 from __future__ import annotations
 
@@ -25,30 +25,30 @@
     from workbench.experiment.compare import Comparison
 
 EXIT_STATUSES = {"better": 0, "worse": 1, "not told apart": 3}
-UNTIL_HELP = "Add seeds until the paired 95% interval of the goal is so narrow."
-BASELINE_HELP = "One more variant, the module at a revision; compared with the last variant at the end."
+UNTIL_HELP = "Add seeds until the paired 95% interval of the goal is at most this wide."
+BASELINE_HELP = "Add the policy module at a revision as the baseline of a comparison with the last variant."
 SECONDS_PER_UNIT = {"": 1, "s": 1, "m": 60, "h": 3600}
 
 
 @click.group()
 def experiment() -> None:
-    """Experiments: variants x scenarios x seeds, run, stored and compared."""
+    """Run, store and compare experiments: variants x scenarios x seeds."""
 
 
 def parse_duration(text: str) -> float:
-    """Returns the seconds of a duration such as 90s, 5m or 1h.
+    """Return the seconds of a duration such as 90s, 5m or 1h.
 
     Raises:
-        InputError: The text is no duration.
+        InputError: The text is not a duration.
     """
-    found = re.fullmatch(r"(\d+(?:\.\d+)?)([smh]?)", text)
-    if not found:
+    match = re.fullmatch(r"(\d+(?:\.\d+)?)([smh]?)", text)
+    if not match:
         raise InputError(f"--budget {text}: must be a time such as 90s, 5m or 1h")
-    return float(found[1]) * SECONDS_PER_UNIT[found[2]]
+    return float(match[1]) * SECONDS_PER_UNIT[match[2]]
 
 
 def load_plan(file: str, baseline: str = "") -> Plan:
-    """Reads a plan file.
+    """Read a plan file.
 
     Raises:
         InputError: The plan is not valid.
@@ -60,20 +60,21 @@
 
 
 def compare_rows(rows: Sequence[Row], baseline: str, candidate: str) -> Comparison:
-    """Compares two variants."""
-    from workbench.experiment.compare import compare  # scipy takes a second to load
+    """Compare two variants over the given runs."""
+    # Imported here, as scipy takes a second to load.
+    from workbench.experiment.compare import compare
 
     return compare(rows, baseline, candidate)
 
 
 def store_path(file: str, folder: str) -> Path:
-    """Returns where the results of a plan file are stored."""
+    """Return the path of the store of a plan file's results."""
     return Path(folder) / f"{Path(file).stem}.sqlite"
 
 
 @contextmanager
 def store_errors_as_input_errors() -> Iterator[None]:
-    """Raises a StoreError as an InputError with the same line."""
+    """Convert a StoreError to an InputError with the same message."""
     try:
         yield
     except StoreError as e:
@@ -83,7 +84,7 @@
 @experiment.command()
 @click.argument("file")
 def check(file: str) -> int:
-    """Find every fault of a plan."""
+    """Validate the plan FILE and list all its errors."""
     plan = load_plan(file)
     click.echo(f"sound: {len(list_tasks(plan))} runs")
     return 0
@@ -91,15 +92,20 @@
 
 @experiment.command()
 @click.argument("file")
-@click.option("--jobs", type=click.IntRange(1), default=os.cpu_count() or 1, help="Processes, one a core.")
-@click.option("--store", "folder", default="found", help="Folder of the store, by default found/.")
+@click.option(
+    "--jobs",
+    type=click.IntRange(1),
+    default=os.cpu_count() or 1,
+    help="Worker processes; by default one for each core.",
+)
+@click.option("--store", "folder", default="found", help="Folder of the store; by default found/.")
 @click.option("--until", type=click.FloatRange(0), default=0.0, help=UNTIL_HELP)
-@click.option("--budget", default="0", help="Add seeds until so much time is up, as 5m.")
+@click.option("--budget", default="0", help="Add seeds until this much time has passed, such as 5m.")
 @click.option("--baseline", default="", metavar="REV", help=BASELINE_HELP)
 def run(file: str, jobs: int, folder: str, until: float, budget: str, baseline: str) -> int:
-    """Run a plan; the same command resumes it.
+    """Run the plan FILE; the same command resumes an interrupted run.
 
-    With --baseline it exits 1 where a rule was broken or the last variant is worse.
+    With --baseline, exits 1 if the last variant broke a rule or is worse than the baseline.
     """
     plan = load_plan(file, baseline)
     path = store_path(file, folder)
@@ -119,7 +125,7 @@
 
 
 def outcome_text(outcome: Outcome, jobs: int) -> str:
-    """Returns one line on the runs made and the use of the cores."""
+    """Return a summary of the runs and of the processor time used, in one line."""
     share = outcome.cpu_s / max(1e-9, outcome.elapsed_s * jobs)
     return (
         f"{outcome.completed} runs made, {outcome.failed} failed, {outcome.already_stored} kept from before, "
@@ -128,7 +134,7 @@
 
 
 def run_with_progress(plan: Plan, store: Store, jobs: int, until: float, budget_s: float) -> Outcome:
-    """Runs a plan, with a progress bar on a terminal."""
+    """Run a plan, with a progress bar on a terminal."""
     console = Console(stderr=True)
     columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn())
     with Progress(*columns, console=console, transient=True, disable=not console.is_terminal) as progress:
@@ -146,7 +152,10 @@
 @click.argument("b")
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def compare(store: str, a: str, b: str, as_json: bool) -> int:
-    """Variant B of STORE against A. Exits 0 better, 1 worse, 3 not told apart."""
+    """Compare variant B of STORE with variant A.
+
+    Exits 0 if B is better, 1 if it is worse, and 3 if they cannot be told apart.
+    """
     with store_errors_as_input_errors():
         rows = Store(Path(store), write=False).rows()
     names = sorted({row.variant for row in rows})
@@ -163,27 +172,27 @@
 
 @experiment.command()
 @click.argument("store")
-@click.option("-o", "folder", required=True, metavar="DIR", help="Where the page and its numbers go.")
+@click.option("-o", "folder", required=True, metavar="DIR", help="Output folder.")
 @click.option(
-    "--against", default="", metavar="VARIANT", help="The variant that the others are held against."
+    "--against", default="", metavar="VARIANT", help="Baseline variant that the others are compared with."
 )
 def report(store: str, folder: str, against: str) -> int:
-    """Draw STORE as one HTML page, with its numbers as CSV and JSON."""
-    from workbench.report.page import report as draw  # matplotlib takes a second to load
-    from workbench.report.page import write
+    """Write a report of STORE as one HTML page, with its data as CSV and JSON."""
+    # Imported here, as matplotlib takes a second to load.
+    from workbench.report.page import build_report, write_report
 
     with store_errors_as_input_errors():
-        opened = Store(Path(store), write=False)
-        variants = {row.variant for row in opened.rows()}
+        opened_store = Store(Path(store), write=False)
+        variants = {row.variant for row in opened_store.rows()}
     if not variants:
-        raise InputError(f"{store}: no run in it")
+        raise InputError(f"{store}: the store has no runs")
     if against and against not in variants:
         raise InputError(f"{store}: no variant {against!r}: there are {', '.join(sorted(variants))}")
     command = f"workbench experiment report {store} -o {folder}"
     with store_errors_as_input_errors():
-        files = draw(opened, command + (f" --against {against}" if against else ""), against)
+        files = build_report(opened_store, command + (f" --against {against}" if against else ""), against)
     try:
-        write(files, Path(folder))
+        write_report(files, Path(folder))
     except OSError as e:
         raise InputError(f"{folder}: cannot be written: {e.strerror}") from None
     click.echo(f"{Path(folder) / 'index.html'}")
@@ -191,7 +200,7 @@
 
 
 def print_comparison(comparison: Comparison) -> None:
-    """Prints a comparison as a table, then rule violations, the worst seeds and failed runs."""
+    """Print a comparison as a table, followed by rule violations, worst seeds and failed runs."""
     console = Console(width=None if Console().is_terminal else 150)
     console.print(comparison_table(comparison), highlight=False)
     for line in comparison_lines(comparison):
--- a/workbench/cli/scale.py
+++ b/workbench/cli/scale.py
@@ -1,4 +1,4 @@
-"""`workbench scale`: what the fleet costs at sizes larger than one machine holds."""
+"""`workbench scale`: measures and extrapolates the cost of fleets too large for one machine."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @click.group()
 def scale() -> None:
-    """Cost of the fleet at a target size, from measured slopes."""
+    """Estimate the cost of a fleet at a target size from measured slopes."""
 
 
 scale.add_command(capacity)
--- a/workbench/cli/scale_capacity.py
+++ b/workbench/cli/scale_capacity.py
@@ -1,4 +1,4 @@
-"""`workbench scale capacity`: state, messages, processor time and memory at a target size."""
+"""`workbench scale capacity`: prints state, messages, processor time and memory at a target size."""
 
 from __future__ import annotations
 
@@ -8,16 +8,20 @@
 
 
 @click.command()
-@click.option("--set", "changes", multiple=True, metavar="KEY=VALUE", help="Another target, as nodes=6400.")
-@click.option("--slopes", "extra", multiple=True, metavar="FILE", help="More measured slopes, TOML or JSON.")
+@click.option(
+    "--set", "changes", multiple=True, metavar="KEY=VALUE", help="Change the target, for example nodes=6400."
+)
+@click.option(
+    "--slopes", "extra", multiple=True, metavar="FILE", help="Additional measured slopes, as TOML or JSON."
+)
 @click.option(
     "--format", "output_format", type=click.Choice(["text", "markdown"]), default="text", show_default=True
 )
 def capacity(changes: tuple[str, ...], extra: tuple[str, ...], output_format: str) -> None:
-    """Print what each role and event costs at the target size, from measured slopes.
+    """Print the cost of each role and event at the target size, from measured slopes.
 
-    Values of fits on fewer than five points, or over ten times beyond the last one, are called estimates;
-    what nothing carries is called missing.
+    Values from fits on fewer than five points, or for sizes over ten times beyond the last point, are marked
+    as estimates. Values without any measurement are marked as missing.
     """
     # Imported here, as scipy takes long to load and other commands do not need it.
     from workbench.scale.capacity import capacity as compute_capacity
--- a/workbench/cli/scale_run.py
+++ b/workbench/cli/scale_run.py
@@ -11,52 +11,60 @@
 import click
 from rich.console import Console
 
-from workbench.cli.errors import InputError, writable, write_atomically
+from workbench.cli.errors import InputError, checked_output_path, write_atomically
 
-if TYPE_CHECKING:  # imported in functions, as other commands do not need these modules
+# At run time these modules are imported in functions, as other commands do not need them.
+if TYPE_CHECKING:
     from workbench.scale.measurements import Figure, RunInfo
     from workbench.scale.plan import Plan
     from workbench.scale.run import Outcome
 
 UNKNOWN_COMMIT = "unknown"
 SIMULATED_ADDRESS_BLOCK = "127.100.100"
-EXIT_NOT_COUNTED = 3  # the machine was the limit
+# Exit status of a run that was limited by the machine.
+EXIT_NOT_COUNTED = 3
 
 
 @click.command("run")
-@click.option("--plan", "plan_source", default="calm", metavar="FILE", help="Or the name of one that ships.")
-@click.option("--hollow", type=int, help="Hollow members, in place of the plan's.")
-@click.option("--real", type=int, help="Real nodes beside them.")
-@click.option("--zones", type=int, help="Zones that the members are spread over.")
-@click.option("--regions", type=int, help="Regions that the zones are spread over.")
-@click.option("--seed", type=int, help="Of what the run draws.")
-@click.option("--seconds", type=float, help="Of calm that are measured, before any fault.")
-@click.option("--period-ms", type=int, help="Of membership's probes.")
-@click.option("--join-s", type=float, help="That the members have to find one another.")
-@click.option("--agree-s", type=float, help="That they have to agree after the last fault.")
-@click.option("--workers", type=int, help="Processes for the hollow members; 0: by the machine's cores.")
-@click.option("--membership", help="flat, or zone: members know those of their own zone.")
-@click.option("--start", help="together: each knows the seeds; known: each begins with the whole group.")
-@click.option("--simulate", is_flag=True, help="Also play it on the virtual network, and say the difference.")
+@click.option(
+    "--plan", "plan_source", default="calm", metavar="FILE", help="Plan file, or the name of a shipped plan."
+)
+@click.option("--hollow", type=int, help="Number of hollow members; by default the plan's.")
+@click.option("--real", type=int, help="Number of real nodes in the same group.")
+@click.option("--zones", type=int, help="Number of zones over which the members are spread.")
+@click.option("--regions", type=int, help="Number of regions over which the zones are spread.")
+@click.option("--seed", type=int, help="Seed of the run's random draws.")
+@click.option("--seconds", type=float, help="Seconds to measure before any fault.")
+@click.option("--period-ms", type=int, help="Period of the membership probes, in milliseconds.")
+@click.option("--join-s", type=float, help="Seconds that the members have to find one another.")
+@click.option("--agree-s", type=float, help="Seconds that the members have to agree after the last fault.")
+@click.option(
+    "--workers", type=int, help="Processes for the hollow members; 0 selects by the number of cores."
+)
+@click.option("--membership", help="flat: members know all others; zone: members know those in their zone.")
+@click.option("--start", help="together: members know only the seeds; known: members know the whole group.")
+@click.option(
+    "--simulate", is_flag=True, help="Also simulate the plan on the virtual network, for comparison."
+)
 @click.option("--out", metavar="FILE", help="Write the figures as JSON.")
-@click.option("--list", "list_plans", is_flag=True, help="Name the plans that ship, and end.")
+@click.option("--list", "list_plans", is_flag=True, help="List the shipped plans and exit.")
 def run(
     plan_source: str, simulate: bool, out: str | None, list_plans: bool, **changes: int | float | str | None
 ) -> int:
     """Measure a group of hollow members and real nodes at one size.
 
-    Exits 1 where a check fails or the run was broken off, 2 on bad input, 3 where the machine was the limit:
-    such a run is not counted, whatever the checks say.
+    Exits 1 if a check fails or the run was aborted, 2 on bad input, and 3 if the machine was the limit: such
+    a run is not counted, whatever the checks say.
     """
     from workbench.scale.measurements import encoded, rows, table
 
     if list_plans:
         print_shipped_plans()
         return 0
-    target = writable(out) if out else None
-    given = {key: value for key, value in changes.items() if value is not None}
+    target = checked_output_path(out) if out else None
+    overrides = {key: value for key, value in changes.items() if value is not None}
     screen = Console(stderr=True)
-    plan = load_plan(plan_source, given, simulate)
+    plan = load_plan(plan_source, overrides, simulate)
     outcome = run_group(plan, screen)
     figures = outcome.figures
     if simulate and not outcome.trouble:
@@ -69,7 +77,7 @@
 
 
 def print_shipped_plans() -> None:
-    """Prints the names and titles of the plans that ship."""
+    """Print the names and titles of the plans that ship."""
     from workbench.scale.plan import shipped
 
     for name, title in shipped().items():
@@ -77,10 +85,10 @@
 
 
 def load_plan(source: str, changes: dict[str, Any], simulate: bool) -> Plan:
-    """Reads a plan with some of its keys replaced.
+    """Read a plan with some of its keys replaced.
 
     Raises:
-        InputError: The plan is not valid, or cannot be simulated though that is asked for.
+        InputError: The plan is not valid, or `simulate` is set and it cannot be simulated.
     """
     from workbench.scale.plan import PlanError, read_plan
 
@@ -94,11 +102,11 @@
 
 
 def run_group(plan: Plan, screen: Console) -> Outcome:
-    """Runs the group, with its progress on the screen.
+    """Run the group of a plan, and show its progress on the screen.
 
     Raises:
         InputError: The plan does not fit this machine.
-        click.Abort: The user has stopped the run.
+        click.Abort: The user stopped the run.
     """
     from workbench.emulator.address_block import AddressBlockError
     from workbench.scale.plan import PlanError
@@ -115,7 +123,7 @@
 
 
 def simulated_figures(plan: Plan, screen: Console) -> list[Figure]:
-    """Returns the figures of the same plan on the virtual network."""
+    """Simulate the plan on the virtual network and return its figures."""
     from workbench.scale.plan import group_of
     from workbench.scale.simulated import simulate
 
@@ -124,7 +132,7 @@
 
 
 def report_verdict(outcome: Outcome) -> int:
-    """Prints the results of the checks and returns the exit status."""
+    """Print the results of the checks, and return the exit status."""
     for check in outcome.checks:
         click.echo(f"{check.name}: {'failed' if check.failures else 'holds'}")
         for line in check.failures:
@@ -141,12 +149,12 @@
 
 
 def write(path: Path, data: bytes) -> None:
-    """Writes a file."""
+    """Write the data to a file."""
     path.write_bytes(data)
 
 
 def run_info(seed: int) -> RunInfo:
-    """Returns the command, commit and machine that the figures come from."""
+    """Return the command, seed, commit and number of cores that produced the figures."""
     from workbench.baselines.revisions import RevisionError, full_revision
     from workbench.scale.measurements import RunInfo
 
--- a/workbench/cli/scenario.py
+++ b/workbench/cli/scenario.py
@@ -1,4 +1,4 @@
-"""`workbench scenario`: lists, draws, checks and describes scenarios."""
+"""`workbench scenario`: lists, draws and validates scenarios, and prints their schema."""
 
 from __future__ import annotations
 
@@ -14,22 +14,26 @@
 
 @click.group()
 def scenario() -> None:
-    """Scenarios: show a day drawn from one, check files, list what ships."""
+    """List, draw and validate scenarios."""
 
 
 @scenario.command("list")
 def list_scenarios() -> None:
-    """The scenarios that ship with the product."""
+    """List the scenarios that ship with the workbench."""
     for name, title in shipped().items():
         click.echo(f"{name:14} {title}")
 
 
 @scenario.command()
 @click.argument("file")
-@click.option("--seed", type=click.IntRange(0), default=None, help="Of the draw; by default the file's own.")
-@click.option("--set", "overrides", multiple=True, metavar="KEY=VALUE", help="Override a key by its path.")
+@click.option(
+    "--seed", type=click.IntRange(0), default=None, help="Seed of the draw; by default the scenario's seed."
+)
+@click.option(
+    "--set", "overrides", multiple=True, metavar="KEY=VALUE", help="Set a scenario key, given by its path."
+)
 def show(file: str, seed: int | None, overrides: tuple[str, ...]) -> None:
-    """Print the day that a seed draws from FILE. It is itself a scenario."""
+    """Print the day drawn from FILE by a seed, which is itself a valid scenario."""
     try:
         click.echo(to_toml(draw(load(file, list(overrides)), seed)), nl=False)
     except ScenarioError as e:
@@ -39,7 +43,7 @@
 @scenario.command()
 @click.argument("files", nargs=-1, required=True)
 def check(files: tuple[str, ...]) -> int:
-    """Find every fault in FILES, each on a line."""
+    """Validate FILES and print one line for each error."""
     errors: list[str] = []
     for file in files:
         try:
--- a/workbench/cli/simulate.py
+++ b/workbench/cli/simulate.py
@@ -1,4 +1,4 @@
-"""`workbench simulate`: plays one day on the virtual clock."""
+"""`workbench simulate`: simulates one day on the virtual clock."""
 
 from __future__ import annotations
 
@@ -13,22 +13,26 @@
 
 from workbench.baselines import POLICIES, Policy
 from workbench.baselines.revisions import RevisionError, full_revision, policy_of
-from workbench.cli.errors import InputError, writable, write_atomically
+from workbench.cli.errors import InputError, checked_output_path, write_atomically
 from workbench.report.tables import run_report
 from workbench.scenario.load import ScenarioError, draw, load
 from workbench.scenario.model import Scenario
 from workbench.simulator.play import Run, play
 
-NOT_FOLLOWED = -1  # as the index of the followed request
-WIDTH = 150  # of the output where it does not go to a terminal
+# Index of the followed request if none is followed.
+NO_FOLLOWED_REQUEST = -1
+# Width of the report if the output is not a terminal.
+OUTPUT_WIDTH_COLUMNS = 150
 POLICY_HELP = (
-    "Who decides: " + "; ".join(f"{name}, {policy.description}" for name, policy in POLICIES.items()) + "."
+    "Load-balancing policy: "
+    + "; ".join(f"{name}, {policy.description}" for name, policy in POLICIES.items())
+    + "."
 )
 
 
 @dataclass(frozen=True)
 class OutputFiles:
-    """The files that a run is written to, each only if it is wanted."""
+    """Paths of the files to which a run is written; None for a file that was not requested."""
 
     json: Path | None
     plot: Path | None
@@ -36,38 +40,53 @@
 
     @classmethod
     def from_names(cls, json: str | None, plot: str | None, log: str | None) -> OutputFiles:
-        """Returns the files of these names.
+        """Check the names given as options and return their paths.
 
         Raises:
             InputError: A file cannot be written.
         """
-        return cls(*(writable(name) if name else None for name in (json, plot, log)))
+        return cls(*(checked_output_path(name) if name else None for name in (json, plot, log)))
 
 
 @click.command()
 @click.argument("scenario")
 @click.option(
-    "--seed", type=click.IntRange(0), default=None, help="Of the day's draw; by default the scenario's own."
+    "--seed", type=click.IntRange(0), default=None, help="Seed of the draw; by default the scenario's seed."
 )
 @click.option("--policy", type=click.Choice(list(POLICIES)), default="module", help=POLICY_HELP)
 @click.option(
-    "--revision", default="", metavar="REV", help="The module as a revision of the repository has it."
+    "--revision", default="", metavar="REV", help="Use the policy module from a revision of the repository."
 )
 @click.option(
-    "--constant", "constants", multiple=True, metavar="NAME=VALUE", help="A figure of the module's."
+    "--constant",
+    "constants",
+    multiple=True,
+    metavar="NAME=VALUE",
+    help="Change a constant of the policy module.",
 )
-@click.option("--nodes", type=click.IntRange(1), help="Front nodes, in place of the scenario's.")
+@click.option("--nodes", type=click.IntRange(1), help="Number of front nodes; by default the scenario's.")
 @click.option(
-    "--servers", type=click.IntRange(1), help="Servers of the first tier; the others keep their ratio."
+    "--servers",
+    type=click.IntRange(1),
+    help="Servers of the first tier; the other tiers keep their ratio to it.",
+)
+@click.option(
+    "--set", "overrides", multiple=True, metavar="KEY=VALUE", help="Set a scenario key, given by its path."
 )
-@click.option("--set", "overrides", multiple=True, metavar="KEY=VALUE", help="Override a key by its path.")
 @click.option("--json", "json_file", metavar="FILE", help="Write the result as JSON.")
-@click.option("--plot", "plot_file", metavar="FILE.png", help="Draw the day.")
+@click.option("--plot", "plot_file", metavar="FILE.png", help="Plot the day.")
+@click.option(
+    "--follow",
+    type=click.IntRange(0),
+    metavar="ID",
+    help="Print the trace of one request, given by its number from 0.",
+)
 @click.option(
-    "--follow", type=click.IntRange(0), metavar="ID", help="Tell one request's story (its number, from 0)."
+    "--profile",
+    is_flag=True,
+    help="Print the shares of processor time of the policy module and of the simulation.",
 )
-@click.option("--profile", is_flag=True, help="Print the module's and the world's shares of the time.")
-@click.option("--log", "log_file", metavar="FILE", help="Write the front nodes' own log lines.")
+@click.option("--log", "log_file", metavar="FILE", help="Write the log lines of the front nodes.")
 def simulate(
     scenario: str,
     seed: int | None,
@@ -83,9 +102,9 @@
     profile: bool,
     log_file: str | None,
 ) -> int:
-    """Play one day of SCENARIO, a file or the name of one that ships (`workbench scenario list`).
+    """Simulate one day of SCENARIO, a file or the name of a shipped scenario (`workbench scenario list`).
 
-    Exits 1 where a rule was broken, 2 on bad input.
+    Exits 1 if a rule was broken, 2 on bad input.
     """
     changes = scenario_changes(overrides, nodes, servers)
     outputs = OutputFiles.from_names(json_file, plot_file, log_file)
@@ -93,7 +112,7 @@
         day = draw(load(scenario, changes), seed)
     except ScenarioError as error:
         raise InputError(str(error)) from None
-    followed = NOT_FOLLOWED if follow is None else follow
+    followed = NO_FOLLOWED_REQUEST if follow is None else follow
     run = play_with_progress(day, chosen_policy(policy, revision, constants), followed, changes)
     print_run(run, follow, profile)
     write_outputs(run, outputs)
@@ -101,7 +120,7 @@
 
 
 def scenario_changes(overrides: tuple[str, ...], nodes: int | None, servers: int | None) -> list[str]:
-    """Returns the changes to the scenario's keys that the options ask for, in the order of their effect."""
+    """Return the overrides of scenario keys that the options request, in the order in which they apply."""
     changes = list(overrides)
     if nodes:
         changes.append(f"nodes.count={nodes}")
@@ -111,15 +130,15 @@
 
 
 def chosen_policy(policy: str, revision: str, constants: tuple[str, ...]) -> str | Policy:
-    """Returns the policy that the options choose: by its name, or the module at a revision or with constants.
+    """Return the selected policy: its name, or the module at a revision or with changed constants.
 
     Raises:
-        InputError: The options do not fit together, or there is no such revision or constant.
+        InputError: The options are not compatible, or the revision or constant does not exist.
     """
     if not revision and not constants:
         return policy
     if policy != "module":
-        raise InputError(f"--policy {policy}: --revision and --constant are the module's")
+        raise InputError(f"--policy {policy}: --revision and --constant apply only to the policy module")
     try:
         values = sorted(parse_constant(constant) for constant in constants)
         return policy_of(full_revision(revision) if revision else "", tuple(values))
@@ -132,7 +151,7 @@
 
 
 def parse_constant(text: str) -> tuple[str, float]:
-    """Returns the name and the value of a constant from NAME=VALUE.
+    """Parse the name and the value of a constant from NAME=VALUE.
 
     Raises:
         ValueError: The value is not a number.
@@ -142,13 +161,13 @@
 
 
 def play_with_progress(day: Scenario, policy: str | Policy, follow: int, changes: list[str]) -> Run:
-    """Plays a day, with a progress bar if standard error is a terminal.
+    """Play a day, with a progress bar if standard error is a terminal.
 
     Args:
-        day: Its ranges are drawn.
-        policy: Who decides.
-        follow: The index of the request that is traced, or `NOT_FOLLOWED`.
-        changes: The changes to the scenario's keys, kept with the result.
+        day: The scenario with every range already drawn.
+        policy: The load-balancing policy.
+        follow: Index of the request to trace, or `NO_FOLLOWED_REQUEST`.
+        changes: Overrides of scenario keys, which are stored with the result.
     """
     console = Console(stderr=True)
     columns = (
@@ -163,12 +182,12 @@
 
 
 def print_run(run: Run, follow: int | None, profile: bool) -> None:
-    """Prints the trace of the request that was followed, then the run's report.
+    """Print the trace of the followed request, then the report of the run.
 
     Raises:
-        InputError: The day has no such request.
+        InputError: The day has no request with that number.
     """
-    console = Console(width=None if sys.stdout.isatty() else WIDTH)
+    console = Console(width=None if sys.stdout.isatty() else OUTPUT_WIDTH_COLUMNS)
     if run.steps:
         console.print("\n".join(run.steps), markup=False, highlight=False, soft_wrap=True)
     elif follow is not None:
@@ -178,7 +197,7 @@
 
 
 def write_outputs(run: Run, outputs: OutputFiles) -> None:
-    """Writes the files that are wanted, each complete or not at all.
+    """Write the requested files, each completely or not at all.
 
     Raises:
         InputError: A file cannot be written.
@@ -188,16 +207,17 @@
     if outputs.log:
         write_atomically(outputs.log, lambda path: write_lines(path, run.log_lines))
     if outputs.plot:
-        from workbench.report.plots import plot_run  # matplotlib takes a second to load
+        # Imported here, as matplotlib takes a second to load.
+        from workbench.report.plots import plot_run
 
         write_atomically(outputs.plot, lambda path: plot_run(run.result, run.stats, path))
 
 
 def write_json(path: Path, run: Run) -> None:
-    """Writes a run's result as indented JSON."""
+    """Write a run's result as indented JSON."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(run.result), indent=1))
 
 
 def write_lines(path: Path, lines: list[str]) -> None:
-    """Writes lines of text."""
+    """Write lines of text, each with a line feed at its end."""
     path.write_text("".join(f"{line}\n" for line in lines))
--- a/workbench/experiment/compare.py
+++ b/workbench/experiment/compare.py
@@ -1,12 +1,14 @@
-"""Compares two variants: whether one is better, in which scenarios, by how much, with what confidence.
-
-The decision rule. Pairs are runs of one scenario and seed, so both variants met the same random draws. A
-difference is the candidate's goal less the baseline's; its 95% interval is a bootstrap of the pairs' mean
-(BCa, percentiles where that has no value). A p-value comes from sign flips: were the variants the same, each
-pair's difference would be as likely to have the other sign. P-values are corrected over the scenarios by
-Holm's method. The verdict is "better" or "worse" where the corrected p is under 0.05, the interval excludes
-0 and there are five pairs or more; otherwise "not told apart". The overall result gives each scenario the
-same weight: pairs are resampled within each scenario.
+"""Statistical comparison of two variants, by scenario and overall.
+
+A pair is two runs of the same scenario and seed, so both variants get the same random draws. A difference is
+the candidate's goal minus the baseline's. Its 95% interval is a BCa bootstrap interval of the mean over the
+pairs, or a percentile interval where BCa is undefined. The p-value comes from a sign-flip test: if the
+variants were equivalent, each pair's difference would be equally likely to have the opposite sign. P-values
+are corrected over the scenarios by Holm's method.
+
+The verdict is "better" or "worse" if the corrected p-value is under 0.05, the interval excludes 0 and there
+are at least five pairs; otherwise it is "not told apart". The overall result gives each scenario the same
+weight: pairs are resampled within each scenario.
 """
 
 from __future__ import annotations
@@ -35,11 +37,12 @@
 OVERALL = "over all"
 MAX_WORST_SEEDS = 3
 MAX_LOSS_CHANGES = 4
-MIN_LOSS_CHANGE = 5e-4  # share of the requested value
+# Smaller changes of a loss, as a share of the requested value, are not reported.
+MIN_LOSS_CHANGE_SHARE = 5e-4
 
 
 class Verdict(StrEnum):
-    """Outcome of a comparison; the values are those of the reports."""
+    """Outcome of a comparison; the values are stored in reports."""
 
     BETTER = "better"
     WORSE = "worse"
@@ -47,7 +50,7 @@
 
 
 class WorstSeed(Struct):
-    """A seed on which the candidate was worse, and the command that replays it."""
+    """A seed on which the candidate scored lower than the baseline, and the command that replays it."""
 
     seed: int
     difference: float
@@ -55,7 +58,7 @@
 
 
 class LossChange(Struct):
-    """How much of the requested value a cause of loss took more (or less) under the candidate."""
+    """Change of one cause's share of the requested value, from the baseline to the candidate."""
 
     cause: str
     tier: int
@@ -63,7 +66,7 @@
 
 
 class Result(Struct, kw_only=True):
-    """The candidate's goal less the baseline's; field names in JSON are those of the stored reports."""
+    """Statistics of the candidate's goal minus the baseline's; JSON keys are those of stored reports."""
 
     scenario: str
     difference: float
@@ -96,7 +99,7 @@
 
 
 class Comparison(Struct):
-    """A candidate against a baseline; field names in JSON are those of the stored reports."""
+    """Results of a candidate against a baseline; JSON keys are those of stored reports."""
 
     baseline: str = field(name="a")
     candidate: str = field(name="b")
@@ -105,7 +108,7 @@
     failed_runs: list[FailedRun] = field(name="failed")
 
     def results(self) -> list[Result]:
-        """Returns the result of each scenario, then the overall one."""
+        """Return the result of each scenario, then the overall one."""
         return [*self.scenarios, self.overall]
 
 
@@ -117,19 +120,19 @@
 
     @property
     def difference(self) -> float:
-        """The candidate's goal less the baseline's."""
+        """The candidate's goal minus the baseline's."""
         return float(self.candidate.goal or 0) - float(self.baseline.goal or 0)
 
 
 def compare(rows: Sequence[Row], baseline: str, candidate: str) -> Comparison:
-    """Compares two variants over all scenarios that both have run on the same seeds."""
+    """Compare two variants over all scenarios that both have run with the same seeds."""
     pairs_by_scenario = find_pairs(rows, baseline, candidate)
     results = [scenario_result(scenario, pairs) for scenario, pairs in pairs_by_scenario.items()]
     corrected = holm_correction([result.p_value for result in results])
     for result, p_value in zip(results, corrected, strict=True):
         result.p_value = p_value
-        result.verdict = decide(result)
-    groups = [differences_of(pairs) for pairs in pairs_by_scenario.values()]
+        result.verdict = decide_verdict(result)
+    groups = [goal_differences(pairs) for pairs in pairs_by_scenario.values()]
     failed = [row for row in rows if row.variant in (baseline, candidate) and row.error is not None]
     return Comparison(
         baseline=baseline,
@@ -141,7 +144,7 @@
 
 
 def find_pairs(rows: Sequence[Row], baseline: str, candidate: str) -> dict[str, list[Pair]]:
-    """Returns the pairs with a goal on both sides, by scenario in order of name, then in order of seed."""
+    """Return the pairs in which both runs have a goal, by scenario name and in order of seed."""
     runs: dict[tuple[str, int], dict[str, Row]] = defaultdict(dict)
     for row in rows:
         if row.variant in (baseline, candidate) and row.goal is not None:
@@ -153,14 +156,14 @@
     return pairs
 
 
-def differences_of(pairs: Sequence[Pair]) -> Array:
-    """Returns the differences of the pairs' goals."""
+def goal_differences(pairs: Sequence[Pair]) -> Array:
+    """Return each pair's difference, in the order of the pairs."""
     return np.array([pair.difference for pair in pairs])
 
 
 def scenario_result(scenario: str, pairs: Sequence[Pair]) -> ScenarioResult:
-    """Returns the result of one scenario, with its p-value not yet corrected and no verdict."""
-    differences = differences_of(pairs)
+    """Return the result of one scenario, without a verdict and with an uncorrected p-value."""
+    differences = goal_differences(pairs)
     interval = bootstrap_interval(differences)
     return ScenarioResult(
         scenario=scenario,
@@ -181,42 +184,42 @@
 
 
 def overall_result(groups: Sequence[Array], results: Sequence[Result]) -> Result:
-    """Returns the result over all scenarios, each with the same weight."""
+    """Return the result over all scenarios, each with the same weight."""
     differences = np.concatenate(groups) if groups else np.array([])
     interval = overall_interval(groups)
     overall = Result(
         scenario=OVERALL,
-        difference=mean_of([float(group.mean()) for group in groups]),
+        difference=mean_or_zero([float(group.mean()) for group in groups]),
         low=interval.low,
         high=interval.high,
         p_value=sign_flip_p_value(groups),
         pairs=len(differences),
         increases=int(np.sum(differences > 0)),
         decreases=int(np.sum(differences < 0)),
-        baseline_mean=mean_of([result.baseline_mean for result in results]),
-        candidate_mean=mean_of([result.candidate_mean for result in results]),
+        baseline_mean=mean_or_zero([result.baseline_mean for result in results]),
+        candidate_mean=mean_or_zero([result.candidate_mean for result in results]),
         baseline_violations=sum(result.baseline_violations for result in results),
         candidate_violations=sum(result.candidate_violations for result in results),
     )
-    overall.verdict = decide(overall)
+    overall.verdict = decide_verdict(overall)
     return overall
 
 
 def overall_interval(groups: Sequence[Array]) -> Interval:
-    """Returns the 95% percentile interval of the mean of the groups' resampled means."""
+    """Return the 95% percentile interval of the mean of the groups' resampled means."""
     if not groups:
         return Interval(0.0, 0.0)
     means = np.mean([resampled_means(group, seed) for seed, group in enumerate(groups)], axis=0)
     return percentile_interval(means)
 
 
-def mean_of(values: Sequence[float]) -> float:
-    """Returns the mean, 0 where there is no value."""
+def mean_or_zero(values: Sequence[float]) -> float:
+    """Return the mean of the values, or 0 if there are none."""
     return float(np.mean(values)) if values else 0.0
 
 
-def decide(result: Result) -> Verdict:
-    """Applies the decision rule to a result whose p-value is corrected."""
+def decide_verdict(result: Result) -> Verdict:
+    """Apply the decision rule to a result whose p-value is corrected."""
     if result.pairs < MIN_PAIRS or result.p_value >= SIGNIFICANCE_LEVEL:
         return Verdict.INCONCLUSIVE
     if result.low <= 0 <= result.high:
@@ -225,8 +228,8 @@
 
 
 def worst_seeds(pairs: Sequence[Pair]) -> list[WorstSeed]:
-    """Returns the seeds with the largest decreases, and the commands that replay them."""
-    differences = differences_of(pairs)
+    """Return the seeds with the largest decreases, and the commands that replay them."""
+    differences = goal_differences(pairs)
     worst = []
     for index in np.argsort(differences)[:MAX_WORST_SEEDS]:
         if differences[index] < 0:
@@ -236,7 +239,7 @@
 
 
 def loss_changes(pairs: Sequence[Pair]) -> list[LossChange]:
-    """Returns the causes of loss, by tier, whose mean share of the requested value changed most."""
+    """Return the causes of loss, by tier, whose mean share of the requested value changed most."""
     changes: dict[tuple[str, int], float] = defaultdict(float)
     for pair in pairs:
         for row, sign in ((pair.baseline, -1), (pair.candidate, 1)):
@@ -244,5 +247,7 @@
                 changes[loss.cause, loss.tier] += sign * loss.share / len(pairs)
     largest = sorted(changes.items(), key=lambda item: (-abs(item[1]), item[0]))[:MAX_LOSS_CHANGES]
     return [
-        LossChange(cause, tier, change) for (cause, tier), change in largest if abs(change) > MIN_LOSS_CHANGE
+        LossChange(cause, tier, change)
+        for (cause, tier), change in largest
+        if abs(change) > MIN_LOSS_CHANGE_SHARE
     ]
--- a/workbench/experiment/losses.py
+++ b/workbench/experiment/losses.py
@@ -1,4 +1,4 @@
-"""Plays days with tracing on and breaks their losses down, several at once in processes of their own."""
+"""Simulation of traced days and attribution of their losses, in parallel worker processes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from multiprocessing import get_context
 
-from workbench.experiment.runner import begin_worker
+from workbench.experiment.runner import initialize_worker
 from workbench.model.network import fixed_float, fixed_int
 from workbench.model.site import class_settings
 from workbench.report.losses import AttributionRules, Breakdown, breakdown
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class LossTask:
-    """One day to play: its ranges are drawn, its seed is set."""
+    """A day to simulate, with every range already drawn, and the policy that balances it."""
 
     day: Scenario
     policy: str
@@ -26,37 +26,54 @@
 
 @dataclass(frozen=True)
 class DayLosses:
-    """What one day lost."""
+    """The losses of one day under one policy.
+
+    Attributes:
+        policy: Name of the policy.
+        seed: Seed of the day.
+        goal: Goal of the run, 0 to 1.
+        rule_violations: Number of rule violations.
+        first_fault_second: Second of the day in which the first fault begins; 0 without faults.
+        losses: Lost value by source.
+    """
 
     policy: str
     seed: int
     goal: float
-    broken_rules: int
-    fault_second: int
+    rule_violations: int
+    first_fault_second: int
     losses: Breakdown
 
 
-def play_losses(task: LossTask) -> DayLosses:
-    """Plays one day and attributes its losses. LossMismatchError."""
+def play_and_attribute(task: LossTask) -> DayLosses:
+    """Play one day with tracing and attribute its losses.
+
+    Raises:
+        LossMismatchError: The attributed losses do not sum to the loss of the day.
+    """
     day = task.day
     run = play(day, task.policy, trace=True)
-    assert run.trace_log is not None, "the day was traced"
+    assert run.trace_log is not None, "a run with trace=True has a trace log"
     rules = AttributionRules(class_settings(day), fixed_int(day.nodes.max_attempts))
     account = run.result["account"]
     losses = breakdown(run.trace_log, rules, 1 - account["whole"], run.all_ended)
-    broken = sum(run.result["rules"].values())
-    return DayLosses(task.policy, day.seed, run.result["goal"], broken, fault_second(day), losses)
+    violations = sum(run.result["rules"].values())
+    return DayLosses(task.policy, day.seed, run.result["goal"], violations, first_fault_second(day), losses)
 
 
-def fault_second(day: Scenario) -> int:
-    """The second of the day in which its first fault begins; 0 where it has none."""
+def first_fault_second(day: Scenario) -> int:
+    """Return the second of the day in which its first fault begins, or 0 if it has no fault."""
     return int(min((fixed_float(fault.at_s) for fault in day.fault), default=0.0))
 
 
-def play_all(tasks: Iterable[LossTask], workers: int) -> list[DayLosses]:
-    """Plays all days, in the order given."""
+def play_and_attribute_all(tasks: Iterable[LossTask], workers: int) -> list[DayLosses]:
+    """Play all days in `workers` processes; results are in the order of the tasks.
+
+    Raises:
+        LossMismatchError: The attributed losses of a day do not sum to its loss.
+    """
     if workers == 1:
-        return [play_losses(task) for task in tasks]
+        return [play_and_attribute(task) for task in tasks]
     context = get_context("spawn")
-    with ProcessPoolExecutor(workers, context, begin_worker, (os.getpid(),)) as pool:
-        return list(pool.map(play_losses, tasks))
+    with ProcessPoolExecutor(workers, context, initialize_worker, (os.getpid(),)) as pool:
+        return list(pool.map(play_and_attribute, tasks))
--- a/workbench/experiment/plan.py
+++ b/workbench/experiment/plan.py
@@ -1,4 +1,4 @@
-"""The plan of an experiment: a TOML file, validated as strictly as scenarios, and the tasks it asks for."""
+"""Experiment plans: reading and validating the TOML file, and listing the tasks that it defines."""
 
 from __future__ import annotations
 
@@ -18,43 +18,62 @@
 from workbench.scenario.check import type_errors
 from workbench.scenario.load import ScenarioError, digest, load
 
-MIN_PAIRS = 5  # with fewer, a comparison is inconclusive
+# A comparison of fewer pairs is inconclusive.
+MIN_PAIRS = 5
 POLICY_DIGEST_BYTES = 6
 SOURCE_DIGEST_BYTES = 8
 BASELINE_VARIANT = "baseline"
 
-Value = int | float | str | bool
-Seeds = Annotated[int, Meta(extra_json_schema={"minimum": 1})]
+OverrideValue = int | float | str | bool
+SeedCount = Annotated[int, Meta(extra_json_schema={"minimum": 1})]
 
 
 class PlanError(Exception):
-    """A plan is not valid: one line for each error."""
+    """A plan is not valid; the message has one line for each error."""
 
 
 class Variant(Struct, forbid_unknown_fields=True, kw_only=True):
-    """A policy and its settings."""
+    """A policy and its settings.
+
+    Attributes:
+        name: Name of the variant, unique in the plan.
+        policy: Name of the policy.
+        revision: Git revision of the policy module; empty for the working tree.
+        constants: Changed constants of the policy module, by name.
+        overrides: Changed keys of the scenario, by path.
+    """
 
     name: str
     policy: str = MODULE_POLICY
-    revision: str = ""  # of this repository, for the module
-    constants: dict[str, float] = field(default_factory=dict)  # of the module, by name
-    overrides: dict[str, Value] = field(name="set", default_factory=dict)  # keys of the scenario
+    revision: str = ""
+    constants: dict[str, float] = field(default_factory=dict)
+    overrides: dict[str, OverrideValue] = field(name="set", default_factory=dict)
 
 
 class Plan(Struct, forbid_unknown_fields=True, kw_only=True):
-    """A plan file; names in TOML are those of its documentation."""
+    """A plan file.
+
+    Attributes:
+        title: Title of the experiment.
+        scenarios: Scenario files or names of shipped scenarios.
+        seeds: Number of consecutive seeds, beginning with `first_seed`.
+        first_seed: The first seed.
+        overrides: Changed keys of all scenarios, by path.
+        grid: Values by scenario key; each combination of values becomes a separate scenario.
+        variants: The variants to run.
+    """
 
     title: str = ""
     scenarios: list[str]
-    seeds: Seeds = 10  # how many, from the first one on
+    seeds: SeedCount = 10
     first_seed: Annotated[int, Meta(extra_json_schema={"minimum": 0})] = 1
-    overrides: dict[str, Value] = field(name="set", default_factory=dict)  # keys of all scenarios
-    grid: dict[str, list[Value]] = field(default_factory=dict)  # each combination is a scenario of its own
+    overrides: dict[str, OverrideValue] = field(name="set", default_factory=dict)
+    grid: dict[str, list[OverrideValue]] = field(default_factory=dict)
     variants: list[Variant] = field(name="variant")
 
 
 class GridPoint(NamedTuple):
-    """A scenario at one combination of the grid's values."""
+    """A scenario with one combination of the grid's values."""
 
     source: str
     label: str
@@ -62,18 +81,18 @@
 
 
 class ModuleVersion(NamedTuple):
-    """A revision by its full name, empty for the working tree, and changed constants in order of name."""
+    """The full name of a revision, empty for the working tree, and changed constants sorted by name."""
 
     revision: str
     constants: Constants
 
 
 def read_plan(path: str, baseline: str = "") -> Plan:
-    """Reads a plan file.
+    """Read a plan file.
 
     Args:
         path: The TOML file.
-        baseline: A revision; if given, the module at this revision is the first variant.
+        baseline: A git revision; if given, the policy module at this revision is added as the first variant.
 
     Raises:
         PlanError: The file cannot be read or is not a valid plan.
@@ -88,27 +107,27 @@
 
 
 def parse_plan(table: dict[str, Any], path: str = "plan", baseline: str = "") -> Plan:
-    """Validates a decoded plan file.
+    """Validate a decoded plan file.
 
     Raises:
         PlanError: The table is not a valid plan; one line for each error.
     """
-    raise_errors(type_errors(table, Plan), path)
+    raise_if_errors(type_errors(table, Plan), path)
     plan = msgspec.convert(table, Plan)
     if baseline:
         plan.variants.insert(0, Variant(name=BASELINE_VARIANT, revision=baseline))
-    raise_errors(list(consistency_errors(plan)), path)
+    raise_if_errors(list(consistency_errors(plan)), path)
     return plan
 
 
-def raise_errors(errors: list[str], path: str) -> None:
-    """Raises a PlanError where there are errors."""
+def raise_if_errors(errors: list[str], path: str) -> None:
+    """Raise a PlanError with a line for each error, if there are any."""
     if errors:
         raise PlanError("\n".join(f"{path}: {error}" for error in errors))
 
 
 def consistency_errors(plan: Plan) -> Iterator[str]:
-    """Yields the errors of a plan whose keys are valid one by one."""
+    """Yield the errors of a plan whose keys have the right types: empty lists, duplicates, bad scenarios."""
     if not plan.scenarios:
         yield "scenarios: []: must hold at least one"
     if not plan.variants:
@@ -123,7 +142,7 @@
 
 
 def variant_errors(variant: Variant, path: str, earlier_names: set[str]) -> Iterator[str]:
-    """Yields the errors of one variant."""
+    """Yield the errors of one variant."""
     if variant.name in earlier_names:
         yield f"{path}.name: {variant.name!r}: must be another than those before"
     if variant.policy not in POLICIES:
@@ -138,7 +157,7 @@
 
 
 def scenario_errors(plan: Plan) -> Iterator[str]:
-    """Yields the errors of the first combination of grid point and variant that is not a scenario."""
+    """Yield the errors of the first combination of grid point and variant that is not a valid scenario."""
     points = (point for source in plan.scenarios for point in grid_points(plan, source))
     for point, variant in itertools.product(points, plan.variants):
         try:
@@ -149,7 +168,7 @@
 
 
 def module_version(variant: Variant) -> ModuleVersion:
-    """Resolves a variant's revision and constants.
+    """Resolve a variant's revision and constants.
 
     Raises:
         RevisionError: There is no such revision or constant.
@@ -165,8 +184,8 @@
     return version
 
 
-def override_arguments(overrides: dict[str, Value]) -> list[str]:
-    """Returns overrides as arguments of `--set`."""
+def override_arguments(overrides: dict[str, OverrideValue]) -> list[str]:
+    """Return overrides as arguments of `--set`."""
     return [
         f"{key}={str(value).lower() if isinstance(value, bool) else value}"
         for key, value in overrides.items()
@@ -174,15 +193,15 @@
 
 
 def grid_points(plan: Plan, source: str) -> Iterator[GridPoint]:
-    """Yields a scenario at each combination of the grid's values."""
+    """Yield the scenario with each combination of the grid's values."""
     for values in itertools.product(*plan.grid.values()):
-        chosen = override_arguments(dict(zip(plan.grid, values, strict=True)))
-        label = source + (f"[{','.join(chosen)}]" if chosen else "")
-        yield GridPoint(source, label, override_arguments(plan.overrides) + chosen)
+        grid_overrides = override_arguments(dict(zip(plan.grid, values, strict=True)))
+        label = source + (f"[{','.join(grid_overrides)}]" if grid_overrides else "")
+        yield GridPoint(source, label, override_arguments(plan.overrides) + grid_overrides)
 
 
 def list_tasks(plan: Plan) -> list[Task]:
-    """Returns all runs in order of seed, so that a plan that is stopped early has complete pairs."""
+    """Return all runs in order of seed, so that an interrupted plan has complete pairs of runs."""
     tasks = [
         task
         for source in plan.scenarios
@@ -194,7 +213,7 @@
 
 
 def variant_tasks(plan: Plan, point: GridPoint, variant: Variant) -> Iterator[Task]:
-    """Yields the runs of one variant at one grid point, a run for each seed."""
+    """Yield the runs of one variant at one grid point, a run for each seed."""
     version = module_version(variant)
     overrides = (*point.overrides, *override_arguments(variant.overrides))
     scenario_digest = digest(load(point.source, list(overrides)))
@@ -214,13 +233,13 @@
 
 
 def policy_digest(variant: Variant, version: ModuleVersion) -> str:
-    """Returns what tells a policy from others in the keys of stored runs."""
+    """Return a digest that identifies a policy in the keys of stored runs."""
     source = module_source_digest() if variant.policy == MODULE_POLICY and not version.revision else ""
     identity = repr((variant.policy, version.revision, version.constants, source))
     return hashlib.blake2b(identity.encode(), digest_size=POLICY_DIGEST_BYTES).hexdigest()
 
 
 def module_source_digest() -> str:
-    """Returns a digest of the working tree's module: an edit of it invalidates stored runs."""
+    """Return a digest of the policy module in the working tree; an edit of it invalidates stored runs."""
     sources = "".join(policy_sources("").values())
     return hashlib.blake2b(sources.encode(), digest_size=SOURCE_DIGEST_BYTES).hexdigest()
--- a/workbench/experiment/runner.py
+++ b/workbench/experiment/runner.py
@@ -1,4 +1,7 @@
-"""Runs a plan in worker processes; each result is stored as it arrives, and the same command resumes."""
+"""Execution of a plan in worker processes.
+
+Each result is stored as it arrives, so an interrupted plan is resumed by running it again.
+"""
 
 from __future__ import annotations
 
@@ -21,40 +24,53 @@
 from workbench.experiment.task import Task
 from workbench.simulator.play import play
 
-TASKS_PER_WORKER = 2  # submitted at once: no worker waits for the next one, and few are lost
+# A second task keeps each worker busy; few tasks are lost if the run is interrupted.
+MAX_PENDING_TASKS_PER_WORKER = 2
 MAX_ROUNDS = 50
 MIN_ADDED_SEEDS = 2
-NORMAL_QUANTILE = 1.96  # of a two-sided 95% interval
-STATS_SAMPLING_STEP = 2  # every second sample of a node's statistics is stored
+# Quantile of the standard normal distribution for a two-sided 95% interval.
+NORMAL_QUANTILE = 1.96
+# Every second sample of a node's statistics is stored.
+STATS_SAMPLING_STEP = 2
+# Option of Linux's `prctl` that sets the signal sent to a process when its parent dies.
 PR_SET_PDEATHSIG = 1
-PARENT_GONE = 1  # exit status of a worker whose parent has died
+EXIT_PARENT_DIED = 1
 
-ProgressCallback = Callable[[int, int], None]  # completed tasks, all tasks
+# Called with the number of completed tasks and the number of all tasks.
+ProgressCallback = Callable[[int, int], None]
 
 
 @dataclass
 class Outcome:
-    """What running a plan did."""
+    """Counters of one execution of a plan.
+
+    Attributes:
+        completed: Runs that were made, including failed ones.
+        failed: Runs that raised an error.
+        already_stored: Runs that the store had before.
+        elapsed_s: Elapsed time in seconds.
+        cpu_s: Processor time spent inside runs, in seconds.
+    """
 
-    completed: int = 0  # runs, failed ones included
+    completed: int = 0
     failed: int = 0
     already_stored: int = 0
     elapsed_s: float = 0.0
-    cpu_s: float = 0.0  # processor time inside runs
+    cpu_s: float = 0.0
 
 
 class TaskResult(NamedTuple):
-    """The result of a run, or the traceback of what it raised."""
+    """The result of a run, or the traceback of the exception that it raised."""
 
     result: dict[str, Any] | None
     error: str | None
 
 
-def begin_worker(parent: int) -> None:
-    """Ties a worker to its parent: it ends with it, however that ends; Ctrl-C is handled by the parent.
+def initialize_worker(parent: int) -> None:
+    """Tie the lifetime of a worker to that of its parent, and leave Ctrl-C to the parent.
 
-    Failure prevented: the parent is killed before the kernel has been told to end the worker with it, and
-    the worker waits for tasks for ever.
+    The kernel kills the worker when the parent dies. A parent that died before this was requested is detected
+    by the parent's id; otherwise the worker would wait for tasks forever.
 
     Args:
         parent: Process id of the parent.
@@ -63,13 +79,14 @@
     try:
         ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     except (OSError, AttributeError):
-        return  # not Linux: a worker whose parent is killed ends with its run
+        # Not Linux: a worker whose parent is killed ends after its current run.
+        return
     if os.getppid() != parent:
-        os._exit(PARENT_GONE)
+        os._exit(EXIT_PARENT_DIED)
 
 
 def run_task(task: Task) -> TaskResult:
-    """Makes one run; what it raises becomes its error."""
+    """Make one run; an exception becomes the error of the result."""
     try:
         return TaskResult(simulate_task(task), None)
     except Exception:
@@ -77,7 +94,7 @@
 
 
 def simulate_task(task: Task) -> dict[str, Any]:
-    """Returns the result of one run, as it is stored."""
+    """Simulate one run and return its result with the fields that the store adds."""
     run = play(task.draw_scenario(), task.resolve_policy(), overrides=list(task.overrides))
     run.result["made"].update(policy=task.policy, variant=task.variant, module=task.revision)
     run.result["made"]["constants"] = dict(task.constants)
@@ -93,16 +110,16 @@
     budget_s: float = 0.0,
     on_progress: ProgressCallback = lambda completed, total: None,
 ) -> Outcome:
-    """Makes the runs of a plan that the store lacks.
+    """Make the runs of a plan that the store does not have yet.
 
     Args:
         plan: The plan.
         store: Where results are read and written.
-        jobs: Worker processes.
-        target_width: If over 0, seeds are added until the paired 95% interval of each variant against the
-            first one is as narrow.
-        budget_s: If over 0, no run begins after this time; without `target_width`, seeds are added until
-            then.
+        jobs: Number of worker processes.
+        target_width: If over 0, seeds are added until the paired 95% interval of each variant's goal against
+            the first variant's is at most this wide.
+        budget_s: If over 0, no run starts after this many seconds; without `target_width`, seeds are added
+            until then.
         on_progress: Called after each run.
 
     Raises:
@@ -127,17 +144,17 @@
 
 
 def missing_tasks(tasks: Sequence[Task], store: Store) -> list[Task]:
-    """Returns the tasks without a successful run in the store."""
+    """Return the tasks without a successful run in the store."""
     completed = store.completed_keys()
     return [task for task in tasks if task.key not in completed]
 
 
 class TaskExecutor:
-    """Runs tasks in worker processes and stores their results.
+    """Executor of tasks in worker processes, which stores each result as it arrives.
 
     Args:
         store: Where results are written.
-        jobs: Worker processes.
+        jobs: Number of worker processes.
         deadline: Monotonic time after which no task is submitted.
         outcome: Counters that are updated after each run.
         on_progress: Called after each run.
@@ -154,20 +171,21 @@
         self.pending: dict[Future[TaskResult], Task] = {}
 
     def execute(self, tasks: Sequence[Task], total: int) -> None:
-        """Runs tasks until none is left or the deadline is over.
+        """Run tasks until none is left or the deadline has passed.
 
         Args:
             tasks: The tasks to run.
-            total: All tasks of the plan, of which the others are completed.
+            total: Number of all tasks of the plan; those that are not in `tasks` are completed.
 
         Raises:
             StoreError: A result cannot be stored.
         """
         if not tasks:
             return
-        context = get_context("spawn")  # a fork server and its workers would outlive this process
+        # With "forkserver", the fork server and its workers would outlive this process.
+        context = get_context("spawn")
         completed = total - len(tasks)
-        with ProcessPoolExecutor(self.jobs, context, begin_worker, (os.getpid(),)) as pool:
+        with ProcessPoolExecutor(self.jobs, context, initialize_worker, (os.getpid(),)) as pool:
             remaining = iter(tasks)
             try:
                 while self.submit_tasks(pool, remaining):
@@ -180,8 +198,8 @@
                 raise
 
     def submit_tasks(self, pool: ProcessPoolExecutor, remaining: Iterator[Task]) -> bool:
-        """Submits tasks up to the limit for each worker; whether any is pending."""
-        while len(self.pending) < self.jobs * TASKS_PER_WORKER and monotonic() < self.deadline:
+        """Submit tasks up to the limit for each worker, and return whether any is pending."""
+        while len(self.pending) < self.jobs * MAX_PENDING_TASKS_PER_WORKER and monotonic() < self.deadline:
             task = next(remaining, None)
             if task is None:
                 break
@@ -189,7 +207,7 @@
         return bool(self.pending)
 
     def store_result(self, task: Task, task_result: TaskResult) -> None:
-        """Stores one result and counts it."""
+        """Store one result and count it."""
         result, error = task_result
         self.store.put(task, result, error)
         self.outcome.completed += 1
@@ -198,16 +216,16 @@
 
 
 def kill_workers(pool: ProcessPoolExecutor) -> None:
-    """Ends the workers at once; their runs are repeated when the plan is resumed."""
+    """Kill the workers immediately; their runs are repeated when the plan is resumed."""
     pool.shutdown(wait=False, cancel_futures=True)
     for process in list((pool._processes or {}).values()):
         process.kill()
 
 
 def widest_interval(plan: Plan, store: Store) -> float:
-    """Returns the width of the widest paired 95% interval of a variant against the first one.
+    """Return the width of the widest paired 95% interval of a variant's goal against the first variant's.
 
-    Pairs of all scenarios are taken together; infinity where a variant has fewer than `MIN_PAIRS`.
+    Pairs of all scenarios are pooled. The width is infinite if a variant has fewer than `MIN_PAIRS` pairs.
     """
     goals = goals_by_variant(store.rows(list_tasks(plan)))
     names = [variant.name for variant in plan.variants]
@@ -225,7 +243,7 @@
 
 
 def goals_by_variant(rows: Sequence[Row]) -> dict[str, dict[tuple[str, int], float]]:
-    """Returns the goals of runs that have one, by variant, then by scenario and seed."""
+    """Return the goals of successful runs by variant, then by scenario and seed."""
     goals: dict[str, dict[tuple[str, int], float]] = {}
     for row in rows:
         if row.goal is not None:
--- a/workbench/experiment/statistics.py
+++ b/workbench/experiment/statistics.py
@@ -8,12 +8,14 @@
 import numpy as np
 from scipy import stats
 
-LOWER_QUANTILE = 0.025  # of a 95% interval
+# Quantiles of a two-sided 95% interval.
+LOWER_QUANTILE = 0.025
 UPPER_QUANTILE = 0.975
-RESAMPLES = 4000
-MAX_EXACT_PAIRS = 12  # up to so many pairs, every assignment of signs is enumerated
-SIGN_BATCHES = 10
-SIGNS_PER_BATCH = RESAMPLES // 4
+RESAMPLE_COUNT = 4000
+# Up to this many pairs, the sign-flip test enumerates every assignment of signs.
+MAX_EXACT_PAIRS = 12
+SIGN_BATCH_COUNT = 10
+SIGNS_PER_BATCH = RESAMPLE_COUNT // 4
 SUM_TOLERANCE = 1e-12
 BOOTSTRAP_SEED = 1
 SIGN_SEED = 2
@@ -37,30 +39,30 @@
 
 
 def bootstrap_interval(differences: Array) -> Interval:
-    """Returns the 95% BCa bootstrap interval of a mean; percentiles where BCa has no value."""
+    """Return the 95% BCa bootstrap interval of a mean, or the percentile interval if BCa is undefined."""
     if len(differences) < 2 or np.ptp(differences) == 0:
         value = float(differences.mean()) if len(differences) else 0.0
         return Interval(value, value)
     with np.errstate(all="ignore"):
-        found = stats.bootstrap(
+        interval = stats.bootstrap(
             (differences,),
             np.mean,
-            n_resamples=RESAMPLES,
+            n_resamples=RESAMPLE_COUNT,
             method="BCa",
             random_state=np.random.default_rng(BOOTSTRAP_SEED),
         ).confidence_interval
-    if np.isnan(found.low) or np.isnan(found.high):
+    if np.isnan(interval.low) or np.isnan(interval.high):
         return percentile_interval(resampled_means(differences))
-    return Interval(float(found.low), float(found.high))
+    return Interval(float(interval.low), float(interval.high))
 
 
 def percentile_interval(means: Array) -> Interval:
-    """Returns the central 95% of bootstrap means."""
+    """Return the central 95% of bootstrap means."""
     return Interval(float(np.quantile(means, LOWER_QUANTILE)), float(np.quantile(means, UPPER_QUANTILE)))
 
 
 def t_interval(differences: Array) -> MeanInterval:
-    """Returns the mean of two or more paired differences and its 95% interval by Student's t."""
+    """Return the mean of at least two paired differences and its 95% interval by Student's t."""
     mean = float(differences.mean())
     quantile = stats.t.ppf(UPPER_QUANTILE, len(differences) - 1)
     half_width = float(quantile * differences.std(ddof=1) / len(differences) ** 0.5)
@@ -68,21 +70,22 @@
 
 
 def resampled_means(differences: Array, seed: int = BOOTSTRAP_SEED) -> Array:
-    """Returns the means of `RESAMPLES` bootstrap samples."""
+    """Return the means of `RESAMPLE_COUNT` bootstrap samples."""
     rng = np.random.default_rng(seed)
     size = len(differences)
-    means: Array = differences[rng.integers(0, size, (RESAMPLES, size))].mean(axis=1)
+    means: Array = differences[rng.integers(0, size, (RESAMPLE_COUNT, size))].mean(axis=1)
     return means
 
 
 def sign_flip_p_value(groups: Sequence[Array]) -> float:
-    """Tests paired differences by random sign flips, two-sided.
+    """Test paired differences by sign flips, two-sided: all assignments of few signs, random ones of many.
 
     Args:
-        groups: Differences by scenario; each scenario has the same weight, however many pairs it has.
+        groups: Differences of each scenario; scenarios have the same weight regardless of their pairs.
 
     Returns:
-        How often random signs put the mean of the group means as far from 0 as it is.
+        The share of sign assignments for which the mean of the group means is at least as far from 0 as
+        the observed one.
     """
     groups = [group for group in groups if len(group)]
     pairs = sum(map(len, groups))
@@ -95,20 +98,20 @@
         return float(np.mean(at_least_as_extreme(signs, values)))
     rng = np.random.default_rng(SIGN_SEED)
     extreme = 0
-    for _ in range(SIGN_BATCHES):
+    for _ in range(SIGN_BATCH_COUNT):
         signs = rng.integers(0, 2, (SIGNS_PER_BATCH, pairs), dtype=np.int8) * 2.0 - 1.0
         extreme += int(np.sum(at_least_as_extreme(signs, values)))
-    return (extreme + 1) / (SIGN_BATCHES * SIGNS_PER_BATCH + 1)
+    return (extreme + 1) / (SIGN_BATCH_COUNT * SIGNS_PER_BATCH + 1)
 
 
 def at_least_as_extreme(signs: Array, values: Array) -> Array:
-    """Returns, for each row of signs, whether its sum is as far from 0 as that of the values."""
+    """Return, for each row of signs, whether the signed sum is at least as far from 0 as the plain sum."""
     extreme: Array = np.abs(signs @ values) >= abs(values.sum()) - SUM_TOLERANCE
     return extreme
 
 
 def holm_correction(p_values: Sequence[float]) -> list[float]:
-    """Corrects p-values for multiple comparisons by Holm's step-down method."""
+    """Correct p-values for multiple comparisons by Holm's step-down method, keeping their order."""
     corrected = [1.0] * len(p_values)
     largest = 0.0
     for rank, index in enumerate(np.argsort(p_values)):
--- a/workbench/experiment/store.py
+++ b/workbench/experiment/store.py
@@ -1,4 +1,8 @@
-"""Results in one SQLite file, a transaction for each run: it survives any stop and has several writers."""
+"""Store of run results in one SQLite file.
+
+Each run is written in its own transaction, so the file survives a kill at any time and several processes can
+write to it.
+"""
 
 from __future__ import annotations
 
@@ -14,8 +18,9 @@
 
 from workbench.experiment.task import Task
 
-WRITER_TIMEOUT_S = 60.0  # for another writer's transaction
-JOURNAL_MODE_RETRY_S = 0.01
+# How long to wait for another writer's transaction.
+WRITE_LOCK_TIMEOUT_S = 60.0
+JOURNAL_MODE_RETRY_DELAY_S = 0.01
 COMPRESSION_LEVEL = 3
 BUSY_ERRORS = frozenset({sqlite3.SQLITE_BUSY, sqlite3.SQLITE_BUSY_RECOVERY, sqlite3.SQLITE_LOCKED})
 MIGRATIONS = [
@@ -31,27 +36,30 @@
 
 
 class StoreError(Exception):
-    """A store that cannot be used; the message is one line."""
+    """The store cannot be used; the message is one line."""
 
 
 class Loss(msgspec.Struct):
-    """Requested value that was lost to one cause; stored as JSON."""
+    """Value lost to one cause in one tier, as a share of the requested value; stored as JSON."""
 
     cause: str
     tier: int
-    share: float  # of the requested value
+    share: float
 
 
 class Row(msgspec.Struct):
-    """One run, without its full result."""
+    """One run, without its full result.
+
+    The column `broken` holds `rule_violations`, and the column `lost` holds `losses`.
+    """
 
     scenario: str
     variant: str
     seed: int
     digest: str
     goal: float | None
-    rule_violations: int  # column `broken`
-    losses: list[Loss]  # column `lost`
+    rule_violations: int
+    losses: list[Loss]
     error: str | None
     task: Task
 
@@ -61,7 +69,7 @@
 
     Args:
         path: The SQLite file.
-        write: Whether the file may be created and written; if not, it must exist.
+        write: Whether the file may be created and written; if false, the file must exist.
 
     Raises:
         StoreError: The file cannot be used.
@@ -70,63 +78,65 @@
     def __init__(self, path: Path, write: bool = True) -> None:
         self.path = path
         if not write and not path.exists():
-            raise StoreError(f"{path}: no such store")
-        with self.translated_errors():
+            raise StoreError(f"{path}: store does not exist")
+        with self.errors_as_store_errors():
             if write:
                 path.parent.mkdir(parents=True, exist_ok=True)
-            self.db = sqlite3.connect(path, timeout=WRITER_TIMEOUT_S, isolation_level=None)
+            self.db = sqlite3.connect(path, timeout=WRITE_LOCK_TIMEOUT_S, isolation_level=None)
         try:
-            with self.translated_errors():
+            with self.errors_as_store_errors():
                 self.open(write)
         except BaseException:
             self.db.close()
             raise
 
     @contextmanager
-    def translated_errors(self) -> Iterator[None]:
-        """Raises errors of the file, its disk or its contents as a StoreError."""
+    def errors_as_store_errors(self) -> Iterator[None]:
+        """Convert errors of the file, its disk or its contents to a StoreError."""
         try:
             yield
         except (sqlite3.Error, OSError, zlib.error, msgspec.MsgspecError) as e:
             raise StoreError(f"{self.path}: {e}") from None
 
     def open(self, write: bool) -> None:
-        """Checks the file and brings it to the current schema."""
+        """Check the file for corruption and migrate it to the current schema."""
         if self.db.execute("PRAGMA quick_check(1)").fetchone()[0] != "ok":
-            raise StoreError(f"{self.path}: the file is damaged: keep it aside and run the plan again")
+            raise StoreError(f"{self.path}: the file is damaged: move it away and run the plan again")
         version = self.db.execute("PRAGMA user_version").fetchone()[0]
         if version > len(MIGRATIONS):
-            raise StoreError(f"{self.path}: written by a newer version of the product")
+            raise StoreError(f"{self.path}: written by a newer version of the workbench")
         if write:
             self.enable_write_ahead_log()
-            self.db.execute("PRAGMA synchronous = FULL")  # a committed run is on the disk
+            # A committed run is on the disk before the commit returns.
+            self.db.execute("PRAGMA synchronous = FULL")
             self.migrate()
             self.checkpoint()
         elif version < len(MIGRATIONS):
             self.migrate()
 
     def enable_write_ahead_log(self) -> None:
-        """Sets the journal mode; retries, as SQLite does not wait where two writers set it at once."""
-        deadline = monotonic() + WRITER_TIMEOUT_S
+        """Set the journal mode, with retries: SQLite does not wait when two writers set it concurrently."""
+        deadline = monotonic() + WRITE_LOCK_TIMEOUT_S
         while self.db.execute("PRAGMA journal_mode").fetchone()[0] != "wal":
             try:
                 self.db.execute("PRAGMA journal_mode = WAL")
             except sqlite3.OperationalError as e:
                 if e.sqlite_errorcode not in BUSY_ERRORS or monotonic() > deadline:
                     raise
-                sleep(JOURNAL_MODE_RETRY_S)
+                sleep(JOURNAL_MODE_RETRY_DELAY_S)
 
     def checkpoint(self) -> None:
-        """Moves the write-ahead log into the file itself, as far as no reader blocks it.
+        """Move the contents of the write-ahead log into the main file, as far as no reader blocks it.
 
-        Failure prevented: a sync of the log has failed, its pages have never reached the disk though they
-        are still read from memory, and the runs that are appended behind them are lost with them.
+        After a failed sync, pages of the log may exist only in memory although they can still be read. Runs
+        appended after such pages would be lost with them.
         """
         self.db.execute("PRAGMA wal_checkpoint(PASSIVE)").fetchone()
 
     def migrate(self) -> None:
-        """Applies the missing schema migrations in one transaction."""
-        self.db.execute("BEGIN IMMEDIATE")  # another process may migrate at the same time
+        """Apply the missing schema migrations in one transaction."""
+        # The write lock keeps other processes from migrating at the same time.
+        self.db.execute("BEGIN IMMEDIATE")
         version = self.db.execute("PRAGMA user_version").fetchone()[0]
         for migration in MIGRATIONS[version:]:
             self.db.execute(migration)
@@ -134,11 +144,11 @@
         self.db.execute("COMMIT")
 
     def put(self, task: Task, result: dict[str, Any] | None, error: str | None = None) -> None:
-        """Stores one run in one transaction; a result that another process has stored already is kept.
+        """Store one run in one transaction; a successful result that is already stored is kept.
 
         Args:
             task: The run.
-            result: Its full result; None if it failed.
+            result: The full result; None if the run failed.
             error: The traceback of a failed run.
 
         Raises:
@@ -153,7 +163,7 @@
             blob = zlib.compress(msgspec.json.encode(result), COMPRESSION_LEVEL)
         encoded_task = msgspec.json.encode(task)
         row = (*task.key, goal, rule_violations, losses, error, encoded_task, blob, provenance)
-        with self.translated_errors():
+        with self.errors_as_store_errors():
             self.db.execute(
                 "INSERT INTO runs"
                 " (scenario, variant, seed, digest, goal, broken, lost, error, task, result, made)"
@@ -165,50 +175,52 @@
             )
 
     def completed_keys(self) -> set[tuple[str, str, int, str]]:
-        """Returns the keys of the runs that succeeded; failed ones are retried.
+        """Return the keys of successful runs.
 
         Raises:
             StoreError: The store cannot be read.
         """
         columns = "scenario, variant, seed, digest"
-        with self.translated_errors():
+        with self.errors_as_store_errors():
             return set(self.db.execute(f"SELECT {columns} FROM runs WHERE error IS NULL"))
 
     def rows(self, tasks: Iterable[Task] | None = None) -> list[Row]:
-        """Returns all runs, or those of the given tasks, without their full results.
+        """Return all runs, or those of the given tasks, without their full results.
 
         Raises:
             StoreError: The store cannot be read.
         """
-        with self.translated_errors():
+        with self.errors_as_store_errors():
             return self.read_rows(tasks)
 
     def read_rows(self, tasks: Iterable[Task] | None) -> list[Row]:
-        """Reads all runs, or those of the given tasks."""
-        wanted = None if tasks is None else {task.key for task in tasks}
+        """Read all runs, or those of the given tasks, with storage errors unconverted."""
+        requested_keys = None if tasks is None else {task.key for task in tasks}
         columns = "scenario, variant, seed, digest, goal, broken, lost, error, task"
         cursor = self.db.execute(f"SELECT {columns} FROM runs ORDER BY scenario, variant, seed")
-        return [decode_row(values) for values in cursor if wanted is None or values[:4] in wanted]
+        return [
+            decode_row(values) for values in cursor if requested_keys is None or values[:4] in requested_keys
+        ]
 
     def result(self, task: Task) -> dict[str, Any]:
-        """Returns the full result of one run.
+        """Return the full result of one run.
 
         Raises:
             StoreError: The store cannot be read.
         """
         query = "SELECT result FROM runs WHERE scenario=? AND variant=? AND seed=? AND digest=?"
-        with self.translated_errors():
+        with self.errors_as_store_errors():
             (blob,) = self.db.execute(query, task.key).fetchone()
             decoded: dict[str, Any] = msgspec.json.decode(zlib.decompress(blob))
         return decoded
 
     def close(self) -> None:
-        """Closes the file."""
+        """Close the file."""
         self.db.close()
 
 
 def decode_row(values: tuple[Any, ...]) -> Row:
-    """Decodes the columns of a run."""
+    """Decode the columns of a stored run."""
     scenario, variant, seed, digest, goal, rule_violations, losses, error, task = values
     return Row(
         scenario=scenario,
--- a/workbench/experiment/task.py
+++ b/workbench/experiment/task.py
@@ -1,4 +1,4 @@
-"""One run of an experiment: what identifies it, its scenario and policy, the command that replays it."""
+"""Task of an experiment: one run, with its identity, scenario, policy and replay command."""
 
 from __future__ import annotations
 
@@ -9,16 +9,29 @@
 from workbench.scenario.load import draw, load
 from workbench.scenario.model import Scenario
 
-MODULE_POLICY = "module"  # the balancer's own policy, at a revision and with constants of its own
+# Name of the balancer's own policy, which can be loaded at a revision and with changed constants.
+MODULE_POLICY = "module"
 SHORT_REVISION_DIGITS = 12
 
 Constants = tuple[tuple[str, float], ...]
 
 
 class Task(Struct, frozen=True):
-    """One run to make; stored with its result, so the field names are those of the store."""
+    """One run of a variant; it is stored with its result, so the field names are part of the stored format.
 
-    scenario: str  # its label, with the grid's values
+    Attributes:
+        scenario: Label of the scenario, with the grid's values.
+        source: Scenario file or name of a shipped scenario.
+        overrides: Changed keys of the scenario, each as KEY=VALUE.
+        seed: Seed of the scenario's draw.
+        variant: Name of the variant.
+        policy: Name of the policy.
+        revision: Full name of the policy module's revision; empty for the working tree.
+        constants: Changed constants of the policy module, sorted by name.
+        digest: Digest of the scenario with its overrides and of the policy.
+    """
+
+    scenario: str
     source: str
     overrides: tuple[str, ...]
     seed: int
@@ -26,25 +39,25 @@
     policy: str
     revision: str
     constants: Constants
-    digest: str  # of the scenario with its overrides, and of the policy
+    digest: str
 
     @property
     def key(self) -> tuple[str, str, int, str]:
-        """What identifies the run in a store: its primary key."""
+        """The primary key of the run in a store."""
         return self.scenario, self.variant, self.seed, self.digest
 
     def draw_scenario(self) -> Scenario:
-        """Returns the scenario with every range replaced by the seed's draw."""
+        """Return the scenario with every range replaced by the value that the seed draws."""
         return draw(load(self.source, list(self.overrides)), self.seed)
 
     def resolve_policy(self) -> str | Policy:
-        """Returns the policy's name, or the module at the revision and with the constants of the task."""
+        """Return the policy's name, or the policy module at the task's revision and with its constants."""
         if self.policy == MODULE_POLICY and (self.revision or self.constants):
             return policy_of(self.revision, self.constants)
         return self.policy
 
     def command(self) -> str:
-        """Returns the command that replays the run."""
+        """Return the command that replays the run."""
         words = ["workbench simulate", self.source, f"--seed {self.seed}"]
         if self.policy != MODULE_POLICY:
             words.append(f"--policy {self.policy}")
--- a/workbench/report/figures.py
+++ b/workbench/report/figures.py
@@ -1,4 +1,4 @@
-"""Figures of an experiment's report, each a picture with a caption that says what it shows."""
+"""Figures of an experiment's report, each a PNG image with a caption."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from workbench.report.series import (
     OTHER_CAUSES,
     Array,
-    ComparedAxes,
+    ExperimentDimensions,
     Goals,
     LossShares,
     RunGroup,
@@ -23,13 +23,15 @@
     Sweep,
 )
 
-WIDTH = 9.5  # inches, as all sizes here
-ROW_HEIGHT = 0.42
-TIME_HEIGHT = 2.8  # of a figure over the time of the day
+FIGURE_WIDTH_INCHES = 9.5
+ROW_HEIGHT_INCHES = 0.42
+TIME_FIGURE_HEIGHT_INCHES = 2.8
 GOAL_LABEL = "goal, 0 to 1"
 TIME_LABEL = "time of the day, s"
-NORMAL_QUANTILE = 1.96  # of a 95% interval
-MIN_LOGARITHMIC_RATIO = 20  # of the greatest value to the least: beyond it the axis is logarithmic
+# Quantile of the standard normal distribution for a two-sided 95% interval.
+NORMAL_QUANTILE = 1.96
+# An axis is logarithmic if its largest value is at least this many times its smallest.
+MIN_LOGARITHMIC_RATIO = 20
 PERCENTILE_MARKERS = {"p50": "o", "p90": "s", "p99": "^"}
 
 
@@ -43,82 +45,82 @@
 
 
 def draw_picture(name: str, caption: str, height: float, draw: Callable[[Axes], None]) -> Picture:
-    """Returns a picture with one set of axes.
+    """Return a picture with one set of axes.
 
     Args:
-        name: Of the picture.
-        caption: What it shows.
-        height: In inches.
-        draw: Draws on the axes.
+        name: Name of the picture.
+        caption: Text below the picture.
+        height: Height in inches.
+        draw: Called with the axes to draw on.
     """
-    figure, axes = pyplot.subplots(figsize=(WIDTH, height), layout="constrained")
+    figure, axes = pyplot.subplots(figsize=(FIGURE_WIDTH_INCHES, height), layout="constrained")
     draw(axes)
     axes.grid(alpha=0.25)
     return Picture(name, caption, render_png(figure))
 
 
 def render_png(figure: Figure) -> bytes:
-    """Renders a figure and closes it."""
+    """Render a figure as a PNG and close it."""
     png = io.BytesIO()
     figure.savefig(png, format="png", dpi=110)
     pyplot.close(figure)
     return png.getvalue()
 
 
-def put_legend_beside(axes: Axes) -> None:
-    """Puts the legend beside the axes, where it covers nothing."""
+def place_legend_outside(axes: Axes) -> None:
+    """Put the legend to the right of the axes, where it covers no data."""
     axes.legend(fontsize=7, loc="center left", bbox_to_anchor=(1.0, 0.5))
 
 
-def set_rows(axes: Axes, labels: list[str]) -> None:
-    """Labels the rows, the first on top."""
+def label_rows(axes: Axes, labels: list[str]) -> None:
+    """Label the rows of the y axis, with the first label at the top."""
     axes.set_yticks(range(len(labels)), labels)
     axes.invert_yaxis()
 
 
 def row_offset(index: int, count: int, spread: float) -> float:
-    """Returns how far one of several variants is drawn from the middle of its row.
+    """Return the offset of one of several variants from the middle of its row.
 
     Args:
-        index: Of the variant.
-        count: Of the variants.
-        spread: The part of the row that they share.
+        index: Index of the variant.
+        count: Number of variants.
+        spread: Share of the row's height that the variants occupy together.
     """
     return (index - (count - 1) / 2) * spread / count
 
 
 def interval_half_width(values: Array) -> float:
-    """Returns half the width of a mean's 95% interval."""
+    """Return half the width of the mean's 95% interval, or 0 for fewer than two values."""
     if len(values) <= 1:
         return 0.0
     half_width: float = NORMAL_QUANTILE * float(values.std(ddof=1)) / len(values) ** 0.5
     return half_width
 
 
-def goal_figure(goals: Goals, compared: ComparedAxes) -> Picture:
-    """Draws the goals of all variants by scenario."""
-    scenarios, variants = compared.scenarios, compared.variants
+def goal_figure(goals: Goals, dimensions: ExperimentDimensions) -> Picture:
+    """Draw the mean goal of each variant by scenario."""
+    scenarios, variants = dimensions.scenarios, dimensions.variants
 
     def draw(axes: Axes) -> None:
         for index, variant in enumerate(variants):
             offset = row_offset(index, len(variants), 0.7)
             draw_goals(axes, goals, scenarios, variant, offset, COLOURS[index % len(COLOURS)])
-        set_rows(axes, scenarios)
+        label_rows(axes, scenarios)
         axes.set_xlabel(GOAL_LABEL)
-        put_legend_beside(axes)
+        place_legend_outside(axes)
 
     caption = (
-        "Goal by scenario: the mean over the seeds, and its 95% interval from the spread between seeds. "
-        "Days differ far more than variants do; the next figure pairs them."
+        "Goal by scenario: the mean over the seeds with its 95% interval. Days differ far more than variants "
+        "do, so the next figure compares the variants on the same seeds."
     )
-    height = 1.5 + ROW_HEIGHT * len(scenarios) * max(1, len(variants) / 2)
+    height = 1.5 + ROW_HEIGHT_INCHES * len(scenarios) * max(1, len(variants) / 2)
     return draw_picture("goal", caption, height, draw)
 
 
 def draw_goals(
     axes: Axes, goals: Goals, scenarios: list[str], variant: str, offset: float, colour: str
 ) -> None:
-    """Draws one variant's mean goals with their intervals, a row for each scenario."""
+    """Draw one variant's mean goals with their 95% intervals, one row for each scenario."""
     rows = [row for row, name in enumerate(scenarios) if RunGroup(name, variant) in goals]
     values = [goals[RunGroup(scenarios[row], variant)] for row in rows]
     means = [float(goal.mean()) for goal in values]
@@ -128,7 +130,7 @@
 
 
 def pair_figure(differences: dict[str, Array], baseline: str, candidate: str) -> Picture:
-    """Draws the differences of paired goals by scenario."""
+    """Draw the differences of the goals of paired runs by scenario."""
 
     def draw(axes: Axes) -> None:
         rng = np.random.default_rng(1)
@@ -138,19 +140,19 @@
             axes.plot(values, heights, "o", ms=3, alpha=0.6, color=COLOURS[0])
             axes.errorbar([values.mean()], [row], xerr=[error], fmt="D", ms=5, capsize=3, color=COLOURS[1])
         axes.axvline(0, color=COLOURS[7], lw=0.8)
-        set_rows(axes, list(differences))
-        axes.set_xlabel(f"goal of {candidate} less goal of {baseline}, the same seed")
+        label_rows(axes, list(differences))
+        axes.set_xlabel(f"goal of {candidate} minus goal of {baseline}, same seed")
 
     caption = (
-        f"{candidate} against {baseline}: a dot for each seed, right of the line where {candidate} is "
+        f"{candidate} against {baseline}: each dot is a seed, to the right of the line if {candidate} is "
         "better; the diamond is the mean with its 95% interval."
     )
-    height = 1.3 + ROW_HEIGHT * max(2, len(differences))
+    height = 1.3 + ROW_HEIGHT_INCHES * max(2, len(differences))
     return draw_picture(f"pairs-{candidate}", caption, height, draw)
 
 
 def loss_figure(losses: LossShares) -> Picture:
-    """Draws the lost value of each scenario and variant, stacked by cause."""
+    """Draw the lost value of each scenario and variant as bars stacked by cause."""
     groups = sorted(losses)
     causes = {cause for by_cause in losses.values() for cause in by_cause}
     ordered_causes = sorted(causes, key=lambda cause: (cause == OTHER_CAUSES, cause))
@@ -164,15 +166,15 @@
         labels = [f"{group.scenario}: {group.variant}" for group in groups]
         axes.set_yticks(range(len(groups)), labels, fontsize=8)
         axes.invert_yaxis()
-        axes.set_xlabel("share of the worth asked for that was lost, %")
-        put_legend_beside(axes)
+        axes.set_xlabel("lost share of the requested worth, %")
+        place_legend_outside(axes)
 
-    caption = "Where the lost worth went, by cause and tier (0 is the first), mean over the seeds."
+    caption = "Lost worth by cause and tier (0 is the first tier), mean over the seeds."
     return draw_picture("losses", caption, 1.3 + 0.3 * len(groups), draw)
 
 
 def served_figure(series: ScenarioSeries) -> Picture:
-    """Draws the share of the requested value that was served, by second of the day."""
+    """Draw the share of the requested value that was served, by second of the day."""
 
     def draw(axes: Axes) -> None:
         for index, (variant, share) in enumerate(series.served.items()):
@@ -182,17 +184,17 @@
         axes.set_ylim(0, 104)
         axes.set_xlabel(TIME_LABEL)
         axes.set_ylabel("worth served, %")
-        put_legend_beside(axes)
+        place_legend_outside(axes)
 
     caption = (
-        f"{series.scenario}: worth served in time, by the second in which it was asked for, mean over the "
-        "seeds; grey are the first seed's faults (other seeds draw other times)."
+        f"{series.scenario}: worth served in time by the second in which it was requested, mean over the "
+        "seeds; grey areas are the faults of the first seed (other seeds draw other times)."
     )
-    return draw_picture(f"served-{series.scenario}", caption, TIME_HEIGHT, draw)
+    return draw_picture(f"served-{series.scenario}", caption, TIME_FIGURE_HEIGHT_INCHES, draw)
 
 
 def latency_figure(scenarios: list[ScenarioSeries]) -> Picture:
-    """Draws percentiles of latency by scenario and variant."""
+    """Draw percentiles of latency by scenario and variant."""
 
     def draw(axes: Axes) -> None:
         variants = list(scenarios[0].latency)
@@ -204,19 +206,19 @@
                 values = [series.latency.get(variant, {}).get(key, np.nan) for series in scenarios]
                 axes.plot(values, heights, marker, ms=5, color=colour, label=f"{variant} {key}", ls="")
         axes.set_xscale("log")
-        set_rows(axes, [series.scenario for series in scenarios])
+        label_rows(axes, [series.scenario for series in scenarios])
         axes.set_xlabel("latency of served requests, ms (logarithmic)")
-        put_legend_beside(axes)
+        place_legend_outside(axes)
 
     caption = (
-        "Latency at the client, over all tries, of the requests that were served: median, p90, p99, each the "
-        "mean over the seeds."
+        "Latency of served requests at the client, over all its attempts: median, p90 and p99, each the mean "
+        "over the seeds."
     )
-    return draw_picture("latency", caption, 1.5 + ROW_HEIGHT * 1.4 * len(scenarios), draw)
+    return draw_picture("latency", caption, 1.5 + ROW_HEIGHT_INCHES * 1.4 * len(scenarios), draw)
 
 
 def limit_figure(series: ScenarioSeries) -> Picture | None:
-    """Draws the limits of the first front nodes, where there are statistics."""
+    """Draw the concurrency limits of the first front nodes; return None if the run has no statistics."""
     if not series.stats:
         return None
 
@@ -226,14 +228,14 @@
         axes.set_xlabel(TIME_LABEL)
 
     caption = (
-        f"{series.scenario}, one seed: limit and calls in flight of the first front nodes, by their own "
-        "statistics."
+        f"{series.scenario}, one seed: concurrency limit and calls in flight of the first front nodes, from "
+        "their statistics."
     )
-    return draw_picture(f"limits-{series.scenario}", caption, TIME_HEIGHT, draw)
+    return draw_picture(f"limits-{series.scenario}", caption, TIME_FIGURE_HEIGHT_INCHES, draw)
 
 
 def sweep_figure(sweep: Sweep) -> Picture:
-    """Draws the goals over the values of a key, a curve for each variant."""
+    """Draw the mean goal over the values of a key, one curve for each variant."""
 
     def draw(axes: Axes) -> None:
         for index, (variant, by_value) in enumerate(sweep.goals.items()):
@@ -248,7 +250,7 @@
             axes.set_xscale("log")
         axes.set_xlabel(sweep.key)
         axes.set_ylabel(GOAL_LABEL)
-        put_legend_beside(axes)
+        place_legend_outside(axes)
 
-    caption = f"Goal over {sweep.key}: means over the seeds, with their 95% intervals."
+    caption = f"Goal over {sweep.key}: means over the seeds with their 95% intervals."
     return draw_picture("sweep", caption, 3.6, draw)
--- a/workbench/report/loss_tables.py
+++ b/workbench/report/loss_tables.py
@@ -1,4 +1,4 @@
-"""Tables of lost value on a terminal: by cause and policy, by class, by second of the fault."""
+"""Terminal tables of lost value: by cause and policy, by class, and by second of the fault."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 
 from workbench.report.losses import Breakdown, LossCause, LossSource
 
-MIN_SHOWN_SHARE = 5e-5  # of the requested value: smaller losses are not shown
+# Losses below this share of the requested value are not shown.
+MIN_SHOWN_SHARE = 5e-5
 MAX_CAUSES_PER_SECOND = 3
 SECONDS_BEFORE_FAULT = 3
 SECONDS_AFTER_FAULT = 30
@@ -18,10 +19,10 @@
 def loss_tables(
     by_policy: Mapping[str, Breakdown], classes: Sequence[str], tiers: Sequence[str]
 ) -> list[Table]:
-    """Returns all tables of losses.
+    """Return all tables of losses.
 
     Args:
-        by_policy: Each policy's losses; their seconds count from the first fault.
+        by_policy: Losses of each policy, with seconds counted from the first fault.
         classes: The names of the request classes.
         tiers: The names of the tiers.
     """
@@ -33,7 +34,7 @@
 
 
 def table_without_lines(*headings: str) -> Table:
-    """Returns an empty table without lines; all columns but the first are right-aligned."""
+    """Return an empty table without borders; all columns but the first are right-aligned."""
     table = Table(box=None, pad_edge=False, header_style="bold")
     for index, heading in enumerate(headings):
         table.add_column(heading, justify="right" if index else "left")
@@ -41,18 +42,18 @@
 
 
 def percent(part: float, whole: float) -> str:
-    """Returns a share in per cent, as text."""
+    """Return a share formatted in percent, or "-" if the whole is 0."""
     return f"{100 * part / whole:.2f}" if whole else "-"
 
 
 def source_text(source: LossSource, tiers: Sequence[str]) -> str:
-    """Returns a cause with its tier and, for a denied retry, the failure before it."""
+    """Return the label of a loss source: its cause, its tier and, for a denied retry, the failure before."""
     after = f" after {source.trigger}" if source.trigger is not None else ""
     return f"{source.cause}{after} ({tiers[source.tier]})"
 
 
 def cause_table(by_policy: Mapping[str, Breakdown], tiers: Sequence[str]) -> Table:
-    """Returns the losses by cause and tier, a column for each policy."""
+    """Return the losses by cause and tier, with a column for each policy."""
     table = table_without_lines("lost, % of the worth asked for", *by_policy)
     shares: Counter[LossSource] = Counter()
     for losses in by_policy.values():
@@ -68,7 +69,7 @@
 
 
 def class_table(policy: str, losses: Breakdown, classes: Sequence[str]) -> Table:
-    """Returns one policy's losses by class, as shares of the class's requested value."""
+    """Return one policy's losses by class, as shares of the class's requested value."""
     causes = [cause for cause, _ in losses.by_cause().most_common()]
     table = table_without_lines(f"{policy}: lost, % of the class's worth", "all", *causes)
     for request_class, requested in sorted(losses.requested_by_class.items()):
@@ -79,9 +80,9 @@
 
 
 def second_table(policy: str, losses: Breakdown) -> Table:
-    """Returns one policy's losses by the second in which the requests were due, around the first fault."""
+    """Return one policy's losses around the first fault, by the second in which requests were due."""
     table = table_without_lines(f"{policy}: second of the fault", "lost, % of the second's worth")
-    table.add_column("most of it")
+    table.add_column("largest causes")
     for second in range(-SECONDS_BEFORE_FAULT, SECONDS_AFTER_FAULT):
         requested = losses.requested_by_second[second]
         by_cause = Counter({cause: losses.by_second[second, cause] for cause in LossCause})
@@ -92,6 +93,6 @@
 
 
 def largest_causes(by_cause: Counter[LossCause], requested: float) -> str:
-    """Returns the largest causes of a second's losses with their shares, as text."""
+    """Return a list of the largest causes of a second's losses, with their shares in percent."""
     largest = by_cause.most_common(MAX_CAUSES_PER_SECOND)
     return ", ".join(f"{cause} {percent(value, requested)}" for cause, value in largest if value)
--- a/workbench/report/page.py
+++ b/workbench/report/page.py
@@ -1,4 +1,4 @@
-"""An experiment's report: an HTML page that opens without a network, and its numbers as CSV and JSON."""
+"""Report of an experiment: a self-contained HTML page, and its data as CSV and JSON."""
 
 from __future__ import annotations
 
@@ -17,8 +17,10 @@
 from workbench.files import replace_files
 from workbench.report import figures, series
 
-MAX_RESULTS = 40  # full results of a scenario and variant that go into its curves
-MAX_PROBLEMS = 50  # failed runs and broken rules that are listed
+# Full results read for each scenario and variant.
+MAX_RESULTS = 40
+# Listed runs that failed or broke a rule.
+MAX_PROBLEMS = 50
 COMPARISON_KEYS = ("scenario", "difference", "low", "high", "p", "pairs", "ups", "downs", "verdict")
 COMPARISON_HEADINGS = ("scenario", "difference", "95% interval", "p", "pairs", "up, down", "verdict")
 STYLE = """
@@ -31,22 +33,22 @@
 """
 
 
-def report(store: Store, command: str, against: str = "") -> dict[str, bytes]:
-    """Returns the files of a report by name: `index.html`, `comparisons.csv`, `runs.csv`, `report.json`.
+def build_report(store: Store, command: str, against: str = "") -> dict[str, bytes]:
+    """Return the files of a report by name: `index.html`, `comparisons.csv`, `runs.csv`, `report.json`.
 
     Args:
-        store: Holds the experiment.
-        command: Makes the report again; it is shown on the page.
-        against: The baseline; by default the usual one (`series.compared_axes`).
+        store: The store of the experiment.
+        command: Command that makes the report again; it is shown on the page.
+        against: The baseline variant; by default the one that `series.experiment_dimensions` selects.
 
     Raises:
         StoreError: The store cannot be read.
     """
     rows = store.rows()
-    compared = series.compared_axes(rows, against)
-    baseline, *candidates = compared.variants
+    dimensions = series.experiment_dimensions(rows, against)
+    baseline, *candidates = dimensions.variants
     comparisons = [compare(rows, baseline, candidate) for candidate in candidates]
-    pictures = draw_pictures(store, rows, compared)
+    pictures = draw_pictures(store, rows, dimensions)
     lines = [line for comparison in comparisons for line in comparison_lines(comparison)]
     runs = [run_line(row) for row in rows]
     numbers = {"comparisons": msgspec.to_builtins(comparisons), "runs": runs}
@@ -59,7 +61,7 @@
 
 
 def comparison_lines(comparison: Comparison) -> list[dict[str, Any]]:
-    """Returns the lines of a comparison in the CSV file."""
+    """Return the rows of `comparisons.csv` for one comparison."""
     return [
         {
             "a": comparison.baseline,
@@ -71,7 +73,7 @@
 
 
 def run_line(row: Row) -> dict[str, Any]:
-    """Returns the line of a run in the CSV file."""
+    """Return the row of `runs.csv` for one run."""
     return {
         "scenario": row.scenario,
         "variant": row.variant,
@@ -83,38 +85,40 @@
 
 
 def error_lines(row: Row) -> list[str]:
-    """Returns the last line of a run's error, as a list that is empty where there is none."""
+    """Return a list with the last line of a run's error, empty if the run has no error."""
     return (row.error or "").strip().splitlines()[-1:]
 
 
-def draw_pictures(store: Store, rows: list[Row], compared: series.ComparedAxes) -> list[figures.Picture]:
-    """Returns all pictures of a report, in the order of the page."""
+def draw_pictures(
+    store: Store, rows: list[Row], dimensions: series.ExperimentDimensions
+) -> list[figures.Picture]:
+    """Return all pictures of a report, in the order of the page."""
     pictures = []
     sweep = series.find_sweep(rows)
     if sweep is not None:
         pictures.append(figures.sweep_figure(sweep))
-    pictures.append(figures.goal_figure(series.goals_by_group(rows), compared))
-    pictures += pair_pictures(rows, compared)
+    pictures.append(figures.goal_figure(series.goals_by_group(rows), dimensions))
+    pictures += pair_pictures(rows, dimensions)
     losses = series.mean_loss_shares(rows)
     if losses:
         pictures.append(figures.loss_figure(losses))
-    pictures += scenario_pictures(store, rows, compared.scenarios)
+    pictures += scenario_pictures(store, rows, dimensions.scenarios)
     return pictures
 
 
-def pair_pictures(rows: list[Row], compared: series.ComparedAxes) -> list[figures.Picture]:
-    """Returns a picture of each candidate against the baseline."""
-    baseline, *candidates = compared.variants
+def pair_pictures(rows: list[Row], dimensions: series.ExperimentDimensions) -> list[figures.Picture]:
+    """Return one picture for each candidate, of its paired differences from the baseline."""
+    baseline, *candidates = dimensions.variants
     pictures = []
     for candidate in candidates:
-        differences = series.paired_differences(rows, compared.scenarios, baseline, candidate)
+        differences = series.paired_differences(rows, dimensions.scenarios, baseline, candidate)
         if differences:
             pictures.append(figures.pair_figure(differences, baseline, candidate))
     return pictures
 
 
 def scenario_pictures(store: Store, rows: list[Row], scenarios: list[str]) -> list[figures.Picture]:
-    """Returns the pictures that need full results: latency, and each scenario's course of the day."""
+    """Return the pictures that need full results: latency, and served value and limits by scenario."""
     all_series = [series.scenario_series(store, rows, scenario, MAX_RESULTS) for scenario in scenarios]
     played = [scenario for scenario in all_series if scenario.served]
     if not played:
@@ -129,7 +133,7 @@
 
 
 def csv_table(lines: list[dict[str, Any]]) -> bytes:
-    """Returns lines as CSV, their keys as its header."""
+    """Return lines as CSV, with their keys as the header."""
     text = io.StringIO()
     if lines:
         writer = csv.DictWriter(text, list(lines[0]), lineterminator="\n")
@@ -141,14 +145,14 @@
 def html_page(
     name: str, rows: list[Row], comparisons: list[Comparison], pictures: list[figures.Picture], command: str
 ) -> str:
-    """Returns the whole page.
+    """Return the whole page.
 
     Args:
-        name: The experiment's name, its title.
-        rows: The experiment's runs.
-        comparisons: Each candidate against the baseline.
-        pictures: In the order of the page.
-        command: Makes the page again.
+        name: Name of the experiment, used as the title.
+        rows: Runs of the experiment.
+        comparisons: Comparisons of each candidate with the baseline.
+        pictures: Pictures in the order of the page.
+        command: Command that makes the page again.
     """
     failed = [row for row in rows if row.error is not None]
     broken = [row for row in rows if row.rule_violations]
@@ -156,8 +160,8 @@
         f"<!doctype html><html lang=en><meta charset=utf-8><title>{escape(name)}</title>",
         f"<style>{STYLE}</style>",
         f"<h1>{escape(name)}</h1><p>{len(rows)} runs, {len(failed)} failed; {len(broken)} broke a rule.</p>",
-        f"<p class=how>Made by <code>{escape(command)}</code>; the rule of the verdicts stands in "
-        "docs/experiments.md.</p>",
+        f"<p class=how>Made by <code>{escape(command)}</code>; docs/experiments.md describes the rule for "
+        "verdicts.</p>",
     ]
     parts += [html_comparison(comparison) for comparison in comparisons]
     parts += [html_picture(picture, command) for picture in pictures]
@@ -167,7 +171,7 @@
 
 
 def html_picture(picture: figures.Picture, command: str) -> str:
-    """Returns a picture with its caption; the image is part of the page."""
+    """Return the HTML of a picture and its caption, with the image embedded."""
     caption = escape(picture.caption)
     data = base64.b64encode(picture.png).decode()
     return (
@@ -177,7 +181,7 @@
 
 
 def html_problems(rows: list[Row]) -> list[str]:
-    """Returns the list of failed runs and broken rules, each with the command that plays it again."""
+    """Return the list of runs that failed or broke rules, each with the command that replays it."""
     parts = ["<h2>Failed runs and broken rules</h2><ul>"]
     for row in rows[:MAX_PROBLEMS]:
         problem = (error_lines(row) or [f"{row.rule_violations} broken rules"])[0]
@@ -187,7 +191,7 @@
 
 
 def html_comparison(comparison: Comparison) -> str:
-    """Returns a comparison's heading and table."""
+    """Return the heading and the table of a comparison."""
     heading = f"<h2>{escape(comparison.candidate)} against {escape(comparison.baseline)}</h2>"
     head = "".join(f"<th>{text}" for text in COMPARISON_HEADINGS)
     body = "".join(html_result(result) for result in comparison.results())
@@ -195,7 +199,7 @@
 
 
 def html_result(result: Result) -> str:
-    """Returns a row of a comparison's table."""
+    """Return one row of a comparison's table."""
     return (
         f"<tr><td>{escape(result.scenario)}<td>{result.difference:+.4f}"
         f"<td>{result.low:+.4f} to {result.high:+.4f}"
@@ -204,12 +208,12 @@
     )
 
 
-def write(files: dict[str, bytes], folder: Path) -> None:
-    """Writes a report's files, each complete or not at all.
+def write_report(files: dict[str, bytes], folder: Path) -> None:
+    """Write the files of a report, each completely or not at all.
 
     Args:
-        files: By name.
-        folder: Created if it is missing.
+        files: Contents by file name.
+        folder: Target folder; created if it does not exist.
 
     Raises:
         OSError: A file cannot be written.
--- a/workbench/report/plots.py
+++ b/workbench/report/plots.py
@@ -1,4 +1,4 @@
-"""Plots of one run."""
+"""Plots of one run over the time of the day."""
 
 from __future__ import annotations
 
@@ -11,21 +11,22 @@
 from matplotlib import pyplot
 from matplotlib.axes import Axes
 
-# Distinguishable in print and by most colour-blind readers (Okabe and Ito).
+# Palette of Okabe and Ito: distinguishable in print and by most colour-blind readers.
 COLOURS = ["#0072B2", "#D55E00", "#009E73", "#CC79A7", "#E69F00", "#56B4E9", "#F0E442", "#000000"]
-SHADE = "#bbbbbb"
+FAULT_COLOUR = "#bbbbbb"
 MAX_CAUSES = 6
 MAX_NODES = 4
-MIN_FAULT_WIDTH_S = 0.2  # a shorter fault would not be seen
+# Shorter faults are drawn this wide, so that they are visible.
+MIN_FAULT_WIDTH_S = 0.2
 
 
 def plot_run(result: dict[str, Any], stats: list[dict[str, Any]], path: Path) -> None:
-    """Draws a run: value by second with the faults shaded, causes of loss, latency, and the nodes' limits.
+    """Draw a run by second: value, causes of loss, latency and concurrency limits, with faults shaded.
 
     Args:
-        result: The run's result.
-        stats: The front nodes' statistics; empty where there are none, and then no limits are drawn.
-        path: The image, by its suffix.
+        result: Result of the run.
+        stats: Statistics of the front nodes; if empty, no limits are drawn.
+        path: Image file; its suffix selects the format.
     """
     seconds = result["seconds"]
     panels = 4 if stats else 3
@@ -49,27 +50,27 @@
 
 
 def plot_title(result: dict[str, Any]) -> str:
-    """Returns a run's title, with its goal, policy and seed."""
+    """Return the title of a run, with its goal, policy and seed."""
     made = result["made"]
     title = result["day"]["title"] or "a day"
     return f"{title}: goal {result['goal']:.3f} (policy {made['policy']}, seed {made['seed']})"
 
 
 def shade_faults(axes: Axes, faults: list[dict[str, Any]]) -> None:
-    """Shades and names the time of each fault."""
+    """Shade the time of each fault and label it with the fault's type."""
     for fault in faults:
         start = fault["at_s"]
         end = start + max(MIN_FAULT_WIDTH_S, fault["for_s"])
-        axes.axvspan(start, end, color=SHADE, alpha=0.3, lw=0)
+        axes.axvspan(start, end, color=FAULT_COLOUR, alpha=0.3, lw=0)
         label = " " + fault["type"].replace("_", " ")
         axes.text(start, 1.0, label, transform=axes.get_xaxis_transform(), fontsize=7, va="top")
 
 
 def value_panel(axes: Axes, times: list[float], seconds: list[dict[str, Any]]) -> None:
-    """Draws the requested and the served value of each second."""
+    """Draw the requested and the served value of each second."""
     requested = [second["worth"] for second in seconds]
     served = [second["served_worth"] for second in seconds]
-    axes.step(times, requested, where="post", color=COLOURS[7], lw=1, label="asked for")
+    axes.step(times, requested, where="post", color=COLOURS[7], lw=1, label="requested")
     axes.fill_between(times, served, step="post", color=COLOURS[0], alpha=0.5, label="served in time")
     axes.set_ylabel("worth a second")
     axes.set_ylim(bottom=0)
@@ -77,7 +78,7 @@
 
 
 def loss_panel(axes: Axes, times: list[float], result: dict[str, Any]) -> None:
-    """Draws the lost value of each second, stacked by the day's largest causes."""
+    """Draw the lost value of each second, stacked by the day's largest causes."""
     tiers = [tier["name"] for tier in result["day"]["tier"]]
     largest = result["account"]["lost"][:MAX_CAUSES]
     lower = [0.0] * len(times)
@@ -95,7 +96,7 @@
 
 
 def lost_value(second: dict[str, Any], cause: str, tier: int) -> float:
-    """Returns the value that one second lost to a cause in a tier."""
+    """Return the value lost in one second to a cause in a tier."""
     values: list[float] = [
         loss["worth"] for loss in second["lost"] if loss["cause"] == cause and loss["tier"] == tier
     ]
@@ -103,19 +104,19 @@
 
 
 def latency_panel(axes: Axes, times: list[float], seconds: list[dict[str, Any]], day: dict[str, Any]) -> None:
-    """Draws the latency of served requests, and the strictest latency objective."""
+    """Draw the p50 and p99 latency of served requests, and the strictest latency objective."""
     for key, colour in (("p50_ms", COLOURS[0]), ("p99_ms", COLOURS[1])):
         latencies = [second[key] or float("nan") for second in seconds]
         axes.step(times, latencies, where="post", color=colour, lw=1, label=key.removesuffix("_ms"))
     objective_ms = min(request_class["aim_s"] for request_class in day["class"]) * 1000
-    axes.axhline(objective_ms, color=COLOURS[7], lw=0.8, ls="--", label="least aim")
+    axes.axhline(objective_ms, color=COLOURS[7], lw=0.8, ls="--", label="strictest latency objective")
     axes.set_yscale("log")
     axes.set_ylabel("latency, served, ms")
     axes.legend(loc="lower right", fontsize=8)
 
 
 def limit_panel(axes: Axes, stats: list[dict[str, Any]]) -> None:
-    """Draws the concurrency limit and the calls in flight of the first nodes."""
+    """Draw the concurrency limit and the calls in flight of the first nodes."""
     nodes = sorted({sample["node"] for sample in stats})[:MAX_NODES]
     for node in nodes:
         samples = [sample for sample in stats if sample["node"] == node]
