--- a/workbench/report/series.py
+++ b/workbench/report/series.py
@@ -1,4 +1,4 @@
-"""Numbers of an experiment's report, read from a store before anything is drawn."""
+"""Data series of an experiment's report, computed from a store."""
 
 from __future__ import annotations
 
@@ -12,14 +12,16 @@
 from workbench.experiment.store import Row, Store
 
 Array = np.ndarray[Any, Any]
-MAX_CAUSES = 6  # shown one by one
+# Largest causes of loss that are shown separately; the others are summed as `OTHER_CAUSES`.
+MAX_CAUSES = 6
 OTHER_CAUSES = "other"
 MIN_SWEEP_POINTS = 3
-USUAL_BASELINES = ("baseline", "before", "today")  # by preference
+# Names of variants that are used as the baseline by default, in order of preference.
+DEFAULT_BASELINES = ("baseline", "before", "today")
 
 
 class RunGroup(NamedTuple):
-    """The runs of one scenario by one variant."""
+    """Key of the runs of one scenario and variant."""
 
     scenario: str
     variant: str
@@ -30,12 +32,12 @@
 
 
 @dataclass(frozen=True)
-class ComparedAxes:
-    """What an experiment compares.
+class ExperimentDimensions:
+    """Scenarios and variants of an experiment.
 
     Attributes:
-        scenarios: In alphabetical order.
-        variants: The baseline first, the others in alphabetical order.
+        scenarios: Scenarios in alphabetical order.
+        variants: The baseline, then the other variants in alphabetical order.
     """
 
     scenarios: list[str]
@@ -48,7 +50,7 @@
 
     Attributes:
         key: The key that differs between the scenarios.
-        goals: By variant (and scenario, where there are several), then by the key's value.
+        goals: Goals by variant (and scenario, if there are several), then by the key's value.
     """
 
     key: str
@@ -57,14 +59,14 @@
 
 @dataclass
 class ScenarioSeries:
-    """Figures of one scenario, means over its seeds.
+    """Data series of one scenario, averaged over its seeds.
 
     Attributes:
-        scenario: Its name.
-        served: By variant, the share of the requested value that was served, by second of the day.
-        latency: By variant, percentiles of latency in milliseconds.
-        faults: The faults of one run.
-        stats: The front nodes' statistics of one run; empty where there are none.
+        scenario: Name of the scenario.
+        served: Served share of the requested value by second of the day, for each variant.
+        latency: Percentiles of latency in milliseconds, for each variant.
+        faults: Faults of one run.
+        stats: Front nodes' statistics of one run; empty if there are none.
     """
 
     scenario: str
@@ -74,25 +76,26 @@
     stats: list[dict[str, Any]] = field(default_factory=list)
 
 
-def compared_axes(rows: list[Row], baseline: str = "") -> ComparedAxes:
-    """Returns the scenarios and variants of an experiment.
+def experiment_dimensions(rows: list[Row], baseline: str = "") -> ExperimentDimensions:
+    """Return the scenarios and variants of an experiment.
 
     Args:
-        rows: The experiment's runs.
-        baseline: The variant that comes first; if it is not there, the first of `USUAL_BASELINES` that is.
+        rows: Runs of the experiment.
+        baseline: Name of the baseline; if there is no such variant, the first one of `DEFAULT_BASELINES`
+            that exists is used.
     """
     scenarios = sorted({row.scenario for row in rows})
     variants = sorted({row.variant for row in rows})
-    for name in (baseline, *USUAL_BASELINES):
+    for name in (baseline, *DEFAULT_BASELINES):
         if name in variants:
             variants.remove(name)
             variants.insert(0, name)
             break
-    return ComparedAxes(scenarios, variants)
+    return ExperimentDimensions(scenarios, variants)
 
 
 def goals_by_group(rows: list[Row]) -> Goals:
-    """Returns the goals of each scenario and variant, in order of seed."""
+    """Return the goals of each scenario and variant, in order of seed."""
     goals: dict[RunGroup, list[float]] = defaultdict(list)
     for row in sorted(rows, key=lambda row: row.seed):
         if row.goal is not None:
@@ -103,7 +106,7 @@
 def paired_differences(
     rows: list[Row], scenarios: list[str], baseline: str, candidate: str
 ) -> dict[str, Array]:
-    """Returns the candidate's goals less the baseline's, by scenario, over the seeds that both have."""
+    """Return the candidate's goals minus the baseline's by scenario, for the seeds that both have run."""
     by_seed = {(row.scenario, row.variant, row.seed): row.goal for row in rows if row.goal is not None}
     differences: dict[str, Array] = {}
     for scenario in scenarios:
@@ -117,7 +120,7 @@
 
 
 def mean_loss_shares(rows: list[Row]) -> LossShares:
-    """Returns the mean share of the requested value that each cause and tier took, small causes together."""
+    """Return the mean lost share of the requested value by cause and tier; small causes are combined."""
     sums: dict[RunGroup, dict[str, float]] = defaultdict(lambda: defaultdict(float))
     runs: dict[RunGroup, int] = defaultdict(int)
     totals: dict[str, float] = defaultdict(float)
@@ -135,7 +138,7 @@
 
 
 def mean_shares(sums: Mapping[str, float], runs: int, largest: set[str]) -> dict[str, float]:
-    """Returns each cause's mean over the runs; those that are not among the largest count together."""
+    """Return the mean share of each of the largest causes, and of all others combined."""
     shares: dict[str, float] = defaultdict(float)
     for label, share in sums.items():
         shares[label if label in largest else OTHER_CAUSES] += share / runs
@@ -143,13 +146,13 @@
 
 
 def scenario_series(store: Store, rows: list[Row], scenario: str, max_results: int) -> ScenarioSeries:
-    """Returns the figures of one scenario from the full results of its runs.
+    """Return the data series of one scenario from the full results of its runs.
 
     Args:
-        store: Holds the results.
-        rows: The experiment's runs.
-        scenario: The scenario's name.
-        max_results: How many results of each variant are read.
+        store: The store of the results.
+        rows: Runs of the experiment.
+        scenario: Name of the scenario.
+        max_results: Maximum number of results to read for each variant.
     """
     by_variant: dict[str, list[dict[str, Any]]] = defaultdict(list)
     for row in rows:
@@ -168,13 +171,13 @@
 
 
 def mean_latency(results: list[dict[str, Any]]) -> dict[str, float]:
-    """Returns the mean over the results of each percentile of latency, in milliseconds."""
+    """Return each percentile of latency in milliseconds, averaged over the results."""
     latencies = [result["account"]["latency_ms"] for result in results]
     return {key: float(np.mean([latency.get(key, np.nan) for latency in latencies])) for key in latencies[0]}
 
 
 def mean_served_share(results: list[dict[str, Any]]) -> Array:
-    """Returns the share of the requested value that was served, by second, over all results."""
+    """Return the served share of the requested value by second of the day, over all results."""
     length = max(len(result["seconds"]) for result in results)
     served, requested = np.zeros(length), np.zeros(length)
     for result in results:
@@ -186,7 +189,7 @@
 
 
 def find_sweep(rows: list[Row]) -> Sweep | None:
-    """Returns the goals over one numeric key, where the scenarios differ in that key alone."""
+    """Return the goals over a numeric key if the scenarios differ only in that key, otherwise None."""
     goals: dict[str, dict[float, list[float]]] = defaultdict(lambda: defaultdict(list))
     keys = set()
     sources = {row.task.source for row in rows}
@@ -200,7 +203,7 @@
     if len(keys) != 1 or len(next(iter(goals.values()))) < MIN_SWEEP_POINTS:
         return None
     arrays = {
-        label: {value: np.array(found) for value, found in sorted(by_value.items())}
+        label: {value: np.array(values) for value, values in sorted(by_value.items())}
         for label, by_value in goals.items()
     }
     return Sweep(keys.pop(), arrays)
@@ -214,7 +217,10 @@
 
 
 def sweep_point(row: Row) -> SweepPoint | None:
-    """Returns the point that a scenario's name ends in, as in `quiet[nodes.count=2]`, if it has one."""
+    """Parse the grid value at the end of a scenario's name, as in `quiet[nodes.count=2]`.
+
+    Returns None unless the name ends with exactly one key and a numeric value.
+    """
     point = row.scenario.removeprefix(row.task.source)
     if not point.startswith("[") or "," in point:
         return None
--- a/workbench/report/tables.py
+++ b/workbench/report/tables.py
@@ -1,4 +1,4 @@
-"""Tables of one run on a terminal: by time, the account, losses, rules and speed."""
+"""Terminal report of one run: figures by time, the account, losses, rules and speed."""
 
 from __future__ import annotations
 
@@ -13,36 +13,36 @@
 MIN_SHOWN_PRICE = 5e-5
 
 
-def run_report(result: dict[str, Any], broken: list[str], profile: bool = False) -> Group:
-    """Returns the whole report of a run.
+def run_report(result: dict[str, Any], violation_lines: list[str], profile: bool = False) -> Group:
+    """Return the complete report of a run.
 
     Args:
-        result: The run's result.
-        broken: A line for each violation of a rule.
-        profile: Whether the shares of processor time are shown.
+        result: Result of the run.
+        violation_lines: One line for each violation of a rule.
+        profile: Whether to show the shares of processor time.
     """
     parts: list[RenderableType] = [
         time_table(result),
         account_table(result),
         loss_table(result),
-        rules_text(result, broken),
+        rules_text(result, violation_lines),
         speed_text(result["speed"], profile),
     ]
     return Group(*parts)
 
 
 def cause_text(loss: dict[str, Any], tiers: list[str]) -> str:
-    """Returns the cause of a loss with the name of its tier."""
+    """Return the label of a loss: its cause and the name of its tier."""
     return f"{loss['cause']} ({tiers[loss['tier']]})"
 
 
 def tier_names(result: dict[str, Any]) -> list[str]:
-    """Returns the names of the run's tiers, the first tier first."""
+    """Return the names of the run's tiers in order, beginning with the first one."""
     return [str(tier["name"]) for tier in result["day"]["tier"]]
 
 
 def time_table(result: dict[str, Any]) -> Table:
-    """Returns the run's figures by time."""
+    """Return the table of requests, served value, attempts, latency and losses by period of the day."""
     tiers = tier_names(result)
     table = Table(box=None, pad_edge=False, header_style="bold")
     for heading in ("from s", "requests", "served %", "worth %", "tries", "attempts", "p50 ms", "p99 ms"):
@@ -54,7 +54,7 @@
 
 
 def time_cells(row: dict[str, Any], tiers: list[str]) -> list[str]:
-    """Returns the cells of one period of the run."""
+    """Return the cells of one period of the day."""
     requests = max(1, row["asked"])
     value = row["worth"] or 1
     losses = sorted(row["lost"], key=lambda loss: -loss["worth"])[:MAX_CAUSES_PER_ROW]
@@ -73,14 +73,14 @@
 
 
 def account_table(result: dict[str, Any]) -> Table:
-    """Returns the run's account: its goal and what contributes to it."""
+    """Return the run's account: its goal and the figures that contribute to it."""
     account = result["account"]
     classes = [f"{name} {share:.3f}" for name, share in account["classes"].items()]
     prices = [f"{name} {price:.4f}" for name, price in account["prices"].items() if price >= MIN_SHOWN_PRICE]
     per_tier = zip(tier_names(result), account["attempts_a_call"], strict=True)
     attempts = [f"{tier} {count:.2f}" for tier, count in per_tier]
     latencies = [f"{name} {latency:.0f} ms" for name, latency in account["latency_ms"].items()]
-    table = table_of_pairs()
+    table = two_column_table()
     table.add_row("", "")
     table.add_row("goal", f"{result['goal']:.3f}")
     table.add_row(
@@ -94,8 +94,8 @@
     return table
 
 
-def table_of_pairs() -> Table:
-    """Returns an empty table of names and values, without lines and headings."""
+def two_column_table() -> Table:
+    """Return an empty table of names and values, without borders and headings."""
     table = Table(box=None, pad_edge=False, show_header=False)
     table.add_column()
     table.add_column()
@@ -103,27 +103,27 @@
 
 
 def loss_table(result: dict[str, Any]) -> Table:
-    """Returns the largest causes of lost value."""
+    """Return the largest causes of lost value."""
     tiers = tier_names(result)
     losses = result["account"]["lost"][:MAX_CAUSES]
     lines = [f"{100 * loss['share']:5.2f} %  {cause_text(loss, tiers)}" for loss in losses]
-    table = table_of_pairs()
+    table = two_column_table()
     table.add_row("worth lost     ", "\n".join(lines) or "nothing")
     return table
 
 
-def rules_text(result: dict[str, Any], broken: list[str]) -> Text:
-    """Returns how often each rule was broken, with a line for each violation."""
+def rules_text(result: dict[str, Any], violation_lines: list[str]) -> Text:
+    """Return the number of violations of each broken rule, and a line for each violation."""
     violations = [f"{rule} {count}" for rule, count in result["rules"].items() if count]
     if not violations:
         return Text("rules            all kept")
     lines = [f"rules            BROKEN: {', '.join(violations)}"]
-    lines += [f"  {line}" for line in broken]
+    lines += [f"  {line}" for line in violation_lines]
     return Text("\n".join(lines))
 
 
 def speed_text(speed: dict[str, Any], profile: bool) -> Text:
-    """Returns the run's cost; with `profile`, also the shares of the balancer and of the model."""
+    """Return the processor time and memory of the run and, with `profile`, the shares of module and model."""
     cpu_us_per_call = speed["cpu_us_a_call"]
     text = f"speed            {speed['calls']} calls, {speed['cpu_s']:.1f} s, {cpu_us_per_call:.0f} us a call"
     text += f", {speed['peak_mb']:.0f} MB"
