--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -20,11 +20,11 @@
 from workbench.experiment.statistics import bootstrap_interval, holm_correction, sign_flip_p_value
 from workbench.experiment.store import MIGRATIONS, Row, Store, StoreError
 
-TINY = {"length_s": 2, "servers": 2}
-TABLE = {
+SMALL_DAY = {"length_s": 2, "servers": 2}
+PLAN_TABLE = {
     "scenarios": ["quiet"],
     "seeds": 3,
-    "set": TINY,
+    "set": SMALL_DAY,
     "variant": [{"name": "a"}, {"name": "b", "policy": "random"}],
 }
 
@@ -36,7 +36,7 @@
         ({"scenarios": ["nope"]}, "nope: no such file"),
         ({"seeds": 0}, "seeds: 0: must be at least 1"),
         ({"sedes": 1}, "sedes: unknown key: nearest is seeds"),
-        ({"variant": [{"name": "a"}, {"name": "a"}]}, "variant[1].name: 'a': must be another"),
+        ({"variant": [{"name": "a"}, {"name": "a"}]}, "variant[1].name: 'a': must be unique"),
         ({"variant": [{"name": "a", "policy": "best"}]}, "variant[0].policy: 'best': must be one of"),
         ({"variant": [{"name": "a", "constants": {"CUT": 4}}]}, "variant[0]: policy.CUT: no such constant"),
         ({"variant": [{"name": "a", "revision": "nowhere"}]}, "variant[0]: git:nowhere: no such revision"),
@@ -48,12 +48,12 @@
 )  # fmt: skip
 def test_parse_plan_names_the_invalid_key(change, line):
     with pytest.raises(PlanError) as e:
-        parse_plan({**TABLE, **change})
+        parse_plan({**PLAN_TABLE, **change})
     assert str(e.value).startswith(f"plan: {line}")
 
 
 def test_list_tasks_expands_the_grid_in_order_of_seed():
-    plan = parse_plan({**TABLE, "grid": {"nodes.count": [1, 2], "load.shape": ["steady"]}})
+    plan = parse_plan({**PLAN_TABLE, "grid": {"nodes.count": [1, 2], "load.shape": ["steady"]}})
     tasks = list_tasks(plan)
     assert len(tasks) == 2 * 2 * 3 and [t.seed for t in tasks] == sorted(t.seed for t in tasks)
     assert {t.scenario for t in tasks} == {f"quiet[nodes.count={n},load.shape=steady]" for n in (1, 2)}
@@ -66,7 +66,7 @@
     policy_of("", (("ATTEMPT_TIMEOUT_FACTOR", 4.0),))
     assert imported_module.ATTEMPT_TIMEOUT_FACTOR == 8
     (task,) = list_tasks(
-        parse_plan({**TABLE, "seeds": 1, "variant": [{"name": "a", "revision": "git:5fc5af5"}]})
+        parse_plan({**PLAN_TABLE, "seeds": 1, "variant": [{"name": "a", "revision": "git:5fc5af5"}]})
     )
     result, error = run_task(task)
     assert error is None and result["made"]["module"].startswith("5fc5af5")
@@ -77,7 +77,7 @@
 
 def rows(goals_a, goals_b, scenario="s", rule_violations=0):
     """Return runs of the variants a and b with these goals, one for each seed."""
-    task = list_tasks(parse_plan(TABLE))[0]
+    task = list_tasks(parse_plan(PLAN_TABLE))[0]
     result = []
     for variant, goals in (("a", goals_a), ("b", goals_b)):
         for seed, goal in enumerate(goals):
@@ -119,7 +119,7 @@
     assert compare(both, "a", "b").overall.difference == pytest.approx(0.05)
 
 
-def count(path):
+def count_runs(path):
     """Return the number of stored runs and the number of distinct ones."""
     with sqlite3.connect(path) as db:
         return db.execute(
@@ -136,7 +136,7 @@
 """
 
 
-def start(tmp_path):
+def start_experiment(tmp_path):
     """Start an experiment of 12 runs in a separate process."""
     (tmp_path / "p.toml").write_text(PLAN_TEXT)
     args = [sys.executable, "-m", "workbench", "experiment", "run", str(tmp_path / "p.toml")]
@@ -146,18 +146,18 @@
 
 def test_killed_run_leaves_no_workers_and_is_resumed(tmp_path):
     path = tmp_path / "p.sqlite"
-    first = start(tmp_path)
+    first = start_experiment(tmp_path)
     while not path.exists() or not has_rows(path):
         assert first.poll() is None, first.communicate()
     os.kill(first.pid, signal.SIGKILL)
     # This returns when every worker has closed its inherited output, so no worker is left running.
     first.communicate(timeout=60)
-    kept, _ = count(path)
-    second = start(tmp_path)
+    kept, _ = count_runs(path)
+    second = start_experiment(tmp_path)
     out, err = second.communicate(timeout=120)
     assert second.returncode == 0, err
     assert 0 < kept < 12 and f"{12 - kept} runs made, 0 failed, {kept} kept" in out
-    assert count(path) == (12, 12)
+    assert count_runs(path) == (12, 12)
 
 
 def test_worker_exits_when_its_parent_died_before_startup():
@@ -175,17 +175,17 @@
 
 def has_rows(path):
     try:
-        return count(path)[0] > 0
+        return count_runs(path)[0] > 0
     except sqlite3.Error:
         # The table does not exist yet, or is being created.
         return False
 
 
 def test_two_concurrent_runs_share_one_store(tmp_path):
-    processes = [start(tmp_path), start(tmp_path)]
+    processes = [start_experiment(tmp_path), start_experiment(tmp_path)]
     outputs = [p.communicate(timeout=120) for p in processes]
     assert [p.returncode for p in processes] == [0, 0], outputs
-    assert count(tmp_path / "p.sqlite") == (12, 12)
+    assert count_runs(tmp_path / "p.sqlite") == (12, 12)
 
 
 def test_failed_run_is_stored_and_retried(tmp_path, monkeypatch):
@@ -211,7 +211,7 @@
 
     monkeypatch.setattr(runner, "ProcessPoolExecutor", InlineExecutor)
     store = Store(tmp_path / "s.sqlite")
-    plan = parse_plan(TABLE)
+    plan = parse_plan(PLAN_TABLE)
     first = run_plan(plan, store, 1)
     assert (first.completed, first.failed) == (6, 2)
     failed = [r for r in store.rows() if r.error]
@@ -237,7 +237,7 @@
 
 def test_full_disk_raises_one_line_and_keeps_stored_runs(tmp_path):
     store = Store(tmp_path / "s.sqlite")
-    first, second = list_tasks(parse_plan(TABLE))[:2]
+    first, second = list_tasks(parse_plan(PLAN_TABLE))[:2]
     result, _ = run_task(first)
     store.put(first, result)
     # SQLite then reports that the database is full, as on a full disk.
@@ -271,7 +271,7 @@
     from workbench.report.page import build_report, write_report
 
     store = Store(tmp_path / "s.sqlite")
-    plan = parse_plan({**TABLE, "seeds": 2, "grid": {"nodes.count": [1, 2, 3]}})
+    plan = parse_plan({**PLAN_TABLE, "seeds": 2, "grid": {"nodes.count": [1, 2, 3]}})
     for task in list_tasks(plan):
         store.put(task, *run_task(task))
     write_report(build_report(store, "workbench experiment report <s>"), tmp_path / "out")
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -22,7 +22,7 @@
     LossCause,
     LossMismatchError,
     LossSource,
-    breakdown,
+    attribute_losses,
 )
 from workbench.scenario.load import draw, load
 from workbench.scenario.model import Scenario
@@ -86,7 +86,7 @@
 RESET, ERROR, TIMEOUT = Outcome.RESET, Outcome.ERROR, Outcome.TIMEOUT
 
 
-def dying_node() -> CallTrace:
+def call_of_dying_node() -> CallTrace:
     """Return the trace of a call whose node dies during the attempt."""
     trace = call(0, 500, Answer.FAILED, attempt(2, 500, RESET))
     trace.node_died = True
@@ -94,7 +94,7 @@
 
 
 FOUR_CONNECTS = [attempt(150 * n, 150 * (n + 1), CONNECT) for n in range(4)]
-ENDED: dict[str, tuple[RequestTrace, LossSource]] = {
+EARLY_FAILURES: dict[str, tuple[RequestTrace, LossSource]] = {
     "no connection established in any attempt": (
         request(600, call(0, 600, Answer.REFUSED, *FOUR_CONNECTS)),
         LossSource(LossCause.CONNECT, 0),
@@ -138,15 +138,15 @@
         ),
         LossSource(LossCause.NODE_LIMIT, 1),
     ),
-    "a node that died": (request(500, dying_node()), LossSource(LossCause.NODE_DOWN, 0)),
+    "a node that died": (request(500, call_of_dying_node()), LossSource(LossCause.NODE_DOWN, 0)),
     "no node": (request(5, call(0, 1, Answer.UNREACHABLE)), LossSource(LossCause.NODE_DOWN, 0)),
 }
 
 
-@pytest.mark.parametrize("name", ENDED)
+@pytest.mark.parametrize("name", EARLY_FAILURES)
 def test_early_failure_is_attributed_to_the_final_outcome(name: str) -> None:
     """A rejection or a denied retry is the cause even if something else took more of the time."""
-    trace, expected = ENDED[name]
+    trace, expected = EARLY_FAILURES[name]
     assert attribute(trace) == expected
 
 
@@ -156,7 +156,7 @@
     assert attribute(trace) == LossSource(LossCause.CLIENT_LEFT, 0)
 
 
-LATE: dict[str, tuple[RequestTrace, LossSource]] = {
+LATE_REQUESTS: dict[str, tuple[RequestTrace, LossSource]] = {
     "a silent server for most of the time": (
         request(6000, call(0, 0, None, attempt(2, 3000, TIMEOUT, silent=True))),
         LossSource(LossCause.SILENT, 0),
@@ -259,10 +259,10 @@
 }
 
 
-@pytest.mark.parametrize("name", LATE)
+@pytest.mark.parametrize("name", LATE_REQUESTS)
 def test_late_request_is_attributed_to_its_longest_delay(name: str) -> None:
     """A late request is attributed to a slow server only if that took the largest part of its time."""
-    trace, expected = LATE[name]
+    trace, expected = LATE_REQUESTS[name]
     assert attribute(trace) == expected
 
 
@@ -283,25 +283,25 @@
     return log
 
 
-def test_breakdown_raises_when_causes_do_not_sum_to_the_loss() -> None:
+def test_attribution_raises_if_causes_do_not_sum_to_the_loss() -> None:
     """The sum is checked, so tables neither omit a loss nor count it twice."""
-    trace, expected = ENDED["no node"]
-    losses = breakdown(log_of(trace), RULES, lost_share=1.0)
+    trace, expected = EARLY_FAILURES["no node"]
+    losses = attribute_losses(log_of(trace), RULES, lost_share=1.0)
     assert losses.by_source == {expected: 1.0}
     with pytest.raises(LossMismatchError):
-        breakdown(log_of(trace), RULES, lost_share=0.5)
+        attribute_losses(log_of(trace), RULES, lost_share=0.5)
     with pytest.raises(LossMismatchError):
-        breakdown(log_of(trace), RULES, lost_share=0.5, all_ended=False)
+        attribute_losses(log_of(trace), RULES, lost_share=0.5, all_ended=False)
 
 
 def test_requests_still_running_at_the_end_are_unfinished() -> None:
-    trace, expected = ENDED["no node"]
+    trace, expected = EARLY_FAILURES["no node"]
     log = log_of(trace)
     log.begin_request(RequestTrace(1, SAFE, 0, LATENCY_OBJECTIVE_US), 1.0)
-    losses = breakdown(log, RULES, lost_share=1.0, all_ended=False)
+    losses = attribute_losses(log, RULES, lost_share=1.0, all_ended=False)
     assert losses.by_source == {expected: 1.0, LossSource(LossCause.UNFINISHED, 0): 1.0}
     with pytest.raises(LossMismatchError):
-        breakdown(log, RULES, lost_share=1.0)
+        attribute_losses(log, RULES, lost_share=1.0)
 
 
 def test_breakdown_add_aligns_days_by_their_fault() -> None:
@@ -327,7 +327,7 @@
     "killed nodes": short_day("restart", "fault[0].at_s=3", "fault[0].kill=true"),
     "clients leave": short_day("overload", "clients.leave_early=0.1"),
 }
-EXPECTED = {
+EXPECTED_CAUSES = {
     "cut": LossCause.SILENT,
     "zone lost": LossCause.RESET,
     "silent": LossCause.SILENT,
@@ -338,10 +338,10 @@
 
 @pytest.mark.parametrize("name", DAYS)
 def test_causes_of_a_day_sum_to_its_loss(name: str) -> None:
-    """`breakdown` raises if the causes do not sum to the loss; the fault's own cause is among them."""
+    """`attribute_losses` raises if the causes do not sum to the loss; the fault's own cause is among them."""
     (day,) = play_and_attribute_all([LossTask(DAYS[name], "random")], workers=1)
     assert day.losses.lost > 0
-    assert day.losses.by_cause()[EXPECTED[name]] > 0
+    assert day.losses.by_cause()[EXPECTED_CAUSES[name]] > 0
     assert sum(day.losses.by_class.values()) == pytest.approx(day.losses.lost)
     assert sum(day.losses.by_second.values()) == pytest.approx(day.losses.lost)
 
--- a/tests/test_report_disk_faults.py
+++ b/tests/test_report_disk_faults.py
@@ -22,7 +22,9 @@
 REPORT = {"index.html": b"new page", "runs.csv": b"new runs", "report.json": b"new numbers"}
 
 
-def fail_at(patch: pytest.MonkeyPatch, owner: Any, name: str, error: int, successful_calls: int) -> None:
+def fail_later_calls(
+    patch: pytest.MonkeyPatch, owner: Any, name: str, error: int, successful_calls: int
+) -> None:
     """Patch a function so that every call after the first `successful_calls` ones raises the error."""
     real = getattr(owner, name)
     calls: list[object] = []
@@ -45,7 +47,7 @@
     old = dict.fromkeys(REPORT, b"old")
     write_report(old, tmp_path)
     with monkeypatch.context() as patch:
-        fail_at(patch, owner, name, error, place)
+        fail_later_calls(patch, owner, name, error, place)
         with pytest.raises(OSError, match=os.strerror(error)):
             write_report(REPORT, tmp_path)
     contents = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
@@ -68,7 +70,7 @@
 
     (target := tmp_path / "figures.json").write_bytes(b"old")
     with monkeypatch.context() as patch:
-        fail_at(patch, owner, name, error, 0)
+        fail_later_calls(patch, owner, name, error, 0)
         with pytest.raises(InputError) as e:
             write_atomically(target, replace)
     assert str(e.value) == f"{target}: cannot be written: {os.strerror(error)}"
@@ -125,6 +127,6 @@
 ) -> None:
     keep = tmp_path / "kept"
     monkeypatch.setattr(lab_run, "History", lambda path: History(Path("/dev/full")))
-    words = ["lab", "run", "calm", "--nodes", "1", "--keep", str(keep)]
+    arguments = ["lab", "run", "calm", "--nodes", "1", "--keep", str(keep)]
     with pytest.raises(InputError, match="^/dev/full: cannot be written: No space left on device$"):
-        cli.main(words, standalone_mode=False)
+        cli.main(arguments, standalone_mode=False)
--- a/tests/test_report_series.py
+++ b/tests/test_report_series.py
@@ -16,23 +16,23 @@
     find_sweep,
     mean_loss_shares,
     paired_differences,
-    sweep_point,
+    parse_sweep_point,
 )
 
 VARIANTS = [{"name": "a"}, {"name": "b", "policy": "random"}]
 
 
-def goal(variant: str, seed: int) -> float:
+def expected_goal(variant: str, seed: int) -> float:
     return seed + (0.1 if variant == "b" else 0.0)
 
 
-def row_of(task: Task) -> Row:
+def make_row(task: Task) -> Row:
     return Row(
         scenario=task.scenario,
         variant=task.variant,
         seed=task.seed,
         digest="",
-        goal=goal(task.variant, task.seed),
+        goal=expected_goal(task.variant, task.seed),
         rule_violations=0,
         losses=[],
         error=None,
@@ -40,10 +40,10 @@
     )
 
 
-def rows_of(grid: dict[str, list[object]], seeds: int = 2) -> list[Row]:
+def make_rows(grid: dict[str, list[object]], seeds: int = 2) -> list[Row]:
     """Return rows of a plan without running it: the goal is the seed, plus 0.1 for the variant b."""
     plan = parse_plan({"scenarios": ["quiet"], "seeds": seeds, "variant": VARIANTS, "grid": grid})
-    return [row_of(task) for task in list_tasks(plan)]
+    return [make_row(task) for task in list_tasks(plan)]
 
 
 @pytest.mark.parametrize(
@@ -59,13 +59,13 @@
 def test_experiment_dimensions_put_the_baseline_first(
     variants: list[str], chosen: str, ordered: list[str]
 ) -> None:
-    task = rows_of({})[0].task
-    rows = [msgspec.structs.replace(row_of(task), variant=variant) for variant in variants]
+    task = make_rows({})[0].task
+    rows = [msgspec.structs.replace(make_row(task), variant=variant) for variant in variants]
     assert experiment_dimensions(rows, chosen) == ExperimentDimensions(["quiet"], ordered)
 
 
 def test_paired_differences_use_seeds_of_both_variants() -> None:
-    rows = rows_of({}, seeds=4)
+    rows = make_rows({}, seeds=4)
     unpaired = [row for row in rows if (row.variant, row.seed) not in {("a", 2), ("b", 3)}]
     differences = paired_differences(unpaired, ["quiet"], "a", "b")
     assert differences["quiet"] == pytest.approx([0.1] * 2)
@@ -73,7 +73,7 @@
 
 
 def test_mean_loss_shares_combine_small_causes() -> None:
-    rows = rows_of({})
+    rows = make_rows({})
     first = next(row for row in rows if row.variant == "a")
     first.losses = [Loss(f"cause {index}", 0, 0.1 * index) for index in range(1, 9)]
     shares = mean_loss_shares(rows)
@@ -83,14 +83,14 @@
 
 
 def test_find_sweep_accepts_three_values_of_one_numeric_key() -> None:
-    sweep = find_sweep(rows_of({"nodes.count": [4, 1, 2]}))
+    sweep = find_sweep(make_rows({"nodes.count": [4, 1, 2]}))
     assert sweep is not None
     assert sweep.key == "nodes.count"
     assert {variant: list(goals) for variant, goals in sweep.goals.items()} == {
         "a": [1.0, 2.0, 4.0],
         "b": [1.0, 2.0, 4.0],
     }
-    assert sweep.goals["b"][4.0] == pytest.approx([goal("b", 1), goal("b", 2)])
+    assert sweep.goals["b"][4.0] == pytest.approx([expected_goal("b", 1), expected_goal("b", 2)])
 
 
 @pytest.mark.parametrize(
@@ -99,11 +99,11 @@
     ids=["no key", "two values", "two keys", "text values"],
 )
 def test_find_sweep_rejects_other_grids(grid: dict[str, list[object]]) -> None:
-    assert find_sweep(rows_of(grid)) is None
+    assert find_sweep(make_rows(grid)) is None
 
 
 def test_find_sweep_rejects_a_failed_run() -> None:
-    rows = rows_of({"nodes.count": [1, 2, 3]})
+    rows = make_rows({"nodes.count": [1, 2, 3]})
     rows[0].goal = None
-    assert sweep_point(rows[0]) == SweepPoint("nodes.count", 1.0)
+    assert parse_sweep_point(rows[0]) == SweepPoint("nodes.count", 1.0)
     assert find_sweep(rows) is None
--- a/tests/test_store_disk_faults.py
+++ b/tests/test_store_disk_faults.py
@@ -19,7 +19,7 @@
 from workbench.experiment.task import Task
 
 TASKS = list_tasks(parse_plan({"scenarios": ["quiet"], "seeds": 6, "variant": [{"name": "a"}]}))
-SYNCS = ("fsync", "fdatasync")
+SYNC_CALLS = ("fsync", "fdatasync")
 STORED = "stored"
 
 
@@ -58,7 +58,7 @@
     assert assert_complete(path) == [task.seed for task in TASKS]
 
 
-def message_of(path: Path, use: Callable[[], object]) -> str:
+def outcome_of(path: Path, use: Callable[[], object]) -> str:
     """Call `use`, and return STORED or the one-line message of its error."""
     try:
         use()
@@ -72,23 +72,23 @@
     (("pwrite64",), errno.ENOSPC),
     (("pwrite64",), errno.EIO),
     (("pwrite64",), errno.EDQUOT),
-    (SYNCS, errno.EIO),
-    (SYNCS, errno.ENOSPC),
+    (SYNC_CALLS, errno.EIO),
+    (SYNC_CALLS, errno.ENOSPC),
     (("ftruncate",), errno.ENOSPC),
     (("openat",), errno.EMFILE),
     (("openat",), errno.EIO),
 ]
-ALWAYS_USED = ("pwrite64", "fsync")
+ALWAYS_CALLED = ("pwrite64", "fsync")
 
 
 @pytest.mark.parametrize(("calls", "error"), WRITE_FAULTS)
-@pytest.mark.parametrize("stage", ["make", "open", "put"])
+@pytest.mark.parametrize("stage", ["create", "open", "put"])
 def test_failing_disk_raises_and_loses_no_stored_run(
     tmp_path: Path, stage: str, calls: tuple[str, ...], error: int
 ) -> None:
     """A run is only reported as stored if it is on the disk, and earlier runs survive the failure."""
     path = tmp_path / "s.sqlite"
-    if stage != "make":
+    if stage != "create":
         store = Store(path)
         put(store, *TASKS[:2])
         store.close()
@@ -97,16 +97,16 @@
         if stage == "put":
             store = Store(path)
             fail_calls(calls, error)
-            return message_of(path, lambda: put(store, TASKS[2]))
+            return outcome_of(path, lambda: put(store, TASKS[2]))
         fail_calls(calls, error)
-        return message_of(path, lambda: put(Store(path), TASKS[2]))
+        return outcome_of(path, lambda: put(Store(path), TASKS[2]))
 
     message = in_child(use)
     assert message == STORED or message.startswith(f"{path}: "), message
-    if calls[0] in ALWAYS_USED:
+    if calls[0] in ALWAYS_CALLED:
         assert message != STORED
     seeds = assert_complete(path)
-    committed = [] if stage == "make" else [1, 2]
+    committed = [] if stage == "create" else [1, 2]
     assert seeds[: len(committed)] == committed and set(seeds) <= {*committed, 3}
     assert 3 in seeds or message != STORED
     assert_resumes(path)
@@ -124,7 +124,7 @@
         store = Store(path, write=False)
         store.db.execute("PRAGMA cache_size = 1")
         fail_calls(("pread64",), errno.EIO)
-        return message_of(path, lambda: store.result(TASKS[0]) if use == "result" else getattr(store, use)())
+        return outcome_of(path, lambda: store.result(TASKS[0]) if use == "result" else getattr(store, use)())
 
     # SQLite reports a read error as an I/O error or as a malformed database.
     assert in_child(read) in (f"{path}: disk I/O error", f"{path}: database disk image is malformed")
@@ -140,8 +140,8 @@
     def use() -> str:
         store = Store(path)
         put(store, TASKS[1])
-        fail_calls(SYNCS, errno.EIO)
-        return message_of(path, lambda: put(store, TASKS[2]))
+        fail_calls(SYNC_CALLS, errno.EIO)
+        return outcome_of(path, lambda: put(store, TASKS[2]))
 
     assert in_child(use) == f"{path}: disk I/O error"
     reopened = Store(path)
@@ -208,7 +208,7 @@
 
 
 @pytest.mark.parametrize(
-    ("damage", "words"),
+    ("damage", "arguments"),
     [
         ("task = '{'", ["compare", "a", "a"]),
         ("lost = 'x'", ["compare", "a", "a"]),
@@ -216,16 +216,20 @@
         ("result = x'00'", ["report", "-o"]),
     ],
 )
-def test_corrupt_row_ends_the_command_with_one_line(tmp_path: Path, damage: str, words: list[str]) -> None:
+def test_corrupt_row_ends_the_command_with_one_line(
+    tmp_path: Path, damage: str, arguments: list[str]
+) -> None:
     path = tmp_path / "s.sqlite"
     store = Store(path)
     put(store, *TASKS[:1])
     store.close()
     with sqlite3.connect(path) as db:
         db.execute(f"UPDATE runs SET {damage}")
-    words = ["experiment", words[0], str(path), *words[1:]]
+    arguments = ["experiment", arguments[0], str(path), *arguments[1:]]
     with pytest.raises(InputError, match="s.sqlite: ") as e:
-        cli.main([*words, *([str(tmp_path / "out")] if words[-1] == "-o" else [])], standalone_mode=False)
+        cli.main(
+            [*arguments, *([str(tmp_path / "out")] if arguments[-1] == "-o" else [])], standalone_mode=False
+        )
     assert "\n" not in str(e.value) and not (tmp_path / "out").exists()
 
 
@@ -260,18 +264,22 @@
 
 
 def run_experiment(folder: Path, *program: str) -> subprocess.Popen[str]:
-    words = ["experiment", "run", str(folder / "p.toml"), "--store", str(folder), "--jobs", "1"]
+    arguments = ["experiment", "run", str(folder / "p.toml"), "--store", str(folder), "--jobs", "1"]
     tests = Path(__file__).parent
     env = os.environ | {"PYTHONPATH": os.pathsep.join([str(tests.parent), str(tests)])}
     # The runs use no BLAS threads, and starting the threads costs each process more than the run.
     env |= {"OPENBLAS_NUM_THREADS": "1"}
     return subprocess.Popen(
-        [sys.executable, *program, *words], env=env, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True
+        [sys.executable, *program, *arguments],
+        env=env,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
     )
 
 
 def test_experiment_with_a_failing_disk_exits_and_is_resumed(tmp_path: Path) -> None:
-    faults = {"full": ("pwrite64", errno.ENOSPC), "sync": (",".join(SYNCS), errno.EIO)}
+    faults = {"full": ("pwrite64", errno.ENOSPC), "sync": (",".join(SYNC_CALLS), errno.EIO)}
     (tmp_path / "failing.py").write_text(FAILING_RUN)
     runs = {}
     for name, (calls, error) in faults.items():
--- a/tests/test_workbench.py
+++ b/tests/test_workbench.py
@@ -9,7 +9,7 @@
 
 from workbench.cli import cli, main
 
-SMALL = ["--set", "length_s=3", "--servers", "3"]
+SMALL_DAY = ["--set", "length_s=3", "--servers", "3"]
 
 
 def run(*args, cwd=None):
@@ -32,7 +32,9 @@
 
 def test_simulate_prints_a_report_and_writes_its_files(tmp_path):
     file, plot = tmp_path / "r.json", tmp_path / "r.png"
-    status, out, err = run("simulate", "quiet", *SMALL, "--json", str(file), "--plot", str(plot), "--profile")
+    status, out, err = run(
+        "simulate", "quiet", *SMALL_DAY, "--json", str(file), "--plot", str(plot), "--profile"
+    )
     assert status == 0 and err == ""
     for word in ("from s", "goal", "rules            all kept", "us a call", "module"):
         assert word in out
@@ -53,7 +55,7 @@
             "quiet with --set: load.fraction: -1: must be over 0",
         ),
         (["simulate", "quiet", "--json", "no/such/r.json"], "no/such/r.json: no such folder: no/such"),
-        (["simulate", "quiet", *SMALL, "--follow", "99999"], "--follow 99999: the day has "),
+        (["simulate", "quiet", *SMALL_DAY, "--follow", "99999"], "--follow 99999: the day has "),
         (["scenario", "check", "quiet", "nope"], "nope: no such file"),
         (["scenario", "show", "quiet", "--set", "x"], "--set x: not of the form KEY=VALUE"),
     ],
--- a/workbench/cli/losses.py
+++ b/workbench/cli/losses.py
@@ -52,7 +52,7 @@
     overrides: tuple[str, ...],
     workers: int,
 ) -> int:
-    """Attribute the worth that SCENARIO loses to causes.
+    """Attribute the value lost in SCENARIO to causes.
 
     SCENARIO is a file or the name of a shipped scenario (`workbench scenario list`). Exits 1 if a rule was
     broken, 2 on bad input.
--- a/workbench/experiment/compare.py
+++ b/workbench/experiment/compare.py
@@ -127,7 +127,7 @@
 def compare(rows: Sequence[Row], baseline: str, candidate: str) -> Comparison:
     """Compare two variants over all scenarios that both have run with the same seeds."""
     pairs_by_scenario = find_pairs(rows, baseline, candidate)
-    results = [scenario_result(scenario, pairs) for scenario, pairs in pairs_by_scenario.items()]
+    results = [summarize_scenario(scenario, pairs) for scenario, pairs in pairs_by_scenario.items()]
     corrected = holm_correction([result.p_value for result in results])
     for result, p_value in zip(results, corrected, strict=True):
         result.p_value = p_value
@@ -138,7 +138,7 @@
         baseline=baseline,
         candidate=candidate,
         scenarios=results,
-        overall=overall_result(groups, results),
+        overall=summarize_overall(groups, results),
         failed_runs=[FailedRun(row.variant, row.scenario, row.seed) for row in failed],
     )
 
@@ -161,7 +161,7 @@
     return np.array([pair.difference for pair in pairs])
 
 
-def scenario_result(scenario: str, pairs: Sequence[Pair]) -> ScenarioResult:
+def summarize_scenario(scenario: str, pairs: Sequence[Pair]) -> ScenarioResult:
     """Return the result of one scenario, without a verdict and with an uncorrected p-value."""
     differences = goal_differences(pairs)
     interval = bootstrap_interval(differences)
@@ -178,15 +178,15 @@
         candidate_mean=float(np.mean([pair.candidate.goal for pair in pairs])),
         baseline_violations=sum(pair.baseline.rule_violations for pair in pairs),
         candidate_violations=sum(pair.candidate.rule_violations for pair in pairs),
-        worst_seeds=worst_seeds(pairs),
-        loss_changes=loss_changes(pairs),
+        worst_seeds=find_worst_seeds(pairs),
+        loss_changes=largest_loss_changes(pairs),
     )
 
 
-def overall_result(groups: Sequence[Array], results: Sequence[Result]) -> Result:
+def summarize_overall(groups: Sequence[Array], results: Sequence[Result]) -> Result:
     """Return the result over all scenarios, each with the same weight."""
     differences = np.concatenate(groups) if groups else np.array([])
-    interval = overall_interval(groups)
+    interval = bootstrap_overall_interval(groups)
     overall = Result(
         scenario=OVERALL,
         difference=mean_or_zero([float(group.mean()) for group in groups]),
@@ -205,7 +205,7 @@
     return overall
 
 
-def overall_interval(groups: Sequence[Array]) -> Interval:
+def bootstrap_overall_interval(groups: Sequence[Array]) -> Interval:
     """Return the 95% percentile interval of the mean of the groups' resampled means."""
     if not groups:
         return Interval(0.0, 0.0)
@@ -227,7 +227,7 @@
     return Verdict.BETTER if result.difference > 0 else Verdict.WORSE
 
 
-def worst_seeds(pairs: Sequence[Pair]) -> list[WorstSeed]:
+def find_worst_seeds(pairs: Sequence[Pair]) -> list[WorstSeed]:
     """Return the seeds with the largest decreases, and the commands that replay them."""
     differences = goal_differences(pairs)
     worst = []
@@ -238,7 +238,7 @@
     return worst
 
 
-def loss_changes(pairs: Sequence[Pair]) -> list[LossChange]:
+def largest_loss_changes(pairs: Sequence[Pair]) -> list[LossChange]:
     """Return the causes of loss, by tier, whose mean share of the requested value changed most."""
     changes: dict[tuple[str, int], float] = defaultdict(float)
     for pair in pairs:
--- a/workbench/experiment/losses.py
+++ b/workbench/experiment/losses.py
@@ -11,7 +11,7 @@
 from workbench.experiment.runner import initialize_worker
 from workbench.model.network import fixed_float, fixed_int
 from workbench.model.site import class_settings
-from workbench.report.losses import AttributionRules, Breakdown, breakdown
+from workbench.report.losses import AttributionRules, Breakdown, attribute_losses
 from workbench.scenario.model import Scenario
 from workbench.simulator.play import play
 
@@ -56,7 +56,7 @@
     assert run.trace_log is not None, "a run with trace=True has a trace log"
     rules = AttributionRules(class_settings(day), fixed_int(day.nodes.max_attempts))
     account = run.result["account"]
-    losses = breakdown(run.trace_log, rules, 1 - account["whole"], run.all_ended)
+    losses = attribute_losses(run.trace_log, rules, 1 - account["whole"], run.all_ended)
     violations = sum(run.result["rules"].values())
     return DayLosses(task.policy, day.seed, run.result["goal"], violations, first_fault_second(day), losses)
 
--- a/workbench/experiment/plan.py
+++ b/workbench/experiment/plan.py
@@ -144,14 +144,14 @@
 def variant_errors(variant: Variant, path: str, earlier_names: set[str]) -> Iterator[str]:
     """Yield the errors of one variant."""
     if variant.name in earlier_names:
-        yield f"{path}.name: {variant.name!r}: must be another than those before"
+        yield f"{path}.name: {variant.name!r}: must be unique among the variants"
     if variant.policy not in POLICIES:
         yield f"{path}.policy: {variant.policy!r}: must be one of {', '.join(POLICIES)}"
     elif variant.policy != MODULE_POLICY and (variant.revision or variant.constants):
         yield f"{path}.policy: {variant.policy!r}: must be module, with a revision or constants"
     else:
         try:
-            module_version(variant)
+            resolve_module_version(variant)
         except RevisionError as e:
             yield f"{path}: {e}"
 
@@ -167,7 +167,7 @@
             return
 
 
-def module_version(variant: Variant) -> ModuleVersion:
+def resolve_module_version(variant: Variant) -> ModuleVersion:
     """Resolve a variant's revision and constants.
 
     Raises:
@@ -214,7 +214,7 @@
 
 def variant_tasks(plan: Plan, point: GridPoint, variant: Variant) -> Iterator[Task]:
     """Yield the runs of one variant at one grid point, a run for each seed."""
-    version = module_version(variant)
+    version = resolve_module_version(variant)
     overrides = (*point.overrides, *override_arguments(variant.overrides))
     scenario_digest = digest(load(point.source, list(overrides)))
     identity = f"{scenario_digest}.{policy_digest(variant, version)}"
--- a/workbench/experiment/statistics.py
+++ b/workbench/experiment/statistics.py
@@ -78,7 +78,7 @@
 
 
 def sign_flip_p_value(groups: Sequence[Array]) -> float:
-    """Test paired differences by sign flips, two-sided: all assignments of few signs, random ones of many.
+    """Test paired differences by two-sided sign flips, exactly for up to `MAX_EXACT_PAIRS` pairs.
 
     Args:
         groups: Differences of each scenario; scenarios have the same weight regardless of their pairs.
--- a/workbench/experiment/store.py
+++ b/workbench/experiment/store.py
@@ -85,7 +85,7 @@
             self.db = sqlite3.connect(path, timeout=WRITE_LOCK_TIMEOUT_S, isolation_level=None)
         try:
             with self.errors_as_store_errors():
-                self.open(write)
+                self.prepare(write)
         except BaseException:
             self.db.close()
             raise
@@ -98,7 +98,7 @@
         except (sqlite3.Error, OSError, zlib.error, msgspec.MsgspecError) as e:
             raise StoreError(f"{self.path}: {e}") from None
 
-    def open(self, write: bool) -> None:
+    def prepare(self, write: bool) -> None:
         """Check the file for corruption and migrate it to the current schema."""
         if self.db.execute("PRAGMA quick_check(1)").fetchone()[0] != "ok":
             raise StoreError(f"{self.path}: the file is damaged: move it away and run the plan again")
--- a/workbench/report/figures.py
+++ b/workbench/report/figures.py
@@ -11,7 +11,7 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from workbench.report.plots import COLOURS, limit_panel, shade_faults
+from workbench.report.plots import COLOURS, draw_limit_panel, shade_faults
 from workbench.report.series import (
     OTHER_CAUSES,
     Array,
@@ -97,7 +97,7 @@
     return half_width
 
 
-def goal_figure(goals: Goals, dimensions: ExperimentDimensions) -> Picture:
+def draw_goal_figure(goals: Goals, dimensions: ExperimentDimensions) -> Picture:
     """Draw the mean goal of each variant by scenario."""
     scenarios, variants = dimensions.scenarios, dimensions.variants
 
@@ -129,7 +129,7 @@
     axes.errorbar(means, heights, xerr=errors, fmt="o", ms=4, capsize=2, color=colour, label=variant)
 
 
-def pair_figure(differences: dict[str, Array], baseline: str, candidate: str) -> Picture:
+def draw_pair_figure(differences: dict[str, Array], baseline: str, candidate: str) -> Picture:
     """Draw the differences of the goals of paired runs by scenario."""
 
     def draw(axes: Axes) -> None:
@@ -151,7 +151,7 @@
     return draw_picture(f"pairs-{candidate}", caption, height, draw)
 
 
-def loss_figure(losses: LossShares) -> Picture:
+def draw_loss_figure(losses: LossShares) -> Picture:
     """Draw the lost value of each scenario and variant as bars stacked by cause."""
     groups = sorted(losses)
     causes = {cause for by_cause in losses.values() for cause in by_cause}
@@ -173,7 +173,7 @@
     return draw_picture("losses", caption, 1.3 + 0.3 * len(groups), draw)
 
 
-def served_figure(series: ScenarioSeries) -> Picture:
+def draw_served_figure(series: ScenarioSeries) -> Picture:
     """Draw the share of the requested value that was served, by second of the day."""
 
     def draw(axes: Axes) -> None:
@@ -193,7 +193,7 @@
     return draw_picture(f"served-{series.scenario}", caption, TIME_FIGURE_HEIGHT_INCHES, draw)
 
 
-def latency_figure(scenarios: list[ScenarioSeries]) -> Picture:
+def draw_latency_figure(scenarios: list[ScenarioSeries]) -> Picture:
     """Draw percentiles of latency by scenario and variant."""
 
     def draw(axes: Axes) -> None:
@@ -217,13 +217,13 @@
     return draw_picture("latency", caption, 1.5 + ROW_HEIGHT_INCHES * 1.4 * len(scenarios), draw)
 
 
-def limit_figure(series: ScenarioSeries) -> Picture | None:
+def draw_limit_figure(series: ScenarioSeries) -> Picture | None:
     """Draw the concurrency limits of the first front nodes; return None if the run has no statistics."""
     if not series.stats:
         return None
 
     def draw(axes: Axes) -> None:
-        limit_panel(axes, series.stats)
+        draw_limit_panel(axes, series.stats)
         shade_faults(axes, series.faults)
         axes.set_xlabel(TIME_LABEL)
 
@@ -234,7 +234,7 @@
     return draw_picture(f"limits-{series.scenario}", caption, TIME_FIGURE_HEIGHT_INCHES, draw)
 
 
-def sweep_figure(sweep: Sweep) -> Picture:
+def draw_sweep_figure(sweep: Sweep) -> Picture:
     """Draw the mean goal over the values of a key, one curve for each variant."""
 
     def draw(axes: Axes) -> None:
--- a/workbench/report/losses.py
+++ b/workbench/report/losses.py
@@ -5,7 +5,7 @@
 cause is the largest delay between its due time and its latency objective; the typical duration of a request
 of its class is not counted as a delay. The time between two attempts of a client is attributed to the outcome
 of the first one. Each lost request has exactly one cause, so the causes sum to the loss of the day;
-`breakdown` checks that sum against the day's account.
+`attribute_losses` checks that sum against the day's account.
 """
 
 from __future__ import annotations
@@ -183,9 +183,9 @@
 
     def delays(self) -> Iterator[Delay]:
         """Yield the parts of the time until the loss was certain, each with its source."""
-        tries, decided_at = self.trace.client_attempts, self.trace.decided_at
-        ends = [*(call.begun_at for call in tries[1:]), decided_at]
-        for call, end in zip(tries, ends, strict=True):
+        client_attempts, decided_at = self.trace.client_attempts, self.trace.decided_at
+        ends = [*(call.begun_at for call in client_attempts[1:]), decided_at]
+        for call, end in zip(client_attempts, ends, strict=True):
             yield from self.delays_of_call(call, min(end, decided_at))
 
     def delays_of_call(self, call: CallTrace, end: int) -> Iterator[Delay]:
@@ -196,9 +196,9 @@
         """
         remaining = max(0, end - call.begun_at)
         if call.tier > 0 and call.attempts:
-            queued = min(remaining, call.attempts[0].sent_at - call.begun_at)
-            remaining -= queued
-            yield Delay(LossSource(LossCause.NODE_LIMIT, call.tier), queued)
+            queued_us = min(remaining, call.attempts[0].sent_at - call.begun_at)
+            remaining -= queued_us
+            yield Delay(LossSource(LossCause.NODE_LIMIT, call.tier), queued_us)
         for attempt in call.attempts:
             attempt_end = end if attempt.ended_at == UNENDED else min(end, attempt.ended_at)
             duration = min(remaining, max(0, attempt_end - attempt.sent_at))
@@ -217,9 +217,9 @@
         end = attempt.sent_at + duration
         for call in attempt.calls:
             call_end = end if call.ended_at == UNENDED else min(end, call.ended_at)
-            part = min(remaining, max(0, call_end - call.begun_at))
-            remaining -= part
-            yield from self.delays_of_call(call, call.begun_at + part)
+            call_duration = min(remaining, max(0, call_end - call.begun_at))
+            remaining -= call_duration
+            yield from self.delays_of_call(call, call.begun_at + call_duration)
         yield Delay(source, remaining)
 
 
@@ -286,7 +286,9 @@
             self.by_second[second + shift, cause] += value
 
 
-def breakdown(log: TraceLog, rules: AttributionRules, lost_share: float, all_ended: bool = True) -> Breakdown:
+def attribute_losses(
+    log: TraceLog, rules: AttributionRules, lost_share: float, all_ended: bool = True
+) -> Breakdown:
     """Attribute each loss of a day to a source.
 
     Args:
--- a/workbench/report/page.py
+++ b/workbench/report/page.py
@@ -17,9 +17,9 @@
 from workbench.files import replace_files
 from workbench.report import figures, series
 
-# Full results read for each scenario and variant.
+# Maximum number of full results that are read for each scenario and variant.
 MAX_RESULTS = 40
-# Listed runs that failed or broke a rule.
+# Maximum number of listed runs that failed or broke a rule.
 MAX_PROBLEMS = 50
 COMPARISON_KEYS = ("scenario", "difference", "low", "high", "p", "pairs", "ups", "downs", "verdict")
 COMPARISON_HEADINGS = ("scenario", "difference", "95% interval", "p", "pairs", "up, down", "verdict")
@@ -96,12 +96,12 @@
     pictures = []
     sweep = series.find_sweep(rows)
     if sweep is not None:
-        pictures.append(figures.sweep_figure(sweep))
-    pictures.append(figures.goal_figure(series.goals_by_group(rows), dimensions))
+        pictures.append(figures.draw_sweep_figure(sweep))
+    pictures.append(figures.draw_goal_figure(series.goals_by_group(rows), dimensions))
     pictures += pair_pictures(rows, dimensions)
     losses = series.mean_loss_shares(rows)
     if losses:
-        pictures.append(figures.loss_figure(losses))
+        pictures.append(figures.draw_loss_figure(losses))
     pictures += scenario_pictures(store, rows, dimensions.scenarios)
     return pictures
 
@@ -113,20 +113,20 @@
     for candidate in candidates:
         differences = series.paired_differences(rows, dimensions.scenarios, baseline, candidate)
         if differences:
-            pictures.append(figures.pair_figure(differences, baseline, candidate))
+            pictures.append(figures.draw_pair_figure(differences, baseline, candidate))
     return pictures
 
 
 def scenario_pictures(store: Store, rows: list[Row], scenarios: list[str]) -> list[figures.Picture]:
     """Return the pictures that need full results: latency, and served value and limits by scenario."""
     all_series = [series.scenario_series(store, rows, scenario, MAX_RESULTS) for scenario in scenarios]
-    played = [scenario for scenario in all_series if scenario.served]
-    if not played:
+    completed = [scenario for scenario in all_series if scenario.served]
+    if not completed:
         return []
-    pictures = [figures.latency_figure(played)]
-    for scenario in played:
-        pictures.append(figures.served_figure(scenario))
-        limits = figures.limit_figure(scenario)
+    pictures = [figures.draw_latency_figure(completed)]
+    for scenario in completed:
+        pictures.append(figures.draw_served_figure(scenario))
+        limits = figures.draw_limit_figure(scenario)
         if limits is not None:
             pictures.append(limits)
     return pictures
--- a/workbench/report/plots.py
+++ b/workbench/report/plots.py
@@ -34,11 +34,11 @@
         panels, 1, figsize=(10, 2.6 * panels + 0.8), sharex=True, layout="constrained"
     )
     times = [second["at_s"] for second in seconds]
-    value_panel(axes[0], times, seconds)
-    loss_panel(axes[1], times, result)
-    latency_panel(axes[2], times, seconds, result["day"])
+    draw_value_panel(axes[0], times, seconds)
+    draw_loss_panel(axes[1], times, result)
+    draw_latency_panel(axes[2], times, seconds, result["day"])
     if stats:
-        limit_panel(axes[3], stats)
+        draw_limit_panel(axes[3], stats)
     for panel in axes:
         shade_faults(panel, result["day"]["fault"])
         panel.grid(alpha=0.25)
@@ -66,7 +66,7 @@
         axes.text(start, 1.0, label, transform=axes.get_xaxis_transform(), fontsize=7, va="top")
 
 
-def value_panel(axes: Axes, times: list[float], seconds: list[dict[str, Any]]) -> None:
+def draw_value_panel(axes: Axes, times: list[float], seconds: list[dict[str, Any]]) -> None:
     """Draw the requested and the served value of each second."""
     requested = [second["worth"] for second in seconds]
     served = [second["served_worth"] for second in seconds]
@@ -77,7 +77,7 @@
     axes.legend(loc="lower right", fontsize=8)
 
 
-def loss_panel(axes: Axes, times: list[float], result: dict[str, Any]) -> None:
+def draw_loss_panel(axes: Axes, times: list[float], result: dict[str, Any]) -> None:
     """Draw the lost value of each second, stacked by the day's largest causes."""
     tiers = [tier["name"] for tier in result["day"]["tier"]]
     largest = result["account"]["lost"][:MAX_CAUSES]
@@ -103,7 +103,9 @@
     return sum(values)
 
 
-def latency_panel(axes: Axes, times: list[float], seconds: list[dict[str, Any]], day: dict[str, Any]) -> None:
+def draw_latency_panel(
+    axes: Axes, times: list[float], seconds: list[dict[str, Any]], day: dict[str, Any]
+) -> None:
     """Draw the p50 and p99 latency of served requests, and the strictest latency objective."""
     for key, colour in (("p50_ms", COLOURS[0]), ("p99_ms", COLOURS[1])):
         latencies = [second[key] or float("nan") for second in seconds]
@@ -115,7 +117,7 @@
     axes.legend(loc="lower right", fontsize=8)
 
 
-def limit_panel(axes: Axes, stats: list[dict[str, Any]]) -> None:
+def draw_limit_panel(axes: Axes, stats: list[dict[str, Any]]) -> None:
     """Draw the concurrency limit and the calls in flight of the first nodes."""
     nodes = sorted({sample["node"] for sample in stats})[:MAX_NODES]
     for node in nodes:
--- a/workbench/report/series.py
+++ b/workbench/report/series.py
@@ -12,7 +12,7 @@
 from workbench.experiment.store import Row, Store
 
 Array = np.ndarray[Any, Any]
-# Largest causes of loss that are shown separately; the others are summed as `OTHER_CAUSES`.
+# Number of causes of loss that are shown separately; the others are summed as `OTHER_CAUSES`.
 MAX_CAUSES = 6
 OTHER_CAUSES = "other"
 MIN_SWEEP_POINTS = 3
@@ -194,7 +194,7 @@
     keys = set()
     sources = {row.task.source for row in rows}
     for row in rows:
-        point = sweep_point(row)
+        point = parse_sweep_point(row)
         if point is None or row.goal is None:
             return None
         keys.add(point.key)
@@ -216,7 +216,7 @@
     value: float
 
 
-def sweep_point(row: Row) -> SweepPoint | None:
+def parse_sweep_point(row: Row) -> SweepPoint | None:
     """Parse the grid value at the end of a scenario's name, as in `quiet[nodes.count=2]`.
 
     Returns None unless the name ends with exactly one key and a numeric value.
--- a/workbench/report/tables.py
+++ b/workbench/report/tables.py
@@ -131,5 +131,5 @@
         module = speed["module_share"]
         model = 1 - module
         text += f"\nprofile          module {100 * module:.0f} % ({module * cpu_us_per_call:.1f} us a call), "
-        text += f"world and clock {100 * model:.0f} % ({model * cpu_us_per_call:.1f} us a call)"
+        text += f"simulation {100 * model:.0f} % ({model * cpu_us_per_call:.1f} us a call)"
     return Text(text)
