--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -6,7 +6,7 @@
 
 from balancer.policy.interface import Outcome
 from workbench.baselines import POLICIES
-from workbench.experiment.losses import LossTask, play_all
+from workbench.experiment.losses import LossTask, play_and_attribute_all
 from workbench.model.call import Attempt, Request
 from workbench.model.server import Server
 from workbench.model.site import CLOCK_START_US, World
@@ -124,7 +124,7 @@
     """Without retries, a connection that is not established ends its request."""
     no_retries = ["nodes.max_attempts=1", "clients.retries=0"]
     scenario = draw(load("late-connections", [*OVERRIDES, *no_retries]), 1)
-    (lost,) = play_all([LossTask(scenario, "random")], workers=1)
+    (lost,) = play_and_attribute_all([LossTask(scenario, "random")], workers=1)
     assert lost.losses.by_cause()[LossCause.CONNECT] > 0
 
 
--- a/workbench/lab/timeline_plot.py
+++ b/workbench/lab/timeline_plot.py
@@ -10,7 +10,7 @@
 from workbench.lab.ground_truth import GroundTruth
 from workbench.lab.process_history import FOREVER, NETWORK_FAULTS, ProcessIncarnation
 from workbench.lab.timeline import TimelineRow, timeline_rows
-from workbench.report.plots import COLOURS, SHADE
+from workbench.report.plots import COLOURS, FAULT_COLOUR
 
 LEGEND = (
     "seconds since the clients started; green: ready, blue: starting, orange: stopping, black: paused, "
@@ -117,7 +117,7 @@
     zero = origin(truth)
     for period in truth.periods:
         end = min(period.end, truth.end)
-        axis.axvspan(period.begin - zero, end - zero, color=SHADE, alpha=0.25, lw=0)
+        axis.axvspan(period.begin - zero, end - zero, color=FAULT_COLOUR, alpha=0.25, lw=0)
 
 
 def origin(truth: GroundTruth) -> float:
