--- a/tests/test_scale_measurements.py
+++ b/tests/test_scale_measurements.py
@@ -1,4 +1,4 @@
-"""Figures of scale runs: what a member costs beyond an idle worker, times, and the meter."""
+"""Figures of scale runs: cost of a member beyond an idle worker, times, and the meter."""
 
 import time
 
@@ -6,13 +6,21 @@
 import pytest
 from scale_support import window
 
-from workbench.scale.measurements import Phase, Row, RunInfo, phase_figures, rows, table, time_figures
+from workbench.scale.measurements import (
+    Phase,
+    Row,
+    RunInfo,
+    build_rows,
+    format_table,
+    phase_figures,
+    time_figures,
+)
 from workbench.scale.messages import Traffic
 from workbench.scale.meter import LOOP, Meter
 from workbench.scale.verdict import Death, Findings
 
 
-def test_figures_are_a_member_s_beyond_the_idle_worker_s() -> None:
+def test_costs_are_per_member_without_the_idle_worker() -> None:
     nanoseconds = {"membership": 400_000_000, "codec": 200_000_000, LOOP: 300_000_000}
     busy = window(
         nanoseconds=nanoseconds, calls={"codec": 400}, traffic=Traffic(200, 190, 40_000, 38_000), cpu_s=1.1
@@ -29,18 +37,18 @@
         100_000
     )
     assert found["worker.cpu"].value == pytest.approx(0.11)
-    made = rows(list(found.values()), 20, RunInfo("workbench scale run", 1, "unknown", 8), True)
+    made = build_rows(list(found.values()), 20, RunInfo("workbench scale run", 1, "unknown", 8), True)
     assert msgspec.json.decode(msgspec.json.encode(made[0]), type=Row) == made[0]
-    assert table(made).row_count == len(made)
+    assert format_table(made).row_count == len(made)
 
 
-def test_times_are_given_where_all_know() -> None:
+def test_times_are_reported_only_if_all_members_know() -> None:
     joined = Findings(joined_s=[1.0, 2.0, 6.0], join_expected=3)
     assert [(f.quantity, f.value, f.spread) for f in time_figures(joined, True)] == [
         ("join.all", 6.0, (1.0, 6.0)),
         ("join.median", 2.0, (1.0, 6.0)),
     ]
-    assert not list(time_figures(joined, False))  # members that began with the whole group
+    assert not list(time_figures(joined, False))  # Members that started with the whole group
     joined.join_expected = 4
     assert not list(time_figures(joined, True))
     known = Findings(deaths=[Death("h00001", 2, [3.0, 5.0])], healed_s=[1.0])
--- a/tests/test_scale_plan.py
+++ b/tests/test_scale_plan.py
@@ -1,4 +1,4 @@
-"""Plans of scale runs: what is refused, what ships, who is killed and when."""
+"""Plans of scale runs: validation, shipped plans, choice of victims and order of faults."""
 
 from random import Random
 from typing import Any
@@ -9,10 +9,18 @@
 from workbench.scale import machine
 from workbench.scale import run as scale_run
 from workbench.scale.machine import check_memory_need
-from workbench.scale.plan import PlanError, defects_of, group_of, plan_of, read_plan, shipped, victims
-from workbench.scale.run import actions, check_membership
+from workbench.scale.plan import (
+    PlanError,
+    build_group,
+    choose_victims,
+    defects_by_member,
+    parse_plan,
+    read_plan,
+    shipped_plans,
+)
+from workbench.scale.run import check_membership, fault_actions
 
-# ---- bad input --------------------------------------------------------------------------------------------
+# ---- invalid plans ---------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -38,7 +46,7 @@
         ({"fault": [{"type": "kill", "zone": 1}]}, "fault[0].zone: 1: must be under zones, 1"),
         (
             {"real": 1, "zones": 2, "fault": [{"type": "kill", "zone": 0}]},
-            "fault[0].zone: 0: must be another: the real nodes stand in zone 0",
+            "fault[0].zone: 0: must be another: the real nodes are in zone 0",
         ),
         ({"fault": [{"type": "cut", "for_s": 1}]}, "fault[0].region: missing: must be given for a cut"),
         (
@@ -53,33 +61,33 @@
         ({"defect": [{"kind": "mute"}]}, "defect[0].kind: 'mute': must be one of deaf, quadratic"),
     ],
 )
-def test_a_plan_is_refused_by_one_line(table: dict[str, Any], line: str) -> None:
+def test_invalid_plan_is_rejected_with_one_line(table: dict[str, Any], line: str) -> None:
     with pytest.raises(PlanError) as fault:
-        plan_of(table)
+        parse_plan(table)
     assert str(fault.value).startswith(f"plan: {line}") and "\n" not in str(fault.value)
 
 
-def test_a_group_that_would_not_fit_in_half_of_the_memory_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_group_over_half_of_the_memory_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(machine, "memory_limit", lambda: 1 << 29)
-    check_memory_need(plan_of({"hollow": 500}))
+    check_memory_need(parse_plan({"hollow": 500}))
     with pytest.raises(
         PlanError, match="hollow: 1000: would take some 8.. MB: must fit in half of .* 512 MB"
     ):
-        check_memory_need(plan_of({"hollow": 1000}))
-    check_memory_need(plan_of({"hollow": 1000, "zones": 10, "membership": "zone"}))
+        check_memory_need(parse_plan({"hollow": 1000}))
+    check_memory_need(parse_plan({"hollow": 1000, "zones": 10, "membership": "zone"}))
 
 
-def test_a_membership_that_the_program_does_not_know_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    group = group_of(plan_of({"hollow": 4, "zones": 2, "membership": "zone"}), "127.1.1")
-    table = group.fleet_table(group.places[0], "key")
+def test_unsupported_membership_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
+    group = build_group(parse_plan({"hollow": 4, "zones": 2, "membership": "zone"}), "127.1.1")
+    table = group.fleet_table(group.member_specs[0], "key")
     assert table["seeds"] == ["127.1.1.100:10000", "127.1.1.100:10002"]
     others = {"z1": ["127.1.1.100:10001", "127.1.1.100:10003"]}
     assert table["membership"] == {"scope": "zone", "zone_seeds": others}
 
-    def unknown(table: object, node: object) -> None:
+    def reject_membership(table: object, node: object) -> None:
         raise FleetConfigError("fleet.membership: unknown key: known are name\nmore")
 
-    monkeypatch.setattr(scale_run, "read_fleet", unknown)
+    monkeypatch.setattr(scale_run, "read_fleet", reject_membership)
     with pytest.raises(PlanError) as fault:
         check_membership(group, "key")
     assert str(fault.value) == "membership: 'zone': fleet.membership: unknown key: known are name"
@@ -88,28 +96,28 @@
 # ---- the plan ---------------------------------------------------------------------------------------------
 
 
-def test_every_plan_that_ships_is_right() -> None:
-    assert set(shipped()) == {"calm", "kill-one", "kill-tenth", "zone-out", "region-cut"}
-    for name in shipped():
+def test_every_shipped_plan_is_valid() -> None:
+    assert set(shipped_plans()) == {"calm", "kill-one", "kill-tenth", "zone-out", "region-cut"}
+    for name in shipped_plans():
         assert read_plan(name).title
 
 
-def test_who_is_killed_is_drawn_by_the_seed() -> None:
-    plan = plan_of({"hollow": 40, "real": 2, "zones": 4, "regions": 2})
-    group = group_of(plan, "127.1.1")
+def test_victims_are_drawn_by_the_seed() -> None:
+    plan = parse_plan({"hollow": 40, "real": 2, "zones": 4, "regions": 2})
+    group = build_group(plan, "127.1.1")
 
-    def taken(**fault: float) -> list[str]:
-        kill = plan_of({"hollow": 40, "zones": 4, "fault": [{"type": "kill"} | fault]}).fault[0]
-        return [p.name for p in victims(kill, list(group.places), Random(7))]
+    def victim_names(**fault: float) -> list[str]:
+        kill = parse_plan({"hollow": 40, "zones": 4, "fault": [{"type": "kill"} | fault]}).fault[0]
+        return [p.name for p in choose_victims(kill, list(group.member_specs), Random(7))]
 
-    assert len(taken(part=0.1)) == 4 and taken(part=0.1) == taken(part=0.1)
-    assert taken(zone=1) == [f"h{i:05d}" for i in range(1, 40, 4)]
-    assert len(taken(count=39)) == 39
-    two = plan_of({"hollow": 9, "defect": [{"kind": "deaf"}, {"kind": "quadratic", "count": 2}]})
-    assert defects_of(two) == {"h00008": "deaf", "h00007": "quadratic", "h00006": "quadratic"}
+    assert len(victim_names(part=0.1)) == 4 and victim_names(part=0.1) == victim_names(part=0.1)
+    assert victim_names(zone=1) == [f"h{i:05d}" for i in range(1, 40, 4)]
+    assert len(victim_names(count=39)) == 39
+    two = parse_plan({"hollow": 9, "defect": [{"kind": "deaf"}, {"kind": "quadratic", "count": 2}]})
+    assert defects_by_member(two) == {"h00008": "deaf", "h00007": "quadratic", "h00006": "quadratic"}
 
 
-def test_faults_begin_and_end_in_the_order_of_time() -> None:
+def test_fault_actions_are_in_order_of_time() -> None:
     kills = [{"type": "kill", "count": 1, "at_s": 5, "for_s": 10}, {"type": "kill", "count": 1, "at_s": 7}]
-    found = [(a.at_s, a.number, a.begins) for a in actions(plan_of({"fault": kills}))]
+    found = [(a.at_s, a.fault_index, a.is_start) for a in fault_actions(parse_plan({"fault": kills}))]
     assert found == [(5, 0, True), (7, 1, True), (15, 0, False)]
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -1,4 +1,4 @@
-"""The command `scale run`: known figures, a run that is not counted, bad input."""
+"""The command `scale run`: figures of a known group, a run that is not counted, invalid input."""
 
 import json
 import sys
@@ -11,23 +11,29 @@
 from workbench.cli import main
 from workbench.scale import verdict
 
-DATAGRAMS_WITHIN = 0.05  # of those in simulation: a ping and an ack a period, and an exchange each 15
-BYTES_WITHIN = 0.1  # an exchange is ten times as long as the others, and 60 periods see four of them
+# Tolerance against the simulation: a member sends a ping and an ack a period, and an exchange every 15.
+DATAGRAMS_TOLERANCE = 0.05
+# An exchange is ten times as long as the other datagrams, and 60 periods have only four of them.
+BYTES_TOLERANCE = 0.1
 
 
 def figures_in(path: Path) -> dict[str, Any]:
+    """Read the rows of a result file by quantity."""
     return {row["quantity"]: row for row in json.loads(path.read_text())}
 
 
-def test_a_small_run_costs_what_the_same_components_cost_in_simulation(tmp_path: Path) -> None:
-    """20 hollow members and a real node that all know each other: the datagrams of a calm are given by the
-    protocol, so a run differs from the simulation only by the moments of its exchanges."""
+def test_small_run_costs_match_the_simulation(tmp_path: Path) -> None:
+    """20 hollow members and a real node that all know each other cost what the simulation predicts.
+
+    The protocol determines the datagrams of a calm group, so a run differs from the simulation only by the
+    times of its exchanges.
+    """
     out = tmp_path / "figures.json"
     words = ("--hollow", 20, "--real", 1, "--period-ms", 100, "--seconds", 6, "--start", "known")
     done = run_command(*words, "--simulate", "--out", out)
     assert done.returncode == 0, done.stdout + done.stderr
     found = figures_in(out)
-    for quantity, tolerance in (("datagrams_out", DATAGRAMS_WITHIN), ("bytes_out", BYTES_WITHIN)):
+    for quantity, tolerance in (("datagrams_out", DATAGRAMS_TOLERANCE), ("bytes_out", BYTES_TOLERANCE)):
         measured, simulated = found[quantity]["value"], found[f"simulated.{quantity}"]["value"]
         assert measured == pytest.approx(simulated, rel=tolerance), quantity
     assert found["datagrams_in"]["value"] == pytest.approx(found["datagrams_out"]["value"], rel=0.08)
@@ -39,18 +45,19 @@
     assert row["run"]["command"].startswith("workbench scale run --hollow 20") and row["run"]["cores"] >= 1
 
 
-def test_a_run_on_which_the_machine_was_the_limit_is_not_counted(
+def test_run_limited_by_the_machine_is_not_counted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     out = tmp_path / "figures.json"
     words = ["--hollow", "4", "--workers", "1", "--period-ms", "100", "--start", "known", "--seconds", "0.2"]
-    monkeypatch.setattr(verdict, "MAX_LATENESS_P99_MS", -1.0)  # no loop is that early
+    # The lateness of an event loop is never negative, so every run exceeds this limit.
+    monkeypatch.setattr(verdict, "MAX_LATENESS_P99_MS", -1.0)
     monkeypatch.setattr(sys, "argv", ["workbench", "scale", "run", *words, "--out", str(out)])
     with pytest.raises(SystemExit) as end:
         main()
-    told = capsys.readouterr().out
-    assert end.value.code == 3 and told.endswith("not counted\n") and "passed" not in told
-    assert "the machine was the limit: calm: worker 0: " in told
+    output = capsys.readouterr().out
+    assert end.value.code == 3 and output.endswith("not counted\n") and "passed" not in output
+    assert "the machine was the limit: calm: worker 0: " in output
     assert not any(row["counted"] for row in json.loads(out.read_text()))
 
 
@@ -67,11 +74,11 @@
         ),
     ],
 )
-def test_bad_input_ends_with_status_2(
+def test_invalid_input_exits_with_status_2(
     words: tuple[str, ...], line: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(sys, "argv", ["workbench", "scale", "run", *words])
     with pytest.raises(SystemExit) as end:
         main()
-    told = capsys.readouterr()
-    assert end.value.code == 2 and line in told.err and not told.out
+    output = capsys.readouterr()
+    assert end.value.code == 2 and line in output.err and not output.out
--- a/tests/test_scale_run_cleanup.py
+++ b/tests/test_scale_run_cleanup.py
@@ -12,7 +12,7 @@
 
 
 def children(pid: int) -> list[int]:
-    """Processes whose parent this is."""
+    """Return the running child processes of a process."""
     found = []
     for stat in Path("/proc").glob("[0-9]*/stat"):
         try:
@@ -25,6 +25,7 @@
 
 
 def running(pid: int) -> bool:
+    """Return whether a process runs, and is not a zombie."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] not in "ZX"
     except OSError:
@@ -32,7 +33,7 @@
 
 
 def ports_of(pids: Iterable[int]) -> set[str]:
-    """UDP ports that these processes hold."""
+    """Return the UDP ports that these processes have open."""
     inodes = set()
     for pid in pids:
         for descriptor in Path(f"/proc/{pid}/fd").glob("*"):
@@ -45,31 +46,37 @@
 
 
 def ports() -> set[str]:
+    """Return all open UDP ports."""
     return {line.split()[1] for line in Path("/proc/net/udp").read_text().splitlines()[1:]}
 
 
 def wait_for(condition: Callable[[], bool]) -> None:
+    """Wait until a condition holds."""
     end = time.monotonic() + PATIENCE
     while not condition():
-        assert time.monotonic() < end, "waited in vain"
+        assert time.monotonic() < end, "the condition did not hold in time"
         time.sleep(0.02)
 
 
 @pytest.mark.parametrize("how", [signal.SIGINT, signal.SIGKILL])
-def test_nothing_is_left_behind_when_the_parent_ends(how: signal.Signals, tmp_path: Path) -> None:
-    """Failure prevented: members of a killed run go on by themselves and hold their ports."""
+def test_no_process_or_port_outlives_the_parent(how: signal.Signals, tmp_path: Path) -> None:
+    """Workers and nodes end with their parent, even by SIGKILL.
+
+    Otherwise the members of a killed run would continue and keep their ports.
+    """
     words = ("--hollow", 20, "--real", 1, "--workers", 2, "--seconds", 60, "--period-ms", 200)
-    env = os.environ | {"TMPDIR": str(tmp_path)}  # a killed parent's folder stays
+    env = os.environ | {"TMPDIR": str(tmp_path)}  # A killed parent leaves its folder behind
     parent = subprocess.Popen(command(*words), env=env, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
     try:
-        wait_for(lambda: len(ports_of(children(parent.pid))) == 21)  # every member has its port
+        wait_for(lambda: len(ports_of(children(parent.pid))) == 21)  # Every member has opened its port
         pids = children(parent.pid)
         held = ports_of(pids)
-        assert len(pids) == 4  # two workers, the idle one and the node
+        assert len(pids) == 4  # Two workers, the idle one and the node
         parent.send_signal(how)
         assert parent.wait(PATIENCE) == (130 if how == signal.SIGINT else -signal.SIGKILL)
     finally:
         parent.kill()
         parent.wait()
     wait_for(lambda: not any(map(running, pids)))
-    wait_for(lambda: not held & ports())  # a killed process's other threads may let go a moment later
+    # Other threads of a killed process may close its sockets a moment later.
+    wait_for(lambda: not held & ports())
--- a/workbench/scale/__init__.py
+++ b/workbench/scale/__init__.py
@@ -1,1 +1,1 @@
-"""The node at the size that is coming: measured cost slopes, the capacity model, the scale run."""
+"""Capacity planning of the fleet: measured cost slopes, the capacity model and the scale run."""
--- a/workbench/scale/collect.py
+++ b/workbench/scale/collect.py
@@ -1,7 +1,8 @@
-"""Rows of the slopes file from measured values: `python -m workbench.scale.collect FILES... > rows.toml`.
+"""Convert measured values to rows of the slopes file: `python -m workbench.scale.collect FILES... >
+rows.toml`.
 
 FILES hold the JSON lines that the measuring programs print, or the list of rows that a scale run writes.
-Values of one name and size become a point, with the spread between their runs.
+Values of the same name and size become one point, with the spread between their runs.
 """
 
 from __future__ import annotations
@@ -21,74 +22,84 @@
 from workbench.scale.membership import Row
 from workbench.scale.slopes import FitKind
 
-MEMBERS = "members of a group"
-CALLS = "calls a second"
-NODE_SECOND = "us/s a member"
-GROUP = "python -m workbench.scale.membership"
-ONE = "python -m workbench.scale.member"
-LEADER = "python -m workbench.scale.leader"
-LATENCY = "python -m workbench.scale.latency"
+GROUP_MEMBERS = "members of a group"
+CALLS_PER_SECOND = "calls a second"
+MEMBER_CPU_UNIT = "us/s a member"
+GROUP_COMMAND = "python -m workbench.scale.membership"
+MEMBER_COMMAND = "python -m workbench.scale.member"
+LEADER_COMMAND = "python -m workbench.scale.leader"
+LATENCY_COMMAND = "python -m workbench.scale.latency"
 
 
 @dataclass(frozen=True)
-class Kind:
-    """What a measured name means."""
+class QuantityKind:
+    """Description, unit, fit and command of a measured quantity."""
 
     what: str
     unit: str
     fit: FitKind
     run: str
-    per: str = MEMBERS
-
-
-KINDS: dict[str, Kind] = {
-    "member.cpu_us": Kind("processor time of a member in calm", NODE_SECOND, "linear", ONE),
-    "member.tick_us": Kind("its timers", NODE_SECOND, "linear", ONE),
-    "member.due_us": Kind("looking for the next due time", NODE_SECOND, "linear", ONE),
-    "member.receive_us": Kind("datagrams taken in", NODE_SECOND, "linear", ONE),
-    "member.codec_us": Kind("the codec", NODE_SECOND, "linear", ONE),
-    "member.datagrams": Kind("datagrams sent by a member in calm", "1/s", "constant", ONE),
-    "member.table_bytes": Kind("memory of a member's table", "bytes", "linear", ONE),
-    "membership.calm.cpu_us": Kind(
-        "processor time in calm, whole group", NODE_SECOND, "linear", f"{GROUP} calm"
+    per: str = GROUP_MEMBERS
+
+
+QUANTITY_KINDS: dict[str, QuantityKind] = {
+    "member.cpu_us": QuantityKind(
+        "processor time of a member in calm", MEMBER_CPU_UNIT, "linear", MEMBER_COMMAND
+    ),
+    "member.tick_us": QuantityKind("its timers", MEMBER_CPU_UNIT, "linear", MEMBER_COMMAND),
+    "member.due_us": QuantityKind("looking for the next due time", MEMBER_CPU_UNIT, "linear", MEMBER_COMMAND),
+    "member.receive_us": QuantityKind("datagrams taken in", MEMBER_CPU_UNIT, "linear", MEMBER_COMMAND),
+    "member.codec_us": QuantityKind("the codec", MEMBER_CPU_UNIT, "linear", MEMBER_COMMAND),
+    "member.datagrams": QuantityKind("datagrams sent by a member in calm", "1/s", "constant", MEMBER_COMMAND),
+    "member.table_bytes": QuantityKind("memory of a member's table", "bytes", "linear", MEMBER_COMMAND),
+    "membership.calm.cpu_us": QuantityKind(
+        "processor time in calm, whole group", MEMBER_CPU_UNIT, "linear", f"{GROUP_COMMAND} calm"
+    ),
+    "membership.calm.datagrams": QuantityKind(
+        "datagrams sent in calm", "1/s a member", "constant", f"{GROUP_COMMAND} calm"
+    ),
+    "membership.calm.bytes": QuantityKind(
+        "bytes sent in calm", "bytes/s a member", "constant", f"{GROUP_COMMAND} calm"
     ),
-    "membership.calm.datagrams": Kind("datagrams sent in calm", "1/s a member", "constant", f"{GROUP} calm"),
-    "membership.calm.bytes": Kind("bytes sent in calm", "bytes/s a member", "constant", f"{GROUP} calm"),
-    "membership.calm.codec_us_a_datagram": Kind(
-        "codec, out and in, in calm", "us a datagram", "constant", f"{GROUP} calm"
+    "membership.calm.codec_us_a_datagram": QuantityKind(
+        "codec, out and in, in calm", "us a datagram", "constant", f"{GROUP_COMMAND} calm"
     ),
-    "membership.death_s": Kind("until a death is known to all", "s", "log", f"{GROUP} calm"),
-    "membership.backlog.cpu_us": Kind(
-        "processor time while all are news", NODE_SECOND, "linear", f"{GROUP} backlog"
+    "membership.death_s": QuantityKind("until a death is known to all", "s", "log", f"{GROUP_COMMAND} calm"),
+    "membership.backlog.cpu_us": QuantityKind(
+        "processor time while all are news", MEMBER_CPU_UNIT, "linear", f"{GROUP_COMMAND} backlog"
     ),
-    "membership.backlog.bytes": Kind(
-        "bytes sent while all are news", "bytes/s a member", "constant", f"{GROUP} backlog"
+    "membership.backlog.bytes": QuantityKind(
+        "bytes sent while all are news", "bytes/s a member", "constant", f"{GROUP_COMMAND} backlog"
     ),
-    "membership.news_s": Kind("until one change is known to all, in calm", "s", "log", f"{GROUP} news"),
-    "membership.news_busy_s": Kind(
-        "until one change is known to all, while all are news", "s", "power", f"{GROUP} news_busy"
+    "membership.news_s": QuantityKind(
+        "until one change is known to all, in calm", "s", "log", f"{GROUP_COMMAND} news"
     ),
-    "membership.join_s": Kind(
-        "until a group that starts at once knows itself", "s", "power", f"{GROUP} join"
+    "membership.news_busy_s": QuantityKind(
+        "until one change is known to all, while all are news", "s", "power", f"{GROUP_COMMAND} news_busy"
     ),
-    "membership.zone_lost_s": Kind(
-        "until a thirteenth that dies is known dead to all", "s", "log", f"{GROUP} batch"
+    "membership.join_s": QuantityKind(
+        "until a group that starts at once knows itself", "s", "power", f"{GROUP_COMMAND} join"
     ),
-    "membership.zone_back_s": Kind(
+    "membership.zone_lost_s": QuantityKind(
+        "until a thirteenth that dies is known dead to all", "s", "log", f"{GROUP_COMMAND} batch"
+    ),
+    "membership.zone_back_s": QuantityKind(
         "until a thirteenth that comes back cold and all others know each other",
         "s",
         "power",
-        f"{GROUP} batch",
+        f"{GROUP_COMMAND} batch",
     ),
-    "membership.region_back_s": Kind(
+    "membership.region_back_s": QuantityKind(
         "until a fifth that was cut off for 150 s and all others know each other",
         "s",
         "power",
-        f"{GROUP} region",
+        f"{GROUP_COMMAND} region",
+    ),
+    "leader.cpu_us": QuantityKind(
+        "processor time of a replacement's leader", "us/s", "linear", LEADER_COMMAND
     ),
-    "leader.cpu_us": Kind("processor time of a replacement's leader", "us/s", "linear", LEADER),
-    "leader.datagrams": Kind("its datagrams, out and in", "1/s", "linear", LEADER),
-    "leader.bytes": Kind("its bytes, out and in", "bytes/s", "linear", LEADER),
+    "leader.datagrams": QuantityKind("its datagrams, out and in", "1/s", "linear", LEADER_COMMAND),
+    "leader.bytes": QuantityKind("its bytes, out and in", "bytes/s", "linear", LEADER_COMMAND),
 }
 LATENCY_FIELDS: dict[str, tuple[str, str]] = {
     "added_p50_us": ("added to a call, median", "us"),
@@ -104,15 +115,15 @@
     "node_system_share": ("part of the node's processor time in the kernel", "1"),
     "node_run_queue_us_a_call": ("the node's wait for a core", "us a call"),
 }
-KINDS |= {
-    f"latency.{name}": Kind(what, unit, "linear", LATENCY, CALLS)
+QUANTITY_KINDS |= {
+    f"latency.{name}": QuantityKind(what, unit, "linear", LATENCY_COMMAND, CALLS_PER_SECOND)
     for name, (what, unit) in LATENCY_FIELDS.items()
 }
 IDLE_NODES = {"plain": "no fleet section", "fleet": "fleet section, no peers"}
 IDLE_FIELDS = {"cpu_us_a_second": ("processor time", "us/s"), "resident_mb": ("memory", "MB")}
-KINDS |= {
-    f"node.{kind}.{name}": Kind(
-        f"{what} of a node that nobody calls, {text}", unit, "constant", f"{LATENCY} --idle", "nodes"
+QUANTITY_KINDS |= {
+    f"node.{kind}.{name}": QuantityKind(
+        f"{what} of a node that nobody calls, {text}", unit, "constant", f"{LATENCY_COMMAND} --idle", "nodes"
     )
     for kind, text in IDLE_NODES.items()
     for name, (what, unit) in IDLE_FIELDS.items()
@@ -120,7 +131,7 @@
 
 
 class RunOrigin(Struct, frozen=True):
-    """Which run a scale run's row comes from."""
+    """The scale run that a row comes from."""
 
     command: str
     seed: int
@@ -129,7 +140,7 @@
 
 
 class ScaleRow(Struct, frozen=True, kw_only=True):
-    """A row as a scale run writes it. `counted` false: the machine was the limit."""
+    """A row as a scale run writes it; `counted` is false if the machine was the limit."""
 
     quantity: str
     unit: str
@@ -140,73 +151,81 @@
     counted: bool = True
 
 
-SOCKETS = "sockets."
-SHORT_COMMIT = 8
-PLAN = re.compile(r"--plan (\S+)")
-OF_A_FAULT = ("death.", "heal.", "fault.")
-VARYING = re.compile(r" --(out|hollow|seed) \S+")
-LEFT_OUT = ("simulated.", "worker.", "calls.")  # of a scale run: not what a member costs
-A_DATAGRAM = ("cpu.codec", "cpu.loop", "cpu.runtime", "cpu.socket")  # costs that go with datagrams, not size
+SOCKETS_PREFIX = "sockets."
+SHORT_COMMIT_LENGTH = 8
+PLAN_OPTION = re.compile(r"--plan (\S+)")
+FAULT_PREFIXES = ("death.", "heal.", "fault.")
+VARYING_OPTIONS = re.compile(r" --(out|hollow|seed) \S+")
+# Quantities of a scale run that are not the cost of a member.
+EXCLUDED_PREFIXES = ("simulated.", "worker.", "calls.")
+# Costs that depend on the number of datagrams and not on the size of the group.
+PER_DATAGRAM_COSTS = ("cpu.codec", "cpu.loop", "cpu.runtime", "cpu.socket")
 FITS_BY_NAME: dict[str, FitKind] = {"death.all": "log", "death.median": "log"}
-FITS_BY_NAME |= {prefix + name: "constant" for name in A_DATAGRAM for prefix in ("", "fault.")}
+FITS_BY_NAME |= {prefix + name: "constant" for name in PER_DATAGRAM_COSTS for prefix in ("", "fault.")}
 FITS_BY_UNIT: dict[str, FitKind] = {"us/member/s": "linear", "B/member": "linear", "s": "power"}
 
 
-def scale_slopes(rows: list[ScaleRow], commit: str = "") -> list[dict[str, Any]]:
-    """Rows of the slopes file from a scale run's.
+def build_scale_run_slopes(rows: list[ScaleRow], commit: str = "") -> list[dict[str, Any]]:
+    """Convert the rows of scale runs to rows of the slopes file.
 
-    `commit`: whose node was measured, where the run's own commit is not one that stays.
+    Args:
+        rows: The rows that scale runs have written.
+        commit: The commit of the measured node, if the commit of the run is a temporary one.
     """
     names: dict[str, list[ScaleRow]] = defaultdict(list)
     for row in rows:
-        if row.counted and not row.quantity.startswith(LEFT_OUT):
-            names[name_of(row)].append(row)
-    return [scale_slope(name, own, commit) for name, own in names.items() if fits(own)]
+        if row.counted and not row.quantity.startswith(EXCLUDED_PREFIXES):
+            names[slope_name(row)].append(row)
+    return [
+        build_scale_run_slope(name, quantity_rows, commit)
+        for name, quantity_rows in names.items()
+        if has_enough_sizes(quantity_rows)
+    ]
 
 
-def name_of(row: ScaleRow) -> str:
-    """The slope's name; what a fault caused stands under the plan that has the fault."""
-    plan = PLAN.search(row.run.command)
-    of_plan = f"{plan[1]}." if plan and row.quantity.startswith(OF_A_FAULT) else ""
-    return f"{SOCKETS}{of_plan}{row.quantity}"
+def slope_name(row: ScaleRow) -> str:
+    """Return the slope's name; an effect of a fault includes the name of the plan with that fault."""
+    plan = PLAN_OPTION.search(row.run.command)
+    plan_prefix = f"{plan[1]}." if plan and row.quantity.startswith(FAULT_PREFIXES) else ""
+    return f"{SOCKETS_PREFIX}{plan_prefix}{row.quantity}"
 
 
-def fit_of(rows: list[ScaleRow]) -> FitKind:
-    """How a quantity goes with the size."""
+def fit_kind(rows: list[ScaleRow]) -> FitKind:
+    """Return how a quantity depends on the size."""
     return FITS_BY_NAME.get(rows[0].quantity) or FITS_BY_UNIT.get(rows[0].unit, "constant")
 
 
-def fits(rows: list[ScaleRow]) -> bool:
-    """Whether there are sizes enough; one alone says nothing of how a quantity grows."""
-    return fit_of(rows) == "constant" or len({row.size for row in rows}) > 1
+def has_enough_sizes(rows: list[ScaleRow]) -> bool:
+    """Return whether there are enough sizes for the fit; a single one does not show growth."""
+    return fit_kind(rows) == "constant" or len({row.size for row in rows}) > 1
 
 
-def command_of(text: str) -> str:
-    """A command without what differs between the points, and without the file that it wrote."""
-    return VARYING.sub("", text)
+def normalize_command(text: str) -> str:
+    """Remove the options that differ between points, and the output file, from a command."""
+    return VARYING_OPTIONS.sub("", text)
 
 
-def scale_slope(name: str, rows: list[ScaleRow], commit: str) -> dict[str, Any]:
-    """One quantity of a scale run at its sizes."""
+def build_scale_run_slope(name: str, rows: list[ScaleRow], commit: str) -> dict[str, Any]:
+    """Build the slopes file row of one quantity from its values at all sizes."""
     measured = [Row(name, row.size, row.run.seed, row.value) for row in rows]
-    commits = ", ".join(sorted({row.run.commit[:SHORT_COMMIT] for row in rows}))
+    commits = ", ".join(sorted({row.run.commit[:SHORT_COMMIT_LENGTH] for row in rows}))
     return {
         "name": name,
         "what": f"{rows[0].quantity} of a scale run",
         "unit": rows[0].unit,
-        "per": MEMBERS,
-        "fit": fit_of(rows),
-        "run": "; ".join(sorted({command_of(row.run.command) for row in rows})),
+        "per": GROUP_MEMBERS,
+        "fit": fit_kind(rows),
+        "run": "; ".join(sorted({normalize_command(row.run.command) for row in rows})),
         "seeds": sorted({row.run.seed for row in rows}),
         "commit": f"{commit} (run at {commits})" if commit else commits,
         "machine": f"{max(row.run.cores for row in rows)} cores shared with other work",
-        "points": points(measured),
+        "points": points_by_size(measured),
         "note": "real datagram sockets on loopback",
     }
 
 
-def rows_of(line: bytes) -> list[Row]:
-    """The values of one printed line; none of a latency round that does not count."""
+def parse_rows(line: bytes) -> list[Row]:
+    """Parse one printed line; a latency measurement that does not count yields no rows."""
     table = msgspec.json.decode(line)
     if "name" in table:
         return [msgspec.convert(table, Row)]
@@ -219,51 +238,51 @@
     return [Row(f"latency.{name}", rate, repeat, table[name]) for name in LATENCY_FIELDS]
 
 
-def points(rows: list[Row]) -> list[dict[str, Any]]:
-    """A point for each size."""
+def points_by_size(rows: list[Row]) -> list[dict[str, Any]]:
+    """Group rows by size and return one point for each size."""
     sizes: dict[int, list[Row]] = defaultdict(list)
     for row in rows:
         sizes[row.size].append(row)
-    return [point_of(size, runs) for size, runs in sorted(sizes.items())]
+    return [build_point(size, runs) for size, runs in sorted(sizes.items())]
 
 
-def point_of(size: int, runs: list[Row]) -> dict[str, Any]:
-    """Mean and spread of the runs at one size."""
+def build_point(size: int, runs: list[Row]) -> dict[str, Any]:
+    """Return mean and spread of the runs at one size."""
     values = [run.value for run in runs]
-    point: dict[str, Any] = {"size": size, "value": rounded(fmean(values)), "runs": len(values)}
+    point: dict[str, Any] = {"size": size, "value": round_significant(fmean(values)), "runs": len(values)}
     if len(values) > 1:
-        point["spread"] = rounded(stdev(values))
+        point["spread"] = round_significant(stdev(values))
     if any(run.limit for run in runs):
         point["lower_bound"] = True
     return point
 
 
-def rounded(value: float) -> float:
-    """Four significant figures."""
+def round_significant(value: float) -> float:
+    """Round to four significant figures."""
     return float(f"{value:.4g}")
 
 
-def collected(rows: list[Row], commit: str, machine: str, note: str) -> list[dict[str, Any]]:
-    """Rows of the slopes file."""
+def build_measured_slopes(rows: list[Row], commit: str, machine: str, note: str) -> list[dict[str, Any]]:
+    """Convert rows of the measuring programs to rows of the slopes file."""
     names: dict[str, list[Row]] = defaultdict(list)
     for measured in rows:
         names[measured.name].append(measured)
     out = []
-    for name, kind in KINDS.items():
+    for name, kind in QUANTITY_KINDS.items():
         if name not in names:
             continue
-        own = names[name]
+        quantity_rows = names[name]
         row: dict[str, Any] = {
             "name": name,
             "what": kind.what,
             "unit": kind.unit,
             "per": kind.per,
-            "fit": kind.fit if len({run.size for run in own}) > 1 else "constant",
+            "fit": kind.fit if len({run.size for run in quantity_rows}) > 1 else "constant",
             "run": kind.run,
-            "seeds": sorted({r.seed for r in own}),
+            "seeds": sorted({r.seed for r in quantity_rows}),
             "commit": commit,
             "machine": machine,
-            "points": points(own),
+            "points": points_by_size(quantity_rows),
         }
         if note:
             row["note"] = note
@@ -275,8 +294,12 @@
 @click.argument(
     "files", type=click.Path(exists=True, dir_okay=False, path_type=Path), nargs=-1, required=True
 )
-@click.option("--commit", default="", help="Whose program was measured; a scale run's rows say it.")
-@click.option("--machine", default="", help="In plain words, such as '8 cores'; likewise.")
+@click.option(
+    "--commit", default="", help="Commit of the measured program; the rows of a scale run name their own."
+)
+@click.option(
+    "--machine", default="", help="Description, such as '8 cores'; the rows of a scale run have their own."
+)
 @click.option("--note", default="")
 def main(files: tuple[Path, ...], commit: str, machine: str, note: str) -> None:
     """Print rows of the slopes file for the values in FILES."""
@@ -287,8 +310,8 @@
         if text.startswith(b"["):
             scale_rows += msgspec.json.decode(text, type=list[ScaleRow])
         else:
-            rows += [row for line in text.splitlines() for row in rows_of(line)]
-    slopes = collected(rows, commit, machine, note) + scale_slopes(scale_rows, commit)
+            rows += [row for line in text.splitlines() for row in parse_rows(line)]
+    slopes = build_measured_slopes(rows, commit, machine, note) + build_scale_run_slopes(scale_rows, commit)
     click.echo(tomli_w.dumps({"slope": slopes}), nl=False)
 
 
--- a/workbench/scale/group.py
+++ b/workbench/scale/group.py
@@ -1,7 +1,7 @@
-"""Who is in a group under measurement, where each member listens, and the fleet section it is started with.
+"""The members of a measured group, their addresses, and the fleet section each is started with.
 
-Everything is worked out from a few figures, so the parent and every worker hold the same book of addresses
-without sending it.
+Everything is derived from a few numbers, so the parent and every worker compute the same addresses and need
+not exchange them.
 """
 
 from __future__ import annotations
@@ -18,17 +18,20 @@
 
 Membership = Literal["flat", "zone"]
 
-SEEDS = 3  # members that a new one asks first; of its zone, where membership is by zone
-HOLLOW_FIRST_HOST = 100  # last number of the first address of hollow members; real nodes stand below
-HOLLOW_FIRST_PORT = 10_000
+# Members that a new one contacts first; with membership by zone they are of its own zone.
+SEED_COUNT = 3
+# Last octet of the first address of hollow members; real nodes have lower ones.
+FIRST_HOLLOW_HOST = 100
+FIRST_HOLLOW_PORT = 10_000
 PORTS_PER_HOST = 500
-REAL_FIRST_HOST = 10
-REAL_ZONE = 0  # all real nodes stand in this zone, so that a cut of regions never runs between two of them
+FIRST_REAL_HOST = 10
+# All real nodes are in this zone, so that no partition between regions separates two of them.
+REAL_ZONE = 0
 
 
 @dataclass(frozen=True)
-class Place:
-    """One member: its name, its zone and region, and where it listens. `index` counts all members."""
+class MemberSpec:
+    """Name, zone, region and listening address of a member; `index` is its position among all members."""
 
     index: int
     name: str
@@ -39,14 +42,14 @@
 
     @property
     def zone_name(self) -> str:
-        """The zone as the configuration spells it."""
+        """The name of the zone in the configuration."""
         return f"z{self.zone}"
 
 
 class Group(Struct, frozen=True, dict=True, kw_only=True):
-    """The members of a run: `hollow` of them in workers, then `real` nodes."""
+    """The members of a run: `hollow` members in workers, followed by `real` nodes."""
 
-    block: str  # 127.A.B, held for this run alone
+    block: str  # Loopback prefix 127.A.B, reserved for this run
     hollow: int
     real: int
     zones: int
@@ -56,70 +59,74 @@
     seed: int
 
     @cached_property
-    def places(self) -> Sequence[Place]:
-        """All members in order."""
+    def member_specs(self) -> Sequence[MemberSpec]:
+        """All members in the order of their index."""
         hollow = [
-            self.place(i, f"h{i:05d}", i % self.zones, hollow_address(self.block, i))
+            self.make_spec(i, f"h{i:05d}", i % self.zones, hollow_address(self.block, i))
             for i in range(self.hollow)
         ]
         real = [
-            self.place(
+            self.make_spec(
                 self.hollow + i,
                 f"r{i:05d}",
                 REAL_ZONE,
-                (f"{self.block}.{REAL_FIRST_HOST + i}", DATAGRAM_PORT),
+                (f"{self.block}.{FIRST_REAL_HOST + i}", DATAGRAM_PORT),
                 False,
             )
             for i in range(self.real)
         ]
         return (*hollow, *real)
 
-    def place(self, index: int, name: str, zone: int, address: Address, hollow: bool = True) -> Place:
-        return Place(index, name, zone, zone % self.regions, address, hollow)
+    def make_spec(
+        self, index: int, name: str, zone: int, address: Address, hollow: bool = True
+    ) -> MemberSpec:
+        """Describe one member; its region follows from its zone."""
+        return MemberSpec(index, name, zone, zone % self.regions, address, hollow)
 
     @cached_property
-    def by_name(self) -> dict[str, Place]:
-        """The members by their names."""
-        return {p.name: p for p in self.places}
+    def by_name(self) -> dict[str, MemberSpec]:
+        """The members by name."""
+        return {p.name: p for p in self.member_specs}
 
-    def in_scope(self, one: Place, other: Place) -> bool:
-        """Whether `one` has to know of `other`: everybody, or everybody of its zone."""
-        return self.membership == "flat" or one.zone == other.zone
+    def in_scope(self, observer: MemberSpec, other: MemberSpec) -> bool:
+        """Return whether `observer` must know `other`, which depends on the kind of membership."""
+        return self.membership == "flat" or observer.zone == other.zone
 
-    def fleet_table(self, place: Place, key: str) -> dict[str, Any]:
-        """The `fleet` section of one member's configuration; `key` names the file with the group's key."""
+    def fleet_table(self, spec: MemberSpec, key: str) -> dict[str, Any]:
+        """Build the `fleet` section of a member's configuration; `key` is the path of the key file."""
         table: dict[str, Any] = {
-            "name": place.name,
-            "zone": place.zone_name,
-            "region": f"region{place.region}",
-            "listen": spelled(place.address),
+            "name": spec.name,
+            "zone": spec.zone_name,
+            "region": f"region{spec.region}",
+            "listen": format_address(spec.address),
             "key": key,
             "period_ms": self.period_ms,
         }
         if self.membership == "flat":
-            return table | {"seeds": [spelled(p.address) for p in self.places[:SEEDS]]}
-        others = {zone: seeds for zone, seeds in self.zone_seeds.items() if zone != place.zone_name}
+            return table | {"seeds": [format_address(p.address) for p in self.member_specs[:SEED_COUNT]]}
+        others = {zone: seeds for zone, seeds in self.zone_seeds.items() if zone != spec.zone_name}
         return table | {
-            "seeds": self.zone_seeds[place.zone_name],
+            "seeds": self.zone_seeds[spec.zone_name],
             "membership": {"scope": "zone", "zone_seeds": others},
         }
 
     @cached_property
     def zone_seeds(self) -> dict[str, list[str]]:
-        """The first members of each zone."""
+        """The addresses of the first members of each zone."""
         seeds: dict[str, list[str]] = {}
-        for place in self.places:
-            known = seeds.setdefault(place.zone_name, [])
-            if len(known) < SEEDS:
-                known.append(spelled(place.address))
+        for spec in self.member_specs:
+            known = seeds.setdefault(spec.zone_name, [])
+            if len(known) < SEED_COUNT:
+                known.append(format_address(spec.address))
         return seeds
 
 
 def hollow_address(block: str, index: int) -> Address:
-    """Where a hollow member listens: many share an address and have a port each."""
-    host = HOLLOW_FIRST_HOST + index // PORTS_PER_HOST
-    return f"{block}.{host}", HOLLOW_FIRST_PORT + index % PORTS_PER_HOST
+    """Return the address of a hollow member: many share a host and differ by port."""
+    host = FIRST_HOLLOW_HOST + index // PORTS_PER_HOST
+    return f"{block}.{host}", FIRST_HOLLOW_PORT + index % PORTS_PER_HOST
 
 
-def spelled(address: Address) -> str:
+def format_address(address: Address) -> str:
+    """Format an address as host:port."""
     return f"{address[0]}:{address[1]}"
--- a/workbench/scale/hollow.py
+++ b/workbench/scale/hollow.py
@@ -1,9 +1,9 @@
-"""Hollow members: the fleet's own runtime, components and codec on a real datagram socket, without policy and
-HTTP, many of them on one event loop.
+"""Hollow members: the fleet runtime, its components and codec on real datagram sockets, without policy and
+HTTP.
 
-A member is the fleet runtime of the program, handed an event loop of ours. Its socket and timers pass
-through that, so that datagrams are counted, time is charged to components and a cut between regions can be
-laid, while the code of the fleet runs unchanged.
+Many members share one event loop. Each runs the program's own fleet runtime unchanged on a wrapped event
+loop. Its socket and timers pass through the wrapper, which counts datagrams, charges time to components and
+drops what a partition between regions separates.
 """
 
 from __future__ import annotations
@@ -19,63 +19,67 @@
 from balancer.net.process.lifecycle import Lifecycle, Stage
 from balancer.net.process.log import Log
 from balancer.policy.interface import ClassSettings, Effect, Settings
-from workbench.scale.group import Group, Place
+from workbench.scale.group import Group, MemberSpec
 from workbench.scale.messages import Traffic
 from workbench.scale.meter import RUNTIME, SOCKET, Meter
 from workbench.scale.plan import Defect
-from workbench.scale.program import Changed, Runtime, drop_updates, listen_to_changes, make_runtime
-
-HELD_S = 86_400.0  # a timer of a member that is held: never, in a run that is bounded in time
-LIST_SENDER = "scale-run"  # no member
-LIST_MAX_AGE = 30_000_000  # microseconds since the list was made
-CLAIMS_A_DATAGRAM = 20  # of the list that members begin with: under 1,200 bytes
+from workbench.scale.program import Runtime, ViewChangeCallback, drop_updates, listen_to_changes, make_runtime
+
+# Delay of a held member's timer: longer than any run, so that it never fires.
+HELD_TIMER_S = 86_400.0
+# Sender of the group list; no member has this name.
+LIST_SENDER = "scale-run"
+# Longest time since the group list was made.
+LIST_MAX_AGE_US = 30_000_000
+# Claims in each datagram of the group list; with 20 it stays under 1,200 bytes.
+CLAIMS_PER_DATAGRAM = 20
 SETTINGS = Settings(
     classes=(ClassSettings(Effect.IDEMPOTENT, latency_objective=1_000_000, deadline=2_000_000, worth=1.0),)
 )
 
 
 class QuietLog(Log):
-    """A log that nobody reads."""
+    """A log that discards its lines."""
 
     def __init__(self) -> None:
         super().__init__("hollow", 0)
 
     def line(self, text: str) -> None:
+        """Discard a line."""
         pass
 
 
 class Network:
-    """What lies between the members of one process and all others: the counters, and a cut of one region.
+    """Traffic counters of the members of one process, and the partition of one region.
 
-    Both directions are cut at the hollow member, so a real node that stands on the other side needs to know
-    nothing of it.
+    Both directions are dropped at the hollow member, so a real node on the other side needs no change.
     """
 
     def __init__(self, group: Group, meter: Meter) -> None:
         self.meter = meter
-        self.regions = {p.address: p.region for p in group.places}
+        self.regions = {p.address: p.region for p in group.member_specs}
         self.cut_region: int | None = None
         self.traffic = Traffic()
 
-    def separated(self, region: int, other: Address) -> bool:
-        """Whether the cut lies between a member of `region` and an address."""
+    def is_separated(self, region: int, other: Address) -> bool:
+        """Return whether the partition separates a member of `region` from an address."""
         cut = self.cut_region
         return cut is not None and (region == cut) != (self.regions.get(other) == cut)
 
 
 class MeteredTransport:
-    """A member's transport: counts what is sent, and loses what a cut takes."""
+    """A member's transport: counts sent datagrams, and drops those that a partition blocks."""
 
     def __init__(self, loop: MemberLoop, transport: asyncio.DatagramTransport) -> None:
         self.loop = loop
         self.transport = transport
 
     def sendto(self, data: bytes, to: Address) -> None:
-        """One datagram out."""
+        """Send one datagram, unless the member is held or the partition blocks it."""
         network = self.loop.network
-        if self.loop.held:
+        if self.loop.is_held:
             return
-        if network.separated(self.loop.place.region, to):
+        if network.is_separated(self.loop.spec.region, to):
             network.traffic.lost += 1
             return
         network.traffic.datagrams_out += 1
@@ -87,21 +91,23 @@
 
 
 class MeteredProtocol(asyncio.DatagramProtocol):
-    """Stands before a member's protocol: counts what comes in, and loses what a cut takes."""
+    """A member's protocol: counts received datagrams, and drops those that a partition blocks."""
 
     def __init__(self, loop: MemberLoop, inner: asyncio.DatagramProtocol) -> None:
         self.loop = loop
         self.inner = inner
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Hand the member a metered transport."""
         metered = MeteredTransport(self.loop, cast(asyncio.DatagramTransport, transport))
         self.inner.connection_made(cast(asyncio.DatagramTransport, metered))
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
+        """Deliver one datagram, unless the member is held or deaf or the partition blocks it."""
         loop, network = self.loop, self.loop.network
-        if loop.held or loop.deaf:
+        if loop.is_held or loop.is_deaf:
             return
-        if network.separated(loop.place.region, (addr[0], addr[1])):
+        if network.is_separated(loop.spec.region, (addr[0], addr[1])):
             network.traffic.lost += 1
             return
         network.traffic.datagrams_in += 1
@@ -109,49 +115,57 @@
         network.meter.run(RUNTIME, self.inner.datagram_received, data, addr)
 
     def error_received(self, exc: Exception) -> None:
+        """Pass a socket error on to the member."""
         self.inner.error_received(exc)
 
 
 class MemberLoop:
-    """The event loop as one member sees it. While it is `held`, its timers rest and no datagram passes."""
+    """The event loop of one member; while the member is held, no timer fires and no datagram passes."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, network: Network, place: Place, held: bool, deaf: bool
+        self,
+        loop: asyncio.AbstractEventLoop,
+        network: Network,
+        spec: MemberSpec,
+        is_held: bool,
+        is_deaf: bool,
     ) -> None:
         self.loop = loop
         self.network = network
-        self.place = place
-        self.held = held
-        self.deaf = deaf
-        self.resting: tuple[Callable[..., Any], tuple[Any, ...]] | None = None
+        self.spec = spec
+        self.is_held = is_held
+        self.is_deaf = is_deaf
+        self.pending_timer: tuple[Callable[..., Any], tuple[Any, ...]] | None = None
 
     async def create_datagram_endpoint(
         self, protocol_factory: Callable[[], asyncio.DatagramProtocol], **options: Any
     ) -> tuple[asyncio.BaseTransport, asyncio.BaseProtocol]:
-        """The member's socket, with the counters between it and the member."""
+        """Open the member's socket, with the traffic counters in between."""
         return await self.loop.create_datagram_endpoint(
             lambda: MeteredProtocol(self, protocol_factory()), **options
         )
 
     def call_later(self, delay: float, callback: Callable[..., Any], *args: Any) -> asyncio.TimerHandle:
-        """A timer whose work is charged to the runtime."""
-        if self.held:
-            self.resting = (callback, args)
-            delay = HELD_S
+        """Set a timer whose callback is charged to the runtime."""
+        if self.is_held:
+            self.pending_timer = (callback, args)
+            delay = HELD_TIMER_S
         return self.loop.call_later(delay, self.network.meter.run, RUNTIME, callback, *args)
 
     def release(self, delay: float) -> None:
-        """Lets the member answer from now on, and its timers go on after some seconds.
+        """Let the member answer from now on, and resume its timers after some seconds.
 
-        Failure prevented: those that speak first ping those that do not answer yet, and suspect them.
+        All members answer before the first one sends: a member that pinged others which do not answer yet
+        would suspect them.
         """
-        self.held = False
-        self.loop.call_later(delay, self.begin)
-
-    def begin(self) -> None:
-        resting, self.resting = self.resting, None
-        if resting is not None:
-            callback, args = resting
+        self.is_held = False
+        self.loop.call_later(delay, self.resume_timer)
+
+    def resume_timer(self) -> None:
+        """Run the timer callback that was set while the member was held."""
+        pending_timer, self.pending_timer = self.pending_timer, None
+        if pending_timer is not None:
+            callback, args = pending_timer
             self.network.meter.run(RUNTIME, callback, *args)
 
     def __getattr__(self, name: str) -> Any:
@@ -159,90 +173,96 @@
 
 
 class HollowMember:
-    """One member over all its lives."""
+    """One member, over its restarts."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         network: Network,
         group: Group,
-        place: Place,
+        spec: MemberSpec,
         key: str,
         defect: Defect | None,
     ) -> None:
         self.loop = loop
         self.network = network
         self.group = group
-        self.place = place
+        self.spec = spec
         self.key = key
         self.defect = defect
-        self.host: Runtime | None = None
+        self.runtime: Runtime | None = None
         self.member_loop: MemberLoop | None = None
 
-    async def open(self, changed: Changed, held: bool = False) -> None:
-        """Begins a life from nothing. `changed` hears of each change of its view."""
+    async def open(self, on_change: ViewChangeCallback, is_held: bool = False) -> None:
+        """Start the member without knowledge of the group; call `on_change` with each change of its view."""
         log = QuietLog()
-        life = Lifecycle(log)
-        life.move(Stage.SERVING)
-        self.member_loop = MemberLoop(self.loop, self.network, self.place, held, self.defect == "deaf")
-        config = read_fleet(self.group.fleet_table(self.place, self.key), self.place.name)
-        seed = self.group.seed * 100_003 + self.place.index
+        lifecycle = Lifecycle(log)
+        lifecycle.move(Stage.SERVING)
+        self.member_loop = MemberLoop(self.loop, self.network, self.spec, is_held, self.defect == "deaf")
+        config = read_fleet(self.group.fleet_table(self.spec, self.key), self.spec.name)
+        seed = self.group.seed * 100_003 + self.spec.index
         loop = cast(asyncio.AbstractEventLoop, self.member_loop)
-        self.host = make_runtime(config, loop, seed, log, life, no_end, SETTINGS)
-        await self.host.open()
+        self.runtime = make_runtime(config, loop, seed, log, lifecycle, ignore_end, SETTINGS)
+        await self.runtime.open()
         swim = self.swim
-        listen_to_changes(swim, changed)
+        listen_to_changes(swim, on_change)
         if self.defect == "quadratic":
-            work_for_each_member(swim, self.host.codec)
+            add_quadratic_work(swim, self.runtime.codec)
 
     @property
     def swim(self) -> Swim:
-        """The state machine of its membership."""
-        assert self.host is not None and self.host.swim is not None
-        return self.host.swim
+        """The member's membership state machine."""
+        assert self.runtime is not None and self.runtime.swim is not None
+        return self.runtime.swim
 
     def learn(self, datagrams: list[bytes]) -> None:
-        """Takes the group's list from datagrams, as if a member had sent it, and spreads none of it. All in
-        it count as proven live, as after some time in the group."""
-        self.believe_live(LIST_SENDER)
-        assert self.host is not None
+        """Receive the group list from datagrams, as if a member had sent it, and disseminate none of it.
+
+        All members in it count as proven live, as after some time in the group.
+        """
+        self.mark_proven_live(LIST_SENDER)
+        assert self.runtime is not None
         for data in datagrams:
-            self.host.datagram_received(data, self.place.address)
+            self.runtime.datagram_received(data, self.spec.address)
         for name in self.swim.members:
-            self.believe_live(name)
+            self.mark_proven_live(name)
         drop_updates(self.swim)
 
-    def believe_live(self, name: str) -> None:
-        """Spares a sender the proof that it is live. The members run on one machine, whose clock they share;
-        the list was made shortly before. Versions before have no guard."""
-        host: Any = self.host
-        if hasattr(host, "guard"):
-            host.guard.senders.begin(name, host.stamp(), host.now(), LIST_MAX_AGE)
+    def mark_proven_live(self, name: str) -> None:
+        """Mark a sender as proven live in the replay guard, if the measured revision has one.
+
+        This is safe, since all members share the clock of one machine and the list was made shortly before.
+        """
+        runtime: Any = self.runtime
+        if hasattr(runtime, "guard"):
+            runtime.guard.senders.begin(name, runtime.stamp(), runtime.now(), LIST_MAX_AGE_US)
 
     def release(self, rng: Random) -> None:
-        """Lets it speak, at a moment of its own within the first period: members that begin in step would
-        stay in step."""
+        """Let the member send, from a random moment within the first period.
+
+        Members that start at the same moment would probe in lockstep for the whole run.
+        """
         assert self.member_loop is not None
         self.member_loop.release(rng.random() * self.group.period_ms / 1000)
 
     def kill(self) -> None:
-        """Ends as by SIGKILL: the port closes and nobody is told."""
-        if self.host is not None:
-            self.host.close()
-            self.host = None
+        """End the member as SIGKILL would: close the port without a message to others."""
+        if self.runtime is not None:
+            self.runtime.close()
+            self.runtime = None
 
     def states(self) -> dict[str, str]:
-        """Its own view, as the operators' page has it: the state of each other member."""
-        assert self.host is not None
-        return {m["name"]: m["state"] for m in self.host.view()["members"]}
+        """Return the state of each other member in this member's view, as its status page shows it."""
+        assert self.runtime is not None
+        return {m["name"]: m["state"] for m in self.runtime.view()["members"]}
 
 
-def no_end() -> None:
-    """A hollow member isn't a process that could be ended."""
+def ignore_end() -> None:
+    """Ignore a request to end the process, which other members share."""
 
 
-def work_for_each_member(swim: Swim, codec: Codec) -> None:
-    """A defect on purpose: at each tick one datagram is encoded, and thrown away, for each member known."""
+def add_quadratic_work(swim: Swim, codec: Codec) -> None:
+    """Inject a defect: at each tick, encode and discard one datagram for each known member."""
     tick = swim.tick
     message = Message(Kind.PING, swim.me.name)
 
@@ -255,14 +275,14 @@
 
 
 def list_datagrams(
-    group: Group, scope: Place, incarnations: dict[str, int], codec: Codec, wall: int
+    group: Group, scope: MemberSpec, incarnations: dict[str, int], codec: Codec, wall_time_us: int
 ) -> list[bytes]:
-    """What a member like `scope` has to know, in datagrams as a member sends them.
+    """Encode the members that `scope` must know, in datagrams as a member sends them.
 
-    Failure prevented: the list comes under a member's name, and that member ignores it as its own.
+    The sender is not a member: a member would ignore a list under its own name.
     """
-    known = [p for p in group.places if group.in_scope(scope, p)]
-    claims = [Claim(p.name, p.address, Status.ALIVE, incarnations[p.name]) for p in known]
-    parts = [claims[i : i + CLAIMS_A_DATAGRAM] for i in range(0, len(claims), CLAIMS_A_DATAGRAM)]
+    known_specs = [p for p in group.member_specs if group.in_scope(scope, p)]
+    claims = [Claim(p.name, p.address, Status.ALIVE, incarnations[p.name]) for p in known_specs]
+    parts = [claims[i : i + CLAIMS_PER_DATAGRAM] for i in range(0, len(claims), CLAIMS_PER_DATAGRAM)]
     messages = [Message(Kind.SYNC_ACK, LIST_SENDER, 0, "", tuple(part)) for part in parts]
-    return [codec.encode(m, wall) for m in messages]
+    return [codec.encode(m, wall_time_us) for m in messages]
--- a/workbench/scale/leader.py
+++ b/workbench/scale/leader.py
@@ -1,7 +1,7 @@
-"""What leading a rolling update of the fleet costs its leader: `python -m workbench.scale.leader SIZES...`.
+"""Cost of a rolling update of the fleet to its leader: `python -m workbench.scale.leader SIZES...`.
 
-The leader asks all members how they stand each half second, and each answers. Measured are the decisions and
-the codec, for datagrams out and in; the event loop and the kernel are left out.
+The leader asks all members for their status each half second, and each answers. The measurement covers the
+decisions and the codec, for datagrams in both directions, without the event loop and the kernel.
 """
 
 from __future__ import annotations
@@ -22,48 +22,51 @@
 TOKEN = 7
 
 
-class Group:
-    """Membership as the leader sees it: all are there, all serve."""
+class StubMembership:
+    """Membership as the leader sees it: all members are alive and serving."""
 
     def __init__(self, size: int) -> None:
         self.names = [f"n{i}" for i in range(2, size + 1)]
 
     def serving(self) -> bool:
+        """Return whether this node serves requests."""
         return True
 
     def alive(self) -> list[str]:
+        """Return the names of the other members."""
         return self.names
 
     def gone(self) -> list[str]:
+        """Return the names of members that have left or died."""
         return []
 
 
 def measure(size: int) -> list[Row]:
-    """Processor time, datagrams and bytes a second of a leader."""
-    group = Group(size)
-    leader = RollingUpdate("n1", "z0", 1, group, NOW_US)
+    """Measure processor time, datagrams and bytes a second of a leader."""
+    membership = StubMembership(size)
+    leader = RollingUpdate("n1", "z0", 1, membership, NOW_US)
     plan = leader.begin(2, 1)
     outgoing, incoming = Codec([GROUP_KEY], [RollingUpdateWire()]), Codec([GROUP_KEY], [RollingUpdateWire()])
-    watch = Stopwatch()
-    datagrams = traffic = 0
+    stopwatch = Stopwatch()
+    datagrams = byte_count = 0
     now = NOW_US
     for _ in range(ROUNDS):
-        for sent in watch.time("decisions", leader.tick, now, TOKEN):
-            data = watch.time("codec", outgoing.encode, sent.message, now)
-            datagrams, traffic = datagrams + 1, traffic + len(data)
-        for name in group.names:
+        for sent in stopwatch.time("decisions", leader.tick, now, TOKEN):
+            data = stopwatch.time("codec", outgoing.encode, sent.message, now)
+            datagrams, byte_count = datagrams + 1, byte_count + len(data)
+        for name in membership.names:
             report = RollingUpdateMessage(RollingUpdateKind.REPORT, name, plan, 1, 0, True, "z0")
             data = incoming.encode(report, now)
-            decoded = watch.time("codec", outgoing.decode, data, now)
+            decoded = stopwatch.time("codec", outgoing.decode, data, now)
             assert isinstance(decoded, RollingUpdateMessage)
-            watch.time("decisions", leader.received, now, decoded)
-            datagrams, traffic = datagrams + 1, traffic + len(data)
+            stopwatch.time("decisions", leader.received, now, decoded)
+            datagrams, byte_count = datagrams + 1, byte_count + len(data)
         now += BROADCAST_INTERVAL_US
     seconds = ROUNDS * BROADCAST_INTERVAL_US / SECOND_US
     values = {
-        "cpu_us": (watch.microseconds("decisions") + watch.microseconds("codec")) / seconds,
+        "cpu_us": (stopwatch.microseconds("decisions") + stopwatch.microseconds("codec")) / seconds,
         "datagrams": datagrams / seconds,
-        "bytes": traffic / seconds,
+        "bytes": byte_count / seconds,
     }
     return [Row(f"leader.{name}", size, 0, value) for name, value in values.items()]
 
--- a/workbench/scale/loopback.py
+++ b/workbench/scale/loopback.py
@@ -1,4 +1,4 @@
-"""A real node and a stand-in server on loopback, as processes of their own, and what they use."""
+"""A real node and a stub server as separate processes on loopback, and their resource usage."""
 
 from __future__ import annotations
 
@@ -20,46 +20,48 @@
 from workbench.emulator.child_process import killed_with_parent
 from workbench.emulator.http import Request, ServerConnection, response_bytes
 
-START_S = 10.0  # that a process may take until it answers
+START_TIMEOUT_S = 10.0
 SERVER_PORT = 7000
 FLEET_PORT = 7400
 BACKLOG = 64
-KEY = b"the key of the latency measurement only\n"
-TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+GROUP_KEY = b"the key of the latency measurement only\n"
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 class MeasurementError(Exception):
-    """A measurement that cannot be made: one line."""
+    """A measurement that cannot be made; the message is a single line."""
 
 
-# ---- the stand-in server --------------------------------------------------------------------------------
+# ---- the stub server --------------------------------------------------------------------------------------
 
 
-class EchoTimes(ServerConnection):
-    """Answers at once with the monotonic nanoseconds at which the request came and the answer left."""
+class TimestampServer(ServerConnection):
+    """A server that answers at once with the monotonic nanoseconds of receipt and response."""
 
     def data_received(self, data: bytes) -> None:
-        self.came = monotonic_ns()
+        """Note the time of receipt and parse the data."""
+        self.received_ns = monotonic_ns()
         super().data_received(data)
 
     def on_request(self, request: Request) -> None:
-        times = b"%020d%020d" % (self.came, monotonic_ns())
+        """Answer with both times as fixed-width numbers."""
+        times = b"%020d%020d" % (self.received_ns, monotonic_ns())
         self.transport.write(response_bytes(200, times))
 
 
 async def serve(host: str, port: int) -> None:
-    """Serves until the process is ended."""
+    """Run the stub server until the process is terminated."""
     loop = asyncio.get_running_loop()
-    server = await loop.create_server(EchoTimes, host, port, backlog=BACKLOG)
+    server = await loop.create_server(TimestampServer, host, port, backlog=BACKLOG)
     await server.serve_forever()
 
 
 # ---- the node -------------------------------------------------------------------------------------------
 
 
-def settings_table() -> dict[str, Any]:
-    """Settings of one tier with one class of safe requests."""
+def node_settings() -> dict[str, Any]:
+    """Return the settings of one tier with one class of safe requests."""
     second = 1_000_000
     return {
         "classes": [
@@ -97,7 +99,7 @@
 
 
 def server_entry(address: tuple[str, int]) -> dict[str, Any]:
-    """The stand-in server as discovery tells of it."""
+    """Return the stub server's entry in the list of discovery."""
     return {
         "id": "s0",
         "addr": f"{address[0]}:{address[1]}",
@@ -110,30 +112,34 @@
     }
 
 
-def node_table(places: AddressBlock, folder: Path, fleet: bool) -> dict[str, Any]:
-    """The node's configuration."""
-    here = places.node_host(0)
-    agent = places.agent_address(0)
+def node_configuration(address_block: AddressBlock, folder: Path, fleet: bool) -> dict[str, Any]:
+    """Build the node's configuration, and write the key file if it has a fleet section."""
+    node_host = address_block.node_host(0)
+    agent = address_block.agent_address(0)
     table: dict[str, Any] = {
         "name": "n0",
-        "listen": f"{here}:{CLIENT_PORT}",
-        "management": f"{here}:{MANAGEMENT_PORT}",
+        "listen": f"{node_host}:{CLIENT_PORT}",
+        "management": f"{node_host}:{MANAGEMENT_PORT}",
         "discovery": f"{agent[0]}:{agent[1]}",
         "seed": "1",
         "limits": {"sockets": 256, "memory_mb": 32},
-        "known": {"version": 1, "full": True, "servers": [server_entry((places.server_host, SERVER_PORT))]},
-        "settings": settings_table(),
+        "known": {
+            "version": 1,
+            "full": True,
+            "servers": [server_entry((address_block.server_host, SERVER_PORT))],
+        },
+        "settings": node_settings(),
     }
     if fleet:
         key = folder / "key"
-        key.write_bytes(KEY)
+        key.write_bytes(GROUP_KEY)
         key.chmod(0o600)
-        table["fleet"] = {"zone": "a", "listen": f"{here}:{FLEET_PORT}", "seeds": [], "key": str(key)}
+        table["fleet"] = {"zone": "a", "listen": f"{node_host}:{FLEET_PORT}", "seeds": [], "key": str(key)}
     return table
 
 
-class ListAgent(DiscoveryAgent):
-    """Discovery with a fixed list of one server."""
+class FixedListAgent(DiscoveryAgent):
+    """A discovery agent with a fixed list of one server."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, line: dict[str, Any]) -> None:
         super().__init__(loop, lambda entry: line, lambda lines: None)
@@ -144,48 +150,61 @@
 
 @dataclass
 class Usage:
-    """What a process has used so far."""
+    """Resources that a process has used so far.
+
+    `run_queue_ns` is the time in which it was runnable but waited for a core. `user_s` and `system_s` have
+    the resolution of the kernel's clock ticks, some 10 ms.
+    """
 
     cpu_ns: int
-    run_queue_ns: int  # runnable, but waiting for a core
+    run_queue_ns: int
     resident_bytes: int
-    user_s: float  # in steps of the kernel's clock, some 10 ms
+    user_s: float
     system_s: float
 
 
-def usage(pid: int) -> Usage:
-    """From the kernel's own accounts. MeasurementError once the process has ended."""
+def process_usage(pid: int) -> Usage:
+    """Read the resource usage of a process from /proc.
+
+    Raises:
+        MeasurementError: The process has ended.
+    """
     try:
         cpu, waited, _ = Path(f"/proc/{pid}/schedstat").read_text().split()
         stat = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     except (OSError, ValueError) as e:
         raise MeasurementError(f"process {pid}: {e}") from None
-    user, system = (int(ticks) / TICKS_PER_S for ticks in stat[11:13])
+    user, system = (int(ticks) / CLOCK_TICKS_PER_S for ticks in stat[11:13])
     return Usage(int(cpu), int(waited), pages * PAGE_BYTES, user, system)
 
 
 @dataclass
-class Bench:
-    """The processes of a measurement, running."""
+class Testbed:
+    """The running processes of a measurement."""
 
-    places: AddressBlock
+    address_block: AddressBlock
     node: subprocess.Popen[bytes]
     server: subprocess.Popen[bytes]
 
     def address(self, through_node: bool) -> tuple[str, int]:
+        """Return where to send requests: to the node, or directly to the server."""
         return (
-            (self.places.node_host(0), CLIENT_PORT)
+            (self.address_block.node_host(0), CLIENT_PORT)
             if through_node
-            else (self.places.server_host, SERVER_PORT)
+            else (self.address_block.server_host, SERVER_PORT)
         )
 
 
-async def answers(host: str, port: int) -> None:
-    """Returns when something listens there. MeasurementError after a while."""
+async def wait_until_listening(host: str, port: int) -> None:
+    """Wait until something listens at an address.
+
+    Raises:
+        MeasurementError: Nothing does so in time.
+    """
     loop = asyncio.get_running_loop()
-    ends = loop.time() + START_S
-    while loop.time() < ends:
+    deadline = loop.time() + START_TIMEOUT_S
+    while loop.time() < deadline:
         try:
             _, writer = await asyncio.open_connection(host, port)
         except OSError:
@@ -193,11 +212,11 @@
             continue
         writer.close()
         return
-    raise MeasurementError(f"{host}:{port}: nothing listens after {START_S:g} s")
+    raise MeasurementError(f"{host}:{port}: nothing listens after {START_TIMEOUT_S:g} s")
 
 
-def ended(process: subprocess.Popen[bytes]) -> None:
-    """Ends a process of ours and waits for it; a node writes its profile first."""
+def terminate(process: subprocess.Popen[bytes]) -> None:
+    """Terminate a child process and wait for it; a profiled node writes its profile first."""
     process.terminate()
     try:
         process.wait(5)
@@ -207,34 +226,39 @@
 
 
 @asynccontextmanager
-async def bench(fleet: bool = False, profile: Path | None = None) -> AsyncIterator[Bench]:
-    """Starts server and node and ends them; the kernel ends them too if this process dies."""
+async def start_testbed(fleet: bool = False, profile: Path | None = None) -> AsyncIterator[Testbed]:
+    """Run server and node within the context; the kernel ends them too if this process dies."""
     loop = asyncio.get_running_loop()
-    places = AddressBlock()
+    address_block = AddressBlock()
     with tempfile.TemporaryDirectory(prefix="latency-") as name:
         folder = Path(name)
         config = folder / "config.json"
-        config.write_text(json.dumps(node_table(places, folder, fleet)))
+        config.write_text(json.dumps(node_configuration(address_block, folder, fleet)))
         env = {k: v for k, v in os.environ.items() if not k.startswith("LB_")}
         env |= {"LB_CONFIG": str(config), "TMPDIR": name}
         python = [sys.executable, "-m"]
         profiler = ["cProfile", "-o", str(profile)] if profile else []
-        runner = [*python, *profiler, *(["-m"] if profile else []), "balancer"]
-        serving = [*python, "workbench.scale.latency", "--serve", f"{places.server_host}:{SERVER_PORT}"]
-        agent = ListAgent(loop, server_entry((places.server_host, SERVER_PORT)))
-        agent.start(places.agent_address(0))
-        quiet: dict[str, Any] = {"stdin": subprocess.DEVNULL, "stdout": subprocess.DEVNULL}
-        server = subprocess.Popen(killed_with_parent(serving), **quiet)
+        node_command = [*python, *profiler, *(["-m"] if profile else []), "balancer"]
+        server_command = [
+            *python,
+            "workbench.scale.latency",
+            "--serve",
+            f"{address_block.server_host}:{SERVER_PORT}",
+        ]
+        agent = FixedListAgent(loop, server_entry((address_block.server_host, SERVER_PORT)))
+        agent.start(address_block.agent_address(0))
+        stdio: dict[str, Any] = {"stdin": subprocess.DEVNULL, "stdout": subprocess.DEVNULL}
+        server = subprocess.Popen(killed_with_parent(server_command), **stdio)
         try:
             with (folder / "log").open("wb") as log:
-                node = subprocess.Popen(killed_with_parent(runner), env=env, stderr=log, **quiet)
+                node = subprocess.Popen(killed_with_parent(node_command), env=env, stderr=log, **stdio)
             try:
-                await answers(places.server_host, SERVER_PORT)
-                await answers(places.node_host(0), CLIENT_PORT)
-                yield Bench(places, node, server)
+                await wait_until_listening(address_block.server_host, SERVER_PORT)
+                await wait_until_listening(address_block.node_host(0), CLIENT_PORT)
+                yield Testbed(address_block, node, server)
             finally:
-                ended(node)
+                terminate(node)
         finally:
-            ended(server)
+            terminate(server)
             agent.close()
-            places.close()
+            address_block.close()
--- a/workbench/scale/machine.py
+++ b/workbench/scale/machine.py
@@ -1,4 +1,4 @@
-"""What a run may take of this machine: processes by its cores, and half of its memory."""
+"""Limits on what a run may use of this machine: worker processes by its cores, and half of its memory."""
 
 from __future__ import annotations
 
@@ -7,26 +7,30 @@
 
 from workbench.scale.plan import Plan, PlanError
 
-MEMBERS_PER_WORKER = 10  # fewer are not worth a process
-SPARE_CORES = 2  # for the parent, the real nodes and the machine itself
-BYTES_PER_ENTRY = 800  # one member's knowledge of another, roughly
-BYTES_PER_MEMBER = 100_000  # and what it takes beside that
+# Fewest members for which a worker process is worth its cost.
+MEMBERS_PER_WORKER = 10
+# Cores that are left for the parent, the real nodes and the machine itself.
+SPARE_CORES = 2
+# Approximate memory of one member's entry for another.
+BYTES_PER_VIEW_ENTRY = 800
+# Approximate memory of a member without its entries for others.
+BYTES_PER_MEMBER = 100_000
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 def default_workers(hollow: int) -> int:
-    """As many as the cores bear and the members are worth."""
+    """Return the number of workers for some hollow members, limited by the cores of the machine."""
     cores = len(os.sched_getaffinity(0))
     return max(1, min(cores - SPARE_CORES, hollow // MEMBERS_PER_WORKER))
 
 
 def memory_limit() -> int:
-    """Bytes that all workers together may take."""
+    """Return the bytes that all workers together may use."""
     return os.sysconf("SC_PHYS_PAGES") * PAGE_BYTES // 2
 
 
-def resident(pid: int) -> int:
-    """Bytes of a process in memory; 0 once it is gone."""
+def resident_memory(pid: int) -> int:
+    """Return the resident bytes of a process, or 0 if it has ended."""
     try:
         return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES
     except (OSError, IndexError):
@@ -34,10 +38,14 @@
 
 
 def check_memory_need(plan: Plan) -> None:
-    """Refuses a group that would take more than half of the machine's memory. PlanError."""
+    """Check that a group fits in half of the machine's memory.
+
+    Raises:
+        PlanError: The group would need more.
+    """
     members = plan.hollow + plan.real
     known = members if plan.membership == "flat" else members // plan.zones + 1
-    need = plan.hollow * (known * BYTES_PER_ENTRY + BYTES_PER_MEMBER)
+    need = plan.hollow * (known * BYTES_PER_VIEW_ENTRY + BYTES_PER_MEMBER)
     limit = memory_limit()
     if need > limit:
         raise PlanError(
--- a/workbench/scale/measurements.py
+++ b/workbench/scale/measurements.py
@@ -1,4 +1,4 @@
-"""The figures of a run as rows: one quantity each, at one size, with the run that gave it."""
+"""The results of a run as rows: one quantity each, at one size, with the run it comes from."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 from workbench.scale.meter import COMPONENTS, LOOP, RUNTIME, SOCKET
 from workbench.scale.verdict import Findings
 
-CALM = ""  # the calm's quantities have no prefix
-JOIN = "join."
-FAULT = "fault."
-SIMULATED = "simulated."
+# Quantities of the calm phase have no prefix.
+CALM_PREFIX = ""
+JOIN_PREFIX = "join."
+FAULT_PREFIX = "fault."
+SIMULATED_PREFIX = "simulated."
 CPU_COMPONENTS = (*COMPONENTS, RUNTIME, SOCKET, LOOP)
 CPU_UNIT = "us/member/s"
 
 
 class RunInfo(Struct, frozen=True):
-    """Where a figure comes from."""
+    """The run that a figure comes from."""
 
     command: str
     seed: int
@@ -32,8 +33,11 @@
 
 
 class Row(Struct, kw_only=True):
-    """One figure. `spread`: the least and the greatest of what `value` is the mean or median of, over the
-    workers for costs and over the members for times."""
+    """One figure as it is stored.
+
+    `value` is a mean or median, over the workers for costs and over the members for times; `spread` is the
+    least and the greatest of them. `counted` is false if the machine was the limit.
+    """
 
     quantity: str
     unit: str
@@ -45,16 +49,20 @@
 
 
 class Phase(Struct):
-    """One stretch of a run: a window of each worker with members, of the idle one, and who ran in each."""
+    """One phase of a run.
+
+    `windows` has one window for each worker with members, `idle` is that of the worker without, and `members`
+    is the number of members that ran in each worker.
+    """
 
     prefix: str
     windows: list[Window]
     idle: Window
-    members: list[int]  # by worker
+    members: list[int]
 
 
 class Figure(Struct):
-    """A row before its run is known."""
+    """A row without the run it comes from."""
 
     quantity: str
     unit: str
@@ -63,10 +71,10 @@
 
 
 def phase_figures(phase: Phase, period_s: float) -> Iterator[Figure]:
-    """What a member spent in a phase."""
+    """Yield the mean cost of a member in a phase, without that of an idle worker."""
 
     def rate(quantity: str, unit: str, amounts: list[float], per_s: float = 1.0) -> Figure:
-        """`amounts` by worker, a member and `per_s` seconds."""
+        """Return the mean of `amounts`, one for each worker, for a member and `per_s` seconds."""
         shares = [
             amount / members / window.seconds * per_s
             for amount, members, window in zip(amounts, phase.members, phase.windows, strict=True)
@@ -90,15 +98,15 @@
     for name in COMPONENTS:
         calls: list[float] = [w.calls.get(name, 0) for w in windows]
         yield rate(f"calls.{name}", "1/member/period", calls, period_s)
-    yield memory(phase)
+    yield memory_figure(phase)
     late = [w.lateness_p99_ms for w in windows]
     yield Figure(phase.prefix + "worker.lateness_p99", "ms", max(late), (min(late), max(late)))
     busy = [w.cpu_s / w.seconds for w in windows]
     yield Figure(phase.prefix + "worker.cpu", "cores", max(busy), (min(busy), max(busy)))
 
 
-def memory(phase: Phase) -> Figure:
-    """Resident bytes of the workers beyond those of the idle one, by member."""
+def memory_figure(phase: Phase) -> Figure:
+    """Return the resident bytes of a member: those of the workers beyond the idle worker's."""
     extra = [w.resident_bytes - phase.idle.resident_bytes for w in phase.windows]
     shares = [e / m for e, m in zip(extra, phase.members, strict=True) if m]
     return Figure(
@@ -107,32 +115,36 @@
 
 
 def time_figures(findings: Findings, joined: bool) -> Iterator[Figure]:
-    """When the members had joined, knew of each end, and agreed again after a cut. `joined`: they found one
-    another, and did not begin with the whole group."""
+    """Yield the times until members joined, learnt of each death, and agreed again after a partition.
+
+    Args:
+        findings: The times that the run has recorded.
+        joined: Whether the members discovered one another, and did not start with the whole group.
+    """
     if joined and findings.joined_s and len(findings.joined_s) >= findings.join_expected:
-        yield from spread_times("join", findings.joined_s)
+        yield from time_range_figures("join", findings.joined_s)
     known = [d for d in findings.deaths if d.known_s and len(d.known_s) >= d.expected]
     if known and len(known) == len(findings.deaths):
-        yield from spread_times("death", [t for d in known for t in d.known_s])
+        yield from time_range_figures("death", [t for d in known for t in d.known_s])
     if findings.healed_s:
-        yield from spread_times("heal", findings.healed_s)
+        yield from time_range_figures("heal", findings.healed_s)
 
 
-def spread_times(name: str, times: list[float]) -> Iterator[Figure]:
-    """The time by which all knew, and half of them."""
+def time_range_figures(name: str, times: list[float]) -> Iterator[Figure]:
+    """Yield the greatest and the median of some times."""
     spread = min(times), max(times)
     yield Figure(f"{name}.all", "s", max(times), spread)
     yield Figure(f"{name}.median", "s", median(times), spread)
 
 
-def growth(by_size: dict[int, float]) -> float:
-    """The power of the group's size that a quantity grows with: 0 where it does not, 1 in proportion."""
+def growth_exponent(by_size: dict[int, float]) -> float:
+    """Return the exponent of a quantity's growth with the group's size: 0 if constant, 1 if proportional."""
     sizes = np.log(list(by_size))
     return float(np.polyfit(sizes, np.log(list(by_size.values())), 1)[0])
 
 
-def rows(figures: list[Figure], size: int, run: RunInfo, counted: bool) -> list[Row]:
-    """The figures as they are written."""
+def build_rows(figures: list[Figure], size: int, run: RunInfo, counted: bool) -> list[Row]:
+    """Add the size and the run to figures."""
     return [
         Row(
             quantity=figure.quantity,
@@ -147,29 +159,32 @@
     ]
 
 
-def table(found: list[Row]) -> Table:
-    """The rows as a person reads them, what was simulated beside what was measured."""
-    simulated = {r.quantity.removeprefix(SIMULATED): r for r in found if r.quantity.startswith(SIMULATED)}
+def format_table(found: list[Row]) -> Table:
+    """Format rows as a table for the terminal, with simulated values beside measured ones."""
+    simulated = {
+        r.quantity.removeprefix(SIMULATED_PREFIX): r for r in found if r.quantity.startswith(SIMULATED_PREFIX)
+    }
     out = Table("quantity", "unit")
     for column in ("value", "least", "greatest", *(("simulated", "difference") if simulated else ())):
         out.add_column(column, justify="right")
     for row in found:
-        if row.quantity.startswith(SIMULATED):
+        if row.quantity.startswith(SIMULATED_PREFIX):
             continue
-        low, high = (shown(v) for v in row.spread) if row.spread else ("", "")
-        cells = [row.quantity, row.unit, shown(row.value), low, high]
+        low, high = (format_value(v) for v in row.spread) if row.spread else ("", "")
+        cells = [row.quantity, row.unit, format_value(row.value), low, high]
         other = simulated.get(row.quantity)
         if other is not None:
             difference = f"{row.value / other.value - 1:+.1%}" if other.value else ""
-            cells += [shown(other.value), difference]
+            cells += [format_value(other.value), difference]
         out.add_row(*cells)
     return out
 
 
-def shown(value: float) -> str:
+def format_value(value: float) -> str:
+    """Format a value with three significant figures, or as a whole number from 1,000 on."""
     return f"{value:,.0f}" if abs(value) >= 1000 else f"{value:.3g}"
 
 
-def encoded(found: list[Row]) -> bytes:
-    """The rows as JSON, one a line, in a list."""
+def encode_rows(found: list[Row]) -> bytes:
+    """Encode rows as a JSON list with one row a line."""
     return b"[\n" + b",\n".join(msgspec.json.encode(r) for r in found) + b"\n]\n"
--- a/workbench/scale/mechanisms.py
+++ b/workbench/scale/mechanisms.py
@@ -1,4 +1,4 @@
-"""What carries each cost at the target size: mechanisms that stand, and those that are missing."""
+"""The mechanisms that bear each cost at the target size, both built and missing."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 @dataclass(frozen=True)
 class Mechanism:
-    """`needs`: mechanisms without which this one does not work at the target size."""
+    """A mechanism of the fleet; without those in `dependencies` it does not work at the target size."""
 
     name: str
-    built: bool
-    needs: tuple[Mechanism, ...] = ()
+    is_built: bool
+    dependencies: tuple[Mechanism, ...] = ()
 
-    def all_needs(self) -> frozenset[Mechanism]:
-        """Itself and all that it rests on."""
+    def all_dependencies(self) -> frozenset[Mechanism]:
+        """Return this mechanism and all that it depends on."""
         found = {self}
-        for need in self.needs:
-            found |= need.all_needs()
+        for dependency in self.dependencies:
+            found |= dependency.all_dependencies()
         return frozenset(found)
 
 
@@ -28,7 +28,7 @@
 ZONE_MEMBERSHIP = Mechanism("membership by zone", True)
 GATEWAYS = Mechanism("gateways between zones", True, (ZONE_MEMBERSHIP,))
 CONFIGURATION = Mechanism("configuration distribution", False)
-# A zone's nodes ask each other where no replica answers, and gateways sum up the versions in force.
+# If no replica answers, the nodes of a zone ask each other; gateways summarize the versions in force.
 CONFIGURATION_FALLBACK = Mechanism(
     "configuration from peers of the zone", False, (CONFIGURATION, ZONE_MEMBERSHIP)
 )
--- a/workbench/scale/membership.py
+++ b/workbench/scale/membership.py
@@ -36,7 +36,8 @@
 from workbench.simulator.heap import HeapClock
 
 WARM_UP_S = 5.0
-CALM_S = 20.0  # window in which rates are measured
+# Length of the window in which rates are measured in calm.
+CALM_S = 20.0
 DEATH_LIMIT_S = 180.0
 JOIN_LIMIT_S = 400.0
 PARTITION_S = 150.0
@@ -44,14 +45,15 @@
 ZONES = 13
 REGIONS = 5
 BACKLOG_S = 20.0
-POLL_INTERVAL_S = 0.25  # between two evaluations of a condition
-START = 1_000_000  # microseconds
+# Interval at which a condition is evaluated.
+POLL_INTERVAL_S = 0.25
+START_US = 1_000_000
 HOST = "10.0.0.1"
 SEEDS = 3
 
 
 @dataclass
-class Spent:
+class CostCounters:
     """Processor nanoseconds by call, and traffic, since the last reset."""
 
     tick: int = 0
@@ -62,13 +64,13 @@
     bytes: int = 0
 
 
-def seeds_of(count: int) -> list[Address]:
-    """Returns the members that all others contact first."""
+def seed_addresses(count: int) -> list[Address]:
+    """Return the members that all others contact first."""
     return [(HOST, i + 1) for i in range(min(SEEDS, count))]
 
 
 def stop_dissemination(swim: Swim) -> None:
-    """Drops all updates and accusations that a member still passes on, as long after the last change."""
+    """Drop all updates and accusations that a member still passes on, as long after the last change."""
     for queue in (swim.updates, swim.accusations):
         for name in list(queue.transmissions):
             queue.remove(name)
@@ -78,75 +80,77 @@
     """Members on one virtual clock, with processor time counted by component; no datagram is lost."""
 
     def __init__(self, count: int, seed: int) -> None:
-        self.clock = HeapClock(START)
-        self.rng = Random(seed)  # the network's, and of the members' seeds
+        self.clock = HeapClock(START_US)
+        self.rng = Random(seed)  # Random source of the network, and of the members' own seeds
         self.network: VirtualNetwork[Address, bytes] = VirtualNetwork(self.clock, self.rng)
-        self.spent = Spent()
-        self.wire = Codec([GROUP_KEY])
-        self.readers: dict[Address, Codec] = {}  # each member keeps its own window against replays
+        self.spent = CostCounters()
+        self.encoder = Codec([GROUP_KEY])
+        self.decoders: dict[Address, Codec] = {}  # One decoder a member, since each has its own replay window
         self.members: dict[Address, Swim] = {}
         for i in range(count):
-            self.add((HOST, i + 1), seeds_of(count))
+            self.add((HOST, i + 1), seed_addresses(count))
 
     def add(self, address: Address, seeds: list[Address], incarnation: int = 1) -> None:
-        """Starts a member."""
+        """Start a member."""
         swim = Swim(f"n{address[1]}", address, incarnation, seeds, Random(self.rng.random()), self.clock.now)
-        self.readers[address] = Codec([GROUP_KEY])
+        self.decoders[address] = Codec([GROUP_KEY])
         self.members[address] = swim
-        self.network.attach(address, partial(self.arrive, address))
+        self.network.attach(address, partial(self.deliver, address))
         self.clock.call_at(swim.due(), self.on_timer, (address, swim))
 
     def kill(self, address: Address) -> str:
-        """Ends a member without a message; returns its name."""
+        """End a member without a message and return its name."""
         self.network.detach(address)
         return self.members.pop(address).me.name
 
     def run(self, seconds: float) -> None:
-        """Handles all events of the next seconds."""
+        """Handle all events of the next seconds."""
         self.network.run(seconds)
 
     def until(self, condition: Callable[[], bool], limit: float) -> Waited:
-        """Runs until a condition holds, up to a limit in seconds."""
+        """Run until a condition holds, up to a limit in seconds."""
         return self.network.run_until(condition, limit, POLL_INTERVAL_S)
 
-    def on_timer(self, what: tuple[Address, Swim]) -> None:
-        """Runs a member's timer, and schedules the next."""
-        address, swim = what
+    def on_timer(self, timer: tuple[Address, Swim]) -> None:
+        """Run a member's timer and schedule the next one."""
+        address, swim = timer
         if self.members.get(address) is not swim:
             return
-        begun = process_time_ns()
+        started_ns = process_time_ns()
         sends = swim.tick(self.clock.now)
         due = swim.due()
-        self.spent.tick += process_time_ns() - begun
+        self.spent.tick += process_time_ns() - started_ns
         self.transmit(address, sends)
-        self.clock.call_at(max(self.clock.now + 1, due), self.on_timer, what)
+        self.clock.call_at(max(self.clock.now + 1, due), self.on_timer, timer)
 
     def transmit(self, source: Address, sends: list[OutgoingMessage]) -> None:
-        """Datagrams go out, each with a delay of its own."""
+        """Encode and send datagrams."""
         for send in sends:
-            begun = process_time_ns()
-            data = self.wire.encode(send.message, self.clock.now)
-            self.spent.encode += process_time_ns() - begun
+            started_ns = process_time_ns()
+            data = self.encoder.encode(send.message, self.clock.now)
+            self.spent.encode += process_time_ns() - started_ns
             self.spent.datagrams += 1
             self.spent.bytes += len(data)
             self.network.send(source, send.to, data)
 
-    def arrive(self, to: Address, source: Address, data: bytes) -> None:
-        """A datagram comes in."""
+    def deliver(self, to: Address, source: Address, data: bytes) -> None:
+        """Deliver a datagram to a member and transmit its replies."""
         swim = self.members[to]
-        reader = self.readers[to]
-        begun = process_time_ns()
-        message = reader.decode(data, self.clock.now)
-        self.spent.decode += process_time_ns() - begun
+        decoder = self.decoders[to]
+        started_ns = process_time_ns()
+        message = decoder.decode(data, self.clock.now)
+        self.spent.decode += process_time_ns() - started_ns
         if message is None:
-            raise RuntimeError(f"the codec refused a datagram of its own: {dict(reader.dropped)}")
-        begun = process_time_ns()
+            raise RuntimeError(
+                f"the codec rejected a datagram that it encoded itself: {dict(decoder.dropped)}"
+            )
+        started_ns = process_time_ns()
         sends = swim.receive(self.clock.now, source, message)
-        self.spent.receive += process_time_ns() - begun
+        self.spent.receive += process_time_ns() - started_ns
         self.transmit(to, sends)
 
     def introduce_all(self, disseminate: bool = False) -> None:
-        """Makes every member known to every other; `disseminate`: by updates that they still pass on."""
+        """Make every member known to every other; with `disseminate` they still pass on updates about all."""
         claims = [s.me for s in self.members.values()]
         for swim in self.members.values():
             for claim in claims:
@@ -154,28 +158,28 @@
             if not disseminate:
                 stop_dissemination(swim)
 
-    def measure(self, seconds: float) -> Spent:
-        """What the whole group spends in a window of simulated time."""
-        self.spent = Spent()
+    def measure(self, seconds: float) -> CostCounters:
+        """Return the cost of the whole group in a window of simulated time."""
+        self.spent = CostCounters()
         self.run(seconds)
         return self.spent
 
-    def knows_gone(self, names: set[str]) -> bool:
-        """Returns whether no live member has any of these members as alive or suspect."""
+    def all_know_ended(self, names: set[str]) -> bool:
+        """Return whether no live member has any of these members as alive or suspect."""
         return all(
             not any(s.status(name) in (Status.ALIVE, Status.SUSPECT) for name in names)
             for s in self.members.values()
         )
 
-    def complete(self) -> bool:
-        """Returns whether every member has exactly the others as alive or suspect."""
-        wanted = len(self.members) - 1
-        return all(len(s.alive()) == wanted for s in self.members.values())
+    def all_views_complete(self) -> bool:
+        """Return whether every member has exactly the others as alive or suspect."""
+        expected_count = len(self.members) - 1
+        return all(len(s.alive()) == expected_count for s in self.members.values())
 
 
 @dataclass(frozen=True)
 class Row:
-    """One measured value; `limit`: the condition had not come true by then, so the value is a lower bound."""
+    """One measured value; with `limit` the condition never held, so the value is a lower bound."""
 
     name: str
     size: int
@@ -184,8 +188,8 @@
     limit: bool = False
 
 
-def rates(prefix: str, net: MeteredNetwork, size: int, seed: int, seconds: float) -> list[Row]:
-    """Processor time, datagrams and bytes a member and second."""
+def measure_rates(prefix: str, net: MeteredNetwork, size: int, seed: int, seconds: float) -> list[Row]:
+    """Measure processor time, datagrams and bytes a member and second."""
     spent = net.measure(seconds)
     scale = size * seconds
     total = spent.tick + spent.receive + spent.encode + spent.decode
@@ -201,35 +205,39 @@
     return [Row(f"{prefix}.{name}", size, seed, value) for name, value in values.items()]
 
 
-def timed(
+def time_until(
     name: str, net: MeteredNetwork, size: int, seed: int, condition: Callable[[], bool], limit: float
 ) -> Row:
-    """Measures the seconds until a condition holds."""
+    """Measure the seconds until a condition holds."""
     waited = net.until(condition, limit)
     return Row(name, size, seed, waited.seconds, limit=not waited.holds)
 
 
 def calm(size: int, seed: int) -> list[Row]:
-    """Measures rates without updates, then the time until all know of a death."""
+    """Measure rates without updates, then the time until all know of a death."""
     net = MeteredNetwork(size, seed)
     net.introduce_all()
     net.run(WARM_UP_S)
-    rows = rates("membership.calm", net, size, seed, CALM_S)
-    gone = {net.kill((HOST, size))}
-    rows.append(timed("membership.death_s", net, size, seed, lambda: net.knows_gone(gone), DEATH_LIMIT_S))
+    rows = measure_rates("membership.calm", net, size, seed, CALM_S)
+    ended_names = {net.kill((HOST, size))}
+    rows.append(
+        time_until(
+            "membership.death_s", net, size, seed, lambda: net.all_know_ended(ended_names), DEATH_LIMIT_S
+        )
+    )
     return rows
 
 
 def backlog(size: int, seed: int) -> list[Row]:
-    """Measures rates while each member disseminates updates about all others, as after a joint start."""
+    """Measure rates while each member disseminates updates about all others, as after a joint start."""
     net = MeteredNetwork(size, seed)
     net.introduce_all(disseminate=True)
     net.run(WARM_UP_S)
-    return rates("membership.backlog", net, size, seed, BACKLOG_S)
+    return measure_rates("membership.backlog", net, size, seed, BACKLOG_S)
 
 
 def dissemination_time(name: str, size: int, seed: int, busy: bool) -> list[Row]:
-    """Measures the seconds until all know a member's new incarnation, which at first one other knows."""
+    """Measure the seconds until all know a member's new incarnation, which one other knows at first."""
     net = MeteredNetwork(size, seed)
     net.introduce_all(disseminate=busy)
     net.run(WARM_UP_S)
@@ -243,58 +251,63 @@
         others = [s for s in net.members.values() if s is not changed]
         return all(s.members[claim.name].claim.incarnation == claim.incarnation for s in others)
 
-    return [timed(name, net, size, seed, all_know, JOIN_LIMIT_S)]
+    return [time_until(name, net, size, seed, all_know, JOIN_LIMIT_S)]
 
 
 def news(size: int, seed: int) -> list[Row]:
-    """Measures one change in a calm group."""
+    """Measure the dissemination of one change in a calm group."""
     return dissemination_time("membership.news_s", size, seed, busy=False)
 
 
 def news_busy(size: int, seed: int) -> list[Row]:
-    """Measures one change while the group disseminates updates about all its members."""
+    """Measure the dissemination of one change while the group disseminates updates about all its members."""
     return dissemination_time("membership.news_busy_s", size, seed, busy=True)
 
 
 def join(size: int, seed: int) -> list[Row]:
-    """Time until a group that starts at once knows itself."""
+    """Measure the time until all members of a group that starts at once know each other."""
     net = MeteredNetwork(size, seed)
-    return [timed("membership.join_s", net, size, seed, net.complete, JOIN_LIMIT_S)]
+    return [time_until("membership.join_s", net, size, seed, net.all_views_complete, JOIN_LIMIT_S)]
 
 
-def restarted(net: MeteredNetwork, addresses: list[Address]) -> None:
-    """Members come back cold, each with a higher incarnation, knowing the seeds alone."""
+def restart_members(net: MeteredNetwork, addresses: list[Address]) -> None:
+    """Start members again, each with a higher incarnation and knowing only the seeds."""
     for address in addresses:
-        net.add(address, seeds_of(SEEDS), incarnation=2)
+        net.add(address, seed_addresses(SEEDS), incarnation=2)
 
 
 def batch(size: int, seed: int) -> list[Row]:
-    """A thirteenth of the group dies at one instant and comes back cold."""
+    """Measure the detection and the return of a thirteenth of the group that dies at one instant."""
     net = MeteredNetwork(size, seed)
     net.introduce_all()
     net.run(WARM_UP_S)
     count = max(1, size // ZONES)
-    lost = [(HOST, size - i) for i in range(count)]
-    gone = {net.kill(address) for address in lost}
+    ended_addresses = [(HOST, size - i) for i in range(count)]
+    ended_names = {net.kill(address) for address in ended_addresses}
     rows = [
-        timed("membership.zone_lost_s", net, size, seed, lambda: net.knows_gone(gone), DEATH_LIMIT_S),
+        time_until(
+            "membership.zone_lost_s", net, size, seed, lambda: net.all_know_ended(ended_names), DEATH_LIMIT_S
+        ),
     ]
     net.run(RETURN_AFTER_S)
-    restarted(net, lost)
-    rows.append(timed("membership.zone_back_s", net, size, seed, net.complete, JOIN_LIMIT_S))
+    restart_members(net, ended_addresses)
+    rows.append(time_until("membership.zone_back_s", net, size, seed, net.all_views_complete, JOIN_LIMIT_S))
     return rows
 
 
 def region(size: int, seed: int) -> list[Row]:
-    """A fifth of the group is cut off until both sides have forgotten each other, then the cut heals."""
+    """Measure the time to recover from a partition that lasts until both sides forget each other.
+
+    It separates a fifth of the group from the others.
+    """
     net = MeteredNetwork(size, seed)
     net.introduce_all()
     net.run(WARM_UP_S)
-    # Members with the highest numbers: the seeds stay on the larger side.
+    # The partition takes the members with the highest numbers, so that the seeds stay on the larger side.
     net.network.partition((HOST, size - i) for i in range(max(1, size // REGIONS)))
     net.run(PARTITION_S)
     net.network.heal()
-    return [timed("membership.region_back_s", net, size, seed, net.complete, JOIN_LIMIT_S)]
+    return [time_until("membership.region_back_s", net, size, seed, net.all_views_complete, JOIN_LIMIT_S)]
 
 
 SCENARIOS: dict[str, Callable[[int, int], list[Row]]] = {
--- a/workbench/scale/messages.py
+++ b/workbench/scale/messages.py
@@ -1,4 +1,4 @@
-"""What the parent and its workers say to each other: each request has one reply, framed by its length."""
+"""Messages between the parent and its workers: each request has one reply, framed by its length."""
 
 from __future__ import annotations
 
@@ -10,71 +10,75 @@
 from workbench.scale.group import Group
 from workbench.scale.plan import Defect, Start
 
-LENGTH = Packing("<I")
+LENGTH_PREFIX = Packing("<I")
 
 
 class Assign(Struct, tag=True):
-    """The first request: which members this worker runs."""
+    """The first request: assign members to this worker.
+
+    `members` are their indices, `key` is the path of the group's key file, and `defects` are the injected
+    defects by the name of the member.
+    """
 
     group: Group
-    members: list[int]  # indices
-    key: str  # the file with the group's key
+    members: list[int]
+    key: str
     start: Start
-    defects: dict[str, Defect]  # members that misbehave on purpose, by name
+    defects: dict[str, Defect]
 
 
 class Open(Struct, tag=True):
-    """Take the ports and begin; where the group is known from the start, without a word until `Go`."""
+    """Open the ports and start; members that start with the whole group stay silent until `Go`."""
 
 
 class Learn(Struct, tag=True):
-    """The whole group, with the incarnation of each."""
+    """Introduce the whole group, with the incarnation of each member."""
 
     incarnations: dict[str, int]
 
 
 class Go(Struct, tag=True):
-    """Begin to speak."""
+    """Start to send datagrams."""
 
 
 class Look(Struct, tag=True):
-    """Say where you stand. `window`: the figures since the last such look are wanted as well."""
+    """Report progress; with `window` also the costs since the last such request."""
 
     window: bool = False
 
 
 class Stop(Struct, tag=True):
-    """These members end without a word, in whichever worker they run."""
+    """End members without a message to others, in whichever worker they run."""
 
     names: list[str]
 
 
 class Restart(Struct, tag=True):
-    """These members come back from nothing. `wall`: no incarnation of theirs is lower, microseconds."""
+    """Restart members without their knowledge; `wall` is their lowest incarnation, in microseconds."""
 
     names: list[str]
     wall: int
 
 
 class Cut(Struct, tag=True):
-    """Datagrams between this region and all others are lost from now on; None: no region is cut off."""
+    """Partition a region from all others from now on; None heals the partition."""
 
     region: int | None
 
 
 class Finish(Struct, tag=True):
-    """Say what every member holds and what was seen, and end."""
+    """Report every member's view and all observations, and exit."""
 
 
 Request = Assign | Open | Learn | Go | Look | Stop | Restart | Cut | Finish
 
 
 class Done(Struct, tag=True):
-    """It is done."""
+    """A reply to a request that has no result."""
 
 
 class Opened(Struct, tag=True):
-    """The members have their ports."""
+    """The members have opened their ports."""
 
     incarnations: dict[str, int]
 
@@ -86,15 +90,15 @@
     datagrams_in: int = 0
     bytes_out: int = 0
     bytes_in: int = 0
-    lost: int = 0  # dropped by a cut
+    lost: int = 0  # Dropped by a partition
 
     def since(self, before: Traffic) -> Traffic:
-        """What has been added to an earlier count."""
+        """Return the difference from an earlier count."""
         return Traffic(*(getattr(self, f) - getattr(before, f) for f in self.__struct_fields__))
 
 
 class Window(Struct):
-    """What a worker spent between two looks."""
+    """Costs of a worker between two requests for them."""
 
     seconds: float
     cpu_s: float
@@ -107,49 +111,61 @@
 
 
 class Standing(Struct, tag=True):
-    """How far a worker's members are."""
+    """Progress of a worker's members.
+
+    `unjoined` are the first few members that have never known all members in their scope, `incomplete_count`
+    counts those that do not know all of them now, and `ignorant_count` those that hold an ended member alive.
+    """
 
     running: int
-    unjoined: list[str]  # members that have not yet known all they should, the first few
+    unjoined: list[str]
     unjoined_count: int
-    incomplete_count: int  # members that do not know all they should now
-    ignorant_count: int  # members that hold one alive who has ended
+    incomplete_count: int
+    ignorant_count: int
     window: Window | None = None
 
 
 class ViewFault(Struct):
-    """Where a member's view differs from who is there, with the first few names."""
+    """Differences between a member's view and the running members, with the first few names.
+
+    `missing` members are running and not held alive; `surplus` members are held alive and not running.
+    """
 
     member: str
     known: int
     expected: int
-    missing: list[str] = field(default_factory=list)  # running and not held alive
+    missing: list[str] = field(default_factory=list)
     missing_count: int = 0
-    surplus: list[str] = field(default_factory=list)  # held alive and not running
+    surplus: list[str] = field(default_factory=list)
     surplus_count: int = 0
 
 
 class FalseDeath(Struct):
-    """A running member that another one held dead."""
+    """A running member that another one, the holder, declared dead `at_s` seconds after the start."""
 
     victim: str
     holder: str
-    at_s: float  # since the start
+    at_s: float
 
 
 class Report(Struct, tag=True):
-    """What a worker's members saw over the whole run; times in seconds."""
+    """Observations of a worker's members over the whole run; times in seconds.
+
+    `joined_s` has the time from the start until a member knew all others, by name. `death_known_s` has, by
+    victim, one time from its end for each member that noticed. `healed_s` has one time a member, from the end
+    of a partition until it knew all others again.
+    """
 
-    joined_s: dict[str, float]  # members that have known all, since the start
-    death_known_s: dict[str, list[float]]  # by victim: since its end, one for each member that noticed
+    joined_s: dict[str, float]
+    death_known_s: dict[str, list[float]]
     false_deaths: list[FalseDeath]
     false_death_count: int
-    healed_s: list[float]  # by member: from the end of a cut until it knew all again
+    healed_s: list[float]
     view_faults: list[ViewFault]
 
 
 class Failed(Struct, tag=True):
-    """The worker cannot go on: one line."""
+    """The worker cannot continue; the reason is a single line."""
 
     reason: str
 
@@ -161,6 +177,6 @@
 
 
 def frame(message: Request | Reply) -> bytes:
-    """The message's bytes after their length."""
+    """Encode a message, preceded by its length."""
     body = msgspec.msgpack.encode(message)
-    return LENGTH.pack(len(body)) + body
+    return LENGTH_PREFIX.pack(len(body)) + body
--- a/workbench/scale/meter.py
+++ b/workbench/scale/meter.py
@@ -1,8 +1,9 @@
-"""Processor time of a worker, split among the components of the members that run in it.
+"""Processor time of a worker by component of the members that run in it.
 
-Calls of a component are wrapped, once for the whole process, and the thread's own processor clock is read at
-each border: time inside a nested call is charged to the nested component alone, and whatever runs outside all
-wrapped calls (the event loop, the receiving system calls, this worker's own bookkeeping) to `LOOP`.
+The methods of each component are wrapped once for the whole process, and the thread's processor clock is read
+at the start and end of each call. The time of a nested call is charged only to the nested component.
+Everything outside wrapped calls (the event loop, receiving system calls, the worker's own bookkeeping) is
+charged to `LOOP`.
 """
 
 from __future__ import annotations
@@ -15,15 +16,17 @@
 
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Swim
-from workbench.scale.program import FURTHER_COMPONENTS
+from workbench.scale.program import ZONE_COMPONENTS
 
 LOOP = "loop"
-RUNTIME = "runtime"  # what the fleet runtime does around its components
-SOCKET = "socket"  # sending system calls
+# The fleet runtime without its components.
+RUNTIME = "runtime"
+# System calls that send.
+SOCKET = "socket"
 COMPONENTS: dict[str, tuple[type, tuple[str, ...]]] = {
     "membership": (Swim, ("tick", "receive", "due")),
     "codec": (Codec, ("encode", "read")),
-    **FURTHER_COMPONENTS,
+    **ZONE_COMPONENTS,
 }
 
 
@@ -34,40 +37,43 @@
         self.nanoseconds: Counter[str] = Counter()
         self.calls: Counter[str] = Counter()
         self.current = LOOP
-        self.since = thread_time_ns()
+        self.last_switch_ns = thread_time_ns()
 
-    def run(self, component: str, function: Callable[..., Any], *args: Any, **named: Any) -> Any:
-        """Calls a function and charges its time to a component."""
+    def run(self, component: str, function: Callable[..., Any], *args: Any, **kwargs: Any) -> Any:
+        """Call a function and charge its time to a component."""
         outer = self.current
         self.switch(component)
         self.calls[component] += 1
         try:
-            return function(*args, **named)
+            return function(*args, **kwargs)
         finally:
             self.switch(outer)
 
     def switch(self, component: str) -> None:
-        """From now on time is charged to `component`."""
+        """Charge time to `component` from now on."""
         now = thread_time_ns()
-        self.nanoseconds[self.current] += now - self.since
-        self.current, self.since = component, now
+        self.nanoseconds[self.current] += now - self.last_switch_ns
+        self.current, self.last_switch_ns = component, now
 
     def read(self) -> tuple[dict[str, int], dict[str, int]]:
-        """Nanoseconds and calls so far."""
+        """Return nanoseconds and calls by component so far."""
         self.switch(self.current)
         return dict(self.nanoseconds), dict(self.calls)
 
     def wrap_components(self) -> None:
-        """Measures all members of this process from now on. For a process of its own: classes are changed."""
+        """Meter all members of this process from now on.
+
+        This replaces methods of the components' classes, so it needs a separate process.
+        """
         for component, (owner, names) in COMPONENTS.items():
             for name in names:
-                setattr(owner, name, self.measured(component, getattr(owner, name)))
+                setattr(owner, name, self.metered(component, getattr(owner, name)))
 
-    def measured(self, component: str, function: Callable[..., Any]) -> Callable[..., Any]:
-        """The function, with its time charged to a component."""
+    def metered(self, component: str, function: Callable[..., Any]) -> Callable[..., Any]:
+        """Wrap a function so that its time is charged to a component."""
 
         @wraps(function)
-        def run(*args: Any, **named: Any) -> Any:
-            return self.run(component, function, *args, **named)
+        def run(*args: Any, **kwargs: Any) -> Any:
+            return self.run(component, function, *args, **kwargs)
 
         return run
--- a/workbench/scale/page.py
+++ b/workbench/scale/page.py
@@ -14,23 +14,27 @@
 from workbench.scale.table import sections
 from workbench.scale.target import target_of
 
-PART = re.compile(r"(<!-- generated: (\w+) -->\n).*?(<!-- end -->\n)", re.DOTALL)
+GENERATED_PART = re.compile(r"(<!-- generated: (\w+) -->\n).*?(<!-- end -->\n)", re.DOTALL)
 
 
 class PageError(Exception):
-    """A page whose markers do not fit the model's parts: one line."""
+    """A page whose markers do not match the model's parts; the message is a single line."""
 
 
-def rendered(text: str, parts: Mapping[str, str]) -> str:
-    """The page with every generated part as the model has it now. PageError."""
-    found = [name for _, name, _ in PART.findall(text)]
+def render_page(text: str, parts: Mapping[str, str]) -> str:
+    """Return the page with every generated part replaced by its current content.
+
+    Raises:
+        PageError: The markers of the page do not match the parts.
+    """
+    found = [name for _, name, _ in GENERATED_PART.findall(text)]
     if sorted(found) != sorted(parts):
         raise PageError(f"markers: {', '.join(found) or 'none'}: must be {', '.join(parts)}, each once")
-    return PART.sub(lambda match: match[1] + parts[match[2]] + match[3], text)
+    return GENERATED_PART.sub(lambda match: match[1] + parts[match[2]] + match[3], text)
 
 
 def current_parts() -> dict[str, str]:
-    """The parts at the default target, from the shipped slopes."""
+    """Generate the parts for the default target from the shipped slopes."""
     slopes = read_slopes()
     return sections(capacity(target_of(), slopes), slopes)
 
@@ -38,8 +42,8 @@
 @click.command()
 @click.argument("page", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 def main(page: Path) -> None:
-    """Write the generated parts of PAGE anew."""
-    replace_files({page: rendered(page.read_text(), current_parts()).encode()})
+    """Regenerate the generated parts of PAGE."""
+    replace_files({page: render_page(page.read_text(), current_parts()).encode()})
 
 
 if __name__ == "__main__":
--- a/workbench/scale/plan.py
+++ b/workbench/scale/plan.py
@@ -10,14 +10,14 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-from workbench.scale.group import PORTS_PER_HOST, REAL_ZONE, Group, Membership, Place
+from workbench.scale.group import PORTS_PER_HOST, REAL_ZONE, Group, Membership, MemberSpec
 from workbench.scenario.check import type_errors
 from workbench.scenario.load import read_toml, titles
 
-Whole0 = Annotated[int, Meta(extra_json_schema={"minimum": 0})]
-Whole1 = Annotated[int, Meta(extra_json_schema={"minimum": 1})]
+NonNegativeInt = Annotated[int, Meta(extra_json_schema={"minimum": 0})]
+PositiveInt = Annotated[int, Meta(extra_json_schema={"minimum": 1})]
 Seconds = Annotated[float, Meta(extra_json_schema={"minimum": 0, "maximum": 3600})]
-LongSeconds = Annotated[float, Meta(extra_json_schema={"exclusiveMinimum": 0, "maximum": 3600})]
+PositiveSeconds = Annotated[float, Meta(extra_json_schema={"exclusiveMinimum": 0, "maximum": 3600})]
 PeriodMs = Annotated[int, Meta(extra_json_schema={"minimum": 100, "maximum": 60_000})]
 Share = Annotated[float, Meta(extra_json_schema={"minimum": 0, "maximum": 1})]
 Zones = Annotated[int, Meta(extra_json_schema={"minimum": 1, "maximum": 64})]
@@ -25,13 +25,14 @@
 Start = Literal["together", "known"]
 Defect = Literal["deaf", "quadratic"]
 
-SETTLE_PERIODS = 3  # between the beginning and the calm that is measured
+# Periods between the start and the measured calm phase.
+SETTLE_PERIODS = 3
 MAX_HOLLOW = 100 * PORTS_PER_HOST
 MAX_REAL = 40
 
 
 class PlanError(Exception):
-    """What is wrong with a plan: a line for each fault."""
+    """An invalid plan; the message has one line for each error."""
 
 
 class Section(Struct, forbid_unknown_fields=True, kw_only=True):
@@ -39,71 +40,89 @@
 
 
 class Fault(Section, forbid_unknown_fields=True, kw_only=True):
-    """One fault, `at_s` after the calm. `kill` takes `count` members, a `part` of all or a `zone`;
-    `cut` separates a `region` from all others."""
+    """One fault, `at_s` seconds after the calm phase.
+
+    `kill` ends `count` members, a `part` of all, or a `zone`; `cut` partitions a `region` from all others.
+    After `for_s` seconds a partition heals, and killed members restart without their knowledge; with 0 they
+    do not.
+    """
 
     type: Literal["kill", "cut"]
     at_s: Seconds = 0.0
-    for_s: Seconds = 0.0  # then a cut heals, and killed members come back from nothing; 0: they do not
-    count: Whole0 = 0
+    for_s: Seconds = 0.0
+    count: NonNegativeInt = 0
     part: Share = 0.0
-    zone: Whole0 | None = None
-    region: Whole0 | None = None
+    zone: NonNegativeInt | None = None
+    region: NonNegativeInt | None = None
 
 
-class DefectOf(Section, forbid_unknown_fields=True, kw_only=True):
-    """Hollow members that misbehave on purpose, to show that the run notices."""
+class DefectGroup(Section, forbid_unknown_fields=True, kw_only=True):
+    """Injected defect of some hollow members, to show that a run detects it."""
 
     kind: Defect
-    count: Whole1 = 1
+    count: PositiveInt = 1
 
 
 class Plan(Section):
-    """A whole file."""
+    """A whole plan file.
+
+    With `start` "together" members know only the seeds; with "known" each starts with the whole group.
+    `workers` is the number of processes of hollow members, with 0 derived from the cores of the machine.
+    `seconds` is the length of the measured calm phase, `join_s` the time in which the members must discover
+    one another, and `agree_s` that in which they must agree after the last fault.
+    """
 
     title: str = ""
-    seed: Whole0 = 1
-    hollow: Whole1 = 100
-    real: Whole0 = 0
+    seed: NonNegativeInt = 1
+    hollow: PositiveInt = 100
+    real: NonNegativeInt = 0
     zones: Zones = 1
     regions: Zones = 1
     period_ms: PeriodMs = 1000
     membership: Membership = "flat"
-    start: Start = "together"  # members know the seeds alone; "known": each begins with the whole group
-    workers: Whole0 = 0  # processes of hollow members; 0: by the machine's cores
-    seconds: LongSeconds = 30.0  # of calm that are measured
-    join_s: LongSeconds = 120.0  # that the members have to find one another
-    agree_s: LongSeconds = 120.0  # that they have to agree after the last fault
+    start: Start = "together"
+    workers: NonNegativeInt = 0
+    seconds: PositiveSeconds = 30.0
+    join_s: PositiveSeconds = 120.0
+    agree_s: PositiveSeconds = 120.0
     fault: list[Fault] = field(default_factory=list)
-    defect: list[DefectOf] = field(default_factory=list)
+    defect: list[DefectGroup] = field(default_factory=list)
 
 
-SHIPPED = files("workbench") / "scale" / "plans"
+SHIPPED_PLANS = files("workbench") / "scale" / "plans"
 
 
-def shipped() -> dict[str, str]:
-    """The names of the plans that ship with the product, and their titles."""
-    return titles(SHIPPED)
+def shipped_plans() -> dict[str, str]:
+    """Return the titles of the shipped plans by name."""
+    return titles(SHIPPED_PLANS)
 
 
 def read_plan(source: str, changes: dict[str, Any] | None = None) -> Plan:
-    """A file's plan or a shipped one, some of its keys replaced. PlanError."""
-    return plan_of(read_toml(source, SHIPPED, PlanError) | (changes or {}), source)
+    """Read a plan from a file, or a shipped one by name, with some of its keys replaced.
+
+    Raises:
+        PlanError: The plan does not exist or is invalid.
+    """
+    return parse_plan(read_toml(source, SHIPPED_PLANS, PlanError) | (changes or {}), source)
 
 
-def plan_of(table: dict[str, Any], source: str = "plan") -> Plan:
-    """The typed plan. PlanError holds every fault, a line each."""
+def parse_plan(table: dict[str, Any], source: str = "plan") -> Plan:
+    """Validate and convert a decoded plan.
+
+    Raises:
+        PlanError: The plan is invalid; the message has one line for each error.
+    """
     found = type_errors(table, Plan)
     if not found:
         plan = msgspec.convert(table, Plan)
-        found = list(relations(plan))
+        found = list(relation_errors(plan))
     if found:
         raise PlanError("\n".join(f"{source}: {line}" for line in found))
     return plan
 
 
-def relations(plan: Plan) -> Iterator[str]:
-    """What does not fit between keys that are right by themselves."""
+def relation_errors(plan: Plan) -> Iterator[str]:
+    """Yield an error for each combination of valid keys that is inconsistent."""
     if plan.hollow > MAX_HOLLOW:
         yield f"hollow: {plan.hollow}: must be at most {MAX_HOLLOW}"
     if plan.real > MAX_REAL:
@@ -113,11 +132,12 @@
     if plan.regions > plan.zones:
         yield f"regions: {plan.regions}: must be at most zones, {plan.zones}"
     for i, fault in enumerate(plan.fault):
-        for line in fault_relations(plan, fault):
+        for line in fault_errors(plan, fault):
             yield f"fault[{i}]{line}"
 
 
-def fault_relations(plan: Plan, fault: Fault) -> Iterator[str]:
+def fault_errors(plan: Plan, fault: Fault) -> Iterator[str]:
+    """Yield an error for each key of a fault that does not match the others or the plan."""
     if fault.type == "cut":
         if fault.region is None:
             yield ".region: missing: must be given for a cut"
@@ -133,11 +153,11 @@
     if fault.zone is not None and fault.zone >= plan.zones:
         yield f".zone: {fault.zone}: must be under zones, {plan.zones}"
     if fault.zone == REAL_ZONE and plan.real:
-        yield f".zone: {fault.zone}: must be another: the real nodes stand in zone {REAL_ZONE}"
+        yield f".zone: {fault.zone}: must be another: the real nodes are in zone {REAL_ZONE}"
 
 
-def group_of(plan: Plan, block: str) -> Group:
-    """The plan's members at their addresses."""
+def build_group(plan: Plan, block: str) -> Group:
+    """Build the plan's group, with addresses in a block of loopback."""
     return Group(
         block=block,
         hollow=plan.hollow,
@@ -150,17 +170,20 @@
     )
 
 
-def victims(fault: Fault, running: list[Place], rng: Random) -> list[Place]:
-    """The hollow members that a kill takes."""
-    able = [p for p in running if p.hollow and fault.zone in (None, p.zone)]
+def choose_victims(fault: Fault, running: list[MemberSpec], rng: Random) -> list[MemberSpec]:
+    """Choose the hollow members that a kill ends; without a zone, at least one survives."""
+    candidates = [p for p in running if p.hollow and fault.zone in (None, p.zone)]
     if fault.zone is not None:
-        return able
-    count = fault.count or max(1, round(fault.part * len(able)))
-    return sorted(rng.sample(able, min(count, len(able) - 1)), key=lambda p: p.index)
+        return candidates
+    count = fault.count or max(1, round(fault.part * len(candidates)))
+    return sorted(rng.sample(candidates, min(count, len(candidates) - 1)), key=lambda p: p.index)
+
 
+def defects_by_member(plan: Plan) -> dict[str, Defect]:
+    """Return the injected defects by member name.
 
-def defects_of(plan: Plan) -> dict[str, Defect]:
-    """The members that misbehave, by name: the last ones, since the first are the seeds."""
+    The last hollow members have them, since the first ones are the seeds.
+    """
     found: dict[str, Defect] = {}
     last = plan.hollow
     for defect in plan.defect:
--- a/workbench/scale/program.py
+++ b/workbench/scale/program.py
@@ -1,6 +1,6 @@
 """The parts of the node that a scale run instruments: its fleet runtime, and the calls that are timed.
 
-No other module of the run depends on where the node has these.
+Only this module depends on where the node defines them.
 """
 
 from __future__ import annotations
@@ -19,32 +19,32 @@
 from balancer.net.process.log import Log
 from balancer.policy.interface import Settings
 
-# Components beside membership and the codec: the class and the calls that are timed. The names are those of
-# the stored measurements.
-FURTHER_COMPONENTS: dict[str, tuple[type, tuple[str, ...]]] = {
+# Components besides membership and the codec: the class and its timed methods. The names are those in stored
+# measurements.
+ZONE_COMPONENTS: dict[str, tuple[type, tuple[str, ...]]] = {
     "federation": (ZoneMembership, ("tick", "received", "deadline")),
 }
 
-Changed = Callable[[str, Any], None]
+ViewChangeCallback = Callable[[str, Any], None]
 
 
 class Runtime(Protocol):
-    """What a scale run uses of the fleet runtime."""
+    """The part of the fleet runtime's interface that a scale run uses."""
 
     swim: Swim | None
     codec: Codec
 
     async def open(self) -> None:
-        """Opens the port and joins the group."""
+        """Open the port and join the group."""
 
     def close(self) -> None:
-        """Closes the port without a message to other members."""
+        """Close the port without a message to other members."""
 
     def view(self) -> dict[str, Any]:
-        """The operators' page."""
+        """Return the content of the status page."""
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """One datagram in."""
+        """Process one received datagram."""
 
 
 def make_runtime(
@@ -52,25 +52,25 @@
     loop: asyncio.AbstractEventLoop,
     seed: int,
     log: Log,
-    life: Lifecycle,
-    end: Callable[[], None],
+    lifecycle: Lifecycle,
+    end_process: Callable[[], None],
     settings: Settings,
 ) -> Runtime:
-    """Returns the node's fleet runtime for one member."""
-    return FleetRuntime(config, loop, seed, log, life, end, settings)
+    """Create the node's fleet runtime for one member."""
+    return FleetRuntime(config, loop, seed, log, lifecycle, end_process, settings)
 
 
-def listen_to_changes(swim: Swim, changed: Changed) -> None:
-    """Calls `changed` with each change of a member's view, before the runtime's own callback."""
-    runtime = swim.publish
+def listen_to_changes(swim: Swim, on_change: ViewChangeCallback) -> None:
+    """Call `on_change` with each change of a member's view, before the runtime's own callback."""
+    publish_to_runtime = swim.publish
 
-    def both(what: MembershipChange, claim: Any) -> None:
-        changed(what, claim)
-        runtime(what, claim)
+    def publish_to_both(change: MembershipChange, claim: Any) -> None:
+        on_change(change, claim)
+        publish_to_runtime(change, claim)
 
-    swim.publish = both
+    swim.publish = publish_to_both
 
 
 def drop_updates(swim: Swim) -> None:
-    """Drops the updates that a member has not passed on yet."""
+    """Drop the updates that a member has not passed on yet."""
     swim.updates = type(swim.updates)()
--- a/workbench/scale/rows.py
+++ b/workbench/scale/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the capacity table, and what they say comes first."""
+"""Rows of the capacity table, and the conclusions from them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Role(Enum):
-    """Who bears a cost."""
+    """A role in the fleet that bears a cost."""
 
     NODE = "node"
     GATEWAY = "gateway"
@@ -21,7 +21,7 @@
 
 
 class Event(Enum):
-    """What happens on an ordinary or a bad day."""
+    """An operational event, ordinary or exceptional."""
 
     RESTART = "one node's restart"
     RELEASE = "a release's batch"
@@ -40,38 +40,47 @@
 
 @dataclass(frozen=True)
 class Row:
-    """One cost, and the mechanism that carries it now. `quantity` None: there is nothing that does it."""
+    """One cost, and the mechanism that bears it now.
+
+    `quantity` is None if no mechanism exists. An `is_alternative` row is the same cost as another row's, by
+    another mechanism. `preferred_mechanism` is the mechanism that would replace an insufficient one.
+    """
 
     subject: Role | Event
-    what: str
+    cost: str
     unit: str
     mechanism: Mechanism
     quantity: Quantity | None = None
     budget: float | None = None
     note: str = ""
-    alternative: bool = False  # the same cost as another row's, carried in another way
-    wanted: Mechanism | None = None  # what would carry it, where that which carries it now does not do
+    is_alternative: bool = False
+    preferred_mechanism: Mechanism | None = None
 
     @property
-    def share(self) -> float | None:
-        """Of the budget that is used; None without a value or a budget."""
-        if self.quantity is None or not self.quantity.measured or self.budget is None:
+    def budget_share(self) -> float | None:
+        """The used share of the budget; None without a value or a budget."""
+        if self.quantity is None or not self.quantity.is_measured or self.budget is None:
             return None
         return self.quantity.value / self.budget
 
     @property
-    def missing(self) -> bool:
-        return not self.mechanism.built
+    def is_missing(self) -> bool:
+        """Whether the mechanism is not built yet."""
+        return not self.mechanism.is_built
 
-    def all_needs(self) -> frozenset[Mechanism]:
-        """All mechanisms that it rests on or wants."""
-        wanted = self.wanted.all_needs() if self.wanted is not None else frozenset()
-        return self.mechanism.all_needs() | wanted
+    def all_dependencies(self) -> frozenset[Mechanism]:
+        """Return all mechanisms that the row depends on, now or with the preferred mechanism."""
+        preferred = (
+            self.preferred_mechanism.all_dependencies()
+            if self.preferred_mechanism is not None
+            else frozenset()
+        )
+        return self.mechanism.all_dependencies() | preferred
 
 
 @dataclass(frozen=True)
 class Capacity:
-    """The whole table, and what it says comes first."""
+    """The whole capacity table."""
 
     target: Target
     roles: list[Row]
@@ -79,20 +88,21 @@
 
     @property
     def rows(self) -> list[Row]:
+        """All rows, those of roles first."""
         return self.roles + self.events
 
     @property
-    def costs(self) -> list[Row]:
-        """Each cost once."""
-        return [row for row in self.rows if not row.alternative]
+    def distinct_costs(self) -> list[Row]:
+        """The rows without alternatives, so that each cost is counted once."""
+        return [row for row in self.rows if not row.is_alternative]
 
-    def farthest(self) -> Row:
-        """The row that is farthest beyond its budget."""
-        return max((r for r in self.rows if r.share is not None), key=lambda r: r.share or 0.0)
+    def most_exceeded(self) -> Row:
+        """Return the row that exceeds its budget the most."""
+        return max((r for r in self.rows if r.budget_share is not None), key=lambda r: r.budget_share or 0.0)
 
-    def resting(self) -> Counter[Mechanism]:
-        """How many rows rest on each missing mechanism, directly or through another; no cost twice."""
+    def row_counts_by_missing_mechanism(self) -> Counter[Mechanism]:
+        """Count the costs that depend on each missing mechanism, directly or indirectly."""
         found: Counter[Mechanism] = Counter()
-        for row in self.costs:
-            found.update(need for need in row.all_needs() if not need.built)
+        for row in self.distinct_costs:
+            found.update(mechanism for mechanism in row.all_dependencies() if not mechanism.is_built)
         return found
--- a/workbench/scale/simulated.py
+++ b/workbench/scale/simulated.py
@@ -1,8 +1,8 @@
-"""The same components at the same size on the virtual network, to hold a run's figures against.
+"""Simulation of the same group on the virtual network, for comparison with a run.
 
-Names, addresses and incarnations are as long as those of a run, so that datagrams are as long. The virtual
-network has periods of 1 s, and the figures are those of a run with its own period: rates and times in
-proportion. What it leaves out: sockets, the runtime around the components, and every delay of the machine.
+Names, addresses and incarnations are as long as those of a run, so that datagrams have the same length. The
+virtual network has periods of 1 s; rates and times are scaled to the period of the run. Not simulated are
+sockets, the runtime around the components, and all delays of the machine.
 """
 
 from __future__ import annotations
@@ -12,39 +12,41 @@
 
 from balancer.fleet.membership.swim import Address, Claim, Status, Swim
 from workbench.explore.members import Net
-from workbench.scale.group import SEEDS, Group
-from workbench.scale.measurements import CPU_UNIT, SIMULATED, Figure
+from workbench.scale.group import SEED_COUNT, Group
+from workbench.scale.measurements import CPU_UNIT, SIMULATED_PREFIX, Figure
 from workbench.scale.meter import Meter
-from workbench.scale.plan import SETTLE_PERIODS, Fault, Plan, victims
+from workbench.scale.plan import SETTLE_PERIODS, Fault, Plan, choose_victims
 from workbench.scale.program import drop_updates
 
 HOST = "127.100.100.100"
-FIRST_PORT = 10_000  # a member's name has its port: as long as the names of hollow members
-INCARNATION = 1_800_000_000_000_000  # as long as one by the wall clock
-LOOK_S = 0.25
-# Of calm. Small groups begin in step with their exchanges, each 15 periods: a short window sees one of them
-# more or less than its share.
+# A member is named after its port; five digits make the name as long as that of a hollow member.
+FIRST_PORT = 10_000
+# An incarnation as long as one by the wall clock.
+INCARNATION = 1_800_000_000_000_000
+POLL_INTERVAL_S = 0.25
+# Shortest calm phase, in periods times members. Members of a small group exchange their views in step every
+# 15 periods, so a short window sees one exchange more or less than its share.
 MIN_MEMBER_PERIODS = 8_000
 
 
 class SimulatedGroup(Net):
-    """So many members on one virtual clock. `run_period_s`: of the run that they are held against."""
+    """A simulated group on one virtual clock; `run_period_s` is the period of the run to compare with."""
 
     def __init__(self, group: Group) -> None:
         super().__init__(0, 0.0, group.seed, codec=True)
         self.run_period_s = group.period_ms / 1000
         self.meter = Meter()
-        addresses = [address_of(place.index) for place in group.places]
+        addresses = [member_address(spec.index) for spec in group.member_specs]
         for address in addresses:
-            self.charge(self.add(address, addresses[:SEEDS], INCARNATION))
+            self.meter_calls(self.add(address, addresses[:SEED_COUNT], INCARNATION))
 
-    def charge(self, swim: Swim) -> None:
-        """Charges the state machine's time to `membership`."""
+    def meter_calls(self, swim: Swim) -> None:
+        """Charge the state machine's time to `membership`."""
         for name in ("tick", "receive", "due"):
-            setattr(swim, name, self.meter.measured("membership", getattr(swim, name)))
+            setattr(swim, name, self.meter.metered("membership", getattr(swim, name)))
 
-    def know_all(self) -> None:
-        """Every member holds the whole group, and spreads none of it."""
+    def introduce_all(self) -> None:
+        """Introduce the whole group to every member, without updates to disseminate."""
         claims = [Claim(s.me.name, a, Status.ALIVE, s.me.incarnation) for a, s in self.members.items()]
         for swim in self.members.values():
             for claim in claims:
@@ -52,82 +54,90 @@
             drop_updates(swim)
 
     def datagram_count(self) -> int:
-        """Datagrams of all members that run."""
+        """Return the number of datagrams that the running members have sent."""
         return sum(swim.counts.sent for swim in self.members.values())
 
 
-def address_of(index: int) -> Address:
+def member_address(index: int) -> Address:
+    """Return the address of a simulated member."""
     return HOST, FIRST_PORT + index
 
 
 def simulate(plan: Plan, group: Group) -> list[Figure]:
-    """The figures of a run with this plan in simulation: joining, the calm, and the first kill."""
+    """Simulate a plan's joining, calm phase and first kill, and return the figures."""
     net = SimulatedGroup(group)
     figures = []
     if plan.start == "known":
-        net.know_all()
+        net.introduce_all()
     else:
-        figures += joining(net, plan)
+        figures += joining_figures(net, plan)
     net.run(SETTLE_PERIODS)
-    figures += calm(net, max(plan.seconds / net.run_period_s, MIN_MEMBER_PERIODS / len(net.members)))
+    figures += calm_figures(net, max(plan.seconds / net.run_period_s, MIN_MEMBER_PERIODS / len(net.members)))
     kill = next((f for f in plan.fault if f.type == "kill"), None)
     if kill is not None:
-        figures += killing(net, plan, kill, group)
+        figures += kill_figures(net, plan, kill, group)
     return figures
 
 
-def joining(net: SimulatedGroup, plan: Plan) -> list[Figure]:
+def joining_figures(net: SimulatedGroup, plan: Plan) -> list[Figure]:
+    """Return the times until members know the whole group; none if some did not in time."""
     joined: dict[Address, float] = {}
-    passed = 0.0
-    while passed < plan.join_s / net.run_period_s and len(joined) < len(net.members):
-        net.run(LOOK_S)
-        passed += LOOK_S
+    elapsed_periods = 0.0
+    while elapsed_periods < plan.join_s / net.run_period_s and len(joined) < len(net.members):
+        net.run(POLL_INTERVAL_S)
+        elapsed_periods += POLL_INTERVAL_S
         for address, swim in net.members.items():
             if address not in joined and len(swim.alive()) == len(net.members) - 1:
-                joined[address] = passed * net.run_period_s
+                joined[address] = elapsed_periods * net.run_period_s
     if len(joined) < len(net.members):
         return []
-    return times("join", list(joined.values()))
+    return time_range_figures("join", list(joined.values()))
 
 
-def calm(net: SimulatedGroup, periods: float) -> list[Figure]:
-    sent, size, nanoseconds = net.datagram_count(), net.bytes, spent(net)
+def calm_figures(net: SimulatedGroup, periods: float) -> list[Figure]:
+    """Return processor time and traffic of a member over some periods."""
+    sent, bytes_before, nanoseconds = net.datagram_count(), net.bytes, membership_ns(net)
     net.run(periods)
     share = 1 / len(net.members) / periods / net.run_period_s
     return [
-        Figure(SIMULATED + "cpu.membership", CPU_UNIT, (spent(net) - nanoseconds) / 1e3 * share),
-        Figure(SIMULATED + "datagrams_out", "1/member/s", (net.datagram_count() - sent) * share),
-        Figure(SIMULATED + "bytes_out", "B/member/s", (net.bytes - size) * share),
+        Figure(
+            SIMULATED_PREFIX + "cpu.membership", CPU_UNIT, (membership_ns(net) - nanoseconds) / 1e3 * share
+        ),
+        Figure(SIMULATED_PREFIX + "datagrams_out", "1/member/s", (net.datagram_count() - sent) * share),
+        Figure(SIMULATED_PREFIX + "bytes_out", "B/member/s", (net.bytes - bytes_before) * share),
     ]
 
 
-def spent(net: SimulatedGroup) -> int:
-    """Nanoseconds of the state machines so far."""
+def membership_ns(net: SimulatedGroup) -> int:
+    """Return the nanoseconds of the state machines so far."""
     return net.meter.read()[0].get("membership", 0)
 
 
-def killing(net: SimulatedGroup, plan: Plan, kill: Fault, group: Group) -> list[Figure]:
-    chosen = victims(kill, list(group.places), Random(f"fault {group.seed} 0"))
-    gone = [net.kill(address_of(place.index)) for place in chosen]
+def kill_figures(net: SimulatedGroup, plan: Plan, kill: Fault, group: Group) -> list[Figure]:
+    """Return the times until survivors noticed each death; none if some did not in time."""
+    chosen = choose_victims(kill, list(group.member_specs), Random(f"fault {group.seed} 0"))
+    victim_names = [net.kill(member_address(spec.index)) for spec in chosen]
     known: dict[tuple[Address, str], float] = {}
-    expected = len(net.members) * len(gone)
-    passed = 0.0
-    while passed < plan.agree_s / net.run_period_s and len(known) < expected:
-        net.run(LOOK_S)
-        passed += LOOK_S
+    expected = len(net.members) * len(victim_names)
+    elapsed_periods = 0.0
+    while elapsed_periods < plan.agree_s / net.run_period_s and len(known) < expected:
+        net.run(POLL_INTERVAL_S)
+        elapsed_periods += POLL_INTERVAL_S
         for address, swim in net.members.items():
-            for name in gone:
-                if (address, name) not in known and not held_alive(swim, name):
-                    known[address, name] = passed * net.run_period_s
-    return times("death", list(known.values())) if len(known) == expected else []
+            for name in victim_names:
+                if (address, name) not in known and not holds_alive(swim, name):
+                    known[address, name] = elapsed_periods * net.run_period_s
+    return time_range_figures("death", list(known.values())) if len(known) == expected else []
 
 
-def held_alive(swim: Swim, name: str) -> bool:
+def holds_alive(swim: Swim, name: str) -> bool:
+    """Return whether a member has another one as alive or suspect."""
     return swim.status(name) in (Status.ALIVE, Status.SUSPECT)
 
 
-def times(name: str, found: list[float]) -> list[Figure]:
+def time_range_figures(name: str, found: list[float]) -> list[Figure]:
+    """Return the greatest and the median of some times."""
     return [
-        Figure(f"{SIMULATED}{name}.all", "s", max(found)),
-        Figure(f"{SIMULATED}{name}.median", "s", median(found)),
+        Figure(f"{SIMULATED_PREFIX}{name}.all", "s", max(found)),
+        Figure(f"{SIMULATED_PREFIX}{name}.median", "s", median(found)),
     ]
--- a/workbench/scale/slopes.py
+++ b/workbench/scale/slopes.py
@@ -1,8 +1,8 @@
-"""Measured cost slopes: the file that holds them, their fits, and values beyond the measured sizes.
+"""Measured cost slopes: their files, fits and extrapolation.
 
-A slope is one measured quantity at several sizes, with the run that gave it. Files are TOML or JSON with a
-list `slope`; rows of a later file take the place of earlier ones of the same name, so new measurements need
-no change of code.
+A slope is one measured quantity at several sizes, with the run it comes from. Files are TOML or JSON with a
+list `slope`; rows of a later file replace earlier ones of the same name, so new measurements need no code
+change.
 """
 
 from __future__ import annotations
@@ -22,40 +22,49 @@
 
 from workbench.scenario.check import type_errors
 
-SHIPPED = files("workbench.scale") / "slopes.toml"
-MIN_POINTS = 5  # of a fit that is not an estimate
-MAX_REACH = 10.0  # times beyond the last point, of a fit that is not an estimate
+SHIPPED_SLOPES = files("workbench.scale") / "slopes.toml"
+# A fit with fewer points yields an estimate.
+MIN_FIT_POINTS = 5
+# Values at a size more than this many times the last point are estimates.
+MAX_EXTRAPOLATION_RATIO = 10.0
 CONFIDENCE = 0.95
 
-Over0 = Annotated[float, Meta(extra_json_schema={"exclusiveMinimum": 0})]
-From0 = Annotated[float, Meta(extra_json_schema={"minimum": 0})]
-Some = Annotated[int, Meta(extra_json_schema={"minimum": 1})]
+PositiveFloat = Annotated[float, Meta(extra_json_schema={"exclusiveMinimum": 0})]
+NonNegativeFloat = Annotated[float, Meta(extra_json_schema={"minimum": 0})]
+PositiveInt = Annotated[int, Meta(extra_json_schema={"minimum": 1})]
 FitKind = Literal["constant", "linear", "log", "power"]
 
 
 class SlopesError(Exception):
-    """A file of slopes that cannot be used: a line for each fault."""
+    """An invalid file of slopes; the message has one line for each error."""
 
 
 class Point(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """The mean of some runs at one size."""
+    """The mean of some runs at one size.
 
-    size: Over0
+    `spread` is the standard deviation between runs, 0 for a single one. `lower_bound` is true if at least one
+    run ended before the value was reached.
+    """
+
+    size: PositiveFloat
     value: float
-    spread: From0 = 0.0  # standard deviation between runs; 0 where there was one
-    runs: Some = 1
-    lower_bound: bool = False  # at least one run ended before the value was reached
+    spread: NonNegativeFloat = 0.0
+    runs: PositiveInt = 1
+    lower_bound: bool = False
 
 
 class Slope(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One measured quantity."""
+    """One measured quantity.
+
+    `per` says what the sizes are, such as members of a group or calls a second; `run` is the command.
+    """
 
     name: str
     what: str
     unit: str
-    per: str  # what the sizes are: members of a group, calls a second, ...
+    per: str
     fit: FitKind
-    run: str  # the command
+    run: str
     seeds: list[int]
     commit: str
     machine: str
@@ -64,151 +73,165 @@
 
 
 class SlopesFile(Struct, frozen=True, forbid_unknown_fields=True):
-    """What a file holds."""
+    """The content of a slopes file."""
 
     slope: list[Slope] = field(default_factory=list)
 
 
 @dataclass(frozen=True)
 class Quantity:
-    """A value with its 95% interval, where it comes from, and why it may be no more than an estimate."""
+    """A value with its 95% interval, its sources, and the reasons if it is only an estimate."""
 
     value: float
     low: float = nan
     high: float = nan
     sources: frozenset[str] = frozenset()
-    doubts: frozenset[str] = frozenset()  # empty: not an estimate
-    at_least: bool = False
+    estimate_reasons: frozenset[str] = frozenset()
+    is_lower_bound: bool = False
 
     @property
-    def estimate(self) -> bool:
-        return bool(self.doubts)
+    def is_estimate(self) -> bool:
+        """Whether the value is only an estimate."""
+        return bool(self.estimate_reasons)
 
     @property
-    def measured(self) -> bool:
+    def is_measured(self) -> bool:
+        """Whether there is a value."""
         return not isnan(self.value)
 
-    def times(self, factor: float) -> Quantity:
-        """The same, so many times."""
+    def scaled(self, factor: float) -> Quantity:
+        """Return the quantity multiplied by a number."""
         return Quantity(
             self.value * factor,
             self.low * factor,
             self.high * factor,
             self.sources,
-            self.doubts,
-            self.at_least,
+            self.estimate_reasons,
+            self.is_lower_bound,
         )
 
-    def by(self, other: Quantity) -> Quantity:
-        """The product; its interval is that of both ends, wider than 95%."""
-        return self.joined(other, self.value * other.value, self.low * other.low, self.high * other.high)
+    def multiplied_by(self, other: Quantity) -> Quantity:
+        """Return the product; its interval is the product of the bounds, and covers more than 95%."""
+        return self.combined(other, self.value * other.value, self.low * other.low, self.high * other.high)
 
     def plus(self, other: Quantity) -> Quantity:
-        """The sum; its interval is that of both ends, wider than 95%."""
-        return self.joined(other, self.value + other.value, self.low + other.low, self.high + other.high)
+        """Return the sum; its interval is the sum of the bounds, and covers more than 95%."""
+        return self.combined(other, self.value + other.value, self.low + other.low, self.high + other.high)
 
-    def joined(self, other: Quantity, value: float, low: float, high: float) -> Quantity:
+    def combined(self, other: Quantity, value: float, low: float, high: float) -> Quantity:
+        """Return a value that depends on two quantities, with the sources and estimate reasons of both."""
         return Quantity(
             value,
             low,
             high,
             self.sources | other.sources,
-            self.doubts | other.doubts,
-            self.at_least or other.at_least,
+            self.estimate_reasons | other.estimate_reasons,
+            self.is_lower_bound or other.is_lower_bound,
         )
 
 
 UNMEASURED = Quantity(nan)
 
 
-def arithmetic(value: float) -> Quantity:
-    """A figure that follows from the target alone."""
+def derived_from_target(value: float) -> Quantity:
+    """Return a quantity that follows from the target without a measurement."""
     return Quantity(value, value, value, frozenset({"target"}))
 
 
-def same(x: float) -> float:
+def identity(x: float) -> float:
+    """Return the argument."""
     return x
 
 
-AXES: dict[FitKind, tuple[Callable[[float], float], Callable[[float], float], Callable[[float], float]]] = {
-    "linear": (same, same, same),
-    "log": (log, same, same),
+AXIS_TRANSFORMS: dict[
+    FitKind, tuple[Callable[[float], float], Callable[[float], float], Callable[[float], float]]
+] = {
+    "linear": (identity, identity, identity),
+    "log": (log, identity, identity),
     "power": (log, log, exp),
 }
 
 
-def quantile_of_t(degrees: int) -> float:
-    """Half the width of a 95% interval in standard errors; infinite where nothing is left to judge by."""
-    return float(stats.t.ppf(0.5 + CONFIDENCE / 2, degrees)) if degrees > 0 else inf
+def t_quantile(degrees_of_freedom: int) -> float:
+    """Return half the width of a 95% interval in standard errors; infinite without degrees of freedom."""
+    return float(stats.t.ppf(0.5 + CONFIDENCE / 2, degrees_of_freedom)) if degrees_of_freedom > 0 else inf
 
 
 def value_at(slope: Slope, size: float | None = None) -> Quantity:
-    """The quantity at a size, by the slope's fit. None: it does not depend on a size."""
-    doubts = doubts_of(slope, size)
-    at_least = any(p.lower_bound for p in slope.points)
+    """Evaluate a slope's fit at a size; only a constant one needs no size."""
+    estimate_reasons = estimate_reasons_of(slope, size)
+    is_lower_bound = any(p.lower_bound for p in slope.points)
     if slope.fit == "constant":
-        value, half = constant(slope.points)
-        low, high = value - half, value + half
+        value, half_interval = fit_constant(slope.points)
+        low, high = value - half_interval, value + half_interval
     elif size is None:
-        raise ValueError(f"{slope.name}: its fit is {slope.fit}: a size is needed")
+        raise ValueError(f"{slope.name}: a {slope.fit} fit needs a size")
     else:
-        value, low, high = line(slope.points, size, *AXES[slope.fit])
-    return Quantity(value, not_negative(low), not_negative(high), frozenset({slope.name}), doubts, at_least)
-
-
-def not_negative(bound: float) -> float:
-    """Nothing that is measured here can be negative. Where there is no bound, there is none after this.
-
-    Failure prevented: `max(0.0, nan)` is 0, and a value of a single run adds nothing to a sum's interval.
+        value, low, high = fit_line(slope.points, size, *AXIS_TRANSFORMS[slope.fit])
+    return Quantity(
+        value,
+        clip_negative_bound(low),
+        clip_negative_bound(high),
+        frozenset({slope.name}),
+        estimate_reasons,
+        is_lower_bound,
+    )
+
+
+def clip_negative_bound(bound: float) -> float:
+    """Clip a bound at 0, since no measured quantity is negative; NaN, which means no bound, stays NaN.
+
+    `max(0.0, nan)` is 0: without this rule a value of a single run would add nothing to the interval of a
+    sum.
     """
     return bound if isnan(bound) else max(0.0, bound)
 
 
-def doubts_of(slope: Slope, size: float | None) -> frozenset[str]:
-    """Why a value is an estimate; nothing where it is not. A constant without a size reaches nowhere."""
+def estimate_reasons_of(slope: Slope, size: float | None) -> frozenset[str]:
+    """Return why a value is an estimate, if it is one; a constant without a size is not extrapolated."""
     found = set()
-    if len(slope.points) < MIN_POINTS and (size is not None or slope.fit != "constant"):
+    if len(slope.points) < MIN_FIT_POINTS and (size is not None or slope.fit != "constant"):
         found.add(f"{slope.name}: {len(slope.points)} points")
     last = max(p.size for p in slope.points)
-    if size is not None and size > MAX_REACH * last:
+    if size is not None and size > MAX_EXTRAPOLATION_RATIO * last:
         found.add(f"{slope.name}: {size / last:.0f} times beyond the last point")
     return frozenset(found)
 
 
-def constant(points: list[Point]) -> tuple[float, float]:
-    """Mean of the points and half of its 95% interval; one point is judged by its runs."""
+def fit_constant(points: list[Point]) -> tuple[float, float]:
+    """Return the mean of the points and half of its 95% interval; a single point's is that of its runs."""
     values = np.array([p.value for p in points])
     if len(points) > 1:
-        half = quantile_of_t(len(points) - 1) * float(values.std(ddof=1)) / sqrt(len(points))
+        half_interval = t_quantile(len(points) - 1) * float(values.std(ddof=1)) / sqrt(len(points))
     elif points[0].runs > 1:
-        half = quantile_of_t(points[0].runs - 1) * points[0].spread / sqrt(points[0].runs)
+        half_interval = t_quantile(points[0].runs - 1) * points[0].spread / sqrt(points[0].runs)
     else:
-        half = nan
-    return float(values.mean()), half
+        half_interval = nan
+    return float(values.mean()), half_interval
 
 
-def line(
+def fit_line(
     points: list[Point],
     size: float,
-    of_size: Callable[[float], float],
-    of_value: Callable[[float], float],
-    back: Callable[[float], float],
+    transform_size: Callable[[float], float],
+    transform_value: Callable[[float], float],
+    invert_value: Callable[[float], float],
 ) -> tuple[float, float, float]:
-    """Least squares on the given axes: the line's value at a size and its 95% interval there."""
-    x = np.array([of_size(p.size) for p in points])
-    y = np.array([of_value(p.value) for p in points])
+    """Fit a line by least squares on transformed axes; return value and 95% interval at a size."""
+    x = np.array([transform_size(p.size) for p in points])
+    y = np.array([transform_value(p.value) for p in points])
     count = len(points)
     centred = x - x.mean()
-    squares = float((centred**2).sum())
-    gradient = float((centred * (y - y.mean())).sum()) / squares
-    at = of_size(size) - float(x.mean())
-    middle = float(y.mean()) + gradient * at
+    sum_of_squares = float((centred**2).sum())
+    gradient = float((centred * (y - y.mean())).sum()) / sum_of_squares
+    at = transform_size(size) - float(x.mean())
+    centre = float(y.mean()) + gradient * at
     if count < 3:
-        return back(middle), nan, nan
+        return invert_value(centre), nan, nan
     residuals = y - y.mean() - gradient * centred
-    error = sqrt(float((residuals**2).sum()) / (count - 2) * (1 / count + at**2 / squares))
-    half = quantile_of_t(count - 2) * error
-    return back(middle), back(middle - half), back(middle + half)
+    standard_error = sqrt(float((residuals**2).sum()) / (count - 2) * (1 / count + at**2 / sum_of_squares))
+    half_interval = t_quantile(count - 2) * standard_error
+    return invert_value(centre), invert_value(centre - half_interval), invert_value(centre + half_interval)
 
 
 # ---- files ----------------------------------------------------------------------------------------------
@@ -224,13 +247,13 @@
         return name in self.by_name
 
     def at(self, name: str, size: float | None = None) -> Quantity:
-        """A quantity's value at a size; one without a value where it was never measured."""
+        """Return a quantity at a size, or one without a value if it was never measured."""
         slope = self.by_name.get(name)
         return UNMEASURED if slope is None else value_at(slope, size)
 
 
-def faults_of(table: dict[str, Any], source: str) -> list[str]:
-    """What is wrong with a decoded file, a line each."""
+def validation_errors(table: dict[str, Any], source: str) -> list[str]:
+    """Return the errors of a decoded file, one line each."""
     found = [f"{source}: {line}" for line in type_errors(table, SlopesFile)]
     if found:
         return found
@@ -246,8 +269,12 @@
     return found
 
 
-def decoded(text: str, source: str) -> dict[str, Any]:
-    """The table of a TOML or JSON file, by its name's ending. SlopesError."""
+def decode_table(text: str, source: str) -> dict[str, Any]:
+    """Decode a file as JSON if its name ends in .json, otherwise as TOML.
+
+    Raises:
+        SlopesError: The file cannot be decoded.
+    """
     try:
         table = msgspec.json.decode(text) if source.endswith(".json") else tomllib.loads(text)
     except (msgspec.DecodeError, tomllib.TOMLDecodeError) as e:
@@ -260,8 +287,12 @@
 
 
 def read_slopes(*extra: str) -> Slopes:
-    """The shipped file, then others whose rows replace those of the same name. SlopesError."""
-    texts = [("slopes.toml", SHIPPED.read_text())]
+    """Read the shipped file, then others whose rows replace those of the same name.
+
+    Raises:
+        SlopesError: A file cannot be read or is invalid.
+    """
+    texts = [("slopes.toml", SHIPPED_SLOPES.read_text())]
     for source in extra:
         try:
             texts.append((source, Path(source).read_text()))
@@ -269,8 +300,8 @@
             raise SlopesError(f"{source}: cannot be read: {e}") from None
     slopes: list[Slope] = []
     for source, text in texts:
-        table = decoded(text, source)
-        found = faults_of(table, source)
+        table = decode_table(text, source)
+        found = validation_errors(table, source)
         if found:
             raise SlopesError("\n".join(found))
         slopes += msgspec.convert(table, SlopesFile).slope
--- a/workbench/scale/table.py
+++ b/workbench/scale/table.py
@@ -1,4 +1,4 @@
-"""The capacity table as text for a terminal or as Markdown for the page."""
+"""Formatting of the capacity table as text for a terminal or as Markdown for the page."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from math import isnan
 
 from workbench.scale.rows import Capacity, Row
-from workbench.scale.slopes import MIN_POINTS, Point, Quantity, Slope, Slopes
+from workbench.scale.slopes import MIN_FIT_POINTS, Point, Quantity, Slope, Slopes
 
 MILLION = 1e6
-HEAD = ("who or what", "cost", "value", "95% interval", "unit", "budget", "of it", "carried by", "from")
-SLOPE_HEAD = ("slope", "unit", "points (size: mean ± spread, runs)", "fit", "run", "commit, machine")
+HEADERS = ("who or what", "cost", "value", "95% interval", "unit", "budget", "of it", "carried by", "from")
+SLOPE_HEADERS = ("slope", "unit", "points (size: mean ± spread, runs)", "fit", "run", "commit, machine")
 
 
 LATENCY_COLUMNS = {
@@ -28,161 +28,177 @@
 }
 
 
-def number(value: float) -> str:
-    """Three significant figures; thousands whole, up to a million."""
+def format_number(value: float) -> str:
+    """Format with three significant figures, or as a whole number from 1,000 up to a million."""
     if 1000 <= abs(value) < MILLION:
         return f"{value:,.0f}"
     return f"{value:.3g}"
 
 
 def value_cell(quantity: Quantity | None, mechanism_missing: bool) -> str:
+    """Format a value, or say why there is none."""
     if quantity is None and mechanism_missing:
         return "missing"
-    if quantity is None or not quantity.measured:
+    if quantity is None or not quantity.is_measured:
         return "not measured"
-    text = ("over " if quantity.at_least else "") + number(quantity.value)
-    return text + (" (estimate)" if quantity.estimate else "")
+    text = ("over " if quantity.is_lower_bound else "") + format_number(quantity.value)
+    return text + (" (estimate)" if quantity.is_estimate else "")
 
 
 def interval_cell(quantity: Quantity | None) -> str:
+    """Format the 95% interval of a quantity."""
     if quantity is None or isnan(quantity.low) or isnan(quantity.value) or quantity.low == quantity.high:
         return "-"
-    return f"{number(quantity.low)} to {number(quantity.high)}"
+    return f"{format_number(quantity.low)} to {format_number(quantity.high)}"
 
 
-def carrier_cell(row: Row) -> str:
-    now = f"missing: {row.mechanism.name}" if row.missing else row.mechanism.name
-    if row.wanted is None:
+def mechanism_cell(row: Row) -> str:
+    """Name the mechanism that bears the cost now, and the preferred one."""
+    now = f"missing: {row.mechanism.name}" if row.is_missing else row.mechanism.name
+    if row.preferred_mechanism is None:
         return now
-    missing = "" if row.wanted.built else ", missing"
-    return f"{now}; wanted: {row.wanted.name}{missing}"
+    missing = "" if row.preferred_mechanism.is_built else ", missing"
+    return f"{now}; wanted: {row.preferred_mechanism.name}{missing}"
 
 
 def source_cell(row: Row) -> str:
-    if row.quantity is None or not row.quantity.measured:
+    """Name the sources of a value, why it is an estimate, and the note."""
+    if row.quantity is None or not row.quantity.is_measured:
         return row.note or "-"
     parts = [", ".join(sorted(row.quantity.sources))]
-    parts += sorted(row.quantity.doubts)
+    parts += sorted(row.quantity.estimate_reasons)
     parts += [row.note] if row.note else []
     return "; ".join(parts)
 
 
-def cells(row: Row) -> tuple[str, ...]:
-    share = row.share
+def row_cells(row: Row) -> tuple[str, ...]:
+    """Format all columns of a row."""
+    share = row.budget_share
     return (
         row.subject.value,
-        row.what,
-        value_cell(row.quantity, row.missing),
+        row.cost,
+        value_cell(row.quantity, row.is_missing),
         interval_cell(row.quantity),
         row.unit or "-",
-        "-" if row.budget is None else number(row.budget),
+        "-" if row.budget is None else format_number(row.budget),
         "-" if share is None else f"{100 * share:,.0f}%",
-        carrier_cell(row),
+        mechanism_cell(row),
         source_cell(row),
     )
 
 
-def markdown(head: Sequence[str], rows: Sequence[Sequence[str]]) -> list[str]:
+def markdown_table(headers: Sequence[str], rows: Sequence[Sequence[str]]) -> list[str]:
+    """Format a Markdown table as lines."""
     return [
-        "| " + " | ".join(head) + " |",
-        "| " + " | ".join("---" for _ in head) + " |",
+        "| " + " | ".join(headers) + " |",
+        "| " + " | ".join("---" for _ in headers) + " |",
         *("| " + " | ".join(row) + " |" for row in rows),
     ]
 
 
-def plain(head: Sequence[str], rows: Sequence[Sequence[str]]) -> list[str]:
-    """Columns of even width; the last one runs on."""
-    widths = [max(len(r[i]) for r in (head, *rows)) for i in range(len(head) - 1)]
+def text_table(headers: Sequence[str], rows: Sequence[Sequence[str]]) -> list[str]:
+    """Format a text table as lines, with all columns but the last padded to equal width."""
+    widths = [max(len(r[i]) for r in (headers, *rows)) for i in range(len(headers) - 1)]
     return [
         "  ".join([*(cell.ljust(width) for cell, width in zip(row, widths, strict=False)), row[-1]])
-        for row in (head, *rows)
+        for row in (headers, *rows)
     ]
 
 
-def conclusion(capacity: Capacity) -> list[str]:
-    """What is farthest beyond its budget, what is missing, and on what most rests."""
-    farthest = capacity.farthest()
-    share = farthest.share or 0.0
+def conclusion_lines(capacity: Capacity) -> list[str]:
+    """Return lines on the most exceeded budget and the missing mechanisms with the most dependent rows."""
+    row = capacity.most_exceeded()
+    share = row.budget_share or 0.0
     lines = [
-        f"Farthest beyond its budget: {farthest.subject.value}, {farthest.what}:"
-        f" {value_cell(farthest.quantity, False)} {farthest.unit} against {number(farthest.budget or 0.0)},"
-        f" {share:,.1f} times ({farthest.note or farthest.mechanism.name}).",
+        f"Farthest beyond its budget: {row.subject.value}, {row.cost}:"
+        f" {value_cell(row.quantity, False)} {row.unit} against {format_number(row.budget or 0.0)},"
+        f" {share:,.1f} times ({row.note or row.mechanism.name}).",
         "Rows that rest on each missing mechanism, directly or through another:",
     ]
-    ranked = sorted(capacity.resting().items(), key=lambda item: (-item[1], item[0].name))
-    lines += [f"- {mechanism.name}: {count} of {len(capacity.costs)}" for mechanism, count in ranked]
+    ranked = sorted(
+        capacity.row_counts_by_missing_mechanism().items(), key=lambda item: (-item[1], item[0].name)
+    )
+    lines += [f"- {mechanism.name}: {count} of {len(capacity.distinct_costs)}" for mechanism, count in ranked]
     return lines
 
 
 def sections(capacity: Capacity, slopes: Slopes) -> dict[str, str]:
-    """The page's generated parts, by the names of their markers."""
+    """Return the generated parts of the page by the names of their markers."""
     return {
-        "roles": joined(markdown(HEAD, [cells(r) for r in capacity.roles])),
-        "events": joined(markdown(HEAD, [cells(r) for r in capacity.events])),
-        "first": joined(conclusion(capacity)),
+        "roles": join_lines(markdown_table(HEADERS, [row_cells(r) for r in capacity.roles])),
+        "events": join_lines(markdown_table(HEADERS, [row_cells(r) for r in capacity.events])),
+        "first": join_lines(conclusion_lines(capacity)),
         "latency": latency_table(slopes),
         "slopes": slopes_table(slopes),
     }
 
 
-def joined(lines: Sequence[str]) -> str:
+def join_lines(lines: Sequence[str]) -> str:
+    """Join lines, with a newline at the end."""
     return "\n".join(lines) + "\n"
 
 
-def report(capacity: Capacity, form: str) -> str:
-    """The whole table. `form`: text or markdown."""
-    draw = markdown if form == "markdown" else plain
+def report(capacity: Capacity, output_format: str) -> str:
+    """Format the whole table; `output_format` is text or markdown."""
+    render = markdown_table if output_format == "markdown" else text_table
     lines: list[str] = []
     for title, rows in (("By role", capacity.roles), ("By event", capacity.events)):
-        lines += [f"### {title}" if form == "markdown" else title.upper(), ""]
-        lines += [*draw(HEAD, [cells(r) for r in rows]), ""]
-    lines += ["### What comes first" if form == "markdown" else "WHAT COMES FIRST", "", *conclusion(capacity)]
-    return joined(lines)
+        lines += [f"### {title}" if output_format == "markdown" else title.upper(), ""]
+        lines += [*render(HEADERS, [row_cells(r) for r in rows]), ""]
+    lines += [
+        "### What comes first" if output_format == "markdown" else "WHAT COMES FIRST",
+        "",
+        *conclusion_lines(capacity),
+    ]
+    return join_lines(lines)
 
 
 def latency_table(slopes: Slopes) -> str:
-    """Added time by rate of calls: mean and spread of the rounds that count, in microseconds."""
+    """Format the latency added at each rate: mean and spread of the runs that count, in microseconds."""
     found = {name: slopes.by_name.get(f"latency.{name}") for name in LATENCY_COLUMNS}
     rates = sorted({point.size for slope in found.values() if slope for point in slope.points})
-    head = ("calls a second", "rounds", *LATENCY_COLUMNS.values())
+    headers = ("calls a second", "rounds", *LATENCY_COLUMNS.values())
     rows = []
     for rate in rates:
         points = [next((p for p in s.points if p.size == rate), None) if s else None for s in found.values()]
         runs = max((p.runs for p in points if p), default=0)
         rows.append((f"{rate:g}", str(runs), *(spread_cell(p) for p in points)))
-    return joined(markdown(head, rows))
+    return join_lines(markdown_table(headers, rows))
 
 
 def spread_cell(point: Point | None) -> str:
+    """Format the mean and the spread of a point."""
     if point is None:
         return "-"
-    return number(point.value) + (f" ± {number(point.spread)}" if point.runs > 1 else "")
+    return format_number(point.value) + (f" ± {format_number(point.spread)}" if point.runs > 1 else "")
 
 
 def point_cell(slope: Slope) -> str:
+    """Format all points of a slope."""
     parts = []
     for point in slope.points:
-        over = "over " if point.lower_bound else ""
-        runs = f"± {number(point.spread)}, {point.runs}" if point.runs > 1 else "1"
-        parts.append(f"{point.size:g}: {over}{number(point.value)} ({runs})")
+        lower_bound_prefix = "over " if point.lower_bound else ""
+        runs = f"± {format_number(point.spread)}, {point.runs}" if point.runs > 1 else "1"
+        parts.append(f"{point.size:g}: {lower_bound_prefix}{format_number(point.value)} ({runs})")
     return "; ".join(parts)
 
 
 def slope_cells(slope: Slope) -> tuple[str, ...]:
-    few = f", {len(slope.points)} points" if len(slope.points) < MIN_POINTS else ""
+    """Format all columns of a slope."""
+    point_count_note = f", {len(slope.points)} points" if len(slope.points) < MIN_FIT_POINTS else ""
     seeds = f", seeds {', '.join(map(str, slope.seeds))}" if slope.seeds else ""
     origin = f"{slope.commit}, {slope.machine}" + (f"; {slope.note}" if slope.note else "")
     return (
         f"`{slope.name}`: {slope.what}",
         slope.unit,
         point_cell(slope),
-        f"{slope.fit} in {slope.per}{few}",
+        f"{slope.fit} in {slope.per}{point_count_note}",
         f"`{slope.run}`{seeds}",
         origin,
     )
 
 
 def slopes_table(slopes: Slopes) -> str:
-    """All slopes, as Markdown."""
+    """Format all slopes as Markdown, sorted by name."""
     rows = [slope_cells(s) for _, s in sorted(slopes.by_name.items())]
-    return joined(markdown(SLOPE_HEAD, rows))
+    return join_lines(markdown_table(SLOPE_HEADERS, rows))
--- a/workbench/scale/target.py
+++ b/workbench/scale/target.py
@@ -1,4 +1,4 @@
-"""The size to plan for, as a typed structure with defaults, and `KEY=VALUE` changes to it."""
+"""The target size for capacity planning, with defaults, and `KEY=VALUE` changes to it."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from workbench.scenario.check import type_errors
 
-SECONDS_A_DAY = 86_400
-DEEPEST_CALL = 9  # hops
+SECONDS_PER_DAY = 86_400
+MAX_CALL_DEPTH = 9
 
 Count = Annotated[int, Meta(extra_json_schema={"minimum": 1, "maximum": 1_000_000})]
 Rate = Annotated[float, Meta(extra_json_schema={"exclusiveMinimum": 0, "maximum": 1e9})]
@@ -18,11 +18,18 @@
 
 
 class TargetError(Exception):
-    """A target that cannot be used: a line for each fault, with key, value and what is allowed."""
+    """An invalid target; the message has one line for each error, with key, value and what is allowed."""
 
 
 class Target(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What the fleet has to bear, and what it may spend on it."""
+    """The load that the fleet must bear, and its budgets.
+
+    The bound `added_ms` on the latency added to a call holds for `added_percent` of the calls. `change_s` is
+    the time until a configuration change is in force everywhere. `cpu_percent` (of a core), `memory_mb` and
+    `bytes_s` are the budgets of a node for control. `release_batch` nodes restart at once in a release.
+    `rack_nodes` is an assumption, since the operators gave no figure; `gateways_a_zone` is that of the
+    candidate design.
+    """
 
     nodes: Count = 3_200
     services: Count = 180
@@ -30,44 +37,48 @@
     regions: Count = 5
     control_machines: Count = 6
     calls_s: Rate = 490_000.0
-    depth: Count = DEEPEST_CALL
-    added_ms: Rate = 1.1  # added to a call
-    added_percent: Percent = 99.0  # of the calls that the bound holds for
-    changes_day: Rate = 8_100.0  # of configuration
-    change_s: Rate = 11.0  # until a change is in force everywhere
-    cpu_percent: Percent = 1.4  # of a core, a node's control
-    memory_mb: Rate = 256.0  # a node's control
-    bytes_s: Rate = 12_000.0  # a node's control
+    depth: Count = MAX_CALL_DEPTH
+    added_ms: Rate = 1.1
+    added_percent: Percent = 99.0
+    changes_day: Rate = 8_100.0
+    change_s: Rate = 11.0
+    cpu_percent: Percent = 1.4
+    memory_mb: Rate = 256.0
+    bytes_s: Rate = 12_000.0
     failures_day: Rate = 9.0
     restarts_day: Rate = 370.0
-    release_batch: Count = 250  # nodes that a release restarts at once
-    rack_nodes: Count = 40  # an assumption: the operators gave no figure
-    gateways_a_zone: Count = 3  # of the candidate design
+    release_batch: Count = 250
+    rack_nodes: Count = 40
+    gateways_a_zone: Count = 3
 
     @property
-    def zone_nodes(self) -> float:
+    def nodes_per_zone(self) -> float:
+        """The mean number of nodes of a zone."""
         return self.nodes / self.zones
 
     @property
-    def region_nodes(self) -> float:
+    def nodes_per_region(self) -> float:
+        """The mean number of nodes of a region."""
         return self.nodes / self.regions
 
     @property
-    def calls_a_node_s(self) -> float:
+    def calls_per_node_s(self) -> float:
+        """The mean calls a second of a node."""
         return self.calls_s / self.nodes
 
     @property
-    def change_every_s(self) -> float:
-        return SECONDS_A_DAY / self.changes_day
+    def change_interval_s(self) -> float:
+        """The mean seconds between two configuration changes."""
+        return SECONDS_PER_DAY / self.changes_day
 
     @property
-    def restart_every_s(self) -> float:
-        """Between two members that go or come back, failures included."""
-        return SECONDS_A_DAY / (self.restarts_day + self.failures_day)
+    def restart_interval_s(self) -> float:
+        """The mean seconds between two restarts, failures included."""
+        return SECONDS_PER_DAY / (self.restarts_day + self.failures_day)
 
 
-def relations(target: Target) -> Iterator[str]:
-    """What keys that are right by themselves do wrong together."""
+def relation_errors(target: Target) -> Iterator[str]:
+    """Yield an error for each combination of valid keys that is inconsistent."""
     for small, large in (
         ("regions", "zones"),
         ("zones", "nodes"),
@@ -81,8 +92,8 @@
             yield f"{small}: {value}: must be at most {large}, {bound}"
 
 
-def parsed(text: str) -> int | float | str:
-    """A figure, or the text itself where it is none."""
+def parse_value(text: str) -> int | float | str:
+    """Parse a number; return the text itself if it is none."""
     for kind in (int, float):
         try:
             return kind(text)
@@ -92,17 +103,21 @@
 
 
 def target_of(changes: Sequence[str] = ()) -> Target:
-    """The default target with `KEY=VALUE` changes. TargetError."""
+    """Return the default target with `KEY=VALUE` changes.
+
+    Raises:
+        TargetError: A change is malformed, or the target is invalid with it.
+    """
     table: dict[str, Any] = {}
     for change in changes:
         key, equals, value = change.partition("=")
         if not equals or not key:
             raise TargetError(f"{change}: must be KEY=VALUE, as in nodes=6400")
-        table[key] = parsed(value)
-    faults = type_errors(table, Target)
-    if not faults:
+        table[key] = parse_value(value)
+    errors = type_errors(table, Target)
+    if not errors:
         target = convert(table, Target)
-        faults = list(relations(target))
-    if faults:
-        raise TargetError("\n".join(faults))
+        errors = list(relation_errors(target))
+    if errors:
+        raise TargetError("\n".join(errors))
     return target
--- a/workbench/scale/worker.py
+++ b/workbench/scale/worker.py
@@ -1,8 +1,8 @@
-"""A process that runs hollow members: one event loop, told what to do by the parent over its standard input.
+"""A process that runs hollow members on one event loop, controlled by the parent over its standard input.
 
     python -m workbench.scale.worker
 
-The parent starts it tied to itself, so the kernel ends it with the parent; the end of its input ends it too.
+It exits at the end of its input; the parent starts it so that the kernel also kills it when the parent ends.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.keys import read_key
-from workbench.scale.group import Group, Place
+from workbench.scale.group import Group, MemberSpec
 from workbench.scale.hollow import HollowMember, Network, list_datagrams
-from workbench.scale.machine import resident
+from workbench.scale.machine import resident_memory
 from workbench.scale.messages import (
-    LENGTH,
+    LENGTH_PREFIX,
     Assign,
     Cut,
     Done,
@@ -47,13 +47,14 @@
     request_decoder,
 )
 from workbench.scale.meter import Meter
-from workbench.scale.observer import MAX_NAMES, Truth, view_fault
+from workbench.scale.observer import MAX_NAMES, GroundTruth, view_fault
 
-SAMPLE_S = 0.02  # between two looks at how late the loop is
+# Interval at which the lateness of the event loop is sampled.
+SAMPLE_INTERVAL_S = 0.02
 
 
-class Lateness:
-    """How late a timer of the loop goes off, every so often."""
+class LatenessSampler:
+    """Sampler of the lateness of the event loop's timers."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -61,15 +62,17 @@
         self.schedule()
 
     def schedule(self) -> None:
-        self.due = monotonic() + SAMPLE_S
-        self.loop.call_later(SAMPLE_S, self.sample)
+        """Set the timer of the next sample."""
+        self.due = monotonic() + SAMPLE_INTERVAL_S
+        self.loop.call_later(SAMPLE_INTERVAL_S, self.sample)
 
     def sample(self) -> None:
+        """Record how late the timer fired, and set the next one."""
         self.late_ms.append(max(0.0, monotonic() - self.due) * 1000)
         self.schedule()
 
-    def take(self) -> tuple[float, float]:
-        """The 99th percentile and the greatest since the last call."""
+    def take_percentiles(self) -> tuple[float, float]:
+        """Return the 99th percentile and the greatest lateness since the last call, in milliseconds."""
         waiting = max(0.0, monotonic() - self.due) * 1000
         found = sorted([*self.late_ms, waiting])
         self.late_ms = []
@@ -77,7 +80,7 @@
 
 
 class Counters:
-    """Everything that a worker counts up, at one moment."""
+    """A snapshot of all counters of a worker."""
 
     def __init__(self, meter: Meter, network: Network) -> None:
         self.at = monotonic()
@@ -86,7 +89,7 @@
         self.traffic = copy(network.traffic)
 
     def since(self, before: Counters, lateness: tuple[float, float]) -> Window:
-        """What was spent from an earlier moment on."""
+        """Return the costs since an earlier snapshot."""
         return Window(
             self.at - before.at,
             self.cpu_s - before.cpu_s,
@@ -94,32 +97,32 @@
             {k: v - before.calls.get(k, 0) for k, v in self.calls.items()},
             self.traffic.since(before.traffic),
             *lateness,
-            resident_bytes=resident(os.getpid()),
+            resident_bytes=resident_memory(os.getpid()),
         )
 
 
 class Worker:
-    """The members of this process and what is asked about them."""
+    """The members of this process, and the handlers of the parent's requests."""
 
     def __init__(self, assigned: Assign, loop: asyncio.AbstractEventLoop) -> None:
         self.group: Group = assigned.group
         self.key = assigned.key
-        self.known_from_start = assigned.start == "known"
+        self.starts_with_group = assigned.start == "known"
         self.meter = Meter()
         self.meter.wrap_components()
         self.network = Network(self.group, self.meter)
-        self.lateness = Lateness(loop)
-        self.truth = Truth(self.group)
+        self.lateness_sampler = LatenessSampler(loop)
+        self.ground_truth = GroundTruth(self.group)
         self.members = {
-            place.name: HollowMember(
-                loop, self.network, self.group, place, self.key, assigned.defects.get(place.name)
+            spec.name: HollowMember(
+                loop, self.network, self.group, spec, self.key, assigned.defects.get(spec.name)
             )
-            for place in (self.group.places[i] for i in assigned.members)
+            for spec in (self.group.member_specs[i] for i in assigned.members)
         }
-        self.before = Counters(self.meter, self.network)
+        self.last_counters = Counters(self.meter, self.network)
 
-    async def answer(self, request: Request) -> Reply:
-        """Does what is asked."""
+    async def handle(self, request: Request) -> Reply:
+        """Handle a request."""
         match request:
             case Open():
                 return await self.open()
@@ -135,109 +138,117 @@
                 await self.restart(request)
             case Cut():
                 self.network.cut_region = request.region
-                self.truth.cut(request.region)
+                self.ground_truth.cut(request.region)
             case Finish():
                 return self.report()
             case Assign():
-                return Failed("assigned twice")
+                return Failed("members are already assigned")
         return Done()
 
-    # ---- the beginning ----------------------------------------------------------------------------------
+    # ---- start --------------------------------------------------------------------------------------------
 
     async def open(self) -> Opened:
-        """All members take their ports."""
-        self.truth.started_at = monotonic()
+        """Open the ports of all members."""
+        self.ground_truth.started_at = monotonic()
         for member in self.members.values():
-            await self.begin(member, self.known_from_start)
+            await self.start_member(member, self.starts_with_group)
         return Opened({name: m.swim.me.incarnation for name, m in self.members.items()})
 
-    async def begin(self, member: HollowMember, held: bool) -> None:
-        await member.open(self.truth.watch(member.place).changed, held)
+    async def start_member(self, member: HollowMember, is_held: bool) -> None:
+        """Start a member and observe it."""
+        await member.open(self.ground_truth.add_watch(member.spec).on_change, is_held)
 
     def learn(self, incarnations: dict[str, int]) -> None:
-        """All members hold the whole group from now on."""
+        """Introduce the whole group to all members."""
         codec = Codec([read_key(Path(self.key))])
-        for scope in self.scopes():
+        for scope in self.scope_representatives():
             datagrams = list_datagrams(self.group, scope, incarnations, codec, time_ns() // 1000)
             for member in self.members.values():
-                if self.group.membership == "flat" or member.place.zone == scope.zone:
+                if self.group.membership == "flat" or member.spec.zone == scope.zone:
                     member.learn(datagrams)
 
-    def scopes(self) -> list[Place]:
-        """One member of each set of members that know each other."""
+    def scope_representatives(self) -> list[MemberSpec]:
+        """Return one member of each set of members that know each other."""
         if self.group.membership == "flat":
-            return [self.group.places[0]]
-        return list({m.place.zone: m.place for m in self.members.values()}.values())
+            return [self.group.member_specs[0]]
+        return list({m.spec.zone: m.spec for m in self.members.values()}.values())
 
     def go(self) -> None:
-        """Held members speak. What was made until now is not looked at by the collector again."""
+        """Let held members send.
+
+        The garbage collector does not scan the objects that exist by now any more.
+        """
         rng = Random(f"go {self.group.seed} {min(self.members, default='')}")
         gc.collect()
         gc.freeze()
-        self.truth.started_at = monotonic()
+        self.ground_truth.started_at = monotonic()
         for member in self.members.values():
             member.release(rng)
 
     # ---- faults -----------------------------------------------------------------------------------------
 
     def stop(self, names: list[str]) -> None:
+        """Record the end of members, and kill those that run here."""
         for name in names:
-            self.truth.stop(self.group.by_name[name].index)
+            self.ground_truth.stop(self.group.by_name[name].index)
             if name in self.members:
                 self.members[name].kill()
 
     async def restart(self, request: Restart) -> None:
+        """Record the restart of members, and start those that run here."""
         for name in request.names:
-            self.truth.restart(self.group.by_name[name].index, request.wall)
+            self.ground_truth.restart(self.group.by_name[name].index, request.wall)
         for name in request.names:
             if name in self.members:
-                await self.begin(self.members[name], held=False)
+                await self.start_member(self.members[name], is_held=False)
 
-    # ---- figures ----------------------------------------------------------------------------------------
+    # ---- measurements -----------------------------------------------------------------------------------
 
     def look(self, window: bool) -> Standing:
-        truth = self.truth
-        unjoined = truth.unjoined()
+        """Report the progress of the members, with `window` also the costs since the last window."""
+        ground_truth = self.ground_truth
+        unjoined = ground_truth.unjoined_members()
         found = Standing(
-            len(truth.watches),
+            len(ground_truth.watches),
             unjoined[:MAX_NAMES],
             len(unjoined),
-            len(truth.incomplete()),
-            len(truth.ignorant()),
+            len(ground_truth.incomplete_members()),
+            len(ground_truth.members_with_stale_views()),
         )
         if window:
             now = Counters(self.meter, self.network)
-            found.window = now.since(self.before, self.lateness.take())
-            self.before = now
+            found.window = now.since(self.last_counters, self.lateness_sampler.take_percentiles())
+            self.last_counters = now
         return found
 
     def report(self) -> Report:
-        truth = self.truth
-        running = {p.name for p in self.group.places if truth.running[p.index]}
+        """Report all observations, and the views that differ from the running members."""
+        ground_truth = self.ground_truth
+        running = {p.name for p in self.group.member_specs if ground_truth.running[p.index]}
         views = [
-            view_fault(self.group, m.place, m.states(), running)
+            view_fault(self.group, m.spec, m.states(), running)
             for name, m in self.members.items()
             if name in running
         ]
         return Report(
-            truth.joined_s,
-            dict(truth.death_known_s),
-            truth.false_deaths,
-            truth.false_death_count,
-            list(truth.healed_s.values()),
+            ground_truth.joined_s,
+            dict(ground_truth.death_known_s),
+            ground_truth.false_deaths,
+            ground_truth.false_death_count,
+            list(ground_truth.healed_s.values()),
             [v for v in views if v is not None],
         )
 
 
 async def serve() -> None:
-    """Answers the parent's requests until it has the report, or is gone."""
+    """Answer the parent's requests until the input ends."""
     loop = asyncio.get_running_loop()
     requests = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(requests), sys.stdin)
     worker: Worker | None = None
     while True:
         try:
-            size = LENGTH.unpack(await requests.readexactly(LENGTH.size))[0]
+            size = LENGTH_PREFIX.unpack(await requests.readexactly(LENGTH_PREFIX.size))[0]
             request = request_decoder.decode(await requests.readexactly(size))
         except asyncio.IncompleteReadError:
             return
@@ -246,9 +257,9 @@
             if isinstance(request, Assign):
                 worker = Worker(request, loop)
             elif worker is None:
-                reply = Failed("nothing was assigned")
+                reply = Failed("no members are assigned yet")
             else:
-                reply = await worker.answer(request)
+                reply = await worker.handle(request)
         except OSError as e:
             reply = Failed(f"{type(e).__name__}: {e}")
         sys.stdout.buffer.write(frame(reply))
@@ -256,9 +267,13 @@
 
 
 def main() -> None:
-    """Runs until the parent lets go. Ctrl-C is the parent's, who ends its workers in order."""
+    """Run until the parent closes the input.
+
+    Ctrl-C is ignored: the parent handles it and ends its workers.
+    """
     signal.signal(signal.SIGINT, signal.SIG_IGN)
-    gc.disable()  # a pause of the collector over many members' state is one that no single member would have
+    # A garbage collection over the state of many members would pause longer than that of a single member.
+    gc.disable()
     uvloop.run(serve())
 
 
--- a/workbench/scale/workers.py
+++ b/workbench/scale/workers.py
@@ -1,4 +1,4 @@
-"""The parent's side of the workers: processes tied to this one, a request and a reply at a time."""
+"""Worker processes as the parent sees them: child processes that answer one request at a time."""
 
 from __future__ import annotations
 
@@ -8,21 +8,23 @@
 from typing import TypeVar
 
 from workbench.emulator.child_process import killed_with_parent
-from workbench.scale.messages import LENGTH, Failed, Reply, Request, frame, reply_decoder
+from workbench.scale.messages import LENGTH_PREFIX, Failed, Reply, Request, frame, reply_decoder
 
-COMMAND = [sys.executable, "-m", "workbench.scale.worker"]
-REPLY_S = 120.0  # the longest that a worker may take for one reply
-END_S = 5.0  # that a worker has to end once its input is closed
+WORKER_COMMAND = [sys.executable, "-m", "workbench.scale.worker"]
+# Longest wait for one reply of a worker.
+REPLY_TIMEOUT_S = 120.0
+# Longest wait for a worker to exit after its input is closed.
+EXIT_TIMEOUT_S = 5.0
 
-R = TypeVar("R")
+ReplyT = TypeVar("ReplyT")
 
 
 class WorkerError(Exception):
-    """A worker that is gone or cannot do what it was asked: one line."""
+    """A worker that has ended or cannot handle a request; the message is a single line."""
 
 
 class WorkerProcess:
-    """One worker."""
+    """One worker process."""
 
     def __init__(self, number: int, process: asyncio.subprocess.Process) -> None:
         self.number = number
@@ -30,46 +32,54 @@
 
     @classmethod
     async def start(cls, number: int) -> WorkerProcess:
-        """A worker in a session of its own, so that Ctrl-C is the parent's alone. The kernel kills it when
-        the parent ends, however that ends."""
+        """Start a worker in a separate session, so that Ctrl-C reaches only the parent.
+
+        The kernel kills the worker when the parent ends, for whatever reason.
+        """
         process = await asyncio.create_subprocess_exec(
-            *killed_with_parent(COMMAND),
+            *killed_with_parent(WORKER_COMMAND),
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             start_new_session=True,
         )
         return cls(number, process)
 
-    async def ask(self, request: Request, kind: type[R]) -> R:
-        """Sends a request and waits for its reply, which must be of this kind. WorkerError."""
+    async def ask(self, request: Request, reply_type: type[ReplyT]) -> ReplyT:
+        """Send a request and wait for its reply.
+
+        Raises:
+            WorkerError: The worker ended, failed, did not reply in time, or replied with another type than
+                `reply_type`.
+        """
         try:
-            reply = await asyncio.wait_for(self.exchange(request), REPLY_S)
+            reply = await asyncio.wait_for(self.exchange(request), REPLY_TIMEOUT_S)
         except TimeoutError:
-            raise WorkerError(f"worker {self.number}: no reply within {REPLY_S:g} s") from None
+            raise WorkerError(f"worker {self.number}: no reply within {REPLY_TIMEOUT_S:g} s") from None
         except (OSError, asyncio.IncompleteReadError):
             status = await self.process.wait()
             raise WorkerError(f"worker {self.number}: ended with status {status}") from None
         if isinstance(reply, Failed):
             raise WorkerError(f"worker {self.number}: {reply.reason}")
-        if not isinstance(reply, kind):
+        if not isinstance(reply, reply_type):
             raise WorkerError(
                 f"worker {self.number}: replied {type(reply).__name__} to {type(request).__name__}"
             )
         return reply
 
     async def exchange(self, request: Request) -> Reply:
+        """Write a request and read one reply."""
         assert self.process.stdin is not None and self.process.stdout is not None
         self.process.stdin.write(frame(request))
         await self.process.stdin.drain()
-        size = LENGTH.unpack(await self.process.stdout.readexactly(LENGTH.size))[0]
+        size = LENGTH_PREFIX.unpack(await self.process.stdout.readexactly(LENGTH_PREFIX.size))[0]
         return reply_decoder.decode(await self.process.stdout.readexactly(size))
 
     async def end(self) -> None:
-        """Closes its input, on which it ends; kills it where it does not."""
+        """Close the worker's input, which ends it; kill it if it does not exit in time."""
         assert self.process.stdin is not None
         self.process.stdin.close()
         try:
-            await asyncio.wait_for(self.process.wait(), END_S)
+            await asyncio.wait_for(self.process.wait(), EXIT_TIMEOUT_S)
         except TimeoutError:
             with suppress(ProcessLookupError):
                 self.process.kill()
@@ -77,25 +87,33 @@
 
 
 class Workers:
-    """All workers of a run. The last one has no members: what it spends is spent by the loop alone."""
+    """All workers of a run; the last one has no members, so that its cost is that of an idle event loop."""
 
     def __init__(self) -> None:
         self.processes: list[WorkerProcess] = []
 
     async def start(self, count: int) -> None:
-        """So many with members, and the idle one."""
+        """Start `count` workers for members, and the idle one."""
         for number in range(count + 1):
             self.processes.append(await WorkerProcess.start(number))
 
-    async def ask_all(self, request: Request, kind: type[R]) -> list[R]:
-        """The same request to all, answered in their order. WorkerError."""
-        return await self.ask_each([request] * len(self.processes), kind)
+    async def ask_all(self, request: Request, reply_type: type[ReplyT]) -> list[ReplyT]:
+        """Send the same request to all workers and return the replies in their order.
+
+        Raises:
+            WorkerError: A worker ended or failed.
+        """
+        return await self.ask_each([request] * len(self.processes), reply_type)
+
+    async def ask_each(self, requests: list[Request], reply_type: type[ReplyT]) -> list[ReplyT]:
+        """Send a request to each worker at the same time and return the replies in their order.
 
-    async def ask_each(self, requests: list[Request], kind: type[R]) -> list[R]:
-        """A request to each, at the same time."""
+        Raises:
+            WorkerError: A worker ended or failed.
+        """
         pairs = zip(self.processes, requests, strict=True)
-        return list(await asyncio.gather(*(worker.ask(request, kind) for worker, request in pairs)))
+        return list(await asyncio.gather(*(worker.ask(request, reply_type) for worker, request in pairs)))
 
     async def end(self) -> None:
-        """Ends all."""
+        """End all workers."""
         await asyncio.gather(*(worker.end() for worker in self.processes))
