--- a/tests/scale_support.py
+++ b/tests/scale_support.py
@@ -8,7 +8,7 @@
 from workbench.scale import run as scale_run
 from workbench.scale.group import Group
 from workbench.scale.messages import Traffic, Window
-from workbench.scale.plan import Plan, group_of, plan_of
+from workbench.scale.plan import Plan, build_group, parse_plan
 from workbench.scale.run import Outcome
 
 PATIENCE = 90.0  # seconds; only a failure waits so long
@@ -39,12 +39,12 @@
 
 
 def group(**changes: Any) -> Group:
-    return group_of(plan_of({"hollow": 6, "zones": 2, "regions": 2} | changes), "127.1.1")
+    return build_group(parse_plan({"hollow": 6, "zones": 2, "regions": 2} | changes), "127.1.1")
 
 
 def claim(group: Group, index: int, incarnation: int = 1) -> Claim:
-    place = group.places[index]
-    return Claim(place.name, place.address, Status.ALIVE, incarnation)
+    spec = group.member_specs[index]
+    return Claim(spec.name, spec.address, Status.ALIVE, incarnation)
 
 
 def window(**changes: Any) -> Window:
--- a/workbench/cli/scale_run.py
+++ b/workbench/cli/scale_run.py
@@ -56,7 +56,7 @@
     Exits 1 if a check fails or the run was aborted, 2 on bad input, and 3 if the machine was the limit: such
     a run is not counted, whatever the checks say.
     """
-    from workbench.scale.measurements import encoded, rows, table
+    from workbench.scale.measurements import build_rows, encode_rows, format_table
 
     if list_plans:
         print_shipped_plans()
@@ -67,20 +67,20 @@
     plan = load_plan(plan_source, overrides, simulate)
     outcome = run_group(plan, screen)
     figures = outcome.figures
-    if simulate and not outcome.trouble:
+    if simulate and not outcome.abort_reason:
         figures += simulated_figures(plan, screen)
-    measured = rows(figures, outcome.members, run_info(plan.seed), outcome.counted)
-    Console(width=None if sys.stdout.isatty() else 150).print(table(measured))
+    measured = build_rows(figures, outcome.members, run_info(plan.seed), outcome.counted)
+    Console(width=None if sys.stdout.isatty() else 150).print(format_table(measured))
     if target is not None:
-        write_atomically(target, lambda path: write(path, encoded(measured)))
+        write_atomically(target, lambda path: write(path, encode_rows(measured)))
     return report_verdict(outcome)
 
 
 def print_shipped_plans() -> None:
     """Print the names and titles of the plans that ship."""
-    from workbench.scale.plan import shipped
+    from workbench.scale.plan import shipped_plans
 
-    for name, title in shipped().items():
+    for name, title in shipped_plans().items():
         click.echo(f"{name:12} {title}")
 
 
@@ -124,11 +124,11 @@
 
 def simulated_figures(plan: Plan, screen: Console) -> list[Figure]:
     """Simulate the plan on the virtual network and return its figures."""
-    from workbench.scale.plan import group_of
+    from workbench.scale.plan import build_group
     from workbench.scale.simulated import simulate
 
     with screen.status("simulating"):
-        return simulate(plan, group_of(plan, SIMULATED_ADDRESS_BLOCK))
+        return simulate(plan, build_group(plan, SIMULATED_ADDRESS_BLOCK))
 
 
 def report_verdict(outcome: Outcome) -> int:
@@ -137,8 +137,8 @@
         click.echo(f"{check.name}: {'failed' if check.failures else 'holds'}")
         for line in check.failures:
             click.echo(f"  {line}")
-    if outcome.trouble:
-        click.echo(f"broken off: {outcome.trouble}")
+    if outcome.abort_reason:
+        click.echo(f"broken off: {outcome.abort_reason}")
     for line in outcome.limits:
         click.echo(f"the machine was the limit: {line}")
     if not outcome.counted:
