--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -15,7 +15,7 @@
 from balancer.fleet.membership.keys import InvalidKeyError, authentication_tag, key_id, read_key
 from balancer.fleet.membership.messages import AnyMessage, OutgoingMessage
 from balancer.fleet.membership.swim import Claim, Kind, Message, Status, Swim
-from workbench.explore.members import Net
+from workbench.explore.members import MemberNetwork
 from workbench.explore.virtual_network import GROUP_KEY
 
 SECOND_US = 1_000_000
@@ -47,38 +47,38 @@
 
 @pytest.mark.parametrize(("count", "loss"), [(3, 0.0), (12, 0.1), (40, 0.2)])
 def test_death_reaches_all_and_no_living_member_stays_dead(count: int, loss: float) -> None:
-    net = Net(count, loss, seed=5)
-    assert net.until(net.complete, 90) < 90
+    net = MemberNetwork(count, loss, seed=5)
+    assert net.run_until(net.is_complete, 90) < 90
     net.run(30)
     killed_name = net.kill(("10.0.0.1", count))
-    assert net.until(lambda: not any(killed_name in s.alive() for s in net.members.values()), 120) < 120
+    assert net.run_until(lambda: not any(killed_name in s.alive() for s in net.members.values()), 120) < 120
     net.run(60)
     assert net.false_deaths() == 0
 
 
 def test_partition_heals_and_restarted_member_rejoins() -> None:
-    net = Net(8, 0.0, seed=2)
-    net.until(net.complete, 30)
+    net = MemberNetwork(8, 0.0, seed=2)
+    net.run_until(net.is_complete, 30)
     net.network.partition(("10.0.0.1", p) for p in (5, 6, 7, 8))
     net.run(40)
     # Each side considers the other dead.
     assert net.false_deaths() > 0
     net.network.heal()
-    assert net.until(net.complete, 120) < 120
+    assert net.run_until(net.is_complete, 120) < 120
     name = net.kill(("10.0.0.1", 3))
     net.run(30)
     restarted = net.add(("10.0.0.1", 3), [("10.0.0.1", 1)], incarnation=2)
-    assert restarted.local_claim.name == name and net.until(net.complete, 60) < 60
+    assert restarted.local_claim.name == name and net.run_until(net.is_complete, 60) < 60
 
 
 def test_leaving_member_is_not_suspected() -> None:
-    net = Net(6, 0.0, seed=3)
-    net.until(net.complete, 30)
+    net = MemberNetwork(6, 0.0, seed=3)
+    net.run_until(net.is_complete, 30)
     leaver = net.members[("10.0.0.1", 6)]
     suspected_before = sum(s.counts.suspected for s in net.members.values())
     net.transmit(leaver.local_claim.address, leaver.leave())
     net.kill(leaver.local_claim.address)
-    net.until(lambda: all(s.status("n6") == LEFT for s in net.members.values()), 10)
+    net.run_until(lambda: all(s.status("n6") == LEFT for s in net.members.values()), 10)
     assert all(s.status("n6") == LEFT for s in net.members.values())
     assert sum(s.counts.suspected for s in net.members.values()) == suspected_before
 
--- a/tests/test_membership_scale.py
+++ b/tests/test_membership_scale.py
@@ -34,7 +34,7 @@
 from balancer.fleet.membership.timers import Deadlines
 from balancer.fleet.membership.timing import Timing
 from balancer.fleet.membership.view import ALL_BUCKETS, BUCKETS
-from workbench.explore.members import Net, measure_join_storm
+from workbench.explore.members import MemberNetwork, measure_join_storm
 from workbench.explore.virtual_network import GROUP_KEY
 
 SECOND_US = 1_000_000
@@ -199,8 +199,8 @@
 
 
 def test_claims_received_in_pages_are_not_disseminated() -> None:
-    net = Net(100, 0.0, seed=1)
-    net.until(net.complete, 30)
+    net = MemberNetwork(100, 0.0, seed=1)
+    net.run_until(net.is_complete, 30)
     net.run(10)
     # The members have received 9,900 claims in total.
     assert sum(len(s.updates.transmissions) for s in net.members.values()) < 1000
@@ -317,12 +317,12 @@
 
 
 def test_restarted_member_rejoins_with_new_incarnation() -> None:
-    net = Net(60, 0.0, seed=4)
-    net.until(net.complete, 30)
+    net = MemberNetwork(60, 0.0, seed=4)
+    net.run_until(net.is_complete, 30)
     net.kill(("10.0.0.1", 40))
     net.run(3)
     restarted = net.add(("10.0.0.1", 40), [("10.0.0.1", 1), ("10.0.0.1", 2)], incarnation=9)
-    assert net.until(net.complete, 20) <= 5
+    assert net.run_until(net.is_complete, 20) <= 5
     net.run(10)
     assert all(s.members["n40"].claim.incarnation >= 9 for s in net.members.values() if s is not restarted)
     net.run(40)
@@ -426,12 +426,12 @@
 
 
 def test_death_is_detected_in_half_of_unconfirmed_duration() -> None:
-    net = Net(40, 0.0, seed=8)
-    net.until(net.complete, 30)
+    net = MemberNetwork(40, 0.0, seed=8)
+    net.run_until(net.is_complete, 30)
     net.run(5)
     max_duration = Timing().suspect_factor * next(iter(net.members.values())).log_group_size()
     killed_name = net.kill(("10.0.0.1", 40))
-    assert net.until(lambda: net.knows_gone(killed_name), 60) < 0.5 * max_duration
+    assert net.run_until(lambda: net.is_death_known(killed_name), 60) < 0.5 * max_duration
 
 
 def test_probe_is_repeated_before_target_is_suspected() -> None:
@@ -451,15 +451,15 @@
 
 def test_ten_percent_loss_causes_few_suspicions() -> None:
     """Lost datagrams alone must rarely cause suspicions; revision 076cb15 had 318 of them in this run."""
-    net = Net(40, 0.1, seed=1)
-    net.until(net.complete, 60)
+    net = MemberNetwork(40, 0.1, seed=1)
+    net.run_until(net.is_complete, 60)
     net.run(30)
-    assert net.total("suspected") < 50
+    assert net.sum_counts("suspected") < 50
 
 
 def test_thirty_percent_loss_causes_no_false_death() -> None:
     """Lost datagrams must not cause false deaths; revision 076cb15 had 3 of them in this run."""
-    net = Net(80, 0.3, seed=3)
-    net.until(net.complete, 60)
+    net = MemberNetwork(80, 0.3, seed=3)
+    net.run_until(net.is_complete, 60)
     net.run(30)
-    assert net.total("died") == 0
+    assert net.sum_counts("died") == 0
--- a/tests/test_membership_versions.py
+++ b/tests/test_membership_versions.py
@@ -6,7 +6,7 @@
 from balancer.fleet.membership.claims import Address, Claim, Status
 from balancer.fleet.membership.messages import AnyMessage, Kind, Message, OutgoingMessage
 from balancer.fleet.membership.swim import Swim
-from workbench.explore.members import Net
+from workbench.explore.members import MemberNetwork
 
 ALIVE = Status.ALIVE
 EARLIER_VERSION_KINDS = (Kind.PING, Kind.ACK, Kind.PING_REQ, Kind.SYNC, Kind.SYNC_ACK)
@@ -60,8 +60,8 @@
 
 
 def test_earlier_version_joins_through_current_version() -> None:
-    net = Net(60, 0.0, seed=6)
-    net.until(net.complete, 30)
+    net = MemberNetwork(60, 0.0, seed=6)
+    net.run_until(net.is_complete, 30)
     earlier = EarlierVersionMember(("10.0.0.1", 61), [("10.0.0.1", 1)])
     net.attach(cast(Swim, earlier))
     net.transmit(earlier.local_claim.address, earlier.join())
@@ -77,7 +77,7 @@
 
 
 def test_current_version_joins_through_earlier_version() -> None:
-    net = Net(0, 0.0, seed=6)
+    net = MemberNetwork(0, 0.0, seed=6)
     earlier = EarlierVersionMember(("10.0.0.1", 61), [])
     earlier.claims_by_name = {f"x{i}": Claim(f"x{i}", ("10.0.0.9", i + 1), ALIVE, 1) for i in range(20)}
     net.attach(cast(Swim, earlier))
@@ -93,6 +93,6 @@
         # The members that don't exist leave, so that views are compared only with the earlier version.
         for i in range(20):
             swim.accept(net.clock.now, Claim(f"x{i}", ("10.0.0.9", i + 1), Status.LEFT, 1))
-    elapsed = net.until(lambda: "late" in one.members and "late" in two.members, 60)
+    elapsed = net.run_until(lambda: "late" in one.members and "late" in two.members, 60)
     # The unanswered digest is followed by a SYNC, which the earlier version answers.
     assert elapsed < 60
--- a/tests/test_zone_membership_fleets.py
+++ b/tests/test_zone_membership_fleets.py
@@ -41,7 +41,7 @@
     fleet = Fleet(3, 3, seed=8, shared=True, regions=3)
     fleet.network.block(0, 1)
     fleet.network.block(1, 0)
-    assert fleet.network.until(fleet.all_know, 90) < 90
+    assert fleet.network.run_until(fleet.all_summaries_fresh, 90) < 90
 
 
 def test_all_zones_are_known_after_many_simultaneous_joins() -> None:
@@ -58,7 +58,7 @@
     fleet = Fleet(3, 12, seed=11, old=lambda number: number != 0)
     # In the hash order of all nodes, the new node of a zone would not be among its gateways.
     for zone in range(3):
-        names = [n.name for n in fleet.of_zone(zone)]
+        names = [n.name for n in fleet.nodes_in_zone(zone)]
         assert f"zone-{zone}-0" not in Rendezvous(zone_name(zone)).first(names, 4)
     figures = zone_cases.release(fleet)
     assert figures.holds, figures.line()
--- a/workbench/scale/membership.py
+++ b/workbench/scale/membership.py
@@ -32,7 +32,7 @@
 
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.membership.swim import Address, Claim, OutgoingMessage, Status, Swim
-from workbench.explore.virtual_network import GROUP_KEY, VirtualNetwork, Waited
+from workbench.explore.virtual_network import GROUP_KEY, VirtualNetwork, WaitResult
 from workbench.simulator.heap import HeapClock
 
 WARM_UP_S = 5.0
@@ -107,7 +107,7 @@
         """Handle all events of the next seconds."""
         self.network.run(seconds)
 
-    def until(self, condition: Callable[[], bool], limit: float) -> Waited:
+    def until(self, condition: Callable[[], bool], limit: float) -> WaitResult:
         """Run until a condition holds, up to a limit in seconds."""
         return self.network.run_until(condition, limit, POLL_INTERVAL_S)
 
--- a/workbench/scale/simulated.py
+++ b/workbench/scale/simulated.py
@@ -11,7 +11,7 @@
 from statistics import median
 
 from balancer.fleet.membership.swim import Address, Claim, Status, Swim
-from workbench.explore.members import Net
+from workbench.explore.members import MemberNetwork
 from workbench.scale.group import SEED_COUNT, Group
 from workbench.scale.measurements import CPU_UNIT, SIMULATED_PREFIX, Figure
 from workbench.scale.meter import Meter
@@ -29,7 +29,7 @@
 MIN_MEMBER_PERIODS = 8_000
 
 
-class SimulatedGroup(Net):
+class SimulatedGroup(MemberNetwork):
     """A simulated group on one virtual clock; `run_period_s` is the period of the run to compare with."""
 
     def __init__(self, group: Group) -> None:
