--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What holds for all tests."""
+"""Fixtures and pytest hooks that apply to the whole suite."""
 
 import pytest
 from known_red import pytest_collection_modifyitems, pytest_terminal_summary
@@ -14,22 +14,25 @@
 
 
 @pytest.fixture(autouse=True)
-def patient_watch(monkeypatch: pytest.MonkeyPatch) -> int:
-    """Discovery's stand-in may be silent for as long as a test takes. The value is the wait in service."""
-    served = client.MAX_WATCH_MS
+def production_max_watch_ms(monkeypatch: pytest.MonkeyPatch) -> int:
+    """Raise the longest wait of a discovery watch to 20 s and return its production value.
+
+    A fake discovery service may then stay silent for as long as a test takes.
+    """
+    production_value = client.MAX_WATCH_MS
     monkeypatch.setattr(client, "MAX_WATCH_MS", 20_000)
-    return served
+    return production_value
 
 
 @pytest.fixture
-def wide(monkeypatch: pytest.MonkeyPatch) -> None:
-    """All servers of a small list are members."""
+def full_subset(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Raise the minimum subset size so that every server of a small list is a member."""
     monkeypatch.setattr(subset, "MIN_SUBSET_SIZE", 24)
 
 
 @pytest.fixture
 def frequent_retries(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Retries come soon, so that a test can have many of them."""
+    """Shorten the retry intervals so that a test can observe many retries."""
     for module in (listener, exchange, system_faults):
         monkeypatch.setattr(module, "RETRY_INTERVAL", RETRY_INTERVAL_S)
     monkeypatch.setattr(registry, "PUSH_RETRY_S", RETRY_INTERVAL_S)
--- a/tests/disk_errors.py
+++ b/tests/disk_errors.py
@@ -1,4 +1,4 @@
-"""Errors of a disk, and calls that fail with them."""
+"""Disk errors, and function calls that fail with them."""
 
 import errno
 import os
@@ -13,7 +13,10 @@
 def fail_call(
     patch: pytest.MonkeyPatch, module: ModuleType, name: str, code: int, after: bool = False
 ) -> None:
-    """The call fails; `after`: once the kernel has done what was asked for."""
+    """Make a function of a module raise OSError with this code.
+
+    With `after` the real function is called first, so that the kernel has already carried out the operation.
+    """
     real = getattr(module, name)
 
     def failing(*args: Any, **kwargs: Any) -> None:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""What a node meets on loopback sockets: servers and discovery that do as a test says, and a client."""
+"""Servers, a discovery service, clients and nodes on loopback sockets, controlled by the tests."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 from balancer.net.upstream.connection import Connection
 from balancer.policy.interface import Outcome
 
-PATIENCE = 20.0  # seconds; only a failure waits so long
+TIMEOUT_S = 20.0  # Only a failing test waits this long.
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 REJECTED = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 UNAVAILABLE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 SERVER_ERROR = b"HTTP/1.1 500 Oops\r\nContent-Length: 4\r\n\r\noops"
-MOMENT = 1_000_000
+SECOND_US = 1_000_000
 
-Table = dict[str, Any]  # a table of the configuration, or a line of a list
+ConfigTable = dict[str, Any]  # A table of the configuration, or the entry of a server in a list.
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """The settings object of the tests; `policy_limits` are merged."""
+    """Return the settings of the tests with these changes; `policy_limits` are merged into the defaults."""
     limits = {
         "cancel": True,
-        "conn_idle": 5 * MOMENT,
-        "connect_timeout": 5 * MOMENT,
+        "conn_idle": 5 * SECOND_US,
+        "connect_timeout": 5 * SECOND_US,
         "max_attempts": 3,
-        "max_retry_after": 2 * MOMENT,
+        "max_retry_after": 2 * SECOND_US,
         "peers": True,
         "probing": True,
         "retry_after": True,
@@ -48,10 +48,10 @@
                 "name": name,
                 "effect": effect,
                 "group": group,
-                "goal_time": 10 * MOMENT,
-                "hard_limit": 20 * MOMENT,
+                "goal_time": 10 * SECOND_US,
+                "hard_limit": 20 * SECOND_US,
                 "late_value": 0.2,
-                "window": 10 * MOMENT,
+                "window": 10 * SECOND_US,
                 "worth": 1.0,
             }
             for name, effect, group in classes
@@ -63,7 +63,7 @@
         "layers": ["front"],
         "policy_limits": limits | changes.pop("policy_limits", {}),
         "report": {"columns": ["mean_ms", "concurrent"], "how": "on_probe"},
-        "rules": {"ask_within": 10 * MOMENT, "cold": 0, "fall_multiple": 2.5, "start_capacity": 1.0}
+        "rules": {"ask_within": 10 * SECOND_US, "cold": 0, "fall_multiple": 2.5, "start_capacity": 1.0}
         | {"tip_after": 0},
         "tenants": [{"name": "acme"}],
         "tick": 5000,
@@ -72,7 +72,7 @@
 
 
 class Request:
-    """What a server got."""
+    """A request as a server received it."""
 
     def __init__(self, head: bytes, body: bytes) -> None:
         first, *lines = head.decode().split("\r\n")
@@ -83,36 +83,43 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> Request:
-    """One request, or an IncompleteReadError at the connection's end."""
+    """Read one request.
+
+    Raises:
+        IncompleteReadError: The connection ended.
+    """
     head = await reader.readuntil(b"\r\n\r\n")
     request = Request(head[:-4], b"")
     request.body = await reader.readexactly(int(request.headers.get("content-length", 0)))
     return request
 
 
-Handle = Callable[[Request, asyncio.StreamWriter], Awaitable[bytes | None]]
+Handler = Callable[[Request, asyncio.StreamWriter], Awaitable[bytes | None]]
 
 
 async def answer_ok(request: Request, writer: asyncio.StreamWriter) -> bytes | None:
+    """Respond with status 200."""
     return OK
 
 
 class Server:
-    """A server: `handle` gives the bytes of an answer, or None to say nothing."""
+    """A server whose handler returns the bytes of each response, or None to send nothing."""
 
-    def __init__(self, handle: Handle = answer_ok) -> None:
+    def __init__(self, handle: Handler = answer_ok) -> None:
         self.handle = handle
         self.requests: list[Request] = []
         self.connections = 0
         self.writers: list[asyncio.StreamWriter] = []
-        self.closed = 0  # connections whose other side has ended
+        self.closed = 0  # Number of connections that were closed by their peer.
 
     async def start(self) -> Server:
+        """Listen on a free port."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve the requests of one connection until it ends."""
         self.connections += 1
         self.writers.append(writer)
         try:
@@ -128,6 +135,7 @@
             writer.close()
 
     def entry(self, name: str, state: str = "ready", **changes: Any) -> dict[str, Any]:
+        """Return this server's entry in a list of discovery."""
         return {
             "id": name,
             "addr": f"127.0.0.1:{self.port}",
@@ -141,57 +149,63 @@
 
 
 class Discovery(Server):
-    """Discovery: calls wait until a test answers them with `say`."""
+    """A discovery service: requests wait until a test responds to them with `send_list`."""
 
     def __init__(self) -> None:
         super().__init__(self.wait)
         self.answers: asyncio.Queue[bytes | None] = asyncio.Queue()
 
     async def wait(self, request: Request, writer: asyncio.StreamWriter) -> bytes | None:
+        """Wait for the test's next response; None closes the connection."""
         data = await self.answers.get()
         if data is None:
             raise ConnectionResetError
         return data
 
-    def say(self, version: int, full: bool, *servers: dict[str, Any]) -> None:
-        self.raw(json.dumps({"version": version, "full": full, "servers": servers}).encode())
+    def send_list(self, version: int, full: bool, *servers: dict[str, Any]) -> None:
+        """Respond to the next request with a full list of servers, or with changes."""
+        self.send_response(json.dumps({"version": version, "full": full, "servers": servers}).encode())
 
-    def raw(self, body: bytes, status: bytes = b"200 OK") -> None:
+    def send_response(self, body: bytes, status: bytes = b"200 OK") -> None:
+        """Respond to the next request with this body."""
         self.answers.put_nowait(b"HTTP/1.1 %b\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body))
 
 
 class Client:
-    """A client's connection."""
+    """A client with one connection."""
 
     def __init__(self, port: int) -> None:
         self.port = port
 
     async def open(self) -> Client:
+        """Connect to the port."""
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.port)
         return self
 
     def send(self, data: bytes) -> None:
+        """Write bytes without waiting for a response."""
         self.writer.write(data)
 
     async def receive(self) -> tuple[int, dict[str, str], bytes]:
-        """One answer: status, headers, body."""
-        head = await asyncio.wait_for(self.reader.readuntil(b"\r\n\r\n"), PATIENCE)
+        """Read one response and return its status, headers and body."""
+        head = await asyncio.wait_for(self.reader.readuntil(b"\r\n\r\n"), TIMEOUT_S)
         first, *lines = head[:-4].decode().split("\r\n")
         headers = {k.lower(): v for k, _, v in (line.partition(": ") for line in lines)}
         body = await self.reader.readexactly(int(headers.get("content-length", 0)))
         return int(first.split(" ")[1]), headers, body
 
-    async def ask(self, data: bytes) -> tuple[int, dict[str, str], bytes]:
+    async def request(self, data: bytes) -> tuple[int, dict[str, str], bytes]:
+        """Send a request and return the status, headers and body of its response."""
         self.send(data)
         return await self.receive()
 
     async def ended(self) -> bool:
-        """Waits for the end of the connection; whether nothing more came."""
-        return await asyncio.wait_for(self.reader.read(), PATIENCE) == b""
+        """Wait for the end of the connection and return whether no more data arrived before it."""
+        return await asyncio.wait_for(self.reader.read(), TIMEOUT_S) == b""
 
 
 def call(klass: str = "view", budget: int = 15000, extra: bytes = b"", body: bytes = b"") -> bytes:
-    """A request of a class."""
+    """Return the bytes of a request of a class, with a budget in milliseconds."""
     method = b"GET" if klass == "view" else b"POST"
     lines = b"X-Call-Id: 9b1f\r\nX-Caller: acme\r\nX-Budget-Ms: %d\r\n" % budget
     if klass == "offer":
@@ -202,7 +216,7 @@
 
 
 class Bench:
-    """A node with servers `s0`, `s1`, ... and a discovery that knows them."""
+    """A node with servers `s0`, `s1`, ... in its initial list, and its discovery service."""
 
     def __init__(self, *servers: Server, config: dict[str, Any] | None = None, **changes: Any) -> None:
         self.servers = servers
@@ -211,6 +225,7 @@
         self.discovery = Discovery()
 
     async def start(self) -> Bench:
+        """Start the discovery service, the servers and the node."""
         await self.discovery.start()
         for server in self.servers:
             await server.start()
@@ -232,38 +247,39 @@
         return self
 
     async def client(self) -> Client:
+        """Return a client that is connected to the node."""
         return await Client(self.port).open()
 
-    async def once(self, data: bytes) -> tuple[int, dict[str, str], bytes]:
-        """One request on a connection of its own."""
+    async def request_once(self, data: bytes) -> tuple[int, dict[str, str], bytes]:
+        """Send a request on a new connection, which is closed after the response, and return the response."""
         client = await self.client()
-        answer = await client.ask(data)
+        answer = await client.request(data)
         client.writer.close()
         return answer
 
 
-async def until(condition: Callable[[], bool]) -> None:
-    """Lets the loop run until the condition holds."""
-    async with asyncio.timeout(PATIENCE):
+async def wait_until(condition: Callable[[], bool]) -> None:
+    """Let the loop run until the condition holds, or raise TimeoutError after TIMEOUT_S."""
+    async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.001)
 
 
-def play(scene: Callable[[], Awaitable[None]]) -> None:
-    """Runs a scene on the node's event loop."""
+def run_scenario(scenario: Callable[[], Awaitable[None]]) -> None:
+    """Run a scenario on uvloop, the node's event loop, with a time limit."""
 
     async def limited() -> None:
-        async with asyncio.timeout(3 * PATIENCE):
-            await scene()
+        async with asyncio.timeout(3 * TIMEOUT_S):
+            await scenario()
 
     uvloop.run(limited())
 
 
-HELD: list[socket.socket] = []
+reserved_sockets: list[socket.socket] = []
 
 
-class Clock:
-    """An event loop that a test has set to another time."""
+class FakeTimeLoop:
+    """An event loop whose clock is set by the test (`now`, in seconds)."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, now: float) -> None:
         self.loop = loop
@@ -276,25 +292,25 @@
         return getattr(self.loop, name)
 
 
-class Late:
-    """A loop whose connections come up once a test lets them."""
+class DelayedConnectLoop:
+    """A loop whose new connections wait until a test sets `connect_allowed`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.up = asyncio.Event()
-        self.asked = asyncio.Event()
+        self.connect_allowed = asyncio.Event()
+        self.connect_requested = asyncio.Event()
 
     async def create_connection(self, *args: Any) -> Any:
-        self.asked.set()
-        await self.up.wait()
+        self.connect_requested.set()
+        await self.connect_allowed.wait()
         return await self.loop.create_connection(*args)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.loop, name)
 
 
-def small_sends(monkeypatch: Any) -> None:
-    """Connections to servers from which the system takes no large request at once."""
+def limit_send_buffers(monkeypatch: Any) -> None:
+    """Shrink the send buffers of connections to servers, so that a large request needs several writes."""
     made = Connection.connection_made
 
     def small(self: Connection, transport: asyncio.Transport) -> None:
@@ -305,8 +321,8 @@
     monkeypatch.setattr(Connection, "connection_made", small)
 
 
-def small_listener() -> socket.socket:
-    """A server's listener whose connections take little before somebody reads."""
+def small_buffer_listener() -> socket.socket:
+    """Return a listener whose connections buffer little received data before the server reads."""
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     listener.bind(("127.0.0.1", 0))
@@ -315,18 +331,18 @@
     return listener
 
 
-def always(*answers: bytes | None) -> Handle:
-    """A handle that gives these answers in turn, the last one for good."""
-    left = list(answers)
+def respond_with(*answers: bytes | None) -> Handler:
+    """Return a handler that gives these responses in order and repeats the last one."""
+    remaining = list(answers)
 
     async def handle(request: Request, writer: asyncio.StreamWriter) -> bytes | None:
-        return left.pop(0) if len(left) > 1 else left[0]
+        return remaining.pop(0) if len(remaining) > 1 else remaining[0]
 
     return handle
 
 
-def gated(release: asyncio.Event) -> Handle:
-    """A handle that answers once the test has released it."""
+def respond_after(release: asyncio.Event) -> Handler:
+    """Return a handler that responds after the event is set."""
 
     async def handle(request: Request, writer: asyncio.StreamWriter) -> bytes | None:
         await release.wait()
@@ -336,9 +352,9 @@
 
 
 def record_outcomes(bench: Bench) -> list[Outcome]:
-    """The outcomes that the policy is notified of from here on."""
+    """Record the outcomes that the node reports to its policy from now on, and pass them on unchanged."""
     outcomes: list[Outcome] = []
-    notified = bench.node.balancer.outcome
+    report_outcome = bench.node.balancer.outcome
 
     def outcome(
         now: int,
@@ -351,29 +367,36 @@
         report: Sequence[float],
     ) -> None:
         outcomes.append(outcome)
-        notified(now, request, attempt, server, outcome, latency, final, report)
+        report_outcome(now, request, attempt, server, outcome, latency, final, report)
 
-    bench.node.balancer.outcome = outcome  # type: ignore[method-assign]  # the policy as it is, and a record
+    bench.node.balancer.outcome = outcome  # type: ignore[method-assign]
     return outcomes
 
 
-def node_table(discovery: int, given: Table, listen: str = "127.0.0.1:0", *servers: Table) -> Table:
+def node_config(
+    discovery: int, given: ConfigTable, listen: str = "127.0.0.1:0", *servers: ConfigTable
+) -> ConfigTable:
+    """Return a node's configuration with these settings, discovery port and initial list of servers."""
     known = {"version": 1, "full": True, "servers": list(servers)}
     table = {"name": "n0", "listen": listen, "discovery": f"127.0.0.1:{discovery}", "seed": "1f"}
     return table | {"limits": {"sockets": 256}, "known": known, "settings": given}
 
 
 def free_port() -> int:
-    """A port that nobody else is given: it stays bound, which does not keep a node from listening there."""
+    """Return a free port, reserved for this process.
+
+    A socket stays bound to it so that the kernel gives it to nobody else; with SO_REUSEADDR a node can still
+    listen on it.
+    """
     s = socket.socket()
     s.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     s.bind(("127.0.0.1", 0))
-    HELD.append(s)
+    reserved_sockets.append(s)
     return cast(int, s.getsockname()[1])
 
 
-async def connected(client: Client) -> None:
-    """Connects as soon as the node listens."""
+async def connect_when_listening(client: Client) -> None:
+    """Connect, retrying until the node listens."""
     while True:
         try:
             await client.open()
@@ -383,20 +406,24 @@
 
 
 @dataclass(frozen=True)
-class Program:
-    """A version of the node: its package, and the folder in which it lies if it is not today's."""
+class NodeProgram:
+    """A version of the node: its package, and the folder that contains an earlier version."""
 
     package: str = "balancer"
     folder: Path | None = None
 
 
-TODAY = Program()
+CURRENT_PROGRAM = NodeProgram()
 
 
-async def spawn(
-    tmp_path: Path, table: Table, fds: tuple[int, ...] = (), program: Program = TODAY, **env: str
+async def spawn_node(
+    tmp_path: Path,
+    table: ConfigTable,
+    fds: tuple[int, ...] = (),
+    program: NodeProgram = CURRENT_PROGRAM,
+    **env: str,
 ) -> asyncio.subprocess.Process:
-    """The program as it is run, with these descriptors inherited."""
+    """Start a node as a process of its own that inherits these descriptors."""
     file = tmp_path / "config.json"
     file.write_text(json.dumps(table))
     return await asyncio.create_subprocess_exec(
--- a/tests/scale_support.py
+++ b/tests/scale_support.py
@@ -1,4 +1,7 @@
-"""Scale runs for tests: within this process or in one of their own, again where the machine was the limit."""
+"""Scale runs for tests, in this process or as a subprocess.
+
+A run in which the machine was the bottleneck doesn't count and is repeated.
+"""
 
 import subprocess
 import sys
@@ -11,26 +14,27 @@
 from workbench.scale.plan import Plan, group_of, plan_of
 from workbench.scale.run import Outcome
 
-PATIENCE = 90.0  # seconds; only a failure waits so long
-MAX_RUNS = 4  # of a run on which the machine was the limit
-NOT_COUNTED = 3
+RUN_TIMEOUT_S = 90.0  # Only a failing test waits this long.
+MAX_RUNS = 4  # The first run and its repetitions.
+EXIT_RUN_NOT_COUNTED = 3
 
 
 def command(*words: object) -> list[str]:
+    """Return the command line of a scale run with these arguments."""
     return [sys.executable, "-m", "workbench", "scale", "run", *map(str, words)]
 
 
 def run_command(*words: object) -> subprocess.CompletedProcess[str]:
-    """A run to its end, again where the machine was the limit."""
+    """Run a scale run as a subprocess, repeated if the machine was the bottleneck."""
     for _ in range(MAX_RUNS):
-        done = subprocess.run(command(*words), capture_output=True, text=True, timeout=PATIENCE)
-        if done.returncode != NOT_COUNTED:
+        completed = subprocess.run(command(*words), capture_output=True, text=True, timeout=RUN_TIMEOUT_S)
+        if completed.returncode != EXIT_RUN_NOT_COUNTED:
             break
-    return done
+    return completed
 
 
 def run_counted(plan: Plan) -> Outcome:
-    """A run within this process, again where the machine was the limit."""
+    """Run a plan in this process, repeated if the machine was the bottleneck."""
     for _ in range(MAX_RUNS):
         outcome = scale_run.run(plan)
         if outcome.counted:
@@ -39,15 +43,18 @@
 
 
 def group(**changes: Any) -> Group:
+    """Return a group of 6 hollow nodes in 2 zones and 2 regions, with these changes to its plan."""
     return group_of(plan_of({"hollow": 6, "zones": 2, "regions": 2} | changes), "127.1.1")
 
 
 def claim(group: Group, index: int, incarnation: int = 1) -> Claim:
+    """Return the claim that a node of the group is alive."""
     place = group.places[index]
     return Claim(place.name, place.address, Status.ALIVE, incarnation)
 
 
 def window(**changes: Any) -> Window:
+    """Return the measurements of a window of 10 s, with these changes."""
     figures: dict[str, Any] = {
         "seconds": 10.0,
         "cpu_s": 1.0,
--- a/tests/slow_start.py
+++ b/tests/slow_start.py
@@ -1,4 +1,4 @@
-"""A fleet of instances of the module before servers that start cold, on a clock that a test feeds."""
+"""A simulation of balancer instances that send to servers in slow start, on virtual time in microseconds."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 from random import Random
 from typing import Any
 
-from support import SAFE
+from support import SAFE_CLASS
 
 from balancer.policy import Balancer
 from balancer.policy.interface import ListKind, Outcome, ServerEntry, Settings
 
 SEC = 1_000_000
 START = 1_000 * SEC
-RESTART_AT = START + 12 * SEC  # by then the instances know what a warm server gets
+RESTART_AT = START + 12 * SEC  # By then the instances have learned the request rate of a warm server.
 END = START + 30 * SEC
-MAX_QUEUE_TIME = 400_000  # a server turns away what would wait for longer
+MAX_QUEUE_TIME = 400_000  # A server rejects a request that would wait longer.
 REJECT_TIME = 2_000
 ROUND_TRIP = 60_000
-TRAFFIC_SKEW = 3.0  # standard deviation of the instances' shares of the traffic, as a factor
-IDLE_REQUESTS, IDLE_TIME = 15, 4 * SEC  # with no attempt in between an instance counts as idle
-NOTIFY_SPREAD = 400_000  # between the first instance that is notified of a start and the last
+TRAFFIC_SKEW = 3.0  # Ratio that spans two standard deviations of the instances' traffic shares.
+IDLE_REQUESTS, IDLE_TIME = 15, 4 * SEC  # An instance is idle after both without an attempt.
+NOTIFY_SPREAD = 400_000  # From the first to the last instance that is notified of a start.
 
 
 @dataclass(frozen=True)
 class Workload:
-    """The traffic and the cold starts of one run. Loads are relative to the capacity of all servers, warm."""
+    """The traffic and the cold starts of one run. Loads are relative to the warm servers' capacity."""
 
     instances: int
     servers: int
-    restarted: int  # of the servers, all at once
-    new: int  # new and cold, at the same time
-    rate: float  # requests a second that an instance gets on average
+    restarted: int  # Number of servers that restart simultaneously.
+    new: int  # Number of cold servers that are added at the same time.
+    rate: float  # Mean requests per second of an instance.
     load: float
-    burst_factor: float  # the load is multiplied by this from the moment of the cold starts on
-    warm_servers_hang: bool = False  # from then on the servers that are warm take requests and answer none
+    burst_factor: float  # The factor on the load from the cold starts on.
+    warm_servers_hang: bool = False  # From the cold starts on, warm servers never respond.
     slow_start_time: int = 24 * SEC
     slow_start_share: float = 0.12
     fall_multiple: float = 2.5
@@ -44,18 +44,19 @@
 
     @property
     def capacity(self) -> float:
-        """Requests a second that a warm server can do."""
+        """Requests per second that a warm server can handle."""
         return self.instances * self.rate / (self.load * self.servers)
 
 
 class InstanceActions:
-    """One instance's actions: attempts go to the fleet's servers, all else goes nowhere."""
+    """The actions of one instance: attempts are sent to the fleet's servers, all others are ignored."""
 
     def __init__(self, fleet: Fleet, instance: int) -> None:
         self.fleet = fleet
         self.instance = instance
 
     def send(self, request: int, server: int, timeout: int) -> None:
+        """Send an attempt to a server of the fleet."""
         self.fleet.send(self.instance, request, server, timeout)
 
     def __getattr__(self, name: str) -> Any:
@@ -63,9 +64,9 @@
 
 
 class Fleet:
-    """Simulates a workload.
+    """A simulation of a workload.
 
-    `arrivals` has, for each cold server, the time of each request and whether its sender had been notified of
+    `arrivals` holds for each cold server the time of each request and whether its sender had been notified of
     the server's start.
     """
 
@@ -73,7 +74,7 @@
         self.workload = workload
         self.rng = Random(seed)
         self.settings = Settings(
-            classes=(SAFE,),
+            classes=(SAFE_CLASS,),
             instances=workload.instances,
             max_attempts=4,
             slow_start_time=workload.slow_start_time,
@@ -90,10 +91,10 @@
         self.known = names[: workload.servers]
         self.cold = {*names[: workload.restarted], *names[workload.servers :]}
         self.arrivals: dict[int, list[tuple[int, bool]]] = {server: [] for server in self.cold}
-        self.notified: set[int] = set()  # instances that know of the cold starts
+        self.notified: set[int] = set()  # Instances that were notified of the cold starts.
         self.last_sent = [START] * workload.instances
-        self.rejected_in_row = [0] * workload.instances  # requests since then
-        self.idle_instances: set[int] = set()  # instances that rejected everything for IDLE_TIME
+        self.rejected_in_row = [0] * workload.instances  # Requests of each instance since its last attempt.
+        self.idle_instances: set[int] = set()  # Instances that rejected every request for IDLE_TIME.
         shares = [exp(self.rng.gauss(0, log(TRAFFIC_SKEW) / 2)) for _ in range(workload.instances)]
         self.rates = [workload.instances * workload.rate * share / sum(shares) for share in shares]
         self.instances = [
@@ -102,10 +103,12 @@
         ]
 
     def schedule(self, when: int, event: Any, *args: Any) -> None:
+        """Schedule a call at a virtual time."""
         self.number += 1
         heappush(self.events, (when, self.number, event, args))
 
     def run(self) -> None:
+        """Run the simulation until END."""
         for i, instance in enumerate(self.instances):
             instance.start(self.now)
             instance.server_list(self.now, ListKind.CACHED, [ServerEntry(server) for server in self.known])
@@ -116,11 +119,12 @@
             event(*args)
 
     def next_arrival(self, instance: int) -> int:
-        """Until an instance's next request."""
+        """Return a random time until the next request of an instance."""
         burst_factor = self.workload.burst_factor if self.now >= RESTART_AT else 1.0
         return int(self.rng.expovariate(self.rates[instance] * burst_factor) * SEC)
 
     def arrive(self, instance: int) -> None:
+        """Pass a request to an instance and schedule its next one."""
         self.number += 1
         self.rejected_in_row[instance] += 1
         if (
@@ -132,12 +136,13 @@
         self.schedule(self.now + self.next_arrival(instance), self.arrive, instance)
 
     def notify(self, instance: int) -> None:
+        """Notify an instance of the cold servers."""
         self.notified.add(instance)
         entries = [ServerEntry(server, ready_at=RESTART_AT) for server in sorted(self.cold)]
         self.instances[instance].server_list(self.now, ListKind.CHANGES, entries)
 
     def capacity(self, server: int, now: int) -> float:
-        """Requests a second that a server can do now: it warms evenly."""
+        """Return the requests per second that a server can handle now; a cold server warms up linearly."""
         s = self.settings
         if server not in self.cold or now < RESTART_AT:
             return self.workload.capacity
@@ -145,7 +150,7 @@
         return self.workload.capacity * min(1.0, warmth)
 
     def send(self, instance: int, request: int, server: int, timeout: int) -> None:
-        """An attempt: it waits for those before it, is rejected, or runs out of time."""
+        """Simulate an attempt: it is queued and served, rejected because the queue is full, or times out."""
         self.last_sent[instance], self.rejected_in_row[instance] = self.now, 0
         attempt = self.attempts[request] = self.attempts.get(request, -1) + 1
         if server in self.cold and self.now >= RESTART_AT:
@@ -161,20 +166,22 @@
         self.schedule(self.now + latency, self.finish, instance, request, attempt, server, outcome, latency)
 
     def hangs(self, server: int) -> bool:
-        """Whether the server takes requests and answers none."""
+        """Return whether the server accepts requests without responding."""
         warm = server not in self.cold
         return self.workload.warm_servers_hang and warm and self.now >= RESTART_AT
 
     def finish(
         self, instance: int, request: int, attempt: int, server: int, outcome: Outcome, latency: int
     ) -> None:
+        """Report the outcome of an attempt to its instance."""
         final = outcome == Outcome.OK
         self.instances[instance].outcome(self.now, request, attempt, server, outcome, latency, final, ())
 
     def largest_excess(self) -> float:
-        """The largest number of requests in a window beyond its budget of N and 2 x root of N + 2.
+        """Return the largest number of requests in a window beyond its limit of N + 2 * sqrt(N) + 2.
 
-        A window counts if it ends before the slow start does, and over two thirds of it came from instances
+        N is the budget of the window: a multiple of the server's mean capacity during it. A window counts if
+        it ends before the slow start does, and if more than two thirds of its requests came from instances
         that had been notified of the start.
         """
         largest = -1e9
@@ -196,7 +203,7 @@
         return largest
 
     def fair_share(self) -> float:
-        """What all cold servers should get by the end: their warmth's part of an even share of the load."""
+        """Return how many requests all cold servers should get by END: an even share scaled by warmth."""
         s = self.settings
         seconds = (END - RESTART_AT) / SEC
         warmth = s.slow_start_share + (1 - s.slow_start_share) * seconds * SEC / s.slow_start_time / 2
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""A recording host for tests."""
+"""A host that records the actions of the balancer, and helpers that drive a balancer."""
 
 from __future__ import annotations
 
@@ -10,8 +10,10 @@
 from balancer.policy.interface import ClassSettings, Effect, Group, ListKind, Outcome, ServerEntry, Settings
 
 SEC = 1_000_000
-SAFE = ClassSettings(Effect.IDEMPOTENT, latency_objective=1 * SEC, deadline=3 * SEC, worth=1, late_worth=0.2)
-KEYED = ClassSettings(
+SAFE_CLASS = ClassSettings(
+    Effect.IDEMPOTENT, latency_objective=1 * SEC, deadline=3 * SEC, worth=1, late_worth=0.2
+)
+KEYED_CLASS = ClassSettings(
     Effect.IDEMPOTENCY_KEY,
     latency_objective=1 * SEC,
     deadline=3 * SEC,
@@ -20,11 +22,11 @@
     group=Group.CELL,
     window=2 * SEC,
 )
-UNSAFE = ClassSettings(
+UNSAFE_CLASS = ClassSettings(
     Effect.NOT_IDEMPOTENT, latency_objective=1 * SEC, deadline=3 * SEC, worth=1, late_worth=0.2
 )
-BASE = Settings(
-    classes=(SAFE, KEYED, UNSAFE),
+BASE_SETTINGS = Settings(
+    classes=(SAFE_CLASS, KEYED_CLASS, UNSAFE_CLASS),
     max_attempts=4,
     cancel=True,
     retry_after=True,
@@ -35,13 +37,15 @@
     fall_time=SEC,
 )
 
-BEFORE_RENAMING = "6291dd7"  # the last revision whose node is the package `brackenladder`
+OLD_PACKAGE_REVISION = "6291dd7"  # The last revision in which the node's package is `brackenladder`.
 
 
-Action = tuple[Any, ...]  # its name and its arguments
+Action = tuple[Any, ...]  # The name of an action, followed by its arguments.
 
 
 class Recorder:
+    """A host that records each action that it is asked for."""
+
     def __init__(self) -> None:
         self.calls: list[Action] = []
 
@@ -49,7 +53,7 @@
         return lambda *args: self.calls.append((name, *args))
 
     def take(self, *names: str) -> list[Action]:
-        """The calls since the last take, of these names if any are given."""
+        """Return and clear the recorded actions, restricted to these names if any are given."""
         calls, self.calls = self.calls, []
         return [c for c in calls if not names or c[0] in names]
 
@@ -57,8 +61,9 @@
 def balancer(
     servers: int | list[ServerEntry] = 4, seed: int = 1, **changes: Any
 ) -> tuple[Balancer, Recorder]:
+    """Return a started balancer with a list of these servers, and the recorder of its actions."""
     recorder = Recorder()
-    node = Balancer(replace(BASE, **changes), seed, recorder)
+    node = Balancer(replace(BASE_SETTINGS, **changes), seed, recorder)
     node.start(0)
     entries = [ServerEntry(i + 1) for i in range(servers)] if isinstance(servers, int) else servers
     node.server_list(0, ListKind.CACHED, entries)
@@ -66,7 +71,7 @@
     return node, recorder
 
 
-def ask(
+def submit_request(
     node: Balancer,
     recorder: Recorder,
     now: int,
@@ -74,13 +79,13 @@
     request_class: int = 0,
     remaining: int = 3 * SEC,
 ) -> Action:
-    """Sends a request in and returns the one action it leads to."""
+    """Pass a request to the balancer and return the only action that follows."""
     node.request(now, request, request_class, 0, remaining, False)
     (action,) = recorder.take("send", "reject", "fail")
     return action
 
 
-def end(
+def end_attempt(
     node: Balancer,
     recorder: Recorder,
     now: int,
@@ -90,6 +95,7 @@
     outcome: Outcome,
     latency: int = 10_000,
 ) -> list[Action]:
+    """Report the outcome of an attempt and return the actions for its request that follow."""
     final = outcome == Outcome.OK
     node.outcome(now, request, attempt, server, outcome, latency, final, ())
     return recorder.take("send", "reject", "fail")
--- a/tests/system_call_faults.py
+++ b/tests/system_call_faults.py
@@ -1,4 +1,4 @@
-"""System calls that fail as a test says: for calls that the node makes itself, and for those of its loop."""
+"""Injected failures of system calls that the node makes itself or through its event loop."""
 
 from __future__ import annotations
 
@@ -36,9 +36,9 @@
 
 from balancer.net.process.listener import Listener
 
-SHORTAGES = (EMFILE, ENFILE, ENOBUFS, ENOMEM)
-# accept(2): errors of the new connection itself come out of the call on Linux.
-LOST_IN_QUEUE: tuple[int, ...] = (
+RESOURCE_SHORTAGE_ERRORS = (EMFILE, ENFILE, ENOBUFS, ENOMEM)
+# On Linux, accept(2) also returns errors of the connection that it would accept.
+QUEUED_CONNECTION_ERRORS: tuple[int, ...] = (
     ECONNABORTED,
     ENETDOWN,
     EPROTO,
@@ -48,86 +48,109 @@
     EHOSTUNREACH,
     EOPNOTSUPP,
 )
-LOST_IN_QUEUE += (ENETUNREACH, EPERM, ETIMEDOUT)
-ACCEPT = SHORTAGES + LOST_IN_QUEUE
-CONNECT_HERE = SHORTAGES + (EADDRNOTAVAIL,)  # nothing has left this machine
-CONNECT_THERE = (ENETUNREACH, EHOSTUNREACH, ETIMEDOUT, ECONNREFUSED, ECONNRESET, ECONNABORTED, ENETDOWN)
-CONNECT = CONNECT_HERE + CONNECT_THERE
-BROKEN = (ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ECONNRESET, ECONNABORTED, EPIPE, ENETDOWN)
-SEND_DATAGRAM = SHORTAGES + (ENETUNREACH, EHOSTUNREACH, ENETDOWN, ECONNREFUSED, EPERM, EADDRNOTAVAIL)
+QUEUED_CONNECTION_ERRORS += (ENETUNREACH, EPERM, ETIMEDOUT)
+ACCEPT_ERRORS = RESOURCE_SHORTAGE_ERRORS + QUEUED_CONNECTION_ERRORS
+LOCAL_CONNECT_ERRORS = RESOURCE_SHORTAGE_ERRORS + (EADDRNOTAVAIL,)  # Errors before anything is sent.
+REMOTE_CONNECT_ERRORS = (
+    ENETUNREACH,
+    EHOSTUNREACH,
+    ETIMEDOUT,
+    ECONNREFUSED,
+    ECONNRESET,
+    ECONNABORTED,
+    ENETDOWN,
+)
+CONNECT_ERRORS = LOCAL_CONNECT_ERRORS + REMOTE_CONNECT_ERRORS
+BROKEN_CONNECTION_ERRORS = (ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ECONNRESET, ECONNABORTED, EPIPE, ENETDOWN)
+SEND_DATAGRAM_ERRORS = RESOURCE_SHORTAGE_ERRORS + (
+    ENETUNREACH,
+    EHOSTUNREACH,
+    ENETDOWN,
+    ECONNREFUSED,
+    EPERM,
+    EADDRNOTAVAIL,
+)
 BOTH_LOOPS = pytest.mark.parametrize("run", [uvloop.run, asyncio.run], ids=["uvloop", "asyncio"])
 
-Run = Callable[[Any], Any]
-FOR_GOOD = 1 << 30
+LoopRunner = Callable[[Any], Any]
+UNLIMITED = 1 << 30
 
 
-def with_each(errors: tuple[int, ...]) -> pytest.MarkDecorator:
-    """The test runs once for each error."""
+def for_each_error(errors: tuple[int, ...]) -> pytest.MarkDecorator:
+    """Return a decorator that parametrizes a test with `error`, once for each of the errors."""
     return pytest.mark.parametrize("error", errors, ids=[errorcode[e] for e in errors])
 
 
-def play_on(run: Run, scene: Callable[[], Awaitable[None]]) -> None:
-    """Runs a scene on one of the two loops; only a failure takes long."""
+def run_scenario_on(run: LoopRunner, scenario: Callable[[], Awaitable[None]]) -> None:
+    """Run a scenario on one of the two event loops, with a time limit that only a failing test reaches."""
 
     async def limited() -> None:
         async with asyncio.timeout(30):
-            await scene()
+            await scenario()
 
     run(limited())
 
 
 class Fault:
-    """An error that calls meet for as long as it lasts, and how often they met it."""
+    """An error that is raised by the next calls, and the number of calls that failed with it."""
 
-    def __init__(self, error: int, times: int = FOR_GOOD) -> None:
+    def __init__(self, error: int, times: int = UNLIMITED) -> None:
         self.error = error
-        self.left = times
-        self.met = 0
-
-    def comes(self, times: int) -> None:
-        """So many calls meet it from now on."""
-        self.left = times
-
-    def passes(self) -> None:
-        """No further call meets it."""
-        self.left = 0
-
-    def strike(self) -> None:
-        """Raises the error while it lasts."""
-        if self.left > 0:
-            self.left -= 1
-            self.met += 1
+        self.remaining = times
+        self.hit_count = 0
+
+    def activate(self, times: int) -> None:
+        """Make this many calls fail from now on."""
+        self.remaining = times
+
+    def deactivate(self) -> None:
+        """Let all further calls succeed."""
+        self.remaining = 0
+
+    def raise_if_active(self) -> None:
+        """Raise the error if the fault is active, and count the call as failed."""
+        if self.remaining > 0:
+            self.remaining -= 1
+            self.hit_count += 1
             raise OSError(self.error, os.strerror(self.error))
 
-    def before(self, call: Callable[..., Any]) -> Callable[..., Any]:
-        """The call, after the fault."""
+    def wrap(self, call: Callable[..., Any]) -> Callable[..., Any]:
+        """Return a function that raises the error if the fault is active, and otherwise makes the call."""
 
-        def struck(*args: Any, **options: Any) -> Any:
-            self.strike()
+        def faulty(*args: Any, **options: Any) -> Any:
+            self.raise_if_active()
             return call(*args, **options)
 
-        return struck
+        return faulty
 
 
 class FaultyAccept:
-    """A listening socket whose accepts meet a fault while connections wait, which stay in its queue."""
+    """A listening socket whose accepts fail while the fault is active and connections wait in its queue.
+
+    The connections stay in the queue.
+    """
 
     def __init__(self, listener: socket.socket, fault: Fault) -> None:
         self.listener = listener
         self.fault = fault
 
     def accept(self) -> tuple[socket.socket, Any]:
-        """One connection, the fault, or BlockingIOError where none waits."""
+        """Accept one connection.
+
+        Raises:
+            BlockingIOError: No connection waits.
+            OSError: The fault is active.
+        """
         if select.select([self.listener], [], [], 0)[0]:
-            self.fault.strike()
+            self.fault.raise_if_active()
         return self.listener.accept()
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.listener, name)
 
 
-class Replaced:
-    """A module with some of its functions replaced, for one importer alone."""
+class ModuleProxy:
+    """A module with some of its functions replaced, to be used in a single importer of the module."""
 
     def __init__(self, module: Any, **functions: Any) -> None:
         self.module = module
@@ -138,12 +161,12 @@
 
 
 def is_uvloop() -> bool:
-    """Whether the running loop makes its system calls in C."""
+    """Return whether the running loop is uvloop, which makes its system calls in C."""
     return isinstance(asyncio.get_running_loop(), uvloop.Loop)
 
 
 def count_calls(monkeypatch: pytest.MonkeyPatch, owner: type, name: str) -> list[None]:
-    """Has one entry for each call of a method on objects that are made from now on."""
+    """Return a list that gets an entry for each call of a method on objects created from now on."""
     calls: list[None] = []
     method = getattr(owner, name)
 
@@ -156,13 +179,16 @@
 
 
 def fail_accepts(listener: Listener, fault: Fault) -> None:
-    """The node's own accepts meet the fault."""
+    """Make the accepts of a listener of the node fail with the fault."""
     assert listener.socket is not None
     listener.socket = cast(socket.socket, FaultyAccept(listener.socket, fault))
 
 
 def fail_connects(monkeypatch: pytest.MonkeyPatch, fault: Fault, *ports: int) -> None:
-    """Connects to these ports meet the fault: in the system call, or where uvloop hands on its error."""
+    """Make connects to these ports fail with the fault.
+
+    On asyncio's loop the system call fails; on uvloop the method of the loop raises the error.
+    """
     if not is_uvloop():
         fail_socket_calls(monkeypatch, "connect", fault, lambda s, address: address[1] in ports)
         return
@@ -171,7 +197,7 @@
 
     async def create_connection(factory: Any, host: Any = None, port: Any = None, **options: Any) -> Any:
         if port in ports:
-            fault.strike()
+            fault.raise_if_active()
         return await connect(factory, host, port, **options)
 
     monkeypatch.setattr(loop, "create_connection", create_connection)
@@ -180,19 +206,19 @@
 def fail_socket_calls(
     monkeypatch: pytest.MonkeyPatch, name: str, fault: Fault, applies: Callable[..., bool]
 ) -> None:
-    """A call of sockets meets the fault where `applies` says so of its arguments; for asyncio's own loop."""
+    """Make a socket method fail with the fault if `applies` is true of its arguments, on asyncio's loop."""
     call = getattr(socket.socket, name)
 
-    def struck(*args: Any) -> Any:
+    def faulty(*args: Any) -> Any:
         if applies(*args):
-            fault.strike()
+            fault.raise_if_active()
         return call(*args)
 
-    monkeypatch.setattr(socket.socket, name, struck, raising=False)
+    monkeypatch.setattr(socket.socket, name, faulty, raising=False)
 
 
-def towards(port: int) -> Callable[..., bool]:
-    """Whether a socket is connected to this port."""
+def connected_to(port: int) -> Callable[..., bool]:
+    """Return a predicate that tells whether a socket is connected to this port."""
 
     def applies(connection: socket.socket, *_: Any) -> bool:
         try:
@@ -204,7 +230,7 @@
 
 
 def accepted_at(port: int) -> Callable[..., bool]:
-    """Whether a socket is the accepting side of a connection to this port."""
+    """Return a predicate that tells whether a socket is the accepting side of a connection to this port."""
 
     def applies(connection: socket.socket, *_: Any) -> bool:
         try:
@@ -218,11 +244,11 @@
 def fail_reads(
     monkeypatch: pytest.MonkeyPatch, protocol: type, fault: Fault, applies: Callable[..., bool]
 ) -> None:
-    """Connections of a protocol break as they are read, which takes that something comes.
+    """Make connections of a protocol fail with the fault as received data is read.
 
-    asyncio's loop meets the error in the system call; uvloop's only effect, the end of the connection with
-    this error, is played where the bytes would be handed on. uvloop looks that method up as a
-    connection comes up, so this is called before.
+    On asyncio's loop the system call fails. On uvloop the protocol's method for received data ends the
+    connection with the error, which is all that such a failure does. uvloop looks the method up when a
+    connection is made, so this must be called before.
     """
     buffered = issubclass(protocol, asyncio.BufferedProtocol)
     if not is_uvloop():
@@ -231,15 +257,15 @@
     name = "buffer_updated" if buffered else "data_received"
     received = getattr(protocol, name)
 
-    def struck(self: Any, data: Any) -> None:
+    def faulty(self: Any, data: Any) -> None:
         try:
-            fault.strike()
+            fault.raise_if_active()
         except OSError as e:
             transport = self.transport
             self.connection_lost(e)
-            self.connection_lost = lambda exc: None  # a transport tells of its end once
+            self.connection_lost = lambda exc: None  # A transport reports its end only once.
             transport.abort()
         else:
             received(self, data)
 
-    monkeypatch.setattr(protocol, name, struck)
+    monkeypatch.setattr(protocol, name, faulty)
--- a/tests/unaccepting_listener.py
+++ b/tests/unaccepting_listener.py
@@ -1,4 +1,4 @@
-"""A listener that accepts nobody."""
+"""A listener that accepts no connections."""
 
 import socket
 from collections.abc import Iterator
@@ -7,7 +7,7 @@
 
 @contextmanager
 def unaccepting_port() -> Iterator[int]:
-    """The port of a listener whose backlog is full, so connections never come up."""
+    """Provide the port of a listener whose backlog is full, so that connections are never established."""
     with ExitStack() as stack:
         listener = stack.enter_context(socket.socket())
         listener.bind(("127.0.0.1", 0))
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -1,6 +1,7 @@
 """Processes of a fleet on a virtual network, with wall clocks that can be stepped.
 
-Each process has membership, codec and replay guard; there are processes of the version before the guard too.
+Each process has a membership, a codec and a replay guard. There are also processes of the earlier version,
+which has no replay guard.
 """
 
 from __future__ import annotations
@@ -20,17 +21,17 @@
 SEC = 1_000_000
 HOUR = 3600 * SEC
 KEY = b"a key for the virtual fleet"
-EPOCH = 1_700_000_000 * SEC  # Unix time of a right wall clock as the monotonic clock begins
-MEAN_DELAY_US = 2_000  # of a datagram
-EARLIER_SLACK = 30 * SEC
-EARLIER_WINDOW = 64
-STEPS = (-HOUR, -5 * SEC, 5 * SEC, HOUR)  # of a wall clock
-HERE = ("10.0.0.1", 1)
+EPOCH = 1_700_000_000 * SEC  # Unix time of a correct wall clock at the start of the monotonic clock.
+MEAN_DATAGRAM_DELAY_US = 2_000
+EARLIER_MAX_CLOCK_DIFFERENCE = 30 * SEC
+EARLIER_WINDOW_SIZE = 64
+CLOCK_STEPS = (-HOUR, -5 * SEC, 5 * SEC, HOUR)
+N1_ADDRESS = ("10.0.0.1", 1)
 ATTACKER = ("10.9.9.9", 9)
 
 
 @dataclass(frozen=True)
-class Recorded:
+class RecordedDatagram:
     """A datagram that was sent, with the virtual time of its transmission."""
 
     sent_at: int
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """A datagram on its way."""
+    """A datagram in transit."""
 
     source: Address
     to: Address
@@ -57,7 +58,7 @@
 
 
 class Process:
-    """One process of a member; `offset` is that of its wall clock, `number` unique to it."""
+    """A process of a member, with the offset of its wall clock and a number that is unique to the process."""
 
     def __init__(self, net: VirtualFleet, name: str, address: Address, offset: int, number: int) -> None:
         self.net = net
@@ -66,42 +67,47 @@
         self.offset = offset
         self.rng = Random(f"{name} {number}")
         self.codec = Codec([KEY])
-        self.opened = net.now
-        self.opened_wall = self.wall()
+        self.started_at = net.now
+        self.started_at_wall = self.wall()
         self.changes: list[tuple[MembershipChange, str]] = []
         self.swim = self.make_swim()
         self.guard = ReplayGuard(name, self.rng.getrandbits(60), self.codec.dropped)
 
     def make_swim(self) -> Swim:
+        """Return the membership of a process that starts now."""
         return Swim(
             self.name,
             self.address,
-            self.opened_wall,
+            self.started_at_wall,
             self.net.seeds,
             self.rng,
             self.net.now,
-            publish=self.changed,
+            publish=self.on_change,
             first_seq=self.rng.getrandbits(60),
         )
 
     def wall(self) -> int:
+        """Return the time of the wall clock, which a test may have stepped."""
         return EPOCH + self.net.now + self.offset
 
     def stamp(self) -> int:
-        return self.opened_wall + self.net.now - self.opened
+        """Return the stamp of a message: the wall clock's time at the start plus the monotonic time since."""
+        return self.started_at_wall + self.net.now - self.started_at
 
-    def changed(self, change: MembershipChange, claim: Claim) -> None:
+    def on_change(self, change: MembershipChange, claim: Claim) -> None:
+        """Record a change of the view; a forgotten member is also removed from the replay guard."""
         self.changes.append((change, claim.name))
         if change == MembershipChange.FORGOTTEN:
             self.guard.forget(claim.name)
 
     def encode(self, message: AnyMessage) -> bytes:
+        """Return the datagram of a message, with a stamp of now."""
         if message.kind == Kind.PING:
             self.guard.ping_sent(self.net.now, message.seq)
         return self.codec.encode(message, self.stamp())
 
     def admit(self, source: Address, data: bytes) -> Admitted:
-        """Judges a datagram that arrives now."""
+        """Return the messages that the replay guard admits when a datagram arrives now."""
         stamped = self.codec.read(data)
         if stamped is None:
             return Admitted()
@@ -111,7 +117,7 @@
 
 
 class EarlierSwim(Swim):
-    """Membership of the version before: a member raises its incarnation only when it is accused."""
+    """The membership of the earlier version: a member raises its incarnation only when it is accused."""
 
     def refute(self, claim: Claim) -> None:
         if claim.status != Status.ALIVE and claim.incarnation >= self.me.incarnation:
@@ -122,7 +128,7 @@
 
 
 class EarlierProcess(Process):
-    """A process of the version before: stamps are Unix time, and those over 30 s off its own are rejected."""
+    """A process of the earlier version: stamps are Unix time, rejected if over 30 s off its own clock."""
 
     def __init__(self, net: VirtualFleet, name: str, address: Address, offset: int, number: int) -> None:
         self.seen: dict[str, list[int]] = {}
@@ -130,7 +136,13 @@
 
     def make_swim(self) -> Swim:
         return EarlierSwim(
-            self.name, self.address, self.wall(), self.net.seeds, self.rng, self.net.now, publish=self.changed
+            self.name,
+            self.address,
+            self.wall(),
+            self.net.seeds,
+            self.rng,
+            self.net.now,
+            publish=self.on_change,
         )
 
     def stamp(self) -> int:
@@ -143,32 +155,32 @@
         stamped = self.codec.read(data)
         if stamped is None:
             return Admitted()
-        if abs(stamped.stamp - self.wall()) > EARLIER_SLACK:
+        if abs(stamped.stamp - self.wall()) > EARLIER_MAX_CLOCK_DIFFERENCE:
             self.codec.dropped["clock"] += 1
             return Admitted()
         return Admitted([(source, stamped.message)]) if self.is_new(stamped) else Admitted()
 
     def is_new(self, stamped: StampedMessage) -> bool:
-        """Records a stamp; returns whether it is in its sender's window and was not seen before."""
+        """Record a stamp and return whether it is in its sender's window and was not seen before."""
         seen = self.seen.setdefault(stamped.message.sender, [])
-        if stamped.stamp in seen or (len(seen) >= EARLIER_WINDOW and stamped.stamp < seen[0]):
+        if stamped.stamp in seen or (len(seen) >= EARLIER_WINDOW_SIZE and stamped.stamp < seen[0]):
             return False
         seen.append(stamped.stamp)
         seen.sort()
-        del seen[:-EARLIER_WINDOW]
+        del seen[:-EARLIER_WINDOW_SIZE]
         return True
 
 
 class VirtualFleet:
-    """The processes, their datagrams, and a record of all of these."""
+    """The processes of a fleet, the network between them and a record of all datagrams."""
 
     def __init__(self, *kinds: type[Process]) -> None:
-        """A process of each kind starts, named n1, n2, ... The first two are seeds."""
+        """Start a process of each kind, named n1, n2, ..., of which the first two are seeds."""
         self.clock = HeapClock(SEC)
         self.rng = Random(7)
         self.processes: dict[Address, Process] = {}
-        self.started = 0  # processes so far
-        self.recorded: list[Recorded] = []
+        self.started = 0  # Number of processes started so far.
+        self.recorded: list[RecordedDatagram] = []
         self.seeds = [("10.0.0.1", 1), ("10.0.0.1", 2)]
         for i, kind in enumerate(kinds):
             self.start(i + 1, kind)
@@ -198,15 +210,15 @@
 
     def transmit(self, process: Process, message: AnyMessage, to: Address) -> None:
         data = process.encode(message)
-        self.recorded.append(Recorded(self.now, process.address, to, data))
-        at = self.now + int(MEAN_DELAY_US * (0.5 + self.rng.random()))
+        self.recorded.append(RecordedDatagram(self.now, process.address, to, data))
+        at = self.now + int(MEAN_DATAGRAM_DELAY_US * (0.5 + self.rng.random()))
         self.clock.call_at(at, self.on_arrival, Arrival(process.address, to, data))
 
     def on_arrival(self, arrival: Arrival) -> None:
         self.arrive(arrival)
 
     def arrive(self, arrival: Arrival) -> int:
-        """Delivers a datagram; returns how many messages are processed at once."""
+        """Deliver a datagram and return how many messages are processed at once."""
         process = self.processes.get(arrival.to)
         if process is None:
             return 0
@@ -217,41 +229,46 @@
             self.send(process, process.swim.receive(self.now, origin, message))
         return len(admitted.messages)
 
-    def replay(self, to: Address, recorded: Iterable[Recorded], source: Address | None = None) -> int:
-        """Delivers recorded datagrams from their own or another source; returns how many are processed."""
-        return sum(self.arrive(Arrival(source or found.source, to, found.data)) for found in recorded)
+    def replay(self, to: Address, recorded: Iterable[RecordedDatagram], source: Address | None = None) -> int:
+        """Replay datagrams from their own or another source and return how many messages are processed."""
+        return sum(
+            self.arrive(Arrival(source or datagram.source, to, datagram.data)) for datagram in recorded
+        )
 
     def run(self, seconds: float) -> None:
+        """Advance the virtual time."""
         self.clock.run(self.now + int(seconds * SEC))
 
     def until(self, condition: Callable[[], bool], limit: float) -> bool:
-        """Runs until a condition holds; returns whether it does within so many seconds."""
+        """Run until a condition holds and return whether it does within `limit` seconds."""
         end = self.now + int(limit * SEC)
         while not condition() and self.now < end:
             self.run(0.05)
         return condition()
 
     def complete(self) -> bool:
-        """Returns whether all consider all others alive, in their present incarnations."""
+        """Return whether every process considers all others alive in their current incarnations."""
         return all(self.accepted_by_all(p) for p in self.processes.values())
 
     def accepted_by_all(self, process: Process) -> bool:
-        """Returns whether all others consider this process alive, in its present incarnation."""
+        """Return whether all other processes consider this one alive in its current incarnation."""
         others = (o for o in self.processes.values() if o is not process)
-        mine = replace(process.swim.me, status=Status.ALIVE)
-        return all((m := o.swim.members.get(process.name)) is not None and m.claim == mine for o in others)
+        expected = replace(process.swim.me, status=Status.ALIVE)
+        return all(
+            (m := o.swim.members.get(process.name)) is not None and m.claim == expected for o in others
+        )
 
 
 def view(process: Process) -> dict[str, Claim]:
-    """Returns the claims that a process has accepted about the others."""
+    """Return the claims about the others that a process has accepted."""
     return {name: member.claim for name, member in process.swim.members.items()}
 
 
 NEW, EARLIER = Process, EarlierProcess
 
 
-def settled(*kinds: type[Process]) -> VirtualFleet:
-    """Returns a fleet whose members know one another and have all proven themselves."""
+def settled_fleet(*kinds: type[Process]) -> VirtualFleet:
+    """Return a fleet whose members all know and have verified one another."""
     fleet = VirtualFleet(*kinds)
     assert fleet.until(fleet.complete, 20)
     fleet.run(20)
@@ -259,10 +276,10 @@
 
 
 def changes_since(fleet: VirtualFleet, counts: dict[str, int]) -> list[tuple[MembershipChange, str]]:
-    """Returns the changes of all views beyond these numbers."""
+    """Return the changes of all views that came after these counts."""
     return [c for p in fleet.processes.values() for c in p.changes[counts[p.name] :]]
 
 
-def changes_so_far(fleet: VirtualFleet) -> dict[str, int]:
-    """Returns the number of changes of each process's view."""
+def change_counts(fleet: VirtualFleet) -> dict[str, int]:
+    """Return the number of changes of each process's view so far."""
     return {p.name: len(p.changes) for p in fleet.processes.values()}
--- a/tests/virtual_leases.py
+++ b/tests/virtual_leases.py
@@ -1,4 +1,4 @@
-"""Lease clients and their voters with no network between them, for tests of what acquires leases."""
+"""Lease clients and their voters without a network, for tests of components that acquire leases."""
 
 from collections.abc import Iterable, Sequence
 from random import Random
@@ -11,13 +11,13 @@
 from balancer.fleet.leases.voter import Voter
 
 SEC = 1_000_000
-LIST = Electorate(("v0", "v1", "v2"))
-LEASE = LeaseSettings(lease=3 * SEC, max_lease=10 * SEC)
+ELECTORATE = Electorate(("v0", "v1", "v2"))
+SETTINGS = LeaseSettings(lease=3 * SEC, max_lease=10 * SEC)
 MAX_STEPS = 100_000
 
 
 class LeaseUser(Protocol):
-    """What is tested: one process's part, which acquires leases."""
+    """The component under test in one process, which acquires leases."""
 
     def deadline(self, now: int) -> int | None: ...
     def tick(self, now: int) -> Sequence[Outgoing]: ...
@@ -26,33 +26,36 @@
 UserT = TypeVar("UserT", bound=LeaseUser)
 
 
-class Table(Generic[UserT]):
-    """Lease clients and their voters: what is sent arrives at once, unless the voters are `unreachable`."""
+class LeaseTestbed(Generic[UserT]):
+    """Lease clients, their users and the voters.
+
+    Messages are delivered immediately. Those to voters are lost while `unreachable` contains "voters".
+    """
 
     def __init__(self, *names: str) -> None:
         self.now = 100 * SEC
-        self.voters = {v: Voter(v, 1, [LIST], LEASE, 0) for v in LIST.voters}
+        self.voters = {v: Voter(v, 1, [ELECTORATE], SETTINGS, 0) for v in ELECTORATE.voters}
         self.lease_clients = {
-            n: LeaseClient(n, i, [LIST], LEASE, Random(i), lambda: 1000) for i, n in enumerate(names)
+            n: LeaseClient(n, i, [ELECTORATE], SETTINGS, Random(i), lambda: 1000) for i, n in enumerate(names)
         }
-        self.parts: dict[str, UserT] = {}
+        self.lease_users: dict[str, UserT] = {}
         self.unreachable: set[str] = set()
 
     def deliver(self, outgoing: Iterable[Outgoing], sender: str) -> None:
-        """Delivers messages to voters, and their answers to the lease clients."""
+        """Deliver messages to the voters, and their responses to the lease clients."""
         for sent in outgoing:
             if not isinstance(sent.message, LeaseMessage):
-                self.deliver_to_part(sent, sender)
+                self.deliver_to_user(sent, sender)
             elif sent.to in self.voters and "voters" not in self.unreachable:
                 for name, answer in self.voters[str(sent.to)].received(self.now, sent.message):
                     self.deliver(self.lease_clients[name].received(self.now, answer), name)
 
-    def deliver_to_part(self, sent: Outgoing, sender: str) -> None:
-        """Delivers a message from one part to another, where the parts have messages of their own."""
+    def deliver_to_user(self, sent: Outgoing, sender: str) -> None:
+        """Deliver a message from one lease user to another, if lease users have messages of their own."""
         raise NotImplementedError
 
     def run(self, seconds: float) -> None:
-        """Ticks whatever is due, for so long."""
+        """Run the ticks that become due within this time."""
         end = self.now + int(seconds * SEC)
         for _ in range(MAX_STEPS):
             due = min(self.deadlines(), default=end + 1)
@@ -61,13 +64,13 @@
             self.now = max(self.now + 1, due)
             for name in self.lease_clients:
                 self.deliver(self.lease_clients[name].tick(self.now), name)
-                self.deliver(self.parts[name].tick(self.now), name)
+                self.deliver(self.lease_users[name].tick(self.now), name)
         else:
-            raise AssertionError("something is due without end")
+            raise AssertionError("too many steps: a tick does not clear its own deadline")
         self.now = max(end, self.now)
 
     def deadlines(self) -> list[int]:
-        """When something is due at a lease client or a part."""
+        """Return the deadlines of all lease clients and lease users."""
         deadlines = [client.deadline() for client in self.lease_clients.values()]
-        deadlines += [part.deadline(self.now) for part in self.parts.values()]
+        deadlines += [user.deadline(self.now) for user in self.lease_users.values()]
         return [at for at in deadlines if at is not None]
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -4,23 +4,23 @@
 import json
 import selectors
 
-CONNECT_FAULTS = ["refused", "never comes up"]
+CONNECT_FAULTS = ["refused", "never established"]
 REQUEST_FAULTS = [
     "silent",
     "reset",
-    "ends instead of telling",
-    "cut, then silent",
-    "cut, then ends",
-    "spoilt",
-    "no list",
-    "a failure",
+    "closes without response",
+    "truncated, then silent",
+    "truncated, then closes",
+    "malformed",
+    "response without list",
+    "status 503",
     "byte by byte",
 ]
 FAULTS = CONNECT_FAULTS + REQUEST_FAULTS
 
 
 class VirtualTimeSelector(selectors.SelectSelector):
-    """A selector that advances the loop's clock in place of waiting."""
+    """A selector that advances the loop's clock instead of waiting."""
 
     loop: "VirtualTimeLoop"
 
@@ -32,7 +32,7 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """An event loop without sockets: waiting moves its clock, connections go to a `FakeDiscovery`."""
+    """An event loop without sockets: waiting advances its clock, and connections go to a `FakeDiscovery`."""
 
     def __init__(self, services):
         selector = VirtualTimeSelector()
@@ -49,7 +49,7 @@
 
 
 class FakeConnection:
-    """The node's end of a connection to a service."""
+    """The node's end of a connection to a `FakeDiscovery`."""
 
     def __init__(self, service, loop, protocol):
         self.service, self.loop, self.protocol = service, loop, protocol
@@ -71,11 +71,12 @@
         return self.closed
 
     def deliver(self, data):
-        """Schedules bytes for the node's end."""
+        """Schedule the delivery of bytes to the node's end."""
         self.loop.call_soon(lambda: None if self.closed else self.protocol.data_received(data))
 
 
 def list_response(version, full=True, state="draining"):
+    """Return a response with a list of one server in this state."""
     server = {"id": "s0", "addr": "10.0.0.1:5000", "zone": "here", "kind": "std", "cell": 0, "weight": 1.0}
     table = {"version": version, "full": full, "servers": [server | {"state": state, "started_ms": 0}]}
     body = json.dumps(table, indent=1).encode()
@@ -83,9 +84,9 @@
 
 
 class FakeDiscovery:
-    """Discovery that fails in one way until `recovers_at`, and then answers at once with version 42.
+    """A discovery service with one fault until `recovers_at`, which then responds at once with version 42.
 
-    Requests that were pending at that time are never answered.
+    Requests that are pending at that time never get a response.
     """
 
     version = 42
@@ -96,19 +97,22 @@
         self.request_count = 0
 
     def recovered(self, loop):
+        """Return whether the fault is over."""
         return loop.time() >= self.recovers_at
 
     async def connect(self, loop, protocol):
+        """Establish a connection, unless the fault prevents it."""
         if not self.recovered(loop):
             if self.fault == "refused":
                 raise ConnectionRefusedError
-            if self.fault == "never comes up":
+            if self.fault == "never established":
                 await asyncio.Event().wait()
         connection = FakeConnection(self, loop, protocol)
         protocol.connection_made(connection)
         return connection, protocol
 
     def request_received(self, connection, data):
+        """Respond to a watch as the fault demands, or with the list once recovered, if the node lacks it."""
         self.request_count += 1
         loop = connection.loop
         if self.recovered(loop):
@@ -116,22 +120,27 @@
                 connection.deliver(list_response(self.version))
             return
         response = list_response(41, full=False, state="ready")
-        delay = 0.5 * self.request_count % 0.9  # seconds into the watch
+        delay_s = 0.5 * self.request_count % 0.9
         respond = {
             "silent": lambda: None,
             "reset": connection.close,
-            "ends instead of telling": connection.close,
-            "cut, then silent": lambda: connection.deliver(response[:-20]),
-            "cut, then ends": lambda: (connection.deliver(response[:-20]), loop.call_soon(connection.close)),
-            "spoilt": lambda: connection.deliver(response[:-1] + b"]"),
-            "no list": lambda: connection.deliver(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"),
-            "a failure": lambda: connection.deliver(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
+            "closes without response": connection.close,
+            "truncated, then silent": lambda: connection.deliver(response[:-20]),
+            "truncated, then closes": lambda: (
+                connection.deliver(response[:-20]),
+                loop.call_soon(connection.close),
+            ),
+            "malformed": lambda: connection.deliver(response[:-1] + b"]"),
+            "response without list": lambda: connection.deliver(
+                b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
+            ),
+            "status 503": lambda: connection.deliver(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
             "byte by byte": lambda: self.deliver_slowly(connection, response),
         }[self.fault]
-        loop.call_later(delay, respond)
+        loop.call_later(delay_s, respond)
 
     def deliver_slowly(self, connection, data):
-        """Delivers bytes so slowly that the request times out."""
+        """Deliver bytes one by one, so slowly that the request times out."""
         if data and not connection.closed:
             connection.deliver(data[:1])
             connection.loop.call_later(0.4, self.deliver_slowly, connection, data[1:])
--- a/tests/zone_membership_support.py
+++ b/tests/zone_membership_support.py
@@ -1,4 +1,4 @@
-"""Builders for the tests of membership by zone."""
+"""Builders for the tests of zone membership."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def zone_state(zone: str = "b", size: int = 5, gateways: Iterable[Gateway] = ()) -> ZoneState:
-    """A zone's state."""
+    """Return the state of a zone of this size in region `north`."""
     return ZoneState(zone, "north", size, 7, tuple(gateways))
 
 
@@ -32,12 +32,15 @@
     age: int = 0,
     size: int = 5,
 ) -> Summary:
-    """A zone's summary."""
+    """Return a summary of a zone; its age is in microseconds."""
     return Summary(zone_state(zone, size), Version(origin, incarnation, counter), age)
 
 
 def make_records(events: list[tuple[str, ZoneEventKind]] | None = None) -> Records:
-    """Records of zone a's node, with bounds of 30 and 60 s; its events go into the list."""
+    """Return the records of a node of zone a, in which summaries are stale after 30 s and lost after 60 s.
+
+    Its events are appended to the list.
+    """
 
     def notify(event: ZoneEvent) -> None:
         if events is not None:
@@ -47,19 +50,19 @@
 
 
 def make_codec() -> Codec:
-    """A codec that knows the messages between zones."""
+    """Return a codec for the messages between zones."""
     return Codec([GROUP_KEY], [ZoneMembershipWire()])
 
 
 def shared_member(name: str, port: int) -> SharedMember:
-    """Another member of the own zone."""
+    """Return a live member of the node's own zone."""
     return SharedMember(Claim(name, ("h", port), Status.ALIVE, 1))
 
 
 def make_node(
     seeds: Mapping[str, tuple[Address, ...]] | None = None, members: Iterable[tuple[str, int]] = ()
 ) -> tuple[ZoneMembership, ZoneView]:
-    """The node `me` of zone a, and the members of its zone, which a test may change."""
+    """Return the node `me` of zone a, and the view of its zone's members, which a test may change."""
     view = ZoneView({name: shared_member(name, port) for name, port in members})
     me = Claim("me", ("h", 1), Status.ALIVE, 7)
     settings = ZoneMembershipSettings(seeds or {})
--- a/tests/zone_routing_support.py
+++ b/tests/zone_routing_support.py
@@ -1,4 +1,4 @@
-"""Routers of calls by zone for tests, and the calls that they are given."""
+"""Zone routers for tests, and simulated calls through them."""
 
 from random import Random
 
@@ -12,14 +12,14 @@
 FIRST_SERVER = {zone: 100 * (i + 1) for i, zone in enumerate("abcdef")}
 
 
-def router_of(
+def make_router(
     home: str = "a",
     settings: ZoneSettings = SETTINGS,
     rank: float = 0.0,
     router_class: type[ZoneRouter] = ZoneRouter,
     **counts: int,
 ) -> ZoneRouter:
-    """A router at `home`; the servers of each zone are numbered on from 100, 200, 300."""
+    """Return a router of zone `home` with `counts` servers per zone, numbered from 100, 200, 300, ..."""
     router = router_class(home, settings, 10 * SEC, 0.2, 0, lambda: rank, lambda line: None)
     router.update_servers(
         {
@@ -32,10 +32,11 @@
 
 
 def servers_in(router: ZoneRouter, zone: str) -> list[int]:
+    """Return the numbers of the servers in a zone."""
     return [number for number, server in router.servers.items() if server.zone == zone]
 
 
-# ---- evacuation and recovery ------------------------------------------------------------------------------
+# ---- Evacuation and recovery ------------------------------------------------------------------------------
 
 
 def run_calls(
@@ -47,10 +48,21 @@
     slowdown: float = 1.0,
     bad_servers: int | None = None,
 ) -> set[str]:
-    """Play calls by the shares, with a tick each half second.
+    """Simulate calls according to the router's shares, with a tick every half second.
 
     In `bad_zones` the first `bad_servers` servers, or all, fail a share of their calls and are slower.
-    Returns the zones that were called.
+
+    Args:
+        router: Selects the zones and gets the outcomes.
+        seconds: Duration of the simulation.
+        bad_zones: The letters of the zones with failures.
+        calls: Number of calls per second.
+        failure_share: Share of the calls to bad servers that fail.
+        slowdown: Factor on the latency of bad servers.
+        bad_servers: Number of bad servers in each bad zone; all if None.
+
+    Returns:
+        The zones that were called.
     """
     now, rng = router.next_evaluation_at, Random(1)
     called: set[str] = set()
@@ -70,6 +82,6 @@
     return called
 
 
-def statuses(router: ZoneRouter) -> str:
-    """The first letters of the zones' statuses on the page: in, leaving, out, returning."""
+def status_letters(router: ZoneRouter) -> str:
+    """Return the first letter of each zone's status on the status page: in, leaving, out or returning."""
     return "".join(router.states.of(zone).status.value[0] for zone in sorted(router.states.by_zone))
