--- a/tests/test_control_plane_faults.py
+++ b/tests/test_control_plane_faults.py
@@ -7,23 +7,23 @@
 
 import pytest
 from fleet_section import fleet_section, free_udp_port
-from loopback import Bench, Client, Server, call, until
-from retry_support import OPERATED, OPERATOR_CALL, max_retries, wait_for_retries
+from loopback import Bench, Client, Server, call, wait_until
+from retry_support import CONTROL_READY_REQUEST, MANAGEMENT_CONFIG, max_retries, wait_for_retries
 from system_call_faults import (
     BOTH_LOOPS,
-    BROKEN,
-    CONNECT,
-    SEND_DATAGRAM,
-    SHORTAGES,
+    BROKEN_CONNECTION_ERRORS,
+    CONNECT_ERRORS,
+    RESOURCE_SHORTAGE_ERRORS,
+    SEND_DATAGRAM_ERRORS,
     Fault,
     accepted_at,
+    connected_to,
     fail_connects,
     fail_reads,
     fail_socket_calls,
+    for_each_error,
     is_uvloop,
-    play_on,
-    towards,
-    with_each,
+    run_scenario_on,
 )
 
 from balancer.fleet.membership.messages import Kind, Message
@@ -36,66 +36,66 @@
 
 
 @BOTH_LOOPS
-@with_each(CONNECT)
+@for_each_error(CONNECT_ERRORS)
 def test_unreachable_discovery_is_retried_and_recovers(run, error, monkeypatch):
     """The node keeps its list, retries at a limited rate, and gets a new list after the fault."""
 
     async def scenario():
         loop = asyncio.get_running_loop()
         bench = await Bench(server := Server(), discovery="push").start()
-        await until(lambda: bool(bench.discovery.requests))
+        await wait_until(lambda: bool(bench.discovery.requests))
         fail_connects(monkeypatch, fault := Fault(error), bench.discovery.port)
         started_at = loop.time()
         bench.discovery.answers.put_nowait(None)
-        assert (await bench.once(call()))[0] == 200
-        await until(lambda: fault.met > 0)
+        assert (await bench.request_once(call()))[0] == 200
+        await wait_until(lambda: fault.hit_count > 0)
         await wait_for_retries()
         # A watch is reopened after 0.5 to 1.5 times its interval.
-        assert fault.met <= 2 * max_retries(loop.time() - started_at)
-        fault.passes()
-        bench.discovery.say(42, True, server.entry("s0"))
-        await until(lambda: bench.node.discovery.version == 42)
+        assert fault.hit_count <= 2 * max_retries(loop.time() - started_at)
+        fault.deactivate()
+        bench.discovery.send_list(42, True, server.entry("s0"))
+        await wait_until(lambda: bench.node.discovery.version == 42)
 
-    play_on(run, scenario)
+    run_scenario_on(run, scenario)
 
 
 @BOTH_LOOPS
-@with_each(BROKEN)
+@for_each_error(BROKEN_CONNECTION_ERRORS)
 def test_broken_discovery_connection_is_reopened(run, error, monkeypatch):
     async def scenario():
         bench = Bench(server := Server(), discovery="push")
         fault = Fault(error, times=0)
-        fail_reads(monkeypatch, DiscoveryCall, fault, lambda s, *_: towards(bench.discovery.port)(s))
+        fail_reads(monkeypatch, DiscoveryCall, fault, lambda s, *_: connected_to(bench.discovery.port)(s))
         await bench.start()
-        await until(lambda: bool(bench.discovery.requests))
-        fault.comes(1)
-        bench.discovery.say(42, True, server.entry("s0"))
-        bench.discovery.say(43, True, server.entry("s0"))
-        await until(lambda: bench.node.discovery.version == 43)
-        assert fault.met == 1 and bench.discovery.connections == 2
-        assert (await bench.once(call()))[0] == 200
+        await wait_until(lambda: bool(bench.discovery.requests))
+        fault.activate(1)
+        bench.discovery.send_list(42, True, server.entry("s0"))
+        bench.discovery.send_list(43, True, server.entry("s0"))
+        await wait_until(lambda: bench.node.discovery.version == 43)
+        assert fault.hit_count == 1 and bench.discovery.connections == 2
+        assert (await bench.request_once(call()))[0] == 200
 
-    play_on(run, scenario)
+    run_scenario_on(run, scenario)
 
 
 # ---- management -------------------------------------------------------------------------------------------
 
 
 @BOTH_LOOPS
-@with_each(BROKEN)
+@for_each_error(BROKEN_CONNECTION_ERRORS)
 def test_broken_operator_connection_affects_no_other(run, error, monkeypatch):
     async def scenario():
-        bench = await Bench(Server(), config=OPERATED).start()
+        bench = await Bench(Server(), config=MANAGEMENT_CONFIG).start()
         management = bench.node.management
         port = management.listener.socket.getsockname()[1]
         fail_reads(monkeypatch, ManagementConnection, fault := Fault(error, times=1), accepted_at(port))
-        (broken := await Client(port).open()).send(OPERATOR_CALL)
-        await until(lambda: fault.met == 1 and management.open_connections == 0)
-        assert (await (await Client(port).open()).ask(OPERATOR_CALL))[0] == 200
-        assert (await bench.once(call()))[0] == 200
+        (broken := await Client(port).open()).send(CONTROL_READY_REQUEST)
+        await wait_until(lambda: fault.hit_count == 1 and management.open_connections == 0)
+        assert (await (await Client(port).open()).request(CONTROL_READY_REQUEST))[0] == 200
+        assert (await bench.request_once(call()))[0] == 200
         broken.writer.close()
 
-    play_on(run, scenario)
+    run_scenario_on(run, scenario)
 
 
 # ---- datagrams ------------------------------------------------------------------------------------------
@@ -120,14 +120,14 @@
     original = loop.create_datagram_endpoint
 
     async def create_datagram_endpoint(*args, **options):
-        fault.strike()
+        fault.raise_if_active()
         return await original(*args, **options)
 
     monkeypatch.setattr(loop, "create_datagram_endpoint", create_datagram_endpoint)
 
 
 @BOTH_LOOPS
-@with_each(SHORTAGES)
+@for_each_error(RESOURCE_SHORTAGE_ERRORS)
 def test_shortage_of_datagram_sockets_is_retried(run, error, tmp_path, monkeypatch):
     """The node starts during a shortage, and binds the ports that a previous process releases after it."""
     config = {
@@ -141,23 +141,23 @@
         started_at = loop.time()
         bench = await Bench(Server(), config=config | {"peers": []}).start()
         peers, fleet = bench.node.peers, bench.node.fleet
-        assert (await bench.once(call()))[0] == 200
-        assert fault.met <= 2 * max_retries(loop.time() - started_at)
-        fault.passes()
-        await until(lambda: peers.transport is not None and fleet.transport is not None)
+        assert (await bench.request_once(call()))[0] == 200
+        assert fault.hit_count <= 2 * max_retries(loop.time() - started_at)
+        fault.deactivate()
+        await wait_until(lambda: peers.transport is not None and fleet.transport is not None)
         for times in (1, 2):  # The ports are released and bound again as another process starts and ends.
             peers.close(), fleet.close()
-            fault.left, fault.met = times, 0
+            fault.remaining, fault.hit_count = times, 0
             bench.node.on_shared(False)
-            await until(lambda: peers.transport is not None and fleet.transport is not None)
-            assert fault.met == times
+            await wait_until(lambda: peers.transport is not None and fleet.transport is not None)
+            assert fault.hit_count == times
         fleet.close()
 
-    play_on(run, scenario)
+    run_scenario_on(run, scenario)
 
 
 @BOTH_LOOPS
-@with_each(SEND_DATAGRAM)
+@for_each_error(SEND_DATAGRAM_ERRORS)
 def test_failing_datagram_calls_recover(run, error, tmp_path, monkeypatch):
     """uvloop passes such errors to `error_received`, so on uvloop the test calls that method instead."""
 
@@ -191,27 +191,27 @@
                 fail_socket_calls(monkeypatch, name, fault, lambda s, *_: s.getsockname()[1] in node_ports)
             for _ in range(100):
                 peers.send(0, b"lost")
-            assert send_fault.met == 100
-            send_fault.comes(1)
+            assert send_fault.hit_count == 100
+            send_fault.activate(1)
             fleet.transmit(ping, member.getsockname())
-            assert send_fault.met == 101
+            assert send_fault.hit_count == 101
             # Each socket must read its datagram before the next fault is set up: until then, its next call
             # would use up the fault that is meant for the other socket.
             for port, is_read in (
                 (peers_port, lambda: messages == [b"late"]),
-                (fleet_port, lambda: receive_fault.left == 0),
+                (fleet_port, lambda: receive_fault.remaining == 0),
             ):
-                receive_fault.comes(3)
+                receive_fault.activate(3)
                 peer.sendto(b"late", ("127.0.0.1", port))
-                await until(is_read)
-                assert receive_fault.left == 0
+                await wait_until(is_read)
+                assert receive_fault.remaining == 0
             messages.clear()
         assert len(lines) <= 5 * (loop.time() - started_at + 2)
-        assert (await bench.once(call()))[0] == 200
+        assert (await bench.request_once(call()))[0] == 200
         peers.send(0, b"request")
         assert await asyncio.wait_for(loop.sock_recv(peer, 100), 20) == b"request"
         peer.sendto(b"message", ("127.0.0.1", peers_port))
-        await until(lambda: messages == [b"message"])
+        await wait_until(lambda: messages == [b"message"])
         with suppress(BlockingIOError):  # Discard what the fleet has sent before.
             while True:
                 member.recv(2000)
@@ -221,4 +221,4 @@
         peer.close(), member.close()
         fleet.close()
 
-    play_on(run, scenario)
+    run_scenario_on(run, scenario)
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -1,6 +1,6 @@
 """The metrics page: each value after known requests, read with the Prometheus client's parser."""
 
-from loopback import OK, REJECTED, SERVER_ERROR, Bench, Server, always, call, play, until
+from loopback import OK, REJECTED, SERVER_ERROR, Bench, Server, call, respond_with, run_scenario, wait_until
 from prometheus_client.parser import text_string_to_metric_families
 from test_management import MANAGEMENT_CONFIG, operator_request
 
@@ -34,7 +34,7 @@
         assert set(metrics) == states | {"lb_sends", "lb_current", "lb_cluster_unhealthy"}
         assert set(metrics.values()) == {0}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_request_counts_once_and_each_sent_attempt_counts():
@@ -42,45 +42,45 @@
 
     async def scenario():
         bench = await Bench(
-            server := Server(always(REJECTED, OK, SERVER_ERROR, None)), config=MANAGEMENT_CONFIG
+            server := Server(respond_with(REJECTED, OK, SERVER_ERROR, None)), config=MANAGEMENT_CONFIG
         ).start()
-        assert (await bench.once(call()))[0] == 200  # The second attempt succeeds.
-        assert (await bench.once(call("invite")))[0] == 502
-        assert (await bench.once(call("offer", budget=0)))[0] == 503
-        assert (await bench.once(call("unknown")))[0] == 404
+        assert (await bench.request_once(call()))[0] == 200  # The second attempt succeeds.
+        assert (await bench.request_once(call("invite")))[0] == 502
+        assert (await bench.request_once(call("offer", budget=0)))[0] == 503
+        assert (await bench.request_once(call("unknown")))[0] == 404
         (waiting := await bench.client()).send(call())
-        await until(lambda: len(server.requests) == 4)
+        await wait_until(lambda: len(server.requests) == 4)
         metrics = await read_metrics(bench)
         ended = {name: value for name, value in metrics.items() if "/" in name and value}
         assert ended == {"view/answered": 1, "invite/errored": 1, "offer/deferred": 1}
         assert (metrics["lb_sends"], metrics["lb_current"]) == (4, 1)
         waiting.writer.close()
-        await until(lambda: not bench.node.requests.by_client)
+        await wait_until(lambda: not bench.node.requests.by_client)
         assert (await read_metrics(bench))["lb_current"] == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_request_rejected_at_max_open_counts():
     async def scenario():
-        bench = await Bench(server := Server(always(None)), policy_limits={"max_open": 1}).start()
+        bench = await Bench(server := Server(respond_with(None)), policy_limits={"max_open": 1}).start()
         (first := await bench.client()).send(call())
-        await until(lambda: len(server.requests) == 1)
-        assert (await bench.once(call()))[0] == 503
+        await wait_until(lambda: len(server.requests) == 1)
+        assert (await bench.request_once(call()))[0] == 503
         assert bench.node.counters.finished[0]["deferred"] == 1
         first.writer.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_attempt_that_fails_to_connect_is_not_counted():
     async def scenario():
         bench = await Bench(dead := Server(), config=MANAGEMENT_CONFIG).start()
         dead.server.close()
-        assert (await bench.once(call("invite")))[0] == 503
+        assert (await bench.request_once(call("invite")))[0] == 503
         assert (await read_metrics(bench))["lb_sends"] == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_server_metrics_follow_list_changes():
@@ -90,20 +90,20 @@
         servers = [Server() for _ in range(6)]
         bench = await Bench(*servers, config=MANAGEMENT_CONFIG).start()
         draining, gone = servers[0].entry("s0", "draining"), servers[1].entry("s1", "gone")
-        bench.discovery.say(43, False, draining, gone)
-        await until(lambda: bench.node.discovery.version == 43)
+        bench.discovery.send_list(43, False, draining, gone)
+        await wait_until(lambda: bench.node.discovery.version == 43)
         metrics = await read_metrics(bench)
         assert (metrics["lb_cluster_size"], metrics["lb_cluster_unhealthy"]) == (5, 1)
         remaining = server_number("s3")
         server = next(s for s in bench.node.balancer.subset.members if s.id != remaining)
         bench.node.balancer.ejection.eject(0, server, silent=True)
         assert (await read_metrics(bench))["lb_cluster_unhealthy"] == 2
-        bench.discovery.say(44, True, servers[3].entry("s3"))
-        await until(lambda: bench.node.discovery.version == 44)
+        bench.discovery.send_list(44, True, servers[3].entry("s3"))
+        await wait_until(lambda: bench.node.discovery.version == 44)
         metrics = await read_metrics(bench)
         assert (metrics["lb_cluster_size"], metrics["lb_cluster_unhealthy"]) == (1, 0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_special_characters_in_class_name_are_escaped():
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -7,18 +7,18 @@
 
 import pytest
 from loopback import (
-    MOMENT,
     OK,
+    SECOND_US,
     Bench,
     Discovery,
     Server,
-    always,
     call,
-    gated,
-    play,
     record_outcomes,
+    respond_after,
+    respond_with,
+    run_scenario,
     settings,
-    until,
+    wait_until,
 )
 
 from balancer.net import node as node_module
@@ -37,7 +37,7 @@
     """A connection must not return to the pool with reading paused, or it would receive no response."""
 
     async def scenario():
-        bench = await Bench(server := Server(always(STREAMED_RESPONSE))).start()
+        bench = await Bench(server := Server(respond_with(STREAMED_RESPONSE))).start()
         written_bytes = 0
         write_stream = ClientConnection.write_stream
 
@@ -50,14 +50,14 @@
 
         monkeypatch.setattr(ClientConnection, "write_stream", pause_at_last_piece)
         client = await bench.client()
-        assert (await client.ask(call()))[2] == LONG_BODY
+        assert (await client.request(call()))[2] == LONG_BODY
         (client_connection,) = bench.node.client_connections.connections
         client_connection.resume_writing()
-        server.handle = always(OK)
-        assert (await client.ask(call("invite", budget=5000)))[0] == 200
+        server.handle = respond_with(OK)
+        assert (await client.request(call("invite", budget=5000)))[0] == 200
         assert server.connections == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("count", [2, 7])
@@ -66,13 +66,13 @@
 
     async def scenario():
         release = asyncio.Event()
-        bench = await Bench(Server(gated(release)), Server(gated(release))).start()
+        bench = await Bench(Server(respond_after(release)), Server(respond_after(release))).start()
         pool = bench.node.pool
         outcomes = record_outcomes(bench)
         pool.descriptor_budget.resize(40, 40)
         pool.descriptor_budget.servers += pool.descriptor_budget.max_servers() - 1  # One descriptor is left.
         clients = [await bench.client() for _ in range(count)]
-        await until(
+        await wait_until(
             lambda: len([c for c in bench.node.client_connections.connections if c.transport]) == count
         )
         for client_connection in list(bench.node.client_connections.connections):
@@ -85,7 +85,7 @@
             await client.receive()
         assert Outcome.CONNECT_FAILED in outcomes and pool.opened_count == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 # ---- Lists ---------------------------------------------------------------------------------------
@@ -110,10 +110,10 @@
         assert bench.node.reload_timer is not None and not second.connections
         file.write_text(complete)
         bench.node.discovery.watch(True)
-        await until(lambda: bool(second.requests))
+        await wait_until(lambda: bool(second.requests))
         assert bench.node.reload_timer is None
 
-    play(scenario)
+    run_scenario(scenario)
     lines = [line for line in capsys.readouterr().err.splitlines() if " reload" in line]
     assert len(lines) == signals + 1 and "will be read again" in lines[0]
 
@@ -124,10 +124,10 @@
         bench = await Bench(Server()).start()
         address = bench.node.discovery.address
         bench.node.reload({"LB_CONFIG": str(tmp_path / "none.json")})
-        await until(lambda: bench.node.reload_timer is None)
+        await wait_until(lambda: bench.node.reload_timer is None)
         assert bench.node.discovery.address == address
 
-    play(scenario)
+    run_scenario(scenario)
     lines = [line for line in capsys.readouterr().err.splitlines() if " reload" in line]
     assert len(lines) == 2 and lines[1].endswith("given up")
 
@@ -146,18 +146,18 @@
     async def scenario():
         bench = await Bench(removed := Server(), remaining := Server(), discovery="push").start()
         discovery_service = bench.discovery
-        discovery_service.say(50, True, remaining.entry("s1"))
-        discovery_service.say(45, full, removed.entry("s0"), remaining.entry("s1"))
+        discovery_service.send_list(50, True, remaining.entry("s1"))
+        discovery_service.send_list(45, full, removed.entry("s0"), remaining.entry("s1"))
         if between:
-            discovery_service.say(51, False)
-            discovery_service.say(45, full, removed.entry("s0"), remaining.entry("s1"))
-        discovery_service.say(52, False)
-        await until(lambda: bench.node.discovery.version == 52)
+            discovery_service.send_list(51, False)
+            discovery_service.send_list(45, full, removed.entry("s0"), remaining.entry("s1"))
+        discovery_service.send_list(52, False)
+        await wait_until(lambda: bench.node.discovery.version == 52)
         assert await ready_servers(bench) == {"s1"}
-        await until(lambda: len(discovery_service.requests) == 4 + 2 * between)
+        await wait_until(lambda: len(discovery_service.requests) == 4 + 2 * between)
         assert bench.node.discovery.fetch_call is None
 
-    play(scenario)
+    run_scenario(scenario)
     lines = [line for line in capsys.readouterr().err.splitlines() if "older than the list" in line]
     assert len(lines) == 1 + between
 
@@ -168,13 +168,13 @@
     async def scenario():
         bench = await Bench(Server(), remaining := Server(), discovery="push").start()
         discovery_service = bench.discovery
-        discovery_service.say(50, True, *(s.entry(f"s{i}") for i, s in enumerate(bench.servers)))
-        discovery_service.say(2, True, remaining.entry("s1"))
-        discovery_service.say(2, True, remaining.entry("s1"))
-        await until(lambda: bench.node.discovery.version == 2)
+        discovery_service.send_list(50, True, *(s.entry(f"s{i}") for i, s in enumerate(bench.servers)))
+        discovery_service.send_list(2, True, remaining.entry("s1"))
+        discovery_service.send_list(2, True, remaining.entry("s1"))
+        await wait_until(lambda: bench.node.discovery.version == 2)
         assert await ready_servers(bench) == {"s1"}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("order", ["full list first", "change first"])
@@ -184,10 +184,12 @@
     async def scenario():
         bench = await Bench(Server(), remaining := Server(), discovery="push").start()
         discovery_service, node = bench.discovery, bench.node
-        discovery_service.say(50, True, *(s.entry(f"s{i}") for i, s in enumerate(bench.servers)))
-        discovery_service.say(2, False)
-        discovery_service.say(2, False)
-        await until(lambda: node.discovery.fetch_call is not None and node.discovery.watch_call is not None)
+        discovery_service.send_list(50, True, *(s.entry(f"s{i}") for i, s in enumerate(bench.servers)))
+        discovery_service.send_list(2, False)
+        discovery_service.send_list(2, False)
+        await wait_until(
+            lambda: node.discovery.fetch_call is not None and node.discovery.watch_call is not None
+        )
         full_list = json.dumps({"version": 2, "full": True, "servers": [remaining.entry("s1")]}).encode()
         change = json.dumps({"version": 3, "full": False, "servers": []}).encode()
         fetch_call_in_flight, watch_call_in_flight = node.discovery.fetch_call, node.discovery.watch_call
@@ -201,7 +203,7 @@
             node.discovery.on_watch_response(watch_call_in_flight, change)
         assert await ready_servers(bench) == {"s1"} and node.discovery.version == 3
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 # ---- Ends ----------------------------------------------------------------------------------------
@@ -213,24 +215,24 @@
     """A draining node must not discard a request that its client has already begun to write."""
 
     async def scenario():
-        bench = await Bench(server := Server(always(None))).start()
+        bench = await Bench(server := Server(respond_with(None))).start()
         node = bench.node
         client = socket.create_connection(("127.0.0.1", bench.port))
         client.setblocking(False)
         client.send(call())
-        await until(lambda: len(server.requests) == 1)
+        await wait_until(lambda: len(server.requests) == 1)
         (request,) = node.requests.pending.values()
         client_connection = request.client
         assert client_connection is not None
         if draining:
             drain = asyncio.create_task(node.drain())
-            await until(lambda: node.client_connections.is_draining)
+            await wait_until(lambda: node.client_connections.is_draining)
         half = len(call()) // 2
         client.send(call()[:half])
         if is_read:
-            await until(lambda: client_connection.partial_request is not None)
+            await wait_until(lambda: client_connection.partial_request is not None)
         node.requests.respond(request.id, 504)
-        server.handle = always(OK)
+        server.handle = respond_with(OK)
         client.send(call()[half:])
         responses = b""
         loop = asyncio.get_running_loop()
@@ -244,7 +246,7 @@
         if draining:
             await asyncio.wait_for(drain, 20)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_listener_stopped_at_capacity_keeps_accept_queue(monkeypatch):
@@ -259,7 +261,7 @@
         client = await bench.client()  # The kernel has accepted it, the node has not.
         client.send(call())
         drain = asyncio.create_task(bench.node.drain())
-        await until(lambda: bench.node.client_connections.is_draining)
+        await wait_until(lambda: bench.node.client_connections.is_draining)
         listener.stop()
         listener.has_capacity = has_capacity
         assert (await client.receive())[0] == 200
@@ -268,7 +270,7 @@
         await asyncio.wait_for(drain, 20)
         assert listener.socket is None
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("queued_s", [0.0, 30.0])
@@ -277,10 +279,10 @@
 
     async def scenario():
         release = asyncio.Event()
-        bench = await Bench(server := Server(gated(release))).start()
+        bench = await Bench(server := Server(respond_after(release))).start()
         client = await bench.client()
         client.send(call() + call(budget=15000))
-        await until(lambda: any(c.pipelined for c in bench.node.client_connections.connections))
+        await wait_until(lambda: any(c.pipelined for c in bench.node.client_connections.connections))
         (client_connection,) = bench.node.client_connections.connections
         client_connection.pipelined[0].received_at -= queued_s
         release.set()
@@ -288,7 +290,7 @@
         status = (await client.receive())[0]
         assert (status, len(server.requests)) == ((200, 2) if queued_s == 0 else (503, 1))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("order", ["body first", "drain first"])
@@ -296,13 +298,13 @@
     """The deadline of a long upload, which starts at its last byte, must not exceed that of the drain."""
 
     async def scenario():
-        bench = await Bench(server := Server(always(None))).start()
+        bench = await Bench(server := Server(respond_with(None))).start()
         node = bench.node
         client = await bench.client()
         size = 2 * MAX_BUFFERED_BYTES
         data = call("offer", budget=600_000).partition(b"Content-Length")[0]
         client.send(data + b"Content-Length: %d\r\n\r\n" % size + bytes(size - 1))
-        await until(
+        await wait_until(
             lambda: any(
                 r.message.upload and r.message.upload.has_discarded_data
                 for r in node.requests.pending.values()
@@ -311,12 +313,12 @@
         (request,) = node.requests.pending.values()
         if order == "body first":
             client.send(b"x")
-            await until(lambda: len(server.requests) == 1 and request.deadline_timer is not None)
+            await wait_until(lambda: len(server.requests) == 1 and request.deadline_timer is not None)
         drain = asyncio.create_task(node.drain())
-        await until(lambda: node.requests.last_response_at is not None)
+        await wait_until(lambda: node.requests.last_response_at is not None)
         if order == "drain first":
             client.send(b"x")
-            await until(lambda: len(server.requests) == 1 and request.deadline_timer is not None)
+            await wait_until(lambda: len(server.requests) == 1 and request.deadline_timer is not None)
             assert (
                 node.requests.last_response_at is not None
                 and request.deadline <= node.requests.last_response_at
@@ -324,7 +326,7 @@
         client.writer.transport.abort()
         await asyncio.wait_for(drain, 20)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 BAD_RESPONSES = {
@@ -343,8 +345,8 @@
     async def scenario():
         bench = await Bench(server := Server(), discovery="push").start()
         discovery_service, node = bench.discovery, bench.node
-        discovery_service.say(50, True, server.entry("s0"))
-        await until(lambda: node.discovery.version == 50 and len(discovery_service.requests) == 2)
+        discovery_service.send_list(50, True, server.entry("s0"))
+        await wait_until(lambda: node.discovery.version == 50 and len(discovery_service.requests) == 2)
         watch = node.discovery.watch_call
         assert watch is not None
         for data in (
@@ -358,14 +360,14 @@
         assert (
             watch.transport is None and node.discovery.version == 50 and await ready_servers(bench) == {"s0"}
         )
-        await until(lambda: len(discovery_service.requests) == 3)
+        await wait_until(lambda: len(discovery_service.requests) == 3)
         assert discovery_service.requests[-1].target.startswith("/v1/endpoints?since=50&")
         discovery_service.answers.put_nowait(None)  # Taken by the ended call.
-        discovery_service.say(51, True, server.entry("s0", "draining"))
-        await until(lambda: node.discovery.version == 51)
+        discovery_service.send_list(51, True, server.entry("s0", "draining"))
+        await wait_until(lambda: node.discovery.version == 51)
         assert await ready_servers(bench) == set()
 
-    play(scenario)
+    run_scenario(scenario)
     lines = [
         line for line in capsys.readouterr().err.splitlines() if "discovery:" in line or "failed" in line
     ]
@@ -382,7 +384,7 @@
         discovery_service, discovery = bench.discovery, bench.node.discovery
         await (second := Discovery()).start()
         if watch_state != "connecting":
-            await until(lambda: len(discovery_service.requests) == 1)
+            await wait_until(lambda: len(discovery_service.requests) == 1)
         old = discovery.watch_call
         assert old is not None
         if watch_state == "closed":
@@ -392,14 +394,14 @@
         listing = json.dumps({"version": 99, "full": True, "servers": []}).encode()
         old.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(listing), listing))
         discovery.watch(True)
-        await until(lambda: len(second.requests) >= 1)
+        await wait_until(lambda: len(second.requests) >= 1)
         assert discovery.version == 41
         second.answers.put_nowait(None) if times == 2 and len(second.requests) == 2 else None
-        second.say(60, False, server.entry("s0", "draining"))
-        await until(lambda: discovery.version == 60)
+        second.send_list(60, False, server.entry("s0", "draining"))
+        await wait_until(lambda: discovery.version == 60)
         assert await ready_servers(bench) == set()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("order", ["failure first", "change first"])
@@ -413,41 +415,41 @@
         node.set_timer = lambda delay, token: timers.append(token)
         node.server_registry.loop = SimpleNamespace(call_later=lambda delay, *call: timers.append(call))
         await (second := Discovery()).start()
-        await until(lambda: len(discovery_service.requests) == 1)
+        await wait_until(lambda: len(discovery_service.requests) == 1)
         new_address = ("127.0.0.1", second.port)
         if order == "change first":
             node.discovery.change_address(new_address)
             discovery_service.answers.put_nowait(None)
-            await until(lambda: discovery_service.closed == 1)
+            await wait_until(lambda: discovery_service.closed == 1)
         else:
             discovery_service.answers.put_nowait(None)
-            await until(lambda: len(timers) == 1)
+            await wait_until(lambda: len(timers) == 1)
             node.discovery.change_address(new_address)
-        await until(lambda: len(second.requests) == 1)
-        second.say(60, False, server.entry("s0", "draining"))
-        await until(lambda: node.discovery.version == 60 and len(second.requests) == 2)
+        await wait_until(lambda: len(second.requests) == 1)
+        second.send_list(60, False, server.entry("s0", "draining"))
+        await wait_until(lambda: node.discovery.version == 60 and len(second.requests) == 2)
         assert await ready_servers(bench) == set() and second.connections == 1
         node.discovery.watch(True)  # The retry that was scheduled after the failure.
-        second.say(61, False)
-        await until(lambda: len(second.requests) == 3)
+        second.send_list(61, False)
+        await wait_until(lambda: len(second.requests) == 3)
         assert second.connections == 1 and len(timers) == (order == "failure first")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_discovery_retry_delay_is_capped_despite_settings():
     """A long backoff would hide the recovery of discovery, and a server that drains at that time."""
 
     async def scenario():
-        rules = settings()["rules"] | {"ask_within": 100 * MOMENT}
+        rules = settings()["rules"] | {"ask_within": 100 * SECOND_US}
         bench = await Bench(Server(), discovery="ask", rules=rules).start()
         node, discovery_service, waits = bench.node, bench.discovery, []
         node.set_timer = lambda delay, token: waits.append(delay)
         for failures in range(1, 9):
             discovery_service.answers.put_nowait(None)
-            await until(lambda count=failures: len(waits) == count)
+            await wait_until(lambda count=failures: len(waits) == count)
             node.discovery.watch(True)
         # A node may be without discovery for 6 s, of which an unanswered watch takes 2 s.
-        assert max(waits) <= 1.5 * MOMENT and waits[-1] > waits[0]
+        assert max(waits) <= 1.5 * SECOND_US and waits[-1] > waits[0]
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_crossings_ends.py
+++ b/tests/test_crossings_ends.py
@@ -7,22 +7,22 @@
 
 import pytest
 from loopback import (
-    MOMENT,
     OK,
+    SECOND_US,
     Bench,
     Client,
     Discovery,
     Server,
-    always,
     call,
-    connected,
+    connect_when_listening,
     free_port,
-    gated,
-    node_table,
-    play,
+    node_config,
+    respond_after,
+    respond_with,
+    run_scenario,
     settings,
-    spawn,
-    until,
+    spawn_node,
+    wait_until,
 )
 
 from balancer.net.process.handover import FILE_PREFIX, WITHIN_BUDGET_MARKER, Handover
@@ -37,19 +37,19 @@
 
     async def scenario():
         release = asyncio.Event()
-        await (server := Server(gated(release))).start()
+        await (server := Server(respond_after(release))).start()
         await (discovery := Discovery()).start()
         port = free_port()
-        table = node_table(discovery.port, settings(), f"127.0.0.1:{port}", server.entry("s0"))
+        table = node_config(discovery.port, settings(), f"127.0.0.1:{port}", server.entry("s0"))
         if not has_list:
             del table["known"]
-        process = await spawn(tmp_path, table)
-        await connected(client := Client(port))
+        process = await spawn_node(tmp_path, table)
+        await connect_when_listening(client := Client(port))
         idle = await Client(port).open()
-        assert (await idle.ask(READY))[0] == (200 if has_list else 503)
+        assert (await idle.request(READY))[0] == (200 if has_list else 503)
         client.send(call("invite"))
         if has_list:
-            await until(lambda: len(server.requests) == 1)
+            await wait_until(lambda: len(server.requests) == 1)
         else:
             assert (await client.receive())[0] == 503
         process.send_signal(signal.SIGTERM)
@@ -66,7 +66,7 @@
         client.writer.close()
         assert await asyncio.wait_for(process.wait(), 20) == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("arrival", ["before SIGTERM", "after SIGTERM"])
@@ -77,16 +77,16 @@
     async def scenario():
         limits = settings(policy_limits={"max_attempts": 2})
         for request_class in limits["classes"]:
-            request_class["goal_time"], request_class["hard_limit"] = MOMENT // 10, MOMENT // 5
-        bench = await Bench(Server(always(None)), Server(always(None)), **limits).start()
+            request_class["goal_time"], request_class["hard_limit"] = SECOND_US // 10, SECOND_US // 5
+        bench = await Bench(Server(respond_with(None)), Server(respond_with(None)), **limits).start()
         client = await bench.client()
         drain = None
         if arrival == "after SIGTERM":
-            assert (await client.ask(READY))[0] == 200
+            assert (await client.request(READY))[0] == 200
             drain = asyncio.create_task(bench.node.drain())
-            await until(lambda: bench.node.requests.last_response_at is not None)
+            await wait_until(lambda: bench.node.requests.last_response_at is not None)
         client.send(call(effect, budget=200))
-        await until(lambda: bool(bench.node.requests.by_client))
+        await wait_until(lambda: bool(bench.node.requests.by_client))
         drain = drain or asyncio.create_task(bench.node.drain())
         status, headers, _ = await client.receive()
         assert status in (502, 503, 504) and headers["connection"] == "close"
@@ -95,7 +95,7 @@
         await asyncio.wait_for(drain, 20)
         assert bench.node.requests.overdue_count == 0 and bench.node.descriptor_budget.clients == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
@@ -104,15 +104,17 @@
 
     async def scenario():
         release = asyncio.Event()
-        bench = await Bench(leaving := Server(), other := Server(gated(release)), discovery="push").start()
+        bench = await Bench(
+            leaving := Server(), other := Server(respond_after(release)), discovery="push"
+        ).start()
         discovery = bench.discovery
-        discovery.say(42, True, leaving.entry("s0"), other.entry("s1", "draining"))
-        await until(lambda: len(discovery.requests) == 2)
+        discovery.send_list(42, True, leaving.entry("s0"), other.entry("s1", "draining"))
+        await wait_until(lambda: len(discovery.requests) == 2)
         client = await bench.client()
         drain = asyncio.create_task(bench.node.drain())
-        await until(lambda: bench.node.requests.last_response_at is not None)
-        discovery.say(43, False, leaving.entry("s0", state), other.entry("s1"))
-        await until(lambda: bench.node.discovery.version == 43)
+        await wait_until(lambda: bench.node.requests.last_response_at is not None)
+        discovery.send_list(43, False, leaving.entry("s0", state), other.entry("s1"))
+        await wait_until(lambda: bench.node.discovery.version == 43)
         release.set()
         client.send(call("invite"))
         assert (await client.receive())[0] == 200
@@ -120,7 +122,7 @@
         client.writer.close()
         await asyncio.wait_for(drain, 20)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 # ---- handovers ------------------------------------------------------------------------------------
@@ -144,15 +146,15 @@
         old, new = create_handover(tmp_path, shared_changes), create_handover(tmp_path, [])
         await old.start(lambda: is_within_budget)
         start = asyncio.create_task(new.start(lambda: True))
-        await until(lambda: old.is_older and (old.has_reported or not has_shrunk))
+        await wait_until(lambda: old.is_older and (old.has_reported or not has_shrunk))
         start.cancel()
         new.close()
-        await until(lambda: shared_changes == [True, False] and not old.is_older)
+        await wait_until(lambda: shared_changes == [True, False] and not old.is_older)
         assert old.read_marker(old.file_name) == b"" and not old.has_reported
         is_within_budget = False
         third = create_handover(tmp_path, [])
         start = asyncio.create_task(third.start(lambda: True))
-        await until(lambda: old.is_older)
+        await wait_until(lambda: old.is_older)
         assert not start.done()
         is_within_budget = True
         await start
@@ -160,7 +162,7 @@
         old.close()
         third.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_processes_starting_together_agree_which_is_older(tmp_path):
@@ -181,7 +183,7 @@
         first.close()
         second.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_files_of_process_that_died_at_startup_are_ignored(tmp_path):
@@ -194,7 +196,7 @@
         assert not (tmp_path / f"{FILE_PREFIX}{9:020d}-dead").exists()
         alone.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_server_response_at_shutdown_reaches_the_client():
@@ -202,14 +204,14 @@
 
     async def scenario():
         release = asyncio.Event()
-        bench = await Bench(Server(gated(release)), Server(always(OK))).start()
+        bench = await Bench(Server(respond_after(release)), Server(respond_with(OK))).start()
         client = await bench.client()
         client.send(call("invite"))
-        await until(lambda: bool(bench.node.requests.by_client))
+        await wait_until(lambda: bool(bench.node.requests.by_client))
         release.set()
         drain = asyncio.create_task(bench.node.drain())
         assert (await client.receive())[2] == b"ok"
         client.writer.close()
         await asyncio.wait_for(drain, 20)
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_crossings_repeats.py
+++ b/tests/test_crossings_repeats.py
@@ -4,23 +4,23 @@
 
 import pytest
 from loopback import (
-    MOMENT,
     OK,
+    SECOND_US,
     Bench,
-    Late,
+    DelayedConnectLoop,
     Server,
-    always,
     call,
-    play,
     record_outcomes,
+    respond_with,
+    run_scenario,
     settings,
-    until,
+    wait_until,
 )
 
 from balancer.policy.interface import Outcome
 
 ERROR_RESPONSE = b"HTTP/1.1 500 Internal Server Error\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-WINDOW_US = MOMENT
+WINDOW_US = SECOND_US
 
 
 @pytest.mark.parametrize("request_class", ["view", "offer"])
@@ -46,22 +46,22 @@
         outcomes = record_outcomes(bench)
         client = await bench.client()
         client.send(call(request_class))
-        await until(lambda: sum(len(s.requests) for s in servers) == 1)
-        node.pool.loop = late = Late(asyncio.get_running_loop())
+        await wait_until(lambda: sum(len(s.requests) for s in servers) == 1)
+        node.pool.loop = late = DelayedConnectLoop(asyncio.get_running_loop())
         release.set()
-        await late.asked.wait()
+        await late.connect_requested.wait()
         if order == "expiry first":
             node.event_queue.origin += WINDOW_US * 1000
         for server in servers:
-            server.handle = always(OK)
-        late.up.set()
+            server.handle = respond_with(OK)
+        late.connect_allowed.set()
         status = (await client.receive())[0]
         is_sent = order == "connect first" or request_class == "view"
         assert (status, sum(len(s.requests) for s in servers)) == ((200, 2) if is_sent else (502, 1))
         assert outcomes == [Outcome.ERROR, Outcome.OK if is_sent else Outcome.NOT_SENT]
         assert not node.requests.pending
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("order", ["after next request", "before next request"])
@@ -84,7 +84,7 @@
         (endpoint,) = bench.node.pool.endpoints.values()
         for number, client in enumerate(clients[:2]):
             client.send(call())
-            await until(lambda count=number + 1: len(server.requests) == count)
+            await wait_until(lambda count=number + 1: len(server.requests) == count)
         for release, client in zip(releases[:2], clients, strict=False):
             release.set()
             await client.receive()
@@ -93,14 +93,14 @@
         late = server.writers[1]
         if order == "before next request":
             late.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n2")
-            await until(lambda: endpoint.idle == [settled])
+            await wait_until(lambda: endpoint.idle == [settled])
         clients[2].send(call())
-        await until(lambda: len(server.requests) == 3)
+        await wait_until(lambda: len(server.requests) == 3)
         if order != "before next request":
             assert endpoint.idle == recently_used
             late.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n2")
-            await until(lambda: not endpoint.idle)
+            await wait_until(lambda: not endpoint.idle)
         releases[2].set()
         assert (await clients[2].receive())[2] == b"3"
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -8,20 +8,20 @@
 import pytest
 import uvloop
 from loopback import (
-    MOMENT,
     OK,
-    PATIENCE,
     REJECTED,
+    SECOND_US,
+    TIMEOUT_S,
     Bench,
-    Late,
+    DelayedConnectLoop,
     Server,
-    always,
     call,
-    play,
+    limit_send_buffers,
     record_outcomes,
-    small_listener,
-    small_sends,
-    until,
+    respond_with,
+    run_scenario,
+    small_buffer_listener,
+    wait_until,
 )
 
 from balancer.net.upstream.connection import Connection
@@ -56,20 +56,22 @@
     Once the kernel has the last byte, the request may have run, even if the event loop has not reported the
     write yet; sending it again could run it twice.
     """
-    small_sends(monkeypatch)
+    limit_send_buffers(monkeypatch)
 
     async def scenario():
-        listener = small_listener()
+        listener = small_buffer_listener()
         bench = await Bench(lister := Server(), config={"known": None}).start()
-        bench.discovery.say(42, True, lister.entry("half", addr=f"127.0.0.1:{listener.getsockname()[1]}"))
-        await until(lambda: bench.node.lifecycle.is_serving)
+        bench.discovery.send_list(
+            42, True, lister.entry("half", addr=f"127.0.0.1:{listener.getsockname()[1]}")
+        )
+        await wait_until(lambda: bench.node.lifecycle.is_serving)
         outcomes = record_outcomes(bench)
         client = await bench.client()
         data = call("invite", body=b"x" * size)
         client.send(data)
         connection, _ = await asyncio.get_running_loop().sock_accept(listener)
         connection.setblocking(False)
-        await until(
+        await wait_until(
             lambda: any(r.exchange and r.exchange.connection for r in bench.node.requests.pending.values())
         )
         (request,) = bench.node.requests.pending.values()
@@ -77,7 +79,7 @@
         assert exchange is not None
         received_data = b""
         goal = {"nothing": 0, "part": size // 2, "all": size + data.index(b"\r\n\r\n")}[received]
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             while (
                 len(received_data) < goal
                 or received == "all"
@@ -92,7 +94,7 @@
         else:
             exchange.abort(Outcome.CANCELLED)
         listener.close()
-        await until(lambda: bool(outcomes))
+        await wait_until(lambda: bool(outcomes))
         if outcomes[0] == Outcome.CONNECT_FAILED:
             if end != "reset":
                 received_data += await read_rest(connection)
@@ -103,7 +105,7 @@
             assert outcomes[0] == Outcome.CONNECT_FAILED
         connection.close()
 
-    run(asyncio.wait_for(scenario(), 3 * PATIENCE))
+    run(asyncio.wait_for(scenario(), 3 * TIMEOUT_S))
 
 
 def is_complete_request(data: bytes, size: int) -> bool:
@@ -135,8 +137,8 @@
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         bench = await Bench(lister := Server(), config={"known": None}).start()
-        bench.discovery.say(42, True, lister.entry("s", addr=f"127.0.0.1:{listener.getsockname()[1]}"))
-        await until(lambda: bench.node.lifecycle.is_serving)
+        bench.discovery.send_list(42, True, lister.entry("s", addr=f"127.0.0.1:{listener.getsockname()[1]}"))
+        await wait_until(lambda: bench.node.lifecycle.is_serving)
         request_count = 0
 
         async def serve() -> socket.socket:
@@ -149,9 +151,9 @@
             return connection
 
         server_task = asyncio.ensure_future(serve())
-        assert (await bench.once(call("invite")))[0] == 200
+        assert (await bench.request_once(call("invite")))[0] == 200
         connection = await server_task
-        await until(
+        await wait_until(
             lambda: only_idle_connections_counted(bench) and bench.node.descriptor_budget.servers == 1
         )
 
@@ -178,7 +180,7 @@
         monkeypatch.setattr(Connection, "has_unread_data", check_with_end)
         outcomes = record_outcomes(bench)
         server_task = asyncio.ensure_future(serve())
-        status = (await bench.once(call("invite")))[0]
+        status = (await bench.request_once(call("invite")))[0]
         if order == "before check":
             assert (status, outcomes, request_count) == (200, [Outcome.OK], 2)
         elif ending == "data":  # It cannot be distinguished from a response.
@@ -189,7 +191,7 @@
             assert (status, outcomes, request_count) == (502, [Outcome.RESET], 1)
         server_task.cancel()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("end", ["fin", "reset", "nothing"])
@@ -207,11 +209,11 @@
 
         bench = await Bench(Server(reject), Server(reject)).start()
         outcomes = record_outcomes(bench)
-        await bench.once(call("invite"))
+        await bench.request_once(call("invite"))
         assert outcomes[:2] == [Outcome.REJECTED, Outcome.REJECTED]
-        await until(lambda: only_idle_connections_counted(bench))
+        await wait_until(lambda: only_idle_connections_counted(bench))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -229,17 +231,17 @@
 
         bench = await Bench(server := Server(respond_and_close)).start()
         for count in (1, 2):
-            status, _, body = await bench.once(call("invite"))
+            status, _, body = await bench.request_once(call("invite"))
             assert (status, body, server.connections) == (200, b"ok", count)
-        await until(lambda: bench.node.descriptor_budget.servers == 0)
+        await wait_until(lambda: bench.node.descriptor_budget.servers == 0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 # ---- Connections that are being opened -----------------------------------------------------------
 
 
-class CallbackOnConnect(Late):
+class CallbackOnConnect(DelayedConnectLoop):
     """A loop that calls a function in the iteration in which a connection has been established."""
 
     def __init__(self, loop, on_connect):
@@ -264,15 +266,15 @@
                 request.exchange.abort(outcome)
 
         bench.node.pool.loop = CallbackOnConnect(asyncio.get_running_loop(), on_connect)
-        response_task = asyncio.ensure_future(bench.once(call("invite")))
-        await until(lambda: server.connections == 1 and not requests.by_client or response_task.done())
+        response_task = asyncio.ensure_future(bench.request_once(call("invite")))
+        await wait_until(lambda: server.connections == 1 and not requests.by_client or response_task.done())
         bench.node.pool.loop = asyncio.get_running_loop()
-        assert (await bench.once(call("invite")))[0] == 200
+        assert (await bench.request_once(call("invite")))[0] == 200
         assert len(server.requests) == 1
-        await until(lambda: only_idle_connections_counted(bench))
+        await wait_until(lambda: only_idle_connections_counted(bench))
         response_task.cancel()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_connect_timeout_as_connection_opens_closes_it():
@@ -286,12 +288,12 @@
 
         bench.node.pool.loop = CallbackOnConnect(asyncio.get_running_loop(), on_connect)
         outcomes = record_outcomes(bench)
-        await bench.once(call("invite"))
+        await bench.request_once(call("invite"))
         assert set(outcomes) == {Outcome.CONNECT_FAILED}
-        await until(lambda: server.closed == server.connections == len(outcomes))
+        await wait_until(lambda: server.closed == server.connections == len(outcomes))
         assert bench.node.descriptor_budget.servers == 0 and not server.requests
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_attempt_abort_before_connect_task_runs_is_uncounted():
@@ -300,7 +302,7 @@
     async def scenario():
         bench = await Bench(Server(), policy_limits={"max_attempts": 1}).start()
         client = await bench.client()
-        await until(lambda: all(c.transport for c in bench.node.client_connections.connections))
+        await wait_until(lambda: all(c.transport for c in bench.node.client_connections.connections))
         (client_connection,) = bench.node.client_connections.connections
         data = call()
         bench.node.memory_budget.read_buffer[: len(data)] = data
@@ -309,9 +311,9 @@
         assert request.exchange is not None and bench.node.descriptor_budget.servers == 1
         request.exchange.abort(Outcome.TIMEOUT)
         await client.receive()
-        await until(lambda: bench.node.descriptor_budget.servers == 0)
+        await wait_until(lambda: bench.node.descriptor_budget.servers == 0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("change", ["restarted", "draining", "gone", "unlisted", "drained and back"])
@@ -321,42 +323,42 @@
 
     async def scenario():
         bench = await Bench(server := Server(), other := Server(), discovery="push").start()
-        bench.discovery.say(42, True, server.entry("s0"))
-        await until(lambda: len(bench.discovery.requests) == 2)
-        bench.node.pool.loop = late = Late(asyncio.get_running_loop())
-        response_task = asyncio.ensure_future(bench.once(call("invite")))
-        await late.asked.wait()
+        bench.discovery.send_list(42, True, server.entry("s0"))
+        await wait_until(lambda: len(bench.discovery.requests) == 2)
+        bench.node.pool.loop = late = DelayedConnectLoop(asyncio.get_running_loop())
+        response_task = asyncio.ensure_future(bench.request_once(call("invite")))
+        await late.connect_requested.wait()
         if order == "connect first":
-            late.up.set()
-            await until(lambda: len(server.requests) == 1)
+            late.connect_allowed.set()
+            await wait_until(lambda: len(server.requests) == 1)
         lines = [other.entry("s1")]
         if change == "restarted":
             lines.append(server.entry("s0", started_ms=1))
         elif change in ("draining", "gone"):
             lines.append(server.entry("s0", change))
         elif change == "drained and back":
-            bench.discovery.say(43, False, server.entry("s0", "draining"))
+            bench.discovery.send_list(43, False, server.entry("s0", "draining"))
             lines.append(server.entry("s0"))
-        bench.discovery.say(44, change == "unlisted", *lines)
-        await until(lambda: bench.node.discovery.version == 44)
-        late.up.set()
+        bench.discovery.send_list(44, change == "unlisted", *lines)
+        await wait_until(lambda: bench.node.discovery.version == 44)
+        late.connect_allowed.set()
         assert (await response_task)[0] == 200
         if order == "change first" and change in ("draining", "gone", "unlisted"):
             assert not server.requests and len(other.requests) == 1
         if order == "change first" and change == "restarted" and server.requests:
             assert server.connections == 2  # The connection to the old process carried nothing.
         assert len(server.requests) + len(other.requests) == 1
-        await until(lambda: only_idle_connections_counted(bench))
+        await wait_until(lambda: only_idle_connections_counted(bench))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_server_removed_as_retry_is_chosen_reports_not_sent():
     """The server is removed within the event that chooses it, so the retry is reported as not sent."""
 
     async def scenario():
-        servers = [Server(always(REJECTED)), Server(always(REJECTED)), Server()]
-        bench = await Bench(*servers, policy_limits={"max_attempts": 6, "connect_timeout": MOMENT}).start()
+        servers = [Server(respond_with(REJECTED)), Server(respond_with(REJECTED)), Server()]
+        bench = await Bench(*servers, policy_limits={"max_attempts": 6, "connect_timeout": SECOND_US}).start()
         node = bench.node
         send = node.balancer.actions.send
 
@@ -367,12 +369,12 @@
 
         node.send = retire_and_send
         outcomes = record_outcomes(bench)
-        await bench.once(call("invite"))
+        await bench.request_once(call("invite"))
         assert Outcome.RESET not in outcomes
         if len(outcomes) > 1:
             assert outcomes[1] == Outcome.NOT_SENT
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 # ---- Endless messages ----------------------------------------------------------------------------
@@ -406,12 +408,12 @@
 
         bench = await Bench(Server(endless), policy_limits={"max_attempts": 1}).start()
         outcomes = record_outcomes(bench)
-        assert (await bench.once(call("invite")))[0] == 502
+        assert (await bench.request_once(call("invite")))[0] == 502
         assert outcomes == [Outcome.RESET]
-        await until(lambda: bench.node.descriptor_budget.servers == 0)
+        await wait_until(lambda: bench.node.descriptor_budget.servers == 0)
         assert bench.node.memory_budget.held_bytes == 0 and not bench.node.requests.pending
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -436,7 +438,7 @@
         status, headers, _ = await client.receive()
         assert status == 431 and headers["connection"] == "close"
         client.writer.close()
-        await until(lambda: not bench.node.client_connections.connections)
+        await wait_until(lambda: not bench.node.client_connections.connections)
         assert not server.requests and bench.node.memory_budget.held_bytes == 0
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,7 +1,7 @@
 """Many clients on loopback sockets: which connections are evicted, and which clients are still served."""
 
 import pytest
-from loopback import OK, Bench, Client, Clock, Server, always, call, play, until
+from loopback import OK, Bench, Client, FakeTimeLoop, Server, call, respond_with, run_scenario, wait_until
 
 from balancer.net.downstream.client_eviction import HEAD_WRITE_GRACE_S
 from balancer.net.process.descriptor_budget import DescriptorBudget
@@ -13,7 +13,7 @@
 async def wait_for_connections(bench: Bench, count: int) -> None:
     """Wait until so many client connections are established."""
     connections = bench.node.client_connections.connections
-    await until(lambda: len(connections) == count and all(c.transport for c in connections))
+    await wait_until(lambda: len(connections) == count and all(c.transport for c in connections))
 
 
 async def connect_client(bench: Bench, data: bytes, age: float, count: int) -> Client:
@@ -24,7 +24,7 @@
     (connection,) = set(bench.node.client_connections.connections) - before
     if data:
         client.send(data)
-        await until(lambda: connection.partial_request is not None)
+        await wait_until(lambda: connection.partial_request is not None)
     connection.last_active_at -= age
     return client
 
@@ -39,10 +39,10 @@
             clients.append(await bench.client())
             clients[-1].send(PARTIAL_HEAD)
         for _ in range(10):
-            assert (await bench.once(call()))[0] == 200
+            assert (await bench.request_once(call()))[0] == 200
         assert bench.node.client_connections.counts["gave_way_headless"] > 50
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_idle_connections_do_not_block_other_clients():
@@ -51,10 +51,10 @@
         clients = []
         for _ in range(100):
             clients.append(await bench.client())
-            assert (await clients[-1].ask(call()))[0] == 200
+            assert (await clients[-1].request(call()))[0] == 200
         assert bench.node.descriptor_budget.clients <= bench.node.descriptor_budget.total
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_eviction_order_is_stale_then_idle_then_writing():
@@ -64,7 +64,7 @@
         bench = await Bench(Server()).start()
         writing = await connect_client(bench, PARTIAL_HEAD, HEAD_WRITE_GRACE_S - 0.5, 1)
         idle = await connect_client(bench, b"", 0, 2)
-        assert (await idle.ask(call()))[0] == 200
+        assert (await idle.request(call()))[0] == 200
         late = await connect_client(bench, PARTIAL_HEAD, HEAD_WRITE_GRACE_S, 3)
         silent = await connect_client(bench, b"", 2 * HEAD_WRITE_GRACE_S, 4)
         client_connections = bench.node.client_connections
@@ -75,19 +75,19 @@
         assert (await writing.receive())[0] == 200
         assert client_connections.counts == {"gave_way_headless": 2, "gave_way_idle": 1}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_connection_with_request_is_not_evicted():
     async def scenario():
-        bench = await Bench(server := Server(always(None))).start()
+        bench = await Bench(server := Server(respond_with(None))).start()
         client = await bench.client()
         client.send(call())
-        await until(lambda: len(server.requests) == 1)
+        await wait_until(lambda: len(server.requests) == 1)
         assert not bench.node.client_connections.evict_one()
         body = await bench.client()
         body.send(call("offer", body=b"x" * 10)[:-5])
-        await until(
+        await wait_until(
             lambda: any(
                 c.partial_request and not c.parser.head_incomplete
                 for c in bench.node.client_connections.connections
@@ -95,7 +95,7 @@
         )
         assert not bench.node.client_connections.evict_one()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_connection_with_unread_data_is_not_evicted():
@@ -107,7 +107,7 @@
         client.send(b"x")  # The node's event loop does not run before the next line.
         assert not bench.node.client_connections.evict_one()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_server_connect_evicts_clients_without_request():
@@ -130,7 +130,7 @@
         assert bench.node.client_connections.counts == {"gave_way_idle": 1, "gave_way_headless": 1}
         budget.servers -= 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("total", [8, 30, 75, 300, 950])
@@ -151,17 +151,19 @@
 
 def test_sweep_counts_late_heads_and_silent_clients(monkeypatch):
     async def scenario():
-        bench = await Bench(Server(always(OK))).start()
+        bench = await Bench(Server(respond_with(OK))).start()
         writing = await connect_client(bench, PARTIAL_HEAD, 0, 1)
         silent = await connect_client(bench, b"", 0, 2)
         client_connections = bench.node.client_connections
-        monkeypatch.setattr(client_connections, "loop", Clock(bench.node.loop, bench.node.loop.time() + 60))
+        monkeypatch.setattr(
+            client_connections, "loop", FakeTimeLoop(bench.node.loop, bench.node.loop.time() + 60)
+        )
         client_connections.sweep()
         assert (await writing.receive())[0] == 408
         assert await silent.ended()
         assert client_connections.counts == {"late": 1, "silent": 1}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_idle_clients_leave_room_for_new_clients():
@@ -174,17 +176,17 @@
         clients = []
         for _ in range(budget.max_clients()):
             clients.append(await bench.client())
-            assert (await clients[-1].ask(call()))[0] == 200
+            assert (await clients[-1].request(call()))[0] == 200
         assert len(bench.node.client_connections.connections) == budget.max_idle_clients
         assert bench.node.client_connections.counts["gave_way_idle"] == len(clients) - budget.max_idle_clients
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_unused_server_connection_evicted_before_writing_client():
     async def scenario():
         bench = await Bench(Server()).start()
-        assert (await bench.once(call()))[0] == 200
+        assert (await bench.request_once(call()))[0] == 200
         await wait_for_connections(bench, 0)
         writing = await connect_client(bench, PARTIAL_HEAD, 0, 1)
         (endpoint,) = bench.node.pool.endpoints.values()
@@ -195,4 +197,4 @@
         assert (await writing.receive())[0] == 200
         assert bench.node.pool.close_unused() is False  # The connection to the server was just used.
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from loopback import MOMENT, Bench, Server, call, gated, play, settings, until
+from loopback import SECOND_US, Bench, Server, call, respond_after, run_scenario, settings, wait_until
 
 SettingsChange = dict[str, Any]
 
@@ -37,7 +37,7 @@
         ("cancel", "conn_idle", "connect_timeout", "max_retry_after", "peers", "probing", "retry_after"))},
     "unknown keys": {"colour": "blue", "policy_limits": {"flux": 7}, **changed_classes(moon="full")},
     "deadlines of 90 ms": changed_classes(goal_time=40_000, hard_limit=90_000),
-    "deadlines of a minute": changed_classes(goal_time=30 * MOMENT, hard_limit=60 * MOMENT),
+    "deadlines of a minute": changed_classes(goal_time=30 * SECOND_US, hard_limit=60 * SECOND_US),
     "worth of zero": changed_classes(worth=0.0, late_value=0.0),
     "late_value, window, group not set": changed_classes(late_value=None, window=None, group=None),
     "a later tier": {"layers": ["front", "store", "cellar"], "tier": 2},
@@ -50,11 +50,11 @@
     async def scenario() -> None:
         bench = await Bench(server := Server(), **copy.deepcopy(change)).start()
         for class_name in ("view", "invite", "offer"):
-            assert (await bench.once(call(class_name, budget=20_000)))[0] == 200
+            assert (await bench.request_once(call(class_name, budget=20_000)))[0] == 200
         assert [r.method for r in server.requests] == ["GET", "POST", "POST"]
         assert not bench.node.requests.pending
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("effect", ["free", "guarded", "single_shot", "unknown effect"])
@@ -72,26 +72,26 @@
         for method in (b"GET", b"POST"):
             length = b"Content-Length: 0\r\n" if method == b"POST" else b""
             data = b"%b /%b/x HTTP/1.1\r\n%b%b\r\n" % (method, name.encode(), lines, length)
-            statuses[method] = (await bench.once(data))[0]
+            statuses[method] = (await bench.request_once(data))[0]
         assert statuses == ({b"GET": 200, b"POST": 405} if effect == "free" else {b"GET": 405, b"POST": 200})
-        assert (await bench.once(call("view")))[0] == (404 if name != "view" else statuses[b"GET"])
+        assert (await bench.request_once(call("view")))[0] == (404 if name != "view" else statuses[b"GET"])
         assert len(server.requests) == 1 + (name == "view" and effect == "free")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_max_open_of_one_rejects_second_request() -> None:
     async def scenario() -> None:
         release = asyncio.Event()
-        bench = await Bench(server := Server(gated(release)), policy_limits={"max_open": 1}).start()
+        bench = await Bench(server := Server(respond_after(release)), policy_limits={"max_open": 1}).start()
         first = await bench.client()
         first.send(call("invite"))
-        await until(lambda: len(server.requests) == 1)
-        assert (await bench.once(call()))[0] == 503
+        await wait_until(lambda: len(server.requests) == 1)
+        assert (await bench.request_once(call()))[0] == 503
         release.set()
-        assert (await first.receive())[0] == 200 and (await bench.once(call()))[0] == 200
+        assert (await first.receive())[0] == 200 and (await bench.request_once(call()))[0] == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_two_nodes_in_one_process_share_no_settings() -> None:
@@ -105,11 +105,11 @@
             classes=[request_class | {"name": "post", "effect": "single_shot"}],
             tenants=[],
         ).start()
-        assert (await one.once(call("view")))[0] == 200
-        assert (await other.once(call("view")))[0] == 404
+        assert (await one.request_once(call("view")))[0] == 200
+        assert (await other.request_once(call("view")))[0] == 404
         lines = b"Host: a\r\nX-Call-Id: 1\r\nX-Budget-Ms: 9000\r\nContent-Length: 0\r\n"
         data = b"POST /post HTTP/1.1\r\n%b\r\n" % lines
-        assert (await other.once(data))[0] == 200 and (await one.once(data))[0] == 404
+        assert (await other.request_once(data))[0] == 200 and (await one.request_once(data))[0] == 404
         assert len(other_server.requests) == 1
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_discovery_delays.py
+++ b/tests/test_discovery_delays.py
@@ -6,13 +6,13 @@
 
 import pytest
 from loopback import (
-    MOMENT,
+    SECOND_US,
     Bench,
     Server,
-    node_table,
-    play,
+    node_config,
+    run_scenario,
     settings,
-    until,
+    wait_until,
 )
 from virtual_time import FAULTS, REQUEST_FAULTS, FakeDiscovery, VirtualTimeLoop, list_response
 
@@ -27,15 +27,15 @@
 
 
 @pytest.fixture
-def production_watch(monkeypatch, patient_watch):
+def production_watch(monkeypatch, production_max_watch_ms):
     """Restore the production watch time, which `conftest.py` extends for the other tests."""
-    monkeypatch.setattr(node_discovery, "MAX_WATCH_MS", patient_watch)
+    monkeypatch.setattr(node_discovery, "MAX_WATCH_MS", production_max_watch_ms)
 
 
 def start_node(loop, mode, known=True):
     """Start a node with its discovery at port 1."""
-    rules = settings()["rules"] | {"ask_within": 100 * MOMENT}
-    table = node_table(1, settings(discovery=mode, rules=rules))
+    rules = settings()["rules"] | {"ask_within": 100 * SECOND_US}
+    table = node_config(1, settings(discovery=mode, rules=rules))
     table["known"] = table["known"] | {"version": 41} if known else None
     node = Node(read(table | {"discovery": "10.0.0.9:1"}), loop)
     node.event_queue.post(node.balancer.start)
@@ -245,8 +245,8 @@
         bench.node.server_registry.log.line = lambda text: (
             failure_lines.append(text) if "failed" in text else None
         )
-        await until(lambda: bench.node.discovery.version >= 60)
+        await wait_until(lambda: bench.node.discovery.version >= 60)
         assert not failure_lines
         bench.node.discovery.close()
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -9,19 +9,19 @@
 import pytest
 from loopback import (
     Client,
+    ConfigTable,
     Discovery,
     Request,
     Server,
-    Table,
     call,
-    connected,
+    connect_when_listening,
     free_port,
-    gated,
-    node_table,
-    play,
+    node_config,
+    respond_after,
+    run_scenario,
     settings,
-    spawn,
-    until,
+    spawn_node,
+    wait_until,
 )
 
 MAX_DESCRIPTORS = 56  # The limit for the process.
@@ -50,7 +50,7 @@
         old, new = self.servers
         return self.list_of([old.entry("s0", "draining"), new.entry("s1")])
 
-    def list_of(self, lines: list[Table]) -> bytes:
+    def list_of(self, lines: list[ConfigTable]) -> bytes:
         body = json.dumps({"version": 43, "full": False, "servers": lines}).encode()
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
@@ -81,24 +81,24 @@
     """
 
     async def scenario() -> None:
-        await (old := Server(gated(asyncio.Event()))).start()
+        await (old := Server(respond_after(asyncio.Event()))).start()
         await (new := Server()).start()
         discovery = ReturningDiscovery(old, new)
         port, discovery_port = free_port(), free_port()
         if down == "silent":
             await discovery.listen(discovery_port)
-        table = node_table(discovery_port, settings(discovery="push"), f"127.0.0.1:{port}", old.entry("s0"))
-        process = await spawn(tmp_path, table | {"limits": {"sockets": MAX_DESCRIPTORS}})
-        await connected(first := Client(port))
+        table = node_config(discovery_port, settings(discovery="push"), f"127.0.0.1:{port}", old.entry("s0"))
+        process = await spawn_node(tmp_path, table | {"limits": {"sockets": MAX_DESCRIPTORS}})
+        await connect_when_listening(first := Client(port))
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (MAX_DESCRIPTORS, MAX_DESCRIPTORS))
         descriptor_folder = f"/proc/{process.pid}/fd"
         initial_descriptor_count = len(os.listdir(descriptor_folder))
         crowd = await clients_that_fill_descriptors(behaviour, port)
-        await until(lambda: len(os.listdir(descriptor_folder)) >= initial_descriptor_count + 8)
+        await wait_until(lambda: len(os.listdir(descriptor_folder)) >= initial_descriptor_count + 8)
         discovery.back.set()
         if down == "refused":
             await discovery.listen(discovery_port)
-        await until(discovery.is_watched_again)
+        await wait_until(discovery.is_watched_again)
         assert len(os.listdir(descriptor_folder)) <= MAX_DESCRIPTORS
         for client in (first, *crowd):
             client.writer.close()
@@ -111,7 +111,7 @@
         process.terminate()
         assert await asyncio.wait_for(process.wait(), 20) == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("mode", ["push", "ask"])
@@ -125,14 +125,14 @@
         if down == "silent":
             await discovery.start()
             discovery_port = discovery.port
-        table = node_table(discovery_port, settings(discovery=mode), f"127.0.0.1:{port}", server.entry("s0"))
+        table = node_config(discovery_port, settings(discovery=mode), f"127.0.0.1:{port}", server.entry("s0"))
         for stop in ("kill", "terminate"):
-            process = await spawn(tmp_path, table)
-            await connected(client := Client(port))
-            assert (await client.ask(READY))[0] == 200
-            assert (await client.ask(call()))[0] == 200
+            process = await spawn_node(tmp_path, table)
+            await connect_when_listening(client := Client(port))
+            assert (await client.request(READY))[0] == 200
+            assert (await client.request(call()))[0] == 200
             client.writer.close()
             getattr(process, stop)()
             await process.wait()
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -6,15 +6,15 @@
 
 import pytest
 from loopback import (
-    MOMENT,
+    SECOND_US,
     Bench,
     Discovery,
     Server,
     call,
     free_port,
-    play,
+    run_scenario,
     settings,
-    until,
+    wait_until,
 )
 from unaccepting_listener import unaccepting_port
 
@@ -25,24 +25,24 @@
 def test_node_is_ready_once_it_has_server_list():
     async def scenario():
         bench = await Bench(server := Server(), config={"known": None}).start()
-        assert (await bench.once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 503
-        bench.discovery.say(42, True, server.entry("s0"))
-        await until(lambda: bench.node.lifecycle.is_serving)
-        assert (await bench.once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
+        assert (await bench.request_once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 503
+        bench.discovery.send_list(42, True, server.entry("s0"))
+        await wait_until(lambda: bench.node.lifecycle.is_serving)
+        assert (await bench.request_once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_watch_is_renewed_at_once_with_current_version():
     async def scenario():
         bench = await Bench(server := Server()).start()
-        bench.discovery.say(43, False, server.entry("s0"))
-        await until(lambda: len(bench.discovery.requests) == 2)
+        bench.discovery.send_list(43, False, server.entry("s0"))
+        await wait_until(lambda: len(bench.discovery.requests) == 2)
         first, second = (r.target for r in bench.discovery.requests)
         assert "since=41&" in first and "since=43&" in second
         assert bench.discovery.connections == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("full", [False, True])
@@ -52,18 +52,18 @@
     async def scenario():
         bench = await Bench(draining := Server(), remaining := Server()).start()
         while not draining.requests:
-            assert (await bench.once(call()))[0] == 200
+            assert (await bench.request_once(call()))[0] == 200
         if full:
-            bench.discovery.say(43, True, remaining.entry("s1"))
+            bench.discovery.send_list(43, True, remaining.entry("s1"))
         else:
-            bench.discovery.say(43, False, draining.entry("s0", "draining"))
-        await until(lambda: draining.closed == draining.connections)
+            bench.discovery.send_list(43, False, draining.entry("s0", "draining"))
+        await wait_until(lambda: draining.closed == draining.connections)
         sent = len(draining.requests)
         for _ in range(10):
-            assert (await bench.once(call()))[0] == 200
+            assert (await bench.request_once(call()))[0] == 200
         assert len(draining.requests) == sent
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_server_draining_during_connect_gets_no_bytes():
@@ -71,8 +71,8 @@
 
     async def scenario():
         bench = await Bench(draining := Server(), remaining := Server(), config={"known": None}).start()
-        bench.discovery.say(42, True, draining.entry("s0"))
-        await until(lambda: bench.node.lifecycle.is_serving)
+        bench.discovery.send_list(42, True, draining.entry("s0"))
+        await wait_until(lambda: bench.node.lifecycle.is_serving)
         start = bench.node.balancer.request
 
         def request(*args):
@@ -81,23 +81,23 @@
             bench.node.discovery.on_watch_response(bench.node.discovery.watch_call, json.dumps(body).encode())
 
         bench.node.balancer.request = request
-        assert (await bench.once(call("invite")))[0] == 200
+        assert (await bench.request_once(call("invite")))[0] == 200
         assert not draining.requests and len(remaining.requests) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_address_change_retires_old_connections():
     async def scenario():
         bench = await Bench(old := Server()).start()
         await Server.start(new := Server())
-        assert (await bench.once(call()))[0] == 200
-        bench.discovery.say(43, False, new.entry("s0"))
-        await until(lambda: old.closed == 1)
-        assert (await bench.once(call()))[0] == 200
+        assert (await bench.request_once(call()))[0] == 200
+        bench.discovery.send_list(43, False, new.entry("s0"))
+        await wait_until(lambda: old.closed == 1)
+        assert (await bench.request_once(call()))[0] == 200
         assert len(new.requests) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -109,23 +109,23 @@
 
     async def scenario():
         bench = await Bench(server := Server()).start()
-        bench.discovery.raw(body)
-        await until(lambda: len(bench.discovery.requests) == 2)
-        assert (await bench.once(call()))[0] == 200 and server.requests
+        bench.discovery.send_response(body)
+        await wait_until(lambda: len(bench.discovery.requests) == 2)
+        assert (await bench.request_once(call()))[0] == 200 and server.requests
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_failed_watch_is_reopened():
     async def scenario():
         bench = await Bench(Server()).start()
-        bench.discovery.raw(b"", b"503 Busy")
-        await until(lambda: len(bench.discovery.requests) == 2)
+        bench.discovery.send_response(b"", b"503 Busy")
+        await wait_until(lambda: len(bench.discovery.requests) == 2)
         bench.discovery.answers.put_nowait(None)  # Discovery closes the connection.
-        await until(lambda: len(bench.discovery.requests) == 3)
-        assert (await bench.once(call()))[0] == 200
+        await wait_until(lambda: len(bench.discovery.requests) == 3)
+        assert (await bench.request_once(call()))[0] == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("outage", ["refused", "unaccepting", "silent"])
@@ -136,7 +136,7 @@
         monkeypatch.setattr("balancer.net.discovery.call.CONNECT_TIMEOUT_S", 0.2)
         monkeypatch.setattr("balancer.net.discovery.client.MAX_WATCH_MS", 200)
         monkeypatch.setattr("balancer.net.discovery.client.RESPONSE_TIMEOUT_S", 0.2)
-        rules = settings()["rules"] | {"ask_within": MOMENT}
+        rules = settings()["rules"] | {"ask_within": SECOND_US}
         bench = await Bench(old := Server(), rules=rules).start()
         await Server.start(new := Server())
         node = bench.node
@@ -152,25 +152,27 @@
             # The fake discovery is silent until it is given a response to send.
             if outage != "silent":
                 node.discovery.address = ("127.0.0.1", free_port() if outage == "refused" else unaccepting)
-            await until(lambda: sum(failures) >= 3)
-            assert (await bench.once(call()))[0] == 200 and old.requests  # The last list stays in use.
+            await wait_until(lambda: sum(failures) >= 3)
+            assert (await bench.request_once(call()))[
+                0
+            ] == 200 and old.requests  # The last list stays in use.
         await Server.start(back := Discovery())
         node.discovery.address = ("127.0.0.1", back.port)
-        back.say(50, True, new.entry("s1"))
-        await until(lambda: not failures[-1])
+        back.send_list(50, True, new.entry("s1"))
+        await wait_until(lambda: not failures[-1])
         previous_count = len(old.requests)
-        assert (await bench.once(call()))[0] == 200 and len(old.requests) == previous_count
+        assert (await bench.request_once(call()))[0] == 200 and len(old.requests) == previous_count
         assert len(new.requests) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_watch_waits_are_short_and_jittered_per_node(monkeypatch, patient_watch):
+def test_watch_waits_are_short_and_jittered_per_node(monkeypatch, production_max_watch_ms):
     """Watches must be short, or an unresponsive one would delay a list change by most of a minute.
 
     The jitter keeps the watches of several nodes from being renewed in step.
     """
-    monkeypatch.setattr(node_discovery, "MAX_WATCH_MS", patient_watch)
+    monkeypatch.setattr(node_discovery, "MAX_WATCH_MS", production_max_watch_ms)
 
     def waits(seed):
         calls = []
@@ -190,9 +192,9 @@
 def test_node_watches_server_list_itself_in_push_mode():
     async def scenario():
         bench = await Bench(server := Server(), discovery="push", config={"known": None}).start()
-        bench.discovery.raw(b"", b"503 Busy")
-        bench.discovery.say(42, True, server.entry("s0"))
-        await until(lambda: bench.node.lifecycle.is_serving)
-        assert (await bench.once(call()))[0] == 200
+        bench.discovery.send_response(b"", b"503 Busy")
+        bench.discovery.send_list(42, True, server.entry("s0"))
+        await wait_until(lambda: bench.node.lifecycle.is_serving)
+        assert (await bench.request_once(call()))[0] == 200
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 import pytest
-from fleet_section import fleet_of, fleet_section, free_udp_port, key_file, node_file
-from loopback import Bench, play, until
+from fleet_section import fleet_runtime, fleet_section, free_udp_port, write_key_file, write_node_config
+from loopback import Bench, run_scenario, wait_until
 
 from balancer.fleet.config import FleetConfigError, read_fleet
 from balancer.fleet.endpoint import counter_key
@@ -83,16 +83,16 @@
     ("mode", "text", "message"), [(0o644, "k" * 20, "chmod 600"), (0o600, "short", "16 to")]
 )
 def test_readable_or_short_key_file_is_rejected(tmp_path: Path, mode: int, text: str, message: str) -> None:
-    key = key_file(tmp_path, text, mode)
+    key = write_key_file(tmp_path, text, mode)
     with pytest.raises(FleetConfigError, match=message):
         read_fleet(fleet_section(tmp_path, key=key), "n0")
 
 
 def test_node_without_fleet_section_imports_no_fleet_module(tmp_path: Path) -> None:
     """A node that shares nothing with others must not load the fleet's modules or send datagrams."""
-    config = load(node_file(tmp_path))
+    config = load(write_node_config(tmp_path))
     assert config.fleet is None
-    with_fleet = load(node_file(tmp_path, fleet=fleet_section(tmp_path)))
+    with_fleet = load(write_node_config(tmp_path, fleet=fleet_section(tmp_path)))
     assert with_fleet.reserved_descriptors == config.reserved_descriptors + 1
     code = (
         "import asyncio, os, sys, balancer.__main__ as m;"
@@ -100,13 +100,15 @@
         "n = Node(c, asyncio.new_event_loop()); assert b'/fleet' not in n.paths() and n.fleet is None;"
         "print([x for x in sys.modules if x.startswith(('balancer.fleet', 'msgspec'))])"
     )
-    env = os.environ | node_file(tmp_path)
+    env = os.environ | write_node_config(tmp_path)
     out = subprocess.run([sys.executable, "-c", code], env=env, capture_output=True, text=True, check=True)
     assert out.stdout == "[]\n"
 
 
 def test_invalid_section_prints_all_faults_and_exits_with_2(tmp_path: Path) -> None:
-    env = os.environ | node_file(tmp_path, fleet={"zone": 3, "listen": "x", "seeds": [], "key": "/nowhere"})
+    env = os.environ | write_node_config(
+        tmp_path, fleet={"zone": 3, "listen": "x", "seeds": [], "key": "/nowhere"}
+    )
     out = subprocess.run(
         [sys.executable, "-m", "balancer"], env=env, capture_output=True, text=True, timeout=60
     )
@@ -114,7 +116,7 @@
     assert out.returncode == 2 and len(lines) == 3
     assert all(line.startswith("balancer: fleet.") for line in lines)
     with pytest.raises(ConfigError, match="not an object"):
-        load(node_file(tmp_path, fleet=[1]))
+        load(write_node_config(tmp_path, fleet=[1]))
 
 
 def test_join_and_leave_are_shown_on_fleet_page(tmp_path: Path) -> None:
@@ -127,19 +129,24 @@
     async def scenario() -> None:
         ports = [free_udp_port(), free_udp_port()]
         one = await Bench(config=table(ports[0], [f"127.0.0.1:{ports[1]}"]), peers=False).start()
-        await until(lambda: fleet_of(one).sent["sync"] > 0)
+        await wait_until(lambda: fleet_runtime(one).sent["sync"] > 0)
         two = await Bench(config=table(ports[1], []), peers=False).start()
-        await until(lambda: bool(fleet_of(one).membership.alive() and fleet_of(two).membership.alive()))
-        fleet_of(one).datagram_received(b"x" * 100, ("127.0.0.1", 9))
+        await wait_until(
+            lambda: bool(fleet_runtime(one).membership.alive() and fleet_runtime(two).membership.alive())
+        )
+        fleet_runtime(one).datagram_received(b"x" * 100, ("127.0.0.1", 9))
         page = json.loads(one.node.paths()[b"/fleet"].handler()[1])
         assert page["refused"] == {"version": 1} and page["events"]["join"] == 1
         assert [(m["name"], m["state"]) for m in page["members"]] == [(f"n{ports[1]}", "alive")]
-        fleet_of(two).leave()
-        await until(lambda: not fleet_of(one).membership.alive())
-        assert fleet_of(one).view()["members"][0]["state"] == "left" and not fleet_of(two).view()["open"]
-        fleet_of(one).close()
+        fleet_runtime(two).leave()
+        await wait_until(lambda: not fleet_runtime(one).membership.alive())
+        assert (
+            fleet_runtime(one).view()["members"][0]["state"] == "left"
+            and not fleet_runtime(two).view()["open"]
+        )
+        fleet_runtime(one).close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_successor_process_takes_over_port_and_name(tmp_path: Path) -> None:
@@ -154,17 +161,17 @@
             await second.start()
         second.node.handover.is_shared = True
         await second.node.open_fleet()
-        assert fleet_of(second).transport is None
+        assert fleet_runtime(second).transport is None
         first.node.handover.is_older = True
         first.node.on_shared(True)
-        await until(lambda: fleet_of(second).swim is not None)
+        await wait_until(lambda: fleet_runtime(second).swim is not None)
         assert (
-            fleet_of(second).membership.local_claim.incarnation
-            > fleet_of(first).membership.local_claim.incarnation
+            fleet_runtime(second).membership.local_claim.incarnation
+            > fleet_runtime(first).membership.local_claim.incarnation
         )
-        fleet_of(second).close()
+        fleet_runtime(second).close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_failing_tick_and_invalid_address_stop_nothing_else(
@@ -180,8 +187,8 @@
             tmp_path, listen=f"127.0.0.1:{free_udp_port()}", voters=["n0", "b", "c"], period_ms=100, zones={}
         )
         bench = await Bench(config={"fleet": section, "management": "127.0.0.1:0"}, peers=False).start()
-        fleet = fleet_of(bench)
-        await until(lambda: fleet.swim is not None and fleet.timer is not None)
+        fleet = fleet_runtime(bench)
+        await wait_until(lambda: fleet.swim is not None and fleet.timer is not None)
         fleet.transmit(Message(Kind.PING, "n0"), ("no such host", 1))
         assert fleet.events["unsendable"] == 1
         ticks: list[int] = []
@@ -192,7 +199,7 @@
 
         monkeypatch.setattr(fleet.swim, "tick", failing_tick)
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
-        await until(lambda: len(ticks) >= 3)
+        await wait_until(lambda: len(ticks) >= 3)
         for path, query, status in (
             (b"/fleet/hold", b"duty=replace&script=s", 400),
             (b"/fleet/hold", b"duty=&script=s", 400),
@@ -212,7 +219,7 @@
         for path in (b"/fleet/replace", b"/fleet/zone"):
             assert bench.node.paths()[path].handler(b"do=begin")[0] == 503
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fleet_clocks.py
+++ b/tests/test_fleet_clocks.py
@@ -12,19 +12,19 @@
 
 import pytest
 from fleet_section import fleet_section, free_udp_port
-from loopback import PATIENCE, settings
+from loopback import TIMEOUT_S, settings
 from test_rolling_update import Members
 from virtual_fleet import (
+    CLOCK_STEPS,
     EARLIER,
-    HERE,
     HOUR,
+    N1_ADDRESS,
     NEW,
     SEC,
-    STEPS,
     VirtualFleet,
+    change_counts,
     changes_since,
-    changes_so_far,
-    settled,
+    settled_fleet,
 )
 
 from balancer.fleet.clocks import Clocks
@@ -44,26 +44,26 @@
 # ---- Clock steps ----------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.parametrize("step", CLOCK_STEPS)
 @pytest.mark.parametrize("kinds", KINDS)
 def test_clock_step_of_running_process_changes_no_membership(kinds, step) -> None:
-    fleet = settled(*kinds)
-    before, refused = changes_so_far(fleet), fleet.processes[HERE].codec.dropped.copy()
-    fleet.processes[HERE].offset += step
+    fleet = settled_fleet(*kinds)
+    before, refused = change_counts(fleet), fleet.processes[N1_ADDRESS].codec.dropped.copy()
+    fleet.processes[N1_ADDRESS].offset += step
     fleet.run(60)
     assert changes_since(fleet, before) == [] and fleet.complete()
-    assert fleet.processes[HERE].codec.dropped == refused
+    assert fleet.processes[N1_ADDRESS].codec.dropped == refused
     assert all(p.codec.dropped["clock"] == 0 for p in fleet.processes.values())
 
 
-@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.parametrize("step", CLOCK_STEPS)
 @pytest.mark.parametrize("downtime_s", [3, 200], ids=["not-suspected", "forgotten"])
 def test_process_restarted_with_clock_step_is_accepted(step, downtime_s) -> None:
-    fleet = settled(NEW, NEW, NEW, NEW)
+    fleet = settled_fleet(NEW, NEW, NEW, NEW)
     fleet.kill(4)
     fleet.run(downtime_s)
     restarted = fleet.start(4, offset=step)
-    before = changes_so_far(fleet)
+    before = change_counts(fleet)
     assert fleet.until(lambda: fleet.accepted_by_all(restarted), 4)
     fleet.run(30)
     assert fleet.complete() and not {"suspect", "dead"} & {c for c, _ in changes_since(fleet, before)}
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize("step", [-20 * SEC, -5 * SEC, 5 * SEC, 20 * SEC])
 def test_restart_is_accepted_within_earlier_versions_tolerance(step) -> None:
     for kind in (NEW, EARLIER):
-        fleet = settled(NEW, EARLIER, NEW, EARLIER)
+        fleet = settled_fleet(NEW, EARLIER, NEW, EARLIER)
         fleet.kill(4)
         fleet.run(3)
         restarted = fleet.start(4, kind, step)
@@ -80,7 +80,7 @@
 
 
 def test_restarted_seed_with_clock_set_back_rejoins() -> None:
-    fleet = settled(NEW, NEW, NEW, NEW)
+    fleet = settled_fleet(NEW, NEW, NEW, NEW)
     fleet.kill(1)
     fleet.run(3)
     restarted = fleet.start(1, offset=-HOUR)
@@ -92,8 +92,8 @@
 
     Its incarnation must not grow with each restart, or it would end up out of range.
     """
-    fleet = settled(NEW, NEW, NEW)
-    highest = fleet.processes[HERE].wall() + HOUR + 120 * SEC
+    fleet = settled_fleet(NEW, NEW, NEW)
+    highest = fleet.processes[N1_ADDRESS].wall() + HOUR + 120 * SEC
     for restart in range(6):
         fleet.kill(3)
         fleet.run(3)
@@ -115,8 +115,8 @@
 
     In both cases it has to prove again that it is live.
     """
-    fleet = settled(NEW, NEW, EARLIER)
-    before = changes_so_far(fleet)
+    fleet = settled_fleet(NEW, NEW, EARLIER)
+    before = change_counts(fleet)
     fleet.processes["10.0.0.1", 3].offset += step
     fleet.run(120)
     assert changes_since(fleet, before) == [] and fleet.complete()
@@ -189,7 +189,7 @@
     return RollingUpdate(name, "here", incarnation, Members(), started_at)
 
 
-@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.parametrize("step", CLOCK_STEPS)
 @pytest.mark.parametrize(("start_s", "is_outdated"), [(50, True), (100, True), (101, False), (150, False)])
 def test_plan_age_decides_which_processes_are_outdated(step, start_s, is_outdated) -> None:
     """Only a process that started by the time the plan began, at second 100, is told to end.
@@ -274,14 +274,14 @@
 def fleet_page(port):
     """Return the page `GET /fleet` of a process, or an empty one while the process is not reachable."""
     try:
-        with urllib.request.urlopen(f"http://127.0.0.1:{port}/fleet", timeout=PATIENCE) as response:
+        with urllib.request.urlopen(f"http://127.0.0.1:{port}/fleet", timeout=TIMEOUT_S) as response:
             return json.load(response)
     except OSError:
         return {"members": [], "incarnation": 0, "received": {}, "refused": {}}
 
 
 def wait_until(condition):
-    deadline = time.monotonic() + PATIENCE
+    deadline = time.monotonic() + TIMEOUT_S
     while not condition():
         assert time.monotonic() < deadline, condition
         time.sleep(0.02)
--- a/tests/test_fleet_components.py
+++ b/tests/test_fleet_components.py
@@ -14,8 +14,8 @@
 
 import msgspec
 import pytest
-from fleet_section import fleet_of, fleet_section, free_udp_port, node_file
-from loopback import Bench, play, until
+from fleet_section import fleet_runtime, fleet_section, free_udp_port, write_node_config
+from loopback import Bench, run_scenario, wait_until
 
 from balancer.fleet.assembly import FleetComponents, build_components
 from balancer.fleet.component import Component, Outgoing, Runtime
@@ -189,24 +189,24 @@
         address = ("127.0.0.1", ports[1])
         sent_by_address = (ToyKind.TOY_RESPONSE, "two", "", address)
         sent_by_name = (ToyKind.TOY_HELLO, "two", "hello", address)
-        await until(lambda: sent_by_address in first.received_messages)
-        await until(lambda: sent_by_name in first.received_messages)
+        await wait_until(lambda: sent_by_address in first.received_messages)
+        await wait_until(lambda: sent_by_name in first.received_messages)
         # A message to the process itself is delivered without a datagram.
         sent_to_itself = [entry for entry in first.received_messages if entry[1] == "one"]
         assert sent_to_itself and all(entry[0] == ToyKind.TOY_HELLO for entry in sent_to_itself)
-        fleet = fleet_of(one)
+        fleet = fleet_runtime(one)
         page = fleet.view()
         assert page["toy"]["ticks"] >= 1 and page["sent"]["toy_hello"] and page["received"]["toy_response"]
         # The component also sends to the name "nobody", which is not a member.
         assert page["events"]["unknown"] >= 1
         assert page["duties"] is None and page["replace"] is None
         assert fleet.deadline() <= first.next_tick
-        fleet_of(two).leave()
-        await until(lambda: any(entry[2] == "farewell" for entry in first.received_messages))
+        fleet_runtime(two).leave()
+        await wait_until(lambda: any(entry[2] == "farewell" for entry in first.received_messages))
         assert second.calls == ["open", "leave", "close"]
         fleet.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_component_exception_is_reported_and_stops_no_other(
@@ -220,8 +220,8 @@
         reported: list[dict[str, Any]] = []
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: reported.append(context))
         await bench.start()
-        fleet, toy = fleet_of(bench), components[1]
-        await until(lambda: toy.ticks >= 3)
+        fleet, toy = fleet_runtime(bench), components[1]
+        await wait_until(lambda: toy.ticks >= 3)
         assert str(reported[0]["exception"]) == DELIBERATE_FAULT and fleet.events["fault"] >= 3
         admit_sender(fleet, "two")
         fleet.datagram_received(
@@ -236,7 +236,7 @@
         assert failed == {f"fleet: FailingComponent.{method} failed" for method in methods}
         assert toy.calls == ["open", "forgotten b", "leave", "close"] and fleet.transport is None
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 class AlwaysDueComponent(Component):
@@ -263,13 +263,13 @@
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda loop, context: None)
         started_at = loop.time()
-        fleet = fleet_of(await node(tmp_path, "one", free_udp_port()).start())
+        fleet = fleet_runtime(await node(tmp_path, "one", free_udp_port()).start())
         failing, toy = components
-        await until(lambda: toy.ticks >= 4)
+        await wait_until(lambda: toy.ticks >= 4)
         assert failing.ticks <= 2 + (loop.time() - started_at) / 0.1
         fleet.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -284,7 +284,7 @@
     """The codec rejects an unknown kind of a later version; a kind known only to the codec is not handled."""
 
     async def scenario() -> None:
-        fleet = fleet_of(await node(tmp_path, "one", free_udp_port()).start())
+        fleet = fleet_runtime(await node(tmp_path, "one", free_udp_port()).start())
         unknown_message = other_message(OtherKind.UNKNOWN)
         other_codec = Codec(list(fleet.config.keys), [OtherWire(OtherKind.UNKNOWN)])
         admit_sender(fleet, "two")
@@ -295,7 +295,7 @@
         assert fleet.view()["received"]["unknown"] == 1 and fleet.events["unhandled"] == 1
         fleet.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 class ComponentWithMembershipKind(ToyComponent):
@@ -345,7 +345,7 @@
     """A node must not spend memory and start-up time on components that its site does not use."""
     # The names must exist, since a renamed module would never show up as imported.
     assert all(find_spec(name) for name in DECISION_MODULES)
-    env = os.environ | node_file(tmp_path, fleet=fleet_section(tmp_path, **changes))
+    env = os.environ | write_node_config(tmp_path, fleet=fleet_section(tmp_path, **changes))
     out = subprocess.run(
         [sys.executable, "-c", PRINT_IMPORTED_MODULES], env=env, capture_output=True, text=True, check=True
     )
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,18 +14,18 @@
     Bench,
     Client,
     Discovery,
-    Program,
+    NodeProgram,
     Server,
-    always,
     call,
     free_port,
-    node_table,
-    play,
+    node_config,
+    respond_with,
+    run_scenario,
     settings,
-    spawn,
-    until,
+    spawn_node,
+    wait_until,
 )
-from support import BEFORE_RENAMING
+from support import OLD_PACKAGE_REVISION
 
 from balancer.net.process import handover
 from balancer.net.process.handover import FILE_PREFIX, WITHIN_BUDGET_MARKER, Handover, adopt_listening_socket
@@ -60,7 +60,7 @@
     while True:
         try:
             client = await Client(port).open()
-            status = (await client.ask(READY))[0]
+            status = (await client.request(READY))[0]
             client.writer.close()
             if status == 200:
                 return
@@ -75,10 +75,10 @@
 
     In two cases one of the processes runs the last revision before the packages were renamed.
     """
-    programs = {"old": Program(), "new": Program()}
+    programs = {"old": NodeProgram(), "new": NodeProgram()}
     if earlier_revision in programs:
-        unpack(BEFORE_RENAMING, tmp_path / "earlier")
-        programs[earlier_revision] = Program("brackenladder", tmp_path / "earlier")
+        unpack(OLD_PACKAGE_REVISION, tmp_path / "earlier")
+        programs[earlier_revision] = NodeProgram("brackenladder", tmp_path / "earlier")
 
     async def scenario():
         release = asyncio.Event()
@@ -93,17 +93,17 @@
         with open_platform_listener() as listener:
             port, descriptor = listener.getsockname()[1], listener.fileno()
             env = {"LB_INHERITED_FD": str(descriptor), "TMPDIR": str(directory)}
-            table = node_table(discovery.port, settings(), f"127.0.0.1:{port}", server.entry("s0"))
+            table = node_config(discovery.port, settings(), f"127.0.0.1:{port}", server.entry("s0"))
             ports = free_port(), free_port()
             old_management = f"127.0.0.1:{ports[0]}"
-            old = await spawn(
+            old = await spawn_node(
                 tmp_path, table, (descriptor,), programs["old"], **env, LB_MANAGEMENT=old_management
             )
             await wait_until_ready(ports[0])
             (held_client := await Client(port).open()).send(call(extra=b"X-Held: 1\r\n"))
-            await until(lambda: len(server.requests) == 1)
+            await wait_until(lambda: len(server.requests) == 1)
             new_management = f"127.0.0.1:{ports[1]}"
-            new = await spawn(
+            new = await spawn_node(
                 tmp_path, table, (descriptor,), programs["new"], **env, LB_MANAGEMENT=new_management
             )
             await wait_until_ready(ports[1])
@@ -112,7 +112,7 @@
             request_count = 0
             while len(list(directory.iterdir())) == 2:
                 client = await Client(port).open()
-                assert (await client.ask(call()))[0] == 200
+                assert (await client.request(call()))[0] == 200
                 client.writer.close()
                 request_count += 1
                 if request_count == 20:
@@ -120,13 +120,13 @@
             assert (await held_client.receive())[0] == 200
             assert await asyncio.wait_for(old.wait(), 20) == 0
             client = await Client(port).open()
-            assert (await client.ask(call()))[0] == 200
+            assert (await client.request(call()))[0] == 200
             new.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(new.wait(), 20) == 0
             # The platform's socket still listens: neither process has shut it down.
             await Client(port).open()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_inherited_descriptor_not_listening_is_left_open(tmp_path):
@@ -141,10 +141,10 @@
             unbound.bind(("127.0.0.1", 0))  # The socket is still open.
         await (server := Server()).start()
         await (discovery := Discovery()).start()
-        table = node_table(
+        table = node_config(
             discovery.port, settings(), f"127.0.0.1:{(port := free_port())}", server.entry("s")
         )
-        process = await spawn(tmp_path, table, LB_INHERITED_FD="99")
+        process = await spawn_node(tmp_path, table, LB_INHERITED_FD="99")
         assert process.stderr is not None
         assert b"LB_INHERITED_FD=99 is no listening socket" in await process.stderr.readline()
         while True:
@@ -153,11 +153,11 @@
                 break
             except ConnectionRefusedError:
                 await asyncio.sleep(0.01)
-        assert (await client.ask(call()))[0] == 200
+        assert (await client.request(call()))[0] == 200
         process.kill()
         await process.wait()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_new_process_waits_until_older_one_has_shrunk(directory):
@@ -173,16 +173,16 @@
         await old.start(lambda: is_within_budget)
         assert shared_changes["old"] == [] and not old.is_shared
         start = asyncio.create_task(new.start(lambda: True))
-        await until(lambda: shared_changes == {"old": [True], "new": [True]})
+        await wait_until(lambda: shared_changes == {"old": [True], "new": [True]})
         assert old.is_older and not new.is_older and not start.done()
         is_within_budget = True
         await start
         old.close()
-        await until(lambda: shared_changes["new"] == [True, False])
+        await wait_until(lambda: shared_changes["new"] == [True, False])
         new.close()
         assert not list(directory.iterdir())
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_start_times_out_if_older_process_does_not_shrink(directory, monkeypatch):
@@ -196,7 +196,7 @@
         old.close()
         new.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_older_process_recovers_after_marker_write_failed(directory, monkeypatch):
@@ -213,12 +213,12 @@
         monkeypatch.setattr(handover.os, "pwrite", fail_disk_full)
         monkeypatch.setattr(handover, "SHRINK_TIMEOUT_S", 0.0)
         await new.start(lambda: True)
-        await until(lambda: shared_changes == [True])
+        await wait_until(lambda: shared_changes == [True])
         new.close()
-        await until(lambda: shared_changes == [True, False])
+        await wait_until(lambda: shared_changes == [True, False])
         old.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_locked_fifo_is_not_taken_for_a_process(directory):
@@ -233,7 +233,7 @@
         assert not process.is_shared
         process.close()
 
-    play(scenario)
+    run_scenario(scenario)
     os.close(locked_fifo)
 
 
@@ -255,7 +255,7 @@
         assert (directory / "somebody's").exists()
         process.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("kind", ["missing", "a file"])
@@ -270,7 +270,7 @@
         assert shared_changes == [True]
         process.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_processes_split_descriptors_and_hand_over_peer_port(directory):
@@ -284,21 +284,21 @@
         full_budget = first.node.descriptor_budget.total
         clients = [await first.client() for _ in range(2)]
         for client in clients:
-            assert (await client.ask(call()))[0] == 200
+            assert (await client.request(call()))[0] == 200
         config["inherited"] = str(os.dup(listener.fileno()))
         second = await Bench(Server(), config=config).start()
         nodes = first.node, second.node
         for node in nodes:
             assert node.descriptor_budget.total <= full_budget // 2
         assert first.node.peers.transport is None
-        await until(lambda: second.node.peers.transport is not None)
+        await wait_until(lambda: second.node.peers.transport is not None)
         await asyncio.wait_for(first.node.drain(), 20)
         assert all([await client.ended() for client in clients])
-        await until(lambda: not second.node.handover.is_shared)
+        await wait_until(lambda: not second.node.handover.is_shared)
         assert second.node.descriptor_budget.total == full_budget
-        assert (await second.once(call()))[0] == 200
+        assert (await second.request_once(call()))[0] == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_shrunk_descriptor_budget_closes_idle_connections():
@@ -306,7 +306,7 @@
         bench = await Bench(Server(), Server()).start()
         clients = [await bench.client() for _ in range(6)]
         for client in clients:
-            assert (await client.ask(call()))[0] == 200
+            assert (await client.request(call()))[0] == 200
         node = bench.node
         assert node.descriptor_budget.servers == 1
         node.descriptor_budget.total = 0
@@ -314,20 +314,20 @@
         node.descriptor_budget.total = 5
         node.client_connections.shrink()
         assert len(node.client_connections.connections) == node.client_connections.max_served() == 3
-        await until(lambda: node.descriptor_budget.servers == 0 and node.is_within_budget())
+        await wait_until(lambda: node.descriptor_budget.servers == 0 and node.is_within_budget())
         ended = [asyncio.create_task(client.ended()) for client in clients]
-        await until(lambda: sum(task.done() for task in ended) == 3)
+        await wait_until(lambda: sum(task.done() for task in ended) == 3)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_process_with_too_many_connections_is_over_budget():
     async def scenario():
-        bench = await Bench(server := Server(always(None))).start()
+        bench = await Bench(server := Server(respond_with(None))).start()
         client = await bench.client()
         client.send(call())
-        await until(lambda: len(server.requests) == 1)
+        await wait_until(lambda: len(server.requests) == 1)
         bench.node.descriptor_budget.total = 1
         assert not bench.node.is_within_budget()
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_handover_faults.py
+++ b/tests/test_handover_faults.py
@@ -7,9 +7,16 @@
 
 import pytest
 import uvloop
-from loopback import until
+from loopback import wait_until
 from retry_support import RETRY_INTERVAL_S
-from system_call_faults import BOTH_LOOPS, SHORTAGES, Fault, Replaced, play_on, with_each
+from system_call_faults import (
+    BOTH_LOOPS,
+    RESOURCE_SHORTAGE_ERRORS,
+    Fault,
+    ModuleProxy,
+    for_each_error,
+    run_scenario_on,
+)
 
 from balancer.net.process import handover
 from balancer.net.process.handover import Handover
@@ -26,7 +33,11 @@
 @BOTH_LOOPS
 @pytest.mark.parametrize(
     ("name", "error"),
-    [(n, e) for n in ("open", "rename", "flock") for e in (*SHORTAGES, ENOLCK)[: 5 if n == "flock" else 4]],
+    [
+        (n, e)
+        for n in ("open", "rename", "flock")
+        for e in (*RESOURCE_SHORTAGE_ERRORS, ENOLCK)[: 5 if n == "flock" else 4]
+    ],
     ids=lambda value: errorcode.get(value, value),
 )
 def test_start_retries_short_resource_shortage(run, name, error, tmp_path, monkeypatch):
@@ -36,15 +47,15 @@
         shared_changes = []
         module = handover.fcntl if name == "flock" else os
         fault = Fault(error, times=2)
-        faulty_module = Replaced(module, **{name: fault.before(getattr(module, name))})
+        faulty_module = ModuleProxy(module, **{name: fault.wrap(getattr(module, name))})
         monkeypatch.setattr(handover, module.__name__, faulty_module)
         process = create_handover(tmp_path, shared_changes)
         await process.start(lambda: True)
-        assert fault.met == 2 and shared_changes == [] and not process.is_shared
+        assert fault.hit_count == 2 and shared_changes == [] and not process.is_shared
         assert os.listdir(tmp_path) == [process.file_name]
         process.close()
 
-    play_on(run, scenario)
+    run_scenario_on(run, scenario)
 
 
 def test_process_keeps_to_half_until_long_shortage_ends(tmp_path, monkeypatch):
@@ -52,22 +63,26 @@
 
     async def scenario():
         shared_changes = []
-        fault = Fault(SHORTAGES[0])
-        monkeypatch.setattr(handover, "os", Replaced(os, open=fault.before(os.open)))
+        fault = Fault(RESOURCE_SHORTAGE_ERRORS[0])
+        monkeypatch.setattr(handover, "os", ModuleProxy(os, open=fault.wrap(os.open)))
         process = create_handover(tmp_path, shared_changes)
         await process.start(lambda: True)
         assert shared_changes == [True] and process.is_shared
-        fault.passes()
-        await until(lambda: shared_changes == [True, False])
+        fault.deactivate()
+        await wait_until(lambda: shared_changes == [True, False])
         process.close()
 
-    play_on(uvloop.run, scenario)
+    run_scenario_on(uvloop.run, scenario)
 
 
 @BOTH_LOOPS
 @pytest.mark.parametrize(
     ("name", "error"),
-    [(n, e) for n in ("listdir", "open", "flock") for e in (*SHORTAGES, ENOLCK)[: 5 if n == "flock" else 4]],
+    [
+        (n, e)
+        for n in ("listdir", "open", "flock")
+        for e in (*RESOURCE_SHORTAGE_ERRORS, ENOLCK)[: 5 if n == "flock" else 4]
+    ],
     ids=lambda value: errorcode.get(value, value),
 )
 def test_failed_poll_keeps_state_of_both_processes(run, name, error, tmp_path, monkeypatch):
@@ -82,22 +97,22 @@
         )
         await older.start(lambda: True)
         await younger.start(lambda: True)
-        await until(lambda: older.is_shared and younger.is_shared and older.is_older)
+        await wait_until(lambda: older.is_shared and younger.is_shared and older.is_older)
         module = handover.fcntl if name == "flock" else os
         fault = Fault(error)
-        faulty_module = Replaced(module, **{name: fault.before(getattr(module, name))})
+        faulty_module = ModuleProxy(module, **{name: fault.wrap(getattr(module, name))})
         monkeypatch.setattr(handover, module.__name__, faulty_module)
-        await until(lambda: fault.met >= 6)
+        await wait_until(lambda: fault.hit_count >= 6)
         assert shared_changes == ([True], [True]) and older.is_older
-        fault.passes()
+        fault.deactivate()
         older.close()
-        await until(lambda: shared_changes[1] == [True, False])
+        await wait_until(lambda: shared_changes[1] == [True, False])
         younger.close()
 
-    play_on(run, scenario)
+    run_scenario_on(run, scenario)
 
 
-@with_each((*SHORTAGES, ENOSPC))
+@for_each_error((*RESOURCE_SHORTAGE_ERRORS, ENOSPC))
 def test_older_process_retries_failed_marker_write(error, tmp_path, monkeypatch):
     monkeypatch.setattr(handover, "POLL_INTERVAL_S", 0.005)
 
@@ -105,9 +120,9 @@
         older, younger = create_handover(tmp_path, []), create_handover(tmp_path, [])
         await older.start(lambda: True)
         fault = Fault(error, times=3)
-        monkeypatch.setattr(handover, "os", Replaced(os, pwrite=fault.before(os.pwrite)))
+        monkeypatch.setattr(handover, "os", ModuleProxy(os, pwrite=fault.wrap(os.pwrite)))
         await younger.start(lambda: True)
-        assert fault.met == 3 and older.has_reported
+        assert fault.hit_count == 3 and older.has_reported
         older.close(), younger.close()
 
-    play_on(uvloop.run, scenario)
+    run_scenario_on(uvloop.run, scenario)
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import pytest
-from virtual_leases import SEC, Table
+from virtual_leases import SEC, LeaseTestbed
 
 from balancer.fleet.component import Outgoing
 from balancer.fleet.health_checks.decisions import HealthChecks
@@ -21,7 +21,7 @@
 SETTINGS = HealthCheckSettings(lease=10 * SEC, holder_timeout=12 * SEC)
 
 
-class Zones(Table[HealthChecks]):
+class Zones(LeaseTestbed[HealthChecks]):
     """Processes by name, each with its zone; `unreachable` processes receive no announcements."""
 
     def __init__(self, zones: dict[str, str]) -> None:
@@ -30,7 +30,7 @@
         self.announced: list[Outgoing] = []
         for name, zone in zones.items():
             others = [other for other in zones if other != name]
-            self.parts[name] = HealthChecks(
+            self.lease_users[name] = HealthChecks(
                 name,
                 zone,
                 SETTINGS,
@@ -43,22 +43,22 @@
     def on_probe_result(self, name: str, server: int, recovered: bool) -> None:
         self.probe_results.append((name, server, recovered))
         if recovered:  # The policy reports the readmission.
-            self.parts[name].server_readmitted(self.now, server, False)
+            self.lease_users[name].server_readmitted(self.now, server, False)
 
-    def deliver_to_part(self, sent: Outgoing, sender: str) -> None:
+    def deliver_to_user(self, sent: Outgoing, sender: str) -> None:
         assert isinstance(sent.message, HealthCheckMessage)
         self.announced.append(sent)
         name = str(sent.to)
         if name not in self.unreachable:
-            self.deliver(self.parts[name].received(self.now, sent.message), name)
+            self.deliver(self.lease_users[name].received(self.now, sent.message), name)
 
     def eject(self, names: str, server: int = 7, wait: int = 2 * SEC) -> None:
         for name in names:
-            self.parts[name].server_ejected(self.now, server, wait)
+            self.lease_users[name].server_ejected(self.now, server, wait)
         self.run(1)
 
     def probers(self, server: int = 7) -> list[str]:
-        return [name for name, part in self.parts.items() if part.may_probe(self.now, server)]
+        return [name for name, part in self.lease_users.items() if part.may_probe(self.now, server)]
 
 
 @pytest.fixture
@@ -74,14 +74,14 @@
     t.eject("abcd")
     first, other = t.probers()
     assert other == "d" and first in "abc"
-    t.parts[first].server_ejected(t.now, 7, 4 * SEC)  # The probe has failed.
+    t.lease_users[first].server_ejected(t.now, 7, 4 * SEC)  # The probe has failed.
     t.run(0.1)
     assert sorted(t.probe_results) == [(n, 7, False) for n in "abc" if n != first]
     t.probe_results.clear()
-    t.parts[first].server_readmitted(t.now, 7, True)
+    t.lease_users[first].server_readmitted(t.now, 7, True)
     t.run(3)
     assert sorted(t.probe_results) == [(n, 7, True) for n in "abc" if n != first]
-    assert t.lease_clients[first].requests == {} and t.parts["a"].counts["old_token"] == 0
+    assert t.lease_clients[first].requests == {} and t.lease_users["a"].counts["old_token"] == 0
     assert set(t.probers()) >= {"d", first}
 
 
@@ -110,18 +110,18 @@
     (first,) = pair.probers()
     pair.run(2 + SETTINGS.announcement_slack / SEC)  # This exceeds the holder's idle timeout.
     assert first not in pair.probers() and len(pair.probers()) == 1
-    assert pair.parts[first].counts["idle"] == 1
+    assert pair.lease_users[first].counts["idle"] == 1
 
 
 def test_announcement_with_old_token_is_ignored(pair: Zones) -> None:
     holder, other = sorted("ab", key=lambda n: n not in pair.probers())
-    token = pair.parts[holder].token(pair.now, 7)
+    token = pair.lease_users[holder].token(pair.now, 7)
     assert token is not None
     old_announcement = HealthCheckMessage(HealthCheckKind.WELL, "z", "x", (ProbeAnnouncement(7, token - 1),))
-    pair.parts[other].received(pair.now, old_announcement)
+    pair.lease_users[other].received(pair.now, old_announcement)
     pair.run(2)
-    assert pair.probe_results == [] and pair.parts[other].counts["old_token"] == 1
-    pair.parts[other].received(
+    assert pair.probe_results == [] and pair.lease_users[other].counts["old_token"] == 1
+    pair.lease_users[other].received(
         pair.now, replace(old_announcement, zone="y", probes=(ProbeAnnouncement(7, token + 1),))
     )
     pair.run(2)
@@ -133,7 +133,7 @@
     pair.unreachable = {"voters"}
     pair.run(11)
     pair.announced.clear()
-    pair.parts[holder].server_readmitted(pair.now, 7, True)
+    pair.lease_users[holder].server_readmitted(pair.now, 7, True)
     pair.run(2)
     assert pair.announced == []
 
@@ -142,8 +142,8 @@
     t = Zones({"a": "x"})
     for i in range(3 * SETTINGS.max_remembered_servers):
         announcement = HealthCheckMessage(HealthCheckKind.TRYING, "z", "x", (ProbeAnnouncement(i, 5, SEC),))
-        t.parts["a"].received(t.now, announcement)
-    history, newest = t.parts["a"].history, 3 * SETTINGS.max_remembered_servers - 1
+        t.lease_users["a"].received(t.now, announcement)
+    history, newest = t.lease_users["a"].history, 3 * SETTINGS.max_remembered_servers - 1
     assert len(history) == SETTINGS.max_remembered_servers
     assert history.highest_token(newest) == 5 and history.highest_token(0) == 0
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from support import BEFORE_RENAMING
+from support import OLD_PACKAGE_REVISION
 
 from balancer.policy.interface import Effect
 from workbench.emulator.address_block import AddressBlock
@@ -104,7 +104,9 @@
 BEFORE_FLEET = "72cc847^"  # A revision whose node has no fleet component.
 
 
-@pytest.mark.parametrize(("revision", "package"), [("HEAD", "balancer"), (BEFORE_RENAMING, "brackenladder")])
+@pytest.mark.parametrize(
+    ("revision", "package"), [("HEAD", "balancer"), (OLD_PACKAGE_REVISION, "brackenladder")]
+)
 def test_unpack_extracts_a_revision_or_reports_why_not(tmp_path: Path, revision: str, package: str) -> None:
     assert len(unpack(revision, tmp_path)) == 40 and (tmp_path / package / "policy" / "balancer.py").exists()
     assert unpacked_package(tmp_path) == package
--- a/tests/test_lab_fleet_checkers.py
+++ b/tests/test_lab_fleet_checkers.py
@@ -3,7 +3,7 @@
 import re
 
 import pytest
-from lab_histories import ALL, END, RUN, START, attempt, process
+from lab_histories import COMPLETE_VIEWS, END_EVENTS, RUN_EVENT, START_EVENTS, attempt_event, process_event
 
 from workbench.lab.checkers import check
 
@@ -24,7 +24,7 @@
     return log(t, node, f"fleet tries server={server} token=9")
 
 
-N1_PAUSED = [process(3.0, "n1", "stop"), process(12.0, "n1", "cont")]
+N1_PAUSED = [process_event(3.0, "n1", "stop"), process_event(12.0, "n1", "cont")]
 
 
 @pytest.mark.parametrize(
@@ -81,9 +81,9 @@
     ],
 )
 def test_min_rtt_slots_and_probes_are_checked_by_log_lines(events, violations):
-    plan = RUN["plan"] | {"remeasure": 0.3, "probe": True, "lease_ms": 1500.0, "voters": 3}
-    run = RUN | {"plan": plan, "nodes": [["n0", 0], ["n1", 0], ["n2", 2]]}
-    found = check([run, *START, *ALL, *sorted(events, key=lambda e: e["t"]), *END])
+    plan = RUN_EVENT["plan"] | {"remeasure": 0.3, "probe": True, "lease_ms": 1500.0, "voters": 3}
+    run = RUN_EVENT | {"plan": plan, "nodes": [["n0", 0], ["n1", 0], ["n2", 2]]}
+    found = check([run, *START_EVENTS, *COMPLETE_VIEWS, *sorted(events, key=lambda e: e["t"]), *END_EVENTS])
     assert {name: [v.node for v in found[name]] for name in ("passes", "trials") if found[name]} == violations
 
 
@@ -91,9 +91,9 @@
     """Return the events of a process that shuts down by itself, and of its successor until it is ready."""
     return [
         log(t, node, "stage serving -> ending"),
-        process(t + 0.1, node, "exit", life, status=0, asked=False),
-        process(t + 0.1, node, "start", life + 1),
-        process(ready, node, "ready", life + 1),
+        process_event(t + 0.1, node, "exit", life, status=0, asked=False),
+        process_event(t + 0.1, node, "start", life + 1),
+        process_event(ready, node, "ready", life + 1),
     ]
 
 
@@ -101,7 +101,7 @@
     return {"t": t, "event": "fault", "what": what, "type": "fleet_replace", "on": [], "most": 1}
 
 
-KILLED = [process(2.2, "n0", "kill", 2), process(2.2, "n0", "exit", 2, status=-9, asked=True)]
+KILLED = [process_event(2.2, "n0", "kill", 2), process_event(2.2, "n0", "exit", 2, status=-9, asked=True)]
 
 
 @pytest.mark.parametrize(
@@ -119,8 +119,8 @@
             [
                 *replaced(2, "n0", 3)[:-1],
                 *KILLED,
-                process(2.5, "n0", "start", 3),
-                process(3.0, "n0", "ready", 3),
+                process_event(2.5, "n0", "start", 3),
+                process_event(3.0, "n0", "ready", 3),
                 *replaced(4, "n1", 5),
                 *replaced(6, "n2", 7),
             ],
@@ -129,8 +129,10 @@
     ],
 )
 def test_rolling_update_checker_limits_nodes_down_at_once(replacements, nodes):
-    run = RUN | {"plan": RUN["plan"] | {"supervise": True}}
-    found = check([run, *START, update_fault(1, "begin"), *replacements, update_fault(12, "end"), *END])
+    run = RUN_EVENT | {"plan": RUN_EVENT["plan"] | {"supervise": True}}
+    found = check(
+        [run, *START_EVENTS, update_fault(1, "begin"), *replacements, update_fault(12, "end"), *END_EVENTS]
+    )
     assert [v.node for v in found["replacement"]] == nodes
 
 
@@ -163,7 +165,7 @@
 
 
 def to_zone(at, zone, node="n0"):
-    return attempt(at, at + 0.1, call=f"{node} {at}") | {"node": node, "zone": zone}
+    return attempt_event(at, at + 0.1, call=f"{node} {at}") | {"node": node, "zone": zone}
 
 
 NEAR = {"near": True, "fault": [], "trouble": []}
@@ -198,7 +200,7 @@
         # A new process of the node does not know of the evacuation.
         (
             NEAR_WITH_TROUBLE,
-            [evacuated(4), process(5.0, "n0", "start", life=2), to_zone(6, 1), recovering(14)],
+            [evacuated(4), process_event(5.0, "n0", "start", life=2), to_zone(6, 1), recovering(14)],
             {},
         ),
     ],
@@ -206,8 +208,8 @@
 @pytest.mark.parametrize("is_earlier", [False, True], ids=["current-log-lines", "earlier-log-lines"])
 def test_cross_zone_attempts_and_evacuations_are_checked(plan, events, violations, is_earlier):
     events = [as_logged_earlier(event) if is_earlier else event for event in events]
-    run = RUN | {"plan": RUN["plan"] | plan, "nodes": [["n0", 0], ["n1", 1], ["n2", 2]]}
-    found = check([run, *START, *ALL, *events, *END])
+    run = RUN_EVENT | {"plan": RUN_EVENT["plan"] | plan, "nodes": [["n0", 0], ["n1", 1], ["n2", 2]]}
+    found = check([run, *START_EVENTS, *COMPLETE_VIEWS, *events, *END_EVENTS])
     assert {name: len(found[name]) for name in ("home", "left", "turns") if found[name]} == violations
 
 
@@ -258,7 +260,7 @@
 @pytest.mark.parametrize("is_earlier", [False, True], ids=["current-log-lines", "earlier-log-lines"])
 def test_directive_must_hold_on_every_node_for_its_duration(events, nodes, is_earlier):
     events = [as_logged_earlier(event) if is_earlier else event for event in events]
-    plan = RUN["plan"] | NEAR | {"fault": [{"for_s": 3.0}], "trouble": [{}]}
+    plan = RUN_EVENT["plan"] | NEAR | {"fault": [{"for_s": 3.0}], "trouble": [{}]}
     faults = [directive(2.0, "begin", 0), directive(5.0, "end", 0)]
-    found = check([RUN | {"plan": plan}, *START, *ALL, *faults, *events, *END])
+    found = check([RUN_EVENT | {"plan": plan}, *START_EVENTS, *COMPLETE_VIEWS, *faults, *events, *END_EVENTS])
     assert [v.node for v in found["directives"]] == nodes
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from support import BEFORE_RENAMING
+from support import OLD_PACKAGE_REVISION
 
 from workbench.lab.checkers import CHECKERS, check
 from workbench.lab.ground_truth import GroundTruth
@@ -187,7 +187,7 @@
     killed = '[[fault]]\ntype = "kill"\ncount = 1\nat_s = 3.0\nfor_s = 0.1\n'
     texts["replace"] = SHORT_PLAN + ROLLING_UPDATE + killed
     earlier = faulty_nodes({"n1": "earlier", "n3": "earlier"})
-    texts["earlier"] = f'{SHORT_PLAN}voters = 3\nearlier = "{BEFORE_RENAMING}"\n{killed}{earlier}'
+    texts["earlier"] = f'{SHORT_PLAN}voters = 3\nearlier = "{OLD_PACKAGE_REVISION}"\n{killed}{earlier}'
     labs = {name: start(folder, name, text) for name, text in texts.items()}
     out = {}
     for name, lab in labs.items():
--- a/tests/test_lease_voter.py
+++ b/tests/test_lease_voter.py
@@ -11,7 +11,7 @@
     SETTINGS,
     START,
     THREE_VOTERS,
-    only_answer,
+    only_response,
     release_message,
     request_message,
     voter_a,
@@ -106,7 +106,7 @@
     v = voter_a()
     for at, message, answer in steps:
         out = v.received(ABSTENTION_END + at, message)
-        assert (only_answer(out) if answer else out) == (answer or [])
+        assert (only_response(out) if answer else out) == (answer or [])
 
 
 def test_remembered_early_releases_are_bounded() -> None:
@@ -114,8 +114,8 @@
     v = voter_a()
     for i in range(SETTINGS.max_waiters + 1):
         assert v.received(ABSTENTION_END, release_message(5, f"y{i}")) == []
-    assert only_answer(v.received(ABSTENTION_END, request_message(5, "y1"))) == (DENY, "OLD", 0)
-    assert only_answer(v.received(ABSTENTION_END, request_message(5, "y0"))) == (GRANT, "NONE", 5)
+    assert only_response(v.received(ABSTENTION_END, request_message(5, "y1"))) == (DENY, "OLD", 0)
+    assert only_response(v.received(ABSTENTION_END, request_message(5, "y0"))) == (GRANT, "NONE", 5)
     assert len(v.leases["d"].early_releases) == 0
 
 
@@ -146,10 +146,10 @@
     v = voter_a(LeaseSettings(lease=3 * SEC, max_lease=10 * SEC, max_leases=3))
     for i in range(3):
         v.received(ABSTENTION_END, request_message(50 + i, lease=f"d{i}"))
-    assert only_answer(v.received(ABSTENTION_END + 1, request_message(99, lease="e")))[:2] == (DENY, "FULL")
+    assert only_response(v.received(ABSTENTION_END + 1, request_message(99, lease="e")))[:2] == (DENY, "FULL")
     late = ABSTENTION_END + granted_duration(SETTINGS.lease)
-    assert only_answer(v.received(late, request_message(50, "y", lease="e"))) == (DENY, "OLD", 50)
-    assert only_answer(v.received(late, request_message(51, "y", lease="e"))) == (GRANT, "NONE", 51)
+    assert only_response(v.received(late, request_message(50, "y", lease="e"))) == (DENY, "OLD", 50)
+    assert only_response(v.received(late, request_message(51, "y", lease="e"))) == (GRANT, "NONE", 51)
     assert len(v.leases) == 3
 
 
@@ -167,8 +167,8 @@
         for _, m in other.received(START + 1, recalls[0][1]):
             v.received(START + 2, m)
     assert v.has_recovered() and v.deadline() is None
-    assert only_answer(v.received(ABSTENTION_END, request_message(70, "y"))) == (DENY, "OLD", 70)
-    assert only_answer(v.received(ABSTENTION_END, request_message(71, "y"))) == (GRANT, "NONE", 71)
+    assert only_response(v.received(ABSTENTION_END, request_message(70, "y"))) == (DENY, "OLD", 70)
+    assert only_response(v.received(ABSTENTION_END, request_message(71, "y"))) == (GRANT, "NONE", 71)
 
 
 def test_stored_ceiling_is_floor_of_next_incarnation(tmp_path: Path) -> None:
@@ -185,13 +185,13 @@
     # The ceiling is above the token, so that not every grant waits for the disk.
     assert stored_tokens == [500]
     restarted = voter_a(floor=vote_store.load(path, "a"), raise_ceiling=raise_ceiling)
-    assert only_answer(restarted.received(ABSTENTION_END, request_message(600, "y"))) == (
+    assert only_response(restarted.received(ABSTENTION_END, request_message(600, "y"))) == (
         DENY,
         "OLD",
         500 + vote_store.CEILING_MARGIN_TOKENS,
     )
     assert (
-        only_answer(
+        only_response(
             restarted.received(ABSTENTION_END, request_message(501 + vote_store.CEILING_MARGIN_TOKENS, "y"))
         )[0]
         == GRANT
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,7 +9,18 @@
 import struct
 
 import pytest
-from loopback import OK, REJECTED, Bench, Late, Server, always, call, gated, play, until
+from loopback import (
+    OK,
+    REJECTED,
+    Bench,
+    DelayedConnectLoop,
+    Server,
+    call,
+    respond_after,
+    respond_with,
+    run_scenario,
+    wait_until,
+)
 
 from balancer.net.downstream import client_connection as client_connection_module
 from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
@@ -41,7 +52,7 @@
 
 
 async def only_connection(bench: Bench):
-    await until(lambda: len(bench.node.client_connections.connections) == 1)
+    await wait_until(lambda: len(bench.node.client_connections.connections) == 1)
     return next(iter(bench.node.client_connections.connections))
 
 
@@ -52,16 +63,18 @@
     while not connection.write_blocked:
         client.socket.sendall(call())
         sent = len(server.requests) + 1
-        await until(lambda sent=sent: len(server.requests) == sent and connection.current_request is None)
+        await wait_until(
+            lambda sent=sent: len(server.requests) == sent and connection.current_request is None
+        )
     return client, connection
 
 
 async def assert_nothing_more_sent(bench: Bench, *sent: tuple[Server, int]) -> None:
     """Check that only these numbers of requests were sent, and that all resources are released."""
     node = bench.node
-    await until(lambda: not node.client_connections.connections and not node.requests.by_client)
-    assert (await bench.once(call()))[0] == 200
-    await until(lambda: not node.client_connections.connections and not node.requests.pending)
+    await wait_until(lambda: not node.client_connections.connections and not node.requests.by_client)
+    assert (await bench.request_once(call()))[0] == 200
+    await wait_until(lambda: not node.client_connections.connections and not node.requests.pending)
     assert sum(len(s.requests) for s, _ in sent) == sum(n for _, n in sent) + 1
     assert node.descriptor_budget.clients == 0 and node.memory_budget.held_bytes == 0
     assert node.descriptor_budget.servers == sum(len(e.idle) for e in node.pool.endpoints.values())
@@ -76,21 +89,21 @@
 
     async def scenario():
         release = asyncio.Event()
-        bench = await Bench(server := Server(gated(release)), **changes).start()
+        bench = await Bench(server := Server(respond_after(release)), **changes).start()
         client = DisconnectingClient(bench)
         client.socket.sendall(call() * pipelined_count)
-        await until(lambda: len(server.requests) == 1)
+        await wait_until(lambda: len(server.requests) == 1)
         connection = await only_connection(bench)
-        await until(lambda: len(connection.pipelined) == pipelined_count - 1)
+        await wait_until(lambda: len(connection.pipelined) == pipelined_count - 1)
         client.close(mode)
         if order == "disconnect seen":
-            await until(lambda: connection.has_disconnected)
+            await wait_until(lambda: connection.has_disconnected)
         elif order == "sweep first":
             bench.node.client_connections.sweep()
         release.set()
         await assert_nothing_more_sent(bench, (server, 1))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @CLOSE_MODES
@@ -99,18 +112,18 @@
 
     async def scenario():
         release = asyncio.Event()
-        bench = await Bench(server := Server(gated(release))).start()
+        bench = await Bench(server := Server(respond_after(release))).start()
         client = DisconnectingClient(bench)
         loop = asyncio.get_running_loop()
         await loop.run_in_executor(None, client.socket.sendall, call() * 50_000)
         connection = await only_connection(bench)
-        await until(lambda: len(server.requests) == 1)
+        await wait_until(lambda: len(server.requests) == 1)
         client.close(mode)
-        await until(lambda: connection.has_disconnected)
+        await wait_until(lambda: connection.has_disconnected)
         release.set()
         await assert_nothing_more_sent(bench, (server, 1))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_excess_pipelined_bytes_get_503_after_earlier_responses():
@@ -120,9 +133,9 @@
         bench = await Bench(server := Server()).start()
         client = await bench.client()
         release = asyncio.Event()
-        server.handle = gated(release)
+        server.handle = respond_after(release)
         client.send(call() * 5000)
-        await until(lambda: any(c.reading_stopped for c in bench.node.client_connections.connections))
+        await wait_until(lambda: any(c.reading_stopped for c in bench.node.client_connections.connections))
         release.set()
         statuses = []
         while not statuses or statuses[-1] == 200:
@@ -131,22 +144,22 @@
         assert status == 503 and headers["connection"] == "close" and float(headers["retry-after"]) > 0
         assert len(server.requests) == len(statuses) - 1 >= client_connection_module.MAX_PIPELINED_REQUESTS
         client.writer.close()
-        await until(lambda: not bench.node.client_connections.connections)
+        await wait_until(lambda: not bench.node.client_connections.connections)
         assert bench.node.memory_budget.held_bytes == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_half_close_of_unread_client_drops_pipelined_requests():
     """A client half-closes while responses are unsent: it gets them, and later requests are dropped."""
 
     async def scenario():
-        bench = await Bench(server := Server(always(RESPONSE))).start()
+        bench = await Bench(server := Server(respond_with(RESPONSE))).start()
         client, connection = await blocked_client(bench, server)
         client.socket.sendall(call() * 3)
-        await until(lambda: len(connection.pipelined) == 3)
+        await wait_until(lambda: len(connection.pipelined) == 3)
         client.socket.shutdown(socket.SHUT_WR)
-        await until(lambda: connection.has_disconnected)
+        await wait_until(lambda: connection.has_disconnected)
         count = len(server.requests)
         client.socket.setblocking(False)
         read = 0
@@ -156,7 +169,7 @@
         client.socket.close()
         await assert_nothing_more_sent(bench, (server, count))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_half_closed_client_that_never_reads_is_closed(monkeypatch):
@@ -165,13 +178,13 @@
     async def scenario():
         monkeypatch.setattr(client_connection_module, "UNREAD_TIMEOUT_S", 0.0)
         monkeypatch.setattr(client_connection_module, "LINGER_S", 0.0)
-        bench = await Bench(server := Server(always(RESPONSE))).start()
+        bench = await Bench(server := Server(respond_with(RESPONSE))).start()
         client, connection = await blocked_client(bench, server)
         client.socket.shutdown(socket.SHUT_WR)
-        await until(lambda: not bench.node.client_connections.connections)
+        await wait_until(lambda: not bench.node.client_connections.connections)
         assert bench.node.descriptor_budget.clients == 0 and bench.node.memory_budget.held_bytes == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @CLOSE_MODES
@@ -183,22 +196,22 @@
 
     async def scenario():
         release = asyncio.Event()
-        server, other = Server(gated(release)), Server(gated(release))
+        server, other = Server(respond_after(release)), Server(respond_after(release))
         bench = await Bench(server, other, **changes).start()
         client = DisconnectingClient(bench)
         client.socket.sendall(call())
-        await until(lambda: len(server.requests) + len(other.requests) == 1)
+        await wait_until(lambda: len(server.requests) + len(other.requests) == 1)
         connection = await only_connection(bench)
         (request,) = bench.node.requests.pending.values()
         client.close(mode)
         if order == "disconnect seen":
-            await until(lambda: connection.has_disconnected)
+            await wait_until(lambda: connection.has_disconnected)
         if request.exchange is not None:
             request.exchange.abort(failure)
         release.set()
         await assert_nothing_more_sent(bench, (server, 1), (other, 0))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @CLOSE_MODES
@@ -216,15 +229,17 @@
         bench = await Bench(*servers).start()
         client = DisconnectingClient(bench)
         client.socket.sendall(call())
-        await until(lambda: sum(len(s.requests) for s in servers) == 1)
+        await wait_until(lambda: sum(len(s.requests) for s in servers) == 1)
         client.close(mode)
         release.set()
-        await until(lambda: not bench.node.client_connections.connections and not bench.node.requests.pending)
+        await wait_until(
+            lambda: not bench.node.client_connections.connections and not bench.node.requests.pending
+        )
         for server in servers:
-            server.handle = always(OK)
+            server.handle = respond_with(OK)
         await assert_nothing_more_sent(bench, (servers[0], 1), (servers[1], 0))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @CLOSE_MODES
@@ -234,18 +249,18 @@
 def test_disconnect_during_server_connect_prevents_send(mode, changes, order, class_name):
     async def scenario():
         bench = await Bench(server := Server(), **changes).start()
-        bench.node.pool.loop = late = Late(asyncio.get_running_loop())
+        bench.node.pool.loop = late = DelayedConnectLoop(asyncio.get_running_loop())
         client = DisconnectingClient(bench)
         client.socket.sendall(call(class_name))
-        await late.asked.wait()
+        await late.connect_requested.wait()
         connection = await only_connection(bench)
         client.close(mode)
         if order == "disconnect seen":
-            await until(lambda: connection.has_disconnected)
-        late.up.set()
+            await wait_until(lambda: connection.has_disconnected)
+        late.connect_allowed.set()
         await assert_nothing_more_sent(bench, (server, 0))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @CLOSE_MODES
@@ -256,22 +271,22 @@
     async def scenario():
         bench = await Bench(server := Server(), **LATER_TIER).start()
         balancer = bench.node.balancer
-        assert (await bench.once(call()))[0] == 200
-        await until(lambda: not bench.node.client_connections.connections)
+        assert (await bench.request_once(call()))[0] == 200
+        await wait_until(lambda: not bench.node.client_connections.connections)
         admits = GradientController.admits
         monkeypatch.setattr(GradientController, "admits", lambda self, now, spare: False)
         client = DisconnectingClient(bench)
         client.socket.sendall(call())
-        await until(lambda: len(balancer.lifecycle.queue) == 1)
+        await wait_until(lambda: len(balancer.lifecycle.queue) == 1)
         connection = await only_connection(bench)
         client.close(mode)
         if order == "disconnect seen":
-            await until(lambda: connection.has_disconnected)
+            await wait_until(lambda: connection.has_disconnected)
         monkeypatch.setattr(GradientController, "admits", admits)
         balancer.lifecycle.serve_queue(bench.node.event_queue.now())
         await assert_nothing_more_sent(bench, (server, 1))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @CLOSE_MODES
@@ -290,7 +305,7 @@
         listener.update()
         await assert_nothing_more_sent(bench, (server, 0))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @CLOSE_MODES
@@ -313,23 +328,23 @@
 
     async def scenario():
         bench = await Bench(server := Server()).start()
-        bench.node.pool.loop = late = Late(asyncio.get_running_loop())
+        bench.node.pool.loop = late = DelayedConnectLoop(asyncio.get_running_loop())
         client = DisconnectingClient(bench)
         head = call("offer").partition(b"Content-Length")[0]
         client.socket.sendall(head + b"Content-Length: %d\r\n\r\n" % (size + 1) + bytes(size))
         connection = await only_connection(bench)
-        await until(lambda: connection.partial_request is not None)
+        await wait_until(lambda: connection.partial_request is not None)
         if size >= MAX_BUFFERED_BYTES:
-            await late.asked.wait()
-            await until(lambda: connection.reading_paused)
+            await late.connect_requested.wait()
+            await wait_until(lambda: connection.reading_paused)
         client.close(mode)
         if order == "disconnect seen":
             bench.node.client_connections.sweep()
-            await until(lambda: connection.has_disconnected)
-        late.up.set()
+            await wait_until(lambda: connection.has_disconnected)
+        late.connect_allowed.set()
         await assert_nothing_more_sent(bench, (server, 0))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @CLOSE_MODES
@@ -337,21 +352,21 @@
     """Whether or not the response is written, the request that is pipelined behind it is not sent."""
 
     async def scenario():
-        bench = await Bench(server := Server(always(None))).start()
+        bench = await Bench(server := Server(respond_with(None))).start()
         client = DisconnectingClient(bench)
         client.socket.sendall(call() * 2)
-        await until(lambda: len(server.requests) == 1)
+        await wait_until(lambda: len(server.requests) == 1)
         connection = await only_connection(bench)
-        await until(lambda: len(connection.pipelined) == 1)
+        await wait_until(lambda: len(connection.pipelined) == 1)
         (request,) = bench.node.requests.pending.values()
         client.close(mode)
         bench.node.requests.respond(request.id, 504)  # The deadline timer responds in the same way.
         assert request.exchange is not None
         request.exchange.abort(Outcome.TIMEOUT)
-        server.handle = always(OK)
+        server.handle = respond_with(OK)
         await assert_nothing_more_sent(bench, (server, 1))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_connected_client_gets_all_pipelined_responses():
@@ -365,6 +380,6 @@
             assert (await client.receive())[0] == 200
         assert len(server.requests) == 20
         client.writer.close()
-        await until(lambda: not bench.node.client_connections.connections)
+        await wait_until(lambda: not bench.node.client_connections.connections)
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_listener_faults.py
+++ b/tests/test_listener_faults.py
@@ -15,19 +15,25 @@
 
 import pytest
 import uvloop
-from loopback import Bench, Client, Server, Table, call, record_outcomes, until
-from retry_support import OPERATED, OPERATOR_CALL, RETRY_INTERVAL_S, max_retries, wait_for_retries
+from loopback import Bench, Client, ConfigTable, Server, call, record_outcomes, wait_until
+from retry_support import (
+    CONTROL_READY_REQUEST,
+    MANAGEMENT_CONFIG,
+    RETRY_INTERVAL_S,
+    max_retries,
+    wait_for_retries,
+)
 from system_call_faults import (
-    ACCEPT,
+    ACCEPT_ERRORS,
     BOTH_LOOPS,
-    SHORTAGES,
+    RESOURCE_SHORTAGE_ERRORS,
     Fault,
-    Replaced,
-    Run,
+    LoopRunner,
+    ModuleProxy,
     count_calls,
     fail_accepts,
-    play_on,
-    with_each,
+    for_each_error,
+    run_scenario_on,
 )
 
 from balancer.net import node
@@ -51,16 +57,16 @@
 
 
 @BOTH_LOOPS
-@with_each(ACCEPT)
+@for_each_error(ACCEPT_ERRORS)
 def test_failing_accepts_while_serving_are_retried_slowly(
-    run: Run, error: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    run: LoopRunner, error: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """During a shortage the socket stays readable; without a back-off the loop would spin."""
 
     accept_calls = count_calls(monkeypatch, Listener, "accept")
 
     async def check_listener(
-        name: str, config: Table, get_listener: Callable[[Node], Listener], request: bytes
+        name: str, config: ConfigTable, get_listener: Callable[[Node], Listener], request: bytes
     ) -> None:
         bench = await Bench(Server(), config=config).start()
         node_listener = get_listener(bench.node)
@@ -71,26 +77,30 @@
             client.send(request)
         calls_before = len(accept_calls)
         seconds = await wait_for_retries()
-        assert fault.met and len(accept_calls) - calls_before <= LISTENER_COUNT * max_retries(seconds), name
-        fault.passes()
+        assert fault.hit_count and len(accept_calls) - calls_before <= LISTENER_COUNT * max_retries(
+            seconds
+        ), name
+        fault.deactivate()
         assert [(await client.receive())[0] for client in clients] == [200] * 3, name
-        assert (await (await Client(port).open()).ask(request))[0] == 200, name
+        assert (await (await Client(port).open()).request(request))[0] == 200, name
 
     async def scenario() -> None:
         with_inherited = inherited_listener() | {"folder": str(tmp_path)}
         await asyncio.gather(
             check_listener("clients", {}, lambda n: n.client_connections.listener, call()),
             check_listener("handover", with_inherited, lambda n: n.client_connections.listener, call()),
-            check_listener("management", OPERATED, lambda n: n.management.listener, OPERATOR_CALL),
+            check_listener(
+                "management", MANAGEMENT_CONFIG, lambda n: n.management.listener, CONTROL_READY_REQUEST
+            ),
         )
 
-    play_on(run, scenario)
+    run_scenario_on(run, scenario)
 
 
 @BOTH_LOOPS
-@with_each(ACCEPT)
+@for_each_error(ACCEPT_ERRORS)
 def test_failing_accepts_at_shutdown_reset_no_client(
-    run: Run, error: int, monkeypatch: pytest.MonkeyPatch
+    run: LoopRunner, error: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """When the last accept fails, the socket stays open: closing it would reset the waiting clients."""
     monkeypatch.setattr(client_connections, "ACCEPT_AFTER_TERM_S", 2 * RETRY_INTERVAL_S)
@@ -105,44 +115,46 @@
         started_at = loop.time()
         (waiting := await bench.client()).send(call())
         draining = asyncio.create_task(bench.node.drain())
-        await until(lambda: len(stop_calls) >= 2)
+        await wait_until(lambda: len(stop_calls) >= 2)
         assert len(accept_calls) <= max_retries(loop.time() - started_at)
         assert connections.listener.socket is not None and not draining.done()
-        fault.passes()
+        fault.deactivate()
         assert (await waiting.receive())[0] == 200
         waiting.writer.close()
         await draining
         assert connections.listener.socket is None
 
-    play_on(run, scenario)
+    run_scenario_on(run, scenario)
 
 
 @BOTH_LOOPS
-@with_each(SHORTAGES)
-def test_startup_retries_shortage_of_sockets(run: Run, error: int, monkeypatch: pytest.MonkeyPatch) -> None:
+@for_each_error(RESOURCE_SHORTAGE_ERRORS)
+def test_startup_retries_shortage_of_sockets(
+    run: LoopRunner, error: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """A shortage that lasts for a moment does not end the process with `cannot listen`."""
 
     async def scenario() -> None:
         fault = Fault(error, times=3)
-        monkeypatch.setattr(listener, "socket", Replaced(socket, socket=fault.before(socket.socket)))
-        bench = await Bench(Server(), config=OPERATED).start()
-        assert fault.met == 3
-        assert (await bench.once(call()))[0] == 200
+        monkeypatch.setattr(listener, "socket", ModuleProxy(socket, socket=fault.wrap(socket.socket)))
+        bench = await Bench(Server(), config=MANAGEMENT_CONFIG).start()
+        assert fault.hit_count == 3
+        assert (await bench.request_once(call()))[0] == 200
 
-    play_on(run, scenario)
+    run_scenario_on(run, scenario)
 
 
 def test_startup_fails_if_shortage_outlasts_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(node, "LISTEN_TIMEOUT_S", 3 * RETRY_INTERVAL_S)
 
     async def scenario() -> None:
-        fault = Fault(SHORTAGES[0])
-        monkeypatch.setattr(listener, "socket", Replaced(socket, socket=fault.before(socket.socket)))
-        with pytest.raises(OSError, match=os.strerror(SHORTAGES[0])):
+        fault = Fault(RESOURCE_SHORTAGE_ERRORS[0])
+        monkeypatch.setattr(listener, "socket", ModuleProxy(socket, socket=fault.wrap(socket.socket)))
+        with pytest.raises(OSError, match=os.strerror(RESOURCE_SHORTAGE_ERRORS[0])):
             await Bench(Server()).start()
-        assert fault.met > 1
+        assert fault.hit_count > 1
 
-    play_on(uvloop.run, scenario)
+    run_scenario_on(uvloop.run, scenario)
 
 
 @contextmanager
@@ -159,7 +171,7 @@
 
 
 @BOTH_LOOPS
-def test_process_without_free_descriptors_recovers(run: Run) -> None:
+def test_process_without_free_descriptors_recovers(run: LoopRunner) -> None:
     """Accepts and connects fail in the kernel itself, also those of uvloop's C code."""
 
     async def scenario() -> None:
@@ -180,4 +192,4 @@
         assert outcomes == [Outcome.OK] * 2 and bench.node.balancer.stats()["ejected"] == 0
         waiting_client.close()
 
-    play_on(run, scenario)
+    run_scenario_on(run, scenario)
--- a/tests/test_node_limits.py
+++ b/tests/test_node_limits.py
@@ -7,19 +7,19 @@
     OK,
     Bench,
     Client,
-    Clock,
     Discovery,
+    FakeTimeLoop,
     Server,
-    always,
     call,
-    connected,
+    connect_when_listening,
     free_port,
-    gated,
-    node_table,
-    play,
+    node_config,
+    respond_after,
+    respond_with,
+    run_scenario,
     settings,
-    spawn,
-    until,
+    spawn_node,
+    wait_until,
 )
 
 from balancer.net.downstream.read_deadline import HEAD_TIMEOUT_S
@@ -31,25 +31,25 @@
     async def scenario():
         release = asyncio.Event()
 
-        bench = await Bench(server := Server(gated(release))).start()
+        bench = await Bench(server := Server(respond_after(release))).start()
         memory_budget = bench.node.memory_budget
         memory_budget.max_held_bytes = 150_000
         large = call("invite", body=b"x" * 60000)
         (first := await bench.client()).send(large)
-        await until(lambda: len(server.requests) == 1)
+        await wait_until(lambda: len(server.requests) == 1)
         (second := await bench.client()).send(large)
-        await until(lambda: memory_budget.held_bytes > 120_000)
-        status, headers, _ = await bench.once(large)
+        await wait_until(lambda: memory_budget.held_bytes > 120_000)
+        status, headers, _ = await bench.request_once(large)
         assert status == 503 and float(headers["retry-after"]) > 0
         second.writer.transport.abort()
-        await until(lambda: memory_budget.held_bytes < 120_000)
+        await wait_until(lambda: memory_budget.held_bytes < 120_000)
         first.send(large)  # This request is pipelined behind the first one.
-        await until(lambda: memory_budget.held_bytes > 120_000)
+        await wait_until(lambda: memory_budget.held_bytes > 120_000)
         release.set()
         assert (await first.receive())[0] == 200 and (await first.receive())[0] == 200
         assert memory_budget.held_bytes == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_excess_clients_rejected_and_idle_ones_evicted():
@@ -65,31 +65,31 @@
         for _ in range(max_served):
             clients.append(await bench.client())
             clients[-1].send(call("invite"))
-            await until(lambda: len(bench.node.requests.by_client) == len(clients))
+            await wait_until(lambda: len(bench.node.requests.by_client) == len(clients))
         assert await idle.ended()
-        status, headers, _ = await bench.once(call("invite"))
+        status, headers, _ = await bench.request_once(call("invite"))
         # Without a delay, the client would retry at once.
         assert status == 503 and float(headers["retry-after"]) > 0
         clients[0].writer.close()
-        await until(lambda: len(bench.node.client_connections.connections) < max_served)
-        assert (await bench.once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
+        await wait_until(lambda: len(bench.node.client_connections.connections) < max_served)
+        assert (await bench.request_once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_requests_over_max_open_get_503_with_retry_after():
     async def scenario():
-        bench = await Bench(server := Server(always(None)), policy_limits={"max_open": 1}).start()
+        bench = await Bench(server := Server(respond_with(None)), policy_limits={"max_open": 1}).start()
         (first := await bench.client()).send(call())
-        await until(lambda: len(server.requests) == 1)
-        status, headers, _ = await bench.once(call())
+        await wait_until(lambda: len(server.requests) == 1)
+        status, headers, _ = await bench.request_once(call())
         assert status == 503 and float(headers["retry-after"]) > 0
         first.writer.close()
-        server.handle = always(OK)
-        await until(lambda: not bench.node.requests.pending)
-        assert (await bench.once(call()))[0] == 200
+        server.handle = respond_with(OK)
+        await wait_until(lambda: not bench.node.requests.pending)
+        assert (await bench.request_once(call()))[0] == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_server_connects_over_budget_evict_idle_or_fail():
@@ -97,13 +97,13 @@
         bench = await Bench(first := Server(), second := Server()).start()
         bench.node.descriptor_budget.max_servers = lambda: 1
         while not (first.requests and second.requests):
-            assert (await bench.once(call()))[0] == 200
+            assert (await bench.request_once(call()))[0] == 200
         bench.node.descriptor_budget.max_servers = lambda: 0
         for endpoint in bench.node.pool.endpoints.values():
             endpoint.close_idle()
-        assert (await bench.once(call("invite")))[0] == 503
+        assert (await bench.request_once(call("invite")))[0] == 503
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_many_clients_stay_within_descriptor_limit(tmp_path):
@@ -113,9 +113,9 @@
         await (server := Server()).start()
         await (discovery := Discovery()).start()
         port = free_port()
-        table = node_table(discovery.port, settings(), f"127.0.0.1:{port}", server.entry("s0"))
-        process = await spawn(tmp_path, table | {"limits": {"sockets": 56}})
-        await connected(first := Client(port))
+        table = node_config(discovery.port, settings(), f"127.0.0.1:{port}", server.entry("s0"))
+        process = await spawn_node(tmp_path, table | {"limits": {"sockets": 56}})
+        await connect_when_listening(first := Client(port))
         before = len(os.listdir(f"/proc/{process.pid}/fd"))
         clients = []
         for _ in range(150):
@@ -123,7 +123,7 @@
             # Each client sends half a request at once: idle clients would be evicted for the next ones, and
             # the number of connections in the end would depend on how fast they are opened.
             client.send(b"GET /ready HTTP/1.1\r\n")
-        await until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) >= before + 8)
+        await wait_until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) >= before + 8)
         for _ in range(200):
             assert len(os.listdir(f"/proc/{process.pid}/fd")) <= 56
             await asyncio.sleep(0)
@@ -131,14 +131,14 @@
             client.writer.close()
         while True:
             client = await Client(port).open()
-            if (await client.ask(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200:
+            if (await client.request(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200:
                 break
             client.writer.close()
-        assert (await client.ask(call()))[0] == 200
+        assert (await client.request(call()))[0] == 200
         process.terminate()
         assert await asyncio.wait_for(process.wait(), 20) == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_incomplete_head_gets_408_and_close():
@@ -148,14 +148,14 @@
         bench = await Bench(Server()).start()
         client = await bench.client()
         client.send(b"GET /view HTTP/1.1\r\nX-Call-Id: 1\r\n")
-        await until(lambda: any(c.partial_request for c in bench.node.client_connections.connections))
+        await wait_until(lambda: any(c.partial_request for c in bench.node.client_connections.connections))
         (connection,) = bench.node.client_connections.connections
         client.send(b"X-More: 1\r\n")  # The client is still sending.
         connection.read_deadline.expires_at -= 1000  # The deadline is now in the past.
         bench.node.client_connections.sweep()
         assert (await client.receive())[0] == 408 and await client.ended()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_silent_peer_closed_within_3_s_and_idle_client_kept(monkeypatch):
@@ -166,18 +166,18 @@
         bench = await Bench(Server()).start()
         client_connections = bench.node.client_connections
         idle = await bench.client()
-        assert (await idle.ask(call()))[0] == 200
+        assert (await idle.request(call()))[0] == 200
         silent = await bench.client()
-        await until(
+        await wait_until(
             lambda: (
                 len(client_connections.connections) == 2
                 and all(c.transport for c in client_connections.connections)
             )
         )
         now = bench.node.loop.time()
-        monkeypatch.setattr(client_connections, "loop", Clock(bench.node.loop, now + HEAD_TIMEOUT_S))
+        monkeypatch.setattr(client_connections, "loop", FakeTimeLoop(bench.node.loop, now + HEAD_TIMEOUT_S))
         client_connections.sweep()
         assert await silent.ended()
-        assert (await idle.ask(call()))[0] == 200
+        assert (await idle.request(call()))[0] == 200
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -14,13 +14,13 @@
     Discovery,
     Server,
     call,
-    connected,
+    connect_when_listening,
     free_port,
-    node_table,
-    play,
+    node_config,
+    run_scenario,
     settings,
-    spawn,
-    until,
+    spawn_node,
+    wait_until,
 )
 
 from balancer.net.config import ConfigError, load, read
@@ -63,17 +63,17 @@
             load({"LB_CONFIG": str(file)})
         assert "\n" not in str(e.value)
     with pytest.raises(ValueError, match="max_attempts"):
-        read(node_table(0, settings(policy_limits={"max_attempts": None})))
+        read(node_config(0, settings(policy_limits={"max_attempts": None})))
 
 
 def test_program_reports_invalid_configuration(tmp_path: Path) -> None:
     async def scenario() -> None:
-        process = await spawn(tmp_path, {"name": "n0"})
+        process = await spawn_node(tmp_path, {"name": "n0"})
         _, errors = await process.communicate()
         assert process.returncode == 2
         assert errors.startswith(b"balancer: ") and errors.count(b"\n") == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_sighup_moves_watch_to_new_discovery_address(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -90,11 +90,11 @@
         monkeypatch.setenv("LB_DISCOVERY", f"127.0.0.1:{first.port}")  # Applies at the start only.
         listen = f"127.0.0.1:{(port := free_port())}"
         push_settings = settings(discovery="push")
-        process = await spawn(tmp_path, node_table(first.port, push_settings, listen, old.entry("s0")))
-        await connected(client := Client(port))
-        await until(lambda: bool(first.requests))
+        process = await spawn_node(tmp_path, node_config(first.port, push_settings, listen, old.entry("s0")))
+        await connect_when_listening(client := Client(port))
+        await wait_until(lambda: bool(first.requests))
         file = tmp_path / "config.json"
-        for content in ("{", json.dumps(node_table(second.port, push_settings, listen, old.entry("s0")))):
+        for content in ("{", json.dumps(node_config(second.port, push_settings, listen, old.entry("s0")))):
             file.write_text(content)
             process.send_signal(signal.SIGHUP)
             assert process.stderr is not None
@@ -102,14 +102,14 @@
             while line and b" reload" not in line:  # An empty line means that the process has ended.
                 line = await asyncio.wait_for(process.stderr.readline(), 20)
             assert line
-        await until(lambda: bool(second.requests))
-        second.say(50, True, new.entry("s1"))
-        await until(lambda: len(second.requests) == 2)  # The list was applied and the watch renewed.
-        assert (await client.ask(call()))[0] == 200 and len(new.requests) == 1
+        await wait_until(lambda: bool(second.requests))
+        second.send_list(50, True, new.entry("s1"))
+        await wait_until(lambda: len(second.requests) == 2)  # The list was applied and the watch renewed.
+        assert (await client.request(call()))[0] == 200 and len(new.requests) == 1
         process.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(process.wait(), 20) == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_killed_node_restarts_at_its_address(tmp_path: Path) -> None:
@@ -119,13 +119,13 @@
         await (server := Server()).start()
         await (discovery := Discovery()).start()
         port = free_port()
-        table = node_table(discovery.port, settings(), f"127.0.0.1:{port}", server.entry("s0"))
+        table = node_config(discovery.port, settings(), f"127.0.0.1:{port}", server.entry("s0"))
         for _ in range(2):
-            process = await spawn(tmp_path, table)
-            await connected(client := Client(port))
-            assert (await client.ask(call("invite")))[0] == 200
+            process = await spawn_node(tmp_path, table)
+            await connect_when_listening(client := Client(port))
+            assert (await client.request(call("invite")))[0] == 200
             process.kill()
             assert await client.ended()
             assert await asyncio.wait_for(process.wait(), 20) == -signal.SIGKILL
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_node_signals.py
+++ b/tests/test_node_signals.py
@@ -4,17 +4,17 @@
 import time
 
 from loopback import (
-    MOMENT,
     OK,
     REJECTED,
+    SECOND_US,
     SERVER_ERROR,
     UNAVAILABLE,
     Bench,
     Server,
-    always,
     call,
-    play,
-    until,
+    respond_with,
+    run_scenario,
+    wait_until,
 )
 
 
@@ -22,7 +22,7 @@
     async def scenario():
         report = b"inflight=7,latency_ms=1.5"
         response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(report), report)
-        bench = await Bench(server := Server(always(response, UNAVAILABLE))).start()
+        bench = await Bench(server := Server(respond_with(response, UNAVAILABLE))).start()
         results = []
         bench.node.balancer.health_checked = lambda now, server, ok, duration, values: results.append(
             (ok, tuple(values))
@@ -30,11 +30,11 @@
         (number,) = bench.node.pool.endpoints
         for count in (1, 2):
             bench.node.check_health(number)
-            await until(lambda count=count: len(results) == count)
+            await wait_until(lambda count=count: len(results) == count)
         assert results == [(True, (1.5, 7.0)), (False, ())]
         assert server.requests[0].target == "/status/load"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_datagrams_from_others_than_peers_are_dropped():
@@ -54,7 +54,7 @@
         stranger.sendto(b"stray", address)
         peer.sendto(b"x" * 300, address)
         peer.sendto(b"hello", address)
-        await until(lambda: bool(messages))
+        await wait_until(lambda: bool(messages))
         assert messages == [(1, b"hello")]
         peer.settimeout(20)
         bench.node.send_to_peer(1, b"x" * 257)
@@ -62,7 +62,7 @@
         assert peer.recv(300) == b"all"
         own_socket.close(), peer.close(), stranger.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_flood_of_stray_datagrams_does_not_hide_faults_in_log(capsys):
@@ -82,11 +82,11 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             for i in range(100):
                 stranger.sendto(b"stray", peers.transport.get_extra_info("sockname"))
-                await until(lambda i=i: len(datagrams) > i)
+                await wait_until(lambda i=i: len(datagrams) > i)
         bench.node.requests.validator.classes = None
-        assert (await bench.once(call()))[0] == 500
+        assert (await bench.request_once(call()))[0] == 500
 
-    play(scenario)
+    run_scenario(scenario)
     lines = capsys.readouterr().err.splitlines()
     assert any(line.startswith("n0: request: ") for line in lines)
     assert 0 < sum("stray" in line for line in lines) < 100
@@ -96,12 +96,12 @@
     """The log shows the concurrency limit of a node that rejects requests."""
 
     async def scenario():
-        bench = await Bench(Server(always(REJECTED, OK, SERVER_ERROR))).start()
-        assert (await bench.once(call()))[0] == 200
-        assert (await bench.once(call("invite")))[0] == 502
+        bench = await Bench(Server(respond_with(REJECTED, OK, SERVER_ERROR))).start()
+        assert (await bench.request_once(call()))[0] == 200
+        assert (await bench.request_once(call("invite")))[0] == 502
         bench.node.write_stats()
 
-    play(scenario)
+    run_scenario(scenario)
     start, *lines = capsys.readouterr().err.splitlines()
     assert start.startswith("n0: start tier=0 instances=1 ")
     (stats,) = [line for line in lines if line.startswith("n0: stats ")]
@@ -125,6 +125,6 @@
         bench = await Bench().start()
         times = [bench.node.event_queue.now() for _ in range(1000)]
         assert times == sorted(times)
-        assert abs(times[0] - time.time_ns() // 1000) < 60 * MOMENT
+        assert abs(times[0] - time.time_ns() // 1000) < 60 * SECOND_US
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_operator_terms_answers.py
+++ b/tests/test_operator_terms_answers.py
@@ -4,7 +4,7 @@
 import socket
 
 import pytest
-from loopback import Bench, Server, always, call, play, until
+from loopback import Bench, Server, call, respond_with, run_scenario, wait_until
 
 from balancer.net.downstream import requests
 from balancer.net.upstream.body_streaming import MAX_BUFFERED_BYTES
@@ -22,18 +22,18 @@
     """Connections after their last response are evicted first, but not while the response is unsent."""
 
     async def scenario():
-        bench = await Bench(Server(always(RESPONSE))).start()
+        bench = await Bench(Server(respond_with(RESPONSE))).start()
         client_connections = bench.node.client_connections
         client = socket.socket()
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client.connect(("127.0.0.1", bench.port))
         client.setblocking(False)
-        await until(lambda: any(c.transport for c in client_connections.connections))
+        await wait_until(lambda: any(c.transport for c in client_connections.connections))
         (connection,) = client_connections.connections
         connection_socket = connection.transport.get_extra_info("socket")
         connection_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.send(call(extra=b"Connection: close\r\n"))
-        await until(lambda: bool(connection.finished_at))
+        await wait_until(lambda: bool(connection.finished_at))
         assert connection.has_unsent_data()
         assert not client_connections.evict_one()
         data = b""
@@ -42,7 +42,7 @@
         assert data.partition(b"\r\n\r\n")[2] == bytes(MAX_BUFFERED_BYTES)
         client.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -65,12 +65,12 @@
         server = await asyncio.start_server(respond_early, "127.0.0.1", 0)
         bench = await Bench(other := Server(), config={"known": None}).start()
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        bench.discovery.say(42, True, other.entry("early", addr=address))
-        await until(lambda: bench.node.lifecycle.is_serving)
+        bench.discovery.send_list(42, True, other.entry("early", addr=address))
+        await wait_until(lambda: bench.node.lifecycle.is_serving)
         client = await bench.client()
         client.send(call("offer", body=bytes(4 * MAX_BUFFERED_BYTES))[: -2 * MAX_BUFFERED_BYTES])
         requests = bench.node.requests
-        await until(lambda: any(r.stream is not None for r in requests.pending.values()))
+        await wait_until(lambda: any(r.stream is not None for r in requests.pending.values()))
         (connection,) = bench.node.client_connections.connections
         connection.read_deadline.expires_at = 0.0
         connection.read_deadline.body_expires_at = 0.0
@@ -79,10 +79,10 @@
         with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
             await client.receive()
             await client.reader.readexactly(4 * MAX_BUFFERED_BYTES)
-        await until(lambda: not requests.pending and not bench.node.client_connections.connections)
+        await wait_until(lambda: not requests.pending and not bench.node.client_connections.connections)
         client.writer.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 LONG_RESPONSE = bytes(4 * MAX_BUFFERED_BYTES)
@@ -107,16 +107,16 @@
         client = await bench.client()
         client.send(call(class_name, budget=200))
         requests = bench.node.requests
-        await until(lambda: any(r.stream is not None for r in requests.pending.values()))
+        await wait_until(lambda: any(r.stream is not None for r in requests.pending.values()))
         (request,) = requests.pending.values()
-        await until(lambda: bench.node.event_queue.now() > request.deadline + PAST_DEADLINE_US)
+        await wait_until(lambda: bench.node.event_queue.now() > request.deadline + PAST_DEADLINE_US)
         assert request.client is not None and list(requests.pending.values()) == [request]
         resume.set()
         status, _, body = await client.receive()
         assert status == 200 and body == LONG_RESPONSE
         client.writer.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("class_name", ["view", "invite", "offer"])
@@ -129,7 +129,7 @@
         client = await bench.client()
         client.send(call(class_name))
         requests = bench.node.requests
-        await until(lambda: any(r.stream is not None for r in requests.pending.values()))
+        await wait_until(lambda: any(r.stream is not None for r in requests.pending.values()))
         (request,) = requests.pending.values()
         exchange = request.exchange
         assert exchange is not None and exchange.connection is not None and exchange.timer is not None
@@ -140,10 +140,10 @@
         exchange.check_progress(exchange.connection)
         with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
             await client.receive()
-        await until(lambda: not requests.pending and not bench.node.client_connections.connections)
+        await wait_until(lambda: not requests.pending and not bench.node.client_connections.connections)
         client.writer.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("class_name", ["view", "invite", "offer"])
@@ -157,14 +157,14 @@
     monkeypatch.setattr(requests, "DEADLINE_GRACE_US", LONG_DEADLINE_GRACE_US)
 
     async def scenario():
-        bench = await Bench(*(servers := [Server(always(None)), Server(always(None))])).start()
+        bench = await Bench(*(servers := [Server(respond_with(None)), Server(respond_with(None))])).start()
         client = await bench.client()
-        status, _, _ = await client.ask(call(class_name, budget=budget))
+        status, _, _ = await client.request(call(class_name, budget=budget))
         assert status in (502, 503, 504)
         forwarded_budgets_ms = [int(r.headers["x-budget-ms"]) for server in servers for r in server.requests]
         assert all(t <= budget for t in forwarded_budgets_ms) and (budget > 0 or not forwarded_budgets_ms)
         assert bench.node.requests.overdue_count == 0
         client.writer.close()
-        await until(lambda: not bench.node.client_connections.connections)
+        await wait_until(lambda: not bench.node.client_connections.connections)
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_operator_terms_deadline.py
+++ b/tests/test_operator_terms_deadline.py
@@ -6,7 +6,17 @@
 import asyncio
 
 import pytest
-from loopback import OK, REJECTED, Bench, Late, Server, always, call, play, until
+from loopback import (
+    OK,
+    REJECTED,
+    Bench,
+    DelayedConnectLoop,
+    Server,
+    call,
+    respond_with,
+    run_scenario,
+    wait_until,
+)
 
 from balancer.net.downstream import requests as requests_module
 from balancer.net.downstream.client_connection import MAX_PIPELINED_REQUESTS
@@ -90,15 +100,15 @@
 
         server.handle = reject_once
         client = await bench.client()
-        await until(lambda: any(c.transport for c in bench.node.client_connections.connections))
+        await wait_until(lambda: any(c.transport for c in bench.node.client_connections.connections))
         sent_at = clock.now
         clock.advance(unread_s)
         clock.read_count, clock.pause_after_read = 0, pause_after_read
-        await client.ask(call(class_name, budget=int(BUDGET_S * 1000)))
+        await client.request(call(class_name, budget=int(BUDGET_S * 1000)))
         assert_budgets_within_remaining(clock, sent_at, [server])
         client.writer.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("class_name", ["view", "offer"])
@@ -109,14 +119,14 @@
         bench = await Bench(server := Server()).start()
         clock = ManualClock(bench, monkeypatch)
         client = await bench.client()
-        await until(lambda: any(c.transport for c in bench.node.client_connections.connections))
+        await wait_until(lambda: any(c.transport for c in bench.node.client_connections.connections))
         sent_at = clock.now
         clock.read_count, clock.pause_after_read = 0, 1
-        await client.ask(call(class_name, budget=int(BUDGET_S * 1000)))
+        await client.request(call(class_name, budget=int(BUDGET_S * 1000)))
         assert_budgets_within_remaining(clock, sent_at, [server], slack_s=0.0)
         client.writer.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("delay_s", [0.0, 0.25, 1.5])
@@ -127,18 +137,18 @@
     async def scenario():
         bench = await Bench(server := Server()).start()
         clock = ManualClock(bench, monkeypatch)
-        bench.node.pool.loop = loop = Late(asyncio.get_running_loop())
+        bench.node.pool.loop = loop = DelayedConnectLoop(asyncio.get_running_loop())
         client = await bench.client()
         sent_at = clock.now
         client.send(call("offer" if body else "view", budget=int(BUDGET_S * 1000), body=body))
-        await loop.asked.wait()
+        await loop.connect_requested.wait()
         clock.advance(delay_s)
-        loop.up.set()
+        loop.connect_allowed.set()
         assert (await client.receive())[0] == 200
         assert_budgets_within_remaining(clock, sent_at, [server], slack_s=0.0)
         client.writer.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("delay_s", [0.0, 0.25, 1.5])
@@ -146,24 +156,24 @@
     """The client may have written the whole body long before, and must get its response in time."""
 
     async def scenario():
-        bench = await Bench(server := Server(always(None))).start()
+        bench = await Bench(server := Server(respond_with(None))).start()
         clock = ManualClock(bench, monkeypatch)
-        bench.node.pool.loop = loop = Late(asyncio.get_running_loop())
+        bench.node.pool.loop = loop = DelayedConnectLoop(asyncio.get_running_loop())
         client = await bench.client()
         sent_at = clock.now
         client.send(call("offer", budget=int(BUDGET_S * 1000), body=bytes(2 * MAX_BUFFERED_BYTES)))
-        await loop.asked.wait()
+        await loop.connect_requested.wait()
         (request,) = bench.node.requests.pending.values()
         clock.advance(delay_s)
-        loop.up.set()
-        await until(lambda: request.deadline_timer is not None)
+        loop.connect_allowed.set()
+        await wait_until(lambda: request.deadline_timer is not None)
         assert len(clock.write_times) == 1 and request.incoming_body() is None
         assert request.deadline <= int((sent_at + BUDGET_S) * 1e6)
         client.writer.transport.abort()
-        await until(lambda: not bench.node.client_connections.connections)
+        await wait_until(lambda: not bench.node.client_connections.connections)
         assert len(server.requests) <= 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("body", [b"", bytes(100)], ids=["none", "short"])
@@ -171,7 +181,7 @@
     """More requests arrive at once than are parsed ahead, and each response takes 50 ms."""
 
     async def scenario():
-        bench = await Bench(server := Server(always(OK))).start()
+        bench = await Bench(server := Server(respond_with(OK))).start()
         clock = ManualClock(bench, monkeypatch)
 
         async def delay(request, writer):
@@ -190,4 +200,4 @@
         assert_budgets_within_remaining(clock, sent_at, [server], slack_s=0.0)
         client.writer.close()
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_operator_terms_leaving.py
+++ b/tests/test_operator_terms_leaving.py
@@ -6,7 +6,16 @@
 from typing import cast
 
 import pytest
-from loopback import Bench, Late, Server, call, play, small_listener, small_sends, until
+from loopback import (
+    Bench,
+    DelayedConnectLoop,
+    Server,
+    call,
+    limit_send_buffers,
+    run_scenario,
+    small_buffer_listener,
+    wait_until,
+)
 
 BODY_BYTES = 65536
 CANCEL_SETTINGS = pytest.mark.parametrize("cancel", [True, False], ids=["cancel", "no cancel"])
@@ -41,33 +50,35 @@
     cancel: bool, mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The server reads part of the request, the client disconnects, then the server reads all it can get."""
-    small_sends(monkeypatch)
+    limit_send_buffers(monkeypatch)
 
     async def scenario() -> None:
-        listener = small_listener()
+        listener = small_buffer_listener()
         changes = {"policy_limits": {"cancel": cancel}}
         bench = await Bench(other := Server(), config={"known": None}, **changes).start()
-        bench.discovery.say(42, True, other.entry("half", addr=f"127.0.0.1:{listener.getsockname()[1]}"))
-        await until(lambda: bench.node.lifecycle.is_serving)
+        bench.discovery.send_list(
+            42, True, other.entry("half", addr=f"127.0.0.1:{listener.getsockname()[1]}")
+        )
+        await wait_until(lambda: bench.node.lifecycle.is_serving)
         client = socket.create_connection(("127.0.0.1", bench.port))
         loop = asyncio.get_running_loop()
         await loop.run_in_executor(None, client.sendall, call("offer", body=bytes(BODY_BYTES)))
         connection, _ = await loop.sock_accept(listener)
         connection.setblocking(False)
         requests = bench.node.requests
-        await until(lambda: any(r.exchange and r.exchange.connection for r in requests.pending.values()))
+        await wait_until(lambda: any(r.exchange and r.exchange.connection for r in requests.pending.values()))
         (request,) = requests.pending.values()
         assert request.exchange is not None and request.exchange.connection is not None
         assert request.exchange.connection.has_unsent_data()
         close_connection(client, mode)
-        await until(lambda: request.client is None)
+        await wait_until(lambda: request.client is None)
         received = await asyncio.wait_for(read_to_end(connection), 20)
         assert len(received) < BODY_BYTES
-        await until(lambda: not requests.pending)
+        await wait_until(lambda: not requests.pending)
         for open_socket in (client, connection, listener):
             open_socket.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @CLOSE_MODES
@@ -81,18 +92,18 @@
 
     async def scenario() -> None:
         bench = await Bench(server := Server(), policy_limits={"cancel": cancel}).start()
-        late = Late(asyncio.get_running_loop())
+        late = DelayedConnectLoop(asyncio.get_running_loop())
         bench.node.pool.loop = cast(asyncio.AbstractEventLoop, late)
         client = socket.create_connection(("127.0.0.1", bench.port))
         client.sendall(call().replace(b"HTTP/1.1", b"HTTP/" + version))
-        await late.asked.wait()
+        await late.connect_requested.wait()
         drain = asyncio.create_task(bench.node.drain()) if draining else None
         close_connection(client, mode)
-        late.up.set()
-        await until(lambda: not bench.node.requests.pending)
+        late.connect_allowed.set()
+        await wait_until(lambda: not bench.node.requests.pending)
         assert server.requests == []
         client.close()
         if drain is not None:
             await asyncio.wait_for(drain, 20)
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_operator_terms_stopping.py
+++ b/tests/test_operator_terms_stopping.py
@@ -1,7 +1,7 @@
 """The operators' terms for stalled clients: a client that stops within a request gets an error in time."""
 
 import pytest
-from loopback import Bench, Clock, Server, call, play, until
+from loopback import Bench, FakeTimeLoop, Server, call, run_scenario, wait_until
 
 from balancer.net.downstream.read_deadline import HEAD_TIMEOUT_S
 
@@ -28,22 +28,22 @@
     async def scenario() -> None:
         bench = await Bench(Server()).start()
         client_connections = bench.node.client_connections
-        clock = Clock(bench.node.loop, bench.node.loop.time())
+        clock = FakeTimeLoop(bench.node.loop, bench.node.loop.time())
         monkeypatch.setattr(client_connections, "loop", clock)
         connected = clock.now
         client = await bench.client()
-        await until(lambda: any(c.transport for c in client_connections.connections))
+        await wait_until(lambda: any(c.transport for c in client_connections.connections))
         (connection,) = client_connections.connections
         clock.now += send_delay_s
         client.send(sent)
-        await until(
+        await wait_until(
             lambda: (
                 connection.partial_request is not None
                 and (len(sent) < 9000 or connection.partial_request.body != b"")
             )
         )
         received = len(sent) - len(PARTIAL_REQUESTS["the head"])
-        await until(
+        await wait_until(
             lambda: connection.partial_request is None or len(connection.partial_request.body) >= received
         )
         while not connection.reading_stopped and clock.now < connected + 2 * ERROR_DEADLINE_S:
@@ -55,7 +55,7 @@
         assert await client.ended()
         client.writer.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_body_in_progress_is_not_timed_out(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -64,18 +64,20 @@
     async def scenario() -> None:
         bench = await Bench(server := Server()).start()
         client_connections = bench.node.client_connections
-        clock = Clock(bench.node.loop, bench.node.loop.time())
+        clock = FakeTimeLoop(bench.node.loop, bench.node.loop.time())
         monkeypatch.setattr(client_connections, "loop", clock)
         client = await bench.client()
-        await until(lambda: any(c.transport for c in client_connections.connections))
+        await wait_until(lambda: any(c.transport for c in client_connections.connections))
         (connection,) = client_connections.connections
         clock.now += 1.5
         client.send(PARTIAL_REQUESTS["the head"])
-        await until(lambda: connection.partial_request is not None and not connection.parser.head_incomplete)
+        await wait_until(
+            lambda: connection.partial_request is not None and not connection.parser.head_incomplete
+        )
         for count in range(1, 13):
             clock.now += 0.15
             client.send(bytes(100))
-            await until(
+            await wait_until(
                 lambda size=100 * count: (
                     connection.partial_request is not None and len(connection.partial_request.body) == size
                 )
@@ -86,4 +88,4 @@
         assert len(server.requests) == 1
         client.writer.close()
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -4,7 +4,7 @@
 from random import Random
 
 import pytest
-from support import BASE, SEC, Recorder
+from support import BASE_SETTINGS, SEC, Recorder
 
 from balancer.policy import gradient
 from balancer.policy.interface import ListKind, Outcome, ServerEntry, State
@@ -73,7 +73,7 @@
 def send_requests(policy_class, request_count=40, server_count=4, **changes):
     """Return a policy that has received requests, one per microsecond, and the recorder of its actions."""
     recorder = Recorder()
-    policy = policy_class(BASE, 1, recorder)
+    policy = policy_class(BASE_SETTINGS, 1, recorder)
     policy.start(0)
     policy.server_list(0, ListKind.CACHED, [ServerEntry(i) for i in range(server_count)])
     for request in range(request_count):
@@ -104,7 +104,7 @@
 def test_baseline_retries_only_if_the_request_effect_allows_it(request_class, outcome, action):
     """A request that must not run twice is retried only if the first server proves that it did not run it."""
     recorder = Recorder()
-    policy = RandomChoice(BASE, 1, recorder)
+    policy = RandomChoice(BASE_SETTINGS, 1, recorder)
     policy.server_list(
         0, ListKind.FULL, [ServerEntry(1, cell=1), ServerEntry(2, cell=1), ServerEntry(3, cell=2)]
     )
@@ -189,8 +189,8 @@
     """A constant that one module defines and another one imports is set in both."""
     commit = commit_files(tmp_path, files)
     monkeypatch.setattr(revisions, "ROOT", tmp_path)
-    unchanged = revisions.load_policy_factory(commit, ())(BASE, 1, Recorder(), None)
-    changed = revisions.load_policy_factory(commit, (("WAIT", 5.0),))(BASE, 1, Recorder(), None)
+    unchanged = revisions.load_policy_factory(commit, ())(BASE_SETTINGS, 1, Recorder(), None)
+    changed = revisions.load_policy_factory(commit, (("WAIT", 5.0),))(BASE_SETTINGS, 1, Recorder(), None)
     assert unchanged.loaded == (3, "of the revision") and changed.loaded == (5, "of the revision")
     with pytest.raises(revisions.RevisionError, match="policy.WAIT_NONE: no such constant"):
         revisions.load_policy_factory(commit, (("WAIT_NONE", 5.0),))
@@ -250,9 +250,9 @@
     commit = commit_files(tmp_path, files)
     monkeypatch.setattr(revisions, "ROOT", tmp_path)
     recorder = Recorder()
-    policy = revisions.load_policy_factory(commit, ())(BASE, 1, recorder, None)
-    assert policy.settings.cold_time == BASE.slow_start_time and not policy.settings.second_copies
-    assert [c.aim for c in policy.settings.classes] == [c.latency_objective for c in BASE.classes]
+    policy = revisions.load_policy_factory(commit, ())(BASE_SETTINGS, 1, recorder, None)
+    assert policy.settings.cold_time == BASE_SETTINGS.slow_start_time and not policy.settings.second_copies
+    assert [c.aim for c in policy.settings.classes] == [c.latency_objective for c in BASE_SETTINGS.classes]
     policy.request(0, 1, 0, 0, 3 * SEC, False)
     assert recorder.take() == [
         ("reject", 1, 5),
--- a/tests/test_policy_adapter.py
+++ b/tests/test_policy_adapter.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Any
 
-from support import BASE, Recorder
+from support import BASE_SETTINGS, Recorder
 
 from balancer.fleet.config import read_fleet
 from balancer.fleet.policy_adapter import PolicyAdapter
@@ -30,7 +30,7 @@
     published: list[Any] = []
     adapter = PolicyAdapter(
         read_fleet(table, "a"),
-        BASE,
+        BASE_SETTINGS,
         lambda: clock[0],
         lambda: 10**15 + clock[0],
         lambda: None,
@@ -111,7 +111,7 @@
 
 
 def make_balancer(fleet: RecordingFleet) -> Balancer:
-    node = Balancer(replace(BASE, max_attempts=1), 1, Recorder(), fleet)
+    node = Balancer(replace(BASE_SETTINGS, max_attempts=1), 1, Recorder(), fleet)
     node.start(0)
     node.server_list(0, ListKind.FULL, [ServerEntry(i) for i in range(1, 7)])
     return node
