--- a/tests/test_policy_balancer.py
+++ b/tests/test_policy_balancer.py
@@ -1,7 +1,16 @@
 """Tests of the Balancer: requests of each effect from admission to the final answer."""
 
 import pytest
-from support import BASE, KEYED, SAFE, SEC, UNSAFE, ask, balancer, end
+from support import (
+    BASE_SETTINGS,
+    KEYED_CLASS,
+    SAFE_CLASS,
+    SEC,
+    UNSAFE_CLASS,
+    balancer,
+    end_attempt,
+    submit_request,
+)
 
 from balancer.policy.interface import (
     NEVER_RAN,
@@ -20,7 +29,7 @@
 def test_request_at_limit_is_rejected_with_retry_after():
     node, rec = balancer(1)
     limit = int(node.controller.allowed())
-    answers = [ask(node, rec, 0, i)[0] for i in range(limit + 1)]
+    answers = [submit_request(node, rec, 0, i)[0] for i in range(limit + 1)]
     assert answers == ["send"] * limit + ["reject"]
     node.request(0, 99, 0, 0, 3 * SEC, False)
     ((_, request, retry_after),) = rec.take()
@@ -32,25 +41,25 @@
 @pytest.mark.parametrize("request_class", [0, 1, 2])
 def test_an_attempt_that_never_ran_is_retried(outcome, request_class):
     node, rec = balancer()
-    _, _, server, _ = ask(node, rec, 0, 1, request_class)
-    ((action, *_),) = end(node, rec, 1000, 1, 0, server, outcome)
+    _, _, server, _ = submit_request(node, rec, 0, 1, request_class)
+    ((action, *_),) = end_attempt(node, rec, 1000, 1, 0, server, outcome)
     assert action == "send"
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
 def test_non_idempotent_request_that_may_have_run_fails(outcome):
     node, rec = balancer()
-    _, _, server, _ = ask(node, rec, 0, 1, 2)
-    assert end(node, rec, 1000, 1, 0, server, outcome) == [("fail", 1)]
+    _, _, server, _ = submit_request(node, rec, 0, 1, 2)
+    assert end_attempt(node, rec, 1000, 1, 0, server, outcome) == [("fail", 1)]
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
 def test_idempotent_request_is_rejected_after_max_attempts(outcome):
     node, rec = balancer(max_attempts=2)
-    _, _, server, _ = ask(node, rec, 0, 1, 0)
-    ((action, _, other, _),) = end(node, rec, 1000, 1, 0, server, outcome)
+    _, _, server, _ = submit_request(node, rec, 0, 1, 0)
+    ((action, _, other, _),) = end_attempt(node, rec, 1000, 1, 0, server, outcome)
     assert action == "send"
-    ((action, *_),) = end(node, rec, 2000, 1, 1, other, outcome)
+    ((action, *_),) = end_attempt(node, rec, 2000, 1, 1, other, outcome)
     assert action == "reject"
 
 
@@ -59,11 +68,11 @@
     node, rec = balancer(4)
     sends = 0
     for i in range(100):
-        actions = [ask(node, rec, i * 1000, i)]
+        actions = [submit_request(node, rec, i * 1000, i)]
         attempt = 0
         while actions and actions[0][0] == "send":
             sends += 1
-            actions = end(node, rec, i * 1000 + 500, i, attempt, actions[0][2], Outcome.ERROR)
+            actions = end_attempt(node, rec, i * 1000 + 500, i, attempt, actions[0][2], Outcome.ERROR)
             attempt += 1
     assert 100 < sends <= 100 + 100 * 0.1 + 4
 
@@ -71,9 +80,9 @@
 def test_timeout_at_the_deadline_gets_the_final_answer():
     for request_class, answer in ((0, "reject"), (1, "fail"), (2, "fail")):
         node, rec = balancer(max_attempts=1)
-        _, _, server, timeout = ask(node, rec, 0, 1, request_class)
+        _, _, server, timeout = submit_request(node, rec, 0, 1, request_class)
         assert timeout == 3 * SEC
-        ((action, *_),) = end(node, rec, timeout, 1, 0, server, Outcome.TIMEOUT, timeout)
+        ((action, *_),) = end_attempt(node, rec, timeout, 1, 0, server, Outcome.TIMEOUT, timeout)
         assert action == answer
         assert not node.lifecycle.requests
 
@@ -84,7 +93,7 @@
         node, rec = balancer(seed=seed, instances=7)
         node.mean_rtt[:] = [SEC // 4] * 3
         for request_class in (0, 1):
-            _, _, _, timeout = ask(node, rec, 0, request_class, request_class)
+            _, _, _, timeout = submit_request(node, rec, 0, request_class, request_class)
             # A response after seven mean round-trips still arrives in time.
             assert 1_900_000 < timeout < 3 * SEC
 
@@ -94,36 +103,36 @@
     for request_class in (0, 1):
         node, rec = balancer()
         node.mean_rtt[:] = [SEC // 10] * 3
-        _, _, first, timeout = ask(node, rec, 0, 1, request_class)
+        _, _, first, timeout = submit_request(node, rec, 0, 1, request_class)
         assert timeout == 3 * SEC // 2
-        ((_, _, second, rest),) = end(node, rec, timeout, 1, 0, first, Outcome.TIMEOUT, timeout)
+        ((_, _, second, rest),) = end_attempt(node, rec, timeout, 1, 0, first, Outcome.TIMEOUT, timeout)
         assert second != first and rest == 3 * SEC - timeout
 
 
 def test_attempt_without_a_successor_gets_all_remaining_time():
     node, rec = balancer()
     # A request that is not idempotent cannot be retried after a timeout.
-    assert ask(node, rec, 0, 1, 2)[3] == 3 * SEC
+    assert submit_request(node, rec, 0, 1, 2)[3] == 3 * SEC
     # The retry budget is used up.
     node.lifecycle.retry_budget.tokens = 0.0
-    assert ask(node, rec, 0, 2)[3] == 3 * SEC
+    assert submit_request(node, rec, 0, 2)[3] == 3 * SEC
     # Eight mean round-trips are more than half the remaining time.
     node.lifecycle.retry_budget.tokens = 3.0
     node.mean_rtt[0] = 350_000.0
-    assert ask(node, rec, 0, 3)[3] == 2_800_000
+    assert submit_request(node, rec, 0, 3)[3] == 2_800_000
 
 
 def test_class_without_late_worth_times_out_by_its_objective():
     """A late response of this class is worth nothing, so waiting for it would waste capacity."""
     request_class = ClassSettings(Effect.IDEMPOTENT, latency_objective=SEC, deadline=3 * SEC, worth=1)
     node, rec = balancer(classes=(request_class,))
-    assert ask(node, rec, 0, 1)[3] < SEC
+    assert submit_request(node, rec, 0, 1)[3] < SEC
 
 
 def test_no_available_server_rejects_at_once():
     for request_class in (0, 1, 2):
         node, rec = balancer(0)
-        assert ask(node, rec, 0, 1, request_class)[0] == "reject"
+        assert submit_request(node, rec, 0, 1, request_class)[0] == "reject"
 
 
 def test_draining_or_removed_server_gets_no_new_attempts():
@@ -133,11 +142,11 @@
         rec.take()
         servers = set()
         for i in range(5):
-            servers.add(ask(node, rec, 20, i, 2)[2])
+            servers.add(submit_request(node, rec, 20, i, 2)[2])
         for i in range(100, 160):
-            server = ask(node, rec, i, i, 2)[2]
+            server = submit_request(node, rec, i, i, 2)[2]
             servers.add(server)
-            end(node, rec, i, i, 0, server, Outcome.OK)
+            end_attempt(node, rec, i, i, 0, server, Outcome.OK)
         assert servers == {1, 3, 4}
 
 
@@ -158,7 +167,7 @@
         node.request(0, i, 0, 0, 3 * SEC, False)
         sent += rec.take("send", "reject")
     assert [a[0] for a in sent] == ["send"] * 6
-    ((action, request, *_),) = end(node, rec, 1000, 0, 0, 1, Outcome.OK)
+    ((action, request, *_),) = end_attempt(node, rec, 1000, 0, 0, 1, Outcome.OK)
     assert (action, request) == ("send", 6)
     node.request(2000, 9, 0, 0, 3 * SEC, False)
     ((_, delay, token),) = rec.take()
@@ -168,22 +177,22 @@
 
 def test_client_disconnect_cancels_without_answer():
     node, rec = balancer()
-    _, _, server, _ = ask(node, rec, 0, 1)
+    _, _, server, _ = submit_request(node, rec, 0, 1)
     node.client_disconnected(10, 1)
     assert rec.take() == [("cancel", 1, 0)]
-    assert end(node, rec, 20, 1, 0, server, Outcome.CANCELLED) == []
+    assert end_attempt(node, rec, 20, 1, 0, server, Outcome.CANCELLED) == []
     assert node.controller.in_flight == 0
     node, rec = balancer(cancel=False)
-    ask(node, rec, 0, 1)
+    submit_request(node, rec, 0, 1)
     node.client_disconnected(10, 1)
     assert rec.take() == []
 
 
 def test_started_stream_is_not_retried():
     node, rec = balancer()
-    _, _, server, _ = ask(node, rec, 0, 1)
+    _, _, server, _ = submit_request(node, rec, 0, 1)
     node.response_started(10, 1, 0, server, 10)
-    assert end(node, rec, 20, 1, 0, server, Outcome.RESET) == [("fail", 1)]
+    assert end_attempt(node, rec, 20, 1, 0, server, Outcome.RESET) == [("fail", 1)]
 
 
 def test_events_with_unknown_ids_are_ignored():
@@ -195,9 +204,9 @@
     node.timer(0, 2 << 56 | 5)
     node.health_checked(0, 1, True, 5, ())
     node.peer_message(0, 1, b"x")
-    _, _, server, _ = ask(node, rec, 0, 1)
-    end(node, rec, 1, 1, 0, server, Outcome.OK)
-    assert end(node, rec, 2, 1, 0, server, Outcome.OK) == []
+    _, _, server, _ = submit_request(node, rec, 0, 1)
+    end_attempt(node, rec, 1, 1, 0, server, Outcome.OK)
+    assert end_attempt(node, rec, 2, 1, 0, server, Outcome.OK) == []
     assert node.controller.in_flight == 0
 
 
@@ -227,7 +236,7 @@
     ],
 )
 def test_invalid_settings_name_their_key(field, key):
-    values = {f: getattr(BASE, f) for f in BASE.__dataclass_fields__}
+    values = {f: getattr(BASE_SETTINGS, f) for f in BASE_SETTINGS.__dataclass_fields__}
     values[field] = () if field == "classes" else -1
     with pytest.raises(ValueError, match=key):
         Settings(**values)
@@ -236,7 +245,7 @@
 
 
 def test_support_classes_cover_each_effect():
-    assert [c.effect for c in (SAFE, KEYED, UNSAFE)] == list(Effect)
+    assert [c.effect for c in (SAFE_CLASS, KEYED_CLASS, UNSAFE_CLASS)] == list(Effect)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET])
@@ -248,16 +257,16 @@
     now = 0
     for i in range(400):
         now += 10_000
-        _, _, server, _ = ask(node, rec, now, i, 2)
-        end(node, rec, now + 5_000, i, 0, server, outcome if i % 4 == 0 else Outcome.OK)
+        _, _, server, _ = submit_request(node, rec, now, i, 2)
+        end_attempt(node, rec, now + 5_000, i, 0, server, outcome if i % 4 == 0 else Outcome.OK)
     assert node.controller.sample_rtt < 1 and node.controller.limit >= 12
 
 
 def test_timeout_adds_a_sample_of_its_duration():
     node, rec = balancer(4)
     node.controller.end_recalculation(0)
-    _, _, server, timeout = ask(node, rec, 0, 1, 2)
-    end(node, rec, timeout, 1, 0, server, Outcome.TIMEOUT, timeout)
+    _, _, server, timeout = submit_request(node, rec, 0, 1, 2)
+    end_attempt(node, rec, timeout, 1, 0, server, Outcome.TIMEOUT, timeout)
     assert node.controller.sample_rtt == pytest.approx(timeout / node.controller.target[2])
 
 
@@ -267,23 +276,25 @@
     node.servers[1].deviation.value = 3.0
     counts = []
     for i, server in enumerate((1, 2)):
-        while ask(node, rec, 1000, 100 * server + i, 2)[2] != server:
+        while submit_request(node, rec, 1000, 100 * server + i, 2)[2] != server:
             i += 1
-        end(node, rec, 1000, 100 * server + i, 0, server, Outcome.OK, 100_000)
+        end_attempt(node, rec, 1000, 100 * server + i, 0, server, Outcome.OK, 100_000)
         counts.append(len(node.controller.window.rtts))
     assert counts == [0, 1]
 
 
 def test_unknown_class_is_not_retried():
     """An unknown class must not get the retries of the last class of the settings."""
-    node, rec = balancer(classes=(UNSAFE, SAFE))
-    server = ask(node, rec, 0, 1, request_class=9)[2]
-    assert [a[0] for a in end(node, rec, 10_000, 1, 0, server, Outcome.ERROR)] == ["fail"]
+    node, rec = balancer(classes=(UNSAFE_CLASS, SAFE_CLASS))
+    server = submit_request(node, rec, 0, 1, request_class=9)[2]
+    assert [a[0] for a in end_attempt(node, rec, 10_000, 1, 0, server, Outcome.ERROR)] == ["fail"]
 
 
 def test_outcome_of_a_finished_request_is_ignored():
     node, rec = balancer()
-    server = ask(node, rec, 0, 1)[2]
-    end(node, rec, 10_000, 1, 0, server, Outcome.OK)
+    server = submit_request(node, rec, 0, 1)[2]
+    end_attempt(node, rec, 10_000, 1, 0, server, Outcome.OK)
     node.client_disconnected(11_000, 1)
-    assert end(node, rec, 12_000, 1, 0, server, Outcome.ERROR) == [] and node.controller.in_flight == 0
+    assert (
+        end_attempt(node, rec, 12_000, 1, 0, server, Outcome.ERROR) == [] and node.controller.in_flight == 0
+    )
--- a/tests/test_policy_ejection.py
+++ b/tests/test_policy_ejection.py
@@ -1,7 +1,7 @@
 """Tests of outlier ejection and of readmission by probes."""
 
 import pytest
-from support import SEC, ask, balancer, end
+from support import SEC, balancer, end_attempt, submit_request
 
 from balancer.policy.interface import ListKind, Outcome, ServerEntry, State
 
@@ -11,17 +11,17 @@
     node, rec = balancer(4)
     open_requests = []
     for i in range(12):
-        _, request, server, _ = ask(node, rec, 0, i, 2)
+        _, request, server, _ = submit_request(node, rec, 0, i, 2)
         open_requests.append((request, server))
     drained = max(range(1, 5), key=[server for _, server in open_requests].count)
     node.server_list(1, ListKind.CHANGES, [ServerEntry(drained, State.DRAINING)])
     for request, server in open_requests:
-        end(node, rec, 2, request, 0, server, Outcome.ERROR if server == drained else Outcome.OK)
+        end_attempt(node, rec, 2, request, 0, server, Outcome.ERROR if server == drained else Outcome.OK)
     assert sum(server == drained for _, server in open_requests) >= 3 and node.ejection.ejected == []
     for i in range(100, 200):
-        _, _, server, _ = ask(node, rec, i * SEC, i)
+        _, _, server, _ = submit_request(node, rec, i * SEC, i)
         assert server != drained
-        end(node, rec, i * SEC, i, 0, server, Outcome.OK)
+        end_attempt(node, rec, i * SEC, i, 0, server, Outcome.OK)
 
 
 def test_failing_member_is_ejected_and_probed_again() -> None:
@@ -30,15 +30,17 @@
     now, failures = 0, 0
     for i in range(300):
         now += 20_000
-        action = ask(node, rec, now, i, 2)
+        action = submit_request(node, rec, now, i, 2)
         failures += action[2] == 3
-        end(node, rec, now + 100, i, 0, action[2], Outcome.ERROR if action[2] == 3 else Outcome.OK, 250_000)
+        end_attempt(
+            node, rec, now + 100, i, 0, action[2], Outcome.ERROR if action[2] == 3 else Outcome.OK, 250_000
+        )
     assert failures < 15
     before = node.servers[3].outcome_count
     for i in range(300, 900):
         now += 20_000
-        action = ask(node, rec, now, i, 0)
-        end(node, rec, now + 100, i, 0, action[2], Outcome.OK, 250_000)
+        action = submit_request(node, rec, now, i, 0)
+        end_attempt(node, rec, now + 100, i, 0, action[2], Outcome.OK, 250_000)
         if i % 100 == 99:
             now += 10 * SEC
     assert not node.servers[3].ejected and node.servers[3].outcome_count > before
@@ -50,17 +52,17 @@
     now, in_flight = 0, []
     for i in range(600):
         now += 20_000
-        action = ask(node, rec, now, i)
+        action = submit_request(node, rec, now, i)
         if action[0] == "send" and action[2] != 3:
             in_flight.append((i, action[2]))
         if len(in_flight) > 6:
-            end(node, rec, now, in_flight[0][0], 0, in_flight[0][1], Outcome.OK, 200_000)
+            end_attempt(node, rec, now, in_flight[0][0], 0, in_flight[0][1], Outcome.OK, 200_000)
             del in_flight[0]
     assert node.servers[3].ejected and node.servers[3].silent
     assert node.controller.in_flight == 6
 
 
-@pytest.mark.usefixtures("wide")
+@pytest.mark.usefixtures("full_subset")
 def test_no_more_than_a_third_of_the_members_is_ejected() -> None:
     node, rec = balancer(9)
     for server in range(1, 10):
@@ -80,8 +82,8 @@
 def test_probe_is_short_and_never_a_non_idempotent_request() -> None:
     node, rec = balancer(4)
     node.ejection.eject(0, node.servers[1], silent=True)
-    assert ask(node, rec, 5 * SEC, 1, request_class=2)[2] != 1
-    action = ask(node, rec, 5 * SEC, 2, request_class=0, remaining=3 * SEC)
+    assert submit_request(node, rec, 5 * SEC, 1, request_class=2)[2] != 1
+    action = submit_request(node, rec, 5 * SEC, 2, request_class=0, remaining=3 * SEC)
     assert action[2] == 1 and action[3] < 3 * SEC
 
 
@@ -90,7 +92,7 @@
     """A client disconnects during a probe; without another probe the server would stay ejected forever."""
     node, rec = balancer(4)
     node.ejection.eject(0, node.servers[1], silent=True)
-    assert ask(node, rec, 5 * SEC, 1)[2] == 1
+    assert submit_request(node, rec, 5 * SEC, 1)[2] == 1
     node.client_disconnected(5 * SEC, 1)
-    end(node, rec, 5 * SEC, 1, 0, 1, outcome)
-    assert ask(node, rec, 10 * SEC, 2)[2] == 1
+    end_attempt(node, rec, 5 * SEC, 1, 0, 1, outcome)
+    assert submit_request(node, rec, 10 * SEC, 2)[2] == 1
--- a/tests/test_policy_load_shedding.py
+++ b/tests/test_policy_load_shedding.py
@@ -1,6 +1,6 @@
 """Tests of load shedding by tenant and by class."""
 
-from support import SAFE, SEC, ask, balancer, end
+from support import SAFE_CLASS, SEC, balancer, end_attempt, submit_request
 
 from balancer.policy.interface import ClassSettings, Effect, Outcome, TenantSettings
 
@@ -24,7 +24,7 @@
                 (action,) = rec.take("send", "reject")
                 if action[0] == "send":
                     served[tenant] += 1
-                    end(node, rec, i * 100_000, request, 0, action[2], Outcome.OK, 10_000)
+                    end_attempt(node, rec, i * 100_000, request, 0, action[2], Outcome.OK, 10_000)
     return [n / (600 * count) for n, count in zip(served, sent, strict=True)]
 
 
@@ -42,7 +42,7 @@
 
 def test_class_of_lesser_worth_is_rejected_first() -> None:
     valuable = ClassSettings(Effect.NOT_IDEMPOTENT, latency_objective=SEC, deadline=3 * SEC, worth=10)
-    node, rec = balancer(8, classes=(SAFE, valuable))
-    answers = [ask(node, rec, 0, i)[0] for i in range(46)]
+    node, rec = balancer(8, classes=(SAFE_CLASS, valuable))
+    answers = [submit_request(node, rec, 0, i)[0] for i in range(46)]
     assert answers[-1] == "reject"
-    assert ask(node, rec, 0, 99, 1)[0] == "send"
+    assert submit_request(node, rec, 0, 99, 1)[0] == "send"
--- a/tests/test_policy_slow_start.py
+++ b/tests/test_policy_slow_start.py
@@ -1,7 +1,7 @@
 """Tests of slow start: the requests that warming servers get from one instance."""
 
 import pytest
-from support import SEC, ask, balancer, end
+from support import SEC, balancer, end_attempt, submit_request
 
 from balancer.policy.interface import ListKind, Outcome, ServerEntry
 
@@ -15,9 +15,9 @@
         if i == 200:
             node.server_list(now, ListKind.CHANGES, [ServerEntry(2, ready_at=now)])
             rec.take()
-        action = ask(node, rec, now, i)
+        action = submit_request(node, rec, now, i)
         sent += i >= 200 and action[2] == 2
-        end(node, rec, now, i, 0, action[2], Outcome.OK, 250_000)
+        end_attempt(node, rec, now, i, 0, action[2], Outcome.OK, 250_000)
     # For two seconds the server gets up to 0.4 + 0.6 x 0.5 of a warm member's 25 to 33 requests a second.
     assert 5 <= sent <= 40
 
@@ -49,8 +49,8 @@
     sent = 0
     for i in range(80):
         now = i * SEC // 40
-        action = ask(node, recorder, now, i + 1)
+        action = submit_request(node, recorder, now, i + 1)
         if action[0] == "send":
             sent += 1
-            end(node, recorder, now, i + 1, 0, action[2], Outcome.OK, 5_000)
+            end_attempt(node, recorder, now, i + 1, 0, action[2], Outcome.OK, 5_000)
     assert min_sent <= sent <= max_sent
--- a/tests/test_policy_spillover.py
+++ b/tests/test_policy_spillover.py
@@ -1,12 +1,12 @@
 """Tests of zone spillover: the requests that leave their zone."""
 
 import pytest
-from support import ask, balancer, end
+from support import balancer, end_attempt, submit_request
 
 from balancer.policy.interface import Outcome, ServerEntry
 
 
-@pytest.mark.usefixtures("wide")
+@pytest.mark.usefixtures("full_subset")
 def test_requests_stay_in_zone_only_if_crossing_has_a_price() -> None:
     """If crossings are cheap, load alone decides, since staying in the zone would crowd its servers."""
     entries = [ServerEntry(i + 1, zone=i % 2) for i in range(12)]
@@ -16,9 +16,9 @@
         now = local = 0
         for i in range(400):
             now += 20_000
-            server = ask(node, rec, now, i)[2]
+            server = submit_request(node, rec, now, i)[2]
             local += server % 2
-            end(node, rec, now, i, 0, server, Outcome.OK, 250_000)
+            end_attempt(node, rec, now, i, 0, server, Outcome.OK, 250_000)
         return local / 400
 
     assert local_share(0.04) > 0.7
@@ -32,10 +32,10 @@
     now, remote = 0, 0
     for i in range(2000):
         now += 10_000
-        server = ask(node, rec, now, i, 2)[2]
+        server = submit_request(node, rec, now, i, 2)[2]
         remote += i >= 1000 and server % 2 == 0
         overloaded = i >= 500 and server % 2 == 1
-        end(node, rec, now, i, 0, server, Outcome.OK, 800_000 if overloaded else 200_000)
+        end_attempt(node, rec, now, i, 0, server, Outcome.OK, 800_000 if overloaded else 200_000)
     assert node.spillover.spill_ratio > 0.5 and remote > 300
 
 
@@ -48,9 +48,9 @@
     now = remote = 0
     for i in range(600):
         now += 20_000
-        server = ask(node, rec, now, i)[2]
+        server = submit_request(node, rec, now, i)[2]
         remote += server != 1
-        end(node, rec, now, i, 0, server, Outcome.OK, 250_000)
+        end_attempt(node, rec, now, i, 0, server, Outcome.OK, 250_000)
     assert remote / 600 >= min_spill * 5 / 6 - 0.05
     assert node.spillover.spill_ratio >= min_spill
 
--- a/tests/test_policy_subset.py
+++ b/tests/test_policy_subset.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from typing import Any
 
-from support import ask, balancer
+from support import balancer, submit_request
 
 from balancer.policy import Balancer
 from balancer.policy.interface import ListKind, ServerEntry, State
@@ -44,9 +44,9 @@
     node, rec = balancer(60, instances=300)
     initial_size = len(node.subset.members)
     for i in range(60):
-        ask(node, rec, i, i)
+        submit_request(node, rec, i, i)
     node.subset.mean_in_flight = 40.0
-    ask(node, rec, 100, 100)
+    submit_request(node, rec, 100, 100)
     assert initial_size < 12 and len(node.subset.members) == 24
 
 
--- a/tests/test_policy_zone_shares.py
+++ b/tests/test_policy_zone_shares.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from typing import Any
 
-from support import KEYED, SAFE, SEC, Recorder, balancer, end
+from support import KEYED_CLASS, SAFE_CLASS, SEC, Recorder, balancer, end_attempt
 
 from balancer.policy import Balancer
 from balancer.policy.gradient import GradientController
@@ -42,7 +42,7 @@
             servers.append(server)
             elapsed = latency(server)
             now += elapsed
-            actions = end(node, recorder, now, request, attempt, server, outcome(server), elapsed)
+            actions = end_attempt(node, recorder, now, request, attempt, server, outcome(server), elapsed)
             attempt += 1
     return servers
 
@@ -66,13 +66,13 @@
 
 
 def test_keyed_request_that_may_have_run_stays_in_its_group() -> None:
-    zone_group = replace(KEYED, group=Group.ZONE, window=3 * SEC)
-    node, recorder = policy_with_shares({0: 1.0, 1: 0.0}, classes=(SAFE, zone_group))
+    zone_group = replace(KEYED_CLASS, group=Group.ZONE, window=3 * SEC)
+    node, recorder = policy_with_shares({0: 1.0, 1: 0.0}, classes=(SAFE_CLASS, zone_group))
     for request in range(10):
         node.request(1000 + request, request, 1, 0, 3 * SEC, False)
         first = recorder.take("send")[0][2]
         outcome = Outcome.RESET if zone_of(first) == 0 else Outcome.OK
-        actions = end(node, recorder, 2000 + request, request, 0, first, outcome)
+        actions = end_attempt(node, recorder, 2000 + request, request, 0, first, outcome)
         assert all(action[0] != "send" or zone_of(action[2]) == zone_of(first) for action in actions)
 
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -21,7 +21,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from support import BASE, SEC, Recorder
+from support import BASE_SETTINGS, SEC, Recorder
 
 from balancer.policy import Balancer
 from balancer.policy.interface import (
@@ -58,7 +58,7 @@
         for _ in range(rng.randint(1, 3))
     )
     return replace(
-        BASE,
+        BASE_SETTINGS,
         classes=classes,
         tenants=(TenantSettings(quota=20), TenantSettings()) if rng.random() < 0.5 else (),
         tier=rng.randrange(2),
--- a/tests/test_replay_guard.py
+++ b/tests/test_replay_guard.py
@@ -3,7 +3,17 @@
 from collections import Counter
 
 import pytest
-from virtual_fleet import ATTACKER, HERE, NEW, SEC, STEPS, changes_since, changes_so_far, settled, view
+from virtual_fleet import (
+    ATTACKER,
+    CLOCK_STEPS,
+    N1_ADDRESS,
+    NEW,
+    SEC,
+    change_counts,
+    changes_since,
+    settled_fleet,
+    view,
+)
 
 from balancer.fleet.membership import replay_guard, stamp_window
 from balancer.fleet.membership.claims import Address
@@ -15,12 +25,12 @@
 
 
 def test_replay_does_not_change_view_of_running_process() -> None:
-    fleet = settled(NEW, NEW, NEW)
+    fleet = settled_fleet(NEW, NEW, NEW)
     recorded = list(fleet.recorded)
     fleet.run(60)
-    target = fleet.processes[HERE]
+    target = fleet.processes[N1_ADDRESS]
     state_before = view(target), target.swim.local_claim
-    assert fleet.replay(HERE, recorded) == 0 and fleet.replay(HERE, recorded, ATTACKER) == 0
+    assert fleet.replay(N1_ADDRESS, recorded) == 0 and fleet.replay(N1_ADDRESS, recorded, ATTACKER) == 0
     fleet.run(5)
     assert (view(target), target.swim.local_claim) == state_before and fleet.complete()
 
@@ -28,7 +38,7 @@
 @pytest.mark.parametrize("source", [None, ATTACKER])
 def test_replay_does_not_change_view_of_started_process(source: Address | None) -> None:
     """The recorded senders include a member that died long ago, which must not be restored."""
-    fleet = settled(NEW, NEW, NEW, NEW)
+    fleet = settled_fleet(NEW, NEW, NEW, NEW)
     fleet.kill(4)
     fleet.run(200)
     recorded = [r for r in fleet.recorded if r.sent_at < fleet.now - 7 * SEC]
@@ -40,7 +50,7 @@
     assert len(started.guard.challenges) <= 4
     # Now the members that can answer its challenges are alive: datagrams that are old by their clocks are
     # rejected.
-    fleet = settled(NEW, NEW, NEW, NEW)
+    fleet = settled_fleet(NEW, NEW, NEW, NEW)
     fleet.kill(4)
     fleet.run(200)
     recorded = [r for r in fleet.recorded if r.sent_at < fleet.now - 7 * SEC]
@@ -53,32 +63,32 @@
 
 
 def test_replay_does_not_restore_forgotten_sender() -> None:
-    fleet = settled(NEW, NEW, NEW)
+    fleet = settled_fleet(NEW, NEW, NEW)
     fleet.kill(3)
     recorded = [r for r in fleet.recorded if r.source == ("10.0.0.1", 3)]
     fleet.run(200)
-    target = fleet.processes[HERE]
+    target = fleet.processes[N1_ADDRESS]
     assert "n3" not in target.swim.members and "n3" not in target.guard.senders.windows
-    assert fleet.replay(HERE, recorded) == 0 and fleet.replay(HERE, recorded, ATTACKER) == 0
+    assert fleet.replay(N1_ADDRESS, recorded) == 0 and fleet.replay(N1_ADDRESS, recorded, ATTACKER) == 0
     fleet.run(5)
     assert set(view(target)) == {"n2"}
 
 
-@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.parametrize("step", CLOCK_STEPS)
 def test_replay_of_earlier_process_after_restart_has_no_effect(step: int) -> None:
-    fleet = settled(NEW, NEW, NEW)
+    fleet = settled_fleet(NEW, NEW, NEW)
     fleet.kill(3)
     recorded = [r for r in fleet.recorded if r.source == ("10.0.0.1", 3)]
     fleet.run(40)
     restarted = fleet.start(3, offset=step)
     assert fleet.until(lambda: fleet.accepted_by_all(restarted), 10)
     for source in (None, ATTACKER):
-        fleet.replay(HERE, recorded, source)
+        fleet.replay(N1_ADDRESS, recorded, source)
         fleet.run(1)
-    previous_changes = changes_so_far(fleet)
+    previous_changes = change_counts(fleet)
     fleet.run(30)
     assert fleet.complete() and changes_since(fleet, previous_changes) == []
-    assert fleet.processes[HERE].swim.members["n3"].claim == restarted.swim.local_claim
+    assert fleet.processes[N1_ADDRESS].swim.members["n3"].claim == restarted.swim.local_claim
 
 
 # ---- the guard's decisions -------------------------------------------------------------------------------
--- a/tests/test_replay_guard_clock_steps.py
+++ b/tests/test_replay_guard_clock_steps.py
@@ -6,7 +6,17 @@
 from functools import partial
 
 import pytest
-from virtual_fleet import ATTACKER, EARLIER, HERE, NEW, SEC, Process, Recorded, VirtualFleet, settled
+from virtual_fleet import (
+    ATTACKER,
+    EARLIER,
+    N1_ADDRESS,
+    NEW,
+    SEC,
+    Process,
+    RecordedDatagram,
+    VirtualFleet,
+    settled_fleet,
+)
 
 from balancer.fleet.membership.claims import Address
 from balancer.fleet.membership.messages import Kind, Message
@@ -61,7 +71,7 @@
 def test_process_with_clock_stepped_back_is_accepted_at_once(
     lifetime_s: float, is_busy: bool, step_back_s: int
 ) -> None:
-    fleet = settled(NEW, NEW, NEW)
+    fleet = settled_fleet(NEW, NEW, NEW)
     run_process_until_killed(fleet, lifetime_s, is_busy)
     fleet.run(DOWNTIME_S)
     previous_counts = {p.name: len(p.changes) for p in fleet.processes.values()}
@@ -75,7 +85,7 @@
 
 @pytest.mark.parametrize("step_back_s", [5, 10, 29])
 def test_repeated_clock_steps_back_do_not_delay_acceptance(step_back_s: int) -> None:
-    fleet = settled(NEW, NEW, NEW)
+    fleet = settled_fleet(NEW, NEW, NEW)
     for restarts in range(5):
         restarted = fleet.start(RESTARTED_MEMBER, offset=-restarts * step_back_s * SEC)
         is_accepted = partial(fleet.accepted_by_all, restarted)
@@ -86,7 +96,7 @@
 
 @pytest.mark.parametrize("step_back_s", [5, 10, 15, 25])
 def test_earlier_version_with_clock_stepped_back_is_accepted(step_back_s: int) -> None:
-    fleet = settled(NEW, NEW, NEW)
+    fleet = settled_fleet(NEW, NEW, NEW)
     fleet.start(RESTARTED_MEMBER, EARLIER)
     fleet.run(3)
     fleet.kill(RESTARTED_MEMBER)
@@ -109,7 +119,7 @@
     return stamps
 
 
-def stamps_of(process: Process, recorded: list[Recorded]) -> set[int]:
+def stamps_of(process: Process, recorded: list[RecordedDatagram]) -> set[int]:
     """Return the stamps of recorded datagrams."""
     stamped = [process.codec.read(r.data) for r in recorded]
     return {s.stamp for s in stamped if s is not None}
@@ -122,18 +132,18 @@
     lifetime_s: float, is_busy: bool, step_back_s: int, source: Address | None
 ) -> None:
     """The datagrams are replayed continuously, also while the new process has the same stamps."""
-    fleet = settled(NEW, NEW, NEW)
+    fleet = settled_fleet(NEW, NEW, NEW)
     run_process_until_killed(fleet, lifetime_s, is_busy)
     fleet.run(DOWNTIME_S)
-    recorded = [r for r in fleet.recorded if r.source[1] == RESTARTED_MEMBER and r.to == HERE]
+    recorded = [r for r in fleet.recorded if r.source[1] == RESTARTED_MEMBER and r.to == N1_ADDRESS]
     restarted = fleet.start(RESTARTED_MEMBER, offset=-step_back_s * SEC)
-    stamps = accepted_stamps(fleet.processes[HERE])
+    stamps = accepted_stamps(fleet.processes[N1_ADDRESS])
     assert fleet.until(lambda: fleet.accepted_by_all(restarted), MAX_ACCEPTANCE_TIME_S)
     end = fleet.now + (step_back_s + 2) * SEC
     while fleet.now < end:
         fleet.run(10 * DATAGRAM_INTERVAL_S)
-        fleet.replay(HERE, recorded[-2 * WINDOW_SIZE :], source)
-    earlier_stamps = stamps_of(fleet.processes[HERE], recorded)
+        fleet.replay(N1_ADDRESS, recorded[-2 * WINDOW_SIZE :], source)
+    earlier_stamps = stamps_of(fleet.processes[N1_ADDRESS], recorded)
     assert stamps and not earlier_stamps & set(stamps) and fleet.complete()
 
 
--- a/tests/test_request_body_streaming.py
+++ b/tests/test_request_body_streaming.py
@@ -1,7 +1,7 @@
 """Long request bodies are streamed through the node in any framing, at the pace of their server."""
 
 import pytest
-from loopback import REJECTED, Bench, call, play, record_outcomes, until
+from loopback import REJECTED, Bench, call, record_outcomes, run_scenario, wait_until
 from streaming_support import LONG, RawServer, chunks, receive, upload
 
 from balancer.policy.interface import Outcome
@@ -27,7 +27,7 @@
         assert bench.node.memory_budget.held_bytes == 0 and bench.node.counters.sends == 3
         assert not any(s.in_flight or s.uploads for s in bench.node.balancer.servers.values())
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_short_chunked_body_is_buffered_and_retried():
@@ -38,7 +38,7 @@
         assert (await receive(client))[0].startswith(b"HTTP/1.1 503 ")
         assert (first.bodies + second.bodies) == [b"x" * 3000] * 3  # The body could be retried.
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_slow_server_pauses_reading_from_client():
@@ -51,10 +51,10 @@
         node = bench.node
         client = await bench.client()
         client.send(upload(body, b"Content-Length: %d" % len(body)))
-        await until(lambda: bool(server.heads))
+        await wait_until(lambda: bool(server.heads))
         (client_connection,) = node.client_connections.connections
         (request,) = node.requests.pending.values()
-        await until(
+        await wait_until(
             lambda: client_connection.reading_paused and request.exchange.connection.is_write_blocked()
         )
         assert (
@@ -66,7 +66,7 @@
         assert (await receive(client))[1] == b"ok"
         assert server.bodies[0] == body
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_unsent_long_body_is_retried_on_another_server():
@@ -79,7 +79,7 @@
             assert (await receive(client))[1] == b"ok"
         assert alive.bodies == [LONG] * 6
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_broken_upload_gets_503_and_is_not_retried():
@@ -92,9 +92,9 @@
         outcomes = record_outcomes(bench)
         client = await bench.client()
         client.send(upload(LONG, b"Content-Length: %d" % (len(LONG) + 1)))
-        await until(lambda: any(s.heads for s in bench.servers))
+        await wait_until(lambda: any(s.heads for s in bench.servers))
         (request,) = bench.node.requests.pending.values()
-        await until(lambda: request.message.upload.has_discarded_data)
+        await wait_until(lambda: request.message.upload.has_discarded_data)
         next(s for s in bench.servers if s.heads).writers[0].transport.abort()
         head, _ = await receive(client)
         assert head.startswith(b"HTTP/1.1 503 ") and b"Retry-After" in head and b"Connection: close" in head
@@ -102,7 +102,7 @@
         assert sum(len(s.heads) for s in bench.servers) == 1
         assert bench.node.counters.sends == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_disconnect_during_upload_ends_attempt():
@@ -110,12 +110,12 @@
         bench = await Bench(server := RawServer()).start()
         client = await bench.client()
         client.send(upload(LONG, b"Content-Length: %d" % (2 * len(LONG))))
-        await until(lambda: bool(server.heads))
+        await wait_until(lambda: bool(server.heads))
         client.writer.transport.abort()
-        await until(lambda: server.closed == 1 and not bench.node.requests.pending)
+        await wait_until(lambda: server.closed == 1 and not bench.node.requests.pending)
         assert not any(s.in_flight or s.uploads for s in bench.node.balancer.servers.values())
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_deadline_starts_when_body_is_complete():
@@ -126,15 +126,15 @@
         client = await bench.client()
         data = upload(LONG, b"Content-Length: %d" % len(LONG)).replace(b"15000", b"600")
         client.send(data[:-1])
-        await until(lambda: bool(server.heads))
+        await wait_until(lambda: bool(server.heads))
         (request,) = bench.node.requests.pending.values()
         start_us = bench.node.event_queue.now()
-        await until(lambda: bench.node.event_queue.now() > start_us + 800_000)
+        await wait_until(lambda: bench.node.event_queue.now() > start_us + 800_000)
         assert request.deadline_timer is None
         client.send(data[-1:])
         assert (await receive(client))[1] == b"ok"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -158,6 +158,6 @@
         assert head.startswith(b"HTTP/1.1 400 ") and b"Connection: close" in head
         assert await client.ended()
         assert not server.bodies
-        await until(lambda: not bench.node.requests.pending)
+        await wait_until(lambda: not bench.node.requests.pending)
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_request_forwarding.py
+++ b/tests/test_request_forwarding.py
@@ -7,10 +7,10 @@
     OK,
     Bench,
     Server,
-    always,
     call,
-    play,
-    until,
+    respond_with,
+    run_scenario,
+    wait_until,
 )
 
 TOO_MANY_HEADERS = b"GET /view HTTP/1.1\r\n" + b"a: b\r\n" * 1000
@@ -24,14 +24,14 @@
             return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(request.body), request.body)
 
         bench = await Bench(server := Server(echo)).start()
-        status, _, response = await bench.once(call("offer", 9000, b"X-Trace: 7\r\n", body))
+        status, _, response = await bench.request_once(call("offer", 9000, b"X-Trace: 7\r\n", body))
         assert (status, response) == (200, body)
         (received,) = server.requests
         assert (received.method, received.target, received.body) == ("POST", "/offer?obj=7f", body)
         assert received.headers["x-call-id"] == "9b1f" and received.headers["idempotency-key"] == "5c0f"
         assert received.headers["x-trace"] == "7" and 0 < int(received.headers["x-budget-ms"]) <= 9000
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_head_size_excludes_preceding_bytes():
@@ -42,11 +42,11 @@
         client = await bench.client()
         data = call("invite", body=b"x" * 60000) + call()
         client.send(data[:-10])
-        await until(lambda: bool(server.requests))
+        await wait_until(lambda: bool(server.requests))
         client.send(data[-10:])
         assert (await client.receive())[0] == 200 and (await client.receive())[0] == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_hop_by_hop_headers_are_not_forwarded():
@@ -55,13 +55,13 @@
     async def scenario():
         bench = await Bench(server := Server()).start()
         extra = b"Connection: X-Trace, keep-alive\r\nX-Trace: 5\r\nConnection: x-call-id\r\nX-Kept: 6\r\n"
-        assert (await bench.once(call(extra=extra)))[0] == 200
+        assert (await bench.request_once(call(extra=extra)))[0] == 200
         (request,) = server.requests
         assert "x-trace" not in request.headers and "connection" not in request.headers
         assert request.headers["x-kept"] == "6"
         assert request.headers["x-call-id"] == "9b1f"  # This header is always forwarded.
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_split_and_pipelined_requests_answered_in_order():
@@ -80,7 +80,7 @@
         client.send(b"".join(call(extra=b"X-N: %d\r\n" % n) for n in range(2, 10)))
         assert [(await client.receive())[2] for _ in range(8)] == [b"%d" % n for n in range(2, 10)]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_server_connections_are_reused():
@@ -88,10 +88,10 @@
         bench = await Bench(server := Server()).start()
         client = await bench.client()
         for _ in range(5):
-            assert (await client.ask(call()))[0] == 200
+            assert (await client.request(call()))[0] == 200
         assert server.connections == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -121,11 +121,11 @@
 
     async def scenario():
         bench = await Bench(server := Server()).start()
-        assert (await bench.once(data))[0] == status
+        assert (await bench.request_once(data))[0] == status
         assert not server.requests
-        assert (await bench.once(call()))[0] == 200
+        assert (await bench.request_once(call()))[0] == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_repeated_headers_forwarded_and_upgrade_ignored():
@@ -133,22 +133,22 @@
         bench = await Bench(server := Server()).start()
         extra = b"X-Tag: 1\r\nX-Tag: 2\r\nUpgrade: h2c\r\nConnection: Upgrade\r\n"
         client = await bench.client()
-        status, headers, _ = await client.ask(call(extra=extra))
+        status, headers, _ = await client.request(call(extra=extra))
         assert status == 200 and headers["connection"] == "close" and await client.ended()
         assert [v for k, v in server.requests[0].lines if k == "x-tag"] == ["1", "2"]
         assert not {"upgrade", "connection"} & set(server.requests[0].headers)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_stray_bytes_close_idle_server_connection():
     """Bytes that follow one response must not be served as the next response."""
 
     async def scenario():
-        bench = await Bench(server := Server(always(OK + OK.replace(b"ok", b"no")))).start()
+        bench = await Bench(server := Server(respond_with(OK + OK.replace(b"ok", b"no")))).start()
         client = await bench.client()
         for _ in range(2):
-            assert (await client.ask(call()))[2] == b"ok"
+            assert (await client.request(call()))[2] == b"ok"
         assert server.connections == 2
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_response_streaming.py
+++ b/tests/test_response_streaming.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from loopback import OK, Bench, Server, always, call, play, record_outcomes, until
+from loopback import OK, Bench, Server, call, record_outcomes, respond_with, run_scenario, wait_until
 from streaming_support import HEAD, LONG, RawServer, chunks, receive, upload
 
 from balancer.net.upstream import exchange as node_exchange
@@ -36,7 +36,7 @@
         assert bench.node.memory_budget.held_bytes == 0 and not bench.node.requests.pending
         assert bench.node.counters.finished[0] == {"answered": 3, "deferred": 0, "errored": 0}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_http_1_0_client_gets_long_response_until_close():
@@ -48,7 +48,7 @@
         head, body = await receive(client)
         assert b"chunked" not in head and body == LONG
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_slow_client_pauses_only_its_own_server_connection():
@@ -74,20 +74,20 @@
         slow = await bench.client()
         slow.writer.transport.pause_reading()
         slow.send(call())
-        await until(lambda: any(r.stream for r in node.requests.pending.values()))
+        await wait_until(lambda: any(r.stream for r in node.requests.pending.values()))
         (request,) = node.requests.pending.values()
-        await until(lambda: request.exchange.connection.reading_paused)
+        await wait_until(lambda: request.exchange.connection.reading_paused)
         (client_connection,) = (
             c for c in node.client_connections.connections if c.current_request is not None
         )
         assert client_connection.transport.get_write_buffer_size() <= 3 * node.memory_budget.chunk_bytes
-        assert (await bench.once(call("invite")))[0] == 200
+        assert (await bench.request_once(call("invite")))[0] == 200
         slow.writer.transport.resume_reading()
         async with asyncio.timeout(60):
             await slow.reader.readuntil(b"\r\n\r\n")
             assert len(await slow.reader.readexactly(total)) == total
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_streamed_response_may_outlast_request_deadline(monkeypatch):
@@ -104,17 +104,17 @@
         bench = await Bench(Server(send_in_two_parts)).start()
         client = await bench.client()
         client.send(call(budget=300))
-        await until(lambda: any(r.stream for r in bench.node.requests.pending.values()))
+        await wait_until(lambda: any(r.stream for r in bench.node.requests.pending.values()))
         (request,) = bench.node.requests.pending.values()
         head = await client.reader.readuntil(b"\r\n\r\n")
         assert await client.reader.readexactly(100) == LONG[:100]  # The first part is not held back.
-        await until(lambda: bench.node.event_queue.now() > request.deadline + 100_000)
+        await wait_until(lambda: bench.node.event_queue.now() > request.deadline + 100_000)
         release.set()
         assert head and await client.reader.readexactly(len(LONG) - 100) == LONG[100:]
-        await until(lambda: not bench.node.requests.pending)
+        await wait_until(lambda: not bench.node.requests.pending)
         assert bench.node.requests.overdue_count == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("framing", [b"Content-Length: %d" % len(LONG), b"Transfer-Encoding: chunked"])
@@ -132,9 +132,9 @@
             await receive(client)
         assert outcomes == [Outcome.RESET]
         assert bench.node.counters.finished[0]["errored"] == 1
-        await until(lambda: not bench.node.requests.pending)
+        await wait_until(lambda: not bench.node.requests.pending)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_stalled_server_response_is_aborted(monkeypatch):
@@ -142,39 +142,39 @@
 
     async def scenario():
         silent = HEAD + b"Content-Length: %d\r\n\r\n" % len(LONG) + LONG[:100]
-        bench = await Bench(Server(always(silent))).start()
+        bench = await Bench(Server(respond_with(silent))).start()
         client = await bench.client()
         client.send(call())
         with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
             await receive(client)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_client_disconnect_during_stream_cancels_attempt():
     async def scenario():
         half = HEAD + b"Content-Length: %d\r\n\r\n" % len(LONG) + LONG[:100]
-        bench = await Bench(server := Server(always(half))).start()
+        bench = await Bench(server := Server(respond_with(half))).start()
         outcomes = record_outcomes(bench)
         client = await bench.client()
         client.send(call())
         await client.reader.readuntil(b"\r\n\r\n")
         client.writer.close()
-        await until(lambda: server.closed == 1 and not bench.node.requests.pending)
+        await wait_until(lambda: server.closed == 1 and not bench.node.requests.pending)
         assert outcomes == [Outcome.CANCELLED]
         assert not any(s.in_flight for s in bench.node.balancer.servers.values())
         assert not bench.node.balancer.streaming
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_long_error_response_fails_attempt():
     async def scenario():
         large = b"HTTP/1.1 500 Oops\r\nContent-Length: %d\r\n\r\n" % len(LONG) + LONG
-        bench = await Bench(Server(always(large))).start()
-        assert (await bench.once(call("invite")))[0] == 502
+        bench = await Bench(Server(respond_with(large))).start()
+        assert (await bench.request_once(call("invite")))[0] == 502
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_oversized_content_length_fails_before_streaming():
@@ -182,12 +182,12 @@
 
     async def scenario():
         oversized = HEAD + b"Content-Length: 3000000000\r\n\r\n" + LONG[:10000]
-        bench = await Bench(Server(always(oversized, OK))).start()
+        bench = await Bench(Server(respond_with(oversized, OK))).start()
         outcomes = record_outcomes(bench)
-        assert (await bench.once(call()))[2] == b"ok"
+        assert (await bench.request_once(call()))[2] == b"ok"
         assert outcomes == [Outcome.ERROR, Outcome.OK]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_endless_chunked_bodies_are_cut_at_size_limit(monkeypatch):
@@ -206,22 +206,22 @@
         client.send(upload(chunks(LONG, 9000), b"Transfer-Encoding: chunked"))
         head, _ = await receive(client)
         assert head.startswith(b"HTTP/1.1 413 ")
-        await until(lambda: not bench.node.requests.pending)
+        await wait_until(lambda: not bench.node.requests.pending)
         assert len(server.bodies) == 1  # Only the request without a body reached the server.
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_response_is_streamed_when_buffer_memory_is_full():
     async def scenario():
         body = LONG[:30000]
         response = HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body
-        bench = await Bench(server := Server(always(response[:20000]))).start()
+        bench = await Bench(server := Server(respond_with(response[:20000]))).start()
         bench.node.memory_budget.max_held_bytes = 10000
         client = await bench.client()
         client.send(call())
-        await until(lambda: any(r.stream for r in bench.node.requests.pending.values()))
+        await wait_until(lambda: any(r.stream for r in bench.node.requests.pending.values()))
         server.writers[0].write(response[20000:])
         assert (await receive(client))[1] == body
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_retry_after_disconnect.py
+++ b/tests/test_retry_after_disconnect.py
@@ -10,9 +10,9 @@
     Bench,
     Server,
     call,
-    gated,
-    play,
-    until,
+    respond_after,
+    run_scenario,
+    wait_until,
 )
 
 from balancer.net.upstream.exchange import Exchange
@@ -39,22 +39,24 @@
         bench = await Bench(*servers, **overrides).start()
         endpoints = bench.node.pool.endpoints.values()
         while not all(endpoint.idle for endpoint in endpoints):
-            assert (await bench.once(call()))[0] == 200
-        await until(lambda: not bench.node.client_connections.connections)
+            assert (await bench.request_once(call()))[0] == 200
+        await wait_until(lambda: not bench.node.client_connections.connections)
         for server in servers:
             server.requests.clear()
-            server.handle = gated(release)
+            server.handle = respond_after(release)
         client = socket.create_connection(("127.0.0.1", bench.port))
         client.sendall(call())
-        await until(lambda: sum(len(server.requests) for server in servers) == 1)
+        await wait_until(lambda: sum(len(server.requests) for server in servers) == 1)
         (request,) = bench.node.requests.pending.values()
         if ending == "rst":
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         client.close()
         cast(Exchange, request.exchange).abort(outcome)  # The policy responds with a retry.
         release.set()
-        await until(lambda: not bench.node.client_connections.connections and not bench.node.requests.pending)
-        assert (await bench.once(call()))[0] == 200  # Anything sent earlier has arrived by now.
+        await wait_until(
+            lambda: not bench.node.client_connections.connections and not bench.node.requests.pending
+        )
+        assert (await bench.request_once(call()))[0] == 200  # Anything sent earlier has arrived by now.
         assert sum(len(server.requests) for server in servers) == 2
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from support import SEC, ask, balancer, end
+from support import SEC, balancer, end_attempt, submit_request
 
 from balancer.policy.interface import Outcome
 from balancer.policy.retry_budget import CONNECT_COST, FULL_COST, RETRY_RATIO, RetryBudget
@@ -23,11 +23,11 @@
     retries = 0
     for number in range(REQUESTS):
         now = number * REQUEST_INTERVAL_US
-        _, _, server, _ = ask(node, recorder, now, number)
-        ((action, *rest),) = end(node, recorder, now + 1000, number, 0, server, outcome)
+        _, _, server, _ = submit_request(node, recorder, now, number)
+        ((action, *rest),) = end_attempt(node, recorder, now + 1000, number, 0, server, outcome)
         if action == "send":
             retries += 1
-            end(node, recorder, now + 2000, number, 1, rest[1], Outcome.OK)
+            end_attempt(node, recorder, now + 2000, number, 1, rest[1], Outcome.OK)
     return retries
 
 
@@ -66,10 +66,12 @@
     sent = 0
     for number in range(REQUESTS):
         now = number * REQUEST_INTERVAL_US
-        actions = [ask(node, recorder, now, number)]
+        actions = [submit_request(node, recorder, now, number)]
         attempt = 0
         while actions and actions[0][0] == "send":
             sent += 1
-            actions = end(node, recorder, now + 1000, number, attempt, actions[0][2], Outcome.CONNECT_FAILED)
+            actions = end_attempt(
+                node, recorder, now + 1000, number, attempt, actions[0][2], Outcome.CONNECT_FAILED
+            )
             attempt += 1
     assert sent <= REQUESTS + REQUESTS * RETRY_RATIO / CONNECT_COST + 40
--- a/tests/test_scale_run_cleanup.py
+++ b/tests/test_scale_run_cleanup.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from scale_support import PATIENCE, command
+from scale_support import RUN_TIMEOUT_S, command
 
 
 def children(pid: int) -> list[int]:
@@ -52,7 +52,7 @@
 
 def wait_for(condition: Callable[[], bool]) -> None:
     """Wait until a condition holds."""
-    end = time.monotonic() + PATIENCE
+    end = time.monotonic() + RUN_TIMEOUT_S
     while not condition():
         assert time.monotonic() < end, "the condition did not hold in time"
         time.sleep(0.02)
@@ -73,7 +73,7 @@
         held = ports_of(pids)
         assert len(pids) == 4  # Two workers, the idle one and the node
         parent.send_signal(how)
-        assert parent.wait(PATIENCE) == (130 if how == signal.SIGINT else -signal.SIGKILL)
+        assert parent.wait(RUN_TIMEOUT_S) == (130 if how == signal.SIGINT else -signal.SIGKILL)
     finally:
         parent.kill()
         parent.wait()
--- a/tests/test_store_disk_faults.py
+++ b/tests/test_store_disk_faults.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from failing_calls import fail_calls, in_child
+from failing_calls import fail_calls, run_in_child
 
 from workbench.cli import cli
 from workbench.cli.errors import InputError
@@ -101,7 +101,7 @@
         fail_calls(calls, error)
         return outcome_of(path, lambda: put(Store(path), TASKS[2]))
 
-    message = in_child(use)
+    message = run_in_child(use)
     assert message == STORED or message.startswith(f"{path}: "), message
     if calls[0] in ALWAYS_CALLED:
         assert message != STORED
@@ -127,7 +127,7 @@
         return outcome_of(path, lambda: store.result(TASKS[0]) if use == "result" else getattr(store, use)())
 
     # SQLite reports a read error as an I/O error or as a malformed database.
-    assert in_child(read) in (f"{path}: disk I/O error", f"{path}: database disk image is malformed")
+    assert run_in_child(read) in (f"{path}: disk I/O error", f"{path}: database disk image is malformed")
 
 
 def test_open_checkpoints_pages_left_by_a_failed_sync(tmp_path: Path) -> None:
@@ -143,7 +143,7 @@
         fail_calls(SYNC_CALLS, errno.EIO)
         return outcome_of(path, lambda: put(store, TASKS[2]))
 
-    assert in_child(use) == f"{path}: disk I/O error"
+    assert run_in_child(use) == f"{path}: disk I/O error"
     reopened = Store(path)
     seeds = [row.seed for row in reopened.rows()]
     (copy_without_log := tmp_path / "alone.sqlite").write_bytes(path.read_bytes())
@@ -160,7 +160,7 @@
         put(store, *TASKS)
         return STORED
 
-    assert in_child(use) == STORED
+    assert run_in_child(use) == STORED
     return path.read_bytes(), path.with_name("stopped.sqlite-wal").read_bytes()
 
 
--- a/tests/test_streaming_timeouts.py
+++ b/tests/test_streaming_timeouts.py
@@ -4,7 +4,7 @@
 import socket
 
 import pytest
-from loopback import Bench, Clock, Server, call, gated, play, until
+from loopback import Bench, FakeTimeLoop, Server, call, respond_after, run_scenario, wait_until
 from streaming_support import HEAD, LONG, RawServer, chunks, receive, upload
 
 from balancer.net.downstream.client_connection import LINGER_S
@@ -32,25 +32,25 @@
         head, _ = await receive(client)  # No 100 Continue precedes the response.
         assert head.startswith(b"HTTP/1.1 404 ")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_100_continue_follows_earlier_response():
     async def scenario():
         release = asyncio.Event()
 
-        bench = await Bench(server := Server(gated(release))).start()
+        bench = await Bench(server := Server(respond_after(release))).start()
         client = await bench.client()
         head, _, rest = upload(b"x", b"Content-Length: 1", b"Expect: 100-continue\r\n").partition(b"\r\n\r\n")
         client.send(call() + head + b"\r\n\r\n")
-        await until(lambda: len(server.requests) == 1)
+        await wait_until(lambda: len(server.requests) == 1)
         release.set()
         assert (await client.receive())[2] == b"ok"
         assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
         client.send(rest)
         assert (await client.receive())[2] == b"ok"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_body_without_progress_in_a_period_gets_408(monkeypatch):
@@ -62,10 +62,10 @@
         client = await bench.client()
         data = upload(LONG, b"Content-Length: %d" % (2 * len(LONG)))
         client.send(data)
-        await until(lambda: bool(client_connections.connections) and bool(server.heads))
+        await wait_until(lambda: bool(client_connections.connections) and bool(server.heads))
         (client_connection,) = client_connections.connections
         (request,) = bench.node.requests.pending.values()
-        await until(
+        await wait_until(
             lambda: (
                 client_connection.read_deadline.expires_at is not None
                 and not client_connection.unparsed
@@ -73,17 +73,21 @@
             )
         )
         client_connection.read_deadline.body_bytes, now = len(LONG), bench.node.loop.time()
-        monkeypatch.setattr(client_connections, "loop", Clock(bench.node.loop, now + HEAD_TIMEOUT_S + 1))
+        monkeypatch.setattr(
+            client_connections, "loop", FakeTimeLoop(bench.node.loop, now + HEAD_TIMEOUT_S + 1)
+        )
         client_connections.sweep()
         assert not client_connection.reading_stopped and client_connection.read_deadline.body_bytes == 0
-        monkeypatch.setattr(client_connections, "loop", Clock(bench.node.loop, now + 2 * HEAD_TIMEOUT_S + 2))
+        monkeypatch.setattr(
+            client_connections, "loop", FakeTimeLoop(bench.node.loop, now + 2 * HEAD_TIMEOUT_S + 2)
+        )
         client_connections.sweep()
         head, _ = await receive(client)
         assert head.startswith(b"HTTP/1.1 408 ") and await client.ended()
-        await until(lambda: server.closed == 1 and not bench.node.requests.pending)
+        await wait_until(lambda: server.closed == 1 and not bench.node.requests.pending)
         assert request.client is None and not server.bodies
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_slow_reader_gets_complete_last_response(monkeypatch):
@@ -97,13 +101,13 @@
         client = await bench.client()
         client.writer.transport.pause_reading()
         client.send(call(extra=b"Connection: close\r\n"))
-        await until(lambda: any(r.stream for r in bench.node.requests.pending.values()))
+        await wait_until(lambda: any(r.stream for r in bench.node.requests.pending.values()))
         (client_connection,) = bench.node.client_connections.connections
-        await until(lambda: client_connection.write_blocked)
+        await wait_until(lambda: client_connection.write_blocked)
         client.writer.transport.resume_reading()
         assert (await receive(client))[1] == body
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_aborted_http_1_0_response_resets_connection():
@@ -121,7 +125,7 @@
                     while await loop.sock_recv(client_socket, 65536):
                         pass
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_rejected_client_may_finish_its_upload(monkeypatch):
@@ -133,12 +137,12 @@
         client = await bench.client()
         data = upload(LONG, b"Content-Length: %d" % len(LONG))
         client.send(data[:100_000])
-        await until(lambda: any(c.finished_at for c in client_connections.connections))
+        await wait_until(lambda: any(c.finished_at for c in client_connections.connections))
         (client_connection,) = client_connections.connections
         monkeypatch.setattr(
             client_connections,
             "loop",
-            Clock(bench.node.loop, client_connection.last_active_at + 0.9 * LINGER_S),
+            FakeTimeLoop(bench.node.loop, client_connection.last_active_at + 0.9 * LINGER_S),
         )
         client_connection.linger(client_connection.finished_at, 0)
         assert not client_connection.transport.is_closing()
@@ -151,12 +155,12 @@
         monkeypatch.setattr(
             client_connections,
             "loop",
-            Clock(bench.node.loop, client_connection.last_active_at + 1.1 * LINGER_S),
+            FakeTimeLoop(bench.node.loop, client_connection.last_active_at + 1.1 * LINGER_S),
         )
         client_connection.linger(client_connection.finished_at, 0)
         assert client_connection.transport.is_closing()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 # ---- memory ------------------------------------------------------------------------------------------
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from support import BASE, SEC, Recorder, ask, balancer
+from support import BASE_SETTINGS, SEC, Recorder, balancer, submit_request
 
 from balancer.policy import Balancer
 from balancer.policy.interface import ListKind, ServerEntry
@@ -18,7 +18,7 @@
 
 def start_node(step: int, entries: list[ServerEntry], kind: ListKind = ListKind.CACHED) -> Balancer:
     """Return a node that started at NOW with a clock that was fast by `step`, after its first list."""
-    node = Balancer(replace(BASE, slow_start_time=SLOW_START_TIME), 1, Recorder())
+    node = Balancer(replace(BASE_SETTINGS, slow_start_time=SLOW_START_TIME), 1, Recorder())
     node.start(NOW + step)
     node.server_list(NOW + step, kind, entries)
     return node
@@ -91,7 +91,7 @@
     assert 1 not in node.servers
     node.server_list(90 * SEC, ListKind.FULL, [ServerEntry(1, ready_at=SEC), *other_entries])
     assert node.servers[1].slow_start_until == before
-    assert ask(node, recorder, 90 * SEC, 1)[0] == "send"
+    assert submit_request(node, recorder, 90 * SEC, 1)[0] == "send"
 
 
 def test_clock_is_trusted_if_most_servers_started_together():
@@ -139,7 +139,7 @@
         (max_prompt_age + 1, True),
         (max(max_prompt_age + 1, 5 * SEC), True),
     ]:
-        node = Balancer(replace(BASE, slow_start_time=slow_start_time), 1, Recorder())
+        node = Balancer(replace(BASE_SETTINGS, slow_start_time=slow_start_time), 1, Recorder())
         node.start(NOW)
         if kind == ListKind.CHANGES:
             node.server_list(NOW, ListKind.FULL, [ServerEntry(i) for i in range(1, 5)])
--- a/tests/test_zone_evacuation_directives.py
+++ b/tests/test_zone_evacuation_directives.py
@@ -4,7 +4,7 @@
 from typing import cast
 
 from support import SEC
-from zone_routing_support import router_of, run_calls
+from zone_routing_support import make_router, run_calls
 
 from balancer.fleet.membership.codec import Codec
 from balancer.fleet.zone_routing.directives import ZoneDirectives
@@ -64,7 +64,7 @@
 
 
 def test_directive_overrides_failure_evidence() -> None:
-    router = router_of(a=10, b=10)
+    router = make_router(a=10, b=10)
     run_calls(router, 10)
     router.apply_directives({"a": 60 * SEC})
     assert set(router.shares(router.next_evaluation_at)) == {"b"} and not router.allows(100)
--- a/tests/test_zone_membership_node.py
+++ b/tests/test_zone_membership_node.py
@@ -4,7 +4,7 @@
 import sys
 
 from fleet_section import fleet_section, free_udp_port
-from loopback import Bench, play, until
+from loopback import Bench, run_scenario, wait_until
 
 from balancer.fleet.config_section import ConfigSection
 from balancer.fleet.zone_membership.settings import (
@@ -91,7 +91,7 @@
         def zones(i):
             return fleets[i].view()["regions"]["zones"]
 
-        await until(lambda: zones(0) and zones(1) and zones(2) and zones(2)["a"]["size"] == 2)
+        await wait_until(lambda: zones(0) and zones(1) and zones(2) and zones(2)["a"]["size"] == 2)
         page = fleets[1].view()
         assert [m["name"] for m in page["members"]] == [f"n{a}"]
         assert page["regions"]["zone"] == "a" and page["regions"]["size"] == 2
@@ -104,7 +104,7 @@
             fleet.close()
         assert fleets[0].view()["regions"] is None
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_status_page_without_membership_table_has_no_regions(tmp_path):
@@ -113,4 +113,4 @@
         assert "regions" not in bench.node.fleet.view()
         bench.node.fleet.close()
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_zone_routing.py
+++ b/tests/test_zone_routing.py
@@ -8,7 +8,14 @@
 
 import pytest
 from support import SEC
-from zone_routing_support import BASELINE_LATENCY_US, SETTINGS, router_of, run_calls, servers_in, statuses
+from zone_routing_support import (
+    BASELINE_LATENCY_US,
+    SETTINGS,
+    make_router,
+    run_calls,
+    servers_in,
+    status_letters,
+)
 
 from balancer.fleet.zone_routing.failure_evidence import ZoneAssessment
 from balancer.fleet.zone_routing.router import ListedServer, ZoneRouter
@@ -48,7 +55,7 @@
 def test_calls_stay_in_home_zone_and_spill_over_by_capacity(
     counts: dict[str, Any], ejected: dict[str, int], costs: dict[str, float], expected: dict[str, float]
 ) -> None:
-    router = router_of(settings=ZoneSettings(costs=costs), **counts)
+    router = make_router(settings=ZoneSettings(costs=costs), **counts)
     for zone, count in ejected.items():
         for server in servers_in(router, zone)[:count]:
             router.set_ejected(server, True)
@@ -78,15 +85,15 @@
 
 
 def test_shares_change_gradually_with_number_of_servers() -> None:
-    assert largest_share_change(router_of(a=60, b=60, c=60)) < 0.05
-    assert largest_share_change(router_of(router_class=AllOrNothingRouter, a=60, b=60, c=60)) == 1.0
+    assert largest_share_change(make_router(a=60, b=60, c=60)) < 0.05
+    assert largest_share_change(make_router(router_class=AllOrNothingRouter, a=60, b=60, c=60)) == 1.0
 
 
 def test_shares_sum_to_one_for_random_zone_states() -> None:
     rng = Random(7)
     for _ in range(500):
         counts: dict[str, Any] = {zone: rng.choice((0, 1, 2, 50)) for zone in "abcd"}
-        router = router_of(settings=ZoneSettings(costs={"b": rng.random(), "d": 3}), **counts)
+        router = make_router(settings=ZoneSettings(costs={"b": rng.random(), "d": 3}), **counts)
         for server in list(router.servers):
             router.set_ejected(server, rng.random() < 0.3)
         for zone in router.zones():
@@ -104,7 +111,7 @@
 
 
 def test_servers_in_slow_start_are_weighted_by_progress() -> None:
-    router = router_of(a=10, b=10)
+    router = make_router(a=10, b=10)
     router.update_servers(
         {
             number: ListedServer(server.zone, 10 * SEC if server.zone == "a" else 0)
@@ -137,12 +144,12 @@
 def test_zone_is_evacuated_only_if_bad_as_a_whole(
     home: str, bad_zones: str, fault: dict[str, Any], expected: str
 ) -> None:
-    router = router_of(home, a=10, b=10, c=10)
+    router = make_router(home, a=10, b=10, c=10)
     run_calls(router, 20)
     for zone in "bc":
         router.evidence.get_or_create(zone).baseline_latency = BASELINE_LATENCY_US
     run_calls(router, 8, bad_zones, **fault)
-    actual = statuses(router)
+    actual = status_letters(router)
     assert actual == expected or (bad_zones == "abc" and "o" not in actual), actual
     if "o" in expected:
         shares = router.shares(router.next_evaluation_at)
@@ -150,7 +157,7 @@
 
 
 def test_consecutive_failures_trigger_immediate_evaluation() -> None:
-    router = router_of(a=10, b=10, c=10)
+    router = make_router(a=10, b=10, c=10)
     run_calls(router, 10)
     now = router.next_evaluation_at - 400_000
     count = SETTINGS.consecutive_failures
@@ -166,7 +173,7 @@
 def test_no_remote_zone_is_evacuated_if_all_look_bad() -> None:
     """A partitioned node must not evacuate all other zones one after another."""
     # The home zone has little capacity, so the other zones get calls.
-    router = router_of(a=4, b=10, c=10)
+    router = make_router(a=4, b=10, c=10)
     run_calls(router, 20)
     assert sum(router.shares(router.next_evaluation_at)[zone] for zone in "bc") > 0.3
     run_calls(router, 4, "bc", failure_share=1.0, calls=400)
@@ -186,7 +193,7 @@
 
 
 def test_remote_zones_are_evacuated_without_isolation_check() -> None:
-    router = router_of(router_class=NeverIsolatedRouter, a=4, b=10, c=10)
+    router = make_router(router_class=NeverIsolatedRouter, a=4, b=10, c=10)
     run_calls(router, 20, calls=400)
     run_calls(router, 6, "bc", failure_share=1.0, calls=400)
     assert ZoneStatus.EVACUATED in {router.states.get_or_create(zone).status for zone in "bc"}
@@ -194,10 +201,10 @@
 
 @pytest.mark.parametrize("failure_share", [0.5, 1.0])
 def test_zone_recovers_in_steps_with_growing_evacuation_time(failure_share: float) -> None:
-    router = router_of(a=10, b=10, c=10)
+    router = make_router(a=10, b=10, c=10)
     run_calls(router, 20)
     run_calls(router, 6, "a", failure_share=failure_share)
-    assert statuses(router)[0] == "o"
+    assert status_letters(router)[0] == "o"
     shares = []
     for _ in range(60):
         run_calls(router, 1)
@@ -205,11 +212,11 @@
     rising = [share for share in shares if share > 0]
     assert shares.count(0.0) >= 6 and rising[0] < 0.05 and rising[-1] == 1.0
     is_stepwise = all(later <= 2.1 * earlier for earlier, later in zip(rising, rising[1:], strict=False))
-    assert is_stepwise and statuses(router)[0] == "i"
+    assert is_stepwise and status_letters(router)[0] == "i"
     run_calls(router, 6, "a", failure_share=failure_share)
     state = router.states.get_or_create("a")
     expected_time = SETTINGS.evacuation_backoff * SETTINGS.evacuation_time
-    assert statuses(router)[0] == "o" and state.evacuation_time == expected_time
+    assert status_letters(router)[0] == "o" and state.evacuation_time == expected_time
     # While the zone stays bad, its weight remains low in each recovery and evacuations last longer.
     for _ in range(40):
         called = run_calls(router, 2, "a", failure_share=failure_share)
@@ -218,7 +225,7 @@
 
 
 def test_remote_zone_without_calls_recovers_eventually() -> None:
-    router = router_of(a=10, b=10, c=10)
+    router = make_router(a=10, b=10, c=10)
     router.apply_directives({"b": SEC})
     router.apply_directives({})
     assert router.states.get_or_create("b").status == ZoneStatus.RECOVERING
@@ -230,7 +237,7 @@
 
 
 def test_no_second_zone_is_evacuated_while_one_is_lost() -> None:
-    router = router_of(a=10, b=10, c=10)
+    router = make_router(a=10, b=10, c=10)
     run_calls(router, 20)
     router.update_servers({number: server for number, server in router.servers.items() if server.zone != "c"})
     run_calls(router, 8, "a")
@@ -240,7 +247,7 @@
 def test_nodes_return_to_a_zone_at_different_times() -> None:
     return_times = []
     for rank in (0.0, 0.5, 0.9):
-        router = router_of(rank=rank, a=10, b=10)
+        router = make_router(rank=rank, a=10, b=10)
         run_calls(router, 20)
         run_calls(router, 6, "a")
         return_times.append(router.states.get_or_create("a").next_step_at)
@@ -249,13 +256,13 @@
 
 
 def test_extra_round_trips_are_derived_from_connect_times() -> None:
-    router = router_of(a=2, b=2)
+    router = make_router(a=2, b=2)
     for connect_time in (900, 1000, 5000):
         router.record_connection(100, connect_time)
         router.record_connection(200, connect_time + 16_000)
     assert router.extra_round_trips() == {"b": 16_000}
     # Without any connect times the extra round trip is 0.
-    assert router_of(a=1, b=1).extra_round_trips() == {"b": 0}
+    assert make_router(a=1, b=1).extra_round_trips() == {"b": 0}
 
 
 # ---- Log lines ------------------------------------------------------------------------------------------
--- a/tests/test_zone_slow_start.py
+++ b/tests/test_zone_slow_start.py
@@ -6,7 +6,7 @@
 from typing import cast
 
 import pytest
-from support import BASE
+from support import BASE_SETTINGS
 
 from balancer.fleet.config import FleetConfig
 from balancer.fleet.zone_routing.settings import ZoneSettings
@@ -31,7 +31,7 @@
         self.traffic = ZoneTraffic(
             config=cast(FleetConfig, SimpleNamespace(name="n", zone="a")),
             zone_settings=ZoneSettings(),
-            settings=replace(BASE, slow_start_time=SLOW_START, slow_start_share=0.2),
+            settings=replace(BASE_SETTINGS, slow_start_time=SLOW_START, slow_start_share=0.2),
             now=lambda: self.time,
             wall_clock=self.wall_clock,
             schedule=lambda: None,
