--- a/tests/test_fleet_clocks.py
+++ b/tests/test_fleet_clocks.py
@@ -2,7 +2,6 @@
 
 import json
 import os
-import socket
 import subprocess
 import sys
 import time
@@ -12,7 +11,7 @@
 
 import pytest
 from fleet_section import fleet_section, free_udp_port
-from loopback import TIMEOUT_S, settings
+from loopback import TIMEOUT_S, free_port, settings
 from test_rolling_update import Members
 from virtual_fleet import (
     CLOCK_STEPS,
@@ -299,7 +298,7 @@
 
 
 def test_processes_with_stepped_clocks_see_each_other_alive(tmp_path):
-    ports, pages = [free_udp_port(), free_udp_port()], [free_tcp_port(), free_tcp_port()]
+    ports, pages = [free_udp_port(), free_udp_port()], [free_port(), free_port()]
 
     def second_process(offset_ms):
         return running(tmp_path, "n1", ports[1], pages[1], ports[:1], offset_ms)
@@ -317,10 +316,3 @@
                 wait_until(lambda earlier=earlier: pings_received(pages[0]) > earlier + 3)
                 assert has_alive_member(pages[0], pages[1]) and has_alive_member(pages[1], pages[0])
         assert "clock" not in fleet_page(pages[0])["refused"]
-
-
-def free_tcp_port():
-    """Return a TCP port that was free a moment ago."""
-    with socket.socket() as s:
-        s.bind(("127.0.0.1", 0))
-        return s.getsockname()[1]
