--- a/balancer/policy/__init__.py
+++ b/balancer/policy/__init__.py
@@ -1,4 +1,7 @@
-"""The load-balancing policy of a node, one concern a module. Hosts depend on `interface` alone."""
+"""The load-balancing policy of a node, with one module for each concern.
+
+A host, the program that embeds the policy, depends on this class and on the module `interface` alone.
+"""
 
 from balancer.policy.balancer import Balancer
 
--- a/balancer/policy/attempt_metrics.py
+++ b/balancer/policy/attempt_metrics.py
@@ -1,4 +1,7 @@
-"""Metrics from ended attempts: round-trip times, failures, and the measurements taken once a window."""
+"""Metrics from ended attempts: round-trip times, failures, and the measurements of each window.
+
+A window is the time of at least SAMPLE_WINDOW_US over which responses are counted.
+"""
 
 from __future__ import annotations
 
@@ -14,23 +17,24 @@
 from balancer.policy.spillover import ZoneSpillover
 from balancer.policy.subset import Subset
 
-# Longer round-trips enter a server's average as this multiple of the class's mean.
+# The maximum round-trip time that enters a server's average, as a multiple of the request class's mean.
 MAX_RTT_RATIO = 8.0
-# A member that is slower than its kind by this factor adds no samples to the gradient controller.
+# A member of the subset that is slower than the mean of its kind of server by this factor adds no samples to
+# the gradient controller.
 MAX_SAMPLED_DEVIATION = 2.0
 
 
 class AttemptMetrics:
-    """The recorder of attempts, which passes their outcomes and latencies to the components that use them.
+    """The recorder of ended attempts, which passes outcomes and latencies to the components that use them.
 
     Args:
         mean_rtt: The mean round-trip time by class in microseconds, which this object updates.
-        controller: Receives round-trip time samples.
+        controller: The concurrency limit, which receives round-trip time samples and the rate of failures.
         subset: Provides the available members of the local zone.
-        spillover: Receives latencies by zone.
-        load_shedder: Receives latencies.
+        spillover: The share of requests that leave the local zone, which depends on the latencies by zone.
+        load_shedder: Receives latencies, which determine the share of excess requests to reject.
         slow_start: Receives the number of responses from warm servers.
-        ejection: Receives outcomes.
+        ejection: Receives outcomes, by which it ejects failing servers.
     """
 
     def __init__(
@@ -58,7 +62,7 @@
     def end_attempt(
         self, now: int, server: Server, request: Request | None, outcome: Outcome, latency: int
     ) -> None:
-        """Update the attempts in flight, the samples, the server's averages and the outlier ejection."""
+        """Record the end of an attempt in the attempts in flight, the averages and the outlier ejection."""
         server.in_flight -= 1
         controller = self.controller
         if not server.outside_limit:
@@ -102,7 +106,7 @@
             self.close_window(now)
 
     def close_window(self, now: int) -> None:
-        """Update the rate of warm members, the ranks of the classes and the zone spillover."""
+        """End the window: update the rate of warm members, the ranks of classes and the zone spillover."""
         span = now - self.window_start
         self.window_start = now
         self.slow_start.measure_warm_rate(now, span)
--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -1,12 +1,13 @@
 """The policy of one instance, which turns the events of its host into actions.
 
-All instances of a tier use the same shuffle of the servers. The instance's slice of it is its subset, which
-grows with its attempts in flight. A request first passes the gradient controller: at the limit it is
-rejected, or queued if the client is a server. Then two random choices: two members are picked at random, slow
-ones with a lower probability, and the request goes to the one with the shorter expected time for this
-instance's attempts in flight. A request is rejected beyond the limit, beyond its tenant's quota while the
-fleet is overloaded, or when no attempt can be made. It is retried only if class, group, time and retry budget
-allow it. Times are integer microseconds.
+All instances of a tier put the servers into the same random order, the shuffle. An instance sends only to its
+subset, its own slice of the shuffle, which grows with its attempts in flight. A request first passes the
+gradient controller, which limits the attempts in flight: at the limit a request is rejected, or queued if its
+client is a server. Then two members of the subset are picked at random, slow ones with a lower probability,
+and the request goes to the one with the shorter expected time for this instance's attempts in flight. A
+request is rejected beyond the limit, beyond its tenant's quota while the fleet is overloaded, or when no
+attempt can be made. It is retried only if its class, the group of servers that discard its repeats, the time
+left and the retry budget allow it. Times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -55,12 +56,13 @@
         self.actions = actions
         self.rng = rng = Random(seed)
         self.servers: dict[int, Server] = {}
-        # Requests with a streaming response. The end of their attempts has been recorded already.
+        # The ids of requests with a streaming response. The attempt of such a request was recorded as ended
+        # when its response started.
         self.streaming: set[int] = set()
         share = OBJECTIVE_SHARE * (settings.tiers - settings.tier) / settings.tiers
         allowance = [int(c.latency_objective * share) for c in settings.classes]
         self.controller = GradientController(allowance, settings.max_open, rng, 0, self.fleet)
-        # The initial values apply until round-trip times have been measured.
+        # The mean round-trip time by class. The initial values apply until round-trip times are measured.
         self.mean_rtt = [c.latency_objective * share / 2 for c in settings.classes]
         self.spillover = ZoneSpillover(settings)
         self.subset = Subset(settings, self.servers, self.controller, self.spillover.zone_aware)
@@ -82,7 +84,10 @@
         )
 
     def start(self, now: int) -> None:
-        """Begin the first minRTT recalculation, and subscribe to the server list if it must be polled."""
+        """Begin the first recalculation of the minRTT, and subscribe to the server list if it must be polled.
+
+        The minRTT is the round-trip time of a class on servers without queues.
+        """
         self.controller.start_recalculation(now)
         self.metrics.window_start = self.slow_start.counted_since = now
         self.load_shedder.start(now)
@@ -90,7 +95,7 @@
             self.actions.watch(True)
 
     def server_list(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
-        """Update the servers from a server list or its changes."""
+        """Update the known servers from a complete server list or from changes to the list."""
         self.listed_servers.update(now, kind, entries)
 
     def request(
@@ -120,8 +125,10 @@
             # A node whose traffic suddenly grows would overload the few servers of a small subset.
             self.listed_servers.reselect_members()
         if settings.tier == 0:
-            # Trunk reservation: a class of lesser worth for its time leaves sqrt(limit) slots free for
-            # classes of greater worth, and a tenant beyond its quota leaves twice as many.
+            # Trunk reservation keeps a part of the limit free for better requests. A class whose worth, its
+            # priority weight, is low for its round-trip time leaves the headroom free, about sqrt(limit)
+            # attempts in flight. A request beyond its tenant's quota leaves twice as
+            # much free.
             is_excess, is_clear_excess = self.load_shedder.exceeds_quota(now, tenant)
             reserved = self.load_shedder.rank[request_class] + 2 * is_excess
             if (is_clear_excess and self.load_shedder.sheds()) or not controller.admits(now, reserved):
@@ -143,7 +150,7 @@
         final: bool,
         report: Sequence[float],
     ) -> None:
-        """Record an attempt's end, and retry or answer its request if that is still open."""
+        """Record the end of an attempt, and retry or answer its request if the request is still open."""
         lifecycle = self.lifecycle
         target = self.servers.get(server)
         open_request = lifecycle.requests.get(request)
@@ -171,15 +178,15 @@
             lifecycle.serve_queue(now)
 
     def response_started(self, now: int, request: int, attempt: int, server: int, latency: int) -> None:
-        """Record the attempt as ended with success, since the client determines the time that is left."""
+        """Record the attempt as ended with success: the client determines how long the rest takes."""
         open_request = self.lifecycle.requests.get(request)
         if open_request is None or open_request.server is None or open_request.responding:
             return
         open_request.responding = True
         if open_request.uploading:
             self.lifecycle.set_uploading(now, open_request, attempt, False)
-        # Otherwise clients that read slowly would fill the limit, and their reading time would count as
-        # the server's latency.
+        # If the attempt ended only with its response, clients that read slowly would fill the limit, and
+        # their reading time would count as the server's latency.
         self.streaming.add(request)
         if open_request.server.in_flight > 0:
             self.metrics.end_attempt(now, open_request.server, open_request, Outcome.OK, latency)
@@ -203,7 +210,7 @@
             self.actions.cancel(request, open_request.attempts - 1)
 
     def health_checked(self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]) -> None:
-        """Ignore the result: ejected servers are probed with real requests."""
+        """Ignore the result of a health check: ejected servers are probed with real requests instead."""
 
     def trial_result(self, now: int, server: int, healthy: bool) -> None:
         """Readmit a server that another node's probe found healthy, or extend its ejection."""
@@ -231,7 +238,7 @@
         """Ignore the message: a node decides on the basis of its own traffic."""
 
     def stats(self) -> dict[str, float]:
-        """Return statistics, named as in Envoy's adaptive concurrency filter where that has them."""
+        """Return the statistics. Those that Envoy's adaptive concurrency filter also has bear its names."""
         controller = self.controller
         return {
             "concurrency_limit": controller.allowed(),
--- a/balancer/policy/ejection.py
+++ b/balancer/policy/ejection.py
@@ -1,4 +1,7 @@
-"""Outlier ejection: a member that fails or does not respond gets only single probe requests."""
+"""Outlier ejection: a member that fails or does not respond gets no requests but probes.
+
+A member is a server of this instance's subset. A probe is a single real request that tests an ejected server.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 MIN_FAILURES = 3
 # A member is ejected when its failure rate exceeds that of the subset by this much.
 MIN_EXCESS_FAILURE_RATE = 0.3
-# The duration of a first ejection. It doubles with each further ejection, up to 16 times the base.
+# The duration of a first ejection. It doubles with each further ejection, up to 16 times this value.
 BASE_EJECTION_TIME_US = 2_000_000
 # The maximum random extension of an ejection, relative to its duration.
 EJECTION_JITTER_RATIO = 0.1
@@ -59,7 +62,7 @@
                 server.outcome_count >= MIN_FAILURES
                 and server.failure_rate > MIN_EXCESS_FAILURE_RATE + self.failure_rate
             ):
-                # A member that fails quickly has few attempts in flight and would be picked often.
+                # A member that fails quickly has few attempts in flight, so it would be picked often.
                 self.eject(now, server, silent=False)
         elif server.probe_in_flight:
             self.eject(now, server, silent=server.silent)
@@ -67,7 +70,8 @@
 
     def eject(self, now: int, server: Server, silent: bool) -> None:
         """Eject a member, or extend its ejection, unless too many members are ejected already."""
-        # A drained server whose last requests fail must not be ejected, since it would then get a probe.
+        # A draining server that has left the subset must not be ejected when its last requests fail, since an
+        # ejected server gets a probe.
         if not server.member:
             return
         if not server.ejected:
@@ -105,8 +109,8 @@
     def eject_if_silent(self, now: int, server: Server) -> bool:
         """Eject a member that has ended none of its attempts in flight for several mean round-trips.
 
-        A single attempt may be a long one, so its time limit is twice as long. Return whether the member
-        is ejected.
+        If the member has only one attempt in flight, the time allowed is twice as long, since a single
+        attempt may be a long one. Return whether the member is ejected.
         """
         timeout = SILENCE_TIMEOUT_FACTOR * max(self.mean_rtt) * (2 if server.in_flight == 1 else 1)
         if server.in_flight and now - server.last_outcome_at > timeout:
--- a/balancer/policy/gradient.py
+++ b/balancer/policy/gradient.py
@@ -1,4 +1,10 @@
-"""The gradient controller: an adaptive limit on the attempts in flight of this instance."""
+"""The gradient controller: an adaptive limit on the attempts in flight of this instance.
+
+The minRTT is the round-trip time of a class without queues. It is measured again from time to time while the
+limit is held low, which is called a recalculation. The gradient is the factor by which a sampling window
+changes the limit: the target for the round-trip time divided by the measured one. The headroom is the number
+of attempts in flight that each window then adds to the limit. The floor is the lowest value of the limit.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +17,8 @@
 # Parameters whose values are taken from Envoy's gradient controller.
 SAMPLE_WINDOW_US = 100_000  # The minimum length of a sampling window.
 RTT_QUANTILE = 0.9  # The quantile of the samples of a window or of a recalculation.
-# The minimum limit, also during a recalculation. The sum over all nodes is this number for each member.
+# The minimum limit, also during a recalculation. The minimum limits of all nodes add up to this number for
+# each server.
 MIN_LIMIT = 3
 MIN_RTT_INTERVAL_US = 60_000_000
 MIN_RTT_JITTER_RATIO = 0.1
@@ -21,22 +28,25 @@
 MIN_GRADIENT, MAX_GRADIENT = 0.5, 2.0
 
 # Parameters that Envoy's design does not have.
-# The limit for each idle member, also during a recalculation. An idle server can have several requests in
-# flight that wait for the tiers behind it.
+# The limit for each idle member of the subset, also during a recalculation. An idle server can have several
+# requests in flight that wait for the tiers behind it.
 REQUESTS_PER_IDLE_MEMBER = 6
-# A window closes when it has this number of samples, or at this multiple of its minimum length.
+# A window that has reached its minimum length closes when it has this number of samples. With fewer samples
+# it closes at the following multiple of its minimum length.
 MIN_WINDOW_SAMPLES = 80
 MAX_WINDOW_FACTOR = 10
 # A window with fewer samples than this changes the limit in proportion to their number.
 FULL_WEIGHT_SAMPLES = 8
 MAX_SMOOTHING_TIME_US = 1_000_000  # The longest time over which attempts in flight are averaged.
-MIN_BUFFER_RATIO = 0.25  # The minimum of Envoy's buffer_pct.
+# The minimum of the buffer, the tolerated increase of the round-trip time, relative to min_rtt. Envoy's name
+# for this ratio is buffer_pct.
+MIN_BUFFER_RATIO = 0.25
 OBJECTIVE_SHARE = 0.5  # The buffer extends to this share of a class's latency objective.
 MAX_TARGET_SHARE = 0.75  # The maximum of min_rtt + buffer as a share of the latency objective.
-# A higher failure rate of the entire subset counts as overload.
+# A failure rate of the entire subset above this value counts as overload.
 MAX_LOSS_RATE = 0.05
-# The time constant of the sustained attempts in flight; after a start, this number of mean round-trips if
-# that is shorter.
+# The time constant of the sustained attempts in flight, their smoothed number while latency is good. After a
+# start the time constant is STARTUP_SMOOTHING_RTTS mean round-trips if that is shorter.
 SUSTAINED_SMOOTHING_TIME_US = 3_000_000
 STARTUP_SMOOTHING_RTTS = 2
 # The time constant with which the sustained attempts in flight decay while requests are lost.
@@ -52,7 +62,7 @@
 
 
 class SampleWindow:
-    """The samples of the current sampling window."""
+    """The samples of the current sampling window, the time between two updates of the limit."""
 
     def __init__(self, now: int) -> None:
         self.rtts: list[float] = []  # Round-trip times relative to the target of their class.
@@ -77,8 +87,8 @@
 
     Args:
         allowance: The allowance by class in microseconds.
-        ceiling: The upper bound of the limit.
-        rng: The source of the jitter between recalculations.
+        ceiling: The configured upper bound of the limit.
+        rng: The source of the random variation of the time between recalculations.
         now: The time in microseconds.
         fleet: The coordination with other processes; None for a single process.
     """
@@ -98,9 +108,9 @@
         self.ceiling = ceiling
         self.limit = float(MIN_LIMIT)
         self.in_flight = 0
-        self.smoothed_in_flight = 0.0  # The number of attempts that is compared with the limit.
+        self.smoothed_in_flight = 0.0  # The mean of in_flight that is compared with the limit.
         self.smoothed_at = now
-        # True until the first window that is above target or uses less than half the limit.
+        # True until the first window in which latency is above target or less than half the limit is used.
         self.starting_up = True
         self.loss_rate = 0.0  # The smoothed share of requests that ended without a response.
         self.sustained_in_flight = 0.0  # The smoothed attempts in flight while latency was good.
@@ -122,11 +132,12 @@
     def update_bounds(self) -> None:
         """Compute the minimum limit, and the number of instances that share the headroom.
 
-        The minimum limit is divided among all instances. An instance with many requests in flight observes
-        the overload that it causes, as Envoy assumes, and keeps the full headroom. If each instance has
-        hardly one request in flight, the headroom is divided among them too, and the limit during a
-        recalculation by the square root of their number, since an idle member takes one more request
-        without queueing.
+        The headroom is the number of attempts by which the limit grows in each window. The minimum limit is
+        divided among all instances. An instance with many requests in flight observes the overload that it
+        causes, as Envoy assumes, and keeps the full headroom. If each instance has hardly one request in
+        flight, the headroom is divided among the instances too. The limit during a recalculation is then
+        divided by the square root of their number only, since an idle member takes one more request without
+        queueing.
         """
         self.instances_per_server = max(1.0, self.instances / (1 + self.sustained_in_flight))
         self.floor = MIN_LIMIT * self.members / max(1.0, self.instances)
@@ -135,7 +146,7 @@
         )
 
     def headroom(self) -> float:
-        """Return this instance's part of the headroom, the square root of the limit of all instances."""
+        """Return this instance's part of the headroom, the square root of all instances' limits together."""
         return sqrt(self.limit / self.instances_per_server)
 
     def record_in_flight(self, now: int, change: int = 0) -> None:
@@ -176,7 +187,7 @@
         self.windows_at_floor = 0
 
     def end_recalculation(self, now: int) -> None:
-        """Set the minRTT and the target of each class that has enough samples."""
+        """End the recalculation: set the minRTT and the target of each class that has enough samples."""
         for request_class, samples in enumerate(self.min_rtt_samples):
             if len(samples) >= MIN_LIMIT:
                 self.min_rtt[request_class] = percentile(samples, RTT_QUANTILE)
@@ -199,7 +210,8 @@
         if self.recalculating:
             self.min_rtt_samples[request_class].append(latency)
             self.requests_to_measure -= 1
-            # A recalculation that ended at its last response would have measured the short requests only.
+            # A recalculation must last for a minimum time. If it ended as soon as it has enough responses, it
+            # would have measured the short requests only.
             if now >= self.earliest_recalculation_end + (
                 0 if self.requests_to_measure <= 0 else 2 * SAMPLE_WINDOW_US * MAX_WINDOW_FACTOR
             ):
@@ -212,9 +224,10 @@
         self.close_window(now)
 
     def close_window(self, now: int) -> None:
-        """Set the limit from the window and restart it, if it is long enough and has enough samples.
+        """Set the limit from the window and open a new window, if the window is long and full enough.
 
-        A window without samples stays open and changes nothing.
+        At its maximum length a window closes even with few samples. A window without samples stays open and
+        changes nothing.
         """
         window = self.window
         age = now - window.start
@@ -235,8 +248,9 @@
         window.restart(now)
         self.update_bounds()
         self.limit = max(min(limit, self.max_limit(), self.ceiling), self.min_limit(age))
-        # Only windows at the floor count. Any overload lowers the limit to the sustained attempts in flight,
-        # and if those windows counted, one recalculation would follow another.
+        # Only windows in which the limit is at its floor count towards a recalculation. Any overload lowers
+        # the limit to the sustained attempts in flight. If windows at that limit counted as well, one
+        # recalculation would follow another.
         self.windows_at_floor = self.windows_at_floor + 1 if self.limit <= self.floor else 0
         due = self.windows_at_floor >= MAX_WINDOWS_AT_FLOOR or now >= self.next_recalculation_at
         if due and self.fleet.may_recalculate_min_rtt():
@@ -245,9 +259,10 @@
     def update_sustained_in_flight(self, age: int, count: int) -> None:
         """Update the sustained attempts in flight, their smoothed number while latency is good.
 
-        They start at zero, so an instance that starts under full traffic would reject half of it for five
-        seconds. Therefore they follow within STARTUP_SMOOTHING_RTTS round-trips until the first window that
-        is above target or in which less than half the limit is used.
+        The sustained number starts at zero, so an instance that starts under full traffic would reject half
+        of it for five seconds. Therefore the sustained number follows the attempts in flight within
+        STARTUP_SMOOTHING_RTTS round-trips until the first window in which latency is above target or less
+        than half the limit is used.
         """
         mean_in_flight = self.window.in_flight_sum / count
         span = SUSTAINED_SMOOTHING_TIME_US
@@ -267,10 +282,10 @@
         """Return the maximum limit.
 
         Latency does not confirm a limit that requests never reach. Without a maximum it would grow without
-        bound in quiet times, and a burst would then meet no limit; so it stays near twice the sustained
-        attempts in flight. The limit for idle members is divided by the square root of the number of
-        instances: the full limit at each of many instances would overload every server, but their bursts
-        coincide by chance only.
+        bound in quiet times, and a burst would then meet no limit. So the maximum stays near twice the
+        sustained attempts in flight, but is at least the limit for idle members. The limit for idle members
+        is divided by the square root of the number of instances: the full limit at each of many instances
+        would overload every server, but the bursts of instances coincide by chance only.
         """
         idle_limit = REQUESTS_PER_IDLE_MEMBER * self.members / sqrt(max(1.0, self.instances))
         return max(idle_limit, MAX_LIMIT_FACTOR * self.sustained_in_flight + MIN_LIMIT)
--- a/balancer/policy/interface.py
+++ b/balancer/policy/interface.py
@@ -21,11 +21,14 @@
 
 
 class Group(IntEnum):
-    """The servers that discard repeats of a request with an idempotency key."""
+    """The group of servers that discard repeats of a request with an idempotency key.
 
-    ALL = 0
-    ZONE = 1
-    CELL = 2
+    The group of a request is determined by the first server that may have run the request.
+    """
+
+    ALL = 0  # All servers.
+    ZONE = 1  # The servers in the first server's zone.
+    CELL = 2  # The servers in the first server's cell.
 
 
 class Outcome(IntEnum):
@@ -72,7 +75,7 @@
     worth: float  # The priority weight: the value of a response within the latency objective.
     late_worth: float = 0.0  # The share of the worth that a response after the latency objective earns.
     group: Group = Group.ALL
-    window: int = 0  # The time for which a group remembers an idempotency key.
+    window: int = 0  # The time for which the group's servers remember an idempotency key.
     stream: bool = False
 
 
@@ -105,11 +108,11 @@
     max_open: int = 20000
     list_on_request: bool = False  # The server list must be polled.
     max_list_poll_interval: int = 0  # The longest interval allowed between polls of the server list.
-    list_weights: bool = False  # Weights of server entries can be compared.
-    slow_start_time: int = 0  # The time within which a started server is warm.
+    list_weights: bool = False  # The weights in the server list can be compared with each other.
+    slow_start_time: int = 0  # The time after its start at which a server is warm: at full capacity.
     slow_start_share: float = 1.0  # The minimum share of its capacity that a server has when it starts.
     fall_multiple: float = 0.0  # The multiple of its present capacity beyond which a server fails.
-    fall_time: int = 0  # The time for which a server withstands such a load.
+    fall_time: int = 0  # The time for which a server withstands a load beyond `fall_multiple`.
     answer_slack: int = 0
     cross_zone_price: float = 0.0
     over_share_worth: float = 1.0
@@ -202,12 +205,14 @@
 class Fleet(Protocol):
     """The decisions that a Balancer coordinates with the other processes of its fleet.
 
-    Like `Actions`, these methods are called while an event is being handled. The results of other nodes
-    arrive as `trial_result` and `zone_shares` events. A Balancer without a fleet uses `Standalone`.
+    The minRTT is the round-trip time of a class without queues. A probe is a single real request that tests
+    a server which was ejected because it failed. Like those of `Actions`, the methods are called while an
+    event is being handled. The results of other nodes arrive as `trial_result` and `zone_shares` events. A
+    Balancer without a fleet uses `Standalone`.
     """
 
     def may_recalculate_min_rtt(self) -> bool:
-        """Return whether the minRTT recalculation that is due may begin now. False leads to another call."""
+        """Return whether the minRTT recalculation that is due may begin now. If not, the call is repeated."""
 
     def min_rtt_recalculated(self) -> None:
         """Report that a minRTT recalculation has ended."""
@@ -223,8 +228,9 @@
 
         Args:
             server: The server.
-            healthy: A probe of this node succeeded. Otherwise the server was removed from the list, was
-                replaced by a new process, left the subset, or was found healthy by another node.
+            healthy: True if a request of this node succeeded on the server. If it is false, the server was
+                removed from the list, was replaced by a new process, left the subset, or was found healthy
+                by another node.
         """
 
 
@@ -286,10 +292,10 @@
         final: bool,
         report: Sequence[float],
     ) -> None:
-        """Handle the end of an attempt. Exactly one follows each `send`, also after the request's end.
+        """Handle the end of an attempt. Exactly one such event follows each `send`, also for ended requests.
 
         `final` says that the request needs no further answer, for example because a response was
-        forwarded. If it is false and the request is open, a final answer or a retry follows at once.
+        forwarded. If `final` is false and the request is open, a final answer or a retry follows at once.
         """
 
     def response_started(self, now: int, request: int, attempt: int, server: int, latency: int) -> None:
@@ -323,11 +329,11 @@
             shares: Each zone's share of the requests, in order of preference; other zones get none.
             additional_rtt: The additional round-trip time to each remote zone, in microseconds.
 
-        Without this event the policy spreads requests over zones itself.
+        Without a `zone_shares` event the policy spreads requests over zones itself.
         """
 
     def timer(self, now: int, token: int) -> None:
-        """Handle a timer that is due, with the token of its `set_timer`, in an event after that one."""
+        """Handle a due timer with the token of its `set_timer`, which was called in an earlier event."""
 
     def peer_message(self, now: int, peer: int, data: bytes) -> None:
         """Handle a message that another instance of this tier sent with `send_to_peer`."""
--- a/balancer/policy/load_shedding.py
+++ b/balancer/policy/load_shedding.py
@@ -1,4 +1,9 @@
-"""Load shedding: the requests that are rejected first under overload, by tenant and by class."""
+"""Load shedding: the requests that are rejected first under overload, by tenant and by class.
+
+A tenant's entitlement is the number of recent requests that its quota allows at this instance. Excess is what
+exceeds the entitlement; clear excess exceeds it by more than chance explains. The worth of a class is its
+priority weight.
+"""
 
 from __future__ import annotations
 
@@ -8,13 +13,14 @@
 from balancer.policy.interface import Settings
 
 TENANT_WINDOW_US = 8_000_000
-# A tenant clearly exceeds its quota when its traffic exceeds this multiple of its entitlement and, in
-# addition, this number of standard deviations of a count, so that chance alone does not count as excess.
+# A tenant clearly exceeds its quota when its recent requests exceed the entitlement times the factor, plus a
+# number of standard deviations of a count, so that chance alone does not count as clear excess.
 CLEAR_EXCESS_FACTOR = 1.25
 CLEAR_EXCESS_DEVIATIONS = 1.5
 # Above this ratio of latency to target, an increasing share of clear excess is rejected.
 MAX_UNSHED_LATENCY_RATIO = 0.6
-# The change of that share for each response, per unit of the ratio above the threshold.
+# The change of the rejected share of clear excess for each response, for each unit by which the ratio of
+# latency to target exceeds MAX_UNSHED_LATENCY_RATIO.
 SHED_GAIN = 0.06
 
 
@@ -27,12 +33,12 @@
         self.rate = rate  # This instance's part of the quota, in requests per second.
         self.updated_at = 0
         self.recent_requests = 0.0  # Requests of the last TENANT_WINDOW_US, decaying.
-        # Requests that the quota allows for the same time. It starts at one, so that a first request is
-        # within the quota.
+        # The requests that the quota allows in TENANT_WINDOW_US, decaying. The number starts at one, so that
+        # a first request is within the quota.
         self.entitlement = 1.0
 
     def decay(self, now: int) -> None:
-        """Decay the counts by the time that has passed since the last call."""
+        """Decay the recent requests and the entitlement by the time since the last call."""
         remaining = max(0.0, 1 - (now - self.updated_at) / TENANT_WINDOW_US)
         self.recent_requests *= remaining
         self.entitlement = self.entitlement * remaining + self.rate * (now - self.updated_at) / 1e6
@@ -56,12 +62,12 @@
             t.updated_at = now
 
     def record(self, latency_ratio: float) -> None:
-        """Adjust the share of clear excess to reject to a response's latency relative to its target."""
+        """Adjust the rejected share of clear excess by a response's latency relative to its target."""
         self.shed_ratio += SHED_GAIN * (min(latency_ratio, 3.0) - MAX_UNSHED_LATENCY_RATIO)
         self.shed_ratio = min(1.0, max(0.0, self.shed_ratio))
 
     def sheds(self) -> bool:
-        """Return whether a request that is clear excess is rejected."""
+        """Decide at random whether a request that is clear excess is rejected, and return the decision."""
         return self.rng.random() < self.shed_ratio
 
     def exceeds_quota(self, now: int, tenant: int) -> tuple[bool, bool]:
@@ -89,7 +95,10 @@
         )
 
     def rank_classes(self) -> None:
-        """Rank a class 1 if its worth per mean round-trip time is below half the best class's, else 0."""
+        """Rank each class by its worth for each unit of mean round-trip time.
+
+        The rank is 1, rejected earlier, if that is below half of the best class's value. Otherwise it is 0.
+        """
         density = [c.worth / max(1.0, self.mean_rtt[i]) for i, c in enumerate(self.classes)]
         best = max(density)
         self.rank = [int(d < best / 2) for d in density]
--- a/balancer/policy/request_lifecycle.py
+++ b/balancer/policy/request_lifecycle.py
@@ -15,7 +15,7 @@
 from balancer.policy.subset import Subset
 from balancer.policy.timers import TimerKind, timer_token
 
-# The number of mean round-trips that an attempt may take while another attempt can follow.
+# The minimum timeout of an attempt after which a retry is possible, as a number of mean round-trips.
 ATTEMPT_TIMEOUT_FACTOR = 8
 # Retry-After is the class's latency objective divided by this.
 RETRY_AFTER_DIVISOR = 8
@@ -29,7 +29,7 @@
         actions: The host's actions.
         mean_rtt: The mean round-trip time by class in microseconds, which AttemptMetrics updates.
         controller: The limit on attempts in flight.
-        subset: The members. A request is queued only if one is available.
+        subset: The members, the servers of this instance. A request is queued only if one is available.
         slow_start: Counts the attempts sent to warm servers.
         selection: Picks a server for each attempt.
     """
@@ -79,7 +79,8 @@
     def attempt_timeout(self, now: int, request: Request, server: Server) -> int:
         """Return the attempt's timeout: the remaining time, or less if another attempt can follow.
 
-        Otherwise a response that never arrives would use up all the time of the request.
+        If the first attempt had all the time of the request, a response that never arrives would leave no
+        time for a retry.
         """
         remaining = request.expires_at - now
         if request.effect == Effect.NOT_IDEMPOTENT:
@@ -88,15 +89,16 @@
         if server.outside_limit:
             # The attempt is a probe of an ejected server.
             return min(remaining, max(self.settings.tick, int(SILENCE_TIMEOUT_FACTOR * mean)))
-        # With a shorter timeout, every instance would abort half-done attempts under overload. Their work
-        # would be lost at this tier and all tiers behind it, and the retries would overload them again.
+        # With a timeout below this minimum, every instance would abort half-done attempts under overload. The
+        # work on them would be lost at this tier and all tiers behind it, and the retries would overload the
+        # servers again.
         min_timeout = max(self.settings.tick, int(ATTEMPT_TIMEOUT_FACTOR * mean))
         if request.attempts + 1 < self.settings.max_attempts and self.retry_budget.allows(Outcome.TIMEOUT):
             return min(remaining, max(remaining // 2, min_timeout))
         return remaining
 
     def retry_or_finish(self, now: int, request: Request, server: Server | None, outcome: Outcome) -> None:
-        """Retry if class, time, budget and the maximum number of attempts allow it; else give the answer."""
+        """Retry if class, time, budget and the number of attempts allow it; else give the final answer."""
         if outcome not in NEVER_RAN and request.first_run_server is None:
             request.first_run_server = server
             request.first_run_at = request.sent_at
@@ -120,7 +122,7 @@
         return request.effect == Effect.IDEMPOTENCY_KEY and now < request.first_run_at + window
 
     def finish(self, request: Request, reject: bool) -> None:
-        """Give the final answer. `reject` is true only if a retry by the client is safe."""
+        """Give the final answer: a failure, or a rejection (`reject`) if a retry by the client is safe."""
         del self.requests[request.id]
         if not reject:
             self.actions.fail(request.id)
--- a/balancer/policy/retry_budget.py
+++ b/balancer/policy/retry_budget.py
@@ -1,4 +1,7 @@
-"""The retry budget, which limits retries to a share of the first attempts, weighted by their cost."""
+"""The retry budget, which limits retries to a share of the first attempts.
+
+Each request adds tokens to the budget, and each retry takes as many tokens as it costs.
+"""
 
 from __future__ import annotations
 
@@ -20,14 +23,17 @@
 def retry_cost(outcome: Outcome) -> float:
     """Return the tokens that a retry costs after an attempt with this outcome.
 
-    Failed connects cost less. Otherwise slow or failed connections would use up the budget, and requests
-    that no server has received would fail.
+    A retry after a failed connect costs less. At the full cost, slow or failed connections would use up the
+    budget, and requests that no server has received would fail.
     """
     return CONNECT_COST if outcome in NEVER_CONNECTED else FULL_COST
 
 
 class RetryBudget:
-    """A token bucket for retries. Without it retries would multiply through tiers and clients."""
+    """A token bucket for retries: a store of tokens that fills up to a maximum.
+
+    Without the bucket retries would multiply through tiers and clients.
+    """
 
     def __init__(self) -> None:
         self.tokens = float(MIN_LIMIT)
--- a/balancer/policy/selection.py
+++ b/balancer/policy/selection.py
@@ -16,7 +16,7 @@
 
 
 def exclude_attempted(pool: list[Server], request: Request) -> list[Server]:
-    """Return the servers of the pool that the request has not been sent to, or all if there are none."""
+    """Return the servers of the pool that the request was not sent to; if it was sent to all, the pool."""
     return (
         [m for m in pool if m not in request.attempted_servers] or pool if request.attempted_servers else pool
     )
@@ -46,9 +46,9 @@
     def pick_server(self, now: int, request: Request) -> Server | None:
         """Pick the less loaded of two random members for an attempt; None if no server may get one.
 
-        A retry goes to a server without an earlier attempt of the request if there is one, as in Envoy. A
-        member that has just rejected the request has few attempts in flight; otherwise it would be picked
-        for the next attempt too and reject it again.
+        As in Envoy, a retry goes to a server without an earlier attempt of the request if there is one. A
+        member that has just rejected the request has few attempts in flight, so without this rule it would
+        be picked for the next attempt too and reject that again.
         """
         effect = request.effect
         if request.first_run_server is not None and effect == Effect.IDEMPOTENCY_KEY:
@@ -83,7 +83,11 @@
         return self.pick_of_two(now, request.request_class, exclude_attempted(self.subset.available, request))
 
     def pick_of_two(self, now: int, request_class: int, pool: list[Server]) -> Server | None:
-        """Pick the one of two random servers of the pool with the shorter expected time for its attempts."""
+        """Pick that one of two random servers whose attempts in flight have the shorter expected time.
+
+        Servers that are ejected as silent or that slow start holds back are passed over. Return None if no
+        server is left.
+        """
         n = len(pool)
         if n == 0:
             return None
@@ -110,9 +114,10 @@
     ) -> Server:
         """Return a random member other than `other`, slow members with a lower probability.
 
-        A member that is slower than the mean by some factor is picked with the inverse of that factor as
-        probability. Otherwise, in a small subset, the two choices are often both slow, and the requests
-        that one of them gets keep it overloaded. After MAX_SKIPS skips any member is returned.
+        A member that is slower than the mean by some factor is accepted with the inverse of that factor as
+        probability. With equal probabilities, the two members picked from a small subset would often both
+        be slow, and the requests that one of them gets would keep it overloaded. After MAX_SKIPS skips any
+        member is returned.
         """
         while True:
             for _ in range(MAX_SKIPS):
@@ -123,7 +128,11 @@
                 return server
 
     def pick_in_group(self, now: int, request: Request) -> Server | None:
-        """Pick a server of the group that discards repeats of a request that may have run."""
+        """Pick a server for the retry of a request that may have run, from the group that discards repeats.
+
+        The group consists of all servers, or of those in the zone or cell of the first server, as its class
+        says. The first server itself is left out.
+        """
         first = request.first_run_server
         group = self.settings.classes[request.request_class].group
         assert first is not None
--- a/balancer/policy/server.py
+++ b/balancer/policy/server.py
@@ -10,7 +10,7 @@
 SUBSET_SAMPLE_WEIGHT = 0.02  # The weight of a new sample in averages over the entire subset.
 # A member's measured speed has no effect after this time without an outcome.
 DEVIATION_DECAY_TIME_US = 5_000_000
-# A member that fails all its requests counts as this many times slower.
+# If a member fails or rejects all its requests, its slowness grows by this multiple of itself.
 FAILURE_SLOWNESS_FACTOR = 8
 
 
@@ -31,7 +31,7 @@
         self.min_weight = min_weight
 
     def add(self, sample: float) -> None:
-        """Add a sample."""
+        """Update the mean with a new sample."""
         self.weight += 1
         self.value += max(self.min_weight, 1 / self.weight) * (sample - self.value)
 
@@ -57,7 +57,7 @@
         self.reset(entry)
 
     def reset(self, entry: ServerEntry) -> None:
-        """Reset the measurements and the ejection state, since they are those of an earlier process."""
+        """Reset the measurements and the ejection state, which belong to the server's earlier process."""
         self.ready_at = entry.ready_at
         self.start = ServerStart(entry.ready_at, 0, running=False, clock_trusted=False)
         # Round-trip times of this server, relative to those of its kind.
@@ -92,5 +92,5 @@
         return slowness
 
     def load(self, now: int, request_class: int, mean_rtt: float) -> float:
-        """Return the attempts in flight, including the one to be picked, times the slowness."""
+        """Return the attempts in flight, including the attempt to be placed, times the slowness."""
         return (self.in_flight + 1) * self.slowness(now, request_class, mean_rtt)
--- a/balancer/policy/server_list.py
+++ b/balancer/policy/server_list.py
@@ -14,7 +14,8 @@
 from balancer.policy.subset import Subset
 from balancer.policy.timers import TimerKind, timer_token
 
-# The first and the longest backoff are the longest interval allowed between polls divided by these.
+# The first backoff after a failed poll, and the longest backoff, are the longest interval allowed between
+# polls divided by these numbers.
 BASE_BACKOFF_DIVISOR = 20
 MAX_BACKOFF_DIVISOR = 4
 MAX_BACKOFF_DOUBLINGS = 3
@@ -59,7 +60,7 @@
         self.poll_failures = 0
 
     def update(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
-        """Record a list, a part of one, or that a poll has failed."""
+        """Update the servers from a complete list or from changes to it, or retry if the poll has failed."""
         if kind == ListKind.FAILED:
             self.retry_poll()
             return
@@ -116,7 +117,7 @@
     def begin_slow_start(self, now: int, server: Server, entry: ServerEntry) -> None:
         """Begin the slow start of a server that is new or has restarted.
 
-        Without it a restarted server, which looks idle, would get more requests than it can serve.
+        Without a slow start, a restarted server looks idle and would get more requests than it can serve.
         """
         server.start = self.start_times.record(now, entry, self.has_initial_list)
         server.tokens_at = now
--- a/balancer/policy/slow_start.py
+++ b/balancer/policy/slow_start.py
@@ -1,4 +1,8 @@
-"""Slow start: a server that has just started gets a growing share of the requests of a warm one."""
+"""Slow start: a server that has just started gets a growing share of the requests of a warm one.
+
+A server is warming during its slow start and warm after it. The even share is the rate that each member of
+the subset would get if the instance's requests were spread evenly.
+"""
 
 from __future__ import annotations
 
@@ -9,11 +13,12 @@
 from balancer.policy.server import Server
 from balancer.policy.subset import Subset
 
-# Without a warm member, the rate of a fully warm one is taken to be at most this multiple of the even share.
+# While no member is warm, the rate of a warm member is assumed to be at most this multiple of the even share.
 MAX_EVEN_SHARES = 2.5
 # The time constant with which the peak rate of responses from a warm member decays.
 PEAK_DECAY_TIME_S = 30.0
-# The part of the settings' `fall_multiple`, the overload that makes a server fail, that the rate may use.
+# The rate of a warm member is bounded by its rate of responses times this share of `fall_multiple`, which is
+# the multiple of its capacity beyond which a server fails.
 FALL_MULTIPLE_SHARE = 0.8
 
 
@@ -63,11 +68,11 @@
 
         - If no member is warm, the rate is based on the even share of the requests. Otherwise a node that
           starts among warming servers would have no rate to take a share of, and would send nothing until
-          the first of them is warm. The even share also bounds the rate, since the last warm members get
-          all requests and their rate would overload warming members.
+          the first server is warm. A multiple of the even share also bounds the rate, since the last warm
+          members get all requests, and that rate would overload warming members.
         - If a member is warm, the rate is at most a multiple of its responses, because under overload warm
-          members are sent several times what they can serve. If they do not respond at all, the even share
-          applies.
+          members are sent several times what they can serve. If warm members do not respond at all, the
+          even share applies.
         - The even share may exceed what a warm member can serve under overload, so the peak rate of
           responses bounds it in turn.
         """
@@ -81,9 +86,9 @@
     def may_send(self, now: int, server: Server) -> bool:
         """Return whether a server may get a request now, and take a token for it during slow start.
 
-        A warming server gets its current share of a warm member's rate. Its bucket holds one token and
-        starts empty, so that this instance stays within its part in any window of time; otherwise all nodes
-        together could overload the server.
+        A warming server gets its current share of a warm member's rate. Each request takes one token, and
+        tokens accumulate at that rate. A server holds at most one token and starts with none, so that this
+        instance stays within its part in any period. Otherwise all nodes together could overload the server.
         """
         if server.slow_start_until <= now:
             return True
--- a/balancer/policy/spillover.py
+++ b/balancer/policy/spillover.py
@@ -1,4 +1,4 @@
-"""Zone spillover: requests stay in the local zone, and a share leaves it when its servers are slower."""
+"""Zone spillover: a share of the requests leaves the local zone when the servers there are slower."""
 
 from __future__ import annotations
 
@@ -7,10 +7,12 @@
 from balancer.policy.interface import Settings
 from balancer.policy.server import SERVER_SAMPLE_WEIGHT, SUBSET_SAMPLE_WEIGHT, Server
 
-# The change of the spill ratio in one window, relative to the imbalance of latencies, and its maximum.
+# The change of the spill ratio, the share of requests that may leave the zone, in one sampling window: the
+# change for each unit of imbalance between local and remote latency, and the maximum change.
 SPILL_GAIN = 0.1
 MAX_SPILL_STEP = 0.04
-# Requests stay in their zone only if leaving it costs at least this share of a request's worth.
+# Requests stay in their zone only if leaving it costs at least this share of a request's worth, its priority
+# weight.
 MIN_CROSS_ZONE_PRICE = 0.01
 # Converts a price into tolerated extra latency: twice the latency costs a tenth of a request's worth.
 LATENCY_TOLERANCE_FACTOR = 10
@@ -41,8 +43,8 @@
         """Update the minimum spill ratio for new members.
 
         The requests that exceed the local servers' part of all members leave the zone, on the assumption
-        that all nodes get the same traffic. Otherwise few servers in a zone would get all requests of a
-        node there.
+        that all nodes get the same traffic. Without a minimum, a zone's few servers would get all requests
+        of the nodes in the zone.
         """
         if not self.zone_aware or not members:
             return
--- a/balancer/policy/start_times.py
+++ b/balancer/policy/start_times.py
@@ -3,10 +3,14 @@
 A start is listed in Unix time, and the process's clock is based on its own wall clock at its start. Both may
 be wrong by seconds or by an hour. No server can have started after the process was notified of it, so the
 clock is fast by at most the smallest age of any start in the lists. The clock is assumed to be that fast, so
-that no start time is estimated too early. A start that the process sees promptly shows that the clock is
-right: the delay of discovery alone may be as long, and a clock error within it shortens a slow start by a
-fifth at most. If this assumption alone would put more than `MAX_UNPROVEN_SHARE` of a process's first servers
-into slow start, the clock is trusted, because the other servers could not carry the load.
+that no start time is estimated too early.
+
+If a start is seen promptly, with a small age, the clock counts as right: the delay of discovery alone may be
+as long as that age, and a clock error within it shortens a slow start by a fifth at most.
+
+The age of a server is unproven if the server is warm by the clock, but would be in slow start if the clock is
+as fast as assumed. If more than `MAX_UNPROVEN_SHARE` of a process's first servers have an unproven age, the
+clock is trusted, because the other servers could not carry the load.
 """
 
 from __future__ import annotations
@@ -17,21 +21,21 @@
 from balancer.policy.interface import ServerEntry
 
 MAX_CLOCK_ERROR_US = 3_660_000_000  # The assumed maximum error of a clock, an hour and some seconds.
-# A start is seen promptly if its age is within this share of the slow start time, or within the minimum
-# delay. A start with more than the maximum delay is never prompt.
+# A start is seen promptly if its age is within PROMPT_SHARE of the slow start time, or within the minimum
+# delay. A start with an age beyond the maximum delay is never prompt.
 PROMPT_SHARE = 0.2
 MIN_PROMPT_DELAY_US = 1_000_000
 MAX_PROMPT_DELAY_US = 4_000_000
 # The maximum age of a start that first appears in the list while the process is running.
 MAX_LIST_DELAY_US = 10_000_000
-# The clock is trusted if more than this share of the servers in the first lists has an unproven age.
+# The clock is trusted if more than this share of the servers in the first lists have an unproven age.
 MAX_UNPROVEN_SHARE = 1 / 3
 MAX_REMEMBERED_STARTS = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class ServerStart:
-    """One start of a server, as the process was notified of it."""
+    """One start of a server, as this process learned of it from the server list."""
 
     ready_at: int  # The listed start time.
     notified_at: int
@@ -42,8 +46,8 @@
 def prompt_delay(slow_start_time: int) -> int:
     """Return the maximum age with which a start counts as seen promptly.
 
-    Without this tolerance, the delay of discovery in a rolling release would count as a clock error, and each
-    process would extend the slow start of all warming servers by that error.
+    Without this tolerance, the delay with which a list shows the starts of a rolling release would count as a
+    clock error, and each process would extend the slow start of all warming servers by that error.
     """
     return max(MIN_PROMPT_DELAY_US, min(MAX_PROMPT_DELAY_US, int(PROMPT_SHARE * slow_start_time)))
 
--- a/balancer/policy/subset.py
+++ b/balancer/policy/subset.py
@@ -1,4 +1,4 @@
-"""The subset of the listed servers that this instance sends to."""
+"""The subset of the listed servers that this instance sends to. Its servers are called members."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 MIN_SUBSET_SIZE = 4
 MAX_SUBSET_SIZE = 24
-MEMBERS_PER_ATTEMPT = 2  # The members for each attempt in flight, between the minimum and the maximum size.
+MEMBERS_PER_ATTEMPT = 2  # The number of members for each attempt in flight, within the bounds.
 IN_FLIGHT_SAMPLE_WEIGHT = 0.05  # The weight of a new sample in the mean number of attempts in flight.
 
 
@@ -24,7 +24,7 @@
 
 
 class Subset:
-    """The members, their number, and the available ones among them."""
+    """The members of the subset, their target number, and the members that are not ejected."""
 
     def __init__(
         self,
@@ -46,19 +46,19 @@
         self.available_by_zone: dict[int, list[Server]] = {}  # Available members of the zones with shares.
 
     def fits_load(self) -> bool:
-        """Update the mean of the attempts in flight, and return whether the size is still suitable."""
+        """Update the mean of the attempts in flight, and return whether the subset's size still suits it."""
         self.mean_in_flight += IN_FLIGHT_SAMPLE_WEIGHT * (self.controller.in_flight - self.mean_in_flight)
         return self.size / 2 <= self.target_size() <= self.size * 1.25
 
     def target_size(self) -> int:
-        """Return the suitable size for the mean number of attempts in flight."""
+        """Return the number of members that suits the mean number of attempts in flight."""
         return min(MAX_SUBSET_SIZE, max(MIN_SUBSET_SIZE, ceil(MEMBERS_PER_ATTEMPT * self.mean_in_flight)))
 
     def select_slice(self, servers: list[Server]) -> list[Server]:
         """Return this instance's slice of a shuffle in which the servers of each kind are spread evenly.
 
-        Otherwise, by chance, all members of an instance could be of a slow kind and stay overloaded while
-        the fast members of other instances are idle.
+        In a plain shuffle, all members of an instance could by chance be of a slow kind and stay overloaded
+        while the fast members of other instances are idle.
         """
         n = len(servers)
         slices = max(1, n // MIN_SUBSET_SIZE)
--- a/balancer/policy/timers.py
+++ b/balancer/policy/timers.py
@@ -1,4 +1,4 @@
-"""The tokens of the policy's timers, which encode a timer's kind and a value."""
+"""The tokens that identify the policy's timers. A token encodes the kind of its timer and a value."""
 
 from __future__ import annotations
 
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -22,18 +22,18 @@
 
 
 class SettingsError(ValueError):
-    """A missing or impossible value. The message names its key."""
+    """A missing or impossible value in the settings. The message names the key of the value."""
 
 
 class Fields:
     """Typed access to the fields of a JSON object.
 
-    Each method raises a SettingsError for a value of the wrong type. A key that has a default or is
-    optional may be absent or null.
+    Each method raises a SettingsError for a value of the wrong type. A key may be absent or null if
+    the method is given a default, or if the value is optional.
 
     Args:
         table: The decoded object.
-        path: The prefix of the object's keys in error messages.
+        path: The path to the object within the settings, which precedes its keys in error messages.
     """
 
     def __init__(self, table: dict[str, Any], path: str = "") -> None:
@@ -45,7 +45,7 @@
         return SettingsError(f"settings: missing or impossible value for {self.path}{key}")
 
     def number(self, key: str, default: float | None = None) -> float:
-        """Return a number of any type as a float."""
+        """Return the number at a key, an integer or a float, as a float; the default if there is none."""
         value = self.table.get(key)
         if value is None and default is not None:
             return default
@@ -58,18 +58,18 @@
         return float(value)
 
     def integer(self, key: str, default: int | None = None) -> int:
-        """Return a number as an integer, without its fraction."""
+        """Return the number at a key as an integer, without its fraction."""
         return int(self.number(key, default))
 
     def flag(self, key: str) -> bool:
-        """Return a boolean, which is false if the key is absent."""
+        """Return the boolean at a key, or False if the key is absent."""
         value = self.table.get(key)
         if value is not None and not isinstance(value, bool):
             raise self.error(key)
         return bool(value)
 
     def text(self, key: str, default: str | None = None) -> str:
-        """Return a string."""
+        """Return the string at a key, or the default if the key is absent."""
         value = self.table.get(key)
         if value is None and default is not None:
             return default
@@ -78,7 +78,7 @@
         return value
 
     def array(self, key: str, optional: bool) -> list[Any]:
-        """Return a list, which is empty if it is optional and absent."""
+        """Return the list at a key, or an empty list if the key is absent and `optional` is true."""
         value = self.table.get(key)
         if value is None and optional:
             return []
@@ -87,24 +87,24 @@
         return value
 
     def items(self, key: str) -> list[Any]:
-        """Return an optional list of values other than lists and objects."""
+        """Return the list at an optional key. Its values may be neither lists nor objects."""
         values = self.array(key, optional=True)
         if any(isinstance(value, (dict, list)) for value in values):
             raise self.error(key)
         return values
 
     def child(self, value: Any, key: str) -> Fields:
-        """Return the fields of an object within this one, whose key is `key`."""
+        """Return the fields of `value`, which must be an object. `key` is its key within this object."""
         if not isinstance(value, dict):
             raise self.error(key)
         return Fields(value, f"{self.path}{key}.")
 
     def nested_list(self, key: str, optional: bool = False) -> list[Fields]:
-        """Return the fields of each object in a list."""
+        """Return the fields of each object in the list at a key."""
         return [self.child(value, f"{key}[{i}]") for i, value in enumerate(self.array(key, optional))]
 
     def nested(self, key: str, optional: bool = False) -> Fields:
-        """Return the fields of the object at a key."""
+        """Return the fields of the object at a key, which may be absent if it is optional."""
         value = self.table.get(key)
         return self.child({} if value is None and optional else value, key)
 
@@ -121,7 +121,7 @@
 
 
 def read_settings(fields: Fields) -> Settings:
-    """Return the settings from the fields of an object."""
+    """Return the settings from the fields of the outermost object of the settings."""
     limits = fields.nested("policy_limits")
     rules = fields.nested("rules")
     deductions = fields.nested("deductions", optional=True)
@@ -158,12 +158,16 @@
 
 
 def read_tenant(fields: Fields) -> TenantSettings:
-    """Return a tenant's settings from the fields of an object."""
+    """Return the settings of one tenant from the fields of its object in the list `tenants`."""
     return TenantSettings(quota=fields.number("quota_rps", 0.0))
 
 
 def read_class(fields: Fields) -> ClassSettings:
-    """Return a request class. An unknown effect or group is treated as the most restrictive one."""
+    """Return the settings of one request class from the fields of its object in the list `classes`.
+
+    An unknown effect, of running a request twice, or an unknown group, of servers that discard repeats, is
+    treated as the most restrictive one.
+    """
     return ClassSettings(
         effect=EFFECTS.get(fields.text("effect"), Effect.NOT_IDEMPOTENT),
         latency_objective=fields.integer("goal_time"),
--- a/balancer/simulator_adapter.py
+++ b/balancer/simulator_adapter.py
@@ -1,7 +1,8 @@
 """A server of the policy in the simulator's wire format, on standard input and output.
 
-Structures and methods have the names of the wire format's records. A frame that cannot be read ends the
-process with status 2 and one line on standard error.
+The structures, and the methods that handle events, have the names of the wire format's records. If a frame,
+one batch of events with its header, cannot be read, the process ends with status 2 and one line on standard
+error.
 """
 
 from __future__ import annotations
@@ -92,52 +93,52 @@
         self.node = node
 
     def send(self, request: int, server: int, timeout: int) -> None:
-        """Write RELAY."""
+        """Write a RELAY record, which starts the request's next attempt."""
         self.reply += RELAY.pack(65, self.node, request, server, min(max(timeout, 1), 0xFFFFFFFF))
 
     def cancel(self, request: int, attempt: int) -> None:
-        """Write WITHDRAW."""
+        """Write a WITHDRAW record, which stops an attempt."""
         self.reply += WITHDRAW.pack(68, self.node, request, attempt)
 
     def reject(self, request: int, retry_after: int) -> None:
-        """Write BOUNCE."""
+        """Write a BOUNCE record, which rejects the request."""
         self.reply += BOUNCE.pack(66, self.node, request, min(max(retry_after, 0), 0xFFFFFFFF))
 
     def fail(self, request: int) -> None:
-        """Write END_FAILED."""
+        """Write an END_FAILED record, which answers that the request failed."""
         self.reply += END_FAILED.pack(67, self.node, request)
 
     def check_health(self, server: int) -> None:
-        """Write PROBE."""
+        """Write a PROBE record, which checks a server's health."""
         self.reply += PROBE.pack(70, self.node, server)
 
     def set_timer(self, delay: int, token: int) -> None:
-        """Write NOTIFY_ME."""
+        """Write a NOTIFY_ME record, which requests a timer."""
         self.reply += NOTIFY_ME.pack(69, self.node, min(max(delay, 0), MAX_TIMER_US), token)
 
     def send_to_peer(self, peer: int, data: bytes) -> None:
-        """Write NOTIFY, to all peers if `peer` is negative."""
+        """Write a NOTIFY record, a message to another instance, or to all of them if `peer` is negative."""
         self.reply += NOTIFY.pack(72, self.node, ALL_PEERS if peer < 0 else peer, len(data)) + data
 
     def watch(self, on: bool) -> None:
-        """Write LISTEN."""
+        """Write a LISTEN record, which starts or ends the subscription to the server list."""
         self.reply += LISTEN.pack(75, self.node, on)
 
     def fetch(self) -> None:
-        """Write QUERY_ALL."""
+        """Write a QUERY_ALL record, which polls the server list."""
         self.reply += QUERY_ALL.pack(76, self.node)
 
     def close(self, server: int) -> None:
-        """Write RELEASE."""
+        """Write a RELEASE record, which closes idle connections to a server."""
         self.reply += RELEASE.pack(71, self.node, server)
 
     def log(self, text: str) -> None:
-        """Write JOURNAL_LINE."""
+        """Write a JOURNAL_LINE record, which logs a line."""
         data = text.encode()[:0xFFFF]
         self.reply += JOURNAL_LINE.pack(73, self.node, len(data)) + data
 
     def fault(self, text: str) -> None:
-        """Write BAIL_OUT: the instance has failed and gets no more events."""
+        """Write a BAIL_OUT record: the instance has failed and gets no more events."""
         data = text.encode()[:0xFFFF]
         self.reply += BAIL_OUT.pack(74, self.node, len(data)) + data
 
@@ -302,7 +303,7 @@
 
 
 def take_bytes(body: bytes, pos: int, size: int) -> bytes:
-    """Return `size` bytes of a record.
+    """Return the `size` bytes of a batch that begin at a position.
 
     Raises:
         struct.error: The record is cut short.
@@ -313,7 +314,7 @@
 
 
 def unpack_floats(body: bytes, pos: int, count: int) -> tuple[float, ...]:
-    """Return `count` little-endian floats at a position."""
+    """Return the `count` little-endian floats of a report that begin at a position of a batch."""
     return FLOATS[count].unpack_from(body, pos)
 
 
@@ -321,7 +322,7 @@
     """Read `size` bytes of `what`, the part of the input that errors name.
 
     Raises:
-        WireError: The input ends before.
+        WireError: The input ends before `size` bytes were read.
     """
     data = stream.read(size)
     if len(data) != size:
@@ -330,7 +331,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Reply to batches until the input ends.
+    """Read batches of events, and write a reply to each, until the input ends.
 
     Raises:
         WireError: A frame cannot be read. The message names the frame.
