--- a/balancer/net/downstream/attempts.py
+++ b/balancer/net/downstream/attempts.py
@@ -1,4 +1,8 @@
-"""Attempts of pending requests: the policy's actions `send` and `cancel`, and the outcomes reported to it."""
+"""Attempts of pending requests: each attempt sends a request to one server once.
+
+The policy, which decides on attempts, starts and ends them by the actions `send` and `cancel`, and gets the
+outcome of each attempt as an event.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +22,8 @@
 from balancer.policy import Balancer
 from balancer.policy.interface import NEVER_RAN, Effect, Outcome
 
-# Callback with the server's number, the outcome, the latency in microseconds and the connect time in seconds.
+# Callback for the end of an attempt: the server's number, the attempt's outcome, its latency in microseconds,
+# and the time it took to connect to the server, in seconds.
 OnOutcome = Callable[[int, Outcome, int, float], None]
 
 
@@ -47,7 +52,8 @@
         self.event_queue = event_queue
         self.counters = counters
         self.requests = requests
-        # The policy is constructed with these actions, so it is assigned afterwards.
+        # The policy. It is assigned after this object is constructed, because the policy's own constructor
+        # needs the actions `send` and `cancel` of this object.
         self.balancer: Balancer
         # Receives the outcome of each attempt in a fleet with zones.
         self.on_outcome: OnOutcome | None = None
@@ -55,7 +61,8 @@
     def send(self, request: int, server: int, timeout: int) -> None:
         """Start the request's next attempt at a server, with a timeout in microseconds.
 
-        An attempt that may not be sent is reported as NOT_SENT, after the current event.
+        An attempt that may not be sent, for example because the server is not ready or the request has no
+        client any more, is reported to the policy as NOT_SENT once the policy has handled the current event.
         """
         pending = self.requests.pending.get(request)
         endpoint = self.pool.endpoints.get(server)
@@ -78,7 +85,7 @@
         Attempt(self, pending, number, server, timeout).start(endpoint)
 
     def cancel(self, request: int, attempt: int) -> None:
-        """Abort an attempt; its outcome is reported after the current event."""
+        """Abort an attempt; the policy gets its outcome once it has handled the current event."""
         pending = self.requests.pending.get(request)
         if pending is not None and pending.exchange is not None and attempt == pending.attempts - 1:
             pending.exchange.abort(Outcome.CANCELLED)
@@ -86,8 +93,9 @@
     def may_write(self, request: PendingRequest, now: int) -> bool:
         """Return whether the request's class allows it to be written to a server now.
 
-        A request that may already have run is written again only if it is idempotent, or within the window in
-        which servers remember its idempotency key. The window is checked just before the write, because
+        A request that may already have run is written again only if its class is idempotent, or if its class
+        has idempotency keys and the class's window has not ended. The window is the time for which servers
+        remember a key and discard repeats of its request. It is checked just before the write, because
         connecting takes time: a retry that was decided on within the window could otherwise run a second time
         at servers that have forgotten the first attempt.
         """
@@ -101,7 +109,7 @@
     """One attempt of a request at one server.
 
     Args:
-        attempts: The connection pool, the event queue and the policy.
+        attempts: Provides the connection pool, the event queue and the policy.
         request: The pending request.
         number: The attempt's number within its request, from 0.
         server: The server's number.
@@ -133,7 +141,7 @@
         self.had_incoming_body = request.incoming_body() is not None
 
     def start(self, endpoint: Endpoint) -> None:
-        """Start the attempt's exchange with the server."""
+        """Start the attempt's exchange, which sends the request to the server and receives its response."""
         request = self.request
         request.exchange = Exchange(
             self.attempts.pool,
@@ -150,7 +158,11 @@
         request.exchange.start(max(0, self.expires_at - self.started_at) / 1e6)
 
     def compose(self) -> bytes | None:
-        """Return the encoded request just before it is written, or None if it may not be written any more."""
+        """Return the encoded request just before it is written to the server.
+
+        Return None if it may not be written any more: the client has disconnected, the attempt's time is
+        over, or the request's class no longer allows it.
+        """
         request = self.request
         request.written_at = self.event_queue.now()
         remaining = self.expires_at - request.written_at
@@ -162,8 +174,9 @@
         ):
             return None
         if self.had_incoming_body:
-            # The time that the client waited for a server counts against the deadline. From here on the
-            # client sets the pace of its upload, so the remaining time runs only once the upload is complete.
+            # The time that the client waited for a server counts against the request's deadline. From here on
+            # the client sets the pace of its upload, so the deadline's remaining time is saved and starts to
+            # run again only once the upload is complete.
             request.remaining = request.deadline - request.written_at
         return encode_request(request.message, forwarded_budget_ms(remaining))
 
@@ -174,7 +187,7 @@
             self.on_uploaded()
 
     def on_uploaded(self) -> None:
-        """Start the request's deadline when the last byte of its streamed body has been sent."""
+        """Restart the request's deadline when the last byte of its streamed body has been sent."""
         request = self.request
         if request.client is not None:
             now = self.event_queue.now()
@@ -236,7 +249,7 @@
         )
 
     def update_request(self, outcome: Outcome) -> None:
-        """Record whether the request may have run, and renew its deadline during an upload."""
+        """Record whether the attempt may have run, and renew the deadline if the client still uploads."""
         request = self.request
         if outcome not in NEVER_RAN and request.ran_at is None:
             request.ran_at = request.written_at
@@ -244,7 +257,7 @@
             request.deadline = self.event_queue.now() + request.remaining
 
     def load_report(self, response: Response | None) -> tuple[float, ...]:
-        """Return the values of the load report in the response; empty unless reports are inline."""
+        """Return the load report in a server's response; empty unless responses carry reports."""
         config = self.attempts.config
         if response is None or not config.inline_reports:
             return ()
@@ -256,8 +269,9 @@
         if response is not None and outcome == Outcome.OK and request.client is not None:
             requests.respond(request.id, 200, response.body, content_type_header(response))
         if request.is_body_discarded():
-            # No other server can get the part of the body that was discarded. If the server did not get the
-            # last byte, the request has not run, and the client may retry.
+            # No other server can get the part of the body that was discarded, so this attempt was the last.
+            # If its outcome proves that the request has not run, the client gets a 503 and may retry;
+            # otherwise it gets a 502.
             if outcome in NEVER_RAN:
                 requests.respond(request.id, 503, headers=requests.over_capacity_headers())
             else:
--- a/balancer/net/downstream/client_connection.py
+++ b/balancer/net/downstream/client_connection.py
@@ -23,31 +23,33 @@
 # Unparsed bytes that may wait behind the pipelined requests. A client that sends more is rejected, and all
 # further input from it is dropped.
 MAX_PIPELINED_BYTES = 32768
-# Time within which a client must read some of its last response.
+# Time within which a client must read more of its last response; otherwise its connection is aborted.
 UNREAD_TIMEOUT_S = 30.0
-# Time that a client has to read its last response, renewed while it still sends data.
+# Time between the last response and the close of the connection, in which the client can read the response.
+# The time is renewed while the client still sends data or reads the response.
 LINGER_S = 1.0
 # Total time for which a client that still sends data may hold a connection that is being closed.
 MAX_LINGER_S = 10.0
 
 
 class InputState(Enum):
-    """The state of a client's input. Transitions go from an earlier member to a later one only."""
+    """The state of a client's input, which changes only from a member below to one further down."""
 
     OPEN = "open"
-    # No further input is processed; responses may still be written.
+    # The node processes no further input; responses may still be written.
     STOPPED = "stopped"
     # The client has closed the connection, and its requests need no response.
     DISCONNECTED = "disconnected"
 
 
-# Module-level aliases for the hot path: looking a member up in its class takes more than twice as long.
+# Module-level aliases of enum members for code that runs for every read: looking a member up in its class
+# takes more than twice as long.
 INPUT_OPEN = InputState.OPEN
 INPUT_DISCONNECTED = InputState.DISCONNECTED
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """A client's connection; one request is in flight at a time, and later ones are pipelined.
+    """A client's connection: one request is in flight at a time, and later ones wait in the pipeline.
 
     Args:
         connections: All client connections, with the resources that they share.
@@ -72,7 +74,8 @@
         self.reading_paused = False
         # Whether the client has had at least one response.
         self.has_served = False
-        # Loop time at which the last response was written and this side was closed; 0 before.
+        # Loop time at which the last response was written and the node's sending direction was closed; 0
+        # before that.
         self.finished_at = 0.0
 
     @property
@@ -116,14 +119,14 @@
         )
         self.parse()
         if len(self.unparsed) > MAX_PIPELINED_BYTES and not self.parser.is_upload_blocked():
-            # Bytes beyond the bound are dropped rather than left in the socket. Otherwise the end of the
-            # input would not be seen behind unread bytes, and the remaining requests of a client that has
+            # Bytes beyond MAX_PIPELINED_BYTES are dropped rather than left in the socket. Behind unread
+            # bytes, the end of the input would not be seen, and the remaining requests of a client that has
             # disconnected would be sent to servers one after the other.
             self.unparsed.clear()
             self.reject(503)
 
     def parse(self) -> None:
-        """Parse the queued bytes as far as requests can be accepted, and update whether reading is paused."""
+        """Parse the queued bytes until they end or parsing must wait, then pause or resume reading."""
         if self.parsing:
             return
         self.parsing = True
@@ -138,7 +141,7 @@
         self.update_reading()
 
     def is_parsing_blocked(self) -> bool:
-        """Return whether parsing must wait for earlier requests, or for a server that receives the upload."""
+        """Return whether parsing must wait for earlier requests, or for a server to take more of a body."""
         return len(self.pipelined) >= MAX_PIPELINED_REQUESTS or self.parser.is_upload_blocked()
 
     def update_reading(self) -> None:
@@ -165,7 +168,7 @@
     def on_upgrade_offered(self) -> None:
         """Ignore the offer of another protocol, and close the connection after the responses that are due.
 
-        The parser processes nothing that follows such an offer.
+        The parser processes no bytes that follow an offer of another protocol.
         """
         self.stop_reading()
         for message in (self.current_request, *self.pipelined):
@@ -173,7 +176,7 @@
                 message.keep_alive = False
 
     def on_head_complete(self, message: ClientRequest) -> None:
-        """Ask the client to send the body, unless earlier requests have no response yet."""
+        """Ask the client for the body if it waits for `100 Continue` and no earlier request is open."""
         if self.current_request is None and not self.pipelined:
             self.send_continue(message)
 
@@ -203,7 +206,7 @@
         self.pipelined.append(message)
 
     def reject(self, status: int) -> None:
-        """Respond with an error and stop reading; earlier requests still get their responses."""
+        """Respond to the partial request with an error and stop reading; earlier ones still get responses."""
         if self.reading_stopped:
             return
         self.stop_reading()
@@ -255,8 +258,8 @@
     def closes_after(self, message: ClientRequest) -> bool:
         """Return whether the connection is closed after the response to this request.
 
-        A draining node keeps the connection open while further requests wait on it, because closing it would
-        drop requests that were pipelined completely.
+        A draining node, whose clients should move to another node, keeps the connection open while further
+        requests wait on it, because closing it would drop requests that were pipelined completely.
         """
         body_incomplete = message.upload is not None and not message.upload.is_complete
         has_next_request = self.pipelined or self.unparsed or self.partial_request not in (None, message)
@@ -280,7 +283,8 @@
     def begin_stream(self, source: ResponseSource, length: int | None, headers: bytes) -> None:
         """Start a streamed response; `write_stream` and then `end_stream` or `abort_stream` follow.
 
-        A response without a length is chunked; to an HTTP/1.0 client, the end of the connection ends it.
+        A response without a length is sent in chunked transfer coding. An HTTP/1.0 client does not know that
+        coding, so the close of the connection marks the end of the response.
         """
         message = self.current_request
         assert message is not None
@@ -308,7 +312,7 @@
         self.finish_response(message, self.closes_after(message))
 
     def abort_stream(self) -> None:
-        """Abort the connection, so that the client detects that the streamed response is incomplete."""
+        """Abort the connection during a streamed response, so that the client detects the truncation."""
         message = self.current_request
         if message is not None and not self.writer.chunked and message.version != "1.1":
             # An HTTP/1.0 client may take an orderly close for the end of the response.
@@ -318,8 +322,8 @@
     def close_gracefully(self) -> None:
         """Close the connection after the last response.
 
-        The sending side is closed first, and further input is read and dropped: closing the socket while the
-        client still sends would reset the connection, and the client could lose the response.
+        The sending direction is closed first, and further input is read and dropped. Closing the whole socket
+        while the client still sends would reset the connection, and the client could lose the response.
         """
         self.stop_reading()
         self.unparsed.clear()
@@ -336,9 +340,9 @@
     def linger(self, since: float, last_unread: int) -> None:
         """Abort the connection unless the client still reads its last response or sends data.
 
-        In that case, check again later. A client that is rejected while it uploads a long body may read the
-        response only afterwards; without the extra time it would be disconnected before it gets the
-        Retry-After header.
+        If the client does either, check again after LINGER_S. A client that is rejected while it uploads a
+        long body may read the response only after its upload; without the extra time it would be disconnected
+        before it gets the Retry-After header.
 
         Args:
             since: The loop time at which the client last read some of the response.
@@ -369,7 +373,7 @@
     # ---- close ----------------------------------------------------------------------------------------
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Release the connection's resources."""
+        """Release the descriptor and the buffered bytes of a connection that has been closed."""
         self.on_disconnected()
         self.connections.connections.discard(self)
         self.connections.descriptor_budget.remove_client()
@@ -378,8 +382,12 @@
     def eof_received(self) -> bool:
         """Treat the end of the client's input as a disconnect; the client may still read complete responses.
 
-        A response that is not sent yet keeps the transport open, and the connection is closed with a timeout
-        here: a transport that closes itself would wait forever for a client that does not read.
+        If part of a complete response is not sent yet, the transport stays open, and this method starts a
+        close with a timeout: a transport that closes itself would wait forever for a client that does not
+        read.
+
+        Returns:
+            Whether the transport stays open.
         """
         is_response_unsent = self.writer.source is None and self.has_unsent_data()
         self.on_disconnected()
@@ -402,7 +410,7 @@
     def is_connected(self) -> bool:
         """Return whether the client is still connected; abort the connection if its socket says otherwise.
 
-        The socket is checked because the event loop reports no end of input while reading is paused; without
+        The socket is checked because the event loop reports no end of input while reading is paused. Without
         the check, requests of clients that have disconnected would be sent to servers.
         """
         if not self.has_disconnected and has_event(self.transport, PEER_CLOSED):
@@ -416,7 +424,7 @@
         self.pipelined.clear()
 
     def is_idle(self) -> bool:
-        """Return whether no request is in flight, partial or unread, and all responses have been sent."""
+        """Return whether no request is in flight, waiting, partial or unread, and all responses are sent."""
         has_request = (
             self.current_request is not None
             or self.partial_request is not None
--- a/balancer/net/downstream/client_connections.py
+++ b/balancer/net/downstream/client_connections.py
@@ -16,13 +16,15 @@
 from balancer.net.process.listener import Listener
 from balancer.net.process.memory_budget import MemoryBudget
 
-# Connections that may be open only to have their requests rejected; at most a sixteenth of the budget.
+# Maximum number of connections that are open beyond the limit only to have their requests rejected with 503.
+# They are at most a sixteenth of the client connections that the budget allows, but at least one.
 MAX_REJECTING_CONNECTIONS = 16
-# Connections accepted in one iteration of the event loop.
+# Maximum number of connections accepted in one iteration of the event loop.
 MAX_ACCEPTS_PER_EVENT = 64
 # Time after SIGTERM during which new connections are still accepted.
 ACCEPT_AFTER_TERM_S = 0.5
-# Time that a connection is kept after its last use while the node drains: the next request may be on its way.
+# Time that an idle connection is kept after its last use while the node drains, since the client's next
+# request may be on its way.
 SETTLE_S = 0.2
 # Time between two checks for idle connections while the node drains.
 DRAIN_CHECK_INTERVAL_S = 0.02
@@ -63,7 +65,8 @@
         descriptor_budget.on_released = self.listener.update
         # Loop time at which a node that shuts down stops listening.
         self.stop_listening_at = 0.0
-        # Loop time at which it closes all connections without a complete request, including new ones.
+        # Loop time at which a node that shuts down closes all connections without a complete request,
+        # including new ones.
         self.close_idle_at = 0.0
 
     def max_served(self) -> int:
@@ -72,7 +75,7 @@
         return allowed - min(MAX_REJECTING_CONNECTIONS, max(1, allowed // 16))
 
     def shrink(self) -> None:
-        """Evict connections without a request until the rest fits the budget, after the budget has shrunk."""
+        """After the budget has shrunk, evict connections without a request until the others fit it."""
         while len(self.connections) > self.max_served() and self.evict_one():
             pass
 
@@ -90,7 +93,11 @@
         )
 
     def accept(self, connection: socket.socket) -> None:
-        """Serve an accepted connection; beyond the limit, evict another one or reject this one's requests."""
+        """Serve an accepted connection.
+
+        At the limit of served connections, evict a connection without a request. If there is none, keep the
+        new connection only to reject its requests.
+        """
         connection.setblocking(False)
         self.descriptor_budget.add_client()
         max_served = self.max_served()
@@ -110,7 +117,7 @@
             self.descriptor_budget.remove_client()
 
     def evict_one(self) -> bool:
-        """Evict a connection without a request, or close an unused one to a server, if there is any.
+        """Evict a client connection without a request, or close an unused connection to a server, if any.
 
         Returns:
             Whether a connection was closed.
@@ -178,9 +185,9 @@
     def close_idle(self) -> None:
         """Close the connections that are idle after a response; reschedules itself while the node drains.
 
-        A new connection keeps its time to send a request, because its client may have connected before it
-        could know that the node drains. A node that shuts down also stops listening, and closes all
-        connections without a complete request, each at its time.
+        A new connection, which has had no response, keeps its time to send a request, because its client may
+        have connected before it could know that the node drains. A node that shuts down also stops listening
+        at `stop_listening_at`, and closes all connections without a complete request from `close_idle_at` on.
         """
         if not self.lifecycle.is_draining:
             self.is_draining = False
--- a/balancer/net/downstream/client_eviction.py
+++ b/balancer/net/downstream/client_eviction.py
@@ -7,25 +7,27 @@
 
 from balancer.net.downstream.client_connection import ClientConnection
 
-# Time that a client has to write a request head; until then, its connection is evicted last.
+# Time after its last activity during which a client without a complete request head is taken to be writing
+# the head. Such a client is evicted only after all others without a request.
 HEAD_WRITE_GRACE_S = 2.0
 
 
 class EvictionRank(IntEnum):
-    """The order in which connections without a request are evicted."""
+    """The order in which connections without a request are evicted: the lowest rank first."""
 
-    # The client has had its last response, or has not completed a request head in time.
+    # The node has closed its side after the last response, or the client has not completed a request head and
+    # has sent nothing for HEAD_WRITE_GRACE_S.
     STALE = 0
     # The client has had a response and has sent nothing of a further request.
     IDLE = 1
-    # The client may still be writing a request head.
+    # The client may still be writing a request head, as it was active within HEAD_WRITE_GRACE_S.
     WRITING_HEAD = 2
 
 
 class EvictionPriority(NamedTuple):
     """The priority of a connection: its rank, and the loop time of its last response or activity.
 
-    The connection with the minimum is evicted first.
+    The connection with the lowest rank, and among those the earliest time, is evicted first.
     """
 
     rank: EvictionRank
@@ -35,8 +37,8 @@
 def eviction_priority(connection: ClientConnection, now: float) -> EvictionPriority | None:
     """Return the connection's eviction priority at the loop time `now`, or None if it has a request.
 
-    Clients that never complete a request cannot use up all connections, and clients that write slowly are not
-    evicted before them.
+    The order keeps clients that never complete a request from using up all connections, and evicts these
+    clients before clients that merely write slowly.
     """
     if connection.current_request is not None or connection.pipelined or connection.transport is None:
         return None
--- a/balancer/net/downstream/forwarding.py
+++ b/balancer/net/downstream/forwarding.py
@@ -4,9 +4,10 @@
 
 from balancer.net.downstream.message import ClientRequest
 
-# Time that a request may wait in its socket before the process reads it.
+# Longest time that a request is assumed to wait unread in its client's socket before the process reads it.
 MAX_READ_DELAY_US = 10_000
-# Headers that are meant for this hop only or are generated for the next one.
+# Headers that are not forwarded: they concern only the connection between the client and this node, or the
+# node generates its own for the connection to the server.
 HOP_BY_HOP_HEADERS = frozenset(
     b"connection keep-alive proxy-connection proxy-authorization te trailer transfer-encoding upgrade expect"
     b" content-length x-budget-ms".split()
@@ -16,7 +17,7 @@
 
 
 def hop_by_hop_headers(message: ClientRequest) -> frozenset[bytes]:
-    """Return the lower-case names of headers that are not forwarded, including those `Connection` names."""
+    """Return the lower-case names of headers not to forward, including those listed in `Connection`."""
     if b"connection" not in message.headers:
         return HOP_BY_HOP_HEADERS
     named = [value for key, _, value in message.header_lines if key == b"connection"]
@@ -27,8 +28,8 @@
 def forwarded_budget_ms(remaining_us: int) -> int:
     """Return the time budget that is forwarded to a server, in whole milliseconds.
 
-    It is less than the remaining time by the time that the request may have waited unread in its socket, so
-    that the server does not get more time than the client has left.
+    The budget is shorter than the remaining time by the time that the request may have waited unread in its
+    socket, so that the server does not get more time than the client has left.
     """
     return (remaining_us - min(MAX_READ_DELAY_US, remaining_us // 2)) // 1000
 
--- a/balancer/net/downstream/message.py
+++ b/balancer/net/downstream/message.py
@@ -57,7 +57,8 @@
         # Whether the client waits for `100 Continue` before it sends the body.
         self.expects_continue = False
         self.keep_alive = error_status == 0
-        # Loop time at which the last byte of the request was read; of the head if the body is streamed.
+        # Loop time at which the last byte of the request, or of its head if the body is streamed, was read.
         self.received_at = 0.0
-        # Bytes reserved in the memory budget while the request is pipelined or pending.
+        # Bytes reserved in the memory budget, which limits buffered bytes, while the request is pipelined or
+        # pending.
         self.size = 0
--- a/balancer/net/downstream/pending_request.py
+++ b/balancer/net/downstream/pending_request.py
@@ -1,4 +1,4 @@
-"""A pending request, and its response while that is streamed."""
+"""A pending request, and the response to it while the response is streamed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PendingRequest:
-    """A request that has been admitted and has no response yet, or whose attempt is still in flight.
+    """A request that was passed to the policy and has no response yet, or whose attempt is still in flight.
 
     Args:
         number: The number that identifies the request to the policy.
@@ -60,7 +60,8 @@
         self.exchange: Exchange | None = None
         # Time at which the first byte of the current attempt was written, in microseconds.
         self.written_at: int | None = None
-        # The same time of the first attempt that may have run.
+        # Time at which the first byte of the first attempt that may have run at its server was written, in
+        # microseconds; None while no attempt may have run.
         self.ran_at: int | None = None
         self.deadline_timer: asyncio.TimerHandle | None = None
         # The response, once it is being streamed.
@@ -76,13 +77,13 @@
         return self.message.upload is not None and self.message.upload.has_discarded_data
 
     def is_partly_written(self) -> bool:
-        """Return whether the request's last byte is still in this process, so that no server has run it."""
+        """Return whether the request's last byte is not sent yet, so that this attempt cannot have run."""
         connection = self.exchange.connection if self.exchange is not None else None
         return self.incoming_body() is not None or (connection is not None and connection.has_unsent_data())
 
 
 class RequestCloser(Protocol):
-    """The interface of the pending requests that a response stream uses."""
+    """The part of the class `Requests`, which holds all pending requests, that a response stream uses."""
 
     def close_request(self, request: PendingRequest, status: int) -> None:
         """Count a finished request, and detach its client."""
@@ -92,8 +93,8 @@
     """A response that is streamed from a server to a client.
 
     Args:
-        requests: The pending requests.
-        request: The request.
+        requests: Closes the request at the end of the response.
+        request: The request that the response belongs to.
         client: The connection of the client.
         first_byte_at: The time at which the response's first byte was received, in microseconds.
     """
--- a/balancer/net/downstream/protocols.py
+++ b/balancer/net/downstream/protocols.py
@@ -1,4 +1,4 @@
-"""Interfaces that a client's connection uses."""
+"""Interfaces of the objects that a client's connection uses: the request handler and all connections."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 from balancer.net.process.lifecycle import Lifecycle
 from balancer.net.process.memory_budget import MemoryBudget
 
-# The class of client connections; a type variable, because its module imports this one.
+# The class of client connections. It is a type variable, because the module of that class imports this
+# module.
 Connection = TypeVar("Connection")
 ConnectionIn = TypeVar("ConnectionIn", contravariant=True)
 
@@ -25,7 +26,7 @@
         """
 
     def reject_over_capacity(self, client: ConnectionIn, message: ClientRequest) -> None:
-        """Reject a request for which there is no capacity; must call `client.respond` once."""
+        """Reject a request for which the node has no capacity; must call `client.respond` once."""
 
     def request_malformed(self, client: ConnectionIn, status: int) -> None:
         """Handle a current request whose body is malformed, too large or overdue, and will not be completed.
@@ -38,7 +39,7 @@
 
 
 class ClientConnectionsProtocol(Protocol[Connection]):
-    """The interface of all client connections that a single connection uses."""
+    """The part of the class `ClientConnections`, which holds all connections, that one connection uses."""
 
     loop: asyncio.AbstractEventLoop
     memory_budget: MemoryBudget
@@ -48,4 +49,4 @@
     handler: RequestHandler[Connection]
 
     def evict_idle(self) -> None:
-        """Evict an idle connection if clients hold too many."""
+        """Evict the longest idle connection if clients hold more than `max_idle_clients` connections."""
--- a/balancer/net/downstream/read_deadline.py
+++ b/balancer/net/downstream/read_deadline.py
@@ -6,14 +6,16 @@
 
 # Time within which a client must send a request head, counted from the accept or from the head's first byte.
 HEAD_TIMEOUT_S = 2.2
-# Bytes of a body that a client must send in each period of `HEAD_TIMEOUT_S`, unless less than that is left.
+# Bytes of a body that a client must send in each period of `HEAD_TIMEOUT_S`, unless the rest of the body is
+# shorter.
 MIN_BODY_PROGRESS_BYTES = 8192
-# Longest pause in a buffered body at the end of its deadline for which the deadline is still extended.
+# If the client has sent nothing of a buffered body for this long when the body's deadline ends, the deadline
+# is not extended.
 MAX_BODY_PAUSE_S = 0.3
 
 
 class ReadDeadline:
-    """The deadline by which a client must have sent more of its request, if any.
+    """The deadline by which a client must have sent more of its request, if a deadline is set.
 
     Args:
         loop: The event loop, for its clock.
@@ -27,7 +29,7 @@
         self.expires_at: float | None = now + HEAD_TIMEOUT_S
         # Loop time by which a body must be complete or have made the minimum progress.
         self.body_expires_at = 0.0
-        # Bytes of the body received in the current period.
+        # Bytes of the body received in the current period of `HEAD_TIMEOUT_S`.
         self.body_bytes = 0
 
     def start_head(self) -> None:
@@ -48,7 +50,7 @@
         self.body_bytes = 0
 
     def suspend(self) -> None:
-        """Suspend the deadline of a streamed body while the client is made to wait."""
+        """Suspend the deadline of a streamed body while the client must wait for a server to take more."""
         self.expires_at = None
         self.body_bytes = 0
 
--- a/balancer/net/downstream/read_queue.py
+++ b/balancer/net/downstream/read_queue.py
@@ -6,7 +6,7 @@
 
 
 class ReadQueue:
-    """A queue of bytes; `len` returns the number of bytes, not of reads."""
+    """A queue of bytes read from a client, kept per read; `len` returns the number of bytes, not of reads."""
 
     def __init__(self) -> None:
         self.reads: deque[tuple[bytes, float]] = deque()
@@ -22,7 +22,7 @@
         self.size += len(data)
 
     def take(self, max_bytes: int) -> tuple[bytes, float]:
-        """Remove and return the first bytes, at most `max_bytes` and from one read, and its time."""
+        """Remove at most `max_bytes` bytes of the oldest read, and return them with the time of that read."""
         data, read_at = self.reads.popleft()
         if len(data) > max_bytes:
             self.reads.appendleft((data[max_bytes:], read_at))
--- a/balancer/net/downstream/request_parser.py
+++ b/balancer/net/downstream/request_parser.py
@@ -31,7 +31,7 @@
         """Handle an offer of another protocol; the parser processes nothing that follows it."""
 
     def on_head_complete(self, message: ClientRequest) -> None:
-        """Handle a valid head whose body is not streamed yet."""
+        """Handle a valid head of a request whose body is not known to be too long to buffer."""
 
     def on_upload_writable(self, message: ClientRequest) -> None:
         """Let the client send more of a streamed body."""
@@ -52,11 +52,14 @@
         self.partial_request: ClientRequest | None = None
         # Whether the head of the partial request is still incomplete.
         self.head_incomplete = False
-        # Consecutive bytes of the partial request that contained nothing of its body.
+        # Bytes of the partial request parsed from the last slice on that contained part of its body.
         self.bytes_without_body = 0
 
     def feed(self, data: bytes) -> None:
-        """Parse a slice of bytes, small compared with `MAX_HEAD_BYTES`, which is checked after each slice."""
+        """Parse a slice of bytes.
+
+        The slice must be small compared with `MAX_HEAD_BYTES`, because that limit is checked only after it.
+        """
         partial, body_bytes = self.partial_request, self.deadline.body_bytes
         try:
             self.http_parser.feed_data(data)
@@ -66,7 +69,8 @@
             self.receiver.reject(400)
         if self.partial_request is None or self.receiver.reading_stopped:
             return
-        # The limit applies to trailers as well, because the parser buffers them like a head.
+        # MAX_HEAD_BYTES limits trailers as well as heads, because the parser buffers the headers after a body
+        # like those before it.
         if self.partial_request is partial and self.deadline.body_bytes == body_bytes:
             self.bytes_without_body += len(data)
         else:
@@ -105,7 +109,7 @@
             self.partial_request.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header to the request, or ignore a trailer."""
+        """Add a header to the request; ignore a trailer, which is a header after the body."""
         if self.partial_request is not None and self.head_incomplete:
             key = name.lower()
             self.partial_request.header_lines.append((key, name, value))
@@ -161,7 +165,7 @@
             self.stream_body(message, None)
 
     def on_message_complete(self) -> None:
-        """Pass on a complete request, or end its streamed body."""
+        """Pass on the complete request, or end its streamed body if the request was passed on before."""
         message = self.drop_partial()
         self.deadline.clear()
         if message is None or self.receiver.reading_stopped:
--- a/balancer/net/downstream/request_validation.py
+++ b/balancer/net/downstream/request_validation.py
@@ -37,7 +37,7 @@
     Attributes:
         tenant: The tenant's number; the number of configured tenants for an unknown tenant.
         budget_us: The client's time budget, in microseconds.
-        is_repeat: Whether the client has sent the request before.
+        is_repeat: Whether the client says, by the header `X-Again: 1`, that it has sent the request before.
     """
 
     tenant: int
@@ -66,7 +66,7 @@
         """Return the parameters of a request of this class.
 
         Raises:
-            InvalidRequestError: The method is not that of the class, or a header is missing or invalid.
+            InvalidRequestError: The method is not the one for the class, or a header is missing or invalid.
         """
         effect = self.settings.classes[request_class].effect
         method = METHOD_BY_EFFECT[effect]
--- a/balancer/net/downstream/requests.py
+++ b/balancer/net/downstream/requests.py
@@ -20,12 +20,15 @@
 
 # Time after its deadline at which a request that the policy has left open gets a 504 response.
 DEADLINE_GRACE_US = 10_000
-# Delay that a client is advised to wait after a rejection for lack of capacity in the node.
+# Delay that the Retry-After header of a rejection for lack of capacity in the node advises.
 OVER_CAPACITY_RETRY_AFTER_US = 500_000
 
 
 class Requests:
-    """The pending requests: a `RequestHandler` for clients, and the policy's actions `reject` and `fail`.
+    """All pending requests.
+
+    For client connections, this is the `RequestHandler`. For the policy, which decides on each request, it
+    provides the actions `reject` and `fail`.
 
     Args:
         config: The configuration of the node.
@@ -51,7 +54,8 @@
         self.log = log
         self.counters = counters
         self.event_queue = event_queue
-        # The policy is constructed with these actions, so it is assigned afterwards.
+        # The policy. It is assigned after this object is constructed, because the policy's own constructor
+        # needs the actions `reject` and `fail` of this object.
         self.balancer: Balancer
         self.pending: dict[int, PendingRequest] = {}
         self.by_client: dict[ClientConnection, PendingRequest] = {}
@@ -67,8 +71,8 @@
     def on_request(self, client: ClientConnection, message: ClientRequest) -> None:
         """Handle a client's request.
 
-        An exception is logged and gets a 500 response; in the event loop it would close the connection
-        without a response.
+        An exception is caught here, is logged and gets a 500 response. If it reached the event loop, the loop
+        would close the connection without a response.
         """
         try:
             self.accept(client, message)
@@ -111,7 +115,10 @@
         )
 
     def respond_without_class(self, client: ClientConnection, message: ClientRequest) -> None:
-        """Respond to a request whose path names no class: readiness for `/ready`, or an error."""
+        """Respond to a request whose path names no class.
+
+        The path `/ready` tells by 200 or 503 whether the node serves; any other path gets a 404.
+        """
         if message.target.partition(b"?")[0] != b"/ready":
             client.respond(404)
         elif message.method != b"GET":
@@ -120,7 +127,7 @@
             client.respond(200 if self.lifecycle.is_serving else 503)
 
     def remaining_before_shutdown(self, now: int, remaining: int) -> int:
-        """Return the remaining time of a request in microseconds, limited while the node shuts down.
+        """Return the time until a request's deadline in microseconds, limited while the node shuts down.
 
         A request that arrives or is completed during the shutdown must have its response before the process
         is killed.
@@ -146,13 +153,13 @@
         return retry_after_header(min(OVER_CAPACITY_RETRY_AFTER_US, self.settings.max_retry_after))
 
     def start_deadline_timer(self, request: PendingRequest) -> None:
-        """Start the timer that ends a request which has no response shortly after its deadline."""
+        """Start the timer that ends the request if it has no response yet shortly after its deadline."""
         request.deadline_timer = self.loop.call_later(
             (request.remaining + DEADLINE_GRACE_US) / 1e6, self.deadline_expired, request
         )
 
     def request_malformed(self, client: ClientConnection, status: int) -> None:
-        """Respond with an error to a request that will not be completed, and abandon it."""
+        """Respond with an error to the client's request, whose body will not be completed, and abandon it."""
         request = self.by_client.get(client)
         if request is not None:
             if request.stream is not None:
@@ -180,7 +187,7 @@
             request.exchange.abort(Outcome.CANCELLED)
 
     def limit_deadlines(self, last_response_at: int) -> None:
-        """Limit the deadlines of all pending and later requests to this time, because the node shuts down.
+        """Limit the deadlines of pending and later requests to `last_response_at`, as the node shuts down.
 
         A request with a longer deadline would still be open when the process is killed.
         """
@@ -234,11 +241,14 @@
             self.pending.pop(request.id, None)
 
     def reject(self, request: int, retry_after: int) -> None:
-        """Respond with 503, and with a Retry-After header if `retry_after`, in microseconds, is positive."""
+        """Respond to the request with 503, because the policy has rejected it.
+
+        The response has a Retry-After header if `retry_after`, in microseconds, is positive.
+        """
         self.respond(request, 503, headers=retry_after_header(retry_after))
 
     def fail(self, request: int) -> None:
-        """Respond with 502."""
+        """Respond to the request with 502, because the policy has given it up."""
         self.respond(request, 502)
 
 
--- a/balancer/net/downstream/response_writer.py
+++ b/balancer/net/downstream/response_writer.py
@@ -12,7 +12,7 @@
 from balancer.net.upstream.body_streaming import ResponseSource
 
 CLOSE_HEADER = b"Connection: close\r\n"
-# SO_LINGER enabled with a timeout of 0: closing the socket resets the connection.
+# Value of the socket option SO_LINGER, enabled with a timeout of 0: closing the socket resets the connection.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
@@ -25,7 +25,7 @@
 
     def __init__(self, memory_budget: MemoryBudget) -> None:
         self.memory_budget = memory_budget
-        # Assigned when the connection is made.
+        # The transport of the client's connection, assigned when the connection is made.
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
         # The connection to a server from which the current response is streamed.
         self.source: ResponseSource | None = None
@@ -76,7 +76,10 @@
         client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
 
     def pause(self) -> None:
-        """Stop reading a streamed response from its server, or reserve the bytes that are unsent."""
+        """React to a client that does not read its responses.
+
+        Stop reading a streamed response from its server; reserve the unsent bytes of complete responses.
+        """
         self.blocked = True
         if self.source is not None:
             self.source.pause_reading()
@@ -84,7 +87,7 @@
             self.set_unsent_bytes(self.transport.get_write_buffer_size())
 
     def resume(self) -> None:
-        """Resume reading a streamed response, or release the unsent bytes, as the client reads again."""
+        """Release the reserved bytes and resume reading a streamed response, as the client reads again."""
         self.blocked = False
         self.set_unsent_bytes(0)
         if self.source is not None:
--- a/balancer/net/process/counters.py
+++ b/balancer/net/process/counters.py
@@ -8,7 +8,10 @@
 
 
 def state_for_status(status: int) -> str:
-    """Return the metric's state for a final status: served, rejected or failed."""
+    """Return the state as which the metrics count a request with this final status.
+
+    It is `answered` for 200, `deferred` for the rejections 429 and 503, and `errored` for every other status.
+    """
     return ANSWERED if status == 200 else DEFERRED if status in (429, 503) else ERRORED
 
 
@@ -26,14 +29,14 @@
         name: The name of the metric, without the prefix `lb_`.
         metric_type: Its type, `counter` or `gauge`.
         description: The text of its HELP line.
-        samples: The labels of each sample in braces, or an empty string, and its value.
+        samples: The samples, each as its labels in braces, or an empty string if it has none, and its value.
     """
     header = [f"# HELP lb_{name} {description}", f"# TYPE lb_{name} {metric_type}"]
     return header + [f"lb_{name}{labels} {value}" for labels, value in samples]
 
 
 class Counters:
-    """Counts requests and attempts since the start of the process; each request is counted once, at its end.
+    """Counts finished requests and sent attempts since the process started; a request is counted at its end.
 
     Args:
         classes: The names of the request classes.
@@ -58,7 +61,7 @@
         Args:
             in_flight: The number of requests in flight.
             listed_servers: The number of servers in the server list.
-            avoided_servers: How many of them currently receive no requests.
+            avoided_servers: How many of the listed servers currently receive no requests.
         """
         transactions = [
             (f'{{group="{escape_label(name)}",state="{state}"}}', count)
--- a/balancer/net/process/descriptor_budget.py
+++ b/balancer/net/process/descriptor_budget.py
@@ -1,20 +1,20 @@
-"""The budget of descriptors that connections of clients and connections to servers share."""
+"""The budget of file descriptors that client connections and connections to servers share."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-# Part of the clients' third of the descriptors that stays free for new connections.
+# Clients may use a third of all descriptors. This many of them stay free of idle connections, for new ones.
 SPARE_CLIENT_DESCRIPTORS = 4
 
 
 class DescriptorBudget:
-    """Counts and limits the connections of clients and to servers.
+    """Counts and limits the connections of clients and the connections to servers.
 
     A connection counts until it is closed completely.
 
     Args:
-        total: The number of descriptors for connections of both sides.
+        total: The number of descriptors for connections of clients and to servers together.
         process_total: The number of all descriptors of the process.
     """
 
@@ -28,24 +28,24 @@
         """Change the limits.
 
         Args:
-            total: The number of descriptors for connections of both sides.
+            total: The number of descriptors for connections of clients and to servers together.
             process_total: The number of all descriptors of the process.
         """
         self.total = total
-        # Clients may use a third of all descriptors. Their idle connections leave part of it free, so that
-        # clients can always open a new connection.
+        # Clients may use a third of all descriptors. Their idle connections leave
+        # SPARE_CLIENT_DESCRIPTORS of these free, so that clients can always open a new connection.
         self.max_idle_clients = max(1, process_total // 3 - SPARE_CLIENT_DESCRIPTORS)
 
     def max_clients(self) -> int:
-        """Return the current limit of client connections: a quarter of the total is reserved for servers."""
+        """Return the current limit of client connections, which leaves a quarter of the total to servers."""
         return self.total - max(self.servers, self.total // 4)
 
     def max_servers(self) -> int:
-        """Return the limit of connections to servers: half, which leaves descriptors for new clients."""
+        """Return the limit of connections to servers: half of the total, so that clients have the rest."""
         return self.total // 2
 
     def is_exhausted(self) -> bool:
-        """Return whether no descriptor is left for a connection of either side."""
+        """Return whether no descriptor is left for another connection, of a client or to a server."""
         return self.clients + self.servers >= self.total
 
     def add_client(self) -> None:
--- a/balancer/net/process/event_queue.py
+++ b/balancer/net/process/event_queue.py
@@ -1,4 +1,4 @@
-"""The node's clock and the queue of the policy's events."""
+"""The node's clock, and the queue of the events that the node passes to its policy."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 class EventQueue:
     """Delivers events to the policy in order, one at a time.
 
-    An event that is posted while another one is being handled waits until that one is done.
+    An event that is posted while another one is being handled waits until the earlier one is done.
 
     Args:
         log: Receives a line for each event whose handler raised an exception.
-        on_failed: Called with such an event and its arguments, without the time.
+        on_failed: Called with an event whose handler raised an exception, and its arguments without the time.
     """
 
     def __init__(self, log: Log, on_failed: Callable[[Event, tuple[Any, ...]], None]) -> None:
@@ -32,7 +32,8 @@
     def now(self) -> int:
         """Return the time in microseconds since the Unix epoch.
 
-        It is the Unix time at the start plus the monotonic time since then, so it never goes back.
+        The result is the Unix time at the start of the process plus the monotonic time since then, so it
+        never goes back.
         """
         return (self.origin + monotonic_ns()) // 1000
 
--- a/balancer/net/process/handover.py
+++ b/balancer/net/process/handover.py
@@ -1,7 +1,7 @@
 """Replacement of a running process by a new one of the same node.
 
-The new process inherits the listening socket. While both run, they detect each other by locked files and each
-uses half of the node's limits.
+The new process inherits the listening socket. While the old and the new process run, they detect each other
+by locked files, and each of them uses half of the node's limits, such as those on descriptors and memory.
 """
 
 from __future__ import annotations
@@ -25,7 +25,8 @@
 POLL_INTERVAL_S = 0.1  # Interval between polls for other processes.
 SHRINK_TIMEOUT_S = 1.0  # Time that a new process waits for the older one to shrink to half of the limits.
 SHRINK_CHECK_INTERVAL_S = 0.02
-# Consecutive failed polls after which the last result is out of date; well below SHRINK_TIMEOUT_S.
+# Consecutive failed polls after which the result of the last successful poll is out of date. The time that
+# these polls take is well below SHRINK_TIMEOUT_S.
 MAX_FAILED_POLLS = 3
 WITHIN_BUDGET_MARKER = b"fits\n"  # Content of the file of an older process that keeps to half of the limits.
 # Errors of opening a file that was not created by a process of this node.
@@ -35,7 +36,7 @@
 
 
 def adopt_listening_socket(descriptor: str) -> socket.socket | None:
-    """Return the inherited listening socket with this descriptor, or None if the descriptor is not one."""
+    """Return the inherited listening socket with this descriptor, or None if it is no listening socket."""
     try:
         inherited = socket.socket(fileno=int(descriptor))
     except (ValueError, OSError, OverflowError):
@@ -54,6 +55,8 @@
 class MarkerState(Enum):
     """Whether the file of this process contains WITHIN_BUDGET_MARKER.
 
+    By the marker, an older process reports to a younger one that it keeps to half of the node's limits.
+
     Attributes:
         ABSENT: The file is empty.
         UNCERTAIN: A write or a truncation has failed, perhaps partway.
@@ -69,8 +72,8 @@
     """Detects other processes of this node by locked files in a directory that all of them can write.
 
     Each process holds the lock of a file of its own; the name of an older process's file sorts first. While
-    the directory's file system fails, the other processes are unknown: this one keeps to half of the limits
-    and retries at every poll.
+    the directory's file system fails, it is unknown whether other processes run. This process then keeps to
+    half of the node's limits, and retries at every poll.
 
     Args:
         loop: The event loop.
@@ -105,7 +108,8 @@
         """Create the file, and wait for an older process to shrink to half of the limits, up to a timeout.
 
         Args:
-            is_within_budget: Returns whether this process keeps to its share of the limits.
+            is_within_budget: Returns whether this process keeps to its current limits, which are half of the
+                node's limits while another process runs.
         """
         self.is_within_budget = is_within_budget
         with suppress(OSError):  # The poll retries and logs the error.
@@ -127,8 +131,9 @@
     def create_file(self) -> None:
         """Create and lock the file of this process.
 
-        The file is locked under a temporary name and then renamed, so that it never has its name without the
-        lock. A file that a failed attempt left behind is reused, since the name is unique to this process.
+        The file is locked under a temporary name and then renamed, so that it is never unlocked under its
+        final name. A file that a failed attempt left behind is reused, since the name is unique to this
+        process.
 
         Raises:
             OSError: The file could not be created or locked; the attempt has no effect on other processes.
@@ -192,7 +197,7 @@
         return False
 
     def read_marker(self, name: str) -> bytes:
-        """Return what a process has written into its file, or nothing if the file cannot be read."""
+        """Return what a process has written into its file; empty if the file cannot be read."""
         try:
             with open(os.path.join(self.directory, name), "rb") as file:
                 return file.read(len(WITHIN_BUDGET_MARKER))
@@ -233,7 +238,7 @@
         self.set_shared(bool(others))
 
     def on_poll_failed(self, fault: OSError) -> None:
-        """Keep the last result for a few failed polls, then keep to half of the limits.
+        """Rely on the last successful poll for a few failed polls, then keep to half of the limits.
 
         Two processes that cannot detect each other would otherwise use twice the node's limits together.
         """
@@ -254,8 +259,8 @@
     def update_marker(self) -> None:
         """Write the marker once this process is the older one and has shrunk; clear it in all other cases.
 
-        The marker is cleared after a failed write or truncation too, since the remains would let the next
-        process start too early.
+        The marker is cleared after a failed write or truncation too, since what remains in the file would
+        let the next process start before this one has shrunk.
 
         Raises:
             OSError: The file could not be written; the next poll retries.
--- a/balancer/net/process/lifecycle.py
+++ b/balancer/net/process/lifecycle.py
@@ -58,13 +58,21 @@
             self.enter(Stage.SERVING)
 
     def take_out_of_service(self) -> bool:
-        """Drain the node; return True always, since a node that is shutting down is draining already."""
+        """Drain the node, unless it is shutting down.
+
+        Returns:
+            Always True, since a node that is shutting down is draining already.
+        """
         if self.stage != Stage.ENDING:
             self.enter(Stage.OUT_OF_SERVICE)
         return True
 
     def return_to_service(self) -> bool:
-        """Accept clients again once there is a server list; return False if the node is shutting down."""
+        """Return a drained node to service, or to STARTING if it has no server list yet.
+
+        Returns:
+            False if the node is shutting down, which cannot be undone.
+        """
         if self.stage == Stage.OUT_OF_SERVICE:
             self.enter(Stage.SERVING if self.has_server_list else Stage.STARTING)
         return self.stage != Stage.ENDING
--- a/balancer/net/process/listener.py
+++ b/balancer/net/process/listener.py
@@ -32,7 +32,7 @@
 
 
 class Listener:
-    """Accepts connections while there is capacity for them; others wait in the socket's backlog.
+    """Accepts connections while there is capacity for them; further ones wait in the socket's backlog.
 
     Args:
         loop: The event loop.
@@ -131,8 +131,9 @@
     def stop(self) -> None:
         """Accept all connections in the backlog, then close the socket.
 
-        Closing resets connections that still wait, so the close follows the last accept directly, and the
-        socket stays open while there is no capacity or an accept fails; the caller then calls this again.
+        Closing resets connections that still wait, so the socket is closed directly after an accept has found
+        the backlog empty. While there is no capacity or an accept fails, the socket stays open, and the
+        caller calls this method again later.
         """
         assert self.socket is not None
         try:
@@ -140,5 +141,5 @@
                 self.on_connection(self.socket.accept()[0])
         except BlockingIOError:  # The backlog is empty.
             self.release()
-        except OSError:  # The connection has failed, or resources are short: the next call goes on.
+        except OSError:  # The connection failed or resources are short: the next call continues.
             pass
--- a/balancer/net/process/log.py
+++ b/balancer/net/process/log.py
@@ -11,10 +11,10 @@
 
 
 class Log:
-    """Writes lines up to a limited rate and counts those it omits.
+    """Writes lines up to a limited rate, and counts the lines that it omits.
 
     The limit protects the node from floods of stray datagrams or malformed requests: logging each of them
-    would use up its CPU time, and would block it if nobody reads the log.
+    would use up the node's CPU time, and would block the node if nobody reads the log.
 
     Args:
         name: The prefix of each line.
--- a/balancer/net/process/management.py
+++ b/balancer/net/process/management.py
@@ -12,7 +12,8 @@
 from balancer.net.process.listener import Listener
 
 MAX_CONNECTIONS = 8
-# Connections accepted at once. As many may be open beyond MAX_CONNECTIONS until evicted ones have closed.
+# Maximum number of connections accepted in one iteration of the event loop. As many connections may be open
+# beyond MAX_CONNECTIONS, until the evicted connections have closed.
 MAX_ACCEPTS = 4
 RESERVED_DESCRIPTORS = MAX_CONNECTIONS + MAX_ACCEPTS + 1  # All connections and the listener.
 MAX_REQUEST_BYTES = 8192
@@ -41,7 +42,8 @@
     body: bytes
 
 
-# The fleet's pages return plain tuples.
+# Function that creates a page's response. The pages that are defined outside of this package, for a fleet of
+# nodes, return plain tuples of status and body.
 Handler = Callable[..., PageResponse | tuple[int, bytes]]
 
 
@@ -161,8 +163,8 @@
 class Management:
     """The management listener and its connections.
 
-    At the limit, a new connection evicts the oldest one without a response, so that idle connections cannot
-    keep operators out.
+    At the limit of MAX_CONNECTIONS, a new connection evicts the oldest one that has had no response, or else
+    the oldest one, so that idle connections cannot keep operators out.
 
     Args:
         loop: The event loop.
--- a/balancer/net/process/memory_budget.py
+++ b/balancer/net/process/memory_budget.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 BASE_BYTES = 16 << 20  # Memory that an idle process uses.
-BYTES_PER_HELD_BYTE = 4  # Memory for each buffered byte, which includes copies in other representations.
+BYTES_PER_HELD_BYTE = 4  # Memory used for each buffered byte, including its copies in other representations.
 MIN_HELD_BYTES = 1 << 20  # Lower bound of the limit on buffered bytes, however low the memory limit is.
 MIN_CHUNK_BYTES, MAX_CHUNK_BYTES = 4 << 10, 64 << 10
 
@@ -11,8 +11,9 @@
 class MemoryBudget:
     """Counts and limits the bytes of the requests and responses that are buffered.
 
-    Streamed bodies are limited separately: one read takes up to `chunk_bytes`, and about as many are buffered
-    for each connection, which adds up to another quarter of the budget for all connections.
+    Streamed bodies are limited separately: one read takes up to `chunk_bytes`, and about as many bytes are
+    buffered for each connection. For the maximum number of connections, this adds up to about a quarter of
+    this budget, in addition to it.
 
     Args:
         memory_bytes: The memory limit of the process.
