--- a/balancer/fleet/__init__.py
+++ b/balancer/fleet/__init__.py
@@ -1,7 +1,7 @@
-"""Coordination between the processes of a fleet.
+"""Coordination between the processes of a fleet, a group of processes that decide some things together.
 
 A node whose configuration has no `fleet` section imports nothing of this package.
 
-`runtime.py` runs the components that `assembly.py` builds on a node's event loop; `component.py` defines the
-interface that each of them implements.
+A component implements one function of the fleet, such as leases. `assembly.py` builds the components,
+`runtime.py` runs them on a node's event loop, and `component.py` defines the interface that they implement.
 """
--- a/balancer/fleet/addressed_message.py
+++ b/balancer/fleet/addressed_message.py
@@ -12,7 +12,7 @@
     """A message to be sent in one datagram.
 
     Attributes:
-        to: The receiving process's name, or its address.
+        to: The name of the receiving process, or its address.
         message: The message to send.
     """
 
--- a/balancer/fleet/assembly.py
+++ b/balancer/fleet/assembly.py
@@ -1,6 +1,7 @@
-"""The components that a process runs, built from its configuration.
+"""The fleet components that a process runs, built from its configuration.
 
-A new component is added here. A component's package is imported only if the configuration enables it.
+A component implements one function of the fleet. A new component is added here. A component's package is
+imported only if the configuration enables it.
 """
 
 from __future__ import annotations
@@ -20,14 +21,16 @@
 
 @dataclass
 class FleetComponents:
-    """The components of one process.
+    """The fleet components of one process. The voters are the processes that vote on leases.
 
     Attributes:
         policy_adapter: The implementation of `interface.Fleet` that the node's policy calls.
-        leases: The lease component, which the operator pages call; None if no voters are configured.
-        rolling_update: The rolling-update component, which the operator pages call; None if no voters are
-            configured.
-        ordered: All components, in the order in which they are opened, ticked and shown.
+        leases: The component that acquires leases, which the HTTP pages for operators call; None if no voters
+            are configured.
+        rolling_update: The component that replaces the processes a few at a time, which the HTTP pages for
+            operators call; None if no voters are configured.
+        ordered: All components, in the order in which they are opened, ticked and shown on the page
+            `GET /fleet`.
     """
 
     policy_adapter: PolicyAdapter
@@ -37,7 +40,7 @@
 
 
 def build_components(config: FleetConfig, runtime: Runtime) -> FleetComponents:
-    """Build the components that the configuration enables."""
+    """Build the fleet components that the configuration of a process enables."""
     adapter = PolicyAdapter(
         config, runtime.settings, runtime.now, runtime.wall, runtime.schedule, runtime.log.line
     )
--- a/balancer/fleet/clocks.py
+++ b/balancer/fleet/clocks.py
@@ -15,7 +15,7 @@
 
     Args:
         wall_offset_file: Path of a file with the milliseconds to add to the wall clock, read at each call of
-            `wall`. Only lab runs that step the clock use one.
+            `wall`. Only lab runs that test steps of the wall clock use such a file; otherwise None.
     """
 
     def __init__(self, wall_offset_file: str | None) -> None:
@@ -43,7 +43,7 @@
     def stamp(self) -> int:
         """Return the process's start in Unix time plus the monotonic time since then, which never steps.
 
-        It stamps datagrams and is the initial incarnation number. The stamps of two processes may differ by
-        any amount.
+        Each datagram carries this time of its sender, and it is a process's initial incarnation number. The
+        stamps of two processes may differ by any amount.
         """
         return self.started_at_wall + self.now() - self.started_at
--- a/balancer/fleet/component.py
+++ b/balancer/fleet/component.py
@@ -29,7 +29,10 @@
 
     @property
     def kind(self) -> IntEnum:
-        """The message kind, unique over all components, which selects the codec and the component."""
+        """The message kind, which selects the codec and the receiving component.
+
+        No two components have a message kind in common.
+        """
 
     @property
     def sender(self) -> str:
@@ -37,7 +40,7 @@
 
     @property
     def seq(self) -> int:
-        """Sequence number that pairs a response with its request, if the component needs one."""
+        """Sequence number that pairs a response with its request, for components that need it."""
 
 
 # A component's message, addressed to a member of this process's group by name, or to any process by address.
@@ -66,13 +69,13 @@
 
     @property
     def rng(self) -> Random:
-        """The random number generator of membership. New components use `random_stream` instead."""
+        """The random number generator that membership uses; new components use `random_stream` instead."""
 
     @property
     def membership(self) -> Swim:
-        """Membership of this process's group, available from `open` on; each incarnation has a new one.
+        """The state machine that tracks the members of this process's group, available from `open` on.
 
-        Components only read it: `me`, `members`, `alive()`.
+        Each incarnation of the process has a new one. Components only read it: `me`, `members`, `alive()`.
         """
 
     def random_stream(self, purpose: str) -> Random:
@@ -85,29 +88,33 @@
         """Return Unix time, which steps when the system clock is set."""
 
     def alive(self) -> list[str]:
-        """Return the names of the other members that are alive or suspect."""
+        """Return the names of the other members that are alive, or suspected but not known to be dead."""
 
     def departed(self) -> list[str]:
-        """Return the names of the members that have left or died and are not forgotten yet."""
+        """Return the names of the members that left or died and that membership has not forgotten yet."""
 
     def address_of(self, member: str) -> Address | None:
         """Return the address at which a member receives datagrams; None if the member is unknown."""
 
     def schedule(self) -> None:
-        """Set the timer again; must be called when a deadline changes outside `tick` and `received`."""
+        """Set the timer of the next `tick` again.
+
+        A component must call this when its deadline changes outside `tick` and `received`.
+        """
 
     def end_process(self) -> None:
-        """End the process as SIGTERM does, after what the component returns has been sent."""
+        """End this process as SIGTERM does, once the messages that the calling component returns are sent."""
 
 
 class Component(Protocol):
     """One function of the fleet; the default implementation of each method does nothing.
 
-    Call order: the constructor, `open`, then `tick`, `received` and `deadline` in any order, then `leave` on
-    a planned shutdown, then `close`. When a process joins again, `open` is called again. `status` and `close`
-    may also be called before `open`, and `status` after `close`. An exception in any method except `open` is
-    reported to the event loop's exception handler and stops nothing else; an exception in `open` keeps the
-    process from starting.
+    An incarnation of a process lasts from its `open` to the next `close`. Call order: the constructor,
+    `open`, then `tick`, `received` and `deadline` in any order, then `leave` on a planned shutdown, then
+    `close`. When a process joins again, `open` is called again. `status` and `close` may also be called
+    before `open`, and `status` after `close`. An exception in any method except `open` is reported to the
+    event loop's exception handler and stops nothing else; an exception in `open` keeps the process from
+    starting.
     """
 
     @property
@@ -116,27 +123,33 @@
         return ()
 
     def open(self) -> None:
-        """Start a new incarnation, now that the process has its socket and has joined its group."""
+        """Start a new incarnation of the process, which has its socket now and has joined its group."""
         return
 
     def close(self) -> None:
-        """Stop; the socket is about to be closed and nothing more is sent or received."""
+        """Stop this component: the process's socket is about to be closed, and no messages follow."""
         return
 
     def leave(self, now: int) -> Sequence[Outgoing]:
-        """Return the last messages before a planned shutdown."""
+        """Return the last messages that this component sends before a planned shutdown."""
         return ()
 
     def deadline(self, now: int) -> int | None:
-        """Return when `tick` is due; None if never. Must be cheap, since it is called on each datagram."""
+        """Return when `tick` is due; None if never. It must be cheap: the runtime asks on each datagram."""
         return None
 
     def tick(self, now: int) -> Sequence[Outgoing]:
-        """Perform the actions that are due; also called earlier, whenever another component is due."""
+        """Perform this component's actions that are due, and return the messages to send.
+
+        It is also called before the deadline, whenever another component is due.
+        """
         return ()
 
     def received(self, now: int, sender: Address, message: Any) -> Sequence[Outgoing]:
-        """Handle an authenticated message of one of this component's kinds, which came from `sender`."""
+        """Handle an authenticated message that came from `sender`, and return the messages to send.
+
+        The message's kind is one of those of this component's `payload_codecs`.
+        """
         return ()
 
     def member_forgotten(self, name: str) -> None:
@@ -144,5 +157,5 @@
         return
 
     def status(self, now: int) -> dict[str, Any]:
-        """Return keys with JSON values for the page `GET /fleet`; durations are in seconds."""
+        """Return this component's keys and JSON values of the page `GET /fleet`; durations in seconds."""
         return {}
--- a/balancer/fleet/config.py
+++ b/balancer/fleet/config.py
@@ -23,7 +23,7 @@
 DEFAULT_OVERPROVISIONING_FACTOR = 1.4
 MAX_OVERPROVISIONING_FACTOR = 10
 MAX_ZONE_COST = 1e9
-# A socket can listen on these addresses, but no other process can send to them.
+# A socket can listen on one of these addresses, but no other process can send to one.
 UNSPECIFIED_HOSTS = ("0.0.0.0", "::")
 SECTION_KEYS = (
     *("name", "zone", "region", "listen", "advertise", "seeds", "key", "old_key"),
@@ -40,28 +40,33 @@
 class FleetConfig:
     """The fleet configuration of one process; times are in microseconds.
 
+    The group is the set of processes that track each other's state. A lease is a right that one process holds
+    for a limited time, granted by a majority of the voters.
+
     Attributes:
-        name: The process's name in its group.
+        name: The process's name, unique in its group.
         zone: The process's zone, as discovery spells it.
         region: The region of the zone; may be empty.
         listen: The address on which the process receives datagrams.
         advertise: The address to which others send datagrams; differs from `listen` behind NAT.
-        seeds: Addresses of a few members, through which the process joins.
-        keys: The key that signs datagrams, followed by a second accepted key while keys are rotated.
+        seeds: Addresses of a few members, through which the process joins its group.
+        keys: The key that signs datagrams, followed by a second accepted key while the key is being replaced.
         voters: Names of the processes that vote on leases.
         old_voters: The previous list of voters, while the list is being changed.
-        lease: Duration of a lease.
+        lease: Duration of the leases that this process requests.
         max_lease: The longest lease that any process of the fleet requests, and the time for which a voter
             abstains after its start.
-        votes: A directory that outlives the process, in which a voter stores its token ceiling; may be
-            None.
+        votes: A directory that outlives the process, or None. In it a voter stores its token ceiling, the
+            highest number for a lease that it may grant without another disk write.
         period: Interval of membership's health checks.
-        health_checks: Whether one node per zone checks an ejected server on behalf of the others.
-        min_rtt_share: Share of the tier's nodes that may recalculate their minRTT at the same time; 0 means
-            no limit.
-        zones: Settings of zone routing; None if the policy alone chooses between zones.
-        clock_file: In lab runs, a file with the wall clock's offset in milliseconds.
-        membership: Settings of membership per zone; None if one group spans the fleet.
+        health_checks: Whether one node per zone checks an ejected server (one that gets no requests because
+            it failed) on behalf of the others.
+        min_rtt_share: Share of the tier's nodes that may recalculate their minRTT, the baseline response
+            time, at the same time; 0 means no limit.
+        zones: Settings of zone routing, which sets each zone's share of the requests; None if the policy
+            alone chooses between zones.
+        clock_file: In lab runs, a file with the milliseconds to add to the wall clock; otherwise None.
+        membership: Settings of membership if each zone has its own group; None if one group spans the fleet.
     """
 
     name: str
@@ -85,10 +90,10 @@
 
 
 def read_fleet(table: object, node: str) -> FleetConfig:
-    """Validate the section and return the configuration.
+    """Validate the `fleet` section and return the fleet configuration of a process.
 
     Args:
-        table: The decoded section.
+        table: The decoded `fleet` section.
         node: The node's name, which is also the process's name unless the section sets another.
 
     Raises:
@@ -139,7 +144,7 @@
 
 
 def read_addresses(section: ConfigSection) -> tuple[Address, Address]:
-    """Read the addresses `listen` and `advertise`; the latter defaults to the former."""
+    """Read the addresses `listen` and `advertise`; a missing `advertise` is the same as `listen`."""
     table = section.table
     listen = section.address("listen", table.get("listen"))
     advertise = section.address("advertise", table["advertise"]) if "advertise" in table else listen
@@ -157,13 +162,13 @@
 
 
 def read_seeds(section: ConfigSection) -> tuple[Address, ...]:
-    """Read the addresses of the members through which the process joins."""
+    """Read the key `seeds`: the addresses of the members through which the process joins its group."""
     values = section.items("seeds", MAX_SEEDS)
     return tuple(section.address(f"seeds[{i}]", value) for i, value in enumerate(values))
 
 
 def read_lab_section(section: ConfigSection) -> ConfigSection:
-    """Read the table `lab`, which only lab runs have, into a section with its own list of faults."""
+    """Return the table `lab`, which only lab runs have, as a section with its own list of faults."""
     table = section.table.get("lab", {})
     lab = ConfigSection(table if isinstance(table, dict) else {}, f"{section.path}.lab")
     lab.reject_unknown_keys("clock_file")
@@ -171,7 +176,10 @@
 
 
 def read_voters(section: ConfigSection, key: str) -> tuple[str, ...]:
-    """Read a list of voters' names, of a length whose majority tolerates a failed voter."""
+    """Read a list of the names of voters, the processes that vote on leases.
+
+    The list must be empty or have 3 or 5 names, so that a majority remains if one voter fails.
+    """
     names = section.items(key, max(ALLOWED_VOTER_COUNTS))
     are_names = all(isinstance(name, str) and 0 < len(name) <= MAX_NAME_CHARACTERS for name in names)
     if not are_names or len(set(names)) != len(names):
@@ -187,7 +195,10 @@
 
 
 def read_zone_settings(section: ConfigSection) -> ZoneSettings | None:
-    """Read the table `zones`; return None if it is missing or invalid."""
+    """Read the settings of zone routing from the table `zones`.
+
+    Returns None if the table is missing, or if the value is not a table, which is a fault.
+    """
     table = section.table.get("zones")
     if table is None:
         return None
@@ -209,7 +220,10 @@
 
 
 def read_membership_settings(section: ConfigSection) -> ZoneMembershipSettings | None:
-    """Read the table `membership`; without it, nothing of its package is imported."""
+    """Read the settings of membership per zone from the table `membership`; return None if it is missing.
+
+    Without the table, the package `zone_membership` is not imported.
+    """
     if "membership" not in section.table:
         return None
     from balancer.fleet.zone_membership.settings import read_membership
@@ -218,7 +232,10 @@
 
 
 def read_votes_directory(section: ConfigSection) -> Path | None:
-    """Read the path `votes`, which must be a writable directory; return None if it is missing."""
+    """Read the path `votes` of the directory in which a voter stores its state; return None if it is missing.
+
+    The path must name a directory that this process may write to.
+    """
     if "votes" not in section.table:
         return None
     path = Path(section.file_path("votes"))
--- a/balancer/fleet/config_section.py
+++ b/balancer/fleet/config_section.py
@@ -21,12 +21,13 @@
 class ConfigSection:
     """A configuration table whose keys are validated as they are read.
 
-    Each reader returns a usable value even if the one in the table is invalid, so that one pass finds all
-    faults. The caller raises an error at the end if `faults` is not empty.
+    Each method that reads a key returns a usable value even if the value in the table is invalid, so that one
+    pass finds all faults. Each fault is a line of the list `faults`; the caller raises an error at the end if
+    that list is not empty.
 
     Args:
         table: The decoded table.
-        path: The key path of the table, with which each line about a fault begins.
+        path: The key path of the table, such as `fleet.zones`, with which each line about a fault begins.
     """
 
     def __init__(self, table: dict[str, Any], path: str) -> None:
@@ -35,7 +36,10 @@
         self.faults: list[str] = []
 
     def add_fault(self, key: str, value: Any, allowed: str) -> None:
-        """Add a line with the key path, the value (None if missing) and the allowed values."""
+        """Add a fault: a line with the key path, the invalid value and the allowed values.
+
+        A `value` of None stands for a missing key.
+        """
         shown = "missing" if value is None else repr(value)[:MAX_REPORTED_VALUE_CHARACTERS]
         self.faults.append(f"{self.path}.{key}: {shown}: {allowed}")
 
@@ -98,7 +102,7 @@
         return []
 
     def file_path(self, key: str) -> str:
-        """Read a path, without checking that the file exists."""
+        """Read the path of a file or directory, without checking that it exists."""
         return self.text(key, max_characters=MAX_PATH_CHARACTERS)
 
     def secret_key(self, key: str) -> bytes:
--- a/balancer/fleet/endpoint.py
+++ b/balancer/fleet/endpoint.py
@@ -16,7 +16,8 @@
 from balancer.fleet.membership.messages import Kind
 from balancer.fleet.membership.replay_guard import ReceivedDatagram, ReplayGuard
 
-# Sequence numbers have 62 bits on the wire, so those that follow the initial one don't overflow.
+# Sequence numbers have 62 bits on the wire. A process starts with a random number of only 60 bits, so that
+# the numbers that follow it don't overflow.
 INITIAL_SEQ_BITS = 60
 
 # Keys of message counters on the page `GET /fleet` that differ from the name of the message kind. Operators'
@@ -37,14 +38,15 @@
 class DatagramEndpoint(asyncio.DatagramProtocol):
     """A UDP socket that sends and receives authenticated messages, rejects replays and counts traffic.
 
-    It has no reference to a component and makes no decision.
+    A replay is a datagram that was recorded and sent again. The endpoint has no reference to a component of
+    the fleet and makes no decision.
 
     Attributes:
         codec: Encodes and decodes messages; set by `set_codec`.
         guard: Rejects replayed datagrams; set by `set_codec`.
         sent: Messages sent, by the counter key of their kind.
         received: Messages accepted, by the counter key of their kind.
-        events: Counts of events, by name.
+        events: Counts of events such as `unsendable` and `unreachable`, by name.
     """
 
     codec: Codec
@@ -60,7 +62,9 @@
         self.bytes_in = 0
 
     def set_codec(self, codec: Codec, name: str) -> None:
-        """Set the codec; must be called once, when all message kinds are known.
+        """Set the codec and create the guard against replays.
+
+        It must be called once, when the message kinds of all components are known.
 
         Args:
             codec: The codec for all messages.
@@ -78,7 +82,7 @@
         return self.clocks.wall()
 
     def stamp(self) -> int:
-        """Return the time in microseconds with which datagrams are stamped; it never steps."""
+        """Return the time in microseconds that each sent datagram carries; it never steps."""
         return self.clocks.stamp()
 
     @property
@@ -111,8 +115,8 @@
     def admit(self, data: bytes, source: Address) -> Sequence[ReceivedDatagram]:
         """Check a received datagram and return the datagrams that may be processed now.
 
-        These are the datagram itself, or those that were buffered until their sender proved that it is live.
-        The codec's `dropped` counts the rejected ones.
+        These are the datagram itself, or earlier ones that were buffered until their sender proved that it is
+        live and not a replay. The counter `dropped` of the codec counts rejected datagrams.
         """
         self.bytes_in += len(data)
         stamped = self.codec.read(data)
@@ -131,11 +135,14 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def error_received(self, exc: Exception) -> None:
-        """Count a send that failed because the peer is unreachable; membership detects it by missing acks."""
+        """Count a failed send: the receiver is unreachable.
+
+        Membership itself notices an unreachable member by its missing acknowledgments.
+        """
         self.events["unreachable"] += 1
 
     def counters(self) -> dict[str, Any]:
-        """Return the counters for the page `GET /fleet`."""
+        """Return the counters of messages, bytes and events for the page `GET /fleet`."""
         return {
             "sent": dict(self.sent),
             "received": dict(self.received),
@@ -149,6 +156,7 @@
 def random_initial_seq() -> int:
     """Return a random initial sequence number.
 
-    It is unpredictable and unlikely to be near the numbers of the member's earlier processes.
+    The number is unpredictable, and unlikely to be near the sequence numbers of earlier processes of the same
+    member.
     """
     return secrets.randbits(INITIAL_SEQ_BITS)
--- a/balancer/fleet/member_table.py
+++ b/balancer/fleet/member_table.py
@@ -8,7 +8,11 @@
 
 
 def member_table(swim: Swim, now: int) -> list[dict[str, Any]]:
-    """Return all known members except this process, sorted by name; ages are in seconds."""
+    """Return all known members except this process, sorted by name.
+
+    A member's `age_s` is the time in seconds since its latest claim, the statement of its state, was
+    accepted.
+    """
     return [
         {
             "name": name,
--- a/balancer/fleet/operator_pages.py
+++ b/balancer/fleet/operator_pages.py
@@ -1,7 +1,7 @@
-"""HTTP handlers, without sockets, for operators and their scripts.
+"""The handlers of the fleet's HTTP pages, for operators and their scripts; they use no sockets.
 
-Each handler takes the query string and returns an HTTP status and a body, which is JSON on success and one
-line of text on an error.
+Each handler takes the query string, if its page has one, and returns an HTTP status and a body, which is JSON
+on success and one line of text on an error.
 """
 
 from __future__ import annotations
@@ -43,7 +43,10 @@
 
 
 class PageRuntime(Runtime, Protocol):
-    """The services that the handlers use in addition to those for components."""
+    """The services of a fleet runtime that the handlers of pages use.
+
+    They are those that components use, and the ones below.
+    """
 
     @property
     def is_open(self) -> bool:
@@ -57,11 +60,14 @@
 
 
 class OperatorPages:
-    """The HTTP handlers of one process.
+    """The handlers of the fleet's HTTP pages in one process.
+
+    The voters are the processes that vote on leases.
 
     Args:
         runtime: The process's fleet runtime.
-        policy_adapter: The policy adapter, which holds the zone routing that directives apply to.
+        policy_adapter: The policy adapter, which holds the zone routing. An operator's directives, the orders
+            to leave a zone, apply to it.
         leases: The lease component; None if no voters are configured.
         rolling_update: The rolling-update component; None if no voters are configured.
     """
@@ -79,7 +85,7 @@
         self.rolling_update = rolling_update
 
     def show_fleet(self) -> Response:
-        """Handle `GET /fleet`."""
+        """Handle `GET /fleet`: return this process's view of the fleet and its counters as JSON."""
         return json_response(self.runtime.view())
 
     def acquire_lease(self, query: bytes) -> Response:
@@ -91,7 +97,7 @@
         return self.handle_lease_request(query, release=True)
 
     def handle_lease_request(self, query: bytes, release: bool) -> Response:
-        """Acquire, renew or release a lease on behalf of a script."""
+        """Release the lease that the query names for a script if `release`; else acquire or renew it."""
         if self.leases is None or not self.runtime.is_open:
             return NO_VOTERS
         lease, script = query_parameters(query, "duty", "script")
@@ -105,7 +111,10 @@
         return json_response(table)
 
     def control_rolling_update(self, query: bytes) -> Response:
-        """Handle `PUT /fleet/replace?do=begin|pause|resume|stop&most=K`."""
+        """Handle `PUT /fleet/replace?do=begin|pause|resume|stop&most=K`, which controls a rolling update.
+
+        K is the maximum number of processes that may be unavailable at a time; it applies to `begin`.
+        """
         if self.rolling_update is None or not self.runtime.is_open:
             return NO_VOTERS
         command, max_unavailable = query_parameters(query, "do", "most")
@@ -118,7 +127,8 @@
     def control_zone(self, query: bytes) -> Response:
         """Handle `PUT /fleet/zone?do=leave|return&zone=NAME&for_s=N`.
 
-        An operator directs the fleet's calls away from a zone for a limited time, or ends such a directive.
+        With `leave`, an operator directs the fleet's calls away from a zone for N seconds. With `return`, the
+        operator ends this directive early.
         """
         traffic = self.policy_adapter.zone_traffic
         if traffic is None or traffic.router is None or traffic.directives is None:
@@ -141,7 +151,7 @@
 
 
 def query_parameters(query: bytes, *names: str) -> tuple[str, ...]:
-    """Return the first value of each named parameter; empty for a missing one."""
+    """Return the first value of each named parameter of a query string; empty for a missing parameter."""
     values = parse_qs(query.decode("latin-1"))
     return tuple(values.get(name, [""])[0] for name in names)
 
--- a/balancer/fleet/policy_adapter.py
+++ b/balancer/fleet/policy_adapter.py
@@ -1,7 +1,11 @@
 """The connection of a node's policy with the fleet: minRTT recalculation, health checks and zone shares.
 
-The policy calls `interface.Fleet` while it handles an event; the resulting messages are sent by the next
-tick, which `schedule` requests. A package is imported only if the configuration enables its feature.
+The minRTT is the baseline response time, which a node recalculates under a low limit on its concurrency. The
+health checks are those of ejected servers, which get no requests because they failed. The zone shares are the
+zones' parts of the requests.
+
+The policy calls `interface.Fleet` while it handles an event. The messages that result are sent at the next
+tick, which `schedule` requests. The package of a feature is imported only if the configuration enables it.
 """
 
 from __future__ import annotations
@@ -23,26 +27,27 @@
 
 MICROSECONDS_PER_SECOND = 1_000_000
 
-# Takes the monotonic time and a message; returns the messages to send.
+# Takes the monotonic time and a received message; returns the messages to send.
 Handler = Callable[[int, Any], list[Outgoing]]
-# Takes a server that another node checked, and whether it is healthy.
+# Takes the number of a server that another node checked, and whether the server is healthy.
 HealthCheckCallback = Callable[[int, bool], None]
-# Takes each zone's share of requests, and each zone's additional round-trip time in microseconds.
+# Takes the zones' shares of the requests, and the additional round-trip times to remote zones in
+# microseconds; the keys of these mappings are numbers of zones.
 ZoneSharesCallback = Callable[[dict[int, float], dict[int, int]], None]
 
 
 class PolicyAdapter:
     """The implementation of `interface.Fleet` for a process of a fleet.
 
-    Before `open` and after `close` the policy decides like that of a standalone node. The owner sets
-    `on_health_check_result` and `on_shares` before `open`.
+    Before `open` and after `close` the policy decides as it does on a node without a fleet. The node sets the
+    callbacks `on_health_check_result` and `on_shares` before `open`.
 
     Args:
         config: The process's fleet configuration.
         settings: The policy's settings.
         now: Returns the monotonic clock, in microseconds.
         wall: Returns Unix time, in microseconds.
-        schedule: Called when the deadline has changed.
+        schedule: Called when the time at which `tick` is due has changed.
         log_line: Writes a line to the node's log.
 
     Attributes:
@@ -78,9 +83,10 @@
             )
 
     def payload_codecs(self) -> list[PayloadCodec]:
-        """Return the encoders and decoders of the message kinds.
+        """Return the encoders and decoders of the messages that the adapter's features exchange.
 
-        A process with voters decodes messages of shared health checks even if these are disabled in it.
+        A process whose configuration names voters (processes that vote on leases) decodes the messages of
+        shared health checks even if it does not share health checks itself.
         """
         codecs: list[PayloadCodec] = []
         if self.config.voters:
@@ -94,11 +100,12 @@
         return codecs
 
     def open(self, alive: Callable[[], Sequence[str]], rng: Random) -> None:
-        """Start a new incarnation.
+        """Start a new incarnation of the process, which has joined its group.
 
         Args:
             alive: Returns the names of the other members that are alive.
-            rng: Chooses the members that zone directives are passed on to.
+            rng: Chooses the members that zone directives (operators' orders to leave a zone) are passed on
+                to.
         """
         self.alive = alive
         if self.zone_traffic is not None:
@@ -106,7 +113,10 @@
             self.handlers |= dict.fromkeys(self.zone_traffic.kinds, self.receive_directives)
 
     def enable_lease_features(self, lease_client: LeaseClient, rng: Random) -> None:
-        """Enable the configured features that need leases; called only if voters are configured."""
+        """Enable those of shared health checks and limited minRTT recalculations that are configured.
+
+        They need leases, so this is called only if voters, which grant leases, are configured.
+        """
         if self.config.health_checks:
             self.open_health_checks(lease_client, rng)
         if self.config.min_rtt_share:
@@ -134,7 +144,7 @@
         self.min_rtt_slots = MinRttSlots(policy.tier, policy.instances, settings, lease_client, rng)
 
     def close(self) -> None:
-        """Disable all features; the policy then decides like that of a standalone node."""
+        """Disable all features; the policy then decides as it does on a node without a fleet."""
         self.health_checks = self.min_rtt_slots = None
         self.handlers.clear()
         if self.zone_traffic is not None:
@@ -145,13 +155,14 @@
     def server_list(
         self, now: int, kind: ListKind, entries: Sequence[ServerEntry], zone_numbers: Mapping[str, int]
     ) -> None:
-        """Pass on an endpoint list to zone routing.
+        """Pass on a server list to zone routing.
 
         Args:
-            now: The time of discovery's clock.
-            kind: Whether the list is complete, and whether it was received at all.
+            now: Unix time in microseconds, in which discovery states when a server's process started.
+            kind: Whether the list has all servers or only those that changed, and whether it was received at
+                all.
             entries: The servers of the list.
-            zone_numbers: The numbers of zones, by name.
+            zone_numbers: The numbers of zones, by the name of the zone.
         """
         if self.zone_traffic is not None:
             self.zone_traffic.server_list(now, kind, entries, zone_numbers)
@@ -170,13 +181,22 @@
             self.zone_traffic.attempt_ended(server, outcome, latency, connect_seconds)
 
     def publish_shares(self, shares: dict[int, float], round_trips: dict[int, int]) -> None:
-        """Pass on the shares and the additional round-trip times in microseconds, by zone, to the policy."""
+        """Pass on the decisions of zone routing to the policy.
+
+        Args:
+            shares: Each zone's share of the requests, by the number of the zone.
+            round_trips: The additional round-trip time to each remote zone, in microseconds.
+        """
         self.on_shares(shares, round_trips)
 
     # ---- Implementation of interface.Fleet --------------------------------------------------------------
 
     def may_recalculate_min_rtt(self) -> bool:
-        """Return whether a minRTT recalculation may start now."""
+        """Return whether a minRTT recalculation may start now.
+
+        If the fleet limits recalculations, this node needs one of the tier's slots (leases that limit how
+        many nodes recalculate at a time), or must have waited long enough.
+        """
         slots = self.min_rtt_slots
         if slots is None:
             return True
@@ -205,7 +225,11 @@
         self.schedule()
 
     def may_probe(self, server: int) -> bool:
-        """Return whether an ejected server may be checked now; False if its zone may get no calls."""
+        """Return whether this node may check an ejected server now.
+
+        It may not if zone routing allows no calls to the server's zone, or if the check is left to another
+        node.
+        """
         if self.zone_traffic is not None and not self.zone_traffic.allows(server):
             return False
         if self.health_checks is None:
@@ -213,13 +237,16 @@
         now = self.now()
         allowed = self.health_checks.may_probe(now, server)
         if allowed:
-            # The policy asks only when a check is due, and sends it at once if allowed.
+            # The policy calls this only when a check is due, and checks the server at once if it may.
             token = self.health_checks.token(now, server)
             self.log_line(f"fleet tries server={server} " + ("alone" if token is None else f"token={token}"))
         return allowed
 
     def server_ejected(self, server: int, wait: int) -> None:
-        """Record that a server was ejected or failed a check; the next is due in `wait` microseconds."""
+        """Record that a server was ejected, or failed its check while ejected.
+
+        The next check of the server is due in `wait` microseconds.
+        """
         if self.zone_traffic is not None:
             self.zone_traffic.set_ejected(server, True)
         if self.health_checks is not None:
@@ -231,8 +258,8 @@
 
         Args:
             server: The number of the server.
-            healthy: Whether a check by this node succeeded. Otherwise another node's check did, or the server
-                was replaced or left the subset.
+            healthy: Whether the reason is a successful check by this node. Otherwise a check by another node
+                succeeded, or the server was replaced or left the subset, the servers that this node uses.
         """
         if self.zone_traffic is not None:
             self.zone_traffic.set_ejected(server, False)
@@ -243,7 +270,7 @@
     # ---- Time and messages ------------------------------------------------------------------------------
 
     def deadline(self, now: int) -> int | None:
-        """Return when `tick` is due."""
+        """Return when `tick` of any feature is due; None if never."""
         enabled = [feature for feature in (self.health_checks, self.min_rtt_slots) if feature is not None]
         deadlines = [feature.deadline(now) for feature in enabled]
         if self.zone_traffic is not None:
@@ -251,7 +278,7 @@
         return min((deadline for deadline in deadlines if deadline is not None), default=None)
 
     def tick(self, now: int) -> list[Outgoing]:
-        """Perform the actions that are due and return the messages to send."""
+        """Perform the actions of all features that are due, and return the messages to send."""
         outgoing: list[Outgoing] = []
         if self.health_checks is not None:
             outgoing += self.health_checks.tick(now)
@@ -267,20 +294,20 @@
         return handler(now, message) if handler is not None else []
 
     def receive_directives(self, now: int, message: Any) -> list[Outgoing]:
-        """Apply an operator's zone directives, which another member has passed on."""
+        """Apply operators' directives to leave a zone, which another member has passed on."""
         if self.zone_traffic is not None:
             self.zone_traffic.received(message)
         return []
 
     def member_forgotten(self, member: str) -> None:
-        """Drop the state of a member that membership has forgotten."""
+        """Drop the health checks' state of a member that left or died and that membership forgot."""
         if self.health_checks is not None:
             self.health_checks.forget(member)
 
     # ---- Status -----------------------------------------------------------------------------------------
 
     def status(self, now: int) -> dict[str, Any]:
-        """Return a key of the page `GET /fleet` for each enabled feature."""
+        """Return the keys and values of the enabled features for the page `GET /fleet`."""
         features = {"probe": self.health_checks, "remeasure": self.min_rtt_slots}
         table = {name: feature.view(now) for name, feature in features.items() if feature is not None}
         return table if self.zone_traffic is None else table | self.zone_traffic.status(now)
--- a/balancer/fleet/policy_component.py
+++ b/balancer/fleet/policy_component.py
@@ -1,4 +1,8 @@
-"""The policy adapter as a component of the fleet runtime: health checks, minRTT slots and zones."""
+"""The policy adapter as a component of the fleet runtime.
+
+The adapter connects the policy with the fleet: with shared health checks, the slots that limit how many nodes
+recalculate their minRTT (the baseline response time) at a time, and zone routing.
+"""
 
 from __future__ import annotations
 
@@ -20,8 +24,8 @@
     Args:
         runtime: The fleet runtime of the process.
         adapter: The adapter to run.
-        leases: The lease component. None if no voters are configured; then health checks are not shared and
-            minRTT recalculations are not limited.
+        leases: The lease component; None if no voters, which grant leases, are configured. Health checks are
+            then not shared and minRTT recalculations are not limited.
     """
 
     def __init__(self, runtime: Runtime, adapter: PolicyAdapter, leases: LeaseComponent | None) -> None:
@@ -42,7 +46,7 @@
             self.adapter.enable_lease_features(lease_client, self.runtime.rng)
 
     def close(self) -> None:
-        """Close the adapter; the policy then decides like that of a standalone node."""
+        """Close the adapter; the policy then decides as it does on a node without a fleet."""
         self.adapter.close()
 
     def deadline(self, now: int) -> int | None:
@@ -54,11 +58,11 @@
         return self.adapter.tick(now)
 
     def received(self, now: int, sender: Address, message: Any) -> list[Outgoing]:
-        """Handle a message of one of the adapter's kinds."""
+        """Pass on a message of one of the adapter's kinds to it, and return the messages to send."""
         return self.adapter.received(now, message)
 
     def member_forgotten(self, name: str) -> None:
-        """Drop the state of a member that membership has forgotten."""
+        """Have the adapter drop the state of a member that left or died and that membership has forgotten."""
         self.adapter.member_forgotten(name)
 
     def status(self, now: int) -> dict[str, Any]:
--- a/balancer/fleet/registry.py
+++ b/balancer/fleet/registry.py
@@ -1,6 +1,7 @@
-"""The components of one process: lookup by message kind, and calls to all of them.
+"""The fleet components of one process: lookup by message kind, and calls to all of them.
 
-An exception in a component is reported and stops nothing else.
+A component implements one function of the fleet. An exception in a component is reported and stops nothing
+else.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from balancer.fleet.membership.swim import Kind
 
 MEMBERSHIP_KINDS = frozenset(int(kind) for kind in Kind)
-# A component whose `deadline` raised an exception is ticked after this time.
+# A component whose `deadline` raised an exception has its `tick` called after this time.
 FAILED_DEADLINE_DELAY_US = 1_000_000
 
 Result = TypeVar("Result")
@@ -25,10 +26,10 @@
 
 
 class Registry:
-    """The components of one process, in the order in which they are opened, ticked and shown.
+    """The fleet components of one process, in the order in which they are opened, ticked and shown.
 
     Args:
-        components: The components, in that order.
+        components: The components, in the order in which they are opened, ticked and shown.
         report: Called with the failed method, as "Component.method", and its exception.
 
     Attributes:
@@ -49,7 +50,7 @@
                 self.register(component, codec.kinds)
 
     def register(self, component: Component, kinds: frozenset[int]) -> None:
-        """Make a component the owner of message kinds.
+        """Make a component the owner of these message kinds, whose messages it then handles.
 
         Raises:
             DuplicateKindError: A kind already has an owner, or belongs to membership.
@@ -68,7 +69,10 @@
     def call_safely(
         self, component: Component, method: str, call: Callable[[], Result], default: Result
     ) -> Result:
-        """Call a component's method; report an exception and return `default` instead."""
+        """Return the result of `call`, a call of a component's method.
+
+        If it raises an exception, report the exception and return `default`.
+        """
         try:
             return call()
         except Exception as error:
@@ -81,7 +85,7 @@
             self.call_safely(component, method, partial(call, component), None)
 
     def deadline(self, now: int) -> int | None:
-        """Return when the first component's `tick` is due; None if none is."""
+        """Return the earliest time at which a component's `tick` is due; None if there is none."""
         retry_at: int | None = now + FAILED_DEADLINE_DELAY_US
         deadlines = [
             self.call_safely(component, "deadline", partial(component.deadline, now), retry_at)
@@ -90,7 +94,7 @@
         return min((d for d in deadlines if d is not None), default=None)
 
     def status(self, now: int) -> dict[str, Any]:
-        """Return all components' keys for the page `GET /fleet`."""
+        """Return the keys and values of all components for the page `GET /fleet`."""
         keys: dict[str, Any] = {}
         no_keys: dict[str, Any] = {}
         for component in self.ordered:
--- a/balancer/fleet/runtime.py
+++ b/balancer/fleet/runtime.py
@@ -1,7 +1,8 @@
 """The fleet runtime, which runs membership and the components on a node's event loop.
 
-It owns the timer, the order of calls, the log lines about members and the page `GET /fleet`. `assembly.py`
-selects the components; the loop of the runtime treats them all alike.
+Membership tracks which processes of the group are alive; a component implements one other function of the
+fleet. The runtime owns the timer, the order of calls, the log lines about members and the page `GET /fleet`.
+`assembly.py` selects the components; the runtime treats them all alike.
 """
 
 from __future__ import annotations
@@ -29,24 +30,27 @@
 from balancer.policy.interface import Settings
 
 LOGGED_CHANGES = ("join", "suspect", "dead", "left", "alive", "refuted")
-# A tick that is later shows that the process itself was slow, and is counted.
+# A tick that comes later than its deadline by more than this shows that the process itself was slow. Such
+# ticks are counted.
 LATE_TICK_THRESHOLD_US = 50_000
 MIN_TICK_DELAY_US = 1_000
-# A failed action stays due, so without a longer delay its retries would use a whole core.
+# The delay of the tick that follows a fault. A failed action stays due, so with MIN_TICK_DELAY_US its retries
+# would use a whole core.
 FAULT_TICK_DELAY_US = 100_000
-# The timeout of an ack, in tenths of membership's period.
+# The timeout of an acknowledgment, in tenths of the period of membership's health checks.
 ACK_TIMEOUT_TENTHS = 3
-# Full state exchanges repair what gossip missed.
+# The interval at which members exchange their full state, which repairs what gossip missed; in periods of
+# membership's health checks.
 SYNC_INTERVAL_PERIODS = 15
-# Each datagram may be lost, so the message about a planned shutdown is sent several times.
+# Any datagram may be lost, so the message about a planned shutdown is sent this many times.
 LEAVE_MESSAGE_COPIES = 3
 MICROSECONDS_PER_SECOND = 1e6
-# The values of the page `GET /fleet` if no voters are configured.
+# The values that the page `GET /fleet` shows for leases and rolling updates if no voters are configured.
 STATUS_DEFAULTS: dict[str, Any] = {"duties": None, "replace": None}
 
 
 class FleetRuntime(DatagramEndpoint):
-    """The fleet runtime of one process; a new incarnation lasts from each `open` to the next `close`.
+    """The fleet runtime of one process; an incarnation lasts from an `open` to the next `close`.
 
     Args:
         config: The process's fleet configuration.
@@ -138,9 +142,10 @@
         self.close()
 
     def close(self) -> None:
-        """Close the socket without notifying others.
+        """Close the components and the socket, without a message to the other members.
 
-        It is called alone when another process of this node takes over under the same name.
+        A planned shutdown calls it through `leave`, which notifies them. The node calls it without `leave`
+        when another process of the node takes over under the same name.
         """
         self.components.call_all("close", lambda component: component.close())
         if self.timer is not None:
@@ -152,7 +157,7 @@
 
     @property
     def membership(self) -> Swim:
-        """Membership of this process's group, available from `open` on."""
+        """The state machine that tracks the members of this process's group, available from `open` on."""
         assert self.swim is not None
         return self.swim
 
@@ -161,11 +166,11 @@
         return Random(f"fleet {self.config.name} {self.seed} {purpose}")
 
     def alive(self) -> list[str]:
-        """Return the names of the other members that are alive or suspect."""
+        """Return the names of the other members that are alive, or suspected but not known to be dead."""
         return self.swim.alive() if self.swim is not None else []
 
     def departed(self) -> list[str]:
-        """Return the names of the members that have left or died and are not forgotten yet."""
+        """Return the names of the members that left or died and that membership has not forgotten yet."""
         if self.swim is None:
             return []
         return sorted(name for name, member in self.swim.members.items() if member.is_dead_or_left)
@@ -176,11 +181,11 @@
         return record.claim.address if record is not None else None
 
     def end_process(self) -> None:
-        """End the process as SIGTERM does, after what the component returns has been sent."""
+        """End this process as SIGTERM does, once the messages that the calling component returns are sent."""
         self.termination_requested = True
 
     def schedule(self, min_delay: int = MIN_TICK_DELAY_US) -> None:
-        """Set the timer to the next deadline, but at least `min_delay` microseconds from now."""
+        """Set the timer of the next tick to its deadline, but at least `min_delay` microseconds from now."""
         if self.timer is not None:
             self.timer.cancel()
         if self.transport is not None and self.swim is not None:
@@ -190,16 +195,16 @@
     # ---- Time -------------------------------------------------------------------------------------------
 
     def deadline(self) -> int:
-        """Return when the first tick of membership or of a component is due."""
+        """Return the earliest time at which a tick of membership or of a component is due."""
         assert self.swim is not None
         earliest = self.components.deadline(self.now())
         return self.swim.due() if earliest is None else min(earliest, self.swim.due())
 
     def tick(self) -> None:
-        """Perform all actions that are due, and set the timer again.
+        """Perform all actions of membership and the components that are due, and set the timer again.
 
-        A fault in membership or in a component neither stops the timer nor is retried so often that it uses a
-        whole core.
+        An exception in one of them does not stop the timer. The next tick is then delayed, so that retries of
+        the failed action do not use a whole core.
         """
         assert self.swim is not None
         now = self.now()
@@ -220,7 +225,7 @@
     # ---- Received messages ------------------------------------------------------------------------------
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Handle a datagram; called by the event loop."""
+        """Handle the messages of a received datagram that passes the checks; called by the event loop."""
         if self.swim is None:
             return
         admitted = self.admit(data, (addr[0], addr[1]))
@@ -249,7 +254,10 @@
         self.components.call_safely(component, "received", lambda: self.deliver(handle()), None)
 
     def member_changed(self, change: str, claim: Claim) -> None:
-        """Count and log a change of membership's view, and have the components drop a forgotten member."""
+        """Count a change that membership has seen in a member, and log the changes in `LOGGED_CHANGES`.
+
+        If membership has forgotten the member, all components drop their state of it.
+        """
         self.events[change] += 1
         if change == "forgotten":
             self.guard.forget(claim.name)
@@ -261,7 +269,10 @@
     # ---- Sent messages ----------------------------------------------------------------------------------
 
     def deliver(self, outgoing: Sequence[Outgoing]) -> None:
-        """Send a component's messages; handle those addressed to this process itself at once."""
+        """Send the messages that a component returned.
+
+        Messages addressed to this process itself are handled at once, without a datagram.
+        """
         queue = deque(outgoing)
         while queue:
             item = queue.popleft()
--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -20,8 +20,8 @@
 # a margin.
 BASE_RESERVED_DESCRIPTORS = 26
 MIN_CONNECTIONS = 8
-# Upper bound on the policy's poll interval for server lists. The node must learn of a change within 6 s, of
-# which a watch without a response may take 2 s.
+# Upper bound on the interval at which the policy polls the server list. The node must learn of a change
+# within 6 s, of which a watch (a call that waits for a change) may take 2 s if it gets no response.
 MAX_LIST_POLL_INTERVAL_US = 4_000_000
 
 
@@ -34,7 +34,7 @@
 
     Attributes:
         limit: The maximum number of descriptors of the node.
-        reserved: How many of them are not available to connections of clients and servers.
+        reserved: How many of these descriptors are not available to connections with clients and servers.
     """
 
     limit: int
@@ -50,16 +50,20 @@
         listen: The address for clients.
         discovery: The address of the discovery service.
         management: The address of the management pages, or None for no pages.
-        inherited_descriptor: The descriptor of an inherited listening socket, as text.
-        handover_directory: The directory of the files by which the processes of one node detect each other.
+        inherited_descriptor: The descriptor of a listening socket that this process inherited, as text; None
+            if it inherited none.
+        handover_directory: The directory of the files by which the old and the new process of a node detect
+            each other.
         seed: The seed of all random streams.
         max_descriptors: The maximum number of descriptors of the node.
-        reserved_descriptors: How many of them are not available to connections of clients and servers.
+        reserved_descriptors: How many of these descriptors are not available to connections with clients and
+            servers.
         memory_bytes: The memory that the node may use.
-        peer_listen: The UDP address for peers' messages.
+        peer_listen: The UDP address that receives messages of peers, the other nodes of this tier; None for
+            no messages.
         peers: The UDP addresses of the nodes of this tier, by index.
-        broadcast_address: The UDP address that reaches all peers.
-        cached_list: The server list that the node starts with.
+        broadcast_address: The UDP address that reaches all peers; None if there is none.
+        cached_list: The server list that the node uses until discovery sends one; None if there is none.
         settings: The policy's settings.
         classes: The names of the request classes.
         tenants: The names of the tenants.
@@ -68,7 +72,8 @@
         connect_timeout_s: The timeout of a connect, in seconds.
         idle_timeout_s: The time after which a server closes an idle connection, in seconds.
         inline_reports: Whether servers send load reports with their responses.
-        report_names: The columns of a load report: the name in the settings and the name in the report.
+        report_names: For each value of a load report, its name in the settings and an alternative name that
+            is also accepted.
         fleet: The fleet section, or None for a process that belongs to no fleet.
     """
 
@@ -98,7 +103,7 @@
     fleet: FleetConfig | None
 
     def max_connections(self, process_count: int = 1) -> int:
-        """Return how many connections of clients and servers each of the node's processes may have.
+        """Return how many connections with clients and servers each of the node's processes may have.
 
         Args:
             process_count: How many processes share the node's limits.
@@ -111,7 +116,7 @@
 
     Args:
         text: The value in the configuration.
-        key: The key that an error names.
+        key: The key of the value, which an error message names.
 
     Raises:
         ConfigError: The value is not an address.
@@ -185,7 +190,7 @@
 def load_discovery(environ: Mapping[str, str]) -> Address:
     """Return the address of discovery in the current file, ignoring `LB_DISCOVERY`.
 
-    The variable overrides the file at the start only, so that a reload can change the address.
+    `LB_DISCOVERY` overrides the file only when the process starts, so that a reload can change the address.
 
     Raises:
         ConfigError: The file cannot be read, or its `discovery` is not an address.
@@ -196,7 +201,8 @@
 def parse_fleet_section(table: dict[str, Any], name: str) -> FleetConfig | None:
     """Parse the `fleet` section, or return None if there is none.
 
-    A node without the section imports no module of the fleet, nor the packages that it depends on.
+    A fleet is a group of processes that coordinate their decisions. A node without the section imports
+    no module of the fleet, nor the packages that it depends on.
 
     Raises:
         ConfigError: The section is invalid, or a package that the fleet needs is not installed.
@@ -216,7 +222,7 @@
 
 
 def parse_descriptor_limits(limits: Fields, has_management: bool, has_fleet: bool) -> Descriptors:
-    """Parse the limit on descriptors.
+    """Parse the limit on file descriptors, and return it with the number that the node itself needs.
 
     Raises:
         ConfigError: The limit leaves fewer than MIN_CONNECTIONS descriptors for connections.
@@ -233,7 +239,8 @@
 def parse_policy_settings(table: dict[str, Any]) -> Settings:
     """Parse the policy's settings and adapt them to a node on real sockets."""
     settings = parse_settings(table)
-    # `retry_after` describes the simulator's clients; over HTTP a 503 may always carry a Retry-After header.
+    # The setting `retry_after` says whether the simulator's clients are sent a time to wait before a retry.
+    # Over HTTP it is always on, because each 503 response may carry a Retry-After header.
     return replace(
         settings,
         retry_after=True,
--- a/balancer/net/discovery/call.py
+++ b/balancer/net/discovery/call.py
@@ -16,8 +16,8 @@
 class ResponseStage(Enum):
     """How much of a response has been received."""
 
-    HEAD = "head"  # At most part of the head, possibly after interim responses.
-    BODY = "body"  # The complete head.
+    HEAD = "head"  # The head is incomplete; interim responses may have been received before it.
+    BODY = "body"  # The head is complete, the body is not.
     COMPLETE = "complete"
 
 
@@ -27,7 +27,8 @@
     Args:
         loop: The event loop.
         address: The host and port of discovery.
-        on_response: Called with the body of each response, and once with None when a call has failed.
+        on_response: Called with this object and the body of each response. Called once with None when a call
+            has failed; no further call can be made then.
     """
 
     def __init__(
@@ -45,7 +46,10 @@
         self.task: asyncio.Task[None] | None = None
 
     def get(self, path: str, timeout: float) -> None:
-        """Request a path; the response must be complete `timeout` seconds after the request is written."""
+        """Request a path of the discovery service with GET.
+
+        The call fails unless the response is complete `timeout` seconds after the request is written.
+        """
         host = f"{self.address[0]}:{self.address[1]}"
         self.request = f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode()
         self.timeout = timeout
@@ -53,7 +57,7 @@
         self.body = b""
         self.received_bytes = 0
         self.stage = ResponseStage.HEAD
-        self.has_length = False  # Whether it has a Content-Length or Transfer-Encoding header.
+        self.has_length = False  # Whether the response has a Content-Length or Transfer-Encoding header.
         if self.transport is None:
             self.set_timeout(CONNECT_TIMEOUT_S)
             self.task = self.loop.create_task(self.connect())
@@ -70,13 +74,13 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport and send the pending request."""
         self.transport = cast(asyncio.Transport, transport)
-        if self.ended:  # The connection was established as its timeout expired.
+        if self.ended:  # The call's timeout expired just before the connection was established.
             self.disconnect()
         else:
             self.write()
 
     def write(self) -> None:
-        """Send the request and start the timeout of its response."""
+        """Send the pending request and start the timeout of its response."""
         self.set_timeout(self.timeout)
         assert self.transport is not None
         self.transport.write(self.request)
@@ -95,7 +99,7 @@
             self.fail()
             return
         self.received_bytes += len(data)
-        # The head counts as well, because the parser buffers each header line until its end.
+        # The limit counts the response's head too, because the parser buffers each header line until its end.
         if self.received_bytes > MAX_RESPONSE_BYTES:
             self.fail()
         elif self.stage is ResponseStage.COMPLETE and not self.ended:
@@ -121,25 +125,25 @@
             self.stage = ResponseStage.BODY
 
     def on_body(self, body: bytes) -> None:
-        """Append a piece of the body."""
+        """Append a piece to the response's body."""
         self.body += body
 
     def on_message_complete(self) -> None:
         """Record the end of the response; ignore that of an interim response."""
         if self.parser.get_status_code() < 200:
-            # If interim responses counted as failures, no list would be learned from a discovery that
-            # sends them with each response.
+            # If interim responses counted as failures, no list would be learned from a discovery service
+            # that sends them before each response.
             self.has_length = False
             return
         self.stage = ResponseStage.COMPLETE
-        # The parser resets this state once the callback returns.
+        # Read now, because the parser forgets whether to keep the connection once this callback returns.
         self.keep_alive = self.parser.should_keep_alive()
 
     def eof_received(self) -> None:
-        """Complete a response without a stated length, which ends with its connection.
+        """Complete a response that states no length: the end of the connection is its end.
 
-        Without this, no list would be learned from a discovery that responds in this form. A connection
-        reset does not complete a response.
+        Otherwise no list would be learned from a discovery service that states no length. A connection that
+        is reset does not complete a response.
         """
         if self.stage is ResponseStage.BODY and not self.has_length and not self.ended:
             self.stage = ResponseStage.COMPLETE
@@ -147,7 +151,7 @@
             self.on_response_complete()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the call in flight, if any, and all later calls."""
+        """Fail the call in flight, if any; this object makes no calls after that."""
         if self.transport is not None:
             self.transport = None
             self.fail()
@@ -159,13 +163,13 @@
             transport.abort()
 
     def fail(self) -> None:
-        """End all calls and report the failure, once."""
+        """End all calls on this object and report the failure to `on_response`, at most once."""
         if not self.ended:
             self.end()
             self.on_response(self, None)
 
     def end(self) -> None:
-        """End all calls without reporting anything."""
+        """End all calls on this object, without a report to `on_response`, and close the connection."""
         self.ended = True
         if self.timer is not None:
             self.timer.cancel()
--- a/balancer/net/discovery/client.py
+++ b/balancer/net/discovery/client.py
@@ -1,4 +1,8 @@
-"""The discovery client: a watch for changes of the server list, and fetches of the full list."""
+"""The discovery client: a watch for changes of the server list, and fetches of the full list.
+
+A watch is a call that discovery answers when the list changes, or after the wait that the call states. Each
+answered watch is renewed by another call. A fetch is a single call for the full list.
+"""
 
 from __future__ import annotations
 
@@ -12,11 +16,11 @@
 from balancer.net.process.log import Log
 from balancer.policy.interface import ListKind
 
-MAX_WATCH_MS = 1_000  # The longest time that discovery holds a watch without an event.
+MAX_WATCH_MS = 1_000  # The longest time that discovery lets a watch wait for a change.
 # The wait of each watch is shortened by up to this ratio, so that nodes do not poll in step.
 WATCH_JITTER_RATIO = 0.25
 RESPONSE_TIMEOUT_S = 1.0  # A watch fails this long after the end of its wait.
-# Equal to the longest time that a watch may go without a response.
+# Equal to the longest time that a watch may go without a response: its wait and RESPONSE_TIMEOUT_S.
 FETCH_TIMEOUT_S = 2.0
 # Discovery counts as restarted after this many consecutive responses older than the current list.
 RESTART_THRESHOLD_RESPONSES = 2
@@ -30,8 +34,9 @@
     Args:
         loop: The event loop.
         address: The host and port of discovery.
-        version: The version of the current list.
-        on_list: Called with each list or change before the watch is renewed, and with None on a failure.
+        version: The version of the server list that the node starts with; 0 if it has none.
+        on_list: Called with each full list or change of the list, before the watch is renewed. Called with
+            None when a watch or a fetch has failed.
         log: The log for responses that cannot be used.
         rng: The random number generator for the jitter of watches.
     """
@@ -51,13 +56,13 @@
         self.version = version
         self.on_list = on_list
         self.log = log
-        self.watch_enabled = False  # Also True between a failed watch and the next one.
+        self.watch_enabled = False  # Stays True between a failed watch and its reopening.
         self.outdated_responses = 0  # Consecutive responses older than the current list.
         self.watch_call: DiscoveryCall | None = None
         self.fetch_call: DiscoveryCall | None = None
 
     def watch(self, enabled: bool) -> None:
-        """Start or stop the watch; one that is already open stays open."""
+        """Start the watch if `enabled`, unless it is open already; otherwise stop it."""
         self.watch_enabled = enabled
         if enabled and self.watch_call is None:
             self.watch_call = DiscoveryCall(self.loop, self.address, self.on_watch_response)
@@ -69,14 +74,17 @@
     def send_watch(self, call: DiscoveryCall) -> None:
         """Make the next call of a watch.
 
-        The wait is short because an unresponsive watch is noticed only after it; until then the node sends
-        requests to servers that have been replaced.
+        The wait for a change is short, because a discovery service that does not respond is noticed only
+        after it. Until then the node sends requests to servers that have been replaced.
         """
         wait = int(MAX_WATCH_MS * (1 - WATCH_JITTER_RATIO * self.rng.random()))
         call.get(f"/v1/endpoints?since={self.version}&timeout_ms={wait}", wait / 1000 + RESPONSE_TIMEOUT_S)
 
     def on_watch_response(self, call: DiscoveryCall, body: bytes | None) -> None:
-        """Pass a watch response to `on_list` and renew the watch; after a failure the watch ends."""
+        """Pass the list of a watch's response to `on_list` and renew the watch.
+
+        After a failure the watch ends and `on_list` gets None.
+        """
         server_list = self.parse(body)
         if server_list is None:
             # The watch must end before the failure is reported: the policy may start a new one at once.
@@ -91,8 +99,9 @@
     def change_address(self, address: tuple[str, int]) -> None:
         """Restart the watch and the fetch in flight at another address at once.
 
-        The new address reports all missed changes. If a call to the old address has just failed, waiting
-        for its backoff would take longer than a node may take to learn of a change at the new one.
+        The discovery service at the new address reports all changes that the node has missed. If a call to
+        the old address has just failed, the delay before its retry would take longer than a node may take to
+        learn of a change.
         """
         self.address = address
         if self.watch_enabled:
@@ -116,7 +125,7 @@
         self.on_list(self.parse(body))
 
     def parse(self, body: bytes | None) -> ServerList | None:
-        """Return the list of a response, or None for a failed call or an invalid response."""
+        """Return the list in the body of a response; None if the call failed or the body is invalid."""
         if body is None:
             return None
         try:
@@ -127,11 +136,12 @@
         return self.accept_version(server_list)
 
     def accept_version(self, server_list: ServerList) -> ServerList:
-        """Return the list, or an empty change if it is older than the current list.
+        """Return the received list, or an empty change if that list is older than the current one.
 
         A late response with an old version would bring drained servers back. However, if discovery has
         restarted its version numbers, ignoring old versions would ignore its lists for good. Two consecutive
-        old responses indicate a restart: a full list is then accepted, and after changes one is fetched.
+        old responses indicate a restart. If the second response is a full list, it is then accepted; if it
+        states only changes, a full list is fetched.
         """
         if server_list.version >= self.version:
             self.outdated_responses = 0
@@ -150,7 +160,7 @@
         return ServerList(ListKind.CHANGES, self.version, ())
 
     def close(self) -> None:
-        """End all calls."""
+        """End the watch and the fetch in flight, if any."""
         for call in (self.watch_call, self.fetch_call):
             if call is not None:
                 call.end()
--- a/balancer/net/discovery/registry.py
+++ b/balancer/net/discovery/registry.py
@@ -1,4 +1,7 @@
-"""The registry of servers: turns lists from discovery into endpoints of the pool and policy entries."""
+"""The registry of servers, which applies the server lists that discovery sends.
+
+Each list becomes endpoints of the connection pool and server entries for the policy.
+"""
 
 from __future__ import annotations
 
@@ -21,12 +24,12 @@
 
 OnServers = Callable[[int, ListKind, Sequence[ServerEntry], Mapping[str, int]], None]
 
-# The mean delay before a failed watch is reopened; the actual delay is 0.5 to 1.5 times as long.
+# The mean delay before a failed watch for list changes is reopened; each delay is 0.5 to 1.5 times as long.
 PUSH_RETRY_S = 0.1
 
 
 class ServerRegistry:
-    """The servers listed by discovery, identified by their numbers.
+    """The servers listed by discovery, each identified by a number, which is a hash of its name.
 
     Args:
         config: The configuration of the node.
@@ -54,10 +57,11 @@
         self.lifecycle = lifecycle
         self.log = log
         self.event_queue = event_queue
-        self.balancer: Balancer  # Set after its construction, which needs the registry.
-        # Called with the policy entries of each list if the node belongs to a fleet.
+        # Set by the node later, because constructing the balancer needs the registry.
+        self.balancer: Balancer
+        # Called with the policy's entries of each list; None if the node belongs to no fleet.
         self.on_servers: OnServers | None = None
-        self.rng = Random(f"node {config.seed}")  # Independent of the policy's generator.
+        self.rng = Random(f"node {config.seed}")  # Separate from the policy's random number generator.
         version = config.cached_list.version if config.cached_list else 0
         self.discovery = DiscoveryClient(
             loop, config.discovery, version, self.on_list, invalid_response_log, self.rng
@@ -67,7 +71,11 @@
         self.states: dict[int, State] = {}  # The state of each listed server.
 
     def on_list(self, server_list: ServerList | None) -> None:
-        """Apply a full list or a change; None stands for a failed call."""
+        """Apply a full list, or a change of the list, to the endpoints, and pass it on to the policy.
+
+        None stands for a failed call to discovery. The current list then stays in use. The policy is told of
+        the failure if it polls lists itself; otherwise the watch is reopened after a delay.
+        """
         if server_list is None:
             if self.config.settings.list_on_request:
                 self.event_queue.post(self.balancer.server_list, ListKind.FAILED, ())
@@ -99,7 +107,11 @@
             self.on_servers(self.event_queue.now(), server_list.kind, entries, self.zones)
 
     def update_server(self, number: int, record: ServerRecord) -> None:
-        """Apply the address and state of a server and retire connections to a previous process."""
+        """Apply the address and state that discovery lists for a server.
+
+        The endpoint of a server that is not ready, or whose process was replaced, is retired: it starts no
+        further exchanges.
+        """
         self.states[number] = record.state
         if record.state == State.GONE:
             del self.states[number]
@@ -120,7 +132,10 @@
         endpoint.ready = True
 
     def make_server_entry(self, number: int, record: ServerRecord) -> ServerEntry:
-        """Return the policy entry of a server; new zones and kinds get the next free number."""
+        """Return the entry that describes a server to the policy.
+
+        A zone or a kind of server that is not known yet gets the next free number.
+        """
         return ServerEntry(
             number,
             record.state,
@@ -135,6 +150,6 @@
 def server_number(name: str) -> int:
     """Return the number of a server, a hash of its name.
 
-    It is the same at every node, because all nodes use the same shuffled order of the numbers.
+    The number must be the same at every node, because all nodes use the same shuffled order of the numbers.
     """
     return int.from_bytes(blake2b(name.encode(errors="surrogatepass"), digest_size=8).digest(), "big")
--- a/balancer/net/discovery/server_list.py
+++ b/balancer/net/discovery/server_list.py
@@ -11,7 +11,10 @@
 
 
 class ServerListError(ValueError):
-    """Raised for JSON that is not an object; `Fields` raises a plain ValueError for an invalid field."""
+    """The decoded JSON of a server list is not an object.
+
+    For an invalid field of the object, `Fields` raises a plain ValueError instead.
+    """
 
 
 @dataclass(frozen=True)
@@ -19,7 +22,7 @@
     """A server as described by discovery.
 
     Attributes:
-        started_us: The start of the server's process, in microseconds of Unix time; 0 for long ago.
+        started_us: The start of the server's process, in microseconds of Unix time; 0 if it started long ago.
     """
 
     id: str
@@ -35,7 +38,7 @@
 
 @dataclass(frozen=True)
 class ServerList:
-    """A full list or a change of it, with the version of the resulting list."""
+    """A full list of the servers, or a change of the current list, with the version of the resulting list."""
 
     kind: ListKind
     version: int
@@ -50,7 +53,7 @@
 
     Args:
         table: The decoded JSON.
-        kind: The kind of the list; None if the list states it itself.
+        kind: The kind of the list; None if the JSON states with its key `full` whether it is a full list.
 
     Raises:
         ValueError: The list is not an object or has an invalid field, which the message names.
@@ -65,7 +68,10 @@
 
 
 def parse_server(entry: Fields) -> ServerRecord:
-    """Parse a server entry; an unknown state counts as draining, so no new requests go to the server."""
+    """Parse the entry of one server.
+
+    An unknown state counts as draining, so the server gets no new requests.
+    """
     host, _, port = entry.text("addr").rpartition(":")
     if not (host and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
         raise entry.error("addr")
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -1,4 +1,4 @@
-"""One node: hosts a Balancer on real sockets.
+"""One node: hosts a Balancer, the policy that makes all balancing decisions, on real sockets.
 
 The node creates, starts and stops its components and makes no decision of its own. Requests are handled in
 `downstream/requests.py`, their attempts in `downstream/attempts.py`, server lists in `discovery/registry.py`,
@@ -40,13 +40,14 @@
 if TYPE_CHECKING:
     from balancer.fleet.runtime import FleetRuntime
 
-# After SIGTERM the platform waits for the longest deadline of all classes, but at most this long, and another
-# 0.7 s before it kills the process.
+# After SIGTERM the platform waits for the longest deadline of all request classes, but at most this long. It
+# kills the process another 0.7 s later.
 MAX_SHUTDOWN_DEADLINE_US = 3_000_000
-# Time after that deadline, less than 0.7 s, by which a request that came late must have its response.
+# Time after that longest deadline by which a request that came late must have its response; less than the
+# 0.7 s after which the process is killed.
 SHUTDOWN_GRACE_US = 500_000
 PEERS_RETRY_S = 0.05
-# Limit on retries at startup while the machine lacks descriptors or buffers for a listening socket.
+# How long opening a listening socket is retried at startup while the machine lacks descriptors or buffers.
 LISTEN_TIMEOUT_S = 5.0
 # Interval between attempts to read a configuration file that is unreadable or half written.
 RELOAD_RETRY_S = 0.1
@@ -55,7 +56,7 @@
 
 
 class Node:
-    """Implements `Actions` for its Balancer, and delivers all events to it.
+    """The host of a Balancer: it implements the interface `Actions` for it and delivers all events to it.
 
     Args:
         config: The configuration.
@@ -66,8 +67,8 @@
         self.config = config
         self.loop = loop
         self.log_writer = Log(config.name, MAX_LINES_PER_SECOND)
-        # Lines about invalid input have a rate limit of their own, so that a flood of stray datagrams cannot
-        # suppress the lines that report faults.
+        # Log lines about invalid input have a rate limit of their own, so that a flood of stray datagrams
+        # cannot suppress the lines that report faults.
         stray_log = Log(config.name, MAX_STRAY_LINES_PER_SECOND)
         max_connections = config.max_connections()
         self.descriptor_budget = DescriptorBudget(max_connections, config.max_descriptors)
@@ -95,7 +96,8 @@
         self.discovery = self.server_registry.discovery
         self.peers = Peers(config.peers, config.broadcast_address, self.on_peer_message, stray_log)
         self.started = False
-        self.reload_timer: asyncio.TimerHandle | None = None  # Pending retry of a failed reload.
+        # The pending retry of a failed reload of the configuration.
+        self.reload_timer: asyncio.TimerHandle | None = None
         self.handover = Handover(loop, config.handover_directory, self.on_shared, self.log_writer)
         self.connect_policy()
 
@@ -155,7 +157,11 @@
         return await retry_shortage(lambda: open_listener(address), LISTEN_TIMEOUT_S)
 
     async def open_peers(self) -> None:
-        """Bind the port for peers' messages, retrying while the previous process still holds it."""
+        """Bind the UDP port for messages of peers, the other nodes of the tier.
+
+        A failed attempt is repeated while the previous process of this node still holds the port. Nothing is
+        bound if peers are not configured, or if this process is being replaced or is shutting down.
+        """
         c = self.config
         if not c.settings.peers or c.peer_listen is None or self.peers.transport is not None:
             return
@@ -169,16 +175,17 @@
     def schedule_open(self, fault: OSError, open_port: Callable[[], Coroutine[Any, Any, None]]) -> None:
         """Schedule another attempt to open a port.
 
-        A node that runs retries whatever the error was: otherwise a shortage of resources at the moment when
-        the previous process releases the port would leave the node without it for good. At startup, only
-        shortages and ports held by another process of this node are retried.
+        A node that has started retries whatever the error was. Otherwise a shortage of resources at the
+        moment when the previous process releases the port would leave the node without the port for good. At
+        startup the attempt is repeated only after a shortage, or if another process of this node runs, which
+        may hold the port.
 
         Args:
             fault: The error of the failed attempt.
             open_port: Opens the port.
 
         Raises:
-            OSError: The fault, if it is not retried.
+            OSError: The error `fault`, if the attempt is not repeated.
         """
         if not (self.started or self.handover.is_shared or is_shortage(fault)):
             raise fault
@@ -200,7 +207,10 @@
         )
 
     async def open_fleet(self) -> None:
-        """Join the fleet, retrying while the previous process still holds the port."""
+        """Join the fleet, the group of processes that coordinate their decisions.
+
+        A failed attempt is repeated while the previous process of this node still holds the fleet's port.
+        """
         fleet = self.fleet
         if fleet is None or fleet.transport is not None:
             return
@@ -214,7 +224,8 @@
     def on_shared(self, shared: bool) -> None:
         """Adapt the limits and ports when another process of this node starts or ends.
 
-        While two processes run, each has half of the limits, and the younger one has the ports for datagrams.
+        During a handover an older and a younger process of this node run. Each then has half of the limits on
+        descriptors and memory, and the younger one has the UDP ports.
 
         Args:
             shared: Whether another process of this node runs.
@@ -248,8 +259,9 @@
     def reload(self, environ: Mapping[str, str], retries: int = 0) -> None:
         """Reload the configuration file; only the address of discovery can change at run time.
 
-        A file that cannot be read is retried: the signal may arrive while it is half written, and without a
-        second signal the node would keep the address of a discovery service that was replaced.
+        Reading the file is repeated if it fails: the signal to reload may arrive while the file is half
+        written, and without a second signal the node would keep the address of a discovery service that was
+        replaced.
 
         Args:
             environ: The environment variables.
@@ -270,7 +282,7 @@
         self.discovery.change_address(address)
 
     def paths(self) -> Pages:
-        """Return the management pages by path."""
+        """Return the management pages, by path; those of the fleet only if a fleet is configured."""
         pages = {
             b"/control/ready": Page(b"GET", self.show_readiness),
             b"/control/counters": Page(b"GET", self.show_counters),
@@ -295,14 +307,14 @@
         )
 
     def show_counters(self) -> PageResponse:
-        """Return the metrics page: counts since the start and current values."""
+        """Return the metrics page: counts since the start, and current numbers such as that of servers."""
         draining = sum(state != State.READY for state in self.server_registry.states.values())
         avoided = draining + int(self.balancer.stats()["ejected"])
         body = self.counters.render(len(self.requests.by_client), len(self.server_registry.states), avoided)
         return PageResponse(200, body)
 
     def take_out_of_service(self) -> PageResponse:
-        """Take the node out of service: it drains and keeps running."""
+        """Take the node out of service: it drains its client connections and keeps running."""
         self.lifecycle.take_out_of_service()
         self.client_connections.start_draining()
         return PageResponse(200, self.lifecycle.stage.value.encode() + b"\n")
@@ -338,11 +350,16 @@
         self.event_queue.post(self.balancer.peer_message, peer, data)
 
     def on_health_check_result(self, server: int, healthy: bool) -> None:
-        """Deliver the result of a health check that another node of the fleet has made."""
+        """Deliver the result of another node's health check of an ejected server to the policy."""
         self.event_queue.post(self.balancer.trial_result, server, healthy)
 
     def on_shares(self, shares: dict[int, float], trips: dict[int, int]) -> None:
-        """Deliver the fleet's decision on the share of requests that each zone gets."""
+        """Deliver the fleet's decision on each zone's share of the requests to the policy.
+
+        Args:
+            shares: Each zone's share of the requests, by the number of the zone.
+            trips: The additional round-trip time to each remote zone, in microseconds.
+        """
         self.event_queue.post(self.balancer.zone_shares, shares, trips)
 
     def on_event_failed(self, event: Event, args: tuple[Any, ...]) -> None:
@@ -355,7 +372,7 @@
     def check_health(self, server: int) -> None:
         """Request a server's load report, or its health page if load reports are not configured.
 
-        The policy's `health_checked` event receives the result.
+        The policy's `health_checked` event receives the result; a server that is not ready fails at once.
         """
         endpoint = self.pool.endpoints.get(server)
         started_at = self.event_queue.now()
@@ -383,7 +400,7 @@
         self.loop.call_later(max(0, delay) / 1e6, self.event_queue.post, self.balancer.timer, token)
 
     def send_to_peer(self, peer: int, data: bytes) -> None:
-        """Send a message to the peer of this index, or to all peers if it is negative."""
+        """Send a message to the peer with this index, or to all peers if the index is negative."""
         self.peers.send(peer, data)
 
     def close(self, server: int) -> None:
--- a/balancer/net/peers.py
+++ b/balancer/net/peers.py
@@ -1,4 +1,4 @@
-"""Messages between the nodes of a tier, one UDP datagram each."""
+"""Messages between peers, the nodes of one tier; each message is one UDP datagram."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     """Sends messages to the tier's nodes by index, and delivers those received from them.
 
     Args:
-        peers: The addresses of the nodes.
-        broadcast_address: The address that reaches all nodes, or None.
+        peers: The UDP addresses of the tier's nodes; a node's index is its position.
+        broadcast_address: The UDP address that reaches all nodes of the tier, or None if there is none.
         on_message: Called with a node's index and its message.
         log: Receives a line for each message that is dropped.
     """
@@ -38,11 +38,11 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport for sending."""
+        """Store the transport, through which messages are sent, when the UDP port is open."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def close(self) -> None:
-        """Release the port."""
+        """Release the UDP port, if it is open."""
         if self.transport is not None:
             self.transport.abort()
             self.transport = None
@@ -50,8 +50,8 @@
     def send(self, peer: int, data: bytes) -> None:
         """Send a message to one peer, or to all peers.
 
-        The message is dropped, with a line in the log, if it exceeds MAX_DATAGRAM_BYTES, has no address to go
-        to, or the port is closed.
+        The message is dropped, with a line in the log, if it exceeds MAX_DATAGRAM_BYTES, if its receiver
+        has no address, or if this node's UDP port is closed.
 
         Args:
             peer: The index of the peer, or -1 for all peers.
@@ -64,7 +64,10 @@
         self.transport.sendto(data, address)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Deliver a peer's message; a datagram from any other address, or one too large, is dropped."""
+        """Deliver a peer's message to `on_message`.
+
+        A datagram from an address that is no peer's, or one above MAX_DATAGRAM_BYTES, is dropped and logged.
+        """
         index = self.index_by_address.get((addr[0], addr[1]))
         if index is None or len(data) > MAX_DATAGRAM_BYTES:
             self.log.line("dropped a stray or oversized datagram")
--- a/balancer/net/upstream/body_streaming.py
+++ b/balancer/net/upstream/body_streaming.py
@@ -11,26 +11,29 @@
 
 
 class RequestBodySink(Protocol):
-    """The write side of a server connection, which receives the body of a request."""
+    """The side of a connection to a server that writes the body of a request to the server."""
 
     def write_body(self, data: bytes) -> None:
-        """Write a piece of the body."""
+        """Write a piece of the request's body to the server."""
 
     def end_body(self) -> None:
-        """Mark the end of the body."""
+        """Record that the request's body is complete; a chunked body then gets its last chunk."""
 
     def is_write_blocked(self) -> bool:
-        """Return whether the caller should stop writing until `RequestBodyStream.on_drained` is called."""
+        """Return whether the connection's write buffer is full.
+
+        The caller should then stop writing until `RequestBodyStream.on_drained` is called.
+        """
 
 
 class ResponseStream(Protocol):
-    """The client side of a streamed response."""
+    """The receiving side of a streamed response: the connection to the client that gets its body."""
 
     def write(self, data: bytes) -> None:
-        """Write a piece of the body."""
+        """Write a piece of the response's body to the client."""
 
     def end(self) -> None:
-        """Mark the end of the response."""
+        """End the response to the client, because the server has sent all of its body."""
 
     def abort(self) -> None:
         """Abort the response in a way that the client recognizes as incomplete."""
@@ -49,8 +52,8 @@
 class RequestBodyStream:
     """The body of a request, forwarded to a server as its pieces arrive from the client.
 
-    Everything received is buffered until the server accepts it; a request whose buffer has been
-    discarded can no longer be retried on another server.
+    All pieces are buffered until the server has accepted them, and the buffer is then discarded. From then on
+    the request can no longer be retried on another server.
 
     Args:
         length: The length in bytes; None for a chunked body, whose length is not known in advance.
@@ -63,7 +66,7 @@
         self.size = 0
         self.buffered: list[bytes] = []  # Every piece received, until the buffer is discarded.
         self.is_complete = False
-        self.has_discarded_data = False  # Once True, no other server can get the complete body.
+        self.has_discarded_data = False  # Whether the buffer was discarded, so a retry would lack its pieces.
         self.sink: RequestBodySink | None = None
 
     def feed(self, data: bytes) -> None:
@@ -75,13 +78,17 @@
             self.sink.write_body(data)
 
     def end(self) -> None:
-        """Mark the body as complete."""
+        """Record that the client has sent the whole body, and tell the attached server connection."""
         self.is_complete = True
         if self.sink is not None:
             self.sink.end_body()
 
     def is_blocked(self) -> bool:
-        """Return whether the client must wait before it sends more."""
+        """Return whether the client must wait before it sends more of the body.
+
+        It waits while no server is attached, while the buffer is kept for a retry, and while the connection
+        to the server cannot accept more.
+        """
         return self.sink is None or not self.has_discarded_data or self.sink.is_write_blocked()
 
     def attach(self, sink: RequestBodySink) -> None:
@@ -95,12 +102,15 @@
             self.on_drained()
 
     def on_drained(self) -> None:
-        """Discard the buffer and let the client send more, because the server can accept more."""
+        """Discard the buffered pieces, which the server has accepted, and let the client send more.
+
+        Nothing is discarded once the body is complete.
+        """
         if not self.is_complete:
             self.has_discarded_data = True
             self.buffered.clear()
             self.on_writable()
 
     def detach(self) -> None:
-        """Stop forwarding the body, because the attempt has ended."""
+        """Stop forwarding the body to the server, because the attempt on that server has ended."""
         self.sink = None
--- a/balancer/net/upstream/connection.py
+++ b/balancer/net/upstream/connection.py
@@ -34,8 +34,10 @@
         status: The HTTP status code.
         body: The complete body, or the first piece of a streamed one.
         content_type: The value of the Content-Type header.
-        rejected: Whether the server marked the request as rejected before doing any work.
-        report: The load report of the X-Load-Report header.
+        rejected: Whether the X-Rejected header says that the server rejected the request before doing any
+            work.
+        report: The value of the X-Load-Report header, with which the server states its load; empty if
+            missing.
         length: The value of the Content-Length header; None if the server sent none.
     """
 
@@ -48,7 +50,7 @@
 
 
 class ExchangeProtocol(Protocol):
-    """The interface of an exchange that its connection uses."""
+    """The part of an exchange's interface that its connection uses."""
 
     timeout: float
 
@@ -59,14 +61,14 @@
         """Record that the last byte of the request has been written."""
 
     def open_stream(self, response: Response, connection: Connection) -> ResponseStream | None:
-        """Return the stream for a long response; None if there is nothing to stream it to."""
+        """Return the stream that passes a long response on to the client; None if no client can accept it."""
 
     def finish(self, outcome: Outcome, response: Response | None) -> None:
         """End the exchange with this outcome."""
 
 
 class PoolProtocol(Protocol):
-    """The interface of the connection pool that its connections use."""
+    """The part of the connection pool's interface that a connection uses."""
 
     loop: asyncio.AbstractEventLoop
     memory_budget: MemoryBudget
@@ -75,7 +77,7 @@
         """Return an idle connection to the pool for reuse."""
 
     def on_connection_lost(self, connection: Connection) -> None:
-        """Remove a closed connection from the pool's accounting."""
+        """Remove a closed connection from the descriptor budget and from the idle connections."""
 
 
 class Endpoint:
@@ -84,7 +86,7 @@
     Args:
         host: The IP address or host name of the server.
         port: The TCP port.
-        started_us: The start of the server's process, in microseconds of Unix time; 0 for long ago.
+        started_us: The start of the server's process, in microseconds of Unix time; 0 if it started long ago.
     """
 
     __slots__ = ("active_exchanges", "host", "idle", "port", "ready", "started_us")
@@ -113,8 +115,8 @@
     """A connection to a server, which carries one exchange at a time.
 
     Args:
-        pool: The pool that the connection is returned to.
-        endpoint: The server.
+        pool: The pool that gets the connection back after each exchange.
+        endpoint: The server that the connection leads to.
     """
 
     def __init__(self, pool: PoolProtocol, endpoint: Endpoint) -> None:
@@ -128,7 +130,7 @@
         self.streamed_bytes = 0
         self.reading_paused = False  # True while the client cannot accept more data.
         self.last_progress_at = 0.0
-        self.non_body_bytes = 0  # Consecutive bytes received outside the body.
+        self.non_body_bytes = 0  # Consecutive bytes received outside the response's body.
         self.is_counted = False  # Whether the connection is counted in the descriptor budget.
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
 
@@ -143,7 +145,11 @@
         self.write_pending = True
 
     def resume_writing(self) -> None:
-        """Request more of the body, or report that the whole request has been sent."""
+        """Record that the kernel has taken all written data.
+
+        If the request's streamed body is incomplete, the client may send more of it; otherwise the whole
+        request has been sent, which is reported to the exchange.
+        """
         self.write_pending = False
         if self.has_unsent_data() and self.upload is not None:
             if self.exchange is not None:
@@ -153,7 +159,7 @@
             self.on_request_sent()
 
     def has_unsent_data(self) -> bool:
-        """Return whether part of the request has not been handed to the kernel."""
+        """Return whether the kernel has not yet received the whole request, its streamed body included."""
         return self.write_pending or (self.upload is not None and not self.upload.is_complete)
 
     def on_request_sent(self) -> None:
@@ -174,7 +180,7 @@
                 self.exchange.set_timeout(self.exchange.timeout)
 
     def end_body(self) -> None:
-        """Mark the end of the request's body, with the last chunk if it is chunked."""
+        """End the request's body, with an empty last chunk if the body is chunked."""
         if self.transport.is_closing():
             return
         assert self.upload is not None
@@ -184,13 +190,20 @@
             self.on_request_sent()
 
     def is_write_blocked(self) -> bool:
-        """Return whether the write buffer is full, so that the body must wait."""
+        """Return whether the write buffer is full, so that the request's body must wait."""
         return self.transport.get_write_buffer_size() >= self.pool.memory_budget.chunk_bytes
 
     # ---- The exchange -----------------------------------------------------------------------------------
 
     def send_request(self, exchange: ExchangeProtocol, data: bytes, upload: RequestBodyStream | None) -> None:
-        """Write a request, followed by what has arrived of its streamed body, if it has one."""
+        """Write a request to the server.
+
+        Args:
+            exchange: The exchange that the request belongs to, which is told its outcome.
+            data: The bytes of the request, without a streamed body.
+            upload: The streamed body, of which the pieces that have arrived are written at once; None if the
+                request has no streamed body.
+        """
         self.exchange = exchange
         self.upload = upload
         self.parser = httptools.HttpResponseParser(self)
@@ -213,7 +226,7 @@
             self.on_request_sent()
 
     def reset_head(self) -> None:
-        """Clear the parsed head before the first response and after an interim one."""
+        """Clear the parsed head: before each request and at the start of each response to it."""
         self.content_type = b""
         self.rejected = False
         self.report = b""
@@ -245,7 +258,7 @@
         self.finish_if_complete()
 
     def eof_received(self) -> None:
-        """Complete a response without a stated length, which ends with its connection."""
+        """Complete a response that states no length: the end of the connection is its end."""
         if (
             self.exchange is not None
             and self.head_complete
@@ -257,7 +270,10 @@
             self.finish_if_complete()
 
     def finish_if_complete(self) -> None:
-        """End the exchange if the response is complete or invalid; start to stream a long response."""
+        """End the exchange if the response is complete or invalid.
+
+        If neither is true and the response is too long to buffer, start to stream it.
+        """
         if self.exchange is None:
             return
         if self.has_protocol_error and not self.complete:
@@ -274,13 +290,16 @@
             self.open_stream()
 
     def make_response(self) -> Response:
-        """Return the response with what has been received of its body."""
+        """Return the parsed response, with the part of its body that has been received and not streamed."""
         return Response(
             self.status, self.body, self.content_type, self.rejected, self.report, length=self.length
         )
 
     def is_buffered(self) -> bool:
-        """Return whether the response is buffered rather than streamed."""
+        """Return whether the response can be buffered; otherwise it is streamed.
+
+        It can if it is short enough and the memory budget for buffers is not used up.
+        """
         size = max(len(self.body), self.length or 0)
         return size <= MAX_BUFFERED_BYTES and self.pool.memory_budget.can_reserve(0)
 
@@ -321,7 +340,7 @@
             self.transport.resume_reading()
 
     def on_message_begin(self) -> None:
-        """Prepare for a response; one that follows a complete response is a protocol error."""
+        """Prepare for a response; one that follows the complete response is a protocol error."""
         self.has_protocol_error = self.complete
         self.reset_head()
 
@@ -346,7 +365,10 @@
         self.head_complete = self.parser.get_status_code() >= 200
 
     def on_body(self, body: bytes) -> None:
-        """Buffer or stream a piece of the body."""
+        """Stream a piece of the response's body if its stream is open, and buffer the piece otherwise.
+
+        A streamed body longer than `MAX_BODY_BYTES` is a protocol error.
+        """
         self.non_body_bytes = 0
         if self.has_protocol_error:
             return
@@ -361,12 +383,12 @@
             self.pool.memory_budget.reserve(len(body))
 
     def on_message_complete(self) -> None:
-        """Record the end of the response; interim and surplus responses are ignored."""
+        """Record the end of the response; ignore interim ones and any that follow the complete response."""
         status = self.parser.get_status_code()
         if self.complete or status < 200:
             return
         self.status = status
-        # The parser resets this state once the callback returns.
+        # Read now, because the parser forgets whether to keep the connection once this callback returns.
         self.keep_alive = self.parser.should_keep_alive()
         self.complete = True
 
@@ -389,7 +411,8 @@
     def fail_exchange(self) -> None:
         """End the exchange because its connection is lost.
 
-        A server that lacks part of the request cannot have run it, so that attempt may be repeated safely.
+        A server that lacks part of the request cannot have run it. The outcome is then a failed connect, and
+        the request may be repeated safely.
         """
         if self.exchange is not None:
             if self.has_unsent_data() and self.stream is None:
@@ -398,7 +421,7 @@
                 self.fail_incomplete()
 
     def fail_incomplete(self) -> None:
-        """End the exchange without a complete response and abort its stream."""
+        """End the exchange as reset, as its response is incomplete, and abort the stream of it, if any."""
         if self.stream is not None:
             self.stream.abort()
         self.finish(Outcome.RESET, None, reuse=False)
@@ -409,10 +432,10 @@
         self.fail_exchange()
 
     def has_unread_data(self) -> bool:
-        """Return whether the end of the connection, or unexpected data, is waiting in the socket.
+        """Return whether the end of this idle connection, or unexpected data, is waiting in the socket.
 
-        The server may have closed an idle connection before the event loop has noticed. A request that is
-        not idempotent and is written to it then counts as possibly run and cannot be retried.
+        The server may have closed the connection without the event loop having noticed yet. A request written
+        to such a connection counts as possibly run, so it cannot be retried if it is not idempotent.
         """
         return has_event(self.transport, READABLE)
 
@@ -422,9 +445,10 @@
 
 
 def classify_response(response: Response) -> Outcome:
-    """Return the outcome of an attempt with this response.
+    """Return the outcome of an attempt that got this response.
 
-    A 503 or 504 without the X-Rejected mark may come from a tier behind the server, so it is an error.
+    A 503 or 504 response counts as rejected only with the header `X-Rejected: 1`. Without that header it may
+    come from a tier behind the server, so it is an error.
     """
     if response.status == 200:
         return Outcome.OK
--- a/balancer/net/upstream/exchange.py
+++ b/balancer/net/upstream/exchange.py
@@ -1,6 +1,7 @@
 """HTTP exchanges with servers, each for one attempt or health check on one connection.
 
-An exchange never repeats its request by itself, and it ends exactly once.
+An exchange never repeats its request by itself, and it ends exactly once. A health check is a request with
+which the node itself asks a server for its state.
 """
 
 from __future__ import annotations
@@ -30,12 +31,12 @@
 
     Args:
         pool: The pool of connections to servers.
-        endpoint: The server.
+        endpoint: The server that the request is sent to.
         compose: Returns the bytes of the request just before they are written, or None if the request
             must not be written any more.
         on_done: Called with the outcome, and with the response unless it was streamed.
-        on_sent: Called when the last byte has been written, `upload` included.
-        on_stream: Called with a long response; returns the stream that accepts it, or None.
+        on_sent: Called when the last byte of the request, including the body `upload`, has been written.
+        on_stream: Called with a long response; returns the stream that accepts it, or None if no client can.
         upload: The body of the request if it is streamed.
     """
 
@@ -60,7 +61,7 @@
         self.connection: Connection | None = None
         self.connect_task: asyncio.Task[None] | None = None
         self.connect_duration_s = 0.0
-        self.lacks_resources = False  # Whether the last connect failed for lack of local resources.
+        self.lacks_resources = False  # Whether the last connect failed because this machine lacked resources.
         self.timer: asyncio.TimerHandle | None = None
         endpoint.active_exchanges += 1
 
@@ -80,17 +81,18 @@
             self.finish(Outcome.CONNECT_FAILED, None)
 
     def open_connection(self) -> None:
-        """Start to open a connection, which is counted in the budget at once.
+        """Start to open a connection, and count it in the descriptor budget at once.
 
-        If it were counted only when its task runs, all exchanges that start in one iteration of the event
-        loop would find the same last descriptor free.
+        If the connection were counted only when the task that opens it runs, all exchanges that start in one
+        iteration of the event loop would find the same last descriptor free.
         """
         connection = Connection(self.pool, self.endpoint)
         self.pool.on_connection_opened(connection)
         self.connect_task = self.pool.loop.create_task(self.connect(connection))
 
         def on_connect_ended(task: asyncio.Task[None]) -> None:
-            if task.cancelled() and connection.transport is None:  # It may not have run at all.
+            # A task that was cancelled before it began has not removed the connection from the budget.
+            if task.cancelled() and connection.transport is None:
                 self.pool.on_connection_lost(connection)
 
         self.connect_task.add_done_callback(on_connect_ended)
@@ -103,7 +105,8 @@
             async with asyncio.timeout(pool.connect_timeout):
                 await self.connect_with_retries(connection)
         except (OSError, TimeoutError, asyncio.CancelledError) as e:
-            # The connection may have been established in the loop iteration of the timeout.
+            # The connection may have been established in the very loop iteration in which the timeout
+            # expired.
             pool.on_connection_lost(connection)
             if connection.transport is not None:
                 connection.close()
@@ -136,11 +139,18 @@
             await asyncio.sleep(RETRY_INTERVAL)
 
     def connect_failure_outcome(self) -> Outcome:
-        """Return the outcome without a connection; a local shortage does not count against the server."""
+        """Return the outcome of an exchange that got no connection.
+
+        After a shortage of this machine's resources it is `NOT_SENT`, which does not count against the
+        server; otherwise it is `CONNECT_FAILED`.
+        """
         return Outcome.NOT_SENT if self.lacks_resources else Outcome.CONNECT_FAILED
 
     def send(self, connection: Connection) -> None:
-        """Write the request, unless it must no longer be sent by the time the connection is open."""
+        """Write the request on the open connection, unless it must not be sent any more.
+
+        That is so if the exchange has ended, the server is no longer ready, or `compose` returns None.
+        """
         data = None if self.ended or not self.endpoint.ready else self.compose()
         if data is None:
             if self.endpoint.ready:
@@ -163,15 +173,15 @@
         )
 
     def on_request_sent(self) -> None:
-        """Start the timeout for the response to an upload, and notify `on_sent`."""
+        """Call `on_sent`; after a streamed body, also start the timeout for the response."""
         if self.upload is not None:
             self.set_timeout(self.timeout)
         self.on_sent()
 
     def open_stream(self, response: Response, connection: Connection) -> ResponseStream | None:
-        """Return the stream for a long response, or None if there is none.
+        """Return the stream that passes a long response on to the client; None if no client can accept it.
 
-        A streamed exchange has no total timeout; it may last as long as data is moving.
+        An exchange with a streamed response has no total timeout; it may last as long as data is moving.
         """
         stream = self.on_stream(response, connection) if self.on_stream is not None else None
         if stream is not None:
@@ -180,7 +190,10 @@
         return stream
 
     def check_progress(self, connection: Connection) -> None:
-        """Abort a streamed response that has made no progress before its stall timeout."""
+        """Abort a streamed response if no data has moved for the stall timeout; otherwise check again later.
+
+        The client's timeout applies while the client accepts no data, and the server's timeout otherwise.
+        """
         timeout = CLIENT_STALL_TIMEOUT_S if connection.reading_paused else SERVER_STALL_TIMEOUT_S
         remaining = connection.last_progress_at + timeout - self.pool.loop.time()
         if remaining <= 0 and connection.exchange is self:
@@ -191,7 +204,7 @@
     def on_timeout(self) -> None:
         """Abort the exchange at its timeout.
 
-        A server that lacks part of the request cannot have run it, so that case is a connect failure.
+        A server that lacks part of the request cannot have run it, so the outcome is then a failed connect.
         """
         if self.connection is None:
             self.abort(self.connect_failure_outcome())
@@ -199,7 +212,7 @@
             self.abort(Outcome.CONNECT_FAILED if self.connection.has_unsent_data() else Outcome.TIMEOUT)
 
     def abort(self, outcome: Outcome) -> None:
-        """End the exchange and close its connection.
+        """End the exchange with this outcome and close its connection, which cannot be reused.
 
         A late response on a reused connection would be taken for the response to another request.
         """
@@ -216,7 +229,7 @@
         self.finish(outcome, None)
 
     def finish(self, outcome: Outcome, response: Response | None) -> None:
-        """End the exchange, unless it has ended, and report the outcome."""
+        """End the exchange, unless it has ended already, and report the outcome to `on_done`."""
         if self.ended:
             return
         self.ended = True
--- a/balancer/net/upstream/load_report.py
+++ b/balancer/net/upstream/load_report.py
@@ -1,4 +1,7 @@
-"""Parsing of the load reports that servers send with their responses."""
+"""Parsing of load reports, in which servers state measures of their load.
+
+They come in a header of a response, or as the response to a health check.
+"""
 
 from __future__ import annotations
 
--- a/balancer/net/upstream/pool.py
+++ b/balancer/net/upstream/pool.py
@@ -11,7 +11,8 @@
 
 # Idle connections are closed this long before the server would close them.
 IDLE_CLOSE_MARGIN_S = 0.3
-# Connections idle for this long are preferred: a duplicate response may still arrive on others.
+# Connections idle for at least this long are reused first: on a connection that was used more recently, a
+# duplicate of the last response may still arrive.
 MIN_IDLE_BEFORE_REUSE_S = 0.02
 # A connection idle for this long may be closed in favor of a client that is sending a request.
 UNUSED_CONNECTION_AGE_S = 1.0
@@ -25,7 +26,7 @@
         loop: The event loop.
         descriptor_budget: The limit on the number of open connections.
         connect_timeout: The time limit for opening a connection, in seconds.
-        idle_timeout_s: The time after which servers close an idle connection.
+        idle_timeout_s: The time after which servers close an idle connection, in seconds.
         memory_budget: The limit on the buffered bytes of responses.
     """
 
@@ -39,7 +40,7 @@
     ) -> None:
         self.loop = loop
         self.descriptor_budget = descriptor_budget
-        # Closes a client connection that has no request in flight; returns whether there was one.
+        # Closes a client's connection that has no request in flight; returns whether one was closed.
         self.evict_client: Callable[[], bool] = lambda: False
         self.memory_budget = memory_budget
         self.connect_timeout = connect_timeout
@@ -49,7 +50,7 @@
         self.sweep_scheduled = False
 
     def acquire(self, endpoint: Endpoint) -> Connection | None:
-        """Return a usable idle connection, or None if there is none.
+        """Return a usable idle connection to this server, or None if there is none.
 
         The most recently used connection that has been idle for `MIN_IDLE_BEFORE_REUSE_S` is preferred, then
         the one that has been idle longest. If a server sends a duplicate response some milliseconds late, a
@@ -67,7 +68,7 @@
         return None
 
     def release(self, connection: Connection) -> None:
-        """Add a connection to the idle connections of its endpoint."""
+        """Keep a connection whose exchange has ended, for reuse by later exchanges with the same server."""
         connection.idle_since = self.loop.time()
         connection.endpoint.idle.append(connection)
         if not self.sweep_scheduled:
@@ -75,7 +76,7 @@
             self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def sweep(self) -> None:
-        """Close connections that the server would soon close as idle."""
+        """Close connections that the server would soon close as idle; repeat while some are idle."""
         now = self.loop.time()
         self.sweep_scheduled = False
         for endpoint in self.endpoints.values():
@@ -88,12 +89,15 @@
             self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def shrink(self) -> None:
-        """Close idle connections in excess of a budget that has been reduced."""
+        """Close as many idle connections as exceed the descriptor budget, after it has been reduced."""
         for _ in range(self.descriptor_budget.servers - self.descriptor_budget.max_servers()):
             self.close_oldest_idle()
 
     def has_capacity(self) -> bool:
-        """Return whether one more connection fits the budget, after closing an idle one if necessary."""
+        """Return whether one more connection to a server fits the descriptor budget.
+
+        If necessary, an idle connection is closed to make it fit.
+        """
         if self.descriptor_budget.servers >= self.descriptor_budget.max_servers():
             return self.close_oldest_idle()
         return not self.descriptor_budget.is_exhausted() or self.evict_client() or self.close_oldest_idle()
@@ -120,13 +124,16 @@
         return bool(candidates)
 
     def on_connection_opened(self, connection: Connection) -> None:
-        """Count a connection in the budget as soon as it is being opened."""
+        """Count a connection that is being opened in the descriptor budget."""
         connection.is_counted = True
         self.descriptor_budget.add_server()
         self.opened_count += 1
 
     def on_connection_lost(self, connection: Connection) -> None:
-        """Remove a connection from the budget, once, and from the idle connections."""
+        """Remove a closed connection from the idle connections and the descriptor budget.
+
+        A second call for the same connection does not reduce the budget's count again.
+        """
         if connection.is_counted:
             connection.is_counted = False
             self.descriptor_budget.remove_server()
