--- a/balancer/fleet/health_checks/decisions.py
+++ b/balancer/fleet/health_checks/decisions.py
@@ -52,7 +52,7 @@
         Args:
             name: Name of this process.
             zone: Zone of this process.
-            settings: Durations and limits.
+            settings: Durations and limits of health checks.
             lease_client: Acquires the leases of servers.
             alive_members: Returns the names of the other members that are alive.
             on_probe_result: Called with the results of other nodes' probes: the server, and whether it has
@@ -80,7 +80,7 @@
     def lease_name(self, server: int) -> str:
         """Return the lease name of a server.
 
-        It contains a digest of the zone's name, which may be too long to be part of a lease's name.
+        The lease name contains a digest of the zone's name instead of the zone's name, which may be too long.
         """
         return f"{PROBE_LEASE_PREFIX}{self.zone_digest}.{server:x}"
 
@@ -101,7 +101,8 @@
     def may_probe(self, now: int, server: int) -> bool:
         """Return whether this node may probe a server.
 
-        It may if it holds the lease, or if it has not known of a lease holder for the holder timeout.
+        The node may probe if it holds the server's lease, if the server is not ejected on this node, or if it
+        has not known of a lease holder for the holder timeout.
         """
         state = self.ejected.get(server)
         if state is None or self.token(now, server) is not None:
@@ -197,7 +198,10 @@
     def update_ejected(
         self, now: int, server: int, state: EjectedServer, announcements: Announcements
     ) -> list[OutgoingLeaseMessage]:
-        """Acquire the lease if no lease holder is known, and announce probes while holding it."""
+        """Acquire an ejected server's lease if no holder is known; announce probes while holding the lease.
+
+        The lease is released if this node has had no requests to probe the server with for too long.
+        """
         token = self.token(now, server)
         if token is None:
             return self.update_unleased(now, server, state)
--- a/balancer/fleet/health_checks/messages.py
+++ b/balancer/fleet/health_checks/messages.py
@@ -18,7 +18,7 @@
 
 
 class HealthCheckKind(IntEnum):
-    """Kinds of health check messages. Their numbers are unique among all components."""
+    """Kinds of health check messages, with numbers that no other component of the fleet uses."""
 
     TRYING = 48  # The sender probes these servers.
     FAILED = 49  # The sender's last probes of these servers failed.
@@ -27,11 +27,14 @@
 
 @dataclass(frozen=True)
 class ProbeAnnouncement:
-    """Announcement of the holder of a server's lease about its probes.
+    """A lease holder's announcement that it probes an ejected server.
+
+    The lease of a server allows one node of a zone to probe the server.
 
     Attributes:
         server: Number of the server, which is the same on every node.
-        token: Token of the lease; receivers ignore lower tokens than the highest received.
+        token: Token of the lease, a number that is higher for each new holder; receivers ignore announcements
+            with a lower token than the highest received.
         wait: Microseconds until the next probe is due.
     """
 
@@ -42,7 +45,7 @@
 
 @dataclass(frozen=True)
 class HealthCheckMessage:
-    """Announcements of one kind. Each has its own token, since each server has its own lease."""
+    """Announcements of one kind, each with its own token, since each server has its own lease."""
 
     kind: HealthCheckKind
     sender: str
@@ -67,7 +70,7 @@
         return message.zone, [(probe.server, probe.token, probe.wait) for probe in message.probes]
 
     def shorten(self, message: HealthCheckMessage) -> HealthCheckMessage | None:
-        """Return the message without its last probe, or None if it has no probes."""
+        """Return the message without its last announcement, or None if it contains no announcements."""
         return replace(message, probes=message.probes[:-1]) if message.probes else None
 
     def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> HealthCheckMessage:
--- a/balancer/fleet/health_checks/settings.py
+++ b/balancer/fleet/health_checks/settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-LEASE_TAKEOVER_US = 2_000_000  # Time in which another node acquires an expired lease.
+LEASE_TAKEOVER_US = 2_000_000  # Time for another node to acquire an expired lease.
 
 
 @dataclass(frozen=True)
@@ -19,7 +19,8 @@
         announcement_slack: Time for which an announcement remains valid after the announced probe is due.
         idle_timeout: Time by which the probe of a lease holder has to be overdue for the holder to release
             the lease, because it has no requests to probe with.
-        idle_pause: Time for which such a node does not acquire the lease again.
+        idle_pause: Time for which a node that has released a lease because of `idle_timeout` does not acquire
+            it again.
         readmission_spread: Period over which the nodes of a zone readmit a recovered server, so that they do
             not all send requests to it at once.
         success_announcements: Number of times that a recovery is announced, since datagrams may be lost.
--- a/balancer/fleet/leases/ceiling.py
+++ b/balancer/fleet/leases/ceiling.py
@@ -1,4 +1,8 @@
-"""The range of tokens that a voter may grant before it has to write to its vote store again."""
+"""The range of tokens that a voter may grant before it has to write to its vote store again.
+
+The ceiling is the highest token that the voter may grant without another disk write; the vote store keeps it
+on disk for the voter's next incarnation.
+"""
 
 from __future__ import annotations
 
@@ -7,16 +11,17 @@
 
 
 class CeilingUnavailableError(Exception):
-    """Raised when the ceiling cannot be raised at present because the disk fails."""
+    """Raised when a voter's ceiling cannot be raised at present because the vote store's disk fails."""
 
 
 @dataclass(frozen=True)
 class TokenRange:
-    """Tokens that a voter may grant without another disk write: above `floor`, up to and with `ceiling`."""
+    """Tokens above `floor`, up to and including `ceiling`: those to grant without another disk write."""
 
     floor: int
     ceiling: int
 
 
-# Takes a token beyond the ceiling and returns the next range, or raises CeilingUnavailableError.
+# Takes a token above the ceiling, stores a higher ceiling and returns the range of tokens that may be granted
+# then; raises CeilingUnavailableError if the disk fails.
 RaiseCeiling = Callable[[int], TokenRange]
--- a/balancer/fleet/leases/client.py
+++ b/balancer/fleet/leases/client.py
@@ -2,13 +2,15 @@
 
 A client requests a lease from one voter first, and from the others once that voter has granted it. As long
 as the first voter answers, it is the same for all clients of a lease, so that of two simultaneous requests
-one is denied at once, rather than each being granted by some of the voters. Safety depends on the majority
-alone. The duration of a lease is counted from the client's request, not from the answer: a voter counts from
-the arrival of the request, so its grant ends later. `voter.py` names the sources.
+one is denied at once, rather than each being granted by some of the voters. That a lease has at most one
+holder depends on the majority alone, not on this order. The duration of a lease is counted from the client's
+request, not from the answer: a voter counts from the arrival of the request, so its grant ends later.
+`voter.py` names the sources.
 
 All times are microseconds of this process's monotonic clock. `unix_clock` returns milliseconds of Unix time,
-read at the process's start and advanced by the monotonic clock; tokens are taken from it so that they rise
-even after all voters have lost their state.
+read at the process's start and advanced by the monotonic clock. The token of a lease, a number that is higher
+for each new holder, is taken from `unix_clock` so that tokens rise even after all voters have lost their
+state.
 """
 
 from __future__ import annotations
@@ -24,7 +26,9 @@
 from balancer.fleet.leases.request import LeaseRequest, RequestStage
 from balancer.fleet.leases.settings import Electorate, LeaseSettings, held_duration
 
-INITIAL_SEQ_BITS = 24  # Size of the random number from which the sequence numbers of rounds start.
+# Size of the random number from which the sequence numbers of rounds start; in a round, a client requests a
+# lease from the voters.
+INITIAL_SEQ_BITS = 24
 MAX_BACKOFF_DOUBLINGS = 8
 RENEWALS_PER_LEASE = 3  # A lease is renewed after a third of its duration.
 RENEWAL_RETRIES_PER_LEASE = 6  # An unanswered renewal is repeated after a sixth of the duration.
@@ -38,9 +42,10 @@
         incarnation: Incarnation of this process.
         electorates: Lists of voters; while the voters are being changed, the old and the new list. A
             majority of each list must grant a lease.
-        settings: Times and limits.
+        settings: Times and limits of leases.
         rng: Random numbers for jitter and backoff.
-        unix_clock: Returns milliseconds of Unix time, as described above.
+        unix_clock: Returns milliseconds of Unix time that the monotonic clock advances; tokens are taken from
+            it.
         notify: Called for each lease that is acquired, released or lost.
 
     Raises:
@@ -62,7 +67,7 @@
         self.name = name
         self.incarnation = incarnation
         self.electorates = list(electorates)
-        # The voters are sorted so that all clients index them alike.
+        # The voters are sorted so that one index selects the same voter on all clients.
         self.voters = sorted({v for e in electorates for v in e.voters})
         self.settings = settings
         self.rng = rng
@@ -97,7 +102,7 @@
         )
 
     def release(self, now: int, lease: str) -> list[OutgoingLeaseMessage]:
-        """Release a lease or stop requesting it; this process does not hold it any longer."""
+        """Release a lease that this process holds, or stop requesting one that it does not hold yet."""
         request = self.abandon(lease)
         if request is None:
             return []
@@ -106,7 +111,7 @@
         return self.release_messages(request) if request.stage != RequestStage.WAITING else []
 
     def abandon(self, lease: str) -> LeaseRequest | None:
-        """Stop requesting and renewing a lease, and let its grants expire.
+        """Stop requesting and renewing a lease, and let the voters' grants of it expire.
 
         Returns:
             The abandoned request, or None if the lease was not requested.
@@ -123,8 +128,8 @@
     def held_token(self, now: int, lease: str) -> int | None:
         """Return the token of a lease if this process holds it now, otherwise None.
 
-        Callers read the token immediately before each action and send it along. Since the process may pause
-        between the check and the action, the receiver has to reject old tokens.
+        Callers read the token immediately before each action that needs the lease and send the token along.
+        Since the process may pause between the check and the action, the receiver has to reject old tokens.
         """
         request = self.requests.get(lease)
         if request is None or request.stage != RequestStage.HELD or now >= request.expires_at:
@@ -158,7 +163,7 @@
         return self.renew(now, request)
 
     def expire(self, now: int, request: LeaseRequest) -> None:
-        """Handle the expiry of a lease that no majority has renewed."""
+        """Report a lease that no majority has renewed as lost, and request it again after a short delay."""
         self.notify(LeaseEvent(LeaseEventKind.LOST, request.lease, request.token))
         request.stage = RequestStage.WAITING
         request.observe_token(request.token)
@@ -167,12 +172,12 @@
     # ---- Rounds of requests -----------------------------------------------------------------------------
 
     def begin_round(self, now: int, request: LeaseRequest) -> None:
-        """Start a round with a new sequence number."""
+        """Start a round of requests for a lease, with a new sequence number."""
         self.seq += 1
         request.begin_round(now, self.seq)
 
     def next_token(self, request: LeaseRequest) -> int:
-        """Return a token above all known tokens and above those that voters may have forgotten.
+        """Return a token for a request, above all known tokens and those that voters may have forgotten.
 
         Unix time normally exceeds the tokens that were granted before the voters lost their state.
         """
@@ -187,7 +192,7 @@
         return self.request_messages(request, [self.voters[request.first_voter % len(self.voters)]])
 
     def request_from_next(self, now: int, request: LeaseRequest) -> list[OutgoingLeaseMessage]:
-        """Ask the next voter, since the previous one is silent or cannot vote; fail after all were asked."""
+        """Ask the next voter, since the last one is silent or cannot vote; fail once all were asked."""
         request.first_voter += 1
         tried_all = (request.first_voter - first_voter_index(request.lease)) % len(self.voters) == 0
         if tried_all:
@@ -201,13 +206,13 @@
         return self.request_messages(request, [v for v in self.voters if v not in request.granted_by])
 
     def renew(self, now: int, request: LeaseRequest) -> list[OutgoingLeaseMessage]:
-        """Request the same token in a new round; failed renewals are repeated until the lease expires."""
+        """Request a held lease again under its token; repeat a failed renewal until the lease expires."""
         self.begin_round(now, request)
         request.due_at = now + request.duration // RENEWAL_RETRIES_PER_LEASE
         return self.request_messages(request, self.voters)
 
     def request_messages(self, request: LeaseRequest, voters: Iterable[str]) -> list[OutgoingLeaseMessage]:
-        """Return a request to each voter for each electorate that contains the voter."""
+        """Return a request to each voter for each electorate, or list of voters, that contains the voter."""
         return [
             AddressedMessage(voter, self.request_message(request, electorate))
             for voter in voters
@@ -229,7 +234,7 @@
         )
 
     def fail_round(self, now: int, request: LeaseRequest) -> list[OutgoingLeaseMessage]:
-        """End a failed round: release its grants, and schedule the next round after the backoff."""
+        """End a round without a majority: release its grants, and schedule the next one after the backoff."""
         outgoing = self.release_messages(request)
         request.stage = RequestStage.WAITING
         request.first_voter = first_voter_index(request.lease)
@@ -242,7 +247,7 @@
         return outgoing
 
     def release_messages(self, request: LeaseRequest) -> list[OutgoingLeaseMessage]:
-        """Return a release message to each voter."""
+        """Return messages that tell each voter that this process no longer holds or requests a lease."""
         message = LeaseMessage(
             LeaseKind.RELEASE,
             self.name,
@@ -291,7 +296,10 @@
         return []
 
     def is_granted(self, request: LeaseRequest) -> bool:
-        """Return whether a majority of each complete electorate has granted the current round."""
+        """Return whether a majority of each electorate has granted the lease in the current round.
+
+        Voters that are down count as members of their electorate.
+        """
         return all(electorate.has_majority(request.granted_by) for electorate in self.electorates)
 
     def lease_start(self, request: LeaseRequest, now: int) -> int:
@@ -299,7 +307,7 @@
         return request.requested_at
 
     def hold_if_granted(self, now: int, request: LeaseRequest) -> None:
-        """Hold or extend the lease if a majority has granted it before it would expire."""
+        """Hold or extend the lease if a majority has granted it and the granted time has not yet passed."""
         expires_at = self.lease_start(request, now) + held_duration(request.duration)
         if not self.is_granted(request) or expires_at <= now:
             return
@@ -326,7 +334,12 @@
     def on_first_denial(
         self, now: int, request: LeaseRequest, message: LeaseMessage
     ) -> list[OutgoingLeaseMessage]:
-        """Handle a denial by the first voter: ask the next one if it cannot vote, otherwise wait."""
+        """Handle a denial by the first voter.
+
+        If that voter cannot vote because it abstains or is not in the electorate, the next voter is asked. If
+        another process holds the lease, it is requested again after the time that the denial states, and
+        otherwise after the backoff.
+        """
         if message.reason in (DenialReason.ABSTAINS, DenialReason.ELECTORATE):
             return self.request_from_next(now, request)
         request.stage = RequestStage.WAITING
@@ -338,7 +351,7 @@
         return []
 
     def can_be_granted(self, request: LeaseRequest) -> bool:
-        """Return whether the voters that have not denied the round are still a majority."""
+        """Return whether the voters that have not denied the lease in this round are still a majority."""
         denied_by = request.denied_by - request.granted_by
         return all(e.has_majority(set(e.voters) - denied_by) for e in self.electorates)
 
--- a/balancer/fleet/leases/component.py
+++ b/balancer/fleet/leases/component.py
@@ -34,7 +34,7 @@
         return self.service.client
 
     def abstains(self, now: int) -> bool:
-        """Return whether this process is a voter that still abstains after its start."""
+        """Return whether this process is a voter that grants no leases yet after its start."""
         voter = self.service.voter
         return voter is not None and bool(voter.electorates) and voter.abstains(now)
 
@@ -51,7 +51,7 @@
         return answer.to_json(), outgoing
 
     def open(self) -> None:
-        """Start a new incarnation."""
+        """Start the voter and the lease client of a new incarnation of this process."""
         runtime = self.runtime
         now = runtime.now()
         self.unix_offset_us = runtime.wall() - now
--- a/balancer/fleet/leases/events.py
+++ b/balancer/fleet/leases/events.py
@@ -17,7 +17,10 @@
 
 @dataclass(frozen=True)
 class LeaseEvent:
-    """A lease that was acquired, released or lost, with its token."""
+    """A lease that was acquired, released or lost, with its token.
+
+    The token is a number that is higher for each new holder of the lease.
+    """
 
     kind: LeaseEventKind
     lease: str
--- a/balancer/fleet/leases/external.py
+++ b/balancer/fleet/leases/external.py
@@ -38,10 +38,11 @@
 
 @dataclass(frozen=True)
 class ExternalLeaseAnswer:
-    """The answer to an external lease holder.
+    """The answer to an external lease holder, a script that requests a lease through this process.
 
     Attributes:
-        token: Token of the lease; None if the script does not hold it.
+        token: Token of the lease, a number that is higher for each new holder; None if the script does not
+            hold it.
         remaining_us: Time for which the script may rely on the lease, counted from its request.
         reason: Why the script does not hold the lease; empty after a release.
     """
@@ -98,7 +99,7 @@
         return ExternalResult(ExternalLeaseAnswer(token, holder.reported_expires_at - now), outgoing)
 
     def release(self, now: int, lease: str, holder_id: str) -> ExternalResult:
-        """Release a script's lease; an unknown lease or another holder's lease is left as it is."""
+        """Release a script's lease; do nothing if the lease is unknown or another script has requested it."""
         holder = self.holders.get(lease)
         if holder is None or holder.holder_id != holder_id:
             return ExternalResult(ExternalLeaseAnswer(), [])
--- a/balancer/fleet/leases/granted_lease.py
+++ b/balancer/fleet/leases/granted_lease.py
@@ -28,14 +28,14 @@
     """One lease as a voter tracks it.
 
     Attributes:
-        token: Highest token that the voter has granted.
+        token: Highest token, a number that is higher for each new holder, that the voter has granted.
         released_token: Highest token that is never granted again because it was released.
         holder: Process to which the lease was granted last.
         expires_at: Time at which the last grant expires, on the voter's clock.
         waiters: Sequence numbers of the requests of denied clients, by client name; these clients are
             notified when the lease is released.
         denials: Number of denials since the lease was granted last.
-        early_releases: Tokens, by client, whose release arrived before their request.
+        early_releases: Tokens whose release arrived before the request for them, by client.
     """
 
     token: int
@@ -55,11 +55,11 @@
         """Grant the lease to a holder, or renew it."""
         self.token, self.holder, self.expires_at = token, holder, expires_at
         self.denials = 0
-        # Lower tokens can no longer be granted, so their releases need not be remembered.
+        # Lower tokens can no longer be granted, so early releases of them need not be remembered.
         self.early_releases = {h: released for h, released in self.early_releases.items() if released > token}
 
     def record_early_release(self, holder: Holder, token: int, max_kept: int) -> None:
-        """Remember a release that arrived before its request, and drop the oldest ones beyond `max_kept`."""
+        """Remember that a token was released before its request arrived; keep the last `max_kept` clients."""
         self.early_releases[holder] = max(token, self.early_releases.pop(holder, 0))
         if len(self.early_releases) > max_kept:
             del self.early_releases[next(iter(self.early_releases))]
--- a/balancer/fleet/leases/messages.py
+++ b/balancer/fleet/leases/messages.py
@@ -14,32 +14,32 @@
 
 
 class LeaseKind(IntEnum):
-    """Kinds of lease messages. Their numbers are unique among all components."""
+    """Kinds of lease messages, with numbers that no other component of the fleet uses for its messages."""
 
     REQUEST = 16  # To a voter: the sender requests this lease under this token.
-    GRANT = 17
-    DENY = 18
+    GRANT = 17  # To a client: the voter grants the lease.
+    DENY = 18  # To a client: the voter denies the lease, for a `DenialReason`.
     RELEASE = 19  # To a voter: the sender no longer holds the lease under this token.
     AVAILABLE = 20  # To a denied client: the lease has been released and may be requested again.
     RECALL = 21  # To a voter: a restarted voter asks for the highest token.
-    RECALL_ANSWER = 22
+    RECALL_ANSWER = 22  # To a restarted voter: the highest token that the sender knows.
 
 
 class DenialReason(IntEnum):
     """Why a voter denies a request."""
 
     NONE = 0
-    HELD = 1
+    HELD = 1  # Another process holds the lease.
     OLD = 2  # The token is not higher than one that was granted or released before.
-    ABSTAINS = 3
+    ABSTAINS = 3  # The voter has started recently, or cannot store the token on its disk.
     ELECTORATE = 4  # The voter is not a member of the request's electorate.
-    FULL = 5
+    FULL = 5  # The voter tracks as many leases as it can.
     LENGTH = 6  # The requested duration is longer than the voter grants.
 
 
 @dataclass(frozen=True)
 class LeaseMessage:
-    """A message of one kind; fields that a kind does not use are 0 or empty.
+    """A message between a lease client and a voter; fields that its kind does not use are 0 or empty.
 
     Attributes:
         kind: Kind of the message.
@@ -47,8 +47,9 @@
         incarnation: Incarnation of the sender, which distinguishes successive processes of one name.
         lease: Name of the lease.
         seq: Sequence number that matches an answer to its request.
-        token: Token of the lease; in a denial, the highest token that the voter knows.
-        electorate: Digest of the electorate in which the request is made.
+        token: Token of the lease, a number that is higher for each new holder; in a denial, the highest token
+            that the voter knows.
+        electorate: Digest of the electorate, the list of voters, in which the request is made.
         duration: Duration of the requested lease in microseconds; in a denial, the time until the receiver
             may request the lease again.
         reason: Reason of a denial.
@@ -65,7 +66,7 @@
     reason: DenialReason = DenialReason.NONE
 
 
-# The address is the name of a process.
+# A lease message to send; its address is the name of the receiving process.
 OutgoingLeaseMessage = AddressedMessage[str, LeaseMessage]
 
 Body = tuple[int, str, int, int, int, int]
@@ -91,7 +92,7 @@
         )
 
     def shorten(self, message: LeaseMessage) -> None:
-        """Return None: with their short names, lease messages always fit into a datagram."""
+        """Return None: names of leases are short, so every lease message fits into a datagram."""
 
     def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> LeaseMessage:
         """Decode the body of a received message.
--- a/balancer/fleet/leases/request.py
+++ b/balancer/fleet/leases/request.py
@@ -10,9 +10,9 @@
     """Stage of a request; the value is part of `GET /fleet`."""
 
     WAITING = "waits"  # The client requests the lease again at `due_at`.
-    FIRST_VOTER = "asks one"
-    ALL_VOTERS = "asks all"
-    HELD = "held"
+    FIRST_VOTER = "asks one"  # The client waits for the answer of the voter that it asks first.
+    ALL_VOTERS = "asks all"  # The first voter has granted the lease, and the client asks the others.
+    HELD = "held"  # A majority has granted the lease.
 
 
 @dataclass
@@ -24,9 +24,9 @@
         duration: Requested duration of the lease, in microseconds.
         stage: Stage of the request.
         due_at: Time of the client's next action on the request.
-        seq: Sequence number of the current round; answers to other rounds are ignored.
+        seq: Sequence number of the current round of requests; answers to other rounds are ignored.
         requested_at: Time at which the first request of the round was sent.
-        token: Token under which the lease is requested or held.
+        token: Token, a number that is higher for each new holder, under which the lease is requested or held.
         highest_token: Highest token that a voter has reported.
         expires_at: Time at which the held lease expires.
         first_voter: Index of the voter that is asked first.
--- a/balancer/fleet/leases/service.py
+++ b/balancer/fleet/leases/service.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Participants:
-    """The state machines of one incarnation."""
+    """The voter, the lease client and the external lease holders of one incarnation of the process."""
 
     voter: Voter
     client: LeaseClient
@@ -61,7 +61,10 @@
         return self.participants.client if self.participants is not None else None
 
     def open(self, incarnation: int, now: int, unix_clock: Callable[[], int], rng: Random) -> None:
-        """Start a new incarnation. `unix_clock` returns milliseconds of Unix time, see `client.py`."""
+        """Start the voter and the client of a new incarnation, and keep the external lease holders.
+
+        `unix_clock` returns milliseconds of Unix time; `client.py` describes its use for tokens.
+        """
         name = self.config.name
         floor, raise_ceiling = self.open_vote_store()
         voter = Voter(name, incarnation, self.electorates, self.settings, now, floor, raise_ceiling)
@@ -74,7 +77,13 @@
         self.participants = Participants(voter, client, external_holders)
 
     def open_vote_store(self) -> tuple[int, RaiseCeiling | None]:
-        """Open the vote store if one is configured; return the voter's floor and how to raise its ceiling."""
+        """Open the vote store if one is configured.
+
+        Returns:
+            The voter's floor, the token up to which it grants nothing, and the function that raises its
+            ceiling, the highest token that it may grant without another disk write. Without a vote store,
+            the floor is 0 and the function is None.
+        """
         if self.config.votes is None:
             return 0, None
         name = self.config.name
--- a/balancer/fleet/leases/settings.py
+++ b/balancer/fleet/leases/settings.py
@@ -1,4 +1,4 @@
-"""Settings of leases, the bound on clock drift, and the electorate."""
+"""Settings of leases, the bound on clock drift, and the electorate, a list of voters."""
 
 from __future__ import annotations
 
@@ -26,13 +26,14 @@
             not all request it at once.
         backoff: Pause after the first failed round; it doubles with each further failed round.
         max_backoff: Upper bound of the pause after a failed round.
-        recall_interval: Interval between two recalls of a voter that has restarted.
+        recall_interval: Interval at which a restarted voter asks the others for their highest tokens.
         max_leases: Maximum number of leases that a voter tracks separately.
-        retry_spacing: Additional wait of each further client that is denied a lease, so that the clients
-            request it again one after another.
+        retry_spacing: Time by which each further client that is denied a lease has to wait longer than the
+            one before, so that the clients request it again one after another.
         store_retry_interval: Pause after a failure of the vote store before it is tried again.
         max_waiters: Maximum number of denied clients that are notified when a lease becomes available; also
-            the number of early releases that a voter remembers for a lease.
+            the number of early releases, those that arrived before their request, that a voter remembers for
+            a lease.
     """
 
     lease: int = 3_000_000
@@ -81,9 +82,12 @@
 
     @property
     def recall_quorum(self) -> int:
-        """Number of other voters that always includes one of any majority to which a voter belonged."""
+        """Number of other voters that have to report their highest tokens to a restarted voter.
+
+        So many other voters always include a member of each majority to which the restarted voter belonged.
+        """
         return len(self.voters) - self.majority + 1
 
     def has_majority(self, granted_by: Iterable[str]) -> bool:
-        """Return whether these voters are a majority of the complete list, including voters that are down."""
+        """Return whether these voters are a majority of the electorate, including voters that are down."""
         return len(set(granted_by) & set(self.voters)) >= self.majority
--- a/balancer/fleet/leases/vote_store.py
+++ b/balancer/fleet/leases/vote_store.py
@@ -1,8 +1,9 @@
 """Storage of the highest token that a voter may have granted, for the voter's next incarnation.
 
-Each voter has one file that contains its ceiling. Before the voter grants a token above the ceiling, it
-writes a new file under a temporary name, syncs it and renames it. The new ceiling is `CEILING_MARGIN_TOKENS`
-above the token, so that not every grant waits for the disk.
+Each voter has one file that contains its ceiling, the highest token that it may grant without another disk
+write. Before the voter grants a token above the ceiling, it writes a new file under a temporary name, syncs
+it and renames it. The new ceiling is `CEILING_MARGIN_TOKENS` above the token, so that not every grant waits
+for the disk.
 
 A damaged file is logged and ignored: the voter then starts without stored votes. A file that cannot be read
 or written at present (`ENOSPC`, `EIO`, a folder that is not mounted) is retried; until that succeeds, nothing
@@ -18,7 +19,8 @@
 
 from balancer.fleet.leases.ceiling import CeilingUnavailableError, TokenRange
 
-# Tokens follow Unix time in milliseconds, so this margin means one write a minute.
+# Number of tokens between a stored ceiling and the token that required it. Tokens follow Unix time in
+# milliseconds, so this margin means one write a minute.
 CEILING_MARGIN_TOKENS = 60_000
 FILE_HEADER = b"brackenladder votes 1"  # Another header would invalidate stored files.
 BODY_LINES = 3  # Lines before the checksum: header, name of the voter, token.
@@ -56,7 +58,7 @@
 
 
 def load(path: Path, name: str) -> int:
-    """Return the token in a vote file, or 0 if there is no file.
+    """Return the ceiling stored in a vote file, or 0 if there is no file.
 
     Raises:
         VoteStoreError: The file is damaged, belongs to another voter, or cannot be read.
@@ -76,7 +78,7 @@
 
 
 def save(path: Path, name: str, token: int) -> None:
-    """Replace a vote file and return once the new file is on the disk.
+    """Replace a vote file by one with the given token as ceiling; return once it is on the disk.
 
     Raises:
         OSError: The file may not have been replaced; it is the previous or the new one, and complete in
@@ -143,11 +145,11 @@
         self.path = path
         self.name = name
         self.log_line = log_line
-        self.floor: int | None = None  # Ceiling of the last incarnation; None until it has been read.
+        self.floor: int | None = None  # Last incarnation's ceiling; None until it was read.
         self.is_failing = False
 
     def open(self) -> int:
-        """Return the token up to which nothing is granted; 0 as long as the file cannot be read."""
+        """Return the voter's floor, the token up to which it grants nothing; 0 if the file cannot be read."""
         try:
             return self.read_floor()
         except VoteStoreUnavailableError as error:
@@ -157,8 +159,8 @@
     def read_floor(self) -> int:
         """Return the ceiling of the last incarnation, which is read once.
 
-        It is read before the first write, so that a disk that fails only at the start does not lead to its
-        higher token being overwritten by a lower one.
+        The stored ceiling is read before the first write. Otherwise, after a disk failure that lasts only
+        during the start, a lower ceiling could overwrite the higher one in the file.
 
         Raises:
             VoteStoreUnavailableError: The file cannot be read at present.
@@ -168,7 +170,7 @@
         return self.floor
 
     def load_or_zero(self) -> int:
-        """Return the token in the file; log a damaged or foreign file and return 0.
+        """Return the ceiling in the vote file; if it is damaged or another voter's, log that and return 0.
 
         Raises:
             VoteStoreUnavailableError: The file cannot be read at present.
--- a/balancer/fleet/leases/voter.py
+++ b/balancer/fleet/leases/voter.py
@@ -28,10 +28,11 @@
         name: Name of this process.
         incarnation: Incarnation of this process.
         electorates: Lists of voters; lists without this process are ignored.
-        settings: Times and limits.
+        settings: Times and limits of leases.
         now: Time at which the voter starts.
         floor: Token up to which nothing is granted.
-        raise_ceiling: Called before a token above the ceiling is granted; None if votes are not stored.
+        raise_ceiling: Called before a token above the ceiling, the highest token that may be granted without
+            another disk write, is granted; None if votes are not stored.
     """
 
     def __init__(
@@ -61,7 +62,7 @@
     # ---- Timers -----------------------------------------------------------------------------------------
 
     def abstains(self, now: int) -> bool:
-        """Return whether grants of the last incarnation may not have expired yet."""
+        """Return whether this voter abstains, because grants of its last incarnation may not have expired."""
         return now < self.abstains_until
 
     def other_voters(self) -> list[str]:
@@ -69,15 +70,16 @@
         return sorted({v for e in self.electorates.values() for v in e.voters} - {self.name})
 
     def has_recovered(self) -> bool:
-        """Return whether a recall quorum of each electorate has reported its highest token.
+        """Return whether enough other voters of each electorate have reported their highest tokens.
 
-        Any majority to which this voter belonged includes at least one of these voters.
+        Their number is the recall quorum: any majority to which this voter belonged in an earlier incarnation
+        includes at least one of the voters that have reported.
         """
         answered = self.recalled_tokens.keys()
         return all(len(answered & set(e.voters)) >= e.recall_quorum for e in self.electorates.values())
 
     def deadline(self) -> int | None:
-        """Return when `tick` is due, or None if no further recall is due."""
+        """Return when `tick` is due, or None if no further recall, a request for tokens, is to be sent."""
         recalls = self.electorates and not self.has_recovered() and self.next_recall_at < self.abstains_until
         return self.next_recall_at if recalls else None
 
@@ -120,7 +122,7 @@
         return [AddressedMessage(message.sender, answer)]
 
     def on_request(self, now: int, request: LeaseMessage) -> list[OutgoingLeaseMessage]:
-        """Grant or deny a request."""
+        """Grant or deny a client's request for a lease."""
         if request.electorate not in self.electorates:
             return self.deny(request, DenialReason.ELECTORATE)
         if self.abstains(now):
@@ -156,7 +158,8 @@
             return self.deny(request, DenialReason.OLD, lease.highest_token)
         if not self.ensure_ceiling_covers(now, request.token):
             return self.deny(request, DenialReason.ABSTAINS, wait=self.store_retry_at - now)
-        # Reading the disk may have raised the floor.
+        # Raising the ceiling may have read the vote store for the first time and so raised the floor, the
+        # token up to which nothing is granted.
         if self.is_too_low(lease, request.token, holder):
             return self.deny(request, DenialReason.OLD, lease.highest_token)
         lease.grant(request.token, holder, now + granted_duration(request.duration))
@@ -169,7 +172,7 @@
     def deny(
         self, request: LeaseMessage, reason: DenialReason, token: int = 0, wait: int = 0
     ) -> list[OutgoingLeaseMessage]:
-        """Return a denial.
+        """Return the denial of a client's request, and count it.
 
         Args:
             request: The request to deny.
@@ -194,8 +197,9 @@
     def on_release(self, now: int, release: LeaseMessage) -> list[OutgoingLeaseMessage]:
         """End a grant and notify denied clients; a later request for the same token is denied.
 
-        A release may overtake its request. Unless it is remembered, the lease would be granted to a process
-        that has ended, and be unavailable to all others until that grant expires.
+        A release may overtake the request for the same token. Unless the release is remembered, the lease
+        would be granted to a process that has ended, and be unavailable to all others until that grant
+        expires.
         """
         lease = self.find_or_add(now, release.lease)
         if lease is None:
@@ -237,6 +241,8 @@
     def ensure_ceiling_covers(self, now: int, token: int) -> bool:
         """Raise the ceiling to cover a token if necessary, and return whether it covers the token.
 
+        The ceiling is the highest token that this voter may grant without another disk write.
+
         While the disk fails, tokens above the ceiling are not granted, because the next incarnation would
         not know of them.
         """
@@ -268,7 +274,8 @@
     def find_or_add(self, now: int, name: str) -> GrantedLease | None:
         """Return the lease of a name, adding it if necessary; None if there is no capacity for it.
 
-        At the limit, the lease that expired first is evicted; its token becomes a floor for all new leases.
+        At the limit of `max_leases`, the lease that expired first is evicted. The floor, the token up to
+        which nothing is granted, then rises to the highest token of the evicted lease.
         """
         if name in self.leases:
             return self.leases[name]
--- a/balancer/fleet/membership/advice.py
+++ b/balancer/fleet/membership/advice.py
@@ -25,7 +25,7 @@
         quorum: Number of living reporters that are required before a server counts as ejected.
         max_share: Maximum share of the listed servers that count as ejected.
         validity_us: Time in microseconds after which a report expires.
-        reports: The latest report of each member, by server and reporter.
+        reports: The latest report of each member that has ejected a server, by server and reporter.
     """
 
     quorum: int = 2
--- a/balancer/fleet/membership/anti_entropy.py
+++ b/balancer/fleet/membership/anti_entropy.py
@@ -1,11 +1,14 @@
 """Anti-entropy: two members compare digests of their views and fetch the differing buckets page by page.
 
+A bucket is one of the groups into which members are divided by a hash of their names. The digest of a view
+has one number for each bucket, and a page is a datagram of claims about members.
+
 A new member sends a SYNC to its seeds, which every version answers. A member of this version answers with a
 few pages at once (SYNC_ACK) and its digest; the new member then pulls the remaining pages one by one from any
 member that answers. While views agree, a member sends its digest to one random member each `sync_interval`.
 If two digests differ, both sides pull the differing buckets, and the interval between comparisons drops to
-one period, then doubles after each comparison. A member that doesn't answer a digest is sent a SYNC, because
-it may run an earlier version.
+one period, the time between two probes, then doubles after each comparison. A member that doesn't answer a
+digest is sent a SYNC, because it may run an earlier version.
 """
 
 from __future__ import annotations
@@ -85,7 +88,7 @@
         self.timing = timing
         self.counts = counts
         self.next_sync_at = now
-        # The interval doubles after each comparison, up to `sync_interval`.
+        # The time until the next comparison of views; it doubles after each one, up to `sync_interval`.
         self.comparison_interval = timing.period
         self.transfer: Transfer | None = None
         self.comparison: Comparison | None = None
@@ -104,7 +107,7 @@
         return due
 
     def tick(self, now: int) -> list[OutgoingMessage]:
-        """Run the retries, fallbacks and comparisons that are due."""
+        """Repeat page requests, send a SYNC after an unanswered digest, and compare views, as far as due."""
         outgoing: list[OutgoingMessage] = []
         if self.transfer is not None and now >= self.transfer.retry_at:
             outgoing += self.retry_page(now, self.transfer)
@@ -148,7 +151,10 @@
     # ---- messages ------------------------------------------------------------------------------------
 
     def receive(self, now: int, source: Address, message: AnyMessage) -> list[OutgoingMessage]:
-        """Return the answer to a message of an exchange, whose claims the caller has already applied."""
+        """Return the answer to another member's digest, page request, page or SYNC.
+
+        The caller has already applied the claims in the message to the view.
+        """
         if isinstance(message, DigestMessage):
             return self.receive_digest(now, source, message)
         if isinstance(message, Pull):
@@ -184,8 +190,8 @@
     def answer_sync(self, now: int, source: Address) -> list[OutgoingMessage]:
         """Return a few pages in the encoding that every version reads, and the digest, for pulling the rest.
 
-        Above the rate limit the answer is a single page: an earlier version has no other source of claims,
-        and the requester gets the rest through its next comparison.
+        Above the rate limit of pages, the answer is a single page: an earlier version has no other source of
+        claims, and the requester gets the rest through its next comparison.
         """
         if not self.page_rate_limit.take(now):
             return [self.sync_ack_message(source, self.random_page_claims())]
@@ -218,7 +224,10 @@
         )
 
     def receive_digest(self, now: int, source: Address, message: DigestMessage) -> list[OutgoingMessage]:
-        """Answer a DIGEST with this view's digest, and begin a transfer of the buckets that differ."""
+        """Compare a received digest with this view's, and begin a transfer of the buckets that differ.
+
+        A DIGEST is answered with this view's digest; a DIGEST_ACK is not answered.
+        """
         outgoing: list[OutgoingMessage] = []
         if message.kind == Kind.DIGEST:
             outgoing.append(self.digest_message(source, Kind.DIGEST_ACK, message.seq))
@@ -246,9 +255,9 @@
         return self.outgoing_message(transfer.source, request)
 
     def answer_pull(self, now: int, source: Address, message: Pull) -> list[OutgoingMessage]:
-        """Return the requested page.
+        """Return the page of claims that a PULL requests.
 
-        Above the rate limit the request is ignored, and the requester then asks another member.
+        Above the rate limit of pages, the request is ignored, and the requester then asks another member.
         """
         if not self.page_rate_limit.take(now):
             self.counts.pages_refused += 1
--- a/balancer/fleet/membership/changes.py
+++ b/balancer/fleet/membership/changes.py
@@ -11,7 +11,7 @@
 class MembershipChange(StrEnum):
     """A change of this instance's view of a member; its values appear in logs and on operators' pages.
 
-    REFUTED means that this instance has refuted a claim about itself.
+    REFUTED means that this instance has refuted a claim about itself, by a claim with a higher incarnation.
     """
 
     JOIN = "join"
--- a/balancer/fleet/membership/claims.py
+++ b/balancer/fleet/membership/claims.py
@@ -1,8 +1,8 @@
 """Claims about the status of members, and their precedence.
 
-Of two claims about a member, the one with the higher incarnation takes precedence. Within an incarnation,
-left takes precedence over dead, dead over suspect, and suspect over alive. Only a member itself raises its
-incarnation.
+An incarnation is a number that each process of a member starts with and raises to refute claims. Of two
+claims about a member, the one with the higher incarnation takes precedence. Within an incarnation, left takes
+precedence over dead, dead over suspect, and suspect over alive. Only a member itself raises its incarnation.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 Address = tuple[str, int]
 
-# The limit applies to member names and to host names.
+# Maximum length of member names and of host names.
 MAX_NAME_CHARACTERS = 64
 
 
--- a/balancer/fleet/membership/codec.py
+++ b/balancer/fleet/membership/codec.py
@@ -34,11 +34,11 @@
 from balancer.fleet.membership.wire import SEQ_BOUND, MembershipWire
 
 VERSION = 1
-# The fields are version, key id and stamp.
+# The start of a datagram: version, key id and the sender's stamp.
 HEADER = Struct("<B4sQ")
 MAX_KEYS = 2
 
-# The elements are kind, sender, seq and payload.
+# An encoded message: its kind, its sender's name, its sequence number and its payload.
 Envelope = tuple[int, str, int, msgspec.Raw]
 
 
@@ -78,7 +78,7 @@
 
 
 class DatagramRejectedError(Exception):
-    """A datagram fails a check.
+    """A received datagram is invalid: its length, version, key, tag or content fails a check.
 
     Attributes:
         reason: The key under which the datagram is counted as dropped.
@@ -167,8 +167,8 @@
     def read(self, data: bytes) -> StampedMessage | None:
         """Return the stamp and message of an authentic datagram without checking for replays.
 
-        The result is None for any other datagram, which `dropped` counts. The cost is at most proportional to
-        the length of the datagram.
+        The result is None for a datagram that fails a check, which `dropped` counts. The cost is at most
+        proportional to the length of the datagram.
         """
         try:
             return self.parse(data)
--- a/balancer/fleet/membership/counts.py
+++ b/balancer/fleet/membership/counts.py
@@ -15,7 +15,8 @@
         suspected: Suspicions that have begun in this instance's view.
         refuted: Claims about this instance that it has refuted.
         died: Suspicions that ended without a refutation.
-        pages_refused: Page requests that were ignored because they exceeded this instance's rate limit.
+        pages_refused: Requests for a page, a datagram of claims about members, that were ignored because they
+            exceeded this instance's rate limit.
     """
 
     sent: int = 0
--- a/balancer/fleet/membership/dissemination.py
+++ b/balancer/fleet/membership/dissemination.py
@@ -1,4 +1,7 @@
-"""Selection of the updates to piggyback on messages: the least-sent ones first."""
+"""Selection of the updates to piggyback on messages: those that have been sent the fewest times first.
+
+An update is the news of a changed claim about a member.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
     def __init__(self) -> None:
         self.transmissions: dict[str, int] = {}
         self.buckets: list[dict[str, None]] = []
-        # All buckets below this one are empty.
+        # Index of a bucket, or transmission count, below which all buckets are empty.
         self.lowest_bucket = 0
 
     def add(self, name: str) -> None:
--- a/balancer/fleet/membership/failure_detector.py
+++ b/balancer/fleet/membership/failure_detector.py
@@ -81,16 +81,16 @@
         self.rng = rng
         self.timing = timing
         self.compose = compose
-        # The members still to be pinged in the current round; the next one is last.
+        # The members still to be pinged in the current round; the last in the list is pinged next.
         self.remaining_targets: list[str] = []
         self.probe: Probe | None = None
         self.next_period_at = now + int(timing.period * rng.random())
         self.seq = rng.getrandbits(INITIAL_SEQ_BITS) if first_seq is None else first_seq
-        # The keys are the sequence numbers of this instance's pings.
+        # The relayed pings, by the sequence number that this instance has given its own ping of the target.
         self.relays: dict[int, RelayedPing] = {}
 
     def due(self) -> int:
-        """Return the time of the next retry or, if none is pending, of the next period."""
+        """Return when the next ping is due: that of a retry or, if none is pending, of the next period."""
         if self.probe is not None and self.may_retry(self.probe):
             return min(self.next_period_at, self.probe.retry_at)
         return self.next_period_at
--- a/balancer/fleet/membership/messages.py
+++ b/balancer/fleet/membership/messages.py
@@ -20,9 +20,9 @@
 class Kind(IntEnum):
     """Kinds of messages.
 
-    PING_REQ asks the receiver to ping `target`. SYNC asks for the receiver's view. DIGEST contains the
-    sender's digest and asks for the receiver's. PULL asks for a page of claims. ACCUSATIONS contains
-    suspicions with the members that support them. Numbers from 16 on are those of other components.
+    PING_REQ asks the receiver to ping `target`. SYNC asks for the receiver's view. DIGEST contains the digest
+    of the sender's view and asks for that of the receiver's view. PULL asks for a page of claims. ACCUSATIONS
+    contains suspicions with the members that support them. Numbers from 16 on are those of other components.
     """
 
     PING = 0
@@ -63,9 +63,11 @@
     Attributes:
         kind: DIGEST or DIGEST_ACK.
         sender: The sender's name.
-        digest: The digest of each bucket of the sender's view.
+        digest: The digests of the sender's view, one for each bucket, a group of members by hash of their
+            names.
         claims: The sender's claim about itself.
-        seq: Sequence number that a DIGEST_ACK repeats from its DIGEST; 0 beside the answer to a SYNC.
+        seq: Sequence number that a DIGEST_ACK repeats from its DIGEST; 0 in a DIGEST_ACK that is sent along
+            with the answer to a SYNC.
     """
 
     kind: Kind
@@ -101,7 +103,7 @@
 
 @dataclass(frozen=True)
 class Page:
-    """A page of claims.
+    """A page of claims about members, which answers a PULL.
 
     Attributes:
         sender: The sender's name.
--- a/balancer/fleet/membership/replay_guard.py
+++ b/balancer/fleet/membership/replay_guard.py
@@ -2,10 +2,11 @@
 
 Each sender stamps its datagrams by a local clock that advances at the rate of real time. A receiver keeps,
 for each sender, the newest stamp and its time of arrival; it accepts a stamp that is close to the value
-expected from these and that it has not accepted before (`stamp_window.py`). An unknown sender, or one whose
-stamps are far from the expected value or too low (a restarted process), is challenged to prove that it is
-live: it gets a PING without claims, whose unpredictable `seq` it echoes in an ACK, as every version does.
-Until then its datagrams are buffered; those that are old by their sender's clock are never accepted.
+expected from the newest one and the time since, and that it has not accepted before (`stamp_window.py`). An
+unknown sender, or one whose stamps are far from the expected value or too low (a restarted process), is
+challenged to prove that it is live: it gets a PING without claims, whose unpredictable `seq` it echoes in an
+ACK, as every version does. Until then its datagrams are buffered; those that are old by their sender's clock
+are never accepted.
 
 The guard is a state machine without sockets, clocks or random numbers. Times are microseconds.
 """
@@ -24,18 +25,21 @@
     StampWindow,
 )
 
-# Senders whose stamp windows are kept; above the limit, the window that began first is evicted.
+# Number of senders whose stamp windows, the records of their accepted stamps, are kept; above this number,
+# the window that began first is evicted.
 MAX_SENDERS = 4096
-# Unanswered challenges; above the limit, the oldest is dropped.
+# Number of unanswered challenges, the pings by which senders prove that they are live; above this number, the
+# oldest challenge is dropped.
 MAX_CHALLENGES = 256
 MAX_BUFFERED_DATAGRAMS_PER_CHALLENGE = 4
-# Encoded size of the datagrams buffered for all challenges; decoded messages take several times as much
-# memory.
+# Maximum encoded size of the datagrams buffered for all challenges together; decoded messages take several
+# times as much memory.
 MAX_BUFFERED_BYTES = 128 * 1024
 CHALLENGE_RETRY_INTERVAL_US = 300_000
 # Maximum time between a ping and an ACK that counts as proof of liveness.
 PROOF_TIMEOUT_US = 5_000_000
-# Pings of the membership protocol whose ACKs count as proof too; above the limit, the oldest is removed.
+# Number of remembered pings of the membership protocol, whose ACKs count as proof of liveness too; above this
+# number, the oldest ping is forgotten.
 MAX_PINGS = 1024
 
 
@@ -69,7 +73,8 @@
             max_age: Age up to which datagrams sent before now are accepted.
         """
         previous = self.windows.pop(sender, None)
-        # Without the limit, a process with the key could exhaust the memory by inventing sender names.
+        # Without a maximum number of windows, a process with the shared key could exhaust the memory by
+        # inventing sender names.
         while len(self.windows) >= MAX_SENDERS:
             del self.windows[next(iter(self.windows))]
         window = self.windows[sender] = StampWindow(stamp, now, stamp - max_age)
@@ -141,7 +146,7 @@
         self.seq = first_seq
         self.dropped = dropped
         self.senders = SenderStamps()
-        # The keys are sequence numbers, and the oldest challenge is first.
+        # The unanswered challenges by sequence number, the oldest first.
         self.challenges: dict[int, Challenge] = {}
         self.challenges_by_source: dict[tuple[str, Address], Challenge] = {}
         self.buffered_bytes = 0
@@ -208,7 +213,8 @@
         sender's group, which may be another group than that of this process.
         """
         self.remove_challenge(challenge)
-        # A fresh stamp means that the sender has a window already; its buffered datagrams are outside of it.
+        # A fresh stamp means that the sender has a window already, so no new one is begun. Buffered
+        # datagrams that are outside of that window are rejected.
         if stamp_status == StampStatus.FRESH:
             self.senders.record(received.message.sender, received.stamp, now)
         elif now - challenge.sent_at > PROOF_TIMEOUT_US:
@@ -254,8 +260,9 @@
     def buffer_datagram(self, challenge: Challenge, received: ReceivedDatagram) -> None:
         """Buffer a datagram until the challenge is answered.
 
-        Above the limit for a challenge its oldest datagram is dropped; above `MAX_BUFFERED_BYTES` the new
-        one.
+        If `MAX_BUFFERED_DATAGRAMS_PER_CHALLENGE` are buffered for the challenge already, the oldest of them
+        is dropped. If the buffered datagrams of all challenges would exceed `MAX_BUFFERED_BYTES`, the new
+        datagram is dropped.
         """
         if len(challenge.buffered) >= MAX_BUFFERED_DATAGRAMS_PER_CHALLENGE:
             self.buffered_bytes -= challenge.buffered.pop(0).size
--- a/balancer/fleet/membership/stamp_window.py
+++ b/balancer/fleet/membership/stamp_window.py
@@ -1,9 +1,10 @@
 """The stamps of one sender's datagrams: which are plausible now, and which have been accepted before.
 
-A process's stamps advance at the rate of real time, but those of the next process with the same name may
-start at a lower value if the wall clock was stepped back in between. The window therefore also remembers the
-stamps accepted from earlier processes: the next process may use the same range of stamps, and no datagram is
-accepted twice.
+A stamp is the time by its sender's clock at which a datagram was sent, and is unique among the datagrams
+of one process. A process's stamps advance at the rate of real time, but those of the next process with the
+same name may start at a lower value if the wall clock was stepped back in between. The window therefore also
+remembers the stamps accepted from earlier processes: the next process may use the same range of stamps, and
+no datagram is accepted twice.
 
 Times are microseconds.
 """
@@ -14,7 +15,8 @@
 from bisect import bisect_left, insort
 from enum import Enum, auto
 
-# Stamps remembered of the current process; as many are remembered of earlier processes of its name.
+# Maximum number of accepted stamps that are remembered of a sender's current process, and the same number of
+# all its earlier processes of that name.
 WINDOW_SIZE = 1024
 # Time for which stamps are remembered: a clock is stepped back by an hour at most, or some seconds more.
 RETENTION_US = 3_900_000_000
@@ -98,7 +100,7 @@
         return StampStatus.FRESH
 
     def is_remembered(self, stamp: int) -> bool:
-        """Return whether a stamp is among the remembered accepted stamps."""
+        """Return whether a stamp was accepted, from the current or an earlier process, and is remembered."""
         return contains(self.current_stamps, stamp) or contains(self.previous_stamps, stamp)
 
     def may_have_accepted(self, stamp: int) -> bool:
--- a/balancer/fleet/membership/suspicion.py
+++ b/balancer/fleet/membership/suspicion.py
@@ -14,6 +14,9 @@
 class Suspicion:
     """The suspicion of one member.
 
+    A member whose own probe of the suspect has failed is an accuser. Each accuser after the first one
+    confirms the suspicion.
+
     Args:
         started_at: Time at which the suspicion began, in microseconds.
         max_duration: Duration without confirmation, in microseconds.
--- a/balancer/fleet/membership/swim.py
+++ b/balancer/fleet/membership/swim.py
@@ -10,8 +10,8 @@
 each a number of times proportional to the logarithm of the group's size. Times are integer microseconds.
 
 Without failures no operation iterates over all members: deadlines are in a heap (`timers.py`), updates in
-buckets (`dissemination.py`) and members in sorted lists (`view.py`), and views are compared by digests
-(`anti_entropy.py`).
+lists by transmission count (`dissemination.py`) and members in sorted lists (`view.py`), and views are
+compared by digests (`anti_entropy.py`).
 """
 
 from __future__ import annotations
@@ -159,7 +159,7 @@
         return due if deadline is None else min(due, deadline)
 
     def tick(self, now: int) -> list[OutgoingMessage]:
-        """Run the deadlines, retries, probes and comparisons that are due.
+        """Handle the members' deadlines, retries of pings, probes and comparisons of views that are due.
 
         After a pause of several periods only a single period begins, instead of one for each period missed.
         """
@@ -269,7 +269,10 @@
     # ---- claims --------------------------------------------------------------------------------------
 
     def accept(self, now: int, claim: Claim) -> None:
-        """Apply a claim if it overrides the current one; refute it if it is about this instance."""
+        """Apply a claim about a member if it overrides the current one; handle a claim about this instance.
+
+        A claim about this instance is refuted unless it agrees with the instance's own claim or is outdated.
+        """
         if claim.name == self.local_claim.name:
             self.refute(claim)
             return
--- a/balancer/fleet/membership/timers.py
+++ b/balancer/fleet/membership/timers.py
@@ -1,10 +1,10 @@
-"""Deadlines by name, in a heap."""
+"""Deadlines of members, by the member's name, in a heap."""
 
 from __future__ import annotations
 
 from heapq import heapify, heappop, heappush
 
-# Obsolete heap entries in excess of the number of valid ones.
+# Number by which the obsolete entries of a heap may exceed the valid ones before the heap is rebuilt.
 MAX_EXCESS_OBSOLETE_ENTRIES = 64
 
 
--- a/balancer/fleet/membership/timing.py
+++ b/balancer/fleet/membership/timing.py
@@ -14,7 +14,8 @@
     Attributes:
         period: Time between two probes.
         ack_timeout: Time after which an unacknowledged ping is repeated, also through other members.
-        retries: Pings of a probe after the first one; `retries * ack_timeout` must be less than `period`.
+        retries: Maximum number of times that the ping of a probe is repeated; `retries * ack_timeout` must be
+            less than `period`.
         indirect_probes: Number of members that are asked to ping a target.
         suspect_factor: Maximum duration of a suspicion, as a multiple of log(n) periods.
         suspect_min_share: Duration of a fully confirmed suspicion, as a share of the maximum duration.
@@ -24,7 +25,7 @@
         spread_factor: Number of transmissions of an update, as a multiple of log(n).
         claims_per_message: Maximum number of claims on a ping or ack, if they fit into its datagram.
         sync_interval: Maximum time between two comparisons of views.
-        sync_ack_pages: Maximum number of pages that answer a SYNC at once.
+        sync_ack_pages: Maximum number of pages, datagrams of claims, that answer a SYNC at once.
         page_attempts: Number of requests for one page before the transfer is abandoned.
         pages_per_second: Maximum long-term rate at which an instance sends pages.
         page_burst: Maximum number of pages that an instance sends at once.
--- a/balancer/fleet/membership/view.py
+++ b/balancer/fleet/membership/view.py
@@ -11,7 +11,8 @@
 # Members are divided into buckets by the hash of their names; a view has a digest for each bucket.
 BUCKETS = 32
 ALL_BUCKETS = (1 << BUCKETS) - 1
-# The parts of a claim other than name and host: lengths, port, status and incarnation.
+# Maximum size in a datagram of the parts of a claim other than name and host: lengths, port, status and
+# incarnation.
 MAX_CLAIM_OVERHEAD_BYTES = 18
 
 
@@ -23,7 +24,7 @@
         claim: The claim about the member that takes precedence.
         accepted_at: Time in microseconds at which that claim was accepted.
         bucket: Index of the member's bucket.
-        fingerprint: Hash of the member's name and incarnation, for the digest.
+        fingerprint: Hash of the member's name and incarnation; the digest of a bucket combines these hashes.
     """
 
     claim: Claim
@@ -48,9 +49,10 @@
 class View:
     """This instance's claim about itself and the state of the other members.
 
-    The digest covers the living members and their incarnations. Suspicions are excluded because they are
-    transient while being disseminated. Members that are dead or have left are excluded because instances
-    forget them at different times.
+    A view has a digest for each bucket, a group of members by the hash of their names. The digest covers the
+    living members and their incarnations. Suspicions are excluded because they are transient while being
+    disseminated. Members that are dead or have left are excluded because instances forget them at different
+    times.
 
     Attributes:
         living_names: Sorted names of the other members that are alive or suspect.
@@ -120,7 +122,7 @@
         return sum(1 << bucket for bucket, (local, remote) in enumerate(pairs) if local != remote)
 
     def page(self, buckets: int, start_after: str, capacity: int) -> ClaimPage:
-        """Return as many claims as fit, in the order of `sort_key`.
+        """Return the claims about the members of some buckets, as many as fit, in the order of `sort_key`.
 
         The order is the same in all views, so the next page may be requested from another member.
 
@@ -147,7 +149,7 @@
     def wrapping_page(self, start_after: str, capacity: int) -> list[Claim]:
         """Return a page of claims from all buckets that wraps around at the last member.
 
-        In a small group it contains all members. The arguments are those of `page`.
+        In a small group the page contains all members. The arguments are the same as those of `page`.
         """
         page = self.page(ALL_BUCKETS, start_after, capacity)
         if not page.is_last:
@@ -169,7 +171,7 @@
 
 
 def fingerprint_of(claim: Claim) -> int:
-    """Return the contribution of a living member to the digest of its bucket."""
+    """Return a hash of a member's name and incarnation, its contribution to the digest of its bucket."""
     return int.from_bytes(blake2b(f"{claim.incarnation} {claim.name}".encode(), digest_size=4).digest())
 
 
--- a/balancer/fleet/membership/wire.py
+++ b/balancer/fleet/membership/wire.py
@@ -29,7 +29,7 @@
 BUCKET_DIGEST_BOUND = 1 << 32
 MAX_PORT = 65535
 
-# The elements are name, host, port, status and incarnation.
+# An encoded claim about a member: its name, host, port, status and incarnation.
 WireClaim = tuple[str, str, int, int, int]
 
 
@@ -46,7 +46,7 @@
         self.accusations = msgspec.msgpack.Decoder(list[tuple[WireClaim, list[str]]])
 
     def pack(self, message: AnyMessage) -> Any:
-        """Return the payload of a message as plain types."""
+        """Return the payload of a message as plain types that MessagePack can encode."""
         match message:
             case Message():
                 return message.target, pack_claims(message.claims)
@@ -114,22 +114,22 @@
 
 
 def pack_claims(claims: Sequence[Claim]) -> list[WireClaim]:
-    """Return claims as plain types."""
+    """Return claims as plain types that MessagePack can encode."""
     return [pack_claim(claim) for claim in claims]
 
 
 def pack_claim(claim: Claim) -> WireClaim:
-    """Return a claim as plain types."""
+    """Return a claim as plain types that MessagePack can encode."""
     return claim.name, *claim.address, int(claim.status), claim.incarnation
 
 
 def unpack_claims(claims: list[WireClaim]) -> tuple[Claim, ...]:
-    """Return the validated claims; raise a ValueError if a value is out of range."""
+    """Return the claims decoded from a message; raise a ValueError if a value is out of range."""
     return tuple(unpack_claim(*claim) for claim in claims)
 
 
 def unpack_claim(name: str, host: str, port: int, status: int, incarnation: int) -> Claim:
-    """Return the validated claim; raise a ValueError if a value is out of range."""
+    """Return the claim with the decoded values; raise a ValueError if a value is out of range."""
     require(0 < len(name) <= MAX_NAME_CHARACTERS, "claim")
     require(0 < len(host) <= MAX_NAME_CHARACTERS, "claim")
     require(0 < port <= MAX_PORT, "claim")
@@ -138,7 +138,11 @@
 
 
 def unpack_accusation(claim: WireClaim, accusers: list[str]) -> Accusation:
-    """Return the validated accusation; raise a ValueError if its claim isn't a valid suspicion."""
+    """Return a decoded accusation.
+
+    An accusation is a suspicion with its accusers, the members whose own probes have failed. A ValueError is
+    raised if the claim isn't a valid suspicion or an accuser's name is empty or too long.
+    """
     unpacked = unpack_claim(*claim)
     require(unpacked.status == Status.SUSPECT, "accusation")
     require(all(0 < len(name) <= MAX_NAME_CHARACTERS for name in accusers), "accuser")
