--- a/balancer/fleet/min_rtt/decisions.py
+++ b/balancer/fleet/min_rtt/decisions.py
@@ -1,9 +1,9 @@
 """The state machine that decides when a node's minRTT recalculation may start.
 
 A node starts when it holds one of its tier's slots or has waited long enough. Each slot is a lease. A waiting
-node requests the slots one after another, starting with a random one; when a slot is released, its voters
-notify the nodes that were denied it. The policy performs the recalculation itself. The first recalculation of
-a process is not limited.
+node requests the slots one after another, starting with a random one; when a slot is released, the voters,
+which grant the lease, notify the nodes that were denied it. The policy performs the recalculation itself. The
+first recalculation of a process is not limited.
 
 All times are microseconds of this process's monotonic clock.
 """
@@ -23,7 +23,10 @@
 
 
 class MinRttSlots:
-    """The slot of one process, acquired while a recalculation is due and released afterwards."""
+    """The slot of one process, a lease that permits it to recalculate its minRTT.
+
+    It is acquired while a recalculation is due and released afterwards.
+    """
 
     def __init__(
         self, tier: int, instances: int, settings: MinRttSettings, lease_client: LeaseClient, rng: Random
@@ -64,7 +67,7 @@
         return None if name is None else self.lease_client.held_token(now, name)
 
     def acquire(self, now: int, slot: int) -> list[OutgoingLeaseMessage]:
-        """Start to acquire a slot."""
+        """Start to acquire the lease of a slot, and return the messages to send for it."""
         self.slot, self.slot_requested_at = slot, now
         name = self.lease_name()
         assert name is not None
@@ -72,7 +75,7 @@
         return self.lease_client.tick(now)
 
     def release(self, now: int) -> list[OutgoingLeaseMessage]:
-        """Release the slot, or stop acquiring it."""
+        """Release the slot if it is held, or stop acquiring it; return the messages to send for that."""
         name = self.lease_name()
         if name is None:
             return []
@@ -84,7 +87,8 @@
     def may_start(self, now: int) -> bool:
         """Return whether a recalculation may start now, and if so record its start.
 
-        The policy calls this in each window while a recalculation is due, until it may start.
+        The policy calls this method in each of its windows, the periods in which it measures latency, from
+        the time a recalculation is due until it may start.
         """
         settings = self.settings
         if self.waiting_since is None or now - self.last_polled_at > 2 * settings.max_wait:
--- a/balancer/fleet/min_rtt/settings.py
+++ b/balancer/fleet/min_rtt/settings.py
@@ -12,7 +12,8 @@
 
     Attributes:
         max_share: Share of the tier's nodes that may recalculate simultaneously; at least one node may.
-        max_wait: Time after which a node that has not acquired a slot recalculates without one.
+        max_wait: Time after which a node that has not acquired a slot, the lease that permits it to
+            recalculate, does so without one.
         wait_jitter: Share of `max_wait` by which the wait is extended at most, at random, so that waiting
             nodes do not all start simultaneously.
         slot_wait: Time for which a node waits for a slot before it requests the next one.
@@ -29,5 +30,5 @@
     max_duration: int = 10_000_000
 
     def count_slots(self, instances: int) -> int:
-        """Return the number of slots of a tier with this number of nodes."""
+        """Return how many nodes of a tier with `instances` nodes may recalculate simultaneously."""
         return max(1, floor(self.max_share * instances))
--- a/balancer/fleet/rolling_update/component.py
+++ b/balancer/fleet/rolling_update/component.py
@@ -37,7 +37,7 @@
         return (RollingUpdateWire(),)
 
     def open(self) -> None:
-        """Start a new incarnation, without a plan."""
+        """Create the state machine for this process's current incarnation, without an update plan."""
         runtime = self.runtime
         name, zone, incarnation = (
             runtime.config.name,
@@ -112,7 +112,7 @@
         self.runtime.end_process()
 
     def received(self, now: int, sender: Address, message: RollingUpdateMessage) -> list[Outgoing]:
-        """Handle a message, and advance the rolling update."""
+        """Handle a message, advance the rolling update, and return the messages to send."""
         if self.rolling_update is None:
             return []
         answer = self.rolling_update.received(now, message)
@@ -140,9 +140,9 @@
         return True
 
     def plan_status(self) -> dict[str, object] | None:
-        """Return the plan and its progress for operators; None before `open`."""
+        """Return the plan of the update and its progress, for operators; None before `open`."""
         return self.rolling_update.view(self.token()) if self.rolling_update is not None else None
 
     def status(self, now: int) -> dict[str, Any]:
-        """Return the key `replace` of `GET /fleet`."""
+        """Return the key `replace` of `GET /fleet`: the plan of the rolling update and its progress."""
         return {"replace": self.plan_status()}
--- a/balancer/fleet/rolling_update/decisions.py
+++ b/balancer/fleet/rolling_update/decisions.py
@@ -1,10 +1,13 @@
 """The state machine of a rolling update, for the leader and its followers.
 
-Progress is not stored, but derived: a process has been replaced if its incarnation began after the plan, and
-is unavailable if it has left, has died or does not serve. So a new leader continues where the previous one
-stopped. Messages contain the age of the plan, and each process compares it with its own age on its monotonic
-clock. It reports the result as an incarnation up to or above the plan's number, which leaders of every
-version understand.
+An operator starts an update with a plan, whose number is the Unix time of its start. An incarnation is one
+run of a process, numbered by the Unix time of its start. Progress is not stored, but derived: a process has
+been replaced if its incarnation began after the plan, and is unavailable if it has left, has died or does not
+serve. So a new leader continues where the previous one stopped.
+
+Messages contain the age of the plan, and each process compares it with its own age on its monotonic clock. A
+process that is older than the plan reports an incarnation up to the plan's number, a younger one an
+incarnation above it. Leaders of every version understand this.
 
 A process that is asked to end first checks the leader's token and its own age, so that requests of a former
 leader and repeated requests have no effect.
@@ -32,7 +35,8 @@
 
 BROADCAST_INTERVAL_US = 500_000
 MAX_REPORT_AGE_US = 2_000_000
-# Number of times that a process broadcasts an operator's command, and the leader the end of a plan.
+# Number of times that a process broadcasts an operator's command, and that the leader broadcasts the end of a
+# plan.
 COMMAND_BROADCASTS = 3
 MAX_UNAVAILABLE = 1000  # Largest value of `max_unavailable` that an operator may choose.
 IN_PROGRESS = (UpdateState.RUNS, UpdateState.PAUSED)
@@ -65,7 +69,7 @@
         self.highest_token = 0
         self.broadcasts_left = 0
         self.started_at = now
-        self.plan_started_at: int | None = None  # On this process's clock; None while the age is unknown.
+        self.plan_started_at: int | None = None  # By this process's clock; None if unknown.
         self.next_tick_at = now
         self.leaving = False
         self.counts: Counter[str] = Counter()
@@ -104,7 +108,7 @@
     # ---- The plan and the age of this process -----------------------------------------------------------
 
     def adopt(self, plan: UpdatePlan) -> None:
-        """Make a plan the current one, and drop the progress of a different plan."""
+        """Make a plan the current one; if its number differs, drop the progress of the previous plan."""
         if self.plan is None or plan.number != self.plan.number:
             self.reports.clear()
             self.asked_to_end.clear()
@@ -114,7 +118,8 @@
     def merge_plan(self, now: int, message: RollingUpdateMessage) -> None:
         """Adopt a newer plan, and use the age of the plan that a message states.
 
-        Transmission delay makes stated ages too small, so the earliest start derived from them is kept.
+        Transmission delay makes the ages in messages too small. The plan's start is derived from each age,
+        and the earliest start is kept.
         """
         if message.plan.supersedes(self.plan):
             self.adopt(message.plan)
@@ -172,14 +177,14 @@
         return self.broadcast(now, self.plan, token) + requests
 
     def broadcast(self, now: int, plan: UpdatePlan, token: int) -> list[Outgoing]:
-        """Address the plan to all members that are alive."""
+        """Return messages with the plan, one for each other member that is alive."""
         message = self.message(now, RollingUpdateKind.PLAN, plan, token)
         return [AddressedMessage(name, message) for name in self.fleet.alive()]
 
     def message(
         self, now: int, kind: RollingUpdateKind, plan: UpdatePlan, token: int
     ) -> RollingUpdateMessage:
-        """Return a message with a plan and the state of this process."""
+        """Return a message of the given kind with a plan, its age, and the state of this process."""
         age = None if self.plan_started_at is None else now - self.plan_started_at
         incarnation, serving = self.reported_incarnation(plan), self.fleet.serving()
         return RollingUpdateMessage(
@@ -223,7 +228,11 @@
         return AddressedMessage(name, self.message(now, RollingUpdateKind.GO, plan, token))
 
     def finish(self, plan: UpdatePlan) -> None:
-        """Finish after the other processes: end the leader if it is outdated, else mark the plan done."""
+        """Finish the update after all other processes have been replaced.
+
+        If the leader is outdated, that is started before the plan, it ends itself. Otherwise it marks the
+        plan as done.
+        """
         if self.is_outdated(plan):
             self.leaving = self.leaving or plan.max_unavailable > 0
             return
@@ -248,13 +257,16 @@
         return [AddressedMessage(message.sender, self.message(now, RollingUpdateKind.REPORT, self.plan, 0))]
 
     def record_report(self, now: int, message: RollingUpdateMessage) -> None:
-        """Record a process's report, and adopt a newer plan whose broadcast did not arrive."""
+        """Record a process's report, and adopt its plan if that is newer because a broadcast was lost."""
         self.merge_plan(now, message)
         if self.plan is not None and message.plan.number == self.plan.number:
             self.reports[message.sender] = Report(now, message.incarnation, message.serving, message.zone)
 
     def must_end(self, message: RollingUpdateMessage) -> bool:
-        """Return whether a request to end is valid under the current plan and this process is outdated."""
+        """Return whether this process must end: it was started before the plan, and the request is valid.
+
+        A valid request carries a lease token and the current plan, and that plan is running.
+        """
         plan = self.plan
         if plan is None or message.token <= 0 or message.plan != plan:
             return False
@@ -263,7 +275,7 @@
     # ---- Status for operators ---------------------------------------------------------------------------
 
     def view(self, token: int | None) -> dict[str, object]:
-        """Return the plan for `GET /fleet`; the leader adds the progress."""
+        """Return the plan for `GET /fleet`, and on the leader also the progress of the update."""
         if self.plan is None:
             return {"state": "none"}
         table: dict[str, object] = {
--- a/balancer/fleet/rolling_update/messages.py
+++ b/balancer/fleet/rolling_update/messages.py
@@ -12,7 +12,7 @@
 
 
 class InvalidRollingUpdateError(ValueError):
-    """A message of a rolling update contains a value that is out of range."""
+    """The error raised if a received message of a rolling update contains a value that is out of range."""
 
 
 class RollingUpdateKind(IntEnum):
@@ -24,7 +24,10 @@
 
 
 class UpdateState(IntEnum):
-    """State of a plan. Of two states with the same version, the greater one takes precedence."""
+    """State of a rolling update's plan.
+
+    If two copies of a plan have the same version but different states, the greater state takes precedence.
+    """
 
     RUNS = 0
     PAUSED = 1
@@ -38,7 +41,7 @@
 
     Attributes:
         number: Unix time in microseconds at which the plan was started, which identifies the plan.
-        version: Number of the state, increased by each change of `state`.
+        version: Version of the plan, increased by each change of `state`.
         max_unavailable: Maximum number of processes that may be unavailable at a time.
         state: State of the plan.
     """
@@ -49,7 +52,7 @@
     state: UpdateState
 
     def supersedes(self, other: UpdatePlan | None) -> bool:
-        """Return whether this plan is newer than the plan that is known so far."""
+        """Return whether this plan is newer than `other`, the plan known so far; None if none is known."""
         if other is None:
             return True
         return (self.number, self.version, self.state) > (other.number, other.version, other.state)
--- a/balancer/fleet/rolling_update/selection.py
+++ b/balancer/fleet/rolling_update/selection.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class Report:
-    """The state that a process has reported.
+    """The state that a process has reported to the leader of the rolling update.
 
     Attributes:
         received_at: Time at which the report was received.
@@ -72,13 +72,13 @@
 
 
 def next_to_end(plan: UpdatePlan, state: FleetState, leader_zone: str, is_serving: bool) -> str | None:
-    """Return the name of the process to end now; None if none may end now or none is left.
+    """Return the name of the process to end now; None if no process may end now or all are replaced.
 
     The last available process of a zone may end only while no process of the fleet is unavailable.
 
     Args:
         plan: The plan in progress.
-        state: The other processes.
+        state: State of the processes other than the leader.
         leader_zone: Zone of the leader.
         is_serving: Whether the leader accepts clients.
     """
--- a/balancer/fleet/zone_membership/__init__.py
+++ b/balancer/fleet/zone_membership/__init__.py
@@ -1,4 +1,6 @@
-"""Membership by zone: SWIM within a zone, summaries of zones between zones.
+"""Membership by zone: nodes of one zone use the SWIM protocol, and zones exchange summaries of themselves.
+
+A summary is a short record of a zone's state. It is sent by the zone's gateways, a few of its members.
 
 Modules, from data to protocol:
 
--- a/balancer/fleet/zone_membership/batches.py
+++ b/balancer/fleet/zone_membership/batches.py
@@ -1,4 +1,4 @@
-"""Batches of summaries that each fit into one datagram."""
+"""The split of zones' summaries into batches, each of which fits into one datagram."""
 
 from __future__ import annotations
 
--- a/balancer/fleet/zone_membership/component.py
+++ b/balancer/fleet/zone_membership/component.py
@@ -13,12 +13,13 @@
 from balancer.fleet.zone_membership.settings import ZoneMembershipSettings, ZoneMembershipTiming
 from balancer.fleet.zone_membership.wire import ZoneMembershipWire
 
-# Renaming the stream would change its seed, and with it the runs of a simulation.
+# Name of the component's random stream. The stream is seeded from its name, so renaming it would change the
+# runs of a simulation.
 RANDOM_STREAM = "federation"
 
 
 class ZoneMembershipComponent(Component):
-    """The component that publishes this zone's summary to the other zones and stores theirs.
+    """The component that publishes this zone's summary to the other zones and stores their summaries.
 
     Messages are sent to addresses instead of member names, since gateways of other zones are not members of
     the own zone's group.
@@ -35,7 +36,7 @@
 
     @property
     def payload_codecs(self) -> Sequence[PayloadCodec]:
-        """The encoder and decoder of the messages."""
+        """The encoder and decoder of the messages of membership by zone."""
         return (ZoneMembershipWire(),)
 
     def open(self) -> None:
@@ -64,11 +65,11 @@
     # ---- Time and messages ------------------------------------------------------------------------------
 
     def deadline(self, now: int) -> int | None:
-        """Return the time at which `tick` is due, or None while closed."""
+        """Return the time at which `tick` is due, or None while the component is closed."""
         return self.zone_membership.deadline() if self.zone_membership is not None else None
 
     def tick(self, now: int) -> Sequence[Outgoing]:
-        """Send the queries and exchanges that are due."""
+        """Return the queries to the own zone's gateways and the exchanges with other zones that are due."""
         return self.zone_membership.tick(now) if self.zone_membership is not None else []
 
     def received(self, now: int, sender: Address, message: Any) -> Sequence[Outgoing]:
@@ -80,5 +81,5 @@
     # ---- Status page ------------------------------------------------------------------------------------
 
     def status(self, now: int) -> dict[str, Any]:
-        """Return the key `regions` of the status page."""
+        """Return the key `regions` of the status page; its value is None while the component is closed."""
         return {"regions": self.zone_membership.status(now) if self.zone_membership is not None else None}
--- a/balancer/fleet/zone_membership/decisions.py
+++ b/balancer/fleet/zone_membership/decisions.py
@@ -35,24 +35,25 @@
 from balancer.fleet.zone_membership.status import record_status
 from balancer.fleet.zone_membership.timers import SequenceNumbers
 
-# Size of the random index of the first gateway to contact.
+# Number of bits of the random index that selects the first gateway to contact in another zone.
 GATEWAY_INDEX_BITS = 8
 
 
 def ignore_event(event: ZoneEvent) -> None:
-    """Ignore an event; the default for nodes without an event handler."""
+    """Ignore an event on a zone; this is the default event handler of `ZoneMembership`."""
 
 
 class ZoneMembership:
-    """One node's membership by zone.
+    """One node's part in membership by zone: its gateways, queries, exchanges and stored summaries.
 
-    `tick` is due at `deadline`; `tick` and `received` return the messages to send.
+    The caller calls `tick` at the time that `deadline` returns, and `received` for each message. These two
+    methods return the messages to send.
 
     Args:
         zone: Name of the own zone.
-        region: Name of its region.
-        group: The zone's SWIM group.
-        settings: Seeds of the other zones.
+        region: Name of the own zone's region.
+        group: The own zone's SWIM group.
+        settings: The configuration, which contains the seeds: addresses of nodes of the other zones.
         timing: Intervals and limits of the protocol.
         rng: Random stream of this component.
         now: The current time.
@@ -76,7 +77,8 @@
         self.counts = self.records.counts
         self.selection = GatewaySelection(group, Rendezvous(zone), timing.gateways)
         self.local_summary = LocalSummary(zone, region, group, self.selection, timing.max_summary_reuse)
-        # Changing the order of these four random draws would change the behaviour for a given seed.
+        # The next four statements each draw a random number. Changing their order would change the behaviour
+        # for a given seed of the random stream.
         first_exchange_at = now + timing.startup_delay + int(timing.exchange_interval * rng.random())
         first_query_at = now + int(timing.response_timeout * rng.random())
         first_gateway = rng.getrandbits(GATEWAY_INDEX_BITS)
@@ -110,7 +112,7 @@
         return self.selection.gateways(now)
 
     def set_fact(self, key: str, value: str) -> None:
-        """Attach a fact to the own zone's summary, which is sent while this node is a gateway.
+        """Attach a fact, a key and a value, to the own zone's summary, sent while this node is a gateway.
 
         Raises:
             ZoneFactsError: The facts would exceed the bounds of a summary.
@@ -126,7 +128,7 @@
         return next_at if records_due is None else min(next_at, records_due)
 
     def tick(self, now: int) -> list[OutgoingZoneMessage]:
-        """Update the freshness of the records and send the queries and exchanges that are due."""
+        """Update the freshness of the stored summaries, and return the queries and exchanges that are due."""
         self.records.tick(now)
         queries = self.queries.tick(now)
         return queries + self.exchanges.tick(now)
@@ -145,7 +147,8 @@
             return []
         self.selection.mark_responsive(message.sender)
         if message.zone != self.zone and message.sender in self.group.members:
-            # A misconfigured seed has joined the SWIM groups of two zones.
+            # The sender belongs to another zone but is a member of this zone's SWIM group. A misconfigured
+            # seed has joined the groups of the two zones.
             self.counts["members_of_other_zones"] += 1
         self._store(now, message)
         match message.kind:
@@ -168,7 +171,7 @@
     # ---- Status ---------------------------------------------------------------------------------------
 
     def known_zones(self) -> Sequence[str]:
-        """Return the names of the other zones whose summary is not lost."""
+        """Return the names of the other zones whose summary is not yet so old that it counts as lost."""
         records = self.records.zones.items()
         return sorted(zone for zone, record in records if record.freshness != Freshness.LOST)
 
--- a/balancer/fleet/zone_membership/errors.py
+++ b/balancer/fleet/zone_membership/errors.py
@@ -4,7 +4,7 @@
 
 
 class ZoneMessageError(ValueError):
-    """A field of a received message that is outside its bounds.
+    """The error raised for a field of a received message that is outside its bounds.
 
     Args:
         field: Name of the field.
@@ -16,7 +16,7 @@
 
 
 class ZoneFactsError(ValueError):
-    """Facts of a zone that are too many or too long for a summary."""
+    """The error raised for facts, keys and values of a zone, that are too many or too long for a summary."""
 
     def __init__(self) -> None:
         super().__init__("too many facts, or facts too long")
--- a/balancer/fleet/zone_membership/exchanges.py
+++ b/balancer/fleet/zone_membership/exchanges.py
@@ -26,7 +26,7 @@
     Args:
         selection: The own zone's gateways.
         local_summary: The own zone's summary.
-        queries: Builds the query that is sent to one of the gateways.
+        queries: Builds the query that each round of exchanges sends to one of the contacted gateways.
         records: The summaries of the other zones.
         zone_seeds: Addresses of other zones' nodes, by zone.
         timing: Intervals of the protocol.
@@ -60,7 +60,7 @@
         self.next_at = first_at
         self.gateway_index = first_gateway
         self.is_gateway = False
-        # Number of consecutive exchanges without an acknowledgement, by zone.
+        # Number of exchanges sent to each zone since its last acknowledgement.
         self.unacknowledged: dict[str, int] = {}
 
     def tick(self, now: int) -> list[OutgoingZoneMessage]:
@@ -100,7 +100,11 @@
         return outgoing
 
     def _target(self, zone: str) -> Address | None:
-        """Return the next address of a zone: of a gateway, or also of a seed while no gateway responds."""
+        """Return the address to contact next in a zone, or None if no address is known.
+
+        The addresses of the zone's gateways are used in turn. The zone's seeds, its configured addresses, are
+        added while no gateway is known or as many exchanges in a row went unacknowledged as it has gateways.
+        """
         record = self.records.zones.get(zone)
         addresses = [gateway.address for gateway in record.state.gateways] if record is not None else []
         if self.unacknowledged.get(zone, 0) >= len(addresses):
--- a/balancer/fleet/zone_membership/gateway_selection.py
+++ b/balancer/fleet/zone_membership/gateway_selection.py
@@ -11,7 +11,7 @@
 
     Args:
         group: The zone's SWIM group.
-        rendezvous: The order of its members.
+        rendezvous: The order of the group's members by their hashes.
         count: Number of gateways of a zone.
     """
 
@@ -19,7 +19,7 @@
         self.group = group
         self.rendezvous = rendezvous
         self.count = count
-        # End of the exclusion of each unresponsive member, by its name.
+        # Time until which an unresponsive member is not selected as a gateway, by the member's name.
         self.unresponsive_until: dict[str, int] = {}
 
     def gateways(self, now: int) -> list[str]:
--- a/balancer/fleet/zone_membership/gateways.py
+++ b/balancer/fleet/zone_membership/gateways.py
@@ -14,7 +14,7 @@
 
 
 class Scores(dict[str, int]):
-    """Hashes of a zone's members by name, computed on the first lookup."""
+    """Hashes of the names of a zone's members; each is computed on the first lookup of the name."""
 
     def __init__(self, zone: str) -> None:
         super().__init__()
@@ -28,7 +28,7 @@
 
 
 class Rendezvous:
-    """The order of a zone's members by their hashes, and the digest of a set of members."""
+    """The order of a zone's members by the hashes of their names, and a common hash of a set of members."""
 
     def __init__(self, zone: str) -> None:
         self.scores = Scores(zone)
--- a/balancer/fleet/zone_membership/group.py
+++ b/balancer/fleet/zone_membership/group.py
@@ -9,7 +9,7 @@
 
 
 class GroupMember(Protocol):
-    """Another member of the group."""
+    """A member of the zone's SWIM group other than this node."""
 
     @property
     def claim(self) -> Claim:
@@ -21,16 +21,16 @@
 
     @property
     def local_claim(self) -> Claim:
-        """This node's own claim."""
+        """This node's own claim: its name, address and incarnation."""
 
     @property
     def members(self) -> Mapping[str, GroupMember]:
-        """The other members by name, including dead ones."""
+        """The other members of the group by name, including dead ones."""
 
     def alive(self) -> list[str]:
-        """Return the names of the other members that are considered alive."""
+        """Return the names of the other members of the group that are considered alive."""
 
 
 def address_of(group: Group, name: str) -> Address:
-    """Return the address of a member of the group or of this node."""
+    """Return the address of the group's member with this name, which may be this node itself."""
     return group.local_claim.address if name == group.local_claim.name else group.members[name].claim.address
--- a/balancer/fleet/zone_membership/local_summary.py
+++ b/balancer/fleet/zone_membership/local_summary.py
@@ -19,7 +19,7 @@
 
     Args:
         zone: Name of the own zone.
-        region: Name of its region.
+        region: Name of the own zone's region.
         group: The zone's SWIM group.
         selection: The zone's gateways.
         max_reuse: Time in microseconds for which a summary is reused unchanged.
@@ -39,7 +39,7 @@
         self.made_at = 0
 
     def set_fact(self, key: str, value: str) -> None:
-        """Attach a fact to the current summary and all later ones.
+        """Attach a fact, a key and a value that a component publishes, to this and all later summaries.
 
         Raises:
             ZoneFactsError: The facts would exceed the bounds of a summary.
--- a/balancer/fleet/zone_membership/messages.py
+++ b/balancer/fleet/zone_membership/messages.py
@@ -11,7 +11,7 @@
 
 
 class ZoneMembershipKind(IntEnum):
-    """Message kinds; the numbers are distinct from those of other components."""
+    """Kinds of messages of membership by zone; no other component of the fleet uses these numbers."""
 
     # Carries the summary of the sender's zone; acknowledged with the summary of the receiver's zone.
     ZONE_EXCHANGE = 80
@@ -30,8 +30,8 @@
         sender: Name of the sending node.
         zone: Zone of the sender.
         seq: Sequence number; a response carries the number of its request.
-        summaries: Complete summaries.
-        refreshes: New versions of states that the receiver holds.
+        summaries: Complete summaries of zones.
+        refreshes: Newer versions and ages of zones' states that the receiver already holds.
         known_summaries: Fingerprints and ages of the summaries that the sender of a query holds.
     """
 
--- a/balancer/fleet/zone_membership/queries.py
+++ b/balancer/fleet/zone_membership/queries.py
@@ -1,4 +1,4 @@
-"""Queries of a member to the gateways of its own zone."""
+"""Queries of a member to the gateways of its own zone, which ask for summaries of the other zones."""
 
 from __future__ import annotations
 
@@ -29,7 +29,9 @@
 
 
 class GatewayQueries:
-    """Queries to one gateway at a time; gateways that repeatedly do not respond become unresponsive.
+    """Queries to one gateway of the own zone at a time.
+
+    A gateway that repeatedly does not respond becomes unresponsive: it is not selected for some time.
 
     Args:
         group: The zone's SWIM group.
@@ -70,7 +72,7 @@
         return self.next_at if self.pending is None else self.pending.expires_at
 
     def tick(self, now: int) -> list[OutgoingZoneMessage]:
-        """Expire the pending query if it has timed out, and send the next one if it is due."""
+        """Give up the pending query if it has timed out, and return the next query if it is due."""
         if self.pending is not None and now >= self.pending.expires_at:
             self._expire(now, self.pending)
         if self.pending is None and now >= self.next_at:
@@ -78,7 +80,7 @@
         return []
 
     def message(self, now: int) -> ZoneMembershipMessage:
-        """Return a query with the latest sequence number."""
+        """Return a query that lists the summaries this node holds, with the latest sequence number."""
         return ZoneMembershipMessage(
             ZoneMembershipKind.ZONE_QUERY,
             self.group.local_claim.name,
--- a/balancer/fleet/zone_membership/records.py
+++ b/balancer/fleet/zone_membership/records.py
@@ -1,9 +1,10 @@
 """The latest summary of each other zone that a node holds, with its age.
 
-Summaries of one origin are ordered by version. Summaries of two origins (a zone has several gateways) are
-ordered by the time of their creation, which is derived from their ages. An age grows by the time that a copy
-spends at each node that forwards it; the clocks of two nodes are never compared. Transmission times are not
-counted, so an age may be too small by that amount; of two copies of one version the greater age is used.
+An origin is the node that created a summary; a zone has several, since each of its gateways creates
+summaries. Summaries of one origin are ordered by version. Summaries of two origins are ordered by the time of
+their creation, which is derived from their ages. An age grows by the time that a copy spends at each node
+that forwards it; the clocks of two nodes are never compared. Transmission times are not counted, so an age
+may be too small by that amount. Of two copies of one version the greater age is used.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 from balancer.fleet.zone_membership.summaries import KnownSummary, Refresh, Summary, Version, ZoneState
 
 MAX_RECORDS = 64
-# Origins of one zone whose newest versions are stored.
+# Maximum number of origins of one zone, nodes that created its summaries, whose newest versions are stored.
 MAX_ORIGINS_PER_ZONE = 8
 
 
 class Freshness(IntEnum):
-    """Class of a summary by its age."""
+    """Class of a summary by its age: fresh at first, then stale, finally lost."""
 
     FRESH = 0
     STALE = 1
@@ -61,8 +62,9 @@
         fingerprint: Hash of the state.
         version: Version of the summary.
         made_at: Time at which the summary was created, by this process's clock.
-        freshness: Class of its age in the last event that was reported.
-        newest_by_origin: Sort keys of the newest versions by origin, with the most recent origin last.
+        freshness: Class of the summary's age, as last reported in an event.
+        newest_by_origin: Sort key of the newest version from each origin, the node that created the summary.
+            The origin that was updated last comes last.
     """
 
     state: ZoneState
@@ -77,7 +79,10 @@
         return max(0, now - self.made_at)
 
     def remember_version(self, version: Version) -> None:
-        """Store the newest version of an origin, and evict the least recently updated origin."""
+        """Store a version as the newest of its origin, the node that created the summary.
+
+        If there are too many origins, evict the one that was updated longest ago.
+        """
         self.newest_by_origin.pop(version.origin, None)
         self.newest_by_origin[version.origin] = version.order
         while len(self.newest_by_origin) > MAX_ORIGINS_PER_ZONE:
@@ -85,7 +90,7 @@
 
 
 class Records:
-    """The records of all other zones, by name.
+    """The latest summaries of all other zones, one record for each zone.
 
     Args:
         own_zone: Name of the own zone, whose summaries are rejected.
@@ -133,14 +138,18 @@
         return True
 
     def _is_newer(self, now: int, record: Record, version: Version, age: int) -> bool:
-        """Return whether a copy replaces the record; for the same version, keep the greater age."""
+        """Return whether a received version of a summary replaces the record of its zone.
+
+        If the record has the same version, it is not replaced, but it takes the greater of the two ages.
+        """
         made_at = now - age
         if version == record.version:
             record.made_at = min(record.made_at, made_at)
             return False
         if record.freshness == Freshness.LOST:
-            # Incarnations are taken from the clock. If versions were compared here, an origin whose clock was
-            # set back would be rejected for ever.
+            # A version starts with its origin's incarnation, which is taken from the origin's clock. If
+            # versions were compared for a lost record, an origin whose clock was set back would be rejected
+            # for ever.
             return made_at > record.made_at
         newest = record.newest_by_origin.get(version.origin)
         if newest is not None and version.order < newest:
@@ -161,7 +170,7 @@
         return True
 
     def _evict(self) -> bool:
-        """Evict the oldest lost record, and return whether there was one."""
+        """Evict the oldest record whose summary is lost, and return whether there was one."""
         lost = [
             (record.made_at, zone)
             for zone, record in self.zones.items()
@@ -187,7 +196,7 @@
             self._update_freshness(now, zone, record)
 
     def deadline(self) -> int | None:
-        """Return the next time at which a summary becomes stale or lost unless renewed, or None."""
+        """Return when the next summary becomes stale or lost unless renewed; None if none can."""
         bounds = {Freshness.FRESH: self.stale_after, Freshness.STALE: self.lost_after}
         return min(
             (
--- a/balancer/fleet/zone_membership/responses.py
+++ b/balancer/fleet/zone_membership/responses.py
@@ -1,4 +1,4 @@
-"""Responses to exchanges and queries."""
+"""Responses to other zones' exchanges of summaries, and to queries for summaries."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class Responder:
-    """Responses to requests, up to a limit per second.
+    """Responses of this node to exchanges and queries, up to a limit per second.
 
     The limit keeps the queries of a whole zone that starts at once from saturating a gateway's processor.
 
     Args:
         local_summary: The own zone's summary.
         records: The summaries of the other zones.
-        timing: Limit on the rate of responses, and the least difference of ages that is worth sending.
+        timing: Limit on the rate of responses, and the time by which a copy must be newer to be sent.
         counts: Counters that are shown on the status page.
     """
 
@@ -47,7 +47,11 @@
     def answer_exchange(
         self, now: int, source: Address, request: ZoneMembershipMessage
     ) -> list[OutgoingZoneMessage]:
-        """Return the own zone's summary, which lists the gateways even if this node is not one."""
+        """Return a response with the own zone's summary.
+
+        The summary lists the zone's gateways even if this node is not one. There is no response if the
+        request comes from the own zone or if the rate limit refuses it.
+        """
         if request.zone == self.records.own_zone or not self._admit(now):
             return []
         summaries = (self.local_summary.get(now),)
@@ -56,7 +60,11 @@
     def answer_query(
         self, now: int, source: Address, request: ZoneMembershipMessage
     ) -> list[OutgoingZoneMessage]:
-        """Return the summaries that are newer here than at the sender, or an empty response if none is."""
+        """Return responses with the summaries that are newer here than at the sender of the query.
+
+        A sender in another zone also gets the own zone's summary. The response is empty if there is nothing
+        to send. There is no response if the rate limit refuses the query.
+        """
         if not self._admit(now):
             return []
         summaries, refreshes = self.records.find_updates(
--- a/balancer/fleet/zone_membership/settings.py
+++ b/balancer/fleet/zone_membership/settings.py
@@ -1,4 +1,4 @@
-"""The configuration table `fleet.membership`, and the timing of the protocol."""
+"""The configuration table `fleet.membership`, and the timing of membership by zone."""
 
 from __future__ import annotations
 
@@ -33,7 +33,8 @@
     """The configuration of membership by zone.
 
     Attributes:
-        zone_seeds: Addresses by zone, contacted while no gateway of that zone is known or responds.
+        zone_seeds: Addresses of other zones' nodes, by zone. They are contacted while no gateway of the zone
+            is known or responds.
     """
 
     zone_seeds: Mapping[str, tuple[Address, ...]] = field(default_factory=dict)
@@ -41,16 +42,18 @@
 
 @dataclass(frozen=True)
 class ZoneMembershipTiming:
-    """Intervals in microseconds, and limits of the protocol, for a SWIM period of one second.
+    """Intervals in microseconds and limits of membership by zone, for a SWIM period of one second.
+
+    The SWIM period is the interval at which a node probes another member of its zone.
 
     Attributes:
         gateways: Number of gateways of a zone.
-        exchange_interval: Time between two exchanges of a gateway.
+        exchange_interval: Time between two rounds of a gateway's exchanges with the other zones.
         query_interval: Time between the response to a member's query and its next query.
         response_timeout: Time after which a query counts as unanswered.
         max_unanswered_queries: Consecutive unanswered queries after which a gateway is unresponsive.
         unresponsive_for: Time for which an unresponsive member is not selected as a gateway.
-        max_summary_reuse: Time for which the own summary is reused unchanged.
+        max_summary_reuse: Time for which the own zone's summary is reused unchanged.
         startup_delay: Time after its start from which a node may act as a gateway.
         stale_after: Age from which a summary is stale.
         lost_after: Age from which a summary is lost.
@@ -80,10 +83,11 @@
 
     Args:
         section: The configuration section `fleet`; faults are added to it.
-        table: The value of its key `membership`.
+        table: The value of the section's key `membership`.
 
     Returns:
-        The settings, or None if one group spans the fleet or the table is invalid.
+        The settings, or None if the value is not a table or its key `scope` is not `zone`. With the scope
+        `fleet` one SWIM group spans the fleet, and membership by zone is not used.
     """
     if not isinstance(table, dict):
         section.add_fault("membership", table, "must be a table")
@@ -107,7 +111,7 @@
 
     Args:
         membership: The configuration section `fleet.membership`; faults are added to it.
-        table: The value of its key `zone_seeds`.
+        table: The value of the section's key `zone_seeds`.
         own_zone: Name of the own zone.
     """
     if not isinstance(table, dict) or len(table) > MAX_ZONES_PER_MESSAGE:
--- a/balancer/fleet/zone_membership/status.py
+++ b/balancer/fleet/zone_membership/status.py
@@ -1,4 +1,4 @@
-"""The zones on the status page `GET /fleet`."""
+"""The entries of the other zones on the status page `GET /fleet`."""
 
 from __future__ import annotations
 
--- a/balancer/fleet/zone_membership/summaries.py
+++ b/balancer/fleet/zone_membership/summaries.py
@@ -18,9 +18,9 @@
 MAX_GATEWAYS_PER_SUMMARY = 4
 MAX_FACTS_PER_SUMMARY = 8
 MAX_FACT_KEY_CHARACTERS = 32
-# Total size of the keys and values in a summary.
+# Maximum total size of the keys and values of the facts in a summary.
 MAX_FACTS_BYTES_PER_SUMMARY = 256
-# Exclusive bound of the number of members of a zone.
+# Exclusive upper bound of the number of members of a zone.
 ZONE_SIZE_BOUND = 1_000_000
 FINGERPRINT_BYTES = 8
 
@@ -39,11 +39,11 @@
 
     Attributes:
         zone: Name of the zone.
-        region: Name of its region; may be empty.
+        region: Name of the zone's region; may be empty.
         size: Number of alive members.
         digest: Hash of the names of the alive members.
         gateways: The gateways in order of preference.
-        facts: Keys and values that components attach.
+        facts: Keys and values that components of the fleet attach to the zone's state.
     """
 
     zone: str
@@ -56,7 +56,7 @@
     def fingerprint(self) -> int:
         """Return a hash of the state.
 
-        A node that holds a state with the same fingerprint needs only its new version and age.
+        A node that already holds a state with the same fingerprint needs only the new version and age.
         """
         fields = [self.zone, self.region, str(self.size), str(self.digest)]
         fields += [f"{g.name} {g.address[0]} {g.address[1]}" for g in self.gateways]
@@ -71,8 +71,8 @@
 
     Attributes:
         origin: Name of the node that created the summary.
-        incarnation: The origin's incarnation.
-        counter: Sequence number of the summary within this incarnation.
+        incarnation: Number of the origin's incarnation, taken from the origin's clock.
+        counter: Sequence number of the summary among those that the origin created in this incarnation.
     """
 
     origin: str
--- a/balancer/fleet/zone_membership/timers.py
+++ b/balancer/fleet/zone_membership/timers.py
@@ -1,17 +1,20 @@
-"""Sequence numbers and jitter, shared by queries and exchanges."""
+"""Sequence numbers and random variation of intervals, used by queries and exchanges of summaries."""
 
 from __future__ import annotations
 
 from random import Random
 
-# Size of the random first sequence number.
+# Number of bits of the first sequence number, which is random.
 SEQUENCE_BITS = 24
 MIN_JITTER_FACTOR = 0.9
 JITTER_FACTOR_RANGE = 0.2
 
 
 class SequenceNumbers:
-    """Sequence numbers that start at random, so that responses to an earlier incarnation match no request."""
+    """Sequence numbers of requests, which start at a random number.
+
+    Responses to requests that this node sent before a restart therefore match no later request.
+    """
 
     def __init__(self, rng: Random) -> None:
         self.latest = rng.getrandbits(SEQUENCE_BITS)
--- a/balancer/fleet/zone_membership/wire.py
+++ b/balancer/fleet/zone_membership/wire.py
@@ -1,4 +1,4 @@
-"""MessagePack encoding of the messages.
+"""MessagePack encoding of the messages of membership by zone.
 
 Structs are encoded as arrays without field names. A later version may append fields, which this version
 skips. Ages are sent in milliseconds.
@@ -92,7 +92,7 @@
 
 
 class ZoneMembershipWire:
-    """Encoder and decoder of the message bodies, registered with the codec."""
+    """Encoder and decoder of the bodies of `ZoneMembershipMessage`, registered with the fleet's codec."""
 
     kinds = frozenset(int(kind) for kind in ZoneMembershipKind)
 
@@ -109,7 +109,10 @@
         )
 
     def shorten(self, message: ZoneMembershipMessage) -> ZoneMembershipMessage | None:
-        """Return a message without its last entry to make it shorter, or None if it has no entries."""
+        """Return a copy of a message that is shorter by one entry, or None if the message has no entries.
+
+        The entries are the summaries, the refreshes and the known summaries.
+        """
         if message.summaries:
             return replace(message, summaries=message.summaries[:-1])
         if message.refreshes:
@@ -125,7 +128,7 @@
 
         Raises:
             ZoneMessageError: A field is out of its bounds.
-            ZoneFactsError: A summary has too many facts.
+            ZoneFactsError: A summary has too many facts, or facts that are too long.
             msgspec.MsgspecError: The body is malformed.
         """
         wire = self.decoder.decode(body)
@@ -155,7 +158,7 @@
 
 
 def pack_known_summary(entry: KnownSummary) -> WireKnownSummary:
-    """Return the wire form of an entry of a query."""
+    """Return the wire form of a known summary, an entry of a query."""
     return WireKnownSummary(entry.zone, entry.fingerprint, to_milliseconds(entry.age))
 
 
@@ -175,7 +178,7 @@
 
 
 def unpack_summary(wire: WireSummary) -> Summary:
-    """Validate and return a received summary.
+    """Check the fields of a received summary against their bounds, and return the summary.
 
     Raises:
         ZoneMessageError: A field is out of its bounds.
@@ -217,7 +220,7 @@
 
 
 def unpack_known_summary(wire: WireKnownSummary) -> KnownSummary:
-    """Return a received entry of a query, or raise ZoneMessageError if a field is out of its bounds."""
+    """Return a received known summary, or raise ZoneMessageError if a field is out of its bounds."""
     check_name(wire.zone)
     check_range(wire.fingerprint, HASH_BOUND)
     return KnownSummary(wire.zone, wire.fingerprint, unpack_age(wire.age_ms))
@@ -230,7 +233,7 @@
 
 
 def to_milliseconds(age: int) -> int:
-    """Return an age in milliseconds, rounded up so that a copy never appears newer than it is."""
+    """Convert an age in microseconds to milliseconds, rounded up so that no copy appears newer than it is."""
     return -(-age // MICROSECONDS_PER_MILLISECOND)
 
 
--- a/balancer/fleet/zone_routing/directives.py
+++ b/balancer/fleet/zone_routing/directives.py
@@ -1,13 +1,14 @@
 """Distribution of operators' directives on zones; the newest directive on a zone applies until its end.
 
-A directive is first broadcast to all members a few times. After that each member sends it to one random
-member per second, so that members that missed it or joined later learn of it. The newest directive is the one
-with the highest version, regardless of the process that issued it.
+A directive evacuates a zone, so that no calls are sent to it for some time, or allows it to return. It is
+first broadcast to all members a few times. After that each member sends it to one random member per second,
+so that members that missed it or joined later learn of it. The newest directive is the one with the highest
+version, regardless of the process that issued it.
 
 Members' wall clocks may differ and may be stepped. The remaining duration of a directive is therefore tracked
 by the monotonic clock: a message carries its sender's wall clock together with each directive's end, and the
-receiver uses the difference of the two. Versions are Unix time, advanced by the monotonic clock from the
-newest version seen.
+receiver computes the remaining duration as the difference of the two. Versions are Unix time, advanced by the
+monotonic clock from the newest version seen.
 
 Times are microseconds of this process's monotonic clock, except in messages.
 """
@@ -64,7 +65,7 @@
         self.rng = rng
         self.now = now
         self.by_zone: dict[str, KnownDirective] = {}
-        # Difference between the newest version seen and the monotonic clock, or None before the first.
+        # Difference between the newest version seen and the monotonic clock, or None while none was seen.
         self.version_lead: int | None = None
         self.broadcasts_remaining = 0
         self.next_tick_at = now()
@@ -74,7 +75,7 @@
 
         Args:
             zone: The zone's name.
-            duration: Microseconds for which no calls are sent to the zone; 0 if it may return.
+            duration: Microseconds for which no calls are sent to the zone; 0 allows the zone to return.
 
         Returns:
             False if there are already too many directives for one datagram; the directive is then not issued.
@@ -101,7 +102,9 @@
         self.version_lead = lead if self.version_lead is None else max(lead, self.version_lead)
 
     def ensure_capacity(self, now: int, zone: str) -> bool:
-        """Ensure that a directive on a zone can be stored, if necessary by evicting the one that ended first.
+        """Ensure that a directive on a zone can be stored.
+
+        If there is no space for it, the stored directive that ended first is removed.
 
         Returns:
             Whether the directive can be stored.
@@ -130,7 +133,10 @@
         return {zone for zone, directive in self.by_zone.items() if directive.allows_return}
 
     def directives_to_gossip(self, now: int) -> dict[str, KnownDirective]:
-        """Return the directives that are still gossiped; others are stored until their space is needed."""
+        """Return the directives that are still sent to other members, by zone.
+
+        Directives that are no longer sent remain stored until their space is needed.
+        """
         return {zone: directive for zone, directive in self.by_zone.items() if now < directive.gossip_until}
 
     def deadline(self) -> int | None:
@@ -138,7 +144,10 @@
         return self.next_tick_at if self.directives_to_gossip(self.next_tick_at) else None
 
     def tick(self, now: int) -> list[Outgoing]:
-        """Return the messages that are due: to all members after a new directive, otherwise to one."""
+        """Return the messages with directives that are due.
+
+        They go to all members in the first rounds after a new directive, otherwise to one random member.
+        """
         if now < self.next_tick_at:
             return []
         self.next_tick_at = now + GOSSIP_INTERVAL_US
@@ -156,8 +165,9 @@
     def messages(self, now: int, directives: Mapping[str, KnownDirective]) -> list[ZoneMessage]:
         """Return messages that carry the given directives.
 
-        Ends that are tracked by the monotonic clock are converted to this process's wall clock. Other ends
-        are sent unchanged in the format of an earlier version, which has no wall clock of the sender.
+        The ends of most directives are tracked by the monotonic clock; they are converted to this process's
+        wall clock. An end that was received without its sender's wall clock is sent unchanged, in the format
+        of an earlier version, which contains no wall clock.
         """
         # Ends would be negative, and could not be encoded, if the wall clock were before 1970.
         wall_clock = max(MAX_DURATION_US, self.wall_clock())
--- a/balancer/fleet/zone_routing/failure_evidence.py
+++ b/balancer/fleet/zone_routing/failure_evidence.py
@@ -1,6 +1,7 @@
-"""The health of each zone, assessed by the outcomes of this node's own calls in the last windows.
+"""The health of each zone, assessed by the outcomes of this node's own calls in the last two windows.
 
-Times are microseconds of this process's monotonic clock.
+A window is a period of fixed length over which the outcomes of calls are counted. The baseline latency of a
+zone is its usual latency while it is healthy. Times are microseconds of this process's monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,12 +14,13 @@
 
 # Number of most recent connect times that are stored for a zone.
 MAX_CONNECT_TIMES = 16
+# Number of calls in the last two windows from which a server counts as assessed.
 MIN_CALLS_TO_ASSESS_SERVER = 2
 
 
 @dataclass
 class CallCounter:
-    """Outcomes of calls in a window.
+    """Outcomes of calls in a window, a period over which they are counted.
 
     Attributes:
         calls: Number of completed calls.
@@ -67,7 +69,7 @@
         previous: Calls in the previous window, by server.
         baseline_latency: Smoothed latency of windows in which the zone was healthy; 0 if still unknown.
         consecutive_failures: Number of failed calls since the last success.
-        performance: Share of answered calls times speed relative to the baseline, from 0 to 1.
+        performance: Share of answered calls times speed relative to the baseline latency, from 0 to 1.
         connect_times: Times in microseconds that opening the last connections took.
     """
 
@@ -79,7 +81,10 @@
     connect_times: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_CONNECT_TIMES))
 
     def both_windows(self) -> dict[int, CallCounter]:
-        """Return the calls of both windows by server, since the current window may have just begun."""
+        """Return the outcomes of calls in the current and the previous window, by server.
+
+        The previous window is included since the current one may have just begun.
+        """
         joined: dict[int, CallCounter] = {}
         for window in (self.previous, self.current):
             for server, counter in window.items():
@@ -87,13 +92,13 @@
         return joined
 
     def clear(self) -> None:
-        """Discard the outcomes, but not the baseline latency and the connect times."""
+        """Discard the outcomes of calls to the zone, but not its baseline latency and connect times."""
         self.current, self.previous = {}, {}
         self.consecutive_failures = 0
         self.performance = 1.0
 
     def close_window(self, span: int, settings: ZoneSettings) -> None:
-        """Begin a new window after one of `span` microseconds, and update the baseline latency."""
+        """End the current window, which lasted `span` microseconds, and update the baseline latency."""
         self.update_baseline_latency(span, settings)
         self.previous, self.current = self.current, {}
 
@@ -120,7 +125,8 @@
         calls: Number of calls to the zone.
         answered: Number of calls that did not fail.
         bad_share: Share of bad servers among the zone's assessed servers.
-        is_unreachable: Whether so many of its last calls failed in a row that it counts as unreachable.
+        is_unreachable: Whether so many of the last calls to the zone failed in a row that it counts as
+            unreachable.
     """
 
     calls: int
@@ -179,13 +185,14 @@
             evidence.close_window(span, self.settings)
 
     def performance(self, zone: str) -> float:
-        """Return the last measured performance of a zone relative to its baseline."""
+        """Return the last measured performance of a zone, from 0 to 1; see `measure_performance`."""
         return self.get_or_create(zone).performance
 
     def measure_performance(self, zone: str) -> None:
-        """Measure a zone's performance: the share of answered calls times their relative speed.
+        """Measure a zone's performance: the share of answered calls times their speed.
 
-        Small delays, which occur under any load, are ignored. Without enough calls the performance gradually
+        The speed is relative to the zone's baseline latency, its usual latency while it is healthy. Small
+        delays, which occur under any load, are ignored. Without enough calls the performance gradually
         returns to 1.
         """
         settings, evidence = self.settings, self.get_or_create(zone)
@@ -208,7 +215,7 @@
 
         Args:
             zone: The zone's name.
-            ejected: Its currently ejected servers, which count as bad.
+            ejected: The zone's servers that the policy has ejected; they count as bad.
         """
         evidence = self.get_or_create(zone)
         counters = evidence.both_windows()
--- a/balancer/fleet/zone_routing/known_directive.py
+++ b/balancer/fleet/zone_routing/known_directive.py
@@ -1,4 +1,8 @@
-"""A directive on a zone with its end by this process's monotonic clock, and the order of directives."""
+"""An operator's directive on a zone as stored by one process, and the order of two directives.
+
+A directive evacuates a zone until its end, so that no calls are sent to it, or allows the zone to return. The
+end is stored by this process's monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -21,8 +25,8 @@
         ends_at: End by the monotonic clock in microseconds; for a directive that allows the return, the time
             at which it was issued.
         gossip_until: Time by the monotonic clock at which this process stops gossiping the directive.
-        unconverted_end: End in microseconds of Unix time if it was received without the sender's wall clock,
-            and is therefore forwarded unchanged; otherwise None.
+        unconverted_end: End in microseconds of Unix time if the directive was received without its sender's
+            wall clock; this end is then forwarded unchanged. Otherwise None.
     """
 
     version: int
@@ -40,11 +44,12 @@
             return other.allows_return and not self.allows_return
         if self.unconverted_end is not None:
             return False
-        # An end grows by the transmission time, so the earlier of two ends is more accurate.
+        # Each receiver computes a directive's end too late by the transmission time, so the earlier of two
+        # ends is more accurate.
         return other.unconverted_end is not None or self.ends_at < other.ends_at
 
     def has_ended(self, now: int) -> bool:
-        """Return whether the directive no longer evacuates the zone."""
+        """Return whether the directive evacuates its zone no longer: it has ended or allows the return."""
         return self.allows_return or self.ends_at <= now
 
 
@@ -53,7 +58,7 @@
 
     Args:
         version: Version of the directive.
-        duration: Microseconds for which no calls are sent to the zone; 0 if it may return.
+        duration: Microseconds for which no calls are sent to the zone; 0 allows the zone to return.
         now: The monotonic clock.
     """
     ends_at = now + min(duration, MAX_DURATION_US)
--- a/balancer/fleet/zone_routing/messages.py
+++ b/balancer/fleet/zone_routing/messages.py
@@ -8,14 +8,14 @@
 import msgspec
 
 MAX_ZONE_NAME_CHARACTERS = 64
-# Directives that fit into one datagram.
+# Maximum number of directives in a message; so many fit into one datagram.
 MAX_DIRECTIVES = 12
-# Exclusive upper bound of versions and ends.
+# Exclusive upper bound of the versions and the ends of received directives.
 INTEGER_BOUND = 1 << 62
 
 
 class ZoneMessageError(ValueError):
-    """A value in the body of a received message that is outside its bounds."""
+    """The error raised for a value in the body of a received zone message that is outside its bounds."""
 
 
 class ZoneKind(IntEnum):
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class ZoneDirective:
-    """A directive on the wire.
+    """An operator's directive as sent in a message: it evacuates a zone or allows the zone to return.
 
     Attributes:
         zone: Name of the zone.
@@ -61,7 +61,7 @@
 
 
 class ZoneWire:
-    """Encoder and decoder of zone messages, registered with the codec."""
+    """Encoder and decoder of messages that carry directives on zones, registered with the fleet's codec."""
 
     kinds = frozenset(int(kind) for kind in ZoneKind)
 
@@ -73,7 +73,7 @@
         return [(directive.zone, directive.version, directive.until) for directive in message.directives]
 
     def shorten(self, message: ZoneMessage) -> ZoneMessage | None:
-        """Return a message without its last directive to make it shorter, or None if it has none."""
+        """Return a shorter copy of a message, without its last directive, or None if it has no directive."""
         return replace(message, directives=message.directives[:-1]) if message.directives else None
 
     def unpack(self, kind: int, sender: str, seq: int, body: msgspec.Raw) -> ZoneMessage:
@@ -91,7 +91,7 @@
 
 
 def validate_directive(zone: str, version: int, until: int) -> ZoneDirective:
-    """Validate and return a received directive.
+    """Check a received directive's zone name, version and end against their bounds, and return the directive.
 
     Raises:
         ZoneMessageError: A value is out of its bounds.
--- a/balancer/fleet/zone_routing/publication.py
+++ b/balancer/fleet/zone_routing/publication.py
@@ -1,4 +1,7 @@
-"""Publication of zones' shares and round-trip times to the policy when they change significantly."""
+"""Publication of zones' shares and round-trip times to the policy when they change significantly.
+
+A zone's share is the part of this node's calls that are sent to the zone.
+"""
 
 from __future__ import annotations
 
@@ -37,13 +40,13 @@
         )
 
     def shares_changed(self, shares: dict[str, float]) -> bool:
-        """Return whether the zones or their order changed, or a share changed enough."""
+        """Return whether a share, the set of zones or their order changed enough to be published."""
         if list(shares) != list(self.shares):
             return True
         return any(abs(share - self.shares[zone]) > MIN_SHARE_CHANGE for zone, share in shares.items())
 
     def round_trips_changed(self, round_trips: dict[str, int]) -> bool:
-        """Return whether a round-trip time changed enough."""
+        """Return whether a round-trip time changed enough since the last publication."""
         return any(
             abs(round_trip - self.round_trips.get(zone, 0))
             > max(MIN_ROUND_TRIP_CHANGE_US, round_trip // MIN_ROUND_TRIP_CHANGE_DIVISOR)
--- a/balancer/fleet/zone_routing/router.py
+++ b/balancer/fleet/zone_routing/router.py
@@ -1,4 +1,4 @@
-"""Router of one node's calls to zones, which assesses each zone and computes its share.
+"""Router of one node's calls to zones. It assesses each zone and computes its share, its part of the calls.
 
 `ZoneStates` tracks the zones that are in service, and `ShareAllocation` divides the calls. Times are
 microseconds of this process's monotonic clock.
@@ -22,8 +22,9 @@
     """A server in discovery's list.
 
     Attributes:
-        zone: Name of its zone.
-        slow_start_until: End of its slow start; 0 if its start is unknown.
+        zone: Name of the server's zone.
+        slow_start_until: End of the server's slow start, the time after its start in which it gets fewer
+            calls; 0 if it is unknown when the server started.
     """
 
     zone: str
@@ -63,7 +64,8 @@
         self.states = ZoneStates(settings, self.evidence, rank, log_line, self.counts)
         self.servers: dict[int, ListedServer] = {}
         self.ejected: set[int] = set()
-        # True while all remote zones look bad, which likely is a fault of this node or its links.
+        # Whether this node counts as isolated: all remote zones look bad, likely because of a fault of this
+        # node or its links.
         self.is_isolated = False
         self.next_evaluation_at = now
 
@@ -76,7 +78,7 @@
         self.states.set_listed_zones(sorted({server.zone for server in servers.values()}))
 
     def set_ejected(self, server: int, is_ejected: bool) -> None:
-        """Record that a server has been ejected or readmitted."""
+        """Record that the policy has ejected a server from service or readmitted it."""
         if is_ejected:
             self.ejected.add(server)
         else:
@@ -114,7 +116,7 @@
         self.states.apply_directives(self.next_evaluation_at, remaining_durations, returning_zones)
 
     def allows(self, server: int) -> bool:
-        """Return whether a server's zone takes calls, or no zone does."""
+        """Return whether calls may go to a server: its zone takes calls, or no zone takes any."""
         listed = self.servers.get(server)
         if listed is None or self.states.takes_calls(listed.zone):
             return True
@@ -127,7 +129,7 @@
         return self.next_evaluation_at
 
     def tick(self, now: int) -> bool:
-        """Evaluate all zones if that is due, and return whether it was."""
+        """Evaluate all zones if the next evaluation is due, and return whether it was due."""
         if now < self.next_evaluation_at:
             return False
         self.next_evaluation_at = now + self.settings.evaluation_interval
@@ -188,14 +190,17 @@
         return self.states.listed_zones
 
     def assess(self, zone: str) -> ZoneAssessment:
-        """Assess a zone by the failure evidence and its ejected servers."""
+        """Assess a zone by the outcomes of this node's calls to it and by its ejected servers."""
         ejected = {
             server for server in self.ejected if server in self.servers and self.servers[server].zone == zone
         }
         return self.evidence.assess(zone, ejected)
 
     def others_are_better(self, zone: str, assessments: Mapping[str, ZoneAssessment]) -> bool:
-        """Return whether another zone is clearly better, or there is no conclusive evidence on the others.
+        """Return whether another zone is clearly better than this one, or there is no evidence on the others.
+
+        Another zone is compared only if it takes calls and there is enough evidence on it. The result is
+        False while this zone is in service and the evidence on this zone itself is not conclusive.
 
         Without this condition, a release that is bad everywhere, or a fault of this node, would evacuate one
         zone after another.
@@ -223,7 +228,10 @@
         return {zone: strength * self.assumed_performance(zone) for zone, strength in strengths.items()}
 
     def assumed_performance(self, zone: str) -> float:
-        """Return a zone's performance, or 1 for remote zones in isolation, when the links may be at fault."""
+        """Return a zone's measured performance; 1 for a remote zone while this node is isolated.
+
+        In isolation the links of this node may be at fault rather than the remote zones.
+        """
         return 1.0 if self.is_isolated and zone != self.home else self.evidence.performance(zone)
 
     def shares(self, now: int) -> dict[str, float]:
@@ -245,7 +253,11 @@
         return allocation.shares()
 
     def weight(self, zone: str) -> float:
-        """Return the part of a zone's strength that this node may use."""
+        """Return a zone's weight: the part, from 0 to 1, of its strength that this node may use.
+
+        While this node is isolated and its home zone has servers, the weight of a remote zone is at most the
+        initial weight.
+        """
         weight = self.states.effective_weight(zone)
         is_limited = self.is_isolated and zone != self.home and self.home in self.zones()
         return min(weight, self.settings.initial_weight) if is_limited else weight
--- a/balancer/fleet/zone_routing/server_starts.py
+++ b/balancer/fleet/zone_routing/server_starts.py
@@ -1,6 +1,7 @@
 """The end of each server's slow start, computed so that a wrong wall clock cannot distort it.
 
-Times are microseconds of this process's monotonic clock, except those of discovery's clock.
+The slow start is the time after a server's start in which it gets fewer calls than others. Times are
+microseconds of this process's monotonic clock, except those of discovery's clock.
 """
 
 from __future__ import annotations
@@ -27,11 +28,11 @@
     is_observed: bool
 
     def slow_start_until(self, slow_start_time: int, list_clock_offset: int) -> int:
-        """Return the end of the slow start, or 0 if the start is unknown.
+        """Return the end of the server's slow start, or 0 if the time of its start is unknown.
 
         An observed restart counts from the time at which this node learned of it, and any slow start ends at
-        the latest one slow-start time after that. If it were computed from discovery's clock alone, a node
-        whose wall clock is wrong would end the slow start at once, or prolong it by an hour.
+        the latest one slow-start time after that time. If the end were computed from discovery's clock alone,
+        a node whose wall clock is wrong would end the slow start at once, or prolong it by an hour.
 
         Args:
             slow_start_time: Duration of a slow start.
--- a/balancer/fleet/zone_routing/settings.py
+++ b/balancer/fleet/zone_routing/settings.py
@@ -1,4 +1,4 @@
-"""Settings of zone routing."""
+"""Settings of zone routing, which decides what share of a node's calls each zone gets."""
 
 from __future__ import annotations
 
@@ -15,24 +15,30 @@
     Only the keys `room` and `costs` are configurable (see `docs/zone-routing.md`).
 
     Attributes:
-        overprovisioning_factor: Multiple of its even share of the load that a zone can serve; the key `room`.
+        overprovisioning_factor: Load that a zone can serve, as a multiple of its even share, the load divided
+            by the number of zones; the key `room`.
         costs: Cost of a call from this node's zone to another one; 1 for zones that are not listed.
         evaluation_interval: Time between two evaluations of all zones.
-        window: Time over which outcomes of calls are counted.
+        window: Length of a window, the period over which outcomes of calls are counted.
         min_calls: Minimum number of calls to a zone in a window for its failure rate to be conclusive.
         consecutive_failures: Number of consecutive failed calls after which a zone counts as unreachable.
         failure_rate_threshold: Failure rate from which a server counts as bad.
-        latency_slack: Multiple of the baseline latency up to which a zone's performance is not reduced.
-        performance_recovery: Part of its lost performance that an unused zone regains at each evaluation.
+        latency_slack: Multiple of a zone's baseline latency, its usual latency while healthy, up to which the
+            zone's performance is not reduced.
+        performance_recovery: Part of its lost performance that a zone with too few calls regains at each
+            evaluation.
         slow_factor: Multiple of the zone's baseline latency above which a server counts as bad.
         bad_servers_threshold: Share of bad servers among the assessed ones from which a zone is bad.
-        better_factor: Another zone is better if its share of bad servers is at most this part of the zone's.
+        better_factor: Another zone counts as better than a bad zone if its share of bad servers is at most
+            this part of the bad zone's share.
         evacuation_time: Duration of the first evacuation of a zone.
         max_evacuation_time: Upper bound of the duration of an evacuation.
-        evacuation_backoff: Factor by which the duration grows if the zone turns bad again.
+        evacuation_backoff: Factor by which the duration of an evacuation grows if the zone turns bad again
+            soon.
         relapse_window: Time after a recovery within which a new failure counts as a relapse.
         return_stagger: Time over which the nodes of a fleet spread their return to a zone.
-        initial_weight: Weight of a zone when its recovery begins, and of remote zones in isolation.
+        initial_weight: Weight of a zone, the part of its strength that is used, when its recovery begins. It
+            also limits the weight of remote zones while this node is isolated, as all of them look bad.
         recovery_step: Time after which a recovering zone's weight doubles.
         baseline_time: Time constant of the smoothing of a zone's baseline latency.
     """
--- a/balancer/fleet/zone_routing/shares.py
+++ b/balancer/fleet/zone_routing/shares.py
@@ -1,7 +1,7 @@
 """Shares of a node's calls by zone: first the home zone, then the cheapest zones with spare capacity.
 
 The overprovisioning factor and the fallback to all zones when none is usable follow Envoy's locality-weighted
-load balancing and its panic threshold. The reasons are given in `docs/zone-routing.md`.
+load balancing and Envoy's panic threshold. The reasons are given in `docs/zone-routing.md`.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True)
 class ShareAllocation:
-    """Computation of the shares of all zones from their state at one instant.
+    """Computation of the share of each zone, its part of this node's calls, from the zones' current state.
 
     Attributes:
         home: The node's own zone.
         strengths: Number of servers in service by zone, weighted by slow start and performance.
-        weights: Part of its strength, from 0 to 1, that this node uses of each zone.
+        weights: Part of each zone's strength, from 0 to 1, that this node uses.
         even_share: Part of the fleet's calls that is assumed to originate in each zone.
-        overprovisioning_factor: Multiple of its even share that a zone can serve.
+        overprovisioning_factor: Load that a zone can serve, as a multiple of its even share.
         costs: Cost of a call from the home zone to each zone; `DEFAULT_COST` for zones that are not listed.
     """
 
@@ -83,9 +83,11 @@
         capacities: Mapping[str, float],
         remaining: float,
     ) -> float:
-        """Assign calls to zones of equal cost in proportion to their spare capacity beyond their even share.
+        """Assign calls to zones of equal cost in proportion to their spare capacity.
 
-        This node may use the part of that capacity that its home zone has of the fleet's demand.
+        A zone's spare capacity is its capacity beyond its even share, the part of the fleet's calls that is
+        assumed to originate in each zone. It is divided by the even share, which makes it a multiple of the
+        home zone's calls: the nodes of the home zone together may use all of it.
 
         Returns:
             The part of all calls that was assigned.
@@ -100,7 +102,10 @@
     def distribute_excess(
         self, shares: dict[str, float], weights: Mapping[str, float], remaining: float
     ) -> None:
-        """Distribute calls beyond all capacity over the zones by strength; concurrency limits shed them."""
+        """Distribute the calls that exceed the capacity of all zones over the zones by their usable strength.
+
+        The concurrency limits then shed, that is reject, the calls that are too many.
+        """
         total_strength = sum(weights[zone] * self.strengths[zone] for zone in shares)
         for zone in shares:
             shares[zone] += remaining * weights[zone] * self.strengths[zone] / total_strength
--- a/balancer/fleet/zone_routing/traffic.py
+++ b/balancer/fleet/zone_routing/traffic.py
@@ -28,7 +28,7 @@
 class ZoneTraffic:
     """Zone routing of one process, which can be opened and closed repeatedly.
 
-    Discovery's list and the published shares are kept while closed.
+    While it is closed, discovery's list of servers and the published shares of the zones are kept.
 
     Args:
         config: Configuration of the fleet, with the process's name and zone.
@@ -43,7 +43,7 @@
 
     # Kinds of the messages that `received` handles.
     kinds = frozenset(ZoneKind)
-    # The workbench replaces the class by baselines.
+    # Class of the router; the workbench replaces it by simpler routers for comparison.
     router_class = ZoneRouter
 
     def __init__(
@@ -73,7 +73,7 @@
         self.zone_numbers: Mapping[str, int] = {}
 
     def open(self, alive: Callable[[], Sequence[str]], rng: Random) -> None:
-        """Start routing with a new router and without directives.
+        """Start routing with a new router and without operators' directives.
 
         Args:
             alive: Returns the names of the other alive members.
@@ -160,7 +160,7 @@
             self.router.record_connection(server, int(connect_seconds * 1e6))
 
     def allows(self, server: int) -> bool:
-        """Return whether calls may be sent to the server's zone."""
+        """Return whether zone routing allows calls to a server; it does so for all servers while closed."""
         return self.router is None or self.router.allows(server)
 
     def set_ejected(self, server: int, is_ejected: bool) -> None:
@@ -171,13 +171,13 @@
     # ---- Time and messages ------------------------------------------------------------------------------
 
     def deadlines(self) -> list[int | None]:
-        """Return the times at which `tick` is due."""
+        """Return the times at which `tick` is due for the router and for the directives."""
         if self.router is None or self.directives is None or not self.ready_servers:
             return []
         return [self.router.deadline(), self.directives.deadline()]
 
     def tick(self, now: int) -> list[Outgoing]:
-        """Evaluate the zones and publish their shares if that is due; return directives to send."""
+        """Evaluate the zones and publish their shares if that is due; return the messages with directives."""
         if self.router is None or self.directives is None:
             return []
         if self.ready_servers and self.router.tick(now):
@@ -196,5 +196,5 @@
     # ---- Status page ------------------------------------------------------------------------------------
 
     def status(self, now: int) -> dict[str, Any]:
-        """Return the key `zones` of the operators' page, or an empty dictionary while closed."""
+        """Return the key `zones` of the operators' page, or an empty dictionary while routing is closed."""
         return {"zones": self.router.status(now)} if self.router is not None else {}
--- a/balancer/fleet/zone_routing/zone_states.py
+++ b/balancer/fleet/zone_routing/zone_states.py
@@ -1,8 +1,8 @@
 """The state of each zone in this node's routing: in service, evacuating, evacuated, recovering.
 
-While failure evidence shows that a zone alone is bad, its weight is halved at each evaluation until it is
-evacuated. It then gets no calls for some time and recovers in steps. Times are microseconds of this process's
-monotonic clock.
+A zone's weight is the part of its strength that this node uses. While the outcomes of calls show that a zone
+is bad and others are better, its weight is halved at each evaluation until the zone is evacuated. It then
+gets no calls for some time and recovers in steps. Times are microseconds of this process's monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from balancer.fleet.zone_routing.failure_evidence import FailureEvidence, ZoneAssessment
 from balancer.fleet.zone_routing.settings import ZoneSettings
 
-# A zone whose weight is halved below this is evacuated.
+# A zone is evacuated when halving its weight makes the weight lower than this value.
 MIN_EVACUATING_WEIGHT = 0.05
-# At most one in this number of zones is evacuated at a time, or one zone if there are fewer.
+# At most one in this number of zones is evacuated at a time; if there are fewer zones, at most one zone is.
 ZONES_PER_EVACUATION = 3
 
 
@@ -36,11 +36,11 @@
 
     Attributes:
         status: Status of the zone.
-        weight: Part of its strength that is used, from 0 to 1.
-        next_step_at: Earliest time of the next step of its recovery.
-        evacuation_time: Duration of its last evacuation by evidence, without the stagger; 0 if there was none
-            or it was not recent.
-        recovered_at: Time at which its last recovery was completed.
+        weight: Part of the zone's strength that is used, from 0 to 1.
+        next_step_at: Earliest time of the next step of the zone's recovery.
+        evacuation_time: Duration of the zone's last evacuation by evidence, that is by outcomes of calls,
+            without the stagger that spreads the nodes' return; 0 if there was none or it was not recent.
+        recovered_at: Time at which the zone's last recovery was completed.
     """
 
     status: ZoneStatus = ZoneStatus.IN_SERVICE
@@ -59,7 +59,7 @@
 
     Args:
         settings: Settings of zone routing.
-        evidence: Failure evidence, which is cleared for a zone whose recovery begins.
+        evidence: Outcomes of this node's calls, which are cleared for a zone whose recovery begins.
         rank: Returns this node's position among the members, from 0 to below 1.
         log_line: Writes a line to the log.
         counts: Counters; the key `left` counts evacuations.
@@ -103,7 +103,7 @@
         return 0.0 if zone in self.evacuated_by_directive else self.get_or_create(zone).weight
 
     def cancel_evacuations(self, except_zone: str) -> None:
-        """Return all zones that are being evacuated to service, except one."""
+        """Put all zones whose evacuation is in progress back into service, except one."""
         for zone, state in self.by_zone.items():
             if zone != except_zone and state.status == ZoneStatus.EVACUATING:
                 state.put_in_service()
@@ -113,10 +113,10 @@
     def apply_directives(
         self, now: int, remaining_durations: Mapping[str, int], returning_zones: Collection[str]
     ) -> None:
-        """Apply operators' directives, which override the evidence.
+        """Apply operators' directives, which override the evidence from outcomes of calls.
 
-        Zones that may return begin their recovery. So do zones whose directive has ended, unless evidence has
-        evacuated them as well.
+        Zones that an operator allows to return begin their recovery. Zones whose directive has ended begin it
+        too, unless evidence has evacuated them as well.
 
         Args:
             now: Start of the recoveries that begin.
@@ -144,7 +144,7 @@
             now: The monotonic clock.
             zone: The zone's name.
             assessment: The assessment of the zone.
-            is_bad: Whether the zone is bad and others are better.
+            is_bad: Whether the zone is bad and other zones are better.
         """
         status = self.get_or_create(zone).status
         if status == ZoneStatus.RECOVERING:
@@ -170,8 +170,8 @@
     def advance_recovery(self, now: int, zone: str, assessment: ZoneAssessment, is_bad: bool) -> None:
         """Evacuate a recovering zone that is bad again, or double its weight when that is due.
 
-        A zone does not recover while a directive evacuates it. Otherwise it would complete its recovery
-        without a single call, and a failure after that would not count as a relapse.
+        A zone's weight is not doubled while a directive evacuates the zone. Otherwise it would complete its
+        recovery without a single call, and a failure after that would not count as a relapse.
         """
         state, settings = self.get_or_create(zone), self.settings
         is_conclusive = assessment.is_conclusive(settings.min_calls)
@@ -212,7 +212,7 @@
         return assessment.calls == 0 and now >= state.next_step_at + self.settings.evacuation_time
 
     def evacuate(self, now: int, zone: str, state: ZoneState) -> None:
-        """Evacuate a zone for some time, which is longer after a recent recovery."""
+        """Send no calls to a zone for some time, which is longer if the zone recovered recently."""
         settings = self.settings
         state.evacuation_time = self.next_evacuation_time(now, state)
         state.status, state.weight = ZoneStatus.EVACUATED, 0.0
@@ -223,8 +223,8 @@
     def next_evacuation_time(self, now: int, state: ZoneState) -> int:
         """Return the duration of an evacuation that begins now.
 
-        The backoff applies only after an evacuation by evidence. A zone that fails after a directive may have
-        had none, and the backoff would then multiply a duration of 0 s.
+        The duration is multiplied by the backoff only if evidence has evacuated the zone before. A zone that
+        fails after a directive may have had no such evacuation, and the backoff would multiply 0 s.
         """
         settings = self.settings
         is_recovering = state.status == ZoneStatus.RECOVERING
@@ -240,8 +240,9 @@
     def begin_recovery(self, now: int, zone: str) -> None:
         """Start to send a few calls to a zone again.
 
-        The duration of the last evacuation is reset if the zone had been in service for long before the
-        directive. Otherwise a failure after the directive would count as a relapse of an evacuation days ago.
+        A recovery may follow an evacuation by a directive. The duration of the last evacuation by evidence is
+        reset if the zone had been in service for long before that directive. Otherwise a failure after the
+        directive would count as a relapse of an evacuation days ago.
         """
         state = self.get_or_create(zone)
         was_in_service = state.status in (ZoneStatus.IN_SERVICE, ZoneStatus.EVACUATING)
