--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -2,7 +2,8 @@
 
 from loopback import OK, REJECTED, SERVER_ERROR, Bench, Server, call, respond_with, run_scenario, wait_until
 from prometheus_client.parser import text_string_to_metric_families
-from test_management import MANAGEMENT_CONFIG, operator_request
+from retry_support import MANAGEMENT_CONFIG
+from test_management import operator_request
 
 from balancer.net.discovery.registry import server_number
 from balancer.net.process.counters import Counters
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -21,13 +21,13 @@
     spawn_node,
     wait_until,
 )
+from retry_support import MANAGEMENT_CONFIG
 
 from balancer.net.config import ConfigError, read
 from balancer.net.downstream.client_eviction import eviction_priority
 from balancer.net.process import management
 
 READY = b"GET /ready HTTP/1.1\r\n\r\n"
-MANAGEMENT_CONFIG = {"management": "127.0.0.1:0"}
 
 
 async def operator_request(bench: Bench, path: str, method: str = "GET") -> tuple[int, dict[str, str], bytes]:
